--- a/rehearsal/src/cli/mod.rs
+++ b/rehearsal/src/cli/mod.rs
@@ -1,6 +1,7 @@
 //! The command line of the rehearsal kit.
 
 mod capacity;
+mod digest;
 mod explore;
 mod fleet;
 mod measure;
@@ -43,6 +44,9 @@
   sweep FILE [--from N] [--seeds N] [--random N] [--shape S] [--last] [--threads N]
                                                  rehearse it with many seeds; a failing one is shrunk;
                                                  --last adds a fault straight before the closing reads
+  digest FILE [--from N] [--seeds N] [--random N] [--shape S] [--last] [--threads N]
+                                                 fingerprints of the days and of walks of the explorer: equal before
+                                                 and after a change that changes no behaviour
   explore [--voters N] [--standbys N] [--from N] [--seeds N] [--random N] [--seconds N] [--threads N]
                                                  random walks of the replicas alone, under the model checker
   fleet [--shape odvoza|gunasekera] [--seconds N] [--settle N] [--rate N] [--folder DIR]
@@ -118,6 +122,7 @@
         match w.rest.first().map(String::as_str) {
             Some("run") => run::run(&w),
             Some("sweep") => sweep::run(&w),
+            Some("digest") => digest::run(&w),
             Some("explore") => explore::run(&w),
             Some("fleet") => fleet::run(&w),
             Some("measure") => measure::run(&w),
