--- a/landingdrift/src/agreement/clock.rs
+++ b/landingdrift/src/agreement/clock.rs
@@ -14,7 +14,7 @@
 /// Machines' clocks are asked only when nobody carries an agreed time, that is at the first start and after a total
 /// outage. A clock that jumps while its process runs moves nothing.
 #[derive(Clone, Debug, Default)]
-pub struct AgreedClock {
+pub struct ClusterClock {
     base: Option<(u64, u64)>,
     seen: BTreeMap<String, (u64, Told)>,
     since: u64,
@@ -24,7 +24,7 @@
 /// So many clocks are enough for a first reading at once.
 const MANY: usize = 5;
 
-impl AgreedClock {
+impl ClusterClock {
     /// Begins to lead: what was carried goes on; no entry so far is later than `last`.
     pub fn lead(&mut self, now: Now, last: u64) {
         self.seen.clear();
@@ -109,7 +109,7 @@
 
     #[test]
     fn clocks_that_jump_together_move_nothing_once_the_time_is_agreed() {
-        let mut c = AgreedClock::default();
+        let mut c = ClusterClock::default();
         let mut before = 0;
         for t in 0..200u64 {
             let mono = t * 100;
@@ -133,7 +133,7 @@
 
     #[test]
     fn a_process_that_starts_anew_takes_the_time_that_others_carry() {
-        let mut c = AgreedClock::default();
+        let mut c = ClusterClock::default();
         let now = Now {
             mono: 5,
             wall: 9 * HOUR,
@@ -147,7 +147,7 @@
 
     #[test]
     fn after_a_total_outage_many_clocks_outvote_the_cores_and_time_never_goes_back() {
-        let mut c = AgreedClock::default();
+        let mut c = ClusterClock::default();
         let now = Now {
             mono: 5,
             wall: 9 * HOUR,
@@ -161,7 +161,7 @@
             .for_each(|p| c.sample(now, p, told(4 * HOUR, false)));
         c.steer(now, 1000);
         assert_eq!(c.read(now), 4 * HOUR);
-        let mut d = AgreedClock::default();
+        let mut d = ClusterClock::default();
         d.lead(now, 10 * HOUR);
         d.sample(now, "b", told(HOUR, false));
         let later = Now {
--- a/landingdrift/src/agreement/duties.rs
+++ b/landingdrift/src/agreement/duties.rs
@@ -1,7 +1,7 @@
 //! The leader's loops: each works out the difference between what is wanted and what is.
 
-use super::{Core, Peer};
-use crate::kernel::digest;
+use super::{Peer, Replica};
+use crate::kernel::fnv1a;
 use crate::kernel::Now;
 use crate::record::{cell_duty, queue_duty, Command};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,13 +9,13 @@
 /// Nodes with less than so many thousandths of a core get duties only where there is nobody else.
 pub(super) const TINY: u64 = 100;
 
-impl Core {
+impl Replica {
     pub(super) fn lead_tick(&mut self, now: Now) {
-        let span = self.cfg.bounds.election();
+        let span = self.settings.bounds.election();
         let quorum = self.quorum_at(now);
         if now.mono.saturating_sub(quorum.max(self.led_since)) > 2 * span {
             self.line("no majority answers: steps down".into());
-            let term = self.hard.term;
+            let term = self.hard_state.term;
             self.follow(now, term, "");
             return;
         }
@@ -31,7 +31,7 @@
             });
         });
         self.clock.steer(now, 2 * span);
-        let beat_due = now.mono >= self.last_round + self.cfg.bounds.heartbeat();
+        let beat_due = now.mono >= self.last_round + self.settings.bounds.heartbeat();
         if beat_due || std::mem::take(&mut self.wants_beat) {
             self.send_round(now, true);
         }
@@ -58,7 +58,7 @@
     }
 
     fn node_duty(&mut self, now: Now) -> Option<Command> {
-        let span = self.cfg.bounds.node_lost();
+        let span = self.settings.bounds.node_lost();
         let fresh: Option<Command> = self
             .followers
             .iter()
@@ -85,7 +85,7 @@
                 .find(|(k, _)| {
                     self.followers.get(*k).map_or(led_long, |f| {
                         now.mono.saturating_sub(f.heard) > span
-                            || (f.leaving && !self.record.grants.values().any(|g| g.holder == **k))
+                            || (f.leaving && !self.record.leases.values().any(|g| g.holder == **k))
                     })
                 })
                 .map(|(k, _)| Command::NodeGone { node: k.clone() })
@@ -94,7 +94,10 @@
 
     /// Every zone with workers or nodes has its cell held, every queue its owner, spread evenly.
     fn grant_duty(&mut self, now: Now) -> Option<Command> {
-        let (span, queue_lost) = (self.cfg.bounds.node_lost(), self.cfg.bounds.queue_lost());
+        let (span, queue_lost) = (
+            self.settings.bounds.node_lost(),
+            self.settings.bounds.queue_lost(),
+        );
         let staying = |n: &str| {
             self.record.nodes.get(n).is_some_and(|x| x.alive)
                 && self.followers.get(n).is_some_and(|f| {
@@ -111,7 +114,7 @@
         if load.is_empty() {
             return None;
         }
-        self.record.grants.values().for_each(|g| {
+        self.record.leases.values().for_each(|g| {
             load.get_mut(g.holder.as_str())
                 .into_iter()
                 .for_each(|l| *l += 1)
@@ -139,7 +142,7 @@
         let place = |n: &str, zone: Option<&str>, load: usize| self.place(n, zone, load);
         let mut better = None;
         for (duty, zone) in duties {
-            let current = self.record.grants.get(&duty);
+            let current = self.record.leases.get(&duty);
             let holder = current.map_or("", |g| g.holder.as_str());
             let alive = self.record.nodes.get(holder).is_some_and(|n| n.alive);
             let leaving = self.followers.get(holder).is_some_and(|f| f.leaving);
@@ -166,7 +169,7 @@
                 better = better.or(best
                     .zip(held)
                     .filter(|((b, _), h)| b.0 < h.0 || (b.0 == h.0 && b.1 * 3 < h.1 * 2))
-                    .map(|((_, to), _)| Command::Grant {
+                    .map(|((_, to), _)| Command::Lease {
                         duty,
                         holder: to,
                         from_epoch,
@@ -183,7 +186,7 @@
             if current.is_some() {
                 self.moved = now.mono;
             }
-            return Some(Command::Grant {
+            return Some(Command::Lease {
                 duty,
                 holder: to,
                 from_epoch,
@@ -208,11 +211,14 @@
         let class = 2 * u32::from(away) + u32::from(share < TINY);
         let left = if core { share / 4 } else { share };
         let weight = (load as u64 * 1000 * 1000) / left.max(1);
-        (class, weight, digest(node.as_bytes()))
+        (class, weight, fnv1a(node.as_bytes()))
     }
 
     fn sweep_duty(&mut self, now: Now) -> Option<Command> {
-        let (retain_ms, identity_ms) = (self.cfg.limits.retain_ms, self.cfg.limits.identity_ms);
+        let (retain_ms, identity_ms) = (
+            self.settings.limits.retain_ms,
+            self.settings.limits.identity_ms,
+        );
         let at = self.clock.read(now);
         self.record
             .sweep_due(retain_ms, identity_ms)
--- a/landingdrift/src/agreement/elect.rs
+++ b/landingdrift/src/agreement/elect.rs
@@ -1,29 +1,29 @@
-use super::{Core, Peer, Role};
+use super::{Peer, Replica, Role};
 use crate::kernel::Now;
 use crate::record::Command;
-use crate::wire::{Body, HandOver, Vote, VoteVerdict};
+use crate::wire::{Body, TransferLeadership, VoteRequest, VoteResponse};
 
-impl Core {
+impl Replica {
     pub(super) fn arm_election(&mut self, now: Now) {
-        let span = self.cfg.bounds.election();
+        let span = self.settings.bounds.election();
         // Just awake and with no leader heard of, there is most likely none: a total outage.
         let eager = now.mono < self.eager_until && self.leader.is_empty();
         let span = if eager { span / 4 } else { span };
         // Whoever is being shut down leaves the lead to others, as long as there are any.
         let reserve = if self.stopping.is_some() { span } else { 0 };
-        self.election_at = now.mono + reserve + span + self.draw.below(span);
+        self.election_at = now.mono + reserve + span + self.rng.below(span);
     }
 
     /// Falls back to following, in a term not older than its own.
     pub(super) fn follow(&mut self, now: Now, term: u64, leader: &str) {
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.vote.clear();
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote.clear();
             self.verified = 0;
-            self.unsaved.hard = Some(self.hard.clone());
+            self.unsaved.hard_state = Some(self.hard_state.clone());
         }
         if self.role == Role::Leader {
-            self.line(format!("no longer leader, term {}", self.hard.term));
+            self.line(format!("no longer leader, term {}", self.hard_state.term));
             // What was proposed may still come through under another leader: nobody is told "refused".
             self.asked.clear();
             self.reads.clear();
@@ -61,8 +61,8 @@
         let me = self.name.clone();
         self.votes = [(me.clone(), self.disk)].into();
         let (last_index, last_term) = self.last();
-        let term = self.hard.term + u64::from(pre);
-        let body = Body::Vote(Box::new(Vote {
+        let term = self.hard_state.term + u64::from(pre);
+        let body = Body::VoteRequest(Box::new(VoteRequest {
             pre,
             handed,
             term,
@@ -82,18 +82,18 @@
 
     fn campaign(&mut self, now: Now, handed: bool) {
         self.role = Role::Candidate;
-        self.hard.term += 1;
-        self.hard.vote = self.name.clone();
-        self.unsaved.hard = Some(self.hard.clone());
+        self.hard_state.term += 1;
+        self.hard_state.vote = self.name.clone();
+        self.unsaved.hard_state = Some(self.hard_state.clone());
         self.count("elections", 1);
         self.arm_election(now);
         self.ask_votes(now, false, handed);
     }
 
-    pub(super) fn on_vote(&mut self, now: Now, from: &str, m: &Vote) {
+    pub(super) fn on_vote(&mut self, now: Now, from: &str, m: &VoteRequest) {
         let led = self.role == Role::Leader
             || (!self.leader.is_empty()
-                && now.mono.saturating_sub(self.heard_leader) < self.cfg.bounds.election());
+                && now.mono.saturating_sub(self.heard_leader) < self.settings.bounds.election());
         if self.waking.is_some() || (led && !m.handed) || !self.storage.takes_writes() {
             return;
         }
@@ -101,16 +101,18 @@
         let known = !self.members().contains_key(from) || self.is_identity(from, m.disk);
         let reaches = (m.last_term, m.last_index) >= self.answerable(now);
         if m.pre {
-            let granted =
-                known && reaches && m.term > self.hard.term && m.term > self.hard.silent_to;
+            let granted = known
+                && reaches
+                && m.term > self.hard_state.term
+                && m.term > self.hard_state.silent_to;
             self.send(
                 from,
-                Body::VoteVerdict(Box::new(VoteVerdict {
+                Body::VoteResponse(Box::new(VoteResponse {
                     pre: true,
                     term: if granted {
                         m.term
                     } else {
-                        self.hard.term.max(self.hard.silent_to)
+                        self.hard_state.term.max(self.hard_state.silent_to)
                     },
                     granted,
                     disk: self.disk,
@@ -118,21 +120,24 @@
             );
             return;
         }
-        if m.term > self.hard.term {
+        if m.term > self.hard_state.term {
             self.follow(now, m.term, "");
         }
-        let free = self.hard.vote.is_empty() || self.hard.vote == from;
-        let granted =
-            known && reaches && m.term == self.hard.term && m.term > self.hard.silent_to && free;
+        let free = self.hard_state.vote.is_empty() || self.hard_state.vote == from;
+        let granted = known
+            && reaches
+            && m.term == self.hard_state.term
+            && m.term > self.hard_state.silent_to
+            && free;
         if granted {
-            self.hard.vote = from.into();
-            self.unsaved.hard = Some(self.hard.clone());
+            self.hard_state.vote = from.into();
+            self.unsaved.hard_state = Some(self.hard_state.clone());
             self.arm_election(now);
         }
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.send_durable(
             from,
-            Body::VoteVerdict(Box::new(VoteVerdict {
+            Body::VoteResponse(Box::new(VoteResponse {
                 pre: false,
                 term,
                 granted,
@@ -141,14 +146,14 @@
         );
     }
 
-    pub(super) fn on_vote_verdict(&mut self, now: Now, from: &str, m: &VoteVerdict) {
-        if m.term > self.hard.term && !m.granted {
+    pub(super) fn on_vote_response(&mut self, now: Now, from: &str, m: &VoteResponse) {
+        if m.term > self.hard_state.term && !m.granted {
             self.follow(now, m.term, "");
             return;
         }
         let fits = match self.role {
-            Role::Asking => m.pre && m.term == self.hard.term + 1,
-            Role::Candidate => !m.pre && m.term == self.hard.term,
+            Role::Asking => m.pre && m.term == self.hard_state.term + 1,
+            Role::Candidate => !m.pre && m.term == self.hard_state.term,
             _ => false,
         };
         if fits && m.granted {
@@ -170,7 +175,7 @@
         match self.role {
             Role::Asking => self.campaign(now, false),
             // Its own vote counts once it is durable.
-            Role::Candidate if self.unsaved.hard.is_none() && self.saved >= self.ticket => {
+            Role::Candidate if self.unsaved.hard_state.is_none() && self.saved >= self.write_id => {
                 self.lead(now)
             }
             _ => {}
@@ -209,7 +214,7 @@
         self.followers.clear();
         self.clock.lead(now, last_at);
         self.count("leaderships", 1);
-        self.line(format!("leader of term {}", self.hard.term));
+        self.line(format!("leader of term {}", self.hard_state.term));
         let leader = self.name.clone();
         self.opened = self.push(now, &Command::Opened { leader });
         self.send_round(now, true);
@@ -218,7 +223,7 @@
     /// The voter that should lead next: it answers, does not leave itself, has a working disk, and is farthest.
     fn successor(&mut self, now: Now) -> Option<String> {
         let voters = self.voters();
-        let silence_allowed = self.cfg.bounds.election();
+        let silence_allowed = self.settings.bounds.election();
         let fit = |address: &String, peer: &Peer| {
             voters.contains(address)
                 && !peer.leaving
@@ -240,9 +245,12 @@
     /// Offers the lead to a successor, if there is one.
     pub(super) fn hand_over(&mut self, now: Now) {
         self.handed_at = now.mono;
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         if let Some(successor) = self.successor(now) {
-            self.send(&successor, Body::HandOver(Box::new(HandOver { term })));
+            self.send(
+                &successor,
+                Body::TransferLeadership(Box::new(TransferLeadership { term })),
+            );
         }
     }
 
@@ -251,7 +259,7 @@
             let (i, t) = self.last();
             (t, i)
         };
-        if term == self.hard.term
+        if term == self.hard_state.term
             && self.role == Role::Follower
             && self.waking.is_none()
             && self.stopping.is_none()
--- a/landingdrift/src/agreement/feed.rs
+++ b/landingdrift/src/agreement/feed.rs
@@ -1,10 +1,12 @@
 //! The numbered feed: nodes follow the record from a place on, and start from a capture.
 
 use super::clock::Told;
-use super::{Core, Follower, Role};
+use super::{Follower, Replica, Role};
 use crate::kernel::Now;
 use crate::record::Command;
-use crate::wire::{Body, FeedBatch, FeedPull, NodePlace, Proposed, ReadPlace, RequestToken};
+use crate::wire::{
+    Body, NodeProgress, ProposeResponse, ReadIndexResponse, RequestToken, WatchBatch, WatchRequest,
+};
 use std::collections::BTreeSet;
 
 /// So many entries are taken in by a capture rather than one by one.
@@ -20,7 +22,7 @@
     place: u64,
 }
 
-impl Core {
+impl Replica {
     /// Until when this leader surely led: a majority answered a round sent then.
     pub(super) fn quorum_at(&mut self, now: Now) -> u64 {
         let sent = self.by_voter(now.mono, |p| p.round_sent);
@@ -34,13 +36,13 @@
             && self.record.place >= self.opened
     }
 
-    pub(super) fn on_pull(&mut self, now: Now, from: &str, m: FeedPull) {
+    pub(super) fn on_pull(&mut self, now: Now, from: &str, m: WatchRequest) {
         if !self.settled() {
             self.feed_snapshots.clear();
             self.send_batch(now, from, m.sent, false, None);
             return;
         }
-        let unused = 2 * self.cfg.bounds.node_lost();
+        let unused = 2 * self.settings.bounds.node_lost();
         self.feed_snapshots.expire(now, unused);
         let told = Told {
             at: m.clock,
@@ -81,10 +83,10 @@
     }
 
     /// Whether a node is to follow a light copy: it has too little of a processor for duties, and others have enough.
-    fn wants_light(&self, now: Now, m: &FeedPull) -> bool {
+    fn wants_light(&self, now: Now, m: &WatchRequest) -> bool {
         let able = |f: &Follower| u64::from(f.share) >= super::duties::TINY;
         u64::from(m.share) < super::duties::TINY
-            && (now.mono < self.led_since + 2 * self.cfg.bounds.node_lost()
+            && (now.mono < self.led_since + 2 * self.settings.bounds.node_lost()
                 || self.followers.values().any(able))
     }
 
@@ -92,12 +94,12 @@
     pub(super) fn push_feed(&mut self, now: Now) {
         let holders: BTreeSet<String> = self
             .record
-            .grants
+            .leases
             .values()
             .map(|g| g.holder.clone())
             .collect();
         let commit = self.commit;
-        let span = self.cfg.bounds.fresh();
+        let span = self.settings.bounds.fresh();
         let due: Vec<(String, u64, u64)> = self
             .followers
             .iter()
@@ -151,7 +153,7 @@
         self.count("feed_entries", entries.len() as u64);
         let cores = self.members().into_keys().collect();
         let clock = self.clock.read(now);
-        let batch = FeedBatch {
+        let batch = WatchBatch {
             core: self.name.clone(),
             leader: self.leader.clone(),
             ok,
@@ -160,14 +162,14 @@
             clock,
             commit: self.commit,
             // An older build's way: snapshots go in chunks.
-            capture: Vec::new(),
-            capture_index: 0,
+            snapshot: Vec::new(),
+            snapshot_index: 0,
             entries,
             cores,
             light,
             reached,
         };
-        self.send(to, Body::FeedBatch(Box::new(batch)));
+        self.send(to, Body::WatchBatch(Box::new(batch)));
         reached
     }
 
@@ -190,12 +192,12 @@
             };
             self.send(
                 from,
-                Body::Proposed(Box::new(Proposed {
+                Body::ProposeResponse(Box::new(ProposeResponse {
                     token,
                     outcome: 1,
                     place: 0,
                     leader,
-                    verdict: Vec::new(),
+                    response: Vec::new(),
                 })),
             );
             return;
@@ -215,7 +217,7 @@
             };
             self.send(
                 from,
-                Body::ReadPlace(Box::new(ReadPlace {
+                Body::ReadIndexResponse(Box::new(ReadIndexResponse {
                     token,
                     ok: false,
                     place: 0,
@@ -245,12 +247,12 @@
             .into_iter()
             .partition(|r| r.asked <= quorum);
         self.reads = rest;
-        let nodes: Vec<NodePlace> = self
+        let nodes: Vec<NodeProgress> = self
             .followers
             .iter()
             // Those that are gone hold no change up.
             .filter(|(k, _)| self.record.nodes.get(*k).is_some_and(|n| n.alive))
-            .map(|(k, f)| NodePlace {
+            .map(|(k, f)| NodeProgress {
                 node: k.clone(),
                 place: f.place,
                 version: self
@@ -267,7 +269,7 @@
             let leader = self.name.clone();
             self.send(
                 &r.to,
-                Body::ReadPlace(Box::new(ReadPlace {
+                Body::ReadIndexResponse(Box::new(ReadIndexResponse {
                     token: r.token,
                     ok: true,
                     place: r.place,
--- a/landingdrift/src/agreement/feed_snapshots.rs
+++ b/landingdrift/src/agreement/feed_snapshots.rs
@@ -1,10 +1,10 @@
 //! The snapshots that nodes fetch: a few, shared by all that fetch them, and dropped when nobody does.
 
 use super::snapshot::REPEAT_AFTER_BEATS;
-use super::Core;
-use crate::chunks::{Identity, Snapshot};
+use super::Replica;
+use crate::chunks::{ChunkedSnapshot, Identity};
 use crate::kernel::Now;
-use crate::wire::{Body, FeedChunk, FeedPull};
+use crate::wire::{Body, WatchRequest, WatchSnapshotChunk};
 use std::sync::Arc;
 
 /// Snapshots of one kind that are kept at once: one that is fetched, and a newer one.
@@ -15,7 +15,7 @@
 #[derive(Clone)]
 struct Kept {
     light: bool,
-    snapshot: Arc<Snapshot>,
+    snapshot: Arc<ChunkedSnapshot>,
     /// When a chunk of it was last sent.
     used: u64,
 }
@@ -44,7 +44,7 @@
         self.0.iter_mut().rev().find(|k| fits(k))
     }
 
-    fn add(&mut self, light: bool, snapshot: Arc<Snapshot>, now: Now) {
+    fn add(&mut self, light: bool, snapshot: Arc<ChunkedSnapshot>, now: Now) {
         while self.0.iter().filter(|k| k.light == light).count() >= KEPT {
             let oldest = self.0.iter().position(|k| k.light == light);
             oldest.into_iter().for_each(|at| {
@@ -68,9 +68,9 @@
     at: u64,
 }
 
-impl Core {
+impl Replica {
     /// Sends the chunk that a node lacks, unless it may still be on its way.
-    pub(super) fn send_feed_chunk(&mut self, now: Now, to: &str, m: &FeedPull) {
+    pub(super) fn send_feed_chunk(&mut self, now: Now, to: &str, m: &WatchRequest) {
         let light = self.followers.get(to).is_some_and(|f| f.light);
         let snapshot = self.feed_snapshot(now, light, m);
         let of = snapshot.identity();
@@ -81,7 +81,7 @@
             offset: if resumes { m.part_received } else { 0 },
             at: now.mono,
         };
-        let patience = REPEAT_AFTER_BEATS * self.cfg.bounds.heartbeat();
+        let patience = REPEAT_AFTER_BEATS * self.settings.bounds.heartbeat();
         let Some(follower) = self.followers.get_mut(to) else {
             return;
         };
@@ -98,7 +98,7 @@
         let commit = self.commit;
         self.count("feed_captures", u64::from(chunk.offset == 0 && !same));
         self.count("feed_chunks", 1);
-        let body = FeedChunk {
+        let body = WatchSnapshotChunk {
             commit,
             light,
             index: of.index,
@@ -108,11 +108,11 @@
             checksum: of.checksum,
             bytes: snapshot.chunk(chunk.offset).to_vec(),
         };
-        self.send(to, Body::FeedChunk(Box::new(body)));
+        self.send(to, Body::WatchSnapshotChunk(Box::new(body)));
     }
 
     /// The snapshot that a node has a part of, if the log still follows on it; else one that is new enough.
-    fn feed_snapshot(&mut self, now: Now, light: bool, m: &FeedPull) -> Arc<Snapshot> {
+    fn feed_snapshot(&mut self, now: Now, light: bool, m: &WatchRequest) -> Arc<ChunkedSnapshot> {
         let (base, place) = (self.base.0, self.record.place);
         let has = |of: Identity| (of.index, of.checksum) == (m.part_index, m.part_checksum);
         let usable = |k: &Kept| k.light == light && k.snapshot.identity().index >= base;
@@ -134,11 +134,11 @@
         made
     }
 
-    fn make_feed_snapshot(&self, light: bool) -> Arc<Snapshot> {
+    fn make_feed_snapshot(&self, light: bool) -> Arc<ChunkedSnapshot> {
         let place = self.record.place;
-        let own = self.capture.identity().index;
+        let own = self.snapshot.identity().index;
         if !light && own > 0 && own >= self.base.0 && place - own <= SHARED_FOR {
-            return self.capture.clone();
+            return self.snapshot.clone();
         }
         let bytes = if light {
             self.record.light().pack()
@@ -146,6 +146,6 @@
             self.record.pack()
         };
         let term = self.term_at(place).unwrap_or(0);
-        Arc::new(Snapshot::new(place, term, bytes))
+        Arc::new(ChunkedSnapshot::new(place, term, bytes))
     }
 }
--- a/landingdrift/src/agreement/inspect.rs
+++ b/landingdrift/src/agreement/inspect.rs
@@ -1,12 +1,12 @@
 //! What tests and the model checker may look at. Nothing here changes a replica.
 
-use super::{Core, Role};
-use crate::record::Record;
+use super::{Replica, Role};
+use crate::record::ClusterState;
 use crate::wire::Entry;
 
-impl Core {
+impl Replica {
     /// The cluster state as far as this replica has applied it.
-    pub fn record(&self) -> &Record {
+    pub fn record(&self) -> &ClusterState {
         &self.record
     }
 
@@ -22,7 +22,7 @@
 
     /// The term this replica is in.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// The index up to which this replica knows entries to be committed.
@@ -45,8 +45,14 @@
     pub fn fingerprint(&self) -> u64 {
         use std::hash::{DefaultHasher, Hash, Hasher};
         let mut hasher = DefaultHasher::new();
-        (self.role as u8, self.hard.term, &self.hard.vote).hash(&mut hasher);
-        (self.hard.silent_to, self.floor, self.commit, self.base).hash(&mut hasher);
+        (self.role as u8, self.hard_state.term, &self.hard_state.vote).hash(&mut hasher);
+        (
+            self.hard_state.silent_to,
+            self.floor,
+            self.commit,
+            self.base,
+        )
+            .hash(&mut hasher);
         (&self.leader, self.durable, self.verified).hash(&mut hasher);
         (self.waking.is_some(), self.stopping.is_some(), self.joining).hash(&mut hasher);
         self.votes.hash(&mut hasher);
--- a/landingdrift/src/agreement/log.rs
+++ b/landingdrift/src/agreement/log.rs
@@ -1,13 +1,13 @@
 //! The log in memory, and what of it is on the disk.
 
-use super::{Core, Role};
+use super::{Replica, Role};
 use crate::kernel::{Effect, Now};
 use crate::wire::{Body, Entry};
 
 /// The bytes of entries in one message, unless a single entry is larger.
 const BATCH_BYTES: usize = 1 << 20;
 
-impl Core {
+impl Replica {
     /// The index and term of the last entry.
     pub(super) fn last(&self) -> (u64, u64) {
         self.log.back().map_or(self.base, |e| (e.index, e.term))
@@ -47,14 +47,15 @@
     /// Hands what has changed to the disk; returns the ticket that confirms it.
     pub(super) fn flush(&mut self) -> u64 {
         let s = &self.unsaved;
-        if s.hard.is_none() && s.cut.is_none() && s.entries.is_empty() && s.capture.is_none() {
-            return self.ticket;
+        if s.hard_state.is_none() && s.cut.is_none() && s.entries.is_empty() && s.snapshot.is_none()
+        {
+            return self.write_id;
         }
-        self.ticket += 1;
+        self.write_id += 1;
         let mut save = std::mem::take(&mut self.unsaved);
-        save.ticket = self.ticket;
-        if save.hard.is_some() {
-            self.hard_ticket = self.ticket;
+        save.write_id = self.write_id;
+        if save.hard_state.is_some() {
+            self.hard_state_write = self.write_id;
         }
         save.notes = self.notes.values().cloned().collect();
         if let Some(cut) = save.cut {
@@ -64,30 +65,31 @@
                 .for_each(|(_, last)| *last = (*last).min(cut.saturating_sub(1)));
         }
         let last = self.last().0;
-        self.saving.push_back((self.ticket, last));
-        self.storage.handed_over(self.last_tick, self.ticket);
+        self.saving.push_back((self.write_id, last));
+        self.storage.handed_over(self.last_tick, self.write_id);
         self.count("disk_saves", 1);
-        self.out.push(Effect::Save(save));
-        self.ticket
+        self.out.push(Effect::Persist(save));
+        self.write_id
     }
 
     /// Sends once everything changed so far is durable.
     pub(super) fn send_durable(&mut self, to: &str, body: Body) {
-        let ticket = self.flush();
-        if ticket <= self.saved {
+        let write_id = self.flush();
+        if write_id <= self.saved {
             self.send(to, body);
         } else {
-            self.held.push_back((ticket, Effect::Send(to.into(), body)));
+            self.held
+                .push_back((write_id, Effect::Send(to.into(), body)));
         }
     }
 
-    pub(super) fn on_saved(&mut self, now: Now, ticket: u64) {
-        self.saved = self.saved.max(ticket);
-        self.storage_confirmed(now, ticket);
-        while let Some((_, last)) = self.saving.pop_front_if(|(t, _)| *t <= ticket) {
+    pub(super) fn on_saved(&mut self, now: Now, write_id: u64) {
+        self.saved = self.saved.max(write_id);
+        self.storage_confirmed(now, write_id);
+        while let Some((_, last)) = self.saving.pop_front_if(|(t, _)| *t <= write_id) {
             self.durable = self.durable.max(last);
         }
-        while let Some((_, effect)) = self.held.pop_front_if(|(t, _)| *t <= ticket) {
+        while let Some((_, effect)) = self.held.pop_front_if(|(t, _)| *t <= write_id) {
             self.out.push(effect);
         }
         match self.role {
--- a/landingdrift/src/agreement/members.rs
+++ b/landingdrift/src/agreement/members.rs
@@ -3,10 +3,10 @@
 use super::membership::{
     majority, Health, JoinRequest, MembershipChange, MembershipView, Observed, Resilience,
 };
-use super::{Core, Role};
+use super::{Replica, Role};
 use crate::kernel::Now;
-use crate::record::{Command, CoreMember};
-use crate::wire::{Body, Join};
+use crate::record::{Command, ReplicaMember};
+use crate::wire::{Body, JoinCluster};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A standby this many entries behind the commit index still counts as caught up.
@@ -17,9 +17,9 @@
 const JOIN_EVERY_HEARTBEATS: u64 = 4;
 
 /// Members by address.
-pub(super) type Members = BTreeMap<String, CoreMember>;
+pub(super) type Members = BTreeMap<String, ReplicaMember>;
 
-impl Core {
+impl Replica {
     /// The members by the latest entries of the log, committed or not; before there are any, the founders.
     pub(super) fn members(&mut self) -> Members {
         if let Some(members) = &self.members_cache {
@@ -30,7 +30,7 @@
         for entry in self.log.iter().filter(|e| e.index > applied) {
             match Command::unpack(&entry.command) {
                 Ok(Command::Found { cores }) if members.is_empty() => members = cores,
-                Ok(Command::Core { core, member }) => {
+                Ok(Command::Replica { core, member }) => {
                     members.insert(core, member);
                 }
                 Ok(Command::CoreGone { core, disk })
@@ -51,13 +51,13 @@
     /// The founders, whose disks are not known yet.
     fn founding_members(&self) -> Members {
         let founder = |address: &String| {
-            let member = CoreMember {
+            let member = ReplicaMember {
                 voter: true,
-                ..CoreMember::default()
+                ..ReplicaMember::default()
             };
             (address.clone(), member)
         };
-        self.hard.founders.iter().map(founder).collect()
+        self.hard_state.founders.iter().map(founder).collect()
     }
 
     pub(super) fn voters(&mut self) -> Vec<String> {
@@ -90,7 +90,7 @@
     pub(super) fn by_voter(&mut self, own: u64, of: impl Fn(&super::Peer) -> u64) -> Vec<u64> {
         let members = self.members();
         let voters = members.iter().filter(|(_, m)| m.voter);
-        let value = |(address, member): (&String, &CoreMember)| {
+        let value = |(address, member): (&String, &ReplicaMember)| {
             if *address == self.name {
                 return own;
             }
@@ -114,7 +114,7 @@
         if self.record.cores.is_empty() {
             return self.found(now);
         }
-        let span = self.cfg.bounds.replace_ms;
+        let span = self.settings.bounds.replace_ms;
         self.join_requests
             .retain(|_, (at, _)| now.mono.saturating_sub(*at) < span);
         let members = self.members();
@@ -126,11 +126,11 @@
 
     fn command_for(&self, members: &Members, change: MembershipChange) -> Command {
         let with_vote = |core: String, voter: bool| {
-            let member = CoreMember {
+            let member = ReplicaMember {
                 voter,
                 ..members.get(&core).cloned().unwrap_or_default()
             };
-            Command::Core { core, member }
+            Command::Replica { core, member }
         };
         match change {
             MembershipChange::Promote(core) => with_vote(core, true),
@@ -139,9 +139,9 @@
                 let disk = members.get(&core).map_or(0, |m| m.disk);
                 Command::CoreGone { core, disk }
             }
-            MembershipChange::Admit(core, request) => Command::Core {
+            MembershipChange::Admit(core, request) => Command::Replica {
                 core,
-                member: CoreMember {
+                member: ReplicaMember {
                     voter: false,
                     disk: request.disk,
                     zone: request.zone,
@@ -154,7 +154,7 @@
     /// The first members: the founders that were heard, with their disks. All are waited for during one election span;
     /// one may then be left out, since any majority with it and any without it still meet.
     fn found(&mut self, now: Now) -> Option<Command> {
-        let founders = self.hard.founders.clone();
+        let founders = self.hard_state.founders.clone();
         let mut cores = Members::new();
         for address in &founders {
             let disk = if *address == self.name {
@@ -163,11 +163,11 @@
                 self.peers.get(address).map_or(0, |p| p.disk)
             };
             let zone = if *address == self.name {
-                self.cfg.zone.clone()
+                self.settings.zone.clone()
             } else {
                 self.zones.get(address).cloned().unwrap_or_default()
             };
-            let member = CoreMember {
+            let member = ReplicaMember {
                 voter: true,
                 disk,
                 zone,
@@ -177,7 +177,7 @@
                 cores.insert(address.clone(), member);
             }
         }
-        let waited = now.mono.saturating_sub(self.led_since) >= self.cfg.bounds.election();
+        let waited = now.mono.saturating_sub(self.led_since) >= self.settings.bounds.election();
         let complete =
             cores.len() == founders.len() || (waited && cores.len() + 1 == founders.len());
         complete.then_some(Command::Found { cores })
@@ -198,7 +198,7 @@
             .collect();
         use_view(&MembershipView {
             leader: &self.name,
-            target_voters: self.cfg.voters as usize,
+            target_voters: self.settings.voters as usize,
             members: &members,
             observed: &observed,
             requests: &requests,
@@ -212,14 +212,14 @@
             .collect()
     }
 
-    fn observe_member(&self, now: Now, address: &str, member: &CoreMember) -> Observed {
+    fn observe_member(&self, now: Now, address: &str, member: &ReplicaMember) -> Observed {
         let peer = self.peers.get(address).cloned().unwrap_or_default();
         let silence = now.mono.saturating_sub(peer.heard);
         let requested = self.join_requests.get(address).map_or(0, |(_, r)| r.disk);
         let other_disk = |disk: u64| disk != 0 && disk != member.disk;
         let health = if other_disk(peer.disk) || other_disk(requested) {
             Health::Replaced
-        } else if silence > self.cfg.bounds.exchange() {
+        } else if silence > self.settings.bounds.exchange() {
             Health::Silent
         } else if peer.leaving {
             Health::Leaving
@@ -228,12 +228,12 @@
         } else {
             Health::Reachable
         };
-        let answers = silence < self.cfg.bounds.election() && peer.disk == member.disk;
+        let answers = silence < self.settings.bounds.election() && peer.disk == member.disk;
         let caught_up = peer.matched > 0 && peer.matched + CAUGHT_UP_WITHIN >= self.commit;
         Observed {
             health,
             caught_up: answers && caught_up,
-            long_silent: silence > STANDBY_SILENT_SPANS * self.cfg.bounds.replace_ms,
+            long_silent: silence > STANDBY_SILENT_SPANS * self.settings.bounds.replace_ms,
         }
     }
 
@@ -250,8 +250,8 @@
         if self.record.version > 0 {
             return true;
         }
-        let disks_needed = majority(self.cfg.voters as usize);
-        let waited = now.mono.saturating_sub(self.led_since) > self.cfg.bounds.outage_ms;
+        let disks_needed = majority(self.settings.voters as usize);
+        let waited = now.mono.saturating_sub(self.led_since) > self.settings.bounds.outage_ms;
         self.majority() >= disks_needed || waited
     }
 
@@ -274,7 +274,7 @@
         ));
     }
 
-    pub(super) fn on_join(&mut self, now: Now, from: &str, m: Join) {
+    pub(super) fn on_join(&mut self, now: Now, from: &str, m: JoinCluster) {
         let request = JoinRequest {
             disk: m.disk,
             zone: m.zone,
@@ -288,25 +288,25 @@
         let name = self.name.clone();
         let silence = now.mono.saturating_sub(self.heard_leader);
         let admitted = self.is_identity(&name, self.disk);
-        let abandoned = silence > self.cfg.bounds.exchange();
-        let every = JOIN_EVERY_HEARTBEATS * self.cfg.bounds.heartbeat();
+        let abandoned = silence > self.settings.bounds.exchange();
+        let every = JOIN_EVERY_HEARTBEATS * self.settings.bounds.heartbeat();
         let due = self.joined_at.is_none_or(|at| now.mono >= at + every);
         if self.waking.is_some() || self.role == Role::Leader || !due || (admitted && !abandoned) {
             return;
         }
         self.joined_at = Some(now.mono);
         let mut targets: BTreeSet<String> = self.members().into_keys().collect();
-        targets.extend(self.cfg.seeds.iter().cloned());
+        targets.extend(self.settings.seeds.iter().cloned());
         targets.extend(self.views.cores.iter().cloned());
         targets.extend(Some(self.leader.clone()).filter(|l| !l.is_empty()));
         targets.remove(&name);
-        let request = Join {
+        let request = JoinCluster {
             disk: self.disk,
-            zone: self.cfg.zone.clone(),
-            standby_only: self.cfg.standby_only,
+            zone: self.settings.zone.clone(),
+            standby_only: self.settings.standby_only,
         };
         for target in targets {
-            self.send(&target, Body::Join(Box::new(request.clone())));
+            self.send(&target, Body::JoinCluster(Box::new(request.clone())));
         }
     }
 }
--- a/landingdrift/src/agreement/membership.rs
+++ b/landingdrift/src/agreement/membership.rs
@@ -3,7 +3,7 @@
 //! A replica is identified by its address *and* its disk. Changes are made one at a time, each committed before the
 //! next is derived, so that every two majorities in force one after the other share a member.
 
-use crate::record::CoreMember;
+use crate::record::ReplicaMember;
 use std::collections::BTreeMap;
 
 /// How the leader sees a member at the moment.
@@ -58,7 +58,7 @@
     pub leader: &'a str,
     /// The wanted number of voters: 2f+1 where f machines may be lost at once.
     pub target_voters: usize,
-    pub members: &'a BTreeMap<String, CoreMember>,
+    pub members: &'a BTreeMap<String, ReplicaMember>,
     pub observed: &'a BTreeMap<String, Observed>,
     pub requests: &'a BTreeMap<String, JoinRequest>,
 }
@@ -191,7 +191,7 @@
 
     /// A disk that answers at another address already is a copy, and is not admitted.
     fn may_admit(&self, address: &str, request: &JoinRequest) -> bool {
-        let is_copy = |other: &String, member: &CoreMember| {
+        let is_copy = |other: &String, member: &ReplicaMember| {
             member.disk == request.disk && self.health(other) != Health::Silent
         };
         !self.members.contains_key(address)
--- a/landingdrift/src/agreement/mod.rs
+++ b/landingdrift/src/agreement/mod.rs
@@ -17,15 +17,15 @@
 mod storage;
 mod wake;
 
-pub use clock::AgreedClock;
+pub use clock::ClusterClock;
 pub(crate) use peers::{Follower, Peer};
 
-use crate::chunks::{Assembly, Snapshot};
-use crate::kernel::{Capture, Draw, Effect, Hard, Msg, Now, Part, Save};
-use crate::record::Record;
+use crate::chunks::{Assembly, ChunkedSnapshot};
+use crate::kernel::{Effect, HardState, Msg, Now, Part, Rng, Snapshot, WriteBatch};
+use crate::record::ClusterState;
 use crate::settings::Settings;
-use crate::views::Views;
-use crate::wire::{Body, Entry, Note, RequestToken};
+use crate::views::PeerSampler;
+use crate::wire::{Body, DurabilityWitness, Entry, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -34,10 +34,10 @@
 pub struct Loaded {
     /// Drawn when the data folder was made.
     pub disk: u64,
-    pub hard: Hard,
-    pub capture: Option<Capture>,
+    pub hard_state: HardState,
+    pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
-    pub notes: Vec<Note>,
+    pub notes: Vec<DurabilityWitness>,
     /// Something in the middle was damaged and left out.
     pub damaged: bool,
 }
@@ -54,33 +54,33 @@
 
 /// A core.
 #[derive(Clone)]
-pub struct Core {
-    pub(crate) cfg: Settings,
+pub struct Replica {
+    pub(crate) settings: Settings,
     pub(crate) name: String,
     disk: u64,
-    draw: Draw,
-    hard: Hard,
+    rng: Rng,
+    hard_state: HardState,
     role: Role,
     leader: String,
     /// The entries after `base`.
     log: VecDeque<Entry>,
     base: (u64, u64),
-    capture: Arc<Snapshot>,
+    snapshot: Arc<ChunkedSnapshot>,
     captured: u64,
     /// The bytes of the entries applied since.
     uncaptured_bytes: u64,
     incoming: Assembly,
-    record: Record,
+    record: ClusterState,
     commit: u64,
     durable: u64,
-    ticket: u64,
+    write_id: u64,
     saved: u64,
     held: VecDeque<(u64, Effect)>,
     /// Last index in each save not yet durable.
     saving: VecDeque<(u64, u64)>,
-    unsaved: Save,
+    unsaved: WriteBatch,
     /// What each identity (address and disk) may have confirmed.
-    notes: BTreeMap<(String, u64), Note>,
+    notes: BTreeMap<(String, u64), DurabilityWitness>,
     /// The farthest place this core has confirmed, as others remember it.
     floor: (u64, u64),
     /// The farthest log it heard of when it woke, and until when it leaves the lead to whoever holds that.
@@ -108,7 +108,7 @@
     /// Whom to tell what has become durable, and the round it asked in.
     confirmed: Option<(String, u64)>,
     /// The ticket that makes the current term durable.
-    hard_ticket: u64,
+    hard_state_write: u64,
     /// Requests to be admitted, and when they came.
     join_requests: BTreeMap<String, (u64, membership::JoinRequest)>,
     /// Zones of other replicas, as they said when they or this one started.
@@ -124,8 +124,8 @@
     last_round: u64,
     /// How far the log agrees with that of the present leader.
     verified: u64,
-    clock: AgreedClock,
-    views: Views,
+    clock: ClusterClock,
+    views: PeerSampler,
     last_tick: u64,
     members_cache: Option<members::Members>,
     /// Asked to stop: until when it may go on, and whether the leader lets it end.
@@ -138,21 +138,21 @@
     out: Vec<Effect>,
 }
 
-impl Core {
+impl Replica {
     /// A core from what its disk holds.
-    pub fn new(cfg: Settings, loaded: Loaded, now: Now, seed: u64) -> Result<Self, String> {
-        let record = loaded.capture.as_ref().map_or_else(
-            || Ok(Record::new(&cfg.cluster)),
-            |c| Record::unpack(&c.bytes),
+    pub fn new(settings: Settings, loaded: Loaded, now: Now, seed: u64) -> Result<Self, String> {
+        let record = loaded.snapshot.as_ref().map_or_else(
+            || Ok(ClusterState::new(&settings.cluster)),
+            |c| ClusterState::unpack(&c.bytes),
         )?;
-        (record.cluster == cfg.cluster).then_some(()).ok_or_else(|| {
+        (record.cluster == settings.cluster).then_some(()).ok_or_else(|| {
             format!(
                 "the data folder belongs to cluster '{}', not '{}': correct 'cluster' or 'data' in the settings",
-                record.cluster, cfg.cluster
+                record.cluster, settings.cluster
             )
         })?;
         let base = loaded
-            .capture
+            .snapshot
             .as_ref()
             .map_or((0, 0), |c| (c.index, c.term));
         let log: VecDeque<Entry> = loaded
@@ -161,40 +161,45 @@
             .filter(|e| e.index > base.0)
             .collect();
         let last = log.back().map_or(base.0, |e| e.index);
-        let name = cfg.listen.clone();
-        let waking = wake::Waking::new(now, cfg.bounds.wake());
-        let fresh = log.is_empty() && base.0 == 0 && loaded.hard == Hard::default();
-        let mut hard = loaded.hard;
-        let mut unsaved = Save::default();
-        if fresh && !cfg.join_only {
+        let name = settings.listen.clone();
+        let waking = wake::Waking::new(now, settings.bounds.wake());
+        let fresh = log.is_empty() && base.0 == 0 && loaded.hard_state == HardState::default();
+        let mut hard_state = loaded.hard_state;
+        let mut unsaved = WriteBatch::default();
+        if fresh && !settings.join_only {
             // A founder stays one after a restart, whatever the settings say then.
-            hard.founders = cfg.founders();
-            unsaved.hard = Some(hard.clone());
+            hard_state.founders = settings.founders();
+            unsaved.hard_state = Some(hard_state.clone());
         }
-        let mut views = Views::new(&cfg.listen, "core", &cfg.zone, &cfg.seeds);
-        views.cores = record.cores.keys().cloned().chain(cfg.founders()).collect();
+        let mut views = PeerSampler::new(&settings.listen, "core", &settings.zone, &settings.seeds);
+        views.cores = record
+            .cores
+            .keys()
+            .cloned()
+            .chain(settings.founders())
+            .collect();
         Ok(Self {
             name,
             disk: loaded.disk,
-            draw: Draw::new(seed),
-            joining: hard.founders.is_empty(),
-            hard,
+            rng: Rng::new(seed),
+            joining: hard_state.founders.is_empty(),
+            hard_state,
             role: Role::Follower,
             leader: String::new(),
             log,
             base,
             captured: base.0,
-            capture: Arc::new(
+            snapshot: Arc::new(
                 loaded
-                    .capture
-                    .map_or_else(Snapshot::default, Snapshot::from),
+                    .snapshot
+                    .map_or_else(ChunkedSnapshot::default, ChunkedSnapshot::from),
             ),
             uncaptured_bytes: 0,
             incoming: Assembly::default(),
             record,
             commit: base.0,
             durable: last,
-            ticket: 0,
+            write_id: 0,
             saved: 0,
             held: VecDeque::new(),
             saving: VecDeque::new(),
@@ -209,7 +214,7 @@
             damaged: loaded.damaged,
             waking: Some(waking),
             heard_leader: now.mono,
-            election_at: now.mono + cfg.bounds.election(),
+            election_at: now.mono + settings.bounds.election(),
             eager_until: 0,
             votes: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -224,7 +229,7 @@
             reads: Vec::new(),
             asked: BTreeMap::new(),
             confirmed: None,
-            hard_ticket: 0,
+            hard_state_write: 0,
             join_requests: BTreeMap::new(),
             zones: BTreeMap::new(),
             joined_at: None,
@@ -233,7 +238,7 @@
             wants_beat: false,
             last_round: 0,
             verified: 0,
-            clock: AgreedClock::default(),
+            clock: ClusterClock::default(),
             views,
             last_tick: now.mono,
             members_cache: None,
@@ -243,7 +248,7 @@
             storage: storage::Storage::default(),
             counters: BTreeMap::new(),
             out: Vec::new(),
-            cfg,
+            settings,
         })
     }
 
@@ -252,7 +257,7 @@
     }
 
     fn line(&mut self, text: String) {
-        self.out.push(Effect::Line(text));
+        self.out.push(Effect::Log(text));
     }
 
     fn send(&mut self, to: &str, body: Body) {
@@ -266,32 +271,32 @@
             let Some(e) = self.entry(next).cloned() else {
                 break;
             };
-            let ruling = self.record.apply_bytes(e.index, e.at, &e.command);
+            let result = self.record.apply_bytes(e.index, e.at, &e.command);
             self.uncaptured_bytes += e.command.len() as u64;
             self.count("entries_applied", 1);
-            self.count("entries_refused", u64::from(ruling.is_err()));
+            self.count("entries_refused", u64::from(result.is_err()));
             if let Some((to, token)) = self.asked.remove(&next) {
-                let verdict = crate::record::pack_ruling(&ruling);
+                let response = crate::record::pack_apply_result(&result);
                 let leader = self.name.clone();
                 self.send(
                     &to,
-                    Body::Proposed(Box::new(crate::wire::Proposed {
+                    Body::ProposeResponse(Box::new(crate::wire::ProposeResponse {
                         token,
                         outcome: 0,
                         place: next,
                         leader,
-                        verdict,
+                        response,
                     })),
                 );
             }
         }
-        self.capture_when_due();
+        self.snapshot_when_due();
     }
 
     fn on_tick(&mut self, now: Now) {
         let gap = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
-        if gap > self.cfg.bounds.election() / 2 {
+        if gap > self.settings.bounds.election() / 2 {
             // This process was frozen: nothing it failed to hear meanwhile says anything of others.
             self.count("own_freezes", 1);
             self.heard_leader = now.mono;
@@ -303,9 +308,9 @@
         self.storage_tick(now);
         self.wake_tick(now);
         self.join_tick(now);
-        let every = self.cfg.bounds.shuffle();
+        let every = self.settings.bounds.shuffle();
         self.views
-            .tick(now, every, &mut self.draw)
+            .tick(now, every, &mut self.rng)
             .into_iter()
             .for_each(|(to, m)| self.out.push(Effect::Send(to, Body::Shuffle(Box::new(m)))));
         match self.role {
@@ -317,36 +322,38 @@
     }
 }
 
-impl Part for Core {
+impl Part for Replica {
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
-            Msg::Saved(ticket) => self.on_saved(now, ticket),
-            Msg::DiskDefect(why) => self.on_disk_defect(now, &why),
+            Msg::Persisted(write_id) => self.on_saved(now, write_id),
+            Msg::DiskFailed(why) => self.on_disk_error(now, &why),
             Msg::Call(call, req) => self.on_call(now, call, &req),
-            Msg::Changed(new) => self.cfg = *new,
+            Msg::SettingsChanged(new) => self.settings = *new,
             Msg::Stop => self.on_stop(now),
             Msg::Wire(from, body) => match body {
                 Body::Hello(m) => self.on_hello(now, &from, *m),
-                Body::Vote(m) => self.on_vote(now, &from, &m),
-                Body::VoteVerdict(m) => self.on_vote_verdict(now, &from, &m),
-                Body::Append(m) => self.on_append(now, &from, *m),
-                Body::AppendVerdict(m) => self.on_append_verdict(now, &from, &m),
-                Body::Install(m) => self.on_install(now, &from, *m),
-                Body::InstallVerdict(m) => self.on_install_verdict(now, &from, &m),
-                Body::HandOver(m) => self.on_hand_over(now, m.term),
-                Body::Join(m) => self.on_join(now, &from, *m),
-                Body::FeedPull(m) => self.on_pull(now, &from, *m),
+                Body::VoteRequest(m) => self.on_vote(now, &from, &m),
+                Body::VoteResponse(m) => self.on_vote_response(now, &from, &m),
+                Body::AppendRequest(m) => self.on_append(now, &from, *m),
+                Body::AppendResponse(m) => self.on_append_response(now, &from, &m),
+                Body::InstallSnapshot(m) => self.on_install_snapshot(now, &from, *m),
+                Body::InstallSnapshotResponse(m) => {
+                    self.on_install_snapshot_response(now, &from, &m)
+                }
+                Body::TransferLeadership(m) => self.on_hand_over(now, m.term),
+                Body::JoinCluster(m) => self.on_join(now, &from, *m),
+                Body::WatchRequest(m) => self.on_pull(now, &from, *m),
                 Body::Shuffle(m) => {
                     let members = self.members().into_keys().collect();
                     self.views.set_cores(members);
                     self.views
-                        .take(*m, &mut self.draw)
+                        .take(*m, &mut self.rng)
                         .into_iter()
                         .for_each(|back| self.send(&from, Body::Shuffle(Box::new(back))));
                 }
-                Body::Propose(m) => self.on_propose(now, &from, m.token, m.command),
-                Body::ReadAsk(m) => self.on_read(now, &from, m.token),
+                Body::ProposeRequest(m) => self.on_propose(now, &from, m.token, m.command),
+                Body::ReadIndexRequest(m) => self.on_read(now, &from, m.token),
                 _ => self.count("messages_out_of_place", 1),
             },
         }
--- a/landingdrift/src/agreement/replicate.rs
+++ b/landingdrift/src/agreement/replicate.rs
@@ -1,16 +1,16 @@
 use super::clock::Told;
-use super::{Core, Role};
+use super::{Replica, Role};
 use crate::kernel::Now;
 use crate::record::Command;
-use crate::wire::{Append, AppendVerdict, Body, Entry, Note};
+use crate::wire::{AppendRequest, AppendResponse, Body, DurabilityWitness, Entry};
 
-impl Core {
+impl Replica {
     /// Enters a command into the log; returns its index.
     pub(super) fn push(&mut self, now: Now, command: &Command) -> u64 {
         let bytes = command.pack();
         if matches!(
             command,
-            Command::Found { .. } | Command::Core { .. } | Command::CoreGone { .. }
+            Command::Found { .. } | Command::Replica { .. } | Command::CoreGone { .. }
         ) {
             self.members_cache = None;
         }
@@ -28,7 +28,7 @@
         self.count("log_bytes", command.len() as u64);
         let e = Entry {
             index,
-            term: self.hard.term,
+            term: self.hard_state.term,
             at,
             command,
         };
@@ -58,7 +58,7 @@
 
     /// One batch of entries is under way to a core at a time; beats go out beside it.
     pub(super) fn replicate(&mut self, now: Now, to: &str, beat: bool) {
-        let patience = 4 * self.cfg.bounds.heartbeat();
+        let patience = 4 * self.settings.bounds.heartbeat();
         let Some(p) = self.peers.get_mut(to) else {
             return;
         };
@@ -68,7 +68,7 @@
             p.next = p.matched + 1;
         }
         let p = p.clone();
-        let (term, commit) = (self.hard.term, self.commit);
+        let (term, commit) = (self.hard_state.term, self.commit);
         let sure = p.pending > 0 || p.refuses;
         if !beat && (sure || p.next > self.last().0) {
             return;
@@ -99,13 +99,13 @@
         }
         let round = self.round;
         // The leader's own place counts towards the majority, so the others remember it as well.
-        let own = Note {
+        let own = DurabilityWitness {
             core: self.name.clone(),
             disk: self.disk,
             index: self.durable,
             term: self.term_at(self.durable).unwrap_or(0),
         };
-        let notes: Vec<Note> = self.notes.values().cloned().chain([own]).collect();
+        let notes: Vec<DurabilityWitness> = self.notes.values().cloned().chain([own]).collect();
         let may_leave = self.may_leave(now, to);
         let clock = if self.clock.set() {
             self.clock.read(now)
@@ -114,7 +114,7 @@
         };
         self.send(
             to,
-            Body::Append(Box::new(Append {
+            Body::AppendRequest(Box::new(AppendRequest {
                 term,
                 prev_index: prev,
                 prev_term,
@@ -128,13 +128,13 @@
         );
     }
 
-    pub(super) fn on_append(&mut self, now: Now, from: &str, m: Append) {
-        if m.term < self.hard.term {
-            let (term, last_index, disk) = (self.hard.term, self.last().0, self.disk);
+    pub(super) fn on_append(&mut self, now: Now, from: &str, m: AppendRequest) {
+        if m.term < self.hard_state.term {
+            let (term, last_index, disk) = (self.hard_state.term, self.last().0, self.disk);
             let told = self.clock.tell(now);
             self.send(
                 from,
-                Body::AppendVerdict(Box::new(AppendVerdict {
+                Body::AppendResponse(Box::new(AppendResponse {
                     term,
                     ok: false,
                     matched: 0,
@@ -184,7 +184,7 @@
             self.rise();
         }
         self.flush();
-        let (term, last_index, disk) = (self.hard.term, self.last().0, self.disk);
+        let (term, last_index, disk) = (self.hard_state.term, self.last().0, self.disk);
         let matched = if fits {
             matched.min(self.durable)
         } else {
@@ -194,7 +194,7 @@
         let told = self.clock.tell(now);
         self.send_durable_hard(
             from,
-            AppendVerdict {
+            AppendResponse {
                 term,
                 ok: fits,
                 matched,
@@ -210,19 +210,19 @@
     }
 
     /// The verdict must not leave before the term it names is durable; the entries have their own mark.
-    fn send_durable_hard(&mut self, to: &str, v: AppendVerdict) {
-        let body = Body::AppendVerdict(Box::new(v));
-        if self.hard_ticket <= self.saved {
+    fn send_durable_hard(&mut self, to: &str, v: AppendResponse) {
+        let body = Body::AppendResponse(Box::new(v));
+        if self.hard_state_write <= self.saved {
             self.send(to, body);
         } else {
-            let t = self.hard_ticket;
+            let t = self.hard_state_write;
             self.held
                 .push_back((t, crate::kernel::Effect::Send(to.into(), body)));
         }
     }
 
     /// Keeps the farthest place that a core may have confirmed.
-    pub(super) fn remember(&mut self, n: Note) {
+    pub(super) fn remember(&mut self, n: DurabilityWitness) {
         let farther = self
             .notes
             .get(&(n.core.clone(), n.disk))
@@ -255,7 +255,7 @@
     /// Tells the leader what has become durable since.
     pub(super) fn confirm(&mut self) {
         let (term, last_index, disk, matched) = (
-            self.hard.term,
+            self.hard_state.term,
             self.last().0,
             self.disk,
             self.durable.min(self.verified),
@@ -265,7 +265,7 @@
         if let Some((to, round)) = told.filter(|(to, _)| *to == self.leader && !to.is_empty()) {
             self.send_durable_hard(
                 &to,
-                AppendVerdict {
+                AppendResponse {
                     term,
                     ok: true,
                     matched,
@@ -281,12 +281,12 @@
         }
     }
 
-    pub(super) fn on_append_verdict(&mut self, now: Now, from: &str, m: &AppendVerdict) {
-        if m.term > self.hard.term {
+    pub(super) fn on_append_response(&mut self, now: Now, from: &str, m: &AppendResponse) {
+        if m.term > self.hard_state.term {
             self.follow(now, m.term, "");
             return;
         }
-        if self.role != Role::Leader || m.term < self.hard.term {
+        if self.role != Role::Leader || m.term < self.hard_state.term {
             return;
         }
         if m.clock > 0 {
@@ -334,7 +334,7 @@
                 p.next = matched + 1;
             }
             let term = self.term_at(matched).unwrap_or(0);
-            self.remember(Note {
+            self.remember(DurabilityWitness {
                 core: from.into(),
                 disk,
                 index: matched,
@@ -358,7 +358,7 @@
     pub(super) fn advance(&mut self, now: Now) {
         let matched = self.by_voter(self.durable, |p| p.matched);
         let mark = Self::reached_by_majority(matched);
-        if mark > self.commit && self.term_at(mark) == Some(self.hard.term) {
+        if mark > self.commit && self.term_at(mark) == Some(self.hard_state.term) {
             self.commit = mark;
             self.apply_committed();
             // The others hear at once what was confirmed: should this disk lose it, they remember.
--- a/landingdrift/src/agreement/snapshot.rs
+++ b/landingdrift/src/agreement/snapshot.rs
@@ -4,11 +4,11 @@
 //! The receiver answers with how much it has, so that either side may start anew and go on from there. It takes the
 //! snapshot over only once it is whole and its checksum is right.
 
-use super::{Core, Role};
-use crate::chunks::{Identity, Snapshot, Taken};
+use super::{Replica, Role};
+use crate::chunks::{ChunkedSnapshot, Identity, Taken};
 use crate::kernel::Now;
-use crate::record::Record;
-use crate::wire::{Body, Install, InstallVerdict};
+use crate::record::ClusterState;
+use crate::wire::{Body, InstallSnapshot, InstallSnapshotResponse};
 use std::sync::Arc;
 
 /// A chunk without an answer is repeated after so many heartbeats.
@@ -19,18 +19,18 @@
 /// A snapshot on its way to another core.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
-    snapshot: Arc<Snapshot>,
+    snapshot: Arc<ChunkedSnapshot>,
     /// What the receiver has.
     offset: u64,
     /// When the chunk after that was sent.
     sent: u64,
 }
 
-impl Core {
+impl Replica {
     /// Starts to send a snapshot, or repeats a chunk that found no answer.
     pub(super) fn send_snapshot(&mut self, now: Now, to: &str) {
-        let (newest, base) = (self.capture.clone(), self.base.0);
-        let patience = REPEAT_AFTER_BEATS * self.cfg.bounds.heartbeat();
+        let (newest, base) = (self.snapshot.clone(), self.base.0);
+        let patience = REPEAT_AFTER_BEATS * self.settings.bounds.heartbeat();
         let Some(peer) = self.peers.get_mut(to).filter(|p| !p.refuses) else {
             return;
         };
@@ -53,33 +53,38 @@
     }
 
     fn send_chunk(&mut self, now: Now, to: &str) {
-        let (term, round) = (self.hard.term, self.round);
+        let (term, round) = (self.hard_state.term, self.round);
         let outgoing = self.peers.get_mut(to).and_then(|p| p.outgoing.as_mut());
         let Some(o) = outgoing else {
             return;
         };
         o.sent = now.mono;
         let of = o.snapshot.identity();
-        let install = Install {
+        let install = InstallSnapshot {
             term,
             round,
             index: of.index,
             index_term: of.term,
-            capture: o.snapshot.chunk(o.offset).to_vec(),
+            snapshot: o.snapshot.chunk(o.offset).to_vec(),
             offset: o.offset,
             total: of.total,
             checksum: of.checksum,
         };
         self.count("snapshot_chunks_sent", 1);
-        self.send(to, Body::Install(Box::new(install)));
+        self.send(to, Body::InstallSnapshot(Box::new(install)));
     }
 
-    pub(super) fn on_install_verdict(&mut self, now: Now, from: &str, m: &InstallVerdict) {
-        if m.term > self.hard.term {
+    pub(super) fn on_install_snapshot_response(
+        &mut self,
+        now: Now,
+        from: &str,
+        m: &InstallSnapshotResponse,
+    ) {
+        if m.term > self.hard_state.term {
             self.follow(now, m.term, "");
             return;
         }
-        if self.role != Role::Leader || m.term < self.hard.term {
+        if self.role != Role::Leader || m.term < self.hard_state.term {
             return;
         }
         let Some(peer) = self.peers.get_mut(from) else {
@@ -109,9 +114,9 @@
         }
     }
 
-    pub(super) fn on_install(&mut self, now: Now, from: &str, m: Install) {
+    pub(super) fn on_install_snapshot(&mut self, now: Now, from: &str, m: InstallSnapshot) {
         let of = identity(&m);
-        if m.term < self.hard.term {
+        if m.term < self.hard_state.term {
             self.answer_install(from, of, 0, true);
             return;
         }
@@ -122,7 +127,7 @@
             return;
         }
         if !self.holds(of) {
-            match self.incoming.take(of, m.offset, &m.capture) {
+            match self.incoming.take(of, m.offset, &m.snapshot) {
                 Taken::Part => {
                     let received = self.incoming.received();
                     return self.answer_install(from, of, received, false);
@@ -159,15 +164,15 @@
 
     /// Takes a whole snapshot over in place of the log.
     fn install(&mut self, of: Identity, bytes: Vec<u8>) -> Result<(), String> {
-        self.record = Record::unpack(&bytes)?;
+        self.record = ClusterState::unpack(&bytes)?;
         self.log.clear();
         self.base = (of.index, of.term);
         self.captured = of.index;
         self.commit = of.index;
-        self.capture = Arc::new(Snapshot::new(of.index, of.term, bytes));
+        self.snapshot = Arc::new(ChunkedSnapshot::new(of.index, of.term, bytes));
         self.unsaved.entries.clear();
         self.unsaved.cut = Some(1);
-        self.unsaved.capture = Some(self.capture.to_capture());
+        self.unsaved.snapshot = Some(self.snapshot.to_snapshot());
         self.members_cache = None;
         self.durable = 0;
         self.verified = of.index;
@@ -183,26 +188,26 @@
     }
 
     fn answer_install(&mut self, to: &str, of: Identity, received: u64, refused: bool) {
-        let verdict = InstallVerdict {
-            term: self.hard.term,
+        let response = InstallSnapshotResponse {
+            term: self.hard_state.term,
             index: of.index,
             index_term: of.term,
             checksum: of.checksum,
             received,
             refused,
         };
-        self.send(to, Body::InstallVerdict(Box::new(verdict)));
+        self.send(to, Body::InstallSnapshotResponse(Box::new(response)));
     }
 
     /// Takes a snapshot of the record once enough was applied since the last one.
-    pub(super) fn capture_when_due(&mut self) {
-        let limits = &self.cfg.limits;
+    pub(super) fn snapshot_when_due(&mut self) {
+        let limits = &self.settings.limits;
         let place = self.record.place;
-        let due = place >= self.captured + limits.capture_every
+        let due = place >= self.captured + limits.snapshot_every
             || self.uncaptured_bytes >= limits.log_bytes / 2;
         if !due
             || place == self.captured
-            || self.unsaved.capture.is_some()
+            || self.unsaved.snapshot.is_some()
             || !self.storage.takes_writes()
         {
             return;
@@ -210,10 +215,10 @@
         let Some(term) = self.term_at(place) else {
             return;
         };
-        self.capture = Arc::new(Snapshot::new(place, term, self.record.pack()));
+        self.snapshot = Arc::new(ChunkedSnapshot::new(place, term, self.record.pack()));
         self.captured = place;
         self.uncaptured_bytes = 0;
-        self.unsaved.capture = Some(self.capture.to_capture());
+        self.unsaved.snapshot = Some(self.snapshot.to_snapshot());
         self.count("captures", 1);
         self.trim_log();
         self.flush();
@@ -222,8 +227,8 @@
     /// Keeps a tail of the log for those that are a little behind, and what follows on the snapshots that are on their
     /// way; within the limit on its bytes.
     fn trim_log(&mut self) {
-        let limits = &self.cfg.limits;
-        let (place, every) = (self.captured, limits.capture_every);
+        let limits = &self.settings.limits;
+        let (place, every) = (self.captured, limits.snapshot_every);
         let peers = self.peers.values().filter_map(|p| p.outgoing.as_ref());
         let on_their_way = peers
             .map(|o| o.snapshot.identity().index)
@@ -250,18 +255,18 @@
 }
 
 /// Which snapshot a chunk belongs to. An older build sends a snapshot whole, without its length and checksum.
-fn identity(m: &Install) -> Identity {
+fn identity(m: &InstallSnapshot) -> Identity {
     let whole = m.total == 0;
     Identity {
         index: m.index,
         term: m.index_term,
         total: if whole {
-            m.capture.len() as u64
+            m.snapshot.len() as u64
         } else {
             m.total
         },
         checksum: if whole {
-            crc32fast::hash(&m.capture)
+            crc32fast::hash(&m.snapshot)
         } else {
             m.checksum
         },
--- a/landingdrift/src/agreement/status.rs
+++ b/landingdrift/src/agreement/status.rs
@@ -1,19 +1,20 @@
 //! What a replica says of itself: over HTTP, and in counters.
 
-use super::{Core, Role};
-use crate::kernel::{Effect, Now, Part, Request, Verdict};
+use super::{Replica, Role};
+use crate::kernel::{Effect, Now, Part, Request, Response};
 use serde_json::json;
 
-impl Core {
+impl Replica {
     /// What the core says of itself over HTTP.
     pub(super) fn on_call(&mut self, now: Now, call: u64, req: &Request) {
         let ready = self.storage.takes_writes()
             && self.waking.is_none()
             && (self.role == Role::Leader
-                || now.mono.saturating_sub(self.heard_leader) < 2 * self.cfg.bounds.election());
-        let verdict = match (req.method.as_str(), req.path.as_str()) {
-            ("GET", "/live") => Verdict::new(200, json!({"live": true})),
-            ("GET", "/ready") => Verdict::new(
+                || now.mono.saturating_sub(self.heard_leader)
+                    < 2 * self.settings.bounds.election());
+        let response = match (req.method.as_str(), req.path.as_str()) {
+            ("GET", "/live") => Response::new(200, json!({"live": true})),
+            ("GET", "/ready") => Response::new(
                 if ready && self.stopping.is_none() {
                     200
                 } else {
@@ -25,21 +26,21 @@
             ("GET", "/v1/status") => {
                 let members = self.members();
                 let left = &self.resilience;
-                Verdict::new(
+                Response::new(
                     200,
-                    json!({"core": self.name, "role": format!("{:?}", self.role), "leader": self.leader, "term": self.hard.term, "commit": self.commit,
+                    json!({"core": self.name, "role": format!("{:?}", self.role), "leader": self.leader, "term": self.hard_state.term, "commit": self.commit,
                            "last": self.last().0, "members": members, "version": self.record.version,
                            "machineLossesLeft": left.machine_losses_left, "zoneLossSurvivable": left.zone_loss_survivable,
                            "disk": self.storage.report(now.mono)}),
                 )
             }
-            _ => Verdict::error(
+            _ => Response::error(
                 404,
                 "noSuchRoute",
                 "a core serves /live, /ready, /metrics and /v1/status: send all else to a node",
             ),
         };
-        self.out.push(Effect::Answer(call, verdict));
+        self.out.push(Effect::Answer(call, response));
     }
 
     /// All counters, by name.
@@ -49,7 +50,7 @@
             .iter()
             .map(|(k, v)| (k.to_string(), *v))
             .collect();
-        all.push(("term".into(), self.hard.term));
+        all.push(("term".into(), self.hard_state.term));
         let takes_writes = self.storage.takes_writes();
         all.push(("disk_takes_writes".into(), u64::from(takes_writes)));
         all.push(("commit".into(), self.commit));
--- a/landingdrift/src/agreement/stop.rs
+++ b/landingdrift/src/agreement/stop.rs
@@ -1,15 +1,15 @@
 //! How a replica ends in order: it hands the lead on, lets a standby vote in its place, and goes on answering meanwhile.
 
-use super::{Core, Role};
+use super::{Replica, Role};
 use crate::kernel::{Effect, Now};
 
-impl Core {
+impl Replica {
     /// The process is asked to stop.
     pub(super) fn on_stop(&mut self, now: Now) {
         if self.stopping.is_some() {
             return;
         }
-        self.stopping = Some(now.mono + self.cfg.bounds.leave());
+        self.stopping = Some(now.mono + self.settings.bounds.leave());
         self.released = false;
         if self.role == Role::Leader {
             self.hand_over(now);
@@ -26,7 +26,9 @@
             self.out.push(Effect::Exit);
             return;
         }
-        if self.role == Role::Leader && now.mono >= self.handed_at + self.cfg.bounds.heartbeat() {
+        if self.role == Role::Leader
+            && now.mono >= self.handed_at + self.settings.bounds.heartbeat()
+        {
             self.hand_over(now);
         }
     }
--- a/landingdrift/src/agreement/storage.rs
+++ b/landingdrift/src/agreement/storage.rs
@@ -4,7 +4,7 @@
 //! heartbeats, since these promise nothing that is not durable. The thread that writes tries again by itself, with all
 //! that was handed over and not confirmed, in order; the first confirmation makes the core a full one again.
 
-use super::{Core, Role};
+use super::{Replica, Role};
 use crate::kernel::Now;
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -48,13 +48,13 @@
     }
 
     /// A write was handed over.
-    pub(super) fn handed_over(&mut self, at: u64, ticket: u64) {
-        self.waiting.push_back((ticket, at));
+    pub(super) fn handed_over(&mut self, at: u64, write_id: u64) {
+        self.waiting.push_back((write_id, at));
     }
 
     /// All writes up to a ticket are durable; says how long the disk had taken none, if so.
-    pub(super) fn confirmed(&mut self, at: u64, ticket: u64) -> Option<u64> {
-        while self.waiting.pop_front_if(|(t, _)| *t <= ticket).is_some() {}
+    pub(super) fn confirmed(&mut self, at: u64, write_id: u64) -> Option<u64> {
+        while self.waiting.pop_front_if(|(t, _)| *t <= write_id).is_some() {}
         if self.takes_writes() {
             return None;
         }
@@ -102,8 +102,8 @@
     }
 }
 
-impl Core {
-    pub(super) fn on_disk_defect(&mut self, now: Now, why: &str) {
+impl Replica {
+    pub(super) fn on_disk_error(&mut self, now: Now, why: &str) {
         if !self.storage.refused(now.mono, why) {
             self.count("disk_retries", 1);
             return;
@@ -116,7 +116,7 @@
     }
 
     pub(super) fn storage_tick(&mut self, now: Now) {
-        let patience = 2 * self.cfg.bounds.election();
+        let patience = 2 * self.settings.bounds.election();
         if self.storage.stalls(now.mono, patience) {
             self.count("disk_stalled", 1);
             self.line(format!(
@@ -126,8 +126,8 @@
         }
     }
 
-    pub(super) fn storage_confirmed(&mut self, now: Now, ticket: u64) {
-        if let Some(away) = self.storage.confirmed(now.mono, ticket) {
+    pub(super) fn storage_confirmed(&mut self, now: Now, write_id: u64) {
+        if let Some(away) = self.storage.confirmed(now.mono, write_id) {
             self.line(format!("the disk takes writes again, after {away} ms"));
             self.arm_election(now);
         }
@@ -139,7 +139,7 @@
             self.hand_over(now);
         }
         if self.role != Role::Follower {
-            let term = self.hard.term;
+            let term = self.hard_state.term;
             self.follow(now, term, "");
         }
     }
--- a/landingdrift/src/agreement/wake.rs
+++ b/landingdrift/src/agreement/wake.rs
@@ -1,8 +1,8 @@
 //! What a core does before it counts: it asks the others what it had confirmed.
 
-use super::Core;
+use super::Replica;
 use crate::kernel::Now;
-use crate::wire::{Body, Hello, Note};
+use crate::wire::{Body, DurabilityWitness, Hello};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone)]
@@ -31,7 +31,7 @@
     }
 }
 
-impl Core {
+impl Replica {
     fn empty(&self) -> bool {
         self.last().0 == 0
     }
@@ -40,12 +40,16 @@
     fn hello(&mut self, to: &str, reply: Option<u64>) {
         let (last_index, last_term) = self.last();
         let asked = (to.to_string(), reply.unwrap_or(0));
-        let noted = self.notes.get(&asked).cloned().unwrap_or(Note {
-            core: to.into(),
-            disk: 0,
-            index: 0,
-            term: 0,
-        });
+        let noted = self
+            .notes
+            .get(&asked)
+            .cloned()
+            .unwrap_or(DurabilityWitness {
+                core: to.into(),
+                disk: 0,
+                index: 0,
+                term: 0,
+            });
         let members: Vec<String> = if self.empty() {
             Vec::new()
         } else {
@@ -53,11 +57,11 @@
         };
         let body = Hello {
             disk: self.disk,
-            term: self.hard.term,
+            term: self.hard_state.term,
             last_index,
             last_term,
             reply: reply.is_some(),
-            zone: self.cfg.zone.clone(),
+            zone: self.settings.zone.clone(),
             knows: !self.empty(),
             noted: Box::new(noted),
             members,
@@ -124,11 +128,11 @@
             .is_some_and(|w| now.mono >= w.next_hello);
         if due {
             let mut targets: BTreeSet<String> = self.members().into_keys().collect();
-            targets.extend(self.cfg.seeds.iter().cloned());
+            targets.extend(self.settings.seeds.iter().cloned());
             targets.extend(self.views.cores.iter().cloned());
             targets.remove(&me);
             targets.iter().for_each(|a| self.hello(a, None));
-            let beat = self.cfg.bounds.heartbeat();
+            let beat = self.settings.bounds.heartbeat();
             self.waking
                 .iter_mut()
                 .for_each(|w| w.next_hello = now.mono + beat);
@@ -158,9 +162,13 @@
             .or((w.knowing && self.damaged).then_some(w.farthest));
         if let Some(f) = floor.filter(|f| *f > (term, index)) {
             self.floor = f;
-            self.hard.silent_to = self.hard.silent_to.max(w.highest_term).max(self.hard.term);
-            self.hard.term = self.hard.term.max(w.highest_term);
-            self.unsaved.hard = Some(self.hard.clone());
+            self.hard_state.silent_to = self
+                .hard_state
+                .silent_to
+                .max(w.highest_term)
+                .max(self.hard_state.term);
+            self.hard_state.term = self.hard_state.term.max(w.highest_term);
+            self.unsaved.hard_state = Some(self.hard_state.clone());
             self.count("disk_losses_seen", 1);
             self.line(format!(
                 "the disk has lost what it confirmed (has {index}, had confirmed {} of term {}): no vote until caught up",
@@ -169,11 +177,11 @@
         }
         // Another one's log is longer: it may hold what was confirmed and is lost here, with nobody to remember it.
         if w.farthest > (term, index) {
-            self.yields = (w.farthest, now.mono + self.cfg.bounds.outage_ms / 6);
+            self.yields = (w.farthest, now.mono + self.settings.bounds.outage_ms / 6);
         }
         self.damaged = false;
         self.heard_leader = self.heard_leader.min(now.mono);
-        self.eager_until = now.mono + 4 * self.cfg.bounds.election();
+        self.eager_until = now.mono + 4 * self.settings.bounds.election();
         self.arm_election(now);
         self.line(format!(
             "awake at {index} of term {term}, {} others heard",
--- a/landingdrift/src/chunks/mod.rs
+++ b/landingdrift/src/chunks/mod.rs
@@ -1,6 +1,6 @@
 //! Snapshots of the record in chunks: sent one after another, put together and checked at the other end.
 
-use crate::kernel::Capture;
+use crate::kernel::Snapshot;
 
 /// The bytes of one chunk: small enough that a heartbeat behind it is not late on a narrow link.
 pub const CHUNK_BYTES: usize = 256 << 10;
@@ -21,12 +21,12 @@
 
 /// A snapshot that is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Snapshot {
+pub struct ChunkedSnapshot {
     identity: Identity,
     bytes: Vec<u8>,
 }
 
-impl Snapshot {
+impl ChunkedSnapshot {
     /// A snapshot of the record as it was after the entry at an index.
     pub fn new(index: u64, term: u64, bytes: Vec<u8>) -> Self {
         let identity = Identity {
@@ -51,8 +51,8 @@
     }
 
     /// The same as it goes to the disk.
-    pub fn to_capture(&self) -> Capture {
-        Capture {
+    pub fn to_snapshot(&self) -> Snapshot {
+        Snapshot {
             index: self.identity.index,
             term: self.identity.term,
             bytes: self.bytes.clone(),
@@ -60,8 +60,8 @@
     }
 }
 
-impl From<Capture> for Snapshot {
-    fn from(c: Capture) -> Self {
+impl From<Snapshot> for ChunkedSnapshot {
+    fn from(c: Snapshot) -> Self {
         Self::new(c.index, c.term, c.bytes)
     }
 }
--- a/landingdrift/src/daemon/calls.rs
+++ b/landingdrift/src/daemon/calls.rs
@@ -1,4 +1,4 @@
-use crate::kernel::Verdict;
+use crate::kernel::Response;
 use dashmap::DashMap;
 use rocket::tokio::sync::oneshot::{channel, Receiver, Sender};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -7,7 +7,7 @@
 /// Calls whose callers wait for a verdict; one control thread answers them, any number of addresses may open them.
 #[derive(Clone)]
 pub struct Calls {
-    open: Arc<DashMap<u64, Sender<Verdict>>>,
+    open: Arc<DashMap<u64, Sender<Response>>>,
     next: Arc<AtomicU64>,
     /// Nobody answers any more.
     closed: Arc<AtomicBool>,
@@ -25,7 +25,7 @@
 
 impl Calls {
     /// Gives a call its verdict, if anybody waits for it still.
-    pub fn answer(&self, call: u64, v: Verdict) {
+    pub fn answer(&self, call: u64, v: Response) {
         if let Some((_, tx)) = self.open.remove(&call) {
             let _ = tx.send(v);
         }
@@ -56,7 +56,7 @@
         }
         Waiting {
             call,
-            verdict: rx,
+            response: rx,
             calls: self.clone(),
         }
     }
@@ -65,7 +65,7 @@
 /// One who waits; a caller who hangs up is forgotten at once.
 pub(super) struct Waiting {
     pub call: u64,
-    pub verdict: Receiver<Verdict>,
+    pub response: Receiver<Response>,
     calls: Calls,
 }
 
--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -108,7 +108,7 @@
     /// Takes one step; says whether it was the last one.
     fn step(&mut self, msg: Msg, effects: &mut Vec<Effect>) -> bool {
         match &msg {
-            Msg::Changed(s) => {
+            Msg::SettingsChanged(s) => {
                 self.tick = Duration::from_millis(s.bounds.tick());
                 self.ending.spans = StopSpans::of(&s.bounds);
             }
@@ -126,13 +126,13 @@
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Send(to, body) => self.transport.send(&to, &body),
-            Effect::Save(save) => {
+            Effect::Persist(save) => {
                 if let Some(d) = &self.disk {
                     d.save(save);
                 }
             }
             Effect::Answer(call, v) => self.calls.answer(call, v),
-            Effect::Line(text) => log::info!("{text}"),
+            Effect::Log(text) => log::info!("{text}"),
             Effect::Exit => {}
         }
     }
--- a/landingdrift/src/daemon/disks.rs
+++ b/landingdrift/src/daemon/disks.rs
@@ -1,7 +1,7 @@
 use super::control::Input;
 use super::threads;
-use crate::disk::{DiskDefect, Folder};
-use crate::kernel::{Msg, Save};
+use crate::disk::{DataFolder, StorageError};
+use crate::kernel::{Msg, WriteBatch};
 use crate::settings::Bounds;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::sleep;
@@ -10,17 +10,17 @@
 /// What the thread that writes needs of a data folder.
 pub trait Store: Send {
     /// Writes a batch and syncs once; nothing of it counts unless this succeeds.
-    fn save(&mut self, batch: &[Save]) -> Result<(), DiskDefect>;
+    fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError>;
     /// Makes the store usable after a refusal: it holds what was confirmed, and no part of the batch that failed.
-    fn recover(&mut self) -> Result<(), DiskDefect>;
+    fn recover(&mut self) -> Result<(), StorageError>;
 }
 
-impl Store for Folder {
-    fn save(&mut self, batch: &[Save]) -> Result<(), DiskDefect> {
-        Folder::save(self, batch)
+impl Store for DataFolder {
+    fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError> {
+        DataFolder::save(self, batch)
     }
-    fn recover(&mut self) -> Result<(), DiskDefect> {
-        Folder::recover(self)
+    fn recover(&mut self) -> Result<(), StorageError> {
+        DataFolder::recover(self)
     }
 }
 
@@ -51,7 +51,7 @@
 }
 
 /// The thread that writes; all that waits is written together and synced once.
-pub struct Disk(Sender<Save>);
+pub struct Disk(Sender<WriteBatch>);
 
 impl Disk {
     /// Starts the thread.
@@ -60,7 +60,7 @@
         inputs: Sender<Input>,
         pauses: Pauses,
     ) -> Result<Self, String> {
-        let (tx, rx) = channel::<Save>();
+        let (tx, rx) = channel::<WriteBatch>();
         threads::spawn("disk", threads::SMALL, move || {
             write(store, &rx, &inputs, pauses);
         })?;
@@ -68,19 +68,24 @@
     }
 
     /// Hands over what is to be written.
-    pub fn save(&self, s: Save) {
+    pub fn save(&self, s: WriteBatch) {
         let _ = self.0.send(s);
     }
 }
 
 /// Writes until nobody hands anything over, or nobody listens.
-fn write(mut store: impl Store, saves: &Receiver<Save>, inputs: &Sender<Input>, pauses: Pauses) {
+fn write(
+    mut store: impl Store,
+    saves: &Receiver<WriteBatch>,
+    inputs: &Sender<Input>,
+    pauses: Pauses,
+) {
     while let Ok(first) = saves.recv() {
         let mut batch = vec![first];
         batch.extend(saves.try_iter());
-        let ticket = batch.last().map_or(0, |s| s.ticket);
+        let write_id = batch.last().map_or(0, |s| s.write_id);
         let written = save_at_last(&mut store, &batch, inputs, pauses);
-        if written.is_none() || inputs.send(Input::Msg(Msg::Saved(ticket))).is_err() {
+        if written.is_none() || inputs.send(Input::Msg(Msg::Persisted(write_id))).is_err() {
             return;
         }
     }
@@ -89,13 +94,13 @@
 /// Tries until the batch is durable; `None` where nobody listens any more.
 fn save_at_last(
     store: &mut impl Store,
-    batch: &[Save],
+    batch: &[WriteBatch],
     inputs: &Sender<Input>,
     mut pauses: Pauses,
 ) -> Option<()> {
     let mut written = store.save(batch);
     while let Err(why) = written {
-        let told = Msg::DiskDefect(why.to_string());
+        let told = Msg::DiskFailed(why.to_string());
         inputs.send(Input::Msg(told)).ok()?;
         sleep(pauses.next().unwrap_or_default());
         // Whatever of the batch was written is cut off first, then all of it is written again in order.
--- a/landingdrift/src/daemon/opening.rs
+++ b/landingdrift/src/daemon/opening.rs
@@ -2,8 +2,8 @@
 use super::control::Input;
 use super::disks::Pauses;
 use crate::agreement::Loaded;
-use crate::disk::{DiskDefect, Folder};
-use crate::kernel::{Msg, Request, Verdict};
+use crate::disk::{DataFolder, StorageError};
+use crate::kernel::{Msg, Request, Response};
 use crate::settings::Settings;
 use serde_json::json;
 use std::path::Path;
@@ -11,19 +11,19 @@
 use std::time::{Duration, Instant};
 
 /// Opens the data folder that the settings name.
-pub fn open(s: &Settings, seed: u64) -> Result<(Folder, Loaded), DiskDefect> {
+pub fn open(s: &Settings, seed: u64) -> Result<(DataFolder, Loaded), StorageError> {
     let path = Path::new(&s.data);
-    Folder::open(path, &s.cluster, s.limits.segment_bytes, seed | 1)
+    DataFolder::open(path, &s.cluster, s.limits.segment_bytes, seed | 1)
 }
 
 /// Tries to open a data folder whose disk refuses, with growing pauses; `None` where the part is told to stop before.
 pub fn open_at_last(
     s: &Settings,
     seed: u64,
-    mut why: DiskDefect,
+    mut why: StorageError,
     calls: &Calls,
     inputs: &Receiver<Input>,
-) -> Result<Option<(Folder, Loaded)>, DiskDefect> {
+) -> Result<Option<(DataFolder, Loaded)>, StorageError> {
     for (tries, pause) in Pauses::of(&s.bounds).enumerate() {
         log::warn!("the data folder can't be opened ({why}): tried again in {pause:?}");
         if !wait(pause, calls, inputs, &why, tries as u64) {
@@ -46,13 +46,13 @@
     pause: Duration,
     calls: &Calls,
     inputs: &Receiver<Input>,
-    why: &DiskDefect,
+    why: &StorageError,
     tries: u64,
 ) -> bool {
     let until = Instant::now() + pause;
     loop {
         match inputs.recv_timeout(until.saturating_duration_since(Instant::now())) {
-            Ok(Input::Call(req, call)) => calls.answer(call, verdict(&req, why, tries)),
+            Ok(Input::Call(req, call)) => calls.answer(call, response(&req, why, tries)),
             Ok(Input::Msg(Msg::Stop)) | Err(RecvTimeoutError::Disconnected) => return false,
             // What others say is said again once there is a core to hear it.
             Ok(Input::Msg(_)) => {}
@@ -61,18 +61,18 @@
     }
 }
 
-fn verdict(req: &Request, why: &DiskDefect, tries: u64) -> Verdict {
+fn response(req: &Request, why: &StorageError, tries: u64) -> Response {
     match req.path.as_str() {
-        "/live" => Verdict::new(200, json!({"live": true})),
-        "/ready" => Verdict::new(503, json!({"ready": false})),
-        "/metrics" => Verdict::new(
+        "/live" => Response::new(200, json!({"live": true})),
+        "/ready" => Response::new(503, json!({"ready": false})),
+        "/metrics" => Response::new(
             200,
             format!("landingdrift_disk_refused 1\nlandingdrift_disk_retries {tries}\n").into(),
         ),
-        "/v1/status" => Verdict::new(
+        "/v1/status" => Response::new(
             200,
             json!({"role": "Opening", "disk": {"state": "refusing", "why": why.to_string()}}),
         ),
-        _ => Verdict::error(503, "noDisk", why.to_string()).retry(1000),
+        _ => Response::error(503, "noDisk", why.to_string()).retry(1000),
     }
 }
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -4,9 +4,9 @@
 use super::signals::Ended;
 use super::traffic::{Bounded, Frames, Manner, Traffic, Transport};
 use super::{logs, opening, signals, threads};
-use crate::agreement::{Core, Loaded};
-use crate::disk::{DiskDefect, Folder};
-use crate::kernel::{digest, Msg, Now, Part};
+use crate::agreement::{Loaded, Replica};
+use crate::disk::{DataFolder, StorageError};
+use crate::kernel::{fnv1a, Msg, Now, Part};
 use crate::settings::{Bounds, Settings};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
@@ -63,7 +63,7 @@
     pub fn seed(&self, name: &str) -> u64 {
         let drawn = getrandom::u64()
             .unwrap_or_else(|_| self.now().wall ^ (u64::from(std::process::id()) << 40));
-        digest(name.as_bytes()) ^ drawn
+        fnv1a(name.as_bytes()) ^ drawn
     }
 
     /// Starts a part.
@@ -230,7 +230,7 @@
 
 impl CoreStart {
     /// Opens the folder at last, and runs the core.
-    fn run(self, why: DiskDefect, received: &Receiver<Input>) {
+    fn run(self, why: StorageError, received: &Receiver<Input>) {
         let (calls, seed) = (self.calls.clone(), self.seed);
         let opened = opening::open_at_last(&self.settings, seed, why, &calls, received);
         let control = opened
@@ -244,9 +244,9 @@
         calls.close();
     }
 
-    fn control(self, (folder, loaded): (Folder, Loaded)) -> Result<Control, String> {
+    fn control(self, (folder, loaded): (DataFolder, Loaded)) -> Result<Control, String> {
         let s = &self.settings;
-        let core = Core::new(s.clone(), loaded, self.clock.now(), self.seed)?;
+        let core = Replica::new(s.clone(), loaded, self.clock.now(), self.seed)?;
         let disk = Disk::start(folder, self.inputs, Pauses::of(&s.bounds))?;
         let (part, disk) = (Box::new(core), Some(disk));
         Ok(Control::new(
@@ -279,6 +279,6 @@
             .into_iter()
             .for_each(|l| l.set_new_spec(logs::spec(&live.log)));
         self.current = live.clone();
-        self.tell(Msg::Changed(Box::new(live)));
+        self.tell(Msg::SettingsChanged(Box::new(live)));
     }
 }
--- a/landingdrift/src/daemon/traffic/http/door.rs
+++ b/landingdrift/src/daemon/traffic/http/door.rs
@@ -3,11 +3,11 @@
 use super::{Asked, Bounded, Handling, Manner, Reply};
 use crate::daemon::calls::Calls;
 use crate::daemon::control::Input;
-use crate::kernel::Verdict;
+use crate::kernel::Response;
 use rocket::catcher;
 use rocket::data::{Data, ToByteUnit};
 use rocket::http::{Header, Status};
-use rocket::response::Response;
+use rocket::response::Response as RocketResponse;
 use rocket::route::{Handler, Outcome};
 use rocket::tokio::sync::Semaphore;
 use rocket::tokio::time::timeout;
@@ -39,7 +39,7 @@
                 },
                 Err(refusal) => write(refusal),
             },
-            Err(_) => write(Verdict::error(
+            Err(_) => write(Response::error(
                 503,
                 "busy",
                 "this process works on as many calls as it may and took nothing of this one: come back later, or go to another node",
@@ -48,11 +48,11 @@
         }
     }
 
-    async fn body(&self, data: Data<'_>) -> Result<Vec<u8>, Verdict> {
+    async fn body(&self, data: Data<'_>) -> Result<Vec<u8>, Response> {
         let most = self.bounded.bytes;
         let unread = |why: String| {
             let message = format!("the body could not be read ({why}): send it again");
-            Verdict::error(400, "noBody", message)
+            Response::error(400, "noBody", message)
         };
         let whole = timeout(self.bounded.patience, data.open(most.bytes()).into_bytes())
             .await
@@ -61,11 +61,11 @@
         let complete = whole.is_complete();
         complete.then(|| whole.into_inner()).ok_or_else(|| {
             let message = format!("no body may have more than {most} bytes: send less");
-            Verdict::error(413, "tooLarge", message)
+            Response::error(413, "tooLarge", message)
         })
     }
 
-    async fn ask(&self, req: crate::kernel::Request) -> Verdict {
+    async fn ask(&self, req: crate::kernel::Request) -> Response {
         if self.gate.refuses() || self.calls.closed() {
             return leaving();
         }
@@ -73,15 +73,15 @@
         if self.inputs.send(Input::Call(req, waiting.call)).is_err() {
             return unsure();
         }
-        timeout(self.bounded.patience, &mut waiting.verdict)
+        timeout(self.bounded.patience, &mut waiting.response)
             .await
             .ok()
             .and_then(Result::ok)
             .unwrap_or_else(unsure)
     }
 
-    fn respond<'r>(&self, reply: Reply, in_hand: InHand) -> Response<'r> {
-        let mut b = Response::build();
+    fn respond<'r>(&self, reply: Reply, in_hand: InHand) -> RocketResponse<'r> {
+        let mut b = RocketResponse::build();
         b.status(Status::new(reply.status));
         reply.headers.into_iter().for_each(|(k, v)| {
             b.header_adjoin(Header::new(k, v));
@@ -95,15 +95,15 @@
 }
 
 /// The answer to a call that was not handed to anybody, since the process ends.
-fn leaving() -> Verdict {
+fn leaving() -> Response {
     let message = "this process ends and took nothing of this call: go to another one";
-    Verdict::error(503, "leaving", message).retry(RETRY_MS)
+    Response::error(503, "leaving", message).retry(RETRY_MS)
 }
 
 /// The answer to a call that was handed on and found no verdict.
-fn unsure() -> Verdict {
+fn unsure() -> Response {
     let message = "this process gave no verdict: ask again, here or at another node";
-    Verdict::error(503, "unsure", message).retry(RETRY_MS)
+    Response::error(503, "unsure", message).retry(RETRY_MS)
 }
 
 fn asked(req: &Request<'_>, body: Vec<u8>) -> Asked {
@@ -138,7 +138,7 @@
 impl catcher::Handler for Door {
     async fn handle<'r>(&self, status: Status, _: &'r Request<'_>) -> catcher::Result<'r> {
         let message = format!("the request is no HTTP that is served here ({}): docs/operators/api.md lists methods and routes", status.reason_lossy());
-        let verdict = Verdict::error(status.code, "wrongRequest", message);
-        Ok(self.respond(write(verdict), self.gate.enter()))
+        let response = Response::error(status.code, "wrongRequest", message);
+        Ok(self.respond(write(response), self.gate.enter()))
     }
 }
--- a/landingdrift/src/daemon/traffic/http/manner.rs
+++ b/landingdrift/src/daemon/traffic/http/manner.rs
@@ -1,4 +1,4 @@
-use crate::kernel::{Request, Verdict};
+use crate::kernel::{Request, Response};
 use serde_json::Value;
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 /// What is done with a call.
 pub enum Handling {
     /// The part is asked, and its verdict told so.
-    Ask(Request, Box<dyn FnOnce(Verdict) -> Reply + Send>),
+    Ask(Request, Box<dyn FnOnce(Response) -> Reply + Send>),
     /// It is answered without asking.
     Reply(Reply),
 }
@@ -59,7 +59,7 @@
 }
 
 /// A verdict in the manner of landingdrift's own pages.
-pub(super) fn write(mut v: Verdict) -> Reply {
+pub(super) fn write(mut v: Response) -> Reply {
     let retry = Some(v.retry_ms).filter(|ms| *ms > 0);
     if let (Some(ms), Value::Object(o)) = (retry, &mut v.body) {
         o.insert("retryMs".into(), ms.into());
--- a/landingdrift/src/desired/check.rs
+++ b/landingdrift/src/desired/check.rs
@@ -1,16 +1,16 @@
-use super::Desired;
+use super::ClusterConfig;
 use std::fmt;
 
 /// What is wrong with a declared configuration.
 #[derive(Debug, Clone, PartialEq)]
-pub enum DesiredDefect {
+pub enum ConfigError {
     /// A field is unknown or of the wrong type.
     Shape { path: String, why: String },
     /// A value is out of its range or contradicts another.
     Value { path: String, remedy: String },
 }
 
-impl DesiredDefect {
+impl ConfigError {
     /// The path of the field at fault.
     pub fn path(&self) -> &str {
         match self {
@@ -19,7 +19,7 @@
     }
 }
 
-impl fmt::Display for DesiredDefect {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Shape { path, why } => write!(
@@ -32,9 +32,9 @@
 }
 
 /// Reads a configuration from JSON, refusing unknown and wrong fields.
-pub fn read(value: &serde_json::Value) -> Result<Desired, DesiredDefect> {
+pub fn read(value: &serde_json::Value) -> Result<ClusterConfig, ConfigError> {
     serde_path_to_error::deserialize(value)
-        .map_err(|e| DesiredDefect::Shape {
+        .map_err(|e| ConfigError::Shape {
             path: e.path().to_string(),
             why: e.inner().to_string(),
         })
@@ -42,9 +42,9 @@
 }
 
 /// Checks the values of a configuration.
-pub fn check(d: &Desired) -> Result<(), DesiredDefect> {
+pub fn check(d: &ClusterConfig) -> Result<(), ConfigError> {
     let ensure = |ok: bool, path: String, remedy: &str| {
-        ok.then_some(()).ok_or(DesiredDefect::Value {
+        ok.then_some(()).ok_or(ConfigError::Value {
             path,
             remedy: remedy.into(),
         })
--- a/landingdrift/src/desired/mod.rs
+++ b/landingdrift/src/desired/mod.rs
@@ -3,7 +3,7 @@
 mod check;
 mod patch;
 
-pub use check::{check, read, DesiredDefect};
+pub use check::{check, read, ConfigError};
 pub use patch::merge;
 
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 /// All that operators declare, taken and put into force as a whole.
 #[derive(Clone, PartialEq, prost::Message, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
-pub struct Desired {
+pub struct ClusterConfig {
     #[prost(btree_map = "string, message", tag = "1")]
     pub queues: BTreeMap<String, Queue>,
     #[prost(btree_map = "string, message", tag = "2")]
@@ -110,7 +110,7 @@
     }
 }
 
-impl Desired {
+impl ClusterConfig {
     /// Whether a worker of a zone may get new work.
     pub fn open(&self, zone: &str, worker: &str) -> bool {
         self.zones
--- a/landingdrift/src/disk/defect.rs
+++ b/landingdrift/src/disk/defect.rs
@@ -4,7 +4,7 @@
 
 /// What is wrong with a data folder.
 #[derive(Debug)]
-pub enum DiskDefect {
+pub enum StorageError {
     /// The file system refused.
     Io { path: PathBuf, why: std::io::Error },
     /// The folder holds something else.
@@ -17,14 +17,14 @@
     Busy(PathBuf),
 }
 
-impl DiskDefect {
+impl StorageError {
     /// Whether the folder may become usable without anybody changing the settings.
     pub fn may_pass(&self) -> bool {
         matches!(self, Self::Io { .. })
     }
 }
 
-impl fmt::Display for DiskDefect {
+impl fmt::Display for StorageError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Io { path, why } if why.kind() == std::io::ErrorKind::StorageFull => write!(f, "{}: the disk is full: free some of it", path.display()),
@@ -38,8 +38,8 @@
 }
 
 /// An error of the file system, with the file that it concerns.
-pub(super) fn io(path: &Path) -> impl Fn(std::io::Error) -> DiskDefect + '_ {
-    move |why| DiskDefect::Io {
+pub(super) fn io(path: &Path) -> impl Fn(std::io::Error) -> StorageError + '_ {
+    move |why| StorageError::Io {
         path: path.to_path_buf(),
         why,
     }
--- a/landingdrift/src/disk/directory.rs
+++ b/landingdrift/src/disk/directory.rs
@@ -1,4 +1,4 @@
-use super::defect::{io, DiskDefect};
+use super::defect::{io, StorageError};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self as std_io, Write};
 use std::path::Path;
@@ -40,7 +40,7 @@
 }
 
 /// Makes a folder, and makes sure that it is still there after a loss of power.
-pub(super) fn make_durable(directory: &dyn Directory, path: &Path) -> Result<(), DiskDefect> {
+pub(super) fn make_durable(directory: &dyn Directory, path: &Path) -> Result<(), StorageError> {
     fs::create_dir_all(path).map_err(io(path))?;
     let parent = path.parent().filter(|p| !p.as_os_str().is_empty());
     let parent = parent.unwrap_or(Path::new("."));
@@ -52,7 +52,7 @@
     directory: &dyn Directory,
     path: &Path,
     bytes: &[u8],
-) -> Result<(), DiskDefect> {
+) -> Result<(), StorageError> {
     let new = path.with_extension("new");
     directory
         .create(&new)
--- a/landingdrift/src/disk/frames.rs
+++ b/landingdrift/src/disk/frames.rs
@@ -1,14 +1,14 @@
-use crate::kernel::{Capture, Hard};
-use crate::wire::{Entry, Note};
+use crate::kernel::{HardState, Snapshot};
+use crate::wire::{DurabilityWitness, Entry};
 
 /// One piece of a segment or capture file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    Hard(Hard),
+    HardState(HardState),
     Cut(u64),
     Entry(Entry),
-    Notes(Vec<Note>),
-    Capture(Capture),
+    Notes(Vec<DurabilityWitness>),
+    Snapshot(Snapshot),
 }
 
 const HEAD: usize = 8;
@@ -20,7 +20,7 @@
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut body = Vec::new();
         match self {
-            Self::Hard(h) => {
+            Self::HardState(h) => {
                 body.push(1);
                 body.extend(serde_json::to_vec(h).unwrap_or_default());
             }
@@ -43,7 +43,7 @@
                     .collect();
                 body.extend(serde_json::to_vec(&plain).unwrap_or_default());
             }
-            Self::Capture(c) => {
+            Self::Snapshot(c) => {
                 body.push(5);
                 [c.index, c.term]
                     .iter()
@@ -72,7 +72,7 @@
                 .map(u64::from_le_bytes)
         };
         let frame = match body[0] {
-            1 => Self::Hard(serde_json::from_slice(rest).ok()?),
+            1 => Self::HardState(serde_json::from_slice(rest).ok()?),
             2 => Self::Cut(num(0)?),
             3 => Self::Entry(Entry {
                 index: num(0)?,
@@ -85,7 +85,7 @@
                 Self::Notes(
                     plain
                         .into_iter()
-                        .map(|(core, disk, index, term)| Note {
+                        .map(|(core, disk, index, term)| DurabilityWitness {
                             core,
                             disk,
                             index,
@@ -94,7 +94,7 @@
                         .collect(),
                 )
             }
-            5 => Self::Capture(Capture {
+            5 => Self::Snapshot(Snapshot {
                 index: num(0)?,
                 term: num(1)?,
                 bytes: rest.get(16..)?.to_vec(),
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -1,17 +1,17 @@
-use super::defect::{io, DiskDefect};
+use super::defect::{io, StorageError};
 use super::frames::Frame;
-use crate::kernel::{Capture, Hard};
-use crate::wire::{Entry, Note};
+use crate::kernel::{HardState, Snapshot};
+use crate::wire::{DurabilityWitness, Entry};
 use std::fs;
 use std::path::{Path, PathBuf};
 
 /// All that a folder holds.
 #[derive(Default)]
 pub struct Found {
-    pub hard: Hard,
-    pub capture: Option<Capture>,
+    pub hard_state: HardState,
+    pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
-    pub notes: Vec<Note>,
+    pub notes: Vec<DurabilityWitness>,
     /// Something that was confirmed can't be read.
     pub damaged: bool,
     /// The last write was cut short, as a crash does.
@@ -21,7 +21,7 @@
 }
 
 /// Files of a folder by the number in their names.
-pub fn numbered(path: &Path, head: &str, tail: &str) -> Result<Vec<(u64, PathBuf)>, DiskDefect> {
+pub fn numbered(path: &Path, head: &str, tail: &str) -> Result<Vec<(u64, PathBuf)>, StorageError> {
     let mut of: Vec<(u64, PathBuf)> = fs::read_dir(path)
         .map_err(io(path))?
         .filter_map(Result::ok)
@@ -42,19 +42,19 @@
 }
 
 /// Reads the newest whole capture and all segments. With `mend`, a torn tail is cut off.
-pub fn load(path: &Path, mend: bool) -> Result<Found, DiskDefect> {
+pub fn load(path: &Path, mend: bool) -> Result<Found, StorageError> {
     let mut found = Found::default();
     for (_, p) in numbered(path, "capture-", ".capture")?.iter().rev() {
         let bytes = fs::read(p).map_err(io(p))?;
         match Frame::read(&bytes) {
-            Some((Frame::Capture(c), _)) => {
-                found.capture = Some(c);
+            Some((Frame::Snapshot(c), _)) => {
+                found.snapshot = Some(c);
                 break;
             }
             _ => found.damaged = true,
         }
     }
-    let base = found.capture.as_ref().map_or(0, |c| c.index);
+    let base = found.snapshot.as_ref().map_or(0, |c| c.index);
     let segments = numbered(path, "log-", ".segment")?;
     for (i, (number, p)) in segments.iter().enumerate() {
         let bytes = fs::read(p).map_err(io(p))?;
@@ -97,7 +97,7 @@
 impl Found {
     fn take(&mut self, frame: Frame, base: u64) {
         match frame {
-            Frame::Hard(h) => self.hard = h,
+            Frame::HardState(h) => self.hard_state = h,
             Frame::Cut(c) => self.entries.retain(|e| e.index < c),
             Frame::Notes(n) => self.notes = n,
             Frame::Entry(e) => match self.entries.last().map(|l| l.index) {
@@ -117,7 +117,7 @@
                     self.entries.push(e);
                 }
             },
-            Frame::Capture(_) => {}
+            Frame::Snapshot(_) => {}
         }
     }
 }
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -5,12 +5,12 @@
 mod frames;
 mod load;
 
-pub use defect::DiskDefect;
+pub use defect::StorageError;
 pub use directory::{Directory, FileSystem};
 
 use crate::agreement::Loaded;
-use crate::kernel::{Capture, Hard, Save};
-use crate::wire::Note;
+use crate::kernel::{HardState, Snapshot, WriteBatch};
+use crate::wire::DurabilityWitness;
 use defect::io;
 use directory::{make_durable, write_whole};
 use frames::Frame;
@@ -35,18 +35,18 @@
 /// What each segment starts with, so that older ones can go: as of the last write that was synced.
 #[derive(Clone, Debug)]
 struct Head {
-    hard: Hard,
-    notes: Vec<Note>,
+    hard_state: HardState,
+    notes: Vec<DurabilityWitness>,
     /// The last index of the log; entries after it are void, in whichever older segment they are found.
     last: u64,
 }
 
 impl Head {
     /// Follows a save, and writes its frames.
-    fn write(&mut self, s: &Save, bytes: &mut Vec<u8>) {
-        s.hard.iter().for_each(|h| {
-            self.hard = h.clone();
-            Frame::Hard(h.clone()).write(bytes);
+    fn write(&mut self, s: &WriteBatch, bytes: &mut Vec<u8>) {
+        s.hard_state.iter().for_each(|h| {
+            self.hard_state = h.clone();
+            Frame::HardState(h.clone()).write(bytes);
         });
         s.cut.iter().for_each(|c| {
             self.last = self.last.min(c.saturating_sub(1));
@@ -64,7 +64,7 @@
 }
 
 /// An open data folder.
-pub struct Folder {
+pub struct DataFolder {
     directory: Box<dyn Directory>,
     path: PathBuf,
     segment: File,
@@ -86,7 +86,8 @@
 pub struct Findings {
     pub cluster: String,
     pub disk: u64,
-    pub capture_index: u64,
+    #[serde(rename = "capture_index")]
+    pub snapshot_index: u64,
     pub first: u64,
     pub last: u64,
     pub term: u64,
@@ -94,14 +95,14 @@
     pub torn_tail: bool,
 }
 
-impl Folder {
+impl DataFolder {
     /// Opens a folder, or makes one, and reads all it holds. `fresh` names a new disk.
     pub fn open(
         path: &Path,
         cluster: &str,
         segment_bytes: u64,
         fresh: u64,
-    ) -> Result<(Self, Loaded), DiskDefect> {
+    ) -> Result<(Self, Loaded), StorageError> {
         Self::open_in(Box::new(FileSystem), path, cluster, segment_bytes, fresh)
     }
 
@@ -112,15 +113,15 @@
         cluster: &str,
         segment_bytes: u64,
         fresh: u64,
-    ) -> Result<(Self, Loaded), DiskDefect> {
+    ) -> Result<(Self, Loaded), StorageError> {
         make_durable(directory.as_ref(), path)?;
         let mark = own_mark(directory.as_ref(), path, cluster, fresh)?;
         let lock = lock(path)?;
         let found = load::load(path, true)?;
         let loaded = Loaded {
             disk: mark.disk,
-            hard: found.hard,
-            capture: found.capture,
+            hard_state: found.hard_state,
+            snapshot: found.snapshot,
             entries: found.entries,
             notes: found.notes,
             damaged: found.damaged,
@@ -144,8 +145,8 @@
         lock: File,
         loaded: &Loaded,
         closed: Vec<(u64, u64)>,
-    ) -> Result<Self, DiskDefect> {
-        let captured = loaded.capture.as_ref().map_or(0, |c| c.index);
+    ) -> Result<Self, StorageError> {
+        let captured = loaded.snapshot.as_ref().map_or(0, |c| c.index);
         let last = loaded.entries.last().map_or(captured, |e| e.index);
         let number = closed.last().map_or(0, |(n, _)| *n) + 1;
         let segment = create(directory.as_ref(), path, number)?;
@@ -157,18 +158,18 @@
             size: 0,
             segment_bytes,
             head: Head {
-                hard: loaded.hard.clone(),
+                hard_state: loaded.hard_state.clone(),
                 notes: loaded.notes.clone(),
                 last,
             },
             closed,
             _lock: lock,
         };
-        let mut first = Save {
-            hard: Some(loaded.hard.clone()),
+        let mut first = WriteBatch {
+            hard_state: Some(loaded.hard_state.clone()),
             notes: loaded.notes.clone(),
             cut: Some(last + 1),
-            ..Save::default()
+            ..WriteBatch::default()
         };
         if loaded.damaged {
             first.cut = Some(1);
@@ -179,14 +180,14 @@
     }
 
     /// Writes a batch of saves and syncs once for all of them. Where this fails, nothing of the batch counts: it is to
-    /// be written again after [`Folder::recover`].
-    pub fn save(&mut self, batch: &[Save]) -> Result<(), DiskDefect> {
+    /// be written again after [`DataFolder::recover`].
+    pub fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError> {
         let mut head = self.head.clone();
         let mut bytes = Vec::new();
         batch.iter().for_each(|s| head.write(s, &mut bytes));
         // A capture goes first: a cut that relies on it must not be seen without it.
-        for c in batch.iter().filter_map(|s| s.capture.as_ref()) {
-            self.write_capture(c)?;
+        for c in batch.iter().filter_map(|s| s.snapshot.as_ref()) {
+            self.write_snapshot(c)?;
         }
         let path = self.path.clone();
         self.segment
@@ -195,7 +196,7 @@
             .map_err(io(&path))?;
         self.head = head;
         self.size += bytes.len() as u64;
-        if let Some(c) = batch.iter().rev().find_map(|s| s.capture.as_ref()) {
+        if let Some(c) = batch.iter().rev().find_map(|s| s.snapshot.as_ref()) {
             self.drop_old(c.index)?;
         }
         if self.size >= self.segment_bytes {
@@ -204,17 +205,17 @@
         Ok(())
     }
 
-    fn roll(&mut self) -> Result<(), DiskDefect> {
+    fn roll(&mut self) -> Result<(), StorageError> {
         let number = self.number + 1;
         self.segment = create(self.directory.as_ref(), &self.path, number)?;
         self.closed.push((self.number, self.head.last));
         self.number = number;
         self.size = 0;
-        let first = Save {
-            hard: Some(self.head.hard.clone()),
+        let first = WriteBatch {
+            hard_state: Some(self.head.hard_state.clone()),
             notes: self.head.notes.clone(),
             cut: Some(self.head.last + 1),
-            ..Save::default()
+            ..WriteBatch::default()
         };
         self.save(&[first])
     }
@@ -222,7 +223,7 @@
     /// Makes the folder usable after a write that failed: what was not confirmed is cut off, and a new segment begun.
     /// A sync that failed may have lost what it was to write, so nothing of that batch is believed; the caller writes
     /// the whole batch again.
-    pub fn recover(&mut self) -> Result<(), DiskDefect> {
+    pub fn recover(&mut self) -> Result<(), StorageError> {
         self.make_room()?;
         let path = segment_path(&self.path, self.number);
         OpenOptions::new()
@@ -234,7 +235,7 @@
     }
 
     /// Removes what a full disk can do without: captures that were not written whole, and all whole ones but the newest.
-    fn make_room(&self) -> Result<(), DiskDefect> {
+    fn make_room(&self) -> Result<(), StorageError> {
         let halves = load::numbered(&self.path, "capture-", ".new")?;
         let whole = load::numbered(&self.path, "capture-", ".capture")?;
         let older = whole.iter().rev().skip(1);
@@ -244,15 +245,15 @@
         Ok(())
     }
 
-    fn write_capture(&mut self, c: &Capture) -> Result<(), DiskDefect> {
+    fn write_snapshot(&mut self, c: &Snapshot) -> Result<(), StorageError> {
         let mut bytes = Vec::new();
-        Frame::Capture(c.clone()).write(&mut bytes);
+        Frame::Snapshot(c.clone()).write(&mut bytes);
         let path = self.path.join(format!("capture-{:016}.capture", c.index));
         write_whole(self.directory.as_ref(), &path, &bytes)
     }
 
     /// Segments that end before the capture, and all but the two newest captures, are not needed any more.
-    fn drop_old(&mut self, index: u64) -> Result<(), DiskDefect> {
+    fn drop_old(&mut self, index: u64) -> Result<(), StorageError> {
         self.roll()?;
         let (old, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.closed)
             .into_iter()
@@ -261,8 +262,8 @@
         old.iter().for_each(|(n, _)| {
             let _ = self.directory.remove(&segment_path(&self.path, *n));
         });
-        let captures = load::numbered(&self.path, "capture-", ".capture")?;
-        captures.iter().rev().skip(2).for_each(|(_, p)| {
+        let snapshots = load::numbered(&self.path, "capture-", ".capture")?;
+        snapshots.iter().rev().skip(2).for_each(|(_, p)| {
             let _ = self.directory.remove(p);
         });
         Ok(())
@@ -270,7 +271,7 @@
 }
 
 /// Makes a segment, which is durable before anything in it counts.
-fn create(directory: &dyn Directory, folder: &Path, number: u64) -> Result<File, DiskDefect> {
+fn create(directory: &dyn Directory, folder: &Path, number: u64) -> Result<File, StorageError> {
     let path = segment_path(folder, number);
     let segment = directory.append(&path).map_err(io(&path))?;
     directory.sync(folder).map_err(io(folder))?;
@@ -283,7 +284,7 @@
     path: &Path,
     cluster: &str,
     fresh: u64,
-) -> Result<Mark, DiskDefect> {
+) -> Result<Mark, StorageError> {
     let mark_path = path.join(MARK);
     if !mark_path.exists() {
         let names = fs::read_dir(path).map_err(io(path))?;
@@ -292,7 +293,7 @@
             .any(|n| !n.ends_with(".new") && n != "lock");
         (!strange)
             .then_some(())
-            .ok_or_else(|| DiskDefect::Foreign(path.to_path_buf()))?;
+            .ok_or_else(|| StorageError::Foreign(path.to_path_buf()))?;
         let mark = Mark {
             format: FOLDER_VERSION,
             cluster: cluster.into(),
@@ -304,7 +305,7 @@
     let mark = read_mark(path)?;
     (mark.cluster == cluster)
         .then_some(())
-        .ok_or_else(|| DiskDefect::Cluster {
+        .ok_or_else(|| StorageError::Cluster {
             found: mark.cluster.clone(),
             wanted: cluster.into(),
         })?;
@@ -312,7 +313,7 @@
 }
 
 /// Keeps other processes away for as long as the file is open.
-fn lock(folder: &Path) -> Result<File, DiskDefect> {
+fn lock(folder: &Path) -> Result<File, StorageError> {
     let path = folder.join("lock");
     let lock = OpenOptions::new()
         .create(true)
@@ -321,39 +322,39 @@
         .open(&path)
         .map_err(io(&path))?;
     lock.try_lock()
-        .map_err(|_| DiskDefect::Busy(folder.to_path_buf()))?;
+        .map_err(|_| StorageError::Busy(folder.to_path_buf()))?;
     Ok(lock)
 }
 
-fn read_mark(path: &Path) -> Result<Mark, DiskDefect> {
+fn read_mark(path: &Path) -> Result<Mark, StorageError> {
     let p = path.join(MARK);
     let bytes = fs::read(&p).map_err(io(&p))?;
     let mark: Mark =
-        serde_json::from_slice(&bytes).map_err(|_| DiskDefect::Foreign(path.to_path_buf()))?;
+        serde_json::from_slice(&bytes).map_err(|_| StorageError::Foreign(path.to_path_buf()))?;
     (mark.format == FOLDER_VERSION)
         .then_some(())
-        .ok_or(DiskDefect::Version { found: mark.format })?;
+        .ok_or(StorageError::Version { found: mark.format })?;
     Ok(mark)
 }
 
 /// Reads a data folder without changing it.
-fn look(path: &Path) -> Result<(Mark, load::Found), DiskDefect> {
+fn look(path: &Path) -> Result<(Mark, load::Found), StorageError> {
     path.join(MARK)
         .exists()
         .then_some(())
-        .ok_or_else(|| DiskDefect::Foreign(path.to_path_buf()))?;
+        .ok_or_else(|| StorageError::Foreign(path.to_path_buf()))?;
     Ok((read_mark(path)?, load::load(path, false)?))
 }
 
 /// All that a data folder holds, with its cluster, without changing it.
-pub fn read_whole(path: &Path) -> Result<(String, Loaded), DiskDefect> {
+pub fn read_whole(path: &Path) -> Result<(String, Loaded), StorageError> {
     let (mark, f) = look(path)?;
     Ok((
         mark.cluster,
         Loaded {
             disk: mark.disk,
-            hard: f.hard,
-            capture: f.capture,
+            hard_state: f.hard_state,
+            snapshot: f.snapshot,
             entries: f.entries,
             notes: f.notes,
             damaged: f.damaged,
@@ -362,18 +363,18 @@
 }
 
 /// Looks through a data folder without changing it.
-pub fn verify(path: &Path) -> Result<Findings, DiskDefect> {
+pub fn verify(path: &Path) -> Result<Findings, StorageError> {
     let (mark, found) = look(path)?;
     Ok(Findings {
         cluster: mark.cluster,
         disk: mark.disk,
-        capture_index: found.capture.as_ref().map_or(0, |c| c.index),
+        snapshot_index: found.snapshot.as_ref().map_or(0, |c| c.index),
         first: found.entries.first().map_or(0, |e| e.index),
         last: found
             .entries
             .last()
-            .map_or(found.capture.as_ref().map_or(0, |c| c.index), |e| e.index),
-        term: found.hard.term,
+            .map_or(found.snapshot.as_ref().map_or(0, |c| c.index), |e| e.index),
+        term: found.hard_state.term,
         damaged: found.damaged,
         torn_tail: found.torn,
     })
--- a/landingdrift/src/kernel/mod.rs
+++ b/landingdrift/src/kernel/mod.rs
@@ -3,7 +3,7 @@
 pub mod roles;
 
 use crate::settings::Settings;
-use crate::wire::{Body, Entry, Note};
+use crate::wire::{Body, DurabilityWitness, Entry};
 use serde_json::Value;
 
 /// The time a step is taken at: durations come from `mono`, appointed times from `wall`.
@@ -26,7 +26,7 @@
 
 /// The verdict on a call.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Verdict {
+pub struct Response {
     pub status: u16,
     /// When the caller should come back, in milliseconds; 0 for never.
     pub retry_ms: u64,
@@ -35,7 +35,7 @@
     pub by: String,
 }
 
-impl Verdict {
+impl Response {
     /// A verdict with a body.
     pub fn new(status: u16, body: Value) -> Self {
         Self {
@@ -66,32 +66,32 @@
     /// A message came from another process, at the address named.
     Wire(String, Body),
     /// All that was handed to the disk up to this ticket is durable.
-    Saved(u64),
+    Persisted(u64),
     /// The disk refused.
-    DiskDefect(String),
+    DiskFailed(String),
     /// Somebody calls.
     Call(u64, Request),
     /// Settings that can change live have changed.
-    Changed(Box<Settings>),
+    SettingsChanged(Box<Settings>),
     /// The process is asked to stop in an orderly way.
     Stop,
 }
 
 /// What goes to the disk in one piece.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Save {
-    pub ticket: u64,
-    pub hard: Option<Hard>,
+pub struct WriteBatch {
+    pub write_id: u64,
+    pub hard_state: Option<HardState>,
     /// Entries from this index on are void.
     pub cut: Option<u64>,
     pub entries: Vec<Entry>,
-    pub notes: Vec<Note>,
-    pub capture: Option<Capture>,
+    pub notes: Vec<DurabilityWitness>,
+    pub snapshot: Option<Snapshot>,
 }
 
 /// The term and the vote given in it.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Hard {
+pub struct HardState {
     pub term: u64,
     pub vote: String,
     /// Votes in terms up to this one may have been given and forgotten.
@@ -103,7 +103,7 @@
 
 /// The record as it was at an index.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Capture {
+pub struct Snapshot {
     pub index: u64,
     pub term: u64,
     pub bytes: Vec<u8>,
@@ -115,11 +115,11 @@
     /// Send to the process at an address.
     Send(String, Body),
     /// Write, and sync.
-    Save(Save),
+    Persist(WriteBatch),
     /// Give a call its verdict.
-    Answer(u64, Verdict),
+    Answer(u64, Response),
     /// A change of state worth a line.
-    Line(String),
+    Log(String),
     /// The part is done and the process may end.
     Exit,
 }
@@ -131,21 +131,21 @@
     /// Counters, by name.
     fn counters(&self) -> Vec<(String, u64)>;
     /// The counters as text for `/metrics`.
-    fn metrics(&self) -> Verdict {
+    fn metrics(&self) -> Response {
         let text = self
             .counters()
             .iter()
             .map(|(k, v)| format!("landingdrift_{k} {v}\n"))
             .collect::<String>();
-        Verdict::new(200, Value::String(text))
+        Response::new(200, Value::String(text))
     }
 }
 
 /// A small generator whose numbers follow from its seed alone.
 #[derive(Clone, Debug)]
-pub struct Draw(u64);
+pub struct Rng(u64);
 
-impl Draw {
+impl Rng {
     /// A generator from a seed.
     pub fn new(seed: u64) -> Self {
         Self(seed ^ 0x9e37_79b9_7f4a_7c15)
@@ -172,7 +172,7 @@
 }
 
 /// A number from a text, the same on every machine.
-pub fn digest(text: &[u8]) -> u64 {
+pub fn fnv1a(text: &[u8]) -> u64 {
     text.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
     })
--- a/landingdrift/src/node/calls/at.rs
+++ b/landingdrift/src/node/calls/at.rs
@@ -1,7 +1,7 @@
 //! Jobs handed in by host and path: the queue whose host and longest prefix fit takes them.
 
 use super::Origin;
-use crate::kernel::{Now, Request, Verdict};
+use crate::kernel::{Now, Request, Response};
 use crate::node::Node;
 use crate::record::{JobSpec, JobState};
 use serde_json::json;
@@ -26,14 +26,14 @@
         let rest = req.path.strip_prefix(AT).unwrap_or_default();
         let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
         if !self.fresh(now) || self.record.version == 0 {
-            let v = Verdict::error(503, "notReady", "this node has no configuration that is new enough, and took nothing: come back later, or go to another node");
-            return self.reply(&origin, v.retry(self.cfg.bounds.back()));
+            let v = Response::error(503, "notReady", "this node has no configuration that is new enough, and took nothing: come back later, or go to another node");
+            return self.reply(&origin, v.retry(self.settings.bounds.back()));
         }
         let Some((queue, service, prefix)) = self
             .routed(host, path)
             .map(|(k, q)| (k.to_string(), q.service.clone(), q.prefix.len()))
         else {
-            let v = Verdict::error(
+            let v = Response::error(
                 404,
                 "noSuchQueue",
                 "no queue has this host and path: declare one, or correct the call",
@@ -47,7 +47,7 @@
         match (req.method.as_str(), id.as_str()) {
             ("GET", "") => {
                 let waiting = self.waiting(&queue);
-                self.reply(&origin, Verdict::new(200, json!({"waiting": waiting})));
+                self.reply(&origin, Response::new(200, json!({"waiting": waiting})));
             }
             ("POST", _) => match serde_json::from_slice::<JobSpec>(&req.body) {
                 Ok(mut spec) => {
@@ -60,13 +60,13 @@
                         .for_each(|t| t.service = service.clone());
                     self.submit_spec(now, origin, spec);
                 }
-                Err(e) => self.reply(&origin, Verdict::error(400, "wrongJob", e.to_string())),
+                Err(e) => self.reply(&origin, Response::error(400, "wrongJob", e.to_string())),
             },
             ("GET", id) => self.poll(now, origin, id),
             ("DELETE", id) => self.cancel(now, origin, id),
             _ => self.reply(
                 &origin,
-                Verdict::error(
+                Response::error(
                     405,
                     "wrongMethod",
                     "POST hands a job in, GET tells its state, DELETE cancels it",
--- a/landingdrift/src/node/calls/beats.rs
+++ b/landingdrift/src/node/calls/beats.rs
@@ -1,8 +1,8 @@
 //! Workers' beats and leaves, which the holder of the worker's cell answers.
 
 use super::Origin;
-use crate::kernel::{Now, Request, Verdict};
-use crate::node::cell::Beat;
+use crate::kernel::{Now, Request, Response};
+use crate::node::cell::Heartbeat;
 use crate::node::Node;
 use crate::record::cell_duty;
 use serde_json::json;
@@ -10,12 +10,12 @@
 impl Node {
     pub(super) fn on_beat(&mut self, now: Now, origin: Origin, req: Request) {
         let de = &mut serde_json::Deserializer::from_slice(&req.body);
-        let beat: Beat = match serde_path_to_error::deserialize(de) {
+        let beat: Heartbeat = match serde_path_to_error::deserialize(de) {
             Ok(b) => b,
             Err(e) => {
                 return self.reply(
                     &origin,
-                    Verdict::error(
+                    Response::error(
                         400,
                         "wrongBeat",
                         format!(
@@ -33,7 +33,7 @@
         {
             return self.reply(
                 &origin,
-                Verdict::error(
+                Response::error(
                     400,
                     "wrongBeat",
                     "facts.worker, facts.zone and facts.service need a value: name them",
@@ -51,9 +51,9 @@
             }
             Some(h) if h != self.name && !h.is_empty() => {
                 // A beat is passed on once; who is asked by another names the holder it knows.
-                let v = Verdict {
+                let v = Response {
                     by: h,
-                    ..Verdict::error(
+                    ..Response::error(
                         503,
                         "notHolder",
                         "another node holds the cell: ask that one",
@@ -82,12 +82,12 @@
             return self.pass_on(now, origin, &holder, req);
         }
         self.left(now, worker);
-        self.reply(&origin, Verdict::new(200, json!({"worker": worker})));
+        self.reply(&origin, Response::new(200, json!({"worker": worker})));
     }
 
     /// A zone that nobody declared and no node stands in has no cell.
-    fn found_zone(&mut self, beat: &Beat) -> Verdict {
-        Verdict::error(
+    fn found_zone(&mut self, beat: &Heartbeat) -> Response {
+        Response::error(
             503,
             "noCell",
             format!(
@@ -95,6 +95,6 @@
                 beat.facts.zone
             ),
         )
-        .retry(self.cfg.bounds.beat())
+        .retry(self.settings.bounds.beat())
     }
 }
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -1,8 +1,8 @@
 use super::{param, Origin, ReadThen, State, Then};
-use crate::kernel::{digest, Now, Verdict};
+use crate::kernel::{fnv1a, Now, Response};
 use crate::node::propose::Purpose;
 use crate::node::Node;
-use crate::record::{Command, Job, JobSpec, JobState, Refusal, Ruling, SendState};
+use crate::record::{ApplyResult, AttemptState, Command, Job, JobSpec, JobState, Rejection};
 use serde_json::{json, Value};
 
 /// Jobs on one page, at the most.
@@ -15,7 +15,7 @@
         .iter()
         .enumerate()
         .map(|(i, t)| {
-            let unsure = t.sends.iter().any(|x| x.state == SendState::Unsure);
+            let unsure = t.sends.iter().any(|x| x.state == AttemptState::Unsure);
             let mut v = json!({"name": j.name(i), "state": t.state, "defects": t.defects, "sends": t.sends});
             if unsure {
                 v["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
@@ -26,17 +26,17 @@
     let unsure = j
         .tasks
         .iter()
-        .any(|t| t.live().any(|s| s.state == SendState::Unsure));
+        .any(|t| t.live().any(|s| s.state == AttemptState::Unsure));
     json!({"id": j.spec.id, "queue": j.spec.queue, "state": j.state, "unsure": unsure, "accepted": j.accepted, "ended": j.ended, "cancelled": j.cancel, "reason": j.reason, "tasks": tasks})
 }
 
 impl Node {
     pub(super) fn submit(&mut self, now: Now, origin: Origin, body: &[u8]) {
-        let most = self.cfg.limits.job_bytes;
+        let most = self.settings.limits.job_bytes;
         if body.len() as u64 > most {
             return self.reply(
                 &origin,
-                Verdict::error(
+                Response::error(
                     413,
                     "tooLarge",
                     format!("a job may have {most} bytes: split it"),
@@ -45,41 +45,41 @@
         }
         match JobSpec::read(body) {
             Ok(s) => self.submit_spec(now, origin, s),
-            Err(e) => self.reply(&origin, Verdict::error(400, "wrongJob", e.to_string())),
+            Err(e) => self.reply(&origin, Response::error(400, "wrongJob", e.to_string())),
         }
     }
 
     pub(super) fn submit_spec(&mut self, now: Now, origin: Origin, spec: JobSpec) {
         if let Err(e) = spec.check() {
-            return self.reply(&origin, Verdict::error(400, "wrongJob", e.to_string()));
+            return self.reply(&origin, Response::error(400, "wrongJob", e.to_string()));
         }
         if !self.record.open.contains(&spec.id)
-            && self.record.open.len() as u64 >= self.cfg.limits.open_jobs
+            && self.record.open.len() as u64 >= self.settings.limits.open_jobs
         {
             self.count("jobs_turned_away", 1);
             return self.reply(
                 &origin,
-                Verdict::error(503, "full", "the system holds as many unfinished jobs as it may and took nothing of this call: come back later").retry(5 * self.cfg.bounds.back()),
+                Response::error(503, "full", "the system holds as many unfinished jobs as it may and took nothing of this call: come back later").retry(5 * self.settings.bounds.back()),
             );
         }
-        let hash = digest(&serde_json::to_vec(&spec).unwrap_or_default());
+        let hash = fnv1a(&serde_json::to_vec(&spec).unwrap_or_default());
         let known = self
             .record
             .jobs
             .get(&spec.id)
             .map(|j| j.hash)
-            .or_else(|| self.record.tombs.get(&spec.id).map(|t| t.hash));
+            .or_else(|| self.record.tombstones.get(&spec.id).map(|t| t.hash));
         let id = spec.id.clone();
         if let Some(h) = known {
             let ruled = (h == hash)
                 .then(|| json!({"known": true}))
-                .ok_or(Refusal::OtherBody);
-            let v = self.accepted_verdict(&id, ruled);
+                .ok_or(Rejection::OtherBody);
+            let v = self.accepted_response(&id, ruled);
             return self.reply(&origin, v);
         }
         let seen = self.record.place;
-        let within = self.cfg.bounds.call();
-        let call = self.open(now, origin, State::Proposed);
+        let within = self.settings.bounds.call();
+        let call = self.open(now, origin, State::ProposalPending);
         self.propose(
             now,
             &Command::Accept { spec, hash, seen },
@@ -88,8 +88,8 @@
         );
     }
 
-    pub(super) fn accepted_verdict(&mut self, id: &str, ruled: Ruling) -> Verdict {
-        let back = self.cfg.bounds.back();
+    pub(super) fn accepted_response(&mut self, id: &str, ruled: ApplyResult) -> Response {
+        let back = self.settings.bounds.back();
         match ruled {
             Ok(v) => {
                 self.count("jobs_accepted", 1);
@@ -98,9 +98,9 @@
                     .jobs
                     .get(id)
                     .map(|j| j.state)
-                    .or_else(|| self.record.tombs.get(id).map(|t| t.state))
+                    .or_else(|| self.record.tombstones.get(id).map(|t| t.state))
                     .unwrap_or(JobState::Waiting);
-                Verdict::new(
+                Response::new(
                     if v["known"] == json!(true) { 200 } else { 202 },
                     json!({"id": id, "state": state, "poll": format!("/v1/jobs/{id}")}),
                 )
@@ -108,32 +108,32 @@
             Err(r) => {
                 self.count("jobs_refused", 1);
                 match r {
-                    Refusal::OtherBody => Verdict::error(409, "otherBody", r.to_string()),
-                    Refusal::OverQuota { .. } | Refusal::TurnedAway => {
-                        Verdict::error(429, "overQuota", r.to_string()).retry(2 * back)
+                    Rejection::OtherBody => Response::error(409, "otherBody", r.to_string()),
+                    Rejection::OverQuota { .. } | Rejection::TurnedAway => {
+                        Response::error(429, "overQuota", r.to_string()).retry(2 * back)
                     }
-                    Refusal::Invalid { ref path, .. } if path == "queue" => {
-                        Verdict::error(404, "noSuchQueue", r.to_string())
+                    Rejection::Invalid { ref path, .. } if path == "queue" => {
+                        Response::error(404, "noSuchQueue", r.to_string())
                     }
-                    _ => Verdict::error(400, "wrongJob", r.to_string()),
+                    _ => Response::error(400, "wrongJob", r.to_string()),
                 }
             }
         }
     }
 
     /// What this node knows of a job; `stale` tells the caller that there may be news it has not heard.
-    pub(super) fn job_verdict(&self, id: &str, stale: bool) -> Option<Verdict> {
+    pub(super) fn job_response(&self, id: &str, stale: bool) -> Option<Response> {
         let kept = self.record.jobs.get(id).map(describe);
         kept.or_else(|| {
             self.record
-                .tombs
+                .tombstones
                 .get(id)
                 .map(|t| json!({"id": id, "state": t.state, "retained": false}))
         })
         .map(|mut v| {
             v["asOf"] = json!(self.record.at);
             v["stale"] = json!(stale);
-            Verdict::new(200, v)
+            Response::new(200, v)
         })
     }
 
@@ -145,14 +145,14 @@
             .jobs
             .get(id)
             .map(|j| j.state)
-            .or_else(|| self.record.tombs.get(id).map(|t| t.state));
+            .or_else(|| self.record.tombstones.get(id).map(|t| t.state));
         match kept {
             Some(state) if state.ended() => self
-                .job_verdict(id, false)
+                .job_response(id, false)
                 .into_iter()
                 .for_each(|v| self.reply(&origin, v)),
             Some(_) if self.feed.captured => {
-                let patience = now.mono + self.cfg.bounds.fresh() / 2;
+                let patience = now.mono + self.settings.bounds.fresh() / 2;
                 let state = State::Fresh {
                     id: id.into(),
                     asked: now.mono,
@@ -164,10 +164,10 @@
         }
     }
 
-    pub(super) fn jobs_verdict(&self, query: &str) -> Verdict {
+    pub(super) fn jobs_response(&self, query: &str) -> Response {
         let limit = param(query, "limit").map_or(Ok(100), str::parse::<usize>);
         let Some(limit) = limit.ok().filter(|l| (1..=PAGE).contains(l)) else {
-            return Verdict::error(
+            return Response::error(
                 400,
                 "wrongQuery",
                 format!("limit: give a number from 1 to {PAGE}"),
@@ -186,12 +186,12 @@
             .map(|j| json!({"id": j.spec.id, "queue": j.spec.queue, "state": j.state, "accepted": j.accepted, "ended": j.ended}))
             .collect();
         let next = of.next().and(page.last().map(|l| l["id"].clone()));
-        Verdict::new(200, json!({"jobs": page, "next": next}))
+        Response::new(200, json!({"jobs": page, "next": next}))
     }
 
     pub(super) fn cancel(&mut self, now: Now, origin: Origin, id: &str) {
-        let within = self.cfg.bounds.call();
-        let call = self.open(now, origin, State::Proposed);
+        let within = self.settings.bounds.call();
+        let call = self.open(now, origin, State::ProposalPending);
         self.propose(
             now,
             &Command::Cancel { job: id.into() },
@@ -200,10 +200,10 @@
         );
     }
 
-    pub(super) fn cancelled_verdict(&mut self, id: &str, ruled: Ruling) -> Verdict {
+    pub(super) fn cancelled_response(&mut self, id: &str, ruled: ApplyResult) -> Response {
         ruled.map_or_else(
-            |r| Verdict::error(404, "unknownJob", r.to_string()),
-            |v| Verdict::new(200, json!({"id": id, "state": v["state"]})),
+            |r| Response::error(404, "unknownJob", r.to_string()),
+            |v| Response::new(200, json!({"id": id, "state": v["state"]})),
         )
     }
 
@@ -216,11 +216,11 @@
         let Some(well) = well else {
             return self.reply(
                 &origin,
-                Verdict::error(400, "wrongOutcome", "outcome: give 'well' or 'defect'"),
+                Response::error(400, "wrongOutcome", "outcome: give 'well' or 'defect'"),
             );
         };
-        let within = self.cfg.bounds.call();
-        let call = self.open(now, origin, State::Proposed);
+        let within = self.settings.bounds.call();
+        let call = self.open(now, origin, State::ProposalPending);
         self.propose(
             now,
             &Command::Resolve {
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -9,9 +9,9 @@
 mod status;
 
 use super::Node;
-use crate::kernel::{Effect, Now, Part, Request, Verdict};
-use crate::record::{Refusal, Ruling};
-use crate::wire::{Body, Forwarded, NodePlace, RequestToken};
+use crate::kernel::{Effect, Now, Part, Request, Response};
+use crate::record::{ApplyResult, Rejection};
+use crate::wire::{Body, ForwardResponse, NodeProgress, RequestToken};
 use read::ReadThen;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 
 enum State {
     /// Waits for a ruling of the record.
-    Proposed,
+    ProposalPending,
     /// Asked cores how far the record goes, one after the other; the next is asked at `next`.
     Asked {
         then: ReadThen,
@@ -47,7 +47,7 @@
     Following {
         then: ReadThen,
         place: u64,
-        nodes: Vec<NodePlace>,
+        nodes: Vec<NodeProgress>,
     },
     /// Waits until the feed has told all that was committed when the question came; after `patience` it tells what it knows.
     Fresh {
@@ -102,28 +102,31 @@
         let path = req.path.trim_end_matches('/').to_string();
         let parts: Vec<&str> = path.split('/').filter(|p| !p.is_empty()).collect();
         let probe = !matches!(parts.first(), Some(&"v1"));
-        if !probe && parts != ["v1", "beats"] && self.calls.len() as u64 >= self.cfg.limits.calls {
+        if !probe
+            && parts != ["v1", "beats"]
+            && self.calls.len() as u64 >= self.settings.limits.calls
+        {
             self.count("calls_turned_away", 1);
             return self.reply(
                 &origin,
-                Verdict::error(
+                Response::error(
                     503,
                     "busy",
                     "this node works on as many calls as it may and took nothing of this one: come back later, or go to another node",
                 )
-                .retry(self.cfg.bounds.back()),
+                .retry(self.settings.bounds.back()),
             );
         }
         if self.light && about_jobs(&req.method, &parts) {
             return self.pass_to_duty(now, origin, &req);
         }
         match (req.method.as_str(), parts.as_slice()) {
-            ("GET", ["live"]) => self.reply(&origin, Verdict::new(200, json!({"live": true}))),
+            ("GET", ["live"]) => self.reply(&origin, Response::new(200, json!({"live": true}))),
             ("GET", ["ready"]) => {
                 let ready = self.ready(now);
                 self.reply(
                     &origin,
-                    Verdict::new(if ready { 200 } else { 503 }, json!({"ready": ready, "place": self.record.place, "version": self.record.version})),
+                    Response::new(if ready { 200 } else { 503 }, json!({"ready": ready, "place": self.record.place, "version": self.record.version})),
                 );
             }
             ("GET", ["metrics"]) => {
@@ -135,7 +138,7 @@
             ("GET", ["v1", "jobs", id]) => self.poll(now, origin, id),
             ("DELETE", ["v1", "jobs", id]) | ("POST", ["v1", "jobs", id, "cancel"]) => self.cancel(now, origin, id),
             ("POST", ["v1", "jobs", id, "tasks", task, "resolve"]) => self.resolve(now, origin, id, task, &req.body),
-            ("GET", ["v1", "desired"]) => self.read(now, origin, ReadThen::Desired),
+            ("GET", ["v1", "desired"]) => self.read(now, origin, ReadThen::ClusterConfig),
             ("PUT", ["v1", "desired"]) => self.configure(now, origin, &req, false),
             ("PATCH", ["v1", "desired"]) => self.configure(now, origin, &req, true),
             ("GET", ["v1", "changes", id]) => self.read(now, origin, ReadThen::Change { id: id.to_string() }),
@@ -148,18 +151,18 @@
             ("POST", ["v1", "beats"]) => self.on_beat(now, origin, req),
             (_, ["v1", "jobs" | "desired" | "beats" | "status" | "workers" | "zones", ..] | ["live" | "ready" | "metrics"]) => self.reply(
                 &origin,
-                Verdict::error(405, "wrongMethod", format!("{} is not served here: docs/operators/api.md lists the methods of each route", req.method)),
+                Response::error(405, "wrongMethod", format!("{} is not served here: docs/operators/api.md lists the methods of each route", req.method)),
             ),
-            _ => self.reply(&origin, Verdict::error(404, "noSuchRoute", "no such route: docs/operators/api.md lists them")),
+            _ => self.reply(&origin, Response::error(404, "noSuchRoute", "no such route: docs/operators/api.md lists them")),
         }
     }
 
-    pub(super) fn reply(&mut self, origin: &Origin, v: Verdict) {
+    pub(super) fn reply(&mut self, origin: &Origin, v: Response) {
         match origin {
             Origin::Local(call) => self.out.push(Effect::Answer(*call, v)),
             Origin::Remote(to, token) => {
                 let body = serde_json::to_vec(&v.body).unwrap_or_default();
-                let m = Forwarded {
+                let m = ForwardResponse {
                     token: *token,
                     status: v.status,
                     retry_ms: v.retry_ms,
@@ -170,7 +173,7 @@
                         v.by
                     },
                 };
-                self.send(&to.clone(), Body::Forwarded(Box::new(m)));
+                self.send(&to.clone(), Body::ForwardResponse(Box::new(m)));
             }
         }
     }
@@ -178,7 +181,7 @@
     /// Opens a call that can't be answered at once.
     fn open(&mut self, now: Now, origin: Origin, state: State) -> u64 {
         let call = self.token();
-        let until = now.mono + self.cfg.bounds.call();
+        let until = now.mono + self.settings.bounds.call();
         self.calls.open.insert(
             call,
             Open {
@@ -190,7 +193,7 @@
         call
     }
 
-    pub(super) fn finish(&mut self, call: u64, v: Verdict) {
+    pub(super) fn finish(&mut self, call: u64, v: Response) {
         if let Some(o) = self.calls.open.remove(&call) {
             self.reply(&o.origin, v);
         }
@@ -202,7 +205,7 @@
             .calls
             .open
             .iter()
-            .filter(|(_, o)| now.mono >= o.until && !matches!(o.state, State::Proposed))
+            .filter(|(_, o)| now.mono >= o.until && !matches!(o.state, State::ProposalPending))
             .map(|(k, _)| *k)
             .collect();
         for call in over {
@@ -211,14 +214,14 @@
                 Some(State::Passed { .. })
             );
             let v = if passed {
-                self.unsure_verdict()
+                self.unsure_response()
             } else {
-                Verdict::error(
+                Response::error(
                     503,
                     "noCore",
                     "no core answered in time, so nothing sure can be said: come back later",
                 )
-                .retry(self.cfg.bounds.back())
+                .retry(self.settings.bounds.back())
             };
             self.finish(call, v);
         }
@@ -233,20 +236,20 @@
     }
 
     /// The record has ruled on what a call proposed.
-    pub(super) fn call_ruled(&mut self, call: u64, then: Then, ruled: Ruling) {
+    pub(super) fn call_ruled(&mut self, call: u64, then: Then, ruled: ApplyResult) {
         let v = match then {
             // An earlier copy may have been taken.
-            _ if ruled == Err(Refusal::Late) => self.unsure_verdict(),
-            Then::Accepted { id } => self.accepted_verdict(&id, ruled),
-            Then::Cancelled { id } => self.cancelled_verdict(&id, ruled),
-            Then::Configured { change } => self.configured_verdict(&change, ruled),
+            _ if ruled == Err(Rejection::Late) => self.unsure_response(),
+            Then::Accepted { id } => self.accepted_response(&id, ruled),
+            Then::Cancelled { id } => self.cancelled_response(&id, ruled),
+            Then::Configured { change } => self.configured_response(&change, ruled),
             Then::Emptied => ruled.map_or_else(
-                |r| Verdict::error(409, "refused", r.to_string()),
-                |v| Verdict::new(200, v),
+                |r| Response::error(409, "refused", r.to_string()),
+                |v| Response::new(200, v),
             ),
             Then::Resolved { id } => ruled.map_or_else(
-                |r| Verdict::error(409, "refused", r.to_string()),
-                |_| Verdict::new(200, json!({"id": id, "resolved": true})),
+                |r| Response::error(409, "refused", r.to_string()),
+                |_| Response::new(200, json!({"id": id, "resolved": true})),
             ),
         };
         self.finish(call, v);
--- a/landingdrift/src/node/calls/pass.rs
+++ b/landingdrift/src/node/calls/pass.rs
@@ -1,9 +1,9 @@
 //! Calls that another node answers: each is passed on once, and silence leaves it unsure.
 
 use super::{Origin, State};
-use crate::kernel::{Now, Request, Verdict};
+use crate::kernel::{Now, Request, Response};
 use crate::node::Node;
-use crate::wire::{Body, Forward, Forwarded};
+use crate::wire::{Body, ForwardRequest, ForwardResponse};
 use serde_json::Value;
 
 impl Node {
@@ -11,17 +11,17 @@
     pub(super) fn pass_to_duty(&mut self, now: Now, origin: Origin, req: &Request) {
         let holders: Vec<String> = self
             .record
-            .grants
+            .leases
             .values()
             .map(|g| g.holder.clone())
             .filter(|h| !h.is_empty() && *h != self.name)
             .collect();
-        let to = self.draw.pick(&holders).cloned();
+        let to = self.rng.pick(&holders).cloned();
         match to.filter(|_| matches!(origin, Origin::Local(_))) {
             Some(to) => self.pass_on(now, origin, &to, req),
             None => {
                 let why = "this node keeps no jobs and knows of none that does: come back later, or go to another node";
-                let v = Verdict::error(503, "noDuty", why).retry(self.cfg.bounds.back());
+                let v = Response::error(503, "noDuty", why).retry(self.settings.bounds.back());
                 self.reply(&origin, v);
             }
         }
@@ -29,7 +29,7 @@
 
     pub(super) fn pass_on(&mut self, now: Now, origin: Origin, to: &str, req: &Request) {
         let call = self.open(now, origin, State::Passed { to: to.into() });
-        let m = Forward {
+        let m = ForwardRequest {
             token: self.request_token(call, 0),
             method: req.method.clone(),
             path: req.path.clone(),
@@ -37,10 +37,10 @@
             body: req.body.clone(),
         };
         self.count("calls_passed_on", 1);
-        self.send(to, Body::Forward(Box::new(m)));
+        self.send(to, Body::ForwardRequest(Box::new(m)));
     }
 
-    pub(in crate::node) fn on_forward(&mut self, now: Now, from: &str, m: Forward) {
+    pub(in crate::node) fn on_forward(&mut self, now: Now, from: &str, m: ForwardRequest) {
         self.on_call(
             now,
             Origin::Remote(from.into(), m.token),
@@ -53,7 +53,7 @@
         );
     }
 
-    pub(in crate::node) fn on_forwarded(&mut self, from: &str, m: Forwarded) {
+    pub(in crate::node) fn on_forwarded(&mut self, from: &str, m: ForwardResponse) {
         let call = m.token.number;
         let passed = self.calls.open.get(&call).map(|o| &o.state);
         if !matches!(passed, Some(State::Passed { to }) if to == from) {
@@ -62,7 +62,7 @@
         let body = serde_json::from_slice(&m.body).unwrap_or(Value::Null);
         self.finish(
             call,
-            Verdict {
+            Response {
                 status: m.status,
                 retry_ms: m.retry_ms,
                 body,
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -1,9 +1,9 @@
 //! Reads that are surely not old: a core names the place to follow to, or the feed is as new as the question.
 
 use super::{Open, Origin, State};
-use crate::kernel::{Now, Verdict};
+use crate::kernel::{Now, Response};
 use crate::node::Node;
-use crate::wire::{Body, NodePlace, ReadAsk, ReadPlace};
+use crate::wire::{Body, NodeProgress, ReadIndexRequest, ReadIndexResponse};
 use serde_json::json;
 
 /// What is done once this node has followed to a place that the core named.
@@ -11,7 +11,7 @@
 pub(super) enum ReadThen {
     Job { id: String },
     Jobs { query: String },
-    Desired,
+    ClusterConfig,
     Change { id: String },
     Status,
     Workers,
@@ -38,9 +38,9 @@
         let to = hint
             .filter(|h| !h.is_empty())
             .or(leader)
-            .or_else(|| self.draw.pick(&cores).cloned())
+            .or_else(|| self.rng.pick(&cores).cloned())
             .unwrap_or_default();
-        let again = 5 * self.cfg.bounds.heartbeat();
+        let again = 5 * self.settings.bounds.heartbeat();
         if let Some(Open {
             state: State::Asked { next, asked, .. },
             ..
@@ -50,11 +50,14 @@
             let attempt = asked.len();
             asked.push(to.clone());
             let token = self.request_token(call, attempt);
-            self.send(&to, Body::ReadAsk(Box::new(ReadAsk { token })));
+            self.send(
+                &to,
+                Body::ReadIndexRequest(Box::new(ReadIndexRequest { token })),
+            );
         }
     }
 
-    pub(in crate::node) fn on_read_place(&mut self, now: Now, from: &str, m: ReadPlace) {
+    pub(in crate::node) fn on_read_place(&mut self, now: Now, from: &str, m: ReadIndexResponse) {
         let call = m.token.number;
         let Some(o) = self.calls.open.get_mut(&call) else {
             return;
@@ -75,19 +78,19 @@
             };
             self.calls_on_place();
         } else {
-            *next = now.mono + self.cfg.bounds.heartbeat() / 2;
+            *next = now.mono + self.settings.bounds.heartbeat() / 2;
             if !m.leader.is_empty() && m.leader != self.feed.leader {
                 self.ask_place(now, call, Some(m.leader));
             } else {
                 let cores = self.cores();
-                self.feed.leader = self.draw.pick(&cores).cloned().unwrap_or_default();
+                self.feed.leader = self.rng.pick(&cores).cloned().unwrap_or_default();
             }
         }
     }
 
     pub(in crate::node) fn calls_on_place(&mut self) {
         let place = self.record.place;
-        let ready: Vec<(u64, ReadThen, Vec<NodePlace>)> = self
+        let ready: Vec<(u64, ReadThen, Vec<NodeProgress>)> = self
             .calls
             .open
             .iter()
@@ -106,23 +109,23 @@
         }
     }
 
-    fn answer_read(&self, then: &ReadThen, nodes: &[NodePlace]) -> Verdict {
+    fn answer_read(&self, then: &ReadThen, nodes: &[NodeProgress]) -> Response {
         match then {
-            ReadThen::Job { id } => self.job_verdict(id, false).unwrap_or_else(|| {
-                Verdict::error(
+            ReadThen::Job { id } => self.job_response(id, false).unwrap_or_else(|| {
+                Response::error(
                     404,
                     "unknownJob",
                     format!("no job '{id}' was accepted: hand it in, or check the id"),
                 )
             }),
-            ReadThen::Jobs { query } => self.jobs_verdict(query),
-            ReadThen::Desired => Verdict::new(
+            ReadThen::Jobs { query } => self.jobs_response(query),
+            ReadThen::ClusterConfig => Response::new(
                 200,
                 json!({"version": self.record.version, "desired": self.record.desired}),
             ),
-            ReadThen::Change { id } => self.change_verdict(id, nodes),
-            ReadThen::Status => self.status_verdict(nodes),
-            ReadThen::Workers => self.workers_verdict(),
+            ReadThen::Change { id } => self.change_response(id, nodes),
+            ReadThen::Status => self.status_response(nodes),
+            ReadThen::Workers => self.workers_response(),
         }
     }
 
@@ -145,8 +148,8 @@
             })
             .collect();
         for (call, id, stale) in due {
-            let verdict = self.job_verdict(&id, stale);
-            verdict.into_iter().for_each(|v| self.finish(call, v));
+            let response = self.job_response(&id, stale);
+            response.into_iter().for_each(|v| self.finish(call, v));
         }
     }
 }
--- a/landingdrift/src/node/calls/status.rs
+++ b/landingdrift/src/node/calls/status.rs
@@ -1,11 +1,11 @@
-use crate::kernel::Verdict;
+use crate::kernel::Response;
 use crate::node::Node;
-use crate::wire::NodePlace;
+use crate::wire::NodeProgress;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
 impl Node {
-    pub(super) fn status_verdict(&self, nodes: &[NodePlace]) -> Verdict {
+    pub(super) fn status_response(&self, nodes: &[NodeProgress]) -> Response {
         let r = &self.record;
         let queues: BTreeMap<&String, Value> = r
             .desired
@@ -48,17 +48,17 @@
             .keys()
             .filter(|no| {
                 r.send(**no)
-                    .is_some_and(|(_, _, s)| s.state == crate::record::SendState::Unsure)
+                    .is_some_and(|(_, _, s)| s.state == crate::record::AttemptState::Unsure)
             })
             .count();
-        Verdict::new(
+        Response::new(
             200,
             json!({"cluster": r.cluster, "place": r.place, "at": r.at, "version": r.version, "jobs": {"open": r.open.len(), "kept": r.jobs.len(), "unsureSends": unsure},
-                   "queues": queues, "zones": zones, "nodes": followers, "cores": r.cores, "grants": r.grants, "changes": changes}),
+                   "queues": queues, "zones": zones, "nodes": followers, "cores": r.cores, "grants": r.leases, "changes": changes}),
         )
     }
 
-    pub(super) fn workers_verdict(&self) -> Verdict {
+    pub(super) fn workers_response(&self) -> Response {
         let of: Vec<Value> = self
             .record
             .workers
@@ -68,6 +68,6 @@
                        "leaving": w.facts.leaving, "lost": w.lost, "onProbation": w.probation > 0, "incarnation": w.facts.incarnation, "sends": w.sends})
             })
             .collect();
-        Verdict::new(200, json!({"workers": of}))
+        Response::new(200, json!({"workers": of}))
     }
 }
--- a/landingdrift/src/node/cell/heartbeats.rs
+++ b/landingdrift/src/node/cell/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Heartbeats of workers: what each says, and what the holder of its cell makes of it.
 
 use super::{Pace, WorkerState};
-use crate::kernel::{Now, Verdict};
+use crate::kernel::{Now, Response};
 use crate::node::propose::Purpose;
 use crate::node::Node;
 use crate::record::{
-    cell_duty, Command, EndReport, Outcome, Record, RunName, SendState, WorkerFacts,
+    cell_duty, AttemptState, ClusterState, Command, EndReport, Outcome, RunName, WorkerInfo,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -13,8 +13,8 @@
 /// What a worker says in a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
-pub struct Beat {
-    pub facts: WorkerFacts,
+pub struct Heartbeat {
+    pub facts: WorkerInfo,
     #[serde(default)]
     pub running: Vec<Running>,
     /// Repeated until the answer says that they are settled.
@@ -50,7 +50,7 @@
 
 impl Node {
     /// The verdict on a beat, by the holder of the worker's cell.
-    pub(in crate::node) fn beat(&mut self, now: Now, mut beat: Beat) -> Verdict {
+    pub(in crate::node) fn beat(&mut self, now: Now, mut beat: Heartbeat) -> Response {
         let zone = beat.facts.zone.clone();
         let id = beat.facts.worker.clone();
         let Some(epoch) = self.epoch(&cell_duty(&zone)).filter(|_| self.speaks(now)) else {
@@ -83,7 +83,7 @@
         let ask_facts = new_facts && !held.facts_asked;
         held.facts_asked |= new_facts;
         // That something runs is told with the next end, or after a while: it decides little, and an entry costs much.
-        let waited = now.mono >= held.reported + self.cfg.bounds.cancel_ms / 4;
+        let waited = now.mono >= held.reported + self.settings.bounds.cancel_ms / 4;
         let has_report = !ends.is_empty() || (!running.is_empty() && waited);
         let ask_report = has_report && !held.report_asked;
         held.report_asked |= has_report;
@@ -106,27 +106,27 @@
     }
 
     /// The verdict where this node can't speak for the cell.
-    fn not_ready(&self) -> Verdict {
-        Verdict::error(
+    fn not_ready(&self) -> Response {
+        Response::error(
             503,
             "notReady",
             "this node can't speak for the cell now: beat again, here or at another node",
         )
-        .retry(self.cfg.bounds.beat())
+        .retry(self.settings.bounds.beat())
     }
 
     /// The verdict on a beat that comes too late to count.
-    fn late_beat(&self) -> Verdict {
-        Verdict::error(
+    fn late_beat(&self) -> Response {
+        Response::error(
             503,
             "lateBeat",
             "a newer beat of this worker was heard, or what it ran is being ended: beat again",
         )
-        .retry(self.cfg.bounds.beat())
+        .retry(self.settings.bounds.beat())
     }
 
     /// Whether a newer beat of the worker was heard, or what it ran is being ended.
-    fn is_late(&self, zone: &str, id: &str, beat: &Beat) -> bool {
+    fn is_late(&self, zone: &str, id: &str, beat: &Heartbeat) -> bool {
         self.cells
             .get(zone)
             .and_then(|c| c.workers.get(id))
@@ -134,7 +134,7 @@
     }
 
     /// Gives the runs that a beat names their numbers.
-    fn number_runs(&self, id: &str, beat: &mut Beat) {
+    fn number_runs(&self, id: &str, beat: &mut Heartbeat) {
         // What the record does not know as live gets number 0.
         let number = |name: &Option<RunName>, no: u64| {
             name.as_ref()
@@ -153,7 +153,7 @@
     }
 
     /// The ends that a beat tells of runs which the record knows as live.
-    fn live_ends(&self, now: Now, beat: &Beat) -> Vec<EndReport> {
+    fn live_ends(&self, now: Now, beat: &Heartbeat) -> Vec<EndReport> {
         // How long a run took, where its worker does not say: since its first beat here.
         let held = self
             .cells
@@ -177,20 +177,20 @@
     }
 
     /// The runs of a beat that the record does not show as running yet.
-    fn newly_running(&self, beat: &Beat) -> Vec<u64> {
+    fn newly_running(&self, beat: &Heartbeat) -> Vec<u64> {
         beat.running
             .iter()
             .map(|r| r.no)
             .filter(|no| {
                 self.record.send(*no).is_some_and(|(_, _, s)| {
-                    s.state != SendState::Running && s.worker == beat.facts.worker
+                    s.state != AttemptState::Running && s.worker == beat.facts.worker
                 })
             })
             .collect()
     }
 
     /// Proposes what the worker says of itself.
-    fn propose_facts(&mut self, now: Now, beat: &Beat, cell_epoch: u64) {
+    fn propose_facts(&mut self, now: Now, beat: &Heartbeat, cell_epoch: u64) {
         self.propose(
             now,
             &Command::Facts {
@@ -200,12 +200,18 @@
             Purpose::Facts {
                 worker: beat.facts.worker.clone(),
             },
-            self.cfg.bounds.call(),
+            self.settings.bounds.call(),
         );
     }
 
     /// Proposes which runs have started and which have ended.
-    fn propose_report(&mut self, now: Now, beat: &Beat, running: Vec<u64>, ends: Vec<EndReport>) {
+    fn propose_report(
+        &mut self,
+        now: Now,
+        beat: &Heartbeat,
+        running: Vec<u64>,
+        ends: Vec<EndReport>,
+    ) {
         let incarnation = beat.facts.incarnation;
         self.propose(
             now,
@@ -218,14 +224,14 @@
             Purpose::Report {
                 worker: beat.facts.worker.clone(),
             },
-            self.cfg.bounds.call(),
+            self.settings.bounds.call(),
         );
     }
 }
 
 impl WorkerState {
     /// Notes when the beat came, and which call it was.
-    fn hear(&mut self, now: Now, beat: &Beat) {
+    fn hear(&mut self, now: Now, beat: &Heartbeat) {
         self.last_beat = now.mono;
         self.renewed = now.mono;
         self.call = self.call.max(beat.call);
@@ -235,7 +241,7 @@
     }
 
     /// Ends of the runs that were never started and never will be.
-    fn never_started(&mut self, record: &Record, beat: &Beat) -> Vec<EndReport> {
+    fn never_started(&mut self, record: &ClusterState, beat: &Heartbeat) -> Vec<EndReport> {
         // Calls follow one another, and an answer that comes after the next call is dropped. So what is not wanted any
         // more, and what a call does not show whose order went with an earlier answer, was never started and never will be.
         let shown: BTreeSet<u64> = beat
@@ -255,7 +261,7 @@
                 && self.given.get(no).is_none_or(|c| *c < beat.call)
                 && record.send(**no).is_some_and(|(_, _, s)| {
                     s.incarnation == beat.facts.incarnation
-                        && (s.stop || s.state == SendState::Unsure)
+                        && (s.stop || s.state == AttemptState::Unsure)
                 })
         });
         gone.map(|no| EndReport {
@@ -267,9 +273,9 @@
     }
 
     /// Keeps the room, the progress and the checkpoints that the beat tells.
-    fn keep_state(&mut self, now: Now, beat: &Beat) {
+    fn keep_state(&mut self, now: Now, beat: &Heartbeat) {
         self.leaving = beat.facts.leaving;
-        self.room = beat.facts.all_room();
+        self.room = beat.facts.total_resources();
         let mut paces = std::mem::take(&mut self.paces);
         self.paces = beat
             .running
@@ -292,8 +298,8 @@
 }
 
 /// The verdict on a beat of a process that a newer one has replaced.
-fn old_incarnation() -> Verdict {
-    Verdict::error(
+fn old_incarnation() -> Response {
+    Response::error(
         409,
         "oldIncarnation",
         "a newer process of this worker has reported: end this one",
--- a/landingdrift/src/node/cell/lapses.rs
+++ b/landingdrift/src/node/cell/lapses.rs
@@ -22,7 +22,7 @@
 impl Node {
     /// Looks for workers that are silent, gone or lapsed, and offers free slots.
     pub(in crate::node) fn cells_tick(&mut self, now: Now) {
-        let lost_after = self.cfg.bounds.worker_lost();
+        let lost_after = self.settings.bounds.worker_lost();
         if !self.speaks(now) {
             // Nothing is decided on old news, and silence is not held against workers meanwhile.
             self.cells
@@ -41,9 +41,12 @@
 
     /// The workers that are silent too long, and those whose hold has passed or who have left.
     fn silent_workers(&mut self, now: Now) -> (Vec<Lost>, Vec<Lapsed>) {
-        let (lost_after, offer) = (self.cfg.bounds.worker_lost(), self.cfg.bounds.offer());
+        let (lost_after, offer) = (
+            self.settings.bounds.worker_lost(),
+            self.settings.bounds.offer(),
+        );
         let (mut lost, mut lapsed) = (Vec::new(), Vec::new());
-        let hold = self.cfg.bounds.hold_passed();
+        let hold = self.settings.bounds.hold_passed();
         for c in self.cells.values_mut() {
             for (k, w) in &mut c.workers {
                 w.pending.retain(|p| now.mono < p.until);
@@ -105,7 +108,7 @@
                 cell_epoch,
             },
             Purpose::Facts { worker },
-            self.cfg.bounds.call(),
+            self.settings.bounds.call(),
         );
     }
 
@@ -130,7 +133,7 @@
             sends,
             checkpoints,
         };
-        let within = self.cfg.bounds.call();
+        let within = self.settings.bounds.call();
         self.propose(now, &command, Purpose::Lapse { worker }, within);
     }
 
@@ -149,7 +152,7 @@
 
     /// A worker says that it has left: what ran there is dead in a moment.
     pub(in crate::node) fn left(&mut self, now: Now, worker: &str) {
-        let at = now.mono + self.cfg.bounds.obey() / 2;
+        let at = now.mono + self.settings.bounds.obey() / 2;
         self.cells
             .values_mut()
             .filter_map(|c| c.workers.get_mut(worker))
@@ -168,7 +171,7 @@
         sends: Vec<u64>,
         blame: bool,
     ) {
-        let until = now.mono + self.cfg.bounds.cancel_ms;
+        let until = now.mono + self.settings.bounds.cancel_ms;
         let held = self
             .cells
             .values_mut()
@@ -196,7 +199,7 @@
         let purpose = Purpose::Recall {
             worker: worker.into(),
         };
-        self.propose(now, &command, purpose, self.cfg.bounds.call());
+        self.propose(now, &command, purpose, self.settings.bounds.call());
     }
 
     /// A proposal to call sends back has been answered.
--- a/landingdrift/src/node/cell/mod.rs
+++ b/landingdrift/src/node/cell/mod.rs
@@ -7,12 +7,12 @@
 mod pace;
 mod reservations;
 
-pub use heartbeats::{Beat, Running};
+pub use heartbeats::{Heartbeat, Running};
 pub use pace::{judge, Pace, Run, Why};
 
 use super::Node;
 use crate::kernel::Now;
-use crate::record::Room;
+use crate::record::Resources;
 use crate::wire::Reservation;
 use offers::{Episode, PromisedRoom};
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 pub struct WorkerState {
     pub last_beat: u64,
     leaving: bool,
-    room: Room,
+    room: Resources,
     queue: Vec<Reservation>,
     episode: Option<Episode>,
     /// Room promised to accepted offers that the record does not show yet.
@@ -62,7 +62,7 @@
     pub(in crate::node) fn hold_cells(&mut self, now: Now) {
         let mine: BTreeMap<String, u64> = self
             .record
-            .grants
+            .leases
             .iter()
             .filter(|(_, g)| g.holder == self.name)
             .filter_map(|(d, g)| d.strip_prefix("cell/").map(|z| (z.to_string(), g.epoch)))
@@ -79,12 +79,12 @@
                     },
                 );
             }
-            let known: Vec<(String, Room)> = self
+            let known: Vec<(String, Resources)> = self
                 .record
                 .workers
                 .iter()
                 .filter(|(_, w)| w.facts.zone == zone)
-                .map(|(k, w)| (k.clone(), w.facts.all_room()))
+                .map(|(k, w)| (k.clone(), w.facts.total_resources()))
                 .collect();
             let cell = self.cells.entry(zone.clone()).or_default();
             cell.workers
--- a/landingdrift/src/node/cell/offers.rs
+++ b/landingdrift/src/node/cell/offers.rs
@@ -3,9 +3,9 @@
 use super::{Cell, WorkerState};
 use crate::kernel::Now;
 use crate::node::Node;
-use crate::record::Room;
+use crate::record::Resources;
 use crate::settings::Hopper;
-use crate::wire::{Body, Offer, OfferDone, OfferVerdict, RequestToken, Reservation, Sizes};
+use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken, Reservation, Sizes};
 use std::collections::BTreeSet;
 
 /// Room promised to an accepted offer.
@@ -13,7 +13,7 @@
     offer: RequestToken,
     scheduler: String,
     job: String,
-    room: Room,
+    room: Resources,
     pub(super) until: u64,
 }
 
@@ -55,7 +55,7 @@
                     && now.mono >= w.suspect_until
                     && !w.leaving
             })
-            .filter(|(z, k, _)| self.free_room(z, k).cpu > 0)
+            .filter(|(z, k, _)| self.free_resources(z, k).cpu > 0)
             .map(|(z, k, _)| (z.clone(), k.clone()))
             .collect();
         // Only where there is room to offer is the queue looked through.
@@ -68,31 +68,31 @@
                 .for_each(|w| w.queue.retain(|r| record.open.contains(&r.job)));
         }
         for (zone, worker) in idle {
-            if self.free_room(&zone, &worker).cpu > 0 {
+            if self.free_resources(&zone, &worker).cpu > 0 {
                 self.begin(now, &zone, &worker);
             }
         }
     }
 
     /// The room of a worker that nothing runs in and that is not promised.
-    fn free_room(&self, zone: &str, worker: &str) -> Room {
+    fn free_resources(&self, zone: &str, worker: &str) -> Resources {
         let Some(r) = self
             .record
             .workers
             .get(worker)
             .filter(|r| !r.lost && !r.facts.leaving && self.record.open(zone, worker))
         else {
-            return Room::default();
+            return Resources::default();
         };
         let Some(w) = self.cells.get(zone).and_then(|c| c.workers.get(worker)) else {
-            return Room::default();
+            return Resources::default();
         };
         if r.probation > 0 && !(r.sends.is_empty() && w.pending.is_empty()) {
-            return Room::default();
+            return Resources::default();
         }
         let pending = w.pending.iter();
         let taken = pending.fold(r.used, |sum, p| sum.plus(p.room));
-        r.facts.all_room().least(w.room).less(taken)
+        r.facts.total_resources().least(w.room).less(taken)
     }
 
     /// Begins to offer a free slot of a worker.
@@ -121,8 +121,8 @@
 
     /// The next scheduler to offer a slot to: the smallest job first, then what refusals named, then a draw by V.
     fn offer_next(&mut self, now: Now, zone: &str, worker: &str) {
-        let draw = self.draw.unit();
-        let room = self.free_room(zone, worker);
+        let rng = self.rng.unit();
+        let room = self.free_resources(zone, worker);
         let incarnation = self
             .record
             .workers
@@ -138,14 +138,14 @@
         let Some(e) = w.episode.as_mut() else { return };
         if room.cpu == 0 || e.forced {
             w.episode = None;
-            w.idle_until = now.mono + self.cfg.bounds.heartbeat();
+            w.idle_until = now.mono + self.settings.bounds.heartbeat();
             return;
         }
         let Some(Target {
             job,
             scheduler,
             refusable,
-        }) = next_target(&w.queue, e, &self.cfg.hopper, draw)
+        }) = next_target(&w.queue, e, &self.settings.hopper, rng)
         else {
             w.episode = None;
             return;
@@ -178,8 +178,8 @@
     }
 
     /// A scheduler has accepted or refused an offer.
-    pub(in crate::node) fn on_offer_verdict(&mut self, now: Now, from: &str, m: OfferVerdict) {
-        let until = now.mono + self.cfg.bounds.offer() * 2;
+    pub(in crate::node) fn on_offer_response(&mut self, now: Now, from: &str, m: OfferResponse) {
+        let until = now.mono + self.settings.bounds.offer() * 2;
         let offered = |w: &WorkerState| {
             let episode = w.episode.as_ref();
             episode.is_some_and(|e| e.offer == m.token && e.scheduler == from)
@@ -209,7 +209,7 @@
                 offer: m.token,
                 scheduler: from.into(),
                 job: job.clone(),
-                room: Room {
+                room: Resources {
                     cpu: m.room,
                     memory: m.memory,
                     accelerators: m.accelerators,
@@ -226,11 +226,11 @@
     }
 
     /// What was accepted came to nothing: the slot is free again.
-    pub(in crate::node) fn on_offer_done(&mut self, now: Now, from: &str, m: OfferDone) {
+    pub(in crate::node) fn on_offer_done(&mut self, now: Now, from: &str, m: OfferOutcome) {
         let promised = |p: &PromisedRoom| p.offer == m.token && p.scheduler == from;
         if !m.placed {
             // The record knew better: its news comes before the next offer.
-            let until = now.mono + self.cfg.bounds.heartbeat();
+            let until = now.mono + self.settings.bounds.heartbeat();
             self.cells
                 .values_mut()
                 .filter_map(|c| c.workers.get_mut(&m.worker))
@@ -277,7 +277,7 @@
     }
 
     /// Keeps what a refusal told, for the next offer of the slot.
-    fn refused(&mut self, m: &OfferVerdict, job: &str) {
+    fn refused(&mut self, m: &OfferResponse, job: &str) {
         let Some(e) = self.episode.as_mut() else {
             return;
         };
@@ -301,7 +301,7 @@
     queue: &[Reservation],
     episode: &Episode,
     hopper: &Hopper,
-    draw: f64,
+    rng: f64,
 ) -> Option<Target> {
     let mut open: Vec<&Reservation> = queue
         .iter()
@@ -327,7 +327,7 @@
         Some((u.job.clone(), u.scheduler.clone()))
     } else {
         let sum: f64 = queue.iter().map(|r| r.size.max(0.01)).sum();
-        let mut mark = draw * sum;
+        let mut mark = rng * sum;
         queue
             .iter()
             .find(|r| {
@@ -364,14 +364,14 @@
                 offer: token(offer),
                 scheduler: "10.0.0.3:1".into(),
                 job: "j".into(),
-                room: Room {
+                room: Resources {
                     cpu: room,
-                    ..Room::default()
+                    ..Resources::default()
                 },
                 until: 1000,
             })
             .into();
-        let done = OfferDone {
+        let done = OfferOutcome {
             token: token(1),
             worker: "w".into(),
             placed: false,
--- a/landingdrift/src/node/cell/orders.rs
+++ b/landingdrift/src/node/cell/orders.rs
@@ -1,9 +1,9 @@
 //! Orders to workers: what the answer to a heartbeat tells a worker to start and to stop.
 
-use super::Beat;
-use crate::kernel::Verdict;
+use super::Heartbeat;
+use crate::kernel::Response;
 use crate::node::Node;
-use crate::record::{Job, Room, Send, SendState, TaskState};
+use crate::record::{AttemptState, Job, Resources, Send, TaskState};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
@@ -19,7 +19,7 @@
 
 impl Node {
     /// Start and stop orders, derived from the record; repeated until beats confirm them.
-    pub(super) fn orders(&mut self, beat: &Beat, epoch: u64) -> Verdict {
+    pub(super) fn orders(&mut self, beat: &Heartbeat, epoch: u64) -> Response {
         let mut orders = self.run_orders(beat);
         self.stop_unknown(beat, &mut orders);
         if beat.call > 0 {
@@ -27,19 +27,19 @@
         }
         self.count("start_orders", orders.starts.len() as u64);
         self.count("stop_orders", orders.stops.len() as u64);
-        let mut answer = json!({"starts": orders.starts, "stops": orders.stops, "settled": self.settled(beat), "beatMs": self.cfg.bounds.beat(), "obeyMs": self.cfg.bounds.obey(), "epoch": epoch});
-        if self.cfg.bounds.hold_ms > 0 {
-            answer["holdMs"] = json!(self.cfg.bounds.hold_ms);
+        let mut answer = json!({"starts": orders.starts, "stops": orders.stops, "settled": self.settled(beat), "beatMs": self.settings.bounds.beat(), "obeyMs": self.settings.bounds.obey(), "epoch": epoch});
+        if self.settings.bounds.hold_ms > 0 {
+            answer["holdMs"] = json!(self.settings.bounds.hold_ms);
         }
         if beat.named {
             answer["stopRuns"] = json!(orders.named);
             answer["settledTo"] = json!(self.settled_to(beat));
         }
-        Verdict::new(200, answer)
+        Response::new(200, answer)
     }
 
     /// What the record wants started and stopped on the worker.
-    fn run_orders(&self, beat: &Beat) -> RunOrders {
+    fn run_orders(&self, beat: &Heartbeat) -> RunOrders {
         let f = &beat.facts;
         let reported: BTreeSet<u64> = beat
             .running
@@ -71,14 +71,14 @@
                 continue;
             };
             let spec = job.of(i);
-            if send.stop || (send.state == SendState::Unsure && !reported.contains(&no)) {
+            if send.stop || (send.state == AttemptState::Unsure && !reported.contains(&no)) {
                 orders.stops.insert(no);
                 if beat.named {
                     orders
                         .named
                         .push(json!([job.spec.id, job.name(i), send.run]));
                 }
-            } else if send.state == SendState::Ordered
+            } else if send.state == AttemptState::Ordered
                 && !reported.contains(&no)
                 && open
                 && f.serves(spec)
@@ -94,7 +94,7 @@
     }
 
     /// The room that the runs of a beat leave free.
-    fn room_left(&self, beat: &Beat) -> Room {
+    fn room_left(&self, beat: &Heartbeat) -> Resources {
         let room_of = |no: &u64| {
             self.record
                 .live
@@ -105,20 +105,22 @@
         let left = beat
             .running
             .iter()
-            .fold(beat.facts.all_room(), |left, r| left.less(room_of(&r.no)));
+            .fold(beat.facts.total_resources(), |left, r| {
+                left.less(room_of(&r.no))
+            });
         if beat
             .running
             .iter()
             .any(|r| !self.record.live.contains_key(&r.no))
         {
             // What runs there without the record's knowledge takes room that nobody can tell: it ends first.
-            return Room::default();
+            return Resources::default();
         }
         left
     }
 
     /// Adds the runs that the record does not know as live to what is to be stopped.
-    fn stop_unknown(&self, beat: &Beat, orders: &mut RunOrders) {
+    fn stop_unknown(&self, beat: &Heartbeat, orders: &mut RunOrders) {
         // What runs without the record knowing it as live is over for us.
         orders.stops.extend(
             beat.running
@@ -136,7 +138,7 @@
     }
 
     /// How many of the ends, from the first on, need no repeating.
-    fn settled_to(&self, beat: &Beat) -> usize {
+    fn settled_to(&self, beat: &Heartbeat) -> usize {
         beat.ended
             .iter()
             .take_while(|e| !self.record.live.contains_key(&e.no))
@@ -144,7 +146,7 @@
     }
 
     /// The ended runs of a beat that are settled.
-    fn settled(&self, beat: &Beat) -> Vec<u64> {
+    fn settled(&self, beat: &Heartbeat) -> Vec<u64> {
         beat.ended
             .iter()
             .map(|e| e.no)
@@ -153,7 +155,7 @@
     }
 
     /// Keeps which call each start was an answer to.
-    fn note_given(&mut self, beat: &Beat, starts: &[Value]) {
+    fn note_given(&mut self, beat: &Heartbeat, starts: &[Value]) {
         let given: Vec<u64> = starts.iter().filter_map(|s| s["no"].as_u64()).collect();
         let held = self
             .cells
--- a/landingdrift/src/node/cell/pace.rs
+++ b/landingdrift/src/node/cell/pace.rs
@@ -1,9 +1,9 @@
 //! What the progress of runs says: those that will not end before their worker leaves, that stand still or crawl, are
 //! called back to run elsewhere.
 
-use crate::kernel::{digest, Now};
+use crate::kernel::{fnv1a, Now};
 use crate::node::Node;
-use crate::record::{Job, Record, Send, SendState};
+use crate::record::{AttemptState, ClusterState, Job, Send};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Progress is told in parts of this.
@@ -151,7 +151,7 @@
 }
 
 /// What the record says of a send that runs, for judging.
-fn run_of(record: &Record, no: u64, pace: Pace, now: u64, gang_ms: u64) -> Option<Run> {
+fn run_of(record: &ClusterState, no: u64, pace: Pace, now: u64, gang_ms: u64) -> Option<Run> {
     let (job, i) = record.live.get(&no)?;
     let job: &Job = record.jobs.get(job)?;
     let spec = job.of(*i as usize);
@@ -159,9 +159,9 @@
     let step = job.tasks[*i as usize].step;
     let mut name = job.spec.id.as_bytes().to_vec();
     name.extend(step.to_le_bytes());
-    let stopped = |s: &Send| s.state == SendState::Stopped;
+    let stopped = |s: &Send| s.state == AttemptState::Stopped;
     Some(Run {
-        group: digest(&name),
+        group: fnv1a(&name),
         moved: job.tasks[*i as usize].sends.iter().any(stopped),
         estimate: f64::from(spec.estimate_ms),
         repeats: spec.may_repeat,
@@ -181,8 +181,8 @@
         paces: &BTreeMap<u64, Pace>,
         leaves: Option<u64>,
     ) -> (Vec<u64>, bool) {
-        let patience = self.cfg.bounds.reserve();
-        let gang_ms = 2 * self.cfg.bounds.cancel_ms;
+        let patience = self.settings.bounds.reserve();
+        let gang_ms = 2 * self.settings.bounds.cancel_ms;
         let stopped = |no: u64| self.record.send(no).is_none_or(|(_, _, s)| s.stop);
         let (numbers, runs): (Vec<u64>, Vec<Run>) = paces
             .iter()
@@ -217,7 +217,7 @@
                 && w.probation == 0
                 && w.facts.serves(t)
                 && self.record.open(&w.facts.zone, k)
-                && w.facts.all_room().less(w.used).holds(t.needs())
+                && w.facts.total_resources().less(w.used).holds(t.needs())
         })
     }
 }
--- a/landingdrift/src/node/feed.rs
+++ b/landingdrift/src/node/feed.rs
@@ -3,8 +3,8 @@
 use super::Node;
 use crate::chunks::{Assembly, Identity, Taken};
 use crate::kernel::Now;
-use crate::record::{Command, Record};
-use crate::wire::{Body, FeedBatch, FeedChunk, FeedPull};
+use crate::record::{ClusterState, Command};
+use crate::wire::{Body, WatchBatch, WatchRequest, WatchSnapshotChunk};
 
 /// Where a node stands in the feed.
 pub struct Feed {
@@ -55,7 +55,7 @@
         self.views
             .cores
             .iter()
-            .chain(&self.cfg.seeds)
+            .chain(&self.settings.seeds)
             .filter(|a| **a != self.name)
             .cloned()
             .collect()
@@ -65,14 +65,14 @@
     pub(crate) fn turn(&mut self) {
         let all = self.cores();
         let others: Vec<String> = all.into_iter().filter(|a| *a != self.feed.core).collect();
-        self.feed.core = self.draw.pick(&others).cloned().unwrap_or_default();
+        self.feed.core = self.rng.pick(&others).cloned().unwrap_or_default();
     }
 
     pub(super) fn feed_tick(&mut self, now: Now) {
         if now.mono < self.feed.next_pull {
             return;
         }
-        let beat = self.cfg.bounds.heartbeat();
+        let beat = self.settings.bounds.heartbeat();
         // Who follows nobody yet looks round faster.
         let beat = if self.feed.captured { beat } else { beat / 2 };
         self.feed.next_pull = now.mono + beat;
@@ -88,32 +88,32 @@
         };
         let carried = self.feed.clock_known();
         let part = self.feed.incoming.identity();
-        let pull = FeedPull {
+        let pull = WatchRequest {
             node: self.name.clone(),
-            zone: self.cfg.zone.clone(),
-            http: self.cfg.http.clone(),
+            zone: self.settings.zone.clone(),
+            http: self.settings.http.clone(),
             place: self.record.place,
             sent: now.mono,
             leaving: self.stopping.is_some(),
             successor,
             clock: if carried { self.agreed(now) } else { now.wall },
             carried,
-            share: self.cfg.share,
-            beside_core: self.cfg.beside_core,
+            share: self.settings.share,
+            beside_core: self.settings.beside_core,
             light: self.light,
             part_index: part.index,
             part_checksum: part.checksum,
             part_received: self.feed.incoming.received(),
         };
         if !to.is_empty() {
-            self.send(&to, Body::FeedPull(Box::new(pull)));
+            self.send(&to, Body::WatchRequest(Box::new(pull)));
         }
     }
 
     /// Whom this node names to take over its duties: a living node, of its own zone if there is one.
     fn successor(&mut self) -> String {
         let me = self.name.clone();
-        let zone = self.cfg.zone.clone();
+        let zone = self.settings.zone.clone();
         let alive: Vec<(bool, String)> = self
             .record
             .nodes
@@ -134,7 +134,7 @@
 
     /// Another process took this node for a core: it says whom it follows.
     pub(super) fn on_stray_pull(&mut self, from: &str, sent: u64) {
-        let batch = FeedBatch {
+        let batch = WatchBatch {
             core: self.name.clone(),
             leader: self.feed.leader.clone(),
             ok: false,
@@ -142,17 +142,17 @@
             quorum_age: 0,
             clock: 0,
             commit: 0,
-            capture: Vec::new(),
-            capture_index: 0,
+            snapshot: Vec::new(),
+            snapshot_index: 0,
             entries: Vec::new(),
             light: false,
             reached: 0,
             cores: self.views.cores.iter().cloned().collect(),
         };
-        self.send(from, Body::FeedBatch(Box::new(batch)));
+        self.send(from, Body::WatchBatch(Box::new(batch)));
     }
 
-    pub(super) fn on_batch(&mut self, now: Now, from: &str, m: FeedBatch) {
+    pub(super) fn on_batch(&mut self, now: Now, from: &str, m: WatchBatch) {
         if !m.ok {
             if from == self.feed.core {
                 let hint = m.leader.clone();
@@ -161,8 +161,10 @@
                     self.turn();
                 } else {
                     self.feed.core = hint;
-                    self.feed.next_pull =
-                        self.feed.next_pull.min(now.mono + self.cfg.bounds.tick());
+                    self.feed.next_pull = self
+                        .feed
+                        .next_pull
+                        .min(now.mono + self.settings.bounds.tick());
                 }
             }
             return;
@@ -172,12 +174,12 @@
         self.feed.answered = now.mono;
         self.views.set_cores(m.cores);
         let mut changed = false;
-        if !m.capture.is_empty()
-            && (m.capture_index > self.record.place
+        if !m.snapshot.is_empty()
+            && (m.snapshot_index > self.record.place
                 || m.commit < self.record.place
                 || m.light != self.light)
         {
-            changed = self.start_over(&m.capture, m.light);
+            changed = self.start_over(&m.snapshot, m.light);
         }
         let own_kind = m.light == self.light;
         for e in m.entries.iter().filter(|_| own_kind) {
@@ -212,7 +214,7 @@
     }
 
     /// Takes a chunk of the snapshot that this node fetches, and asks for the next.
-    pub(super) fn on_feed_chunk(&mut self, now: Now, from: &str, m: &FeedChunk) {
+    pub(super) fn on_feed_chunk(&mut self, now: Now, from: &str, m: &WatchSnapshotChunk) {
         let wanted =
             m.index > self.record.place || m.commit < self.record.place || m.light != self.light;
         if from != self.feed.core || !wanted {
@@ -247,7 +249,7 @@
 
     /// Takes a whole snapshot over in place of its copy; says whether it could.
     fn start_over(&mut self, bytes: &[u8], light: bool) -> bool {
-        match Record::unpack(bytes) {
+        match ClusterState::unpack(bytes) {
             Ok(record) => {
                 self.record = record;
                 self.light = light;
@@ -287,7 +289,7 @@
             Some(Command::Accept { spec, .. }) => {
                 self.sched.dirty.insert(spec.id.clone());
             }
-            Some(Command::Grant { duty, .. }) => {
+            Some(Command::Lease { duty, .. }) => {
                 self.sched.all_dirty = true;
                 if duty.starts_with("cell/") {
                     self.sched.reserve_anew();
@@ -301,14 +303,14 @@
             ) => {}
             _ => self.sched.all_dirty = true,
         }
-        let ruling = self.record.apply_bytes(index, at, bytes);
+        let result = self.record.apply_bytes(index, at, bytes);
         self.count("feed_entries", 1);
         if let Some(Command::Start {
             job, placements, ..
         }) = &command
         {
             placements.iter().for_each(|p| self.unhold(&p.worker, job));
-            self.count("starts_refused", u64::from(ruling.is_err()));
+            self.count("starts_refused", u64::from(result.is_err()));
         }
         if self.record.version != version {
             self.line(format!(
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -1,7 +1,7 @@
 //! Gangs are placed whole, in one entry of the record.
 
 use super::Node;
-use crate::record::{cell_duty, Job, Placement, Record, Room, TaskState};
+use crate::record::{cell_duty, ClusterState, Job, Placement, Resources, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The gang that has waited longest beyond its patience, and the workers kept for it.
@@ -12,7 +12,7 @@
 }
 
 /// Members of a task's gang that are not done.
-pub fn members(record: &Record, job: &str, task: u32) -> Vec<u32> {
+pub fn members(record: &ClusterState, job: &str, task: u32) -> Vec<u32> {
     record.jobs.get(job).map_or(Vec::new(), |j| {
         let all = j.gang(task as usize).into_iter();
         all.filter(|i| j.tasks[*i].state != TaskState::Done)
@@ -22,7 +22,7 @@
 }
 
 /// Whether the whole gang could start now, workers aside.
-pub fn startable(record: &Record, at: u64, job: &str, task: u32) -> bool {
+pub fn startable(record: &ClusterState, at: u64, job: &str, task: u32) -> bool {
     let m = members(record, job, task);
     !m.is_empty()
         && m.iter()
@@ -30,7 +30,7 @@
 }
 
 /// The one gang that others make way for: every node derives the same from the same record, so two never wait for each other.
-pub fn claim(record: &Record, at: u64, patience: u64) -> Option<Claim> {
+pub fn claim(record: &ClusterState, at: u64, patience: u64) -> Option<Claim> {
     let jobs = record.open.iter().filter_map(|id| record.jobs.get(id));
     let waiting = jobs.filter(|j| !j.cancel && at >= j.accepted + patience);
     let oldest = waiting
@@ -47,7 +47,7 @@
     let (_, job, task) = oldest;
     let mut tasks = members(record, &job.spec.id, task);
     tasks.sort_by_key(|i| std::cmp::Reverse(job.of(*i as usize).room));
-    let mut left: BTreeMap<&String, (Room, u32)> = BTreeMap::new();
+    let mut left: BTreeMap<&String, (Resources, u32)> = BTreeMap::new();
     for i in tasks {
         let t = job.of(i as usize);
         let apart = |n: u32| t.anti_affinity == 0 || n < t.anti_affinity;
@@ -67,14 +67,14 @@
                 .workers
                 .iter()
                 .filter(|(k, w)| {
-                    !left.contains_key(k) && fit(k) && w.facts.all_room().holds(t.needs())
+                    !left.contains_key(k) && fit(k) && w.facts.total_resources().holds(t.needs())
                 })
                 .max_by_key(|(k, w)| (w.facts.room, std::cmp::Reverse(k.as_str())))
                 .map(|(k, _)| k)
         })?;
         let (room, n) = left
             .entry(of)
-            .or_insert_with(|| (record.workers[of].facts.all_room(), 0));
+            .or_insert_with(|| (record.workers[of].facts.total_resources(), 0));
         *room = room.less(t.needs());
         *n += 1;
     }
@@ -84,7 +84,7 @@
     })
 }
 
-fn takes(record: &Record, worker: &str) -> bool {
+fn takes(record: &ClusterState, worker: &str) -> bool {
     record
         .workers
         .get(worker)
@@ -99,7 +99,7 @@
         at: u64,
         (job, task): (&str, u32),
         offered: &str,
-        held: &BTreeMap<String, Room>,
+        held: &BTreeMap<String, Resources>,
     ) -> Option<Vec<Placement>> {
         let record = &self.record;
         if !startable(record, at, job, task) {
@@ -109,13 +109,13 @@
         let mut tasks = members(record, job, task);
         tasks.sort_by_key(|i| std::cmp::Reverse(j.of(*i as usize).room));
         let near = &j.of(task as usize).near;
-        let mut free: Vec<(&String, &str, Room)> = record
+        let mut free: Vec<(&String, &str, Resources)> = record
             .workers
             .iter()
             .filter(|(k, _)| takes(record, k))
             .map(|(k, w)| {
                 let taken = w.used.plus(held.get(k).copied().unwrap_or_default());
-                let left = w.facts.all_room().less(taken);
+                let left = w.facts.total_resources().less(taken);
                 (k, w.facts.rack.as_str(), left)
             })
             .collect();
@@ -138,7 +138,7 @@
             let of = free.iter().filter(|(_, r, _)| r == rack).copied();
             self.spread(job, j, &tasks, of.collect())
         });
-        let patience = self.cfg.bounds.reserve();
+        let patience = self.settings.bounds.reserve();
         let waited = at >= j.accepted.max(j.due(task as usize)) + patience;
         whole.or_else(|| waited.then(|| self.spread(job, j, &tasks, free)).flatten())
     }
@@ -148,7 +148,7 @@
         id: &str,
         job: &Job,
         tasks: &[u32],
-        mut free: Vec<(&String, &str, Room)>,
+        mut free: Vec<(&String, &str, Resources)>,
     ) -> Option<Vec<Placement>> {
         let mut out: Vec<Placement> = Vec::new();
         for i in tasks {
