--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -8,25 +8,25 @@
 mod propose;
 mod scheduler;
 
-pub use cell::{judge, Beat, Pace, Run, Running, Why};
+pub use cell::{judge, Heartbeat, Pace, Run, Running, Why};
 
-use crate::kernel::{digest, Draw, Effect, Msg, Now, Part, Verdict};
-use crate::record::Record;
+use crate::kernel::{fnv1a, Effect, Msg, Now, Part, Response, Rng};
+use crate::record::ClusterState;
 use crate::settings::Settings;
-use crate::views::Views;
+use crate::views::PeerSampler;
 use crate::wire::{Body, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A node.
 pub struct Node {
-    pub(crate) cfg: Settings,
+    pub(crate) settings: Settings,
     pub(crate) name: String,
-    pub(crate) draw: Draw,
-    pub(crate) record: Record,
+    pub(crate) rng: Rng,
+    pub(crate) record: ClusterState,
     /// It follows a light copy: configuration, duties and members, neither jobs nor workers.
     pub(crate) light: bool,
     pub(crate) feed: feed::Feed,
-    pub(crate) views: Views,
+    pub(crate) views: PeerSampler,
     pub(crate) cells: BTreeMap<String, cell::Cell>,
     pub(crate) sched: scheduler::Scheduler,
     pub(crate) calls: calls::Calls,
@@ -43,16 +43,16 @@
 
 impl Node {
     /// A node that knows nothing yet.
-    pub fn new(cfg: Settings, now: Now, seed: u64) -> Self {
-        let name = cfg.listen.clone();
-        let mut draw = Draw::new(seed ^ digest(name.as_bytes()));
-        let boot = draw.number();
-        let incarnation = draw.number();
+    pub fn new(settings: Settings, now: Now, seed: u64) -> Self {
+        let name = settings.listen.clone();
+        let mut rng = Rng::new(seed ^ fnv1a(name.as_bytes()));
+        let boot = rng.number();
+        let incarnation = rng.number();
         Self {
-            record: Record::new(&cfg.cluster),
+            record: ClusterState::new(&settings.cluster),
             light: false,
             feed: feed::Feed::new(now),
-            views: Views::new(&name, "node", &cfg.zone, &cfg.seeds),
+            views: PeerSampler::new(&name, "node", &settings.zone, &settings.seeds),
             cells: BTreeMap::new(),
             sched: scheduler::Scheduler::default(),
             calls: calls::Calls::default(),
@@ -64,9 +64,9 @@
             local: VecDeque::new(),
             counters: BTreeMap::new(),
             out: Vec::new(),
-            draw,
+            rng,
             name,
-            cfg,
+            settings,
         }
     }
 
@@ -75,7 +75,7 @@
     }
 
     pub(crate) fn line(&mut self, text: String) {
-        self.out.push(Effect::Line(text));
+        self.out.push(Effect::Log(text));
     }
 
     pub(crate) fn token(&mut self) -> u64 {
@@ -110,13 +110,14 @@
 
     /// Whether the feed is fresh enough to act on.
     pub(crate) fn fresh(&self, now: Now) -> bool {
-        self.feed.captured && now.mono.saturating_sub(self.feed.fresh_at) <= self.cfg.bounds.fresh()
+        self.feed.captured
+            && now.mono.saturating_sub(self.feed.fresh_at) <= self.settings.bounds.fresh()
     }
 
     /// Whether this node may speak for the cells it holds.
     pub(crate) fn speaks(&self, now: Now) -> bool {
         self.feed.captured
-            && now.mono.saturating_sub(self.feed.fresh_at) <= self.cfg.bounds.speaks()
+            && now.mono.saturating_sub(self.feed.fresh_at) <= self.settings.bounds.speaks()
     }
 
     fn ready(&self, now: Now) -> bool {
@@ -134,7 +135,7 @@
     fn on_tick(&mut self, now: Now) {
         let gap = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
-        if gap > self.cfg.bounds.election() / 2 {
+        if gap > self.settings.bounds.election() / 2 {
             // Frozen: the silence was this node's own, nobody else's.
             self.count("own_freezes", 1);
             self.cells
@@ -149,7 +150,7 @@
         self.cells_tick(now);
         self.scheduler_tick(now);
         if let Some(until) = self.stopping {
-            let holds = self.record.grants.values().any(|g| g.holder == self.name)
+            let holds = self.record.leases.values().any(|g| g.holder == self.name)
                 || self.record.nodes.get(&self.name).is_some_and(|n| n.alive);
             if now.mono >= until || (!holds && self.calls.idle()) {
                 self.out.push(Effect::Exit);
@@ -159,30 +160,34 @@
 
     fn on_wire(&mut self, now: Now, from: &str, body: Body) {
         match body {
-            Body::FeedBatch(m) => self.on_batch(now, from, *m),
-            Body::FeedChunk(m) => self.on_feed_chunk(now, from, &m),
-            Body::FeedPull(m) => self.on_stray_pull(from, m.sent),
-            Body::Proposed(m) if self.is_own(&m.token) => self.on_proposed(now, from, *m),
-            Body::ReadPlace(m) if self.is_own(&m.token) => self.on_read_place(now, from, *m),
+            Body::WatchBatch(m) => self.on_batch(now, from, *m),
+            Body::WatchSnapshotChunk(m) => self.on_feed_chunk(now, from, &m),
+            Body::WatchRequest(m) => self.on_stray_pull(from, m.sent),
+            Body::ProposeResponse(m) if self.is_own(&m.token) => self.on_proposed(now, from, *m),
+            Body::ReadIndexResponse(m) if self.is_own(&m.token) => {
+                self.on_read_place(now, from, *m)
+            }
             Body::Shuffle(m) => self.on_shuffle(from, *m),
             Body::Reserve(m) => self.on_reserve(now, *m),
             Body::Offer(m) => self.on_offer(now, from, *m),
-            Body::OfferVerdict(m) if self.is_own(&m.token) => self.on_offer_verdict(now, from, *m),
-            Body::OfferDone(m) if self.is_own(&m.token) => self.on_offer_done(now, from, *m),
-            Body::Forward(m) => self.on_forward(now, from, *m),
-            Body::Forwarded(m) if self.is_own(&m.token) => self.on_forwarded(from, *m),
-            Body::Hello(_) | Body::Join(_) => {}
-            Body::Proposed(_)
-            | Body::ReadPlace(_)
-            | Body::OfferVerdict(_)
-            | Body::OfferDone(_)
-            | Body::Forwarded(_) => {}
+            Body::OfferResponse(m) if self.is_own(&m.token) => {
+                self.on_offer_response(now, from, *m)
+            }
+            Body::OfferOutcome(m) if self.is_own(&m.token) => self.on_offer_done(now, from, *m),
+            Body::ForwardRequest(m) => self.on_forward(now, from, *m),
+            Body::ForwardResponse(m) if self.is_own(&m.token) => self.on_forwarded(from, *m),
+            Body::Hello(_) | Body::JoinCluster(_) => {}
+            Body::ProposeResponse(_)
+            | Body::ReadIndexResponse(_)
+            | Body::OfferResponse(_)
+            | Body::OfferOutcome(_)
+            | Body::ForwardResponse(_) => {}
             _ => self.count("messages_out_of_place", 1),
         }
     }
 
     /// The record as this node follows it.
-    pub fn record(&self) -> &Record {
+    pub fn record(&self) -> &ClusterState {
         &self.record
     }
 
@@ -191,13 +196,13 @@
         self.ready(now)
     }
 
-    pub(crate) fn unsure_verdict(&self) -> Verdict {
-        Verdict::error(
+    pub(crate) fn unsure_response(&self) -> Response {
+        Response::error(
             503,
             "unsure",
             "it is not known whether this was taken: ask again with the same id, or poll",
         )
-        .retry(self.cfg.bounds.back())
+        .retry(self.settings.bounds.back())
     }
 }
 
@@ -207,13 +212,13 @@
             Msg::Tick => self.on_tick(now),
             Msg::Wire(from, body) => self.on_wire(now, &from, body),
             Msg::Call(call, req) => self.on_call(now, calls::Origin::Local(call), req),
-            Msg::Changed(new) => self.cfg = *new,
+            Msg::SettingsChanged(new) => self.settings = *new,
             Msg::Stop => {
-                self.stopping = Some(now.mono + self.cfg.bounds.node_lost());
+                self.stopping = Some(now.mono + self.settings.bounds.node_lost());
                 self.feed.next_pull = now.mono;
                 self.feed_tick(now);
             }
-            Msg::Saved(_) | Msg::DiskDefect(_) => {}
+            Msg::Persisted(_) | Msg::DiskFailed(_) => {}
         }
         while let Some(body) = self.local.pop_front() {
             let me = self.name.clone();
--- a/landingdrift/src/node/neighbours.rs
+++ b/landingdrift/src/node/neighbours.rs
@@ -4,16 +4,16 @@
 
 impl Node {
     pub(super) fn views_tick(&mut self, now: Now) {
-        let every = self.cfg.bounds.shuffle();
+        let every = self.settings.bounds.shuffle();
         self.views
-            .tick(now, every, &mut self.draw)
+            .tick(now, every, &mut self.rng)
             .into_iter()
             .for_each(|(to, m)| self.send(&to, Body::Shuffle(Box::new(m))));
     }
 
     pub(super) fn on_shuffle(&mut self, from: &str, m: Shuffle) {
         self.views
-            .take(m, &mut self.draw)
+            .take(m, &mut self.rng)
             .into_iter()
             .for_each(|back| self.send(from, Body::Shuffle(Box::new(back))));
     }
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -3,8 +3,8 @@
 use super::calls::Then;
 use super::Node;
 use crate::kernel::Now;
-use crate::record::{unpack_ruling, Command, Order, ProposalId};
-use crate::wire::{Body, Propose, Proposed, RequestToken};
+use crate::record::{unpack_apply_result, Command, Order, ProposalId};
+use crate::wire::{Body, ProposeRequest, ProposeResponse, RequestToken};
 
 /// One send of a proposal to a core.
 struct Attempt {
@@ -125,7 +125,7 @@
     }
 
     fn drive(&mut self, now: Now, token: u64, hint: Option<String>) {
-        let beat = self.cfg.bounds.heartbeat();
+        let beat = self.settings.bounds.heartbeat();
         let Some(p) = self.proposals.get(&token) else {
             return;
         };
@@ -154,7 +154,7 @@
         let to = hint
             .filter(|h| !h.is_empty())
             .or(leader)
-            .or_else(|| self.draw.pick(&others).cloned())
+            .or_else(|| self.rng.pick(&others).cloned())
             .unwrap_or(last);
         let Some(p) = self.proposals.get_mut(&token) else {
             return;
@@ -166,7 +166,10 @@
             came: Came::Nothing,
         });
         let token = self.request_token(token, attempt);
-        self.send(&to, Body::Propose(Box::new(Propose { token, command })));
+        self.send(
+            &to,
+            Body::ProposeRequest(Box::new(ProposeRequest { token, command })),
+        );
     }
 
     /// The bytes of a proposal, the same for every copy; none while an order waits for the agreed time.
@@ -197,7 +200,7 @@
         all.into_iter().for_each(|t| self.drive(now, t, None));
     }
 
-    pub(super) fn on_proposed(&mut self, now: Now, from: &str, m: Proposed) {
+    pub(super) fn on_proposed(&mut self, now: Now, from: &str, m: ProposeResponse) {
         let number = m.token.number;
         let attempt = m.token.attempt as usize;
         let asked = self
@@ -212,7 +215,7 @@
             let hint = Some(m.leader).filter(|l| !l.is_empty() && l != from);
             return self.not_taken(now, number, attempt, hint);
         }
-        let Some(ruled) = unpack_ruling(&m.verdict) else {
+        let Some(ruled) = unpack_apply_result(&m.response) else {
             // The send stays unanswered, and the call is told as unsure in the end.
             return self.count("answers_unreadable", 1);
         };
@@ -253,17 +256,17 @@
         let taken = p.maybe_taken();
         match p.purpose {
             Purpose::Call(call, _) => {
-                let verdict = if taken {
-                    self.unsure_verdict()
+                let response = if taken {
+                    self.unsure_response()
                 } else {
-                    crate::kernel::Verdict::error(
+                    crate::kernel::Response::error(
                         503,
                         "noCore",
                         "no core could be reached and nothing was taken: come back later",
                     )
-                    .retry(self.cfg.bounds.back())
+                    .retry(self.settings.bounds.back())
                 };
-                self.finish(call, verdict);
+                self.finish(call, response);
             }
             Purpose::Start {
                 offer,
--- a/landingdrift/src/node/scheduler.rs
+++ b/landingdrift/src/node/scheduler.rs
@@ -6,10 +6,10 @@
 use crate::kernel::Now;
 use crate::record::derive::Sizing;
 use crate::record::{
-    cell_duty, queue_duty, Command, Job, Placement, Room, SendState, TaskSpec, TaskState,
+    cell_duty, queue_duty, AttemptState, Command, Job, Placement, Resources, TaskSpec, TaskState,
 };
 use crate::wire::{
-    Body, Offer, OfferDone, OfferVerdict, RequestToken, Reservation, Reserve, Sizes,
+    Body, Offer, OfferOutcome, OfferResponse, RequestToken, Reservation, Reserve, Sizes,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +37,7 @@
 struct Pending {
     job: String,
     placements: Vec<Placement>,
-    rooms: Vec<Room>,
+    rooms: Vec<Resources>,
     until: u64,
     /// The place of the entry, once it is known.
     place: u64,
@@ -68,9 +68,9 @@
             .pending
             .retain(|_, p| now.mono < p.until && (p.place == 0 || p.place > place));
         if now.mono >= self.sched.next_full {
-            self.sched.next_full = now.mono + self.cfg.bounds.heartbeat();
+            self.sched.next_full = now.mono + self.settings.bounds.heartbeat();
             self.sched.all_dirty = true;
-            let patience = 2 * self.cfg.bounds.reserve();
+            let patience = 2 * self.settings.bounds.reserve();
             self.sched.claim = gangs::claim(&self.record, self.agreed(now), patience);
             self.sched.runnable = self.record.runnable(self.agreed(now));
             self.sched.ranked = self.rank();
@@ -103,7 +103,7 @@
             let wants = self.wants(now, &id, job);
             let number = wants.originals + wants.copies;
             let (last, before) = self.sched.reserved.get(&id).copied().unwrap_or((0, 0));
-            let again = now.mono >= last + self.cfg.bounds.reserve() || last == 0;
+            let again = now.mono >= last + self.settings.bounds.reserve() || last == 0;
             if number == 0 || !(number > before || again) {
                 if number < before {
                     self.sched.reserved.insert(id, (last, number));
@@ -150,18 +150,19 @@
             .iter()
             .filter(|(k, w)| !w.lost && !w.facts.leaving && self.record.open(&w.facts.zone, k))
             .filter_map(|(k, w)| {
-                let fits =
-                    |t: &&&TaskSpec| w.facts.serves(t) && w.facts.all_room().holds(t.needs());
+                let fits = |t: &&&TaskSpec| {
+                    w.facts.serves(t) && w.facts.total_resources().holds(t.needs())
+                };
                 let own: Vec<&&TaskSpec> = needs.iter().filter(fits).collect();
                 let local = own.iter().any(|t| w.facts.near(&t.near));
                 (!own.is_empty()).then(|| (k.clone(), local))
             })
             .collect();
-        let number = (u64::from(tasks) * u64::from(self.cfg.hopper.probe_ratio))
+        let number = (u64::from(tasks) * u64::from(self.settings.hopper.probe_ratio))
             .min(fit.len() as u64) as usize;
         // Workers near the data first, then drawn at random.
         for i in 0..number {
-            let j = i + self.draw.below((fit.len() - i) as u64) as usize;
+            let j = i + self.rng.below((fit.len() - i) as u64) as usize;
             fit.swap(i, j);
         }
         let (near, far): (Vec<_>, Vec<_>) = fit.into_iter().partition(|(_, local)| *local);
@@ -223,11 +224,11 @@
             .filter(|(i, _)| job.of(*i).may_repeat && !pending.contains(&(*i as u32)))
             .filter_map(|(i, t)| {
                 t.live()
-                    .find(|s| s.state == SendState::Running && !s.stop)
+                    .find(|s| s.state == AttemptState::Running && !s.stop)
                     .map(|s| (agreed.saturating_sub(s.started), i as u32))
             })
             .filter(|(ran, i)| {
-                *ran as f64 > self.cfg.hopper.slow_factor * median
+                *ran as f64 > self.settings.hopper.slow_factor * median
                     && self.record.may_start(id, *i, true, agreed).is_ok()
             })
             .collect();
@@ -276,17 +277,17 @@
         } else {
             (f64::from(used) / sends as f64).max(1.0)
         };
-        ((1.0 - self.cfg.hopper.epsilon) * f64::from(self.record.total_room()) / mean / jobs)
+        ((1.0 - self.settings.hopper.epsilon) * f64::from(self.record.total_cpu()) / mean / jobs)
             .floor()
     }
 
     pub(super) fn on_offer(&mut self, now: Now, from: &str, m: Offer) {
-        let verdict = self.consider(now, from, &m);
-        self.send(from, Body::OfferVerdict(Box::new(verdict)));
+        let response = self.consider(now, from, &m);
+        self.send(from, Body::OfferResponse(Box::new(response)));
     }
 
-    fn consider(&mut self, now: Now, from: &str, m: &Offer) -> OfferVerdict {
-        let refuse = |gone: bool, sizes: Vec<Sizes>| OfferVerdict {
+    fn consider(&mut self, now: Now, from: &str, m: &Offer) -> OfferResponse {
+        let refuse = |gone: bool, sizes: Vec<Sizes>| OfferResponse {
             token: m.token,
             worker: m.worker.clone(),
             accepted: false,
@@ -318,7 +319,7 @@
             });
             return refuse(wants == Wants::default(), all);
         };
-        let rooms: Vec<Room> = placements
+        let rooms: Vec<Resources> = placements
             .iter()
             .map(|p| job.of(p.task as usize).needs())
             .collect();
@@ -326,8 +327,8 @@
             .iter()
             .zip(&rooms)
             .filter(|(p, _)| p.worker == m.worker)
-            .fold(Room::default(), |sum, (_, r)| sum.plus(*r));
-        let within = self.cfg.bounds.offer() * 2;
+            .fold(Resources::default(), |sum, (_, r)| sum.plus(*r));
+        let within = self.settings.bounds.offer() * 2;
         let command = Command::Start {
             job: m.job.clone(),
             owner_epoch: epoch,
@@ -359,7 +360,7 @@
             .map(|j| self.sizes(j, floor))
             .into_iter()
             .collect();
-        OfferVerdict {
+        OfferResponse {
             token: m.token,
             worker: m.worker.clone(),
             accepted: true,
@@ -392,7 +393,7 @@
             .collect();
         let facts = self.record.workers.get(&m.worker).map(|w| &w.facts)?;
         waiting.sort_by_key(|i| !facts.near(&job.of(*i as usize).near));
-        let offered = Room {
+        let offered = Resources {
             cpu: m.room,
             memory: m.memory,
             accelerators: m.accelerators,
@@ -416,7 +417,7 @@
                 if !job.leads_gang(i as usize) {
                     continue;
                 }
-                let mut held: BTreeMap<String, Room> = BTreeMap::new();
+                let mut held: BTreeMap<String, Resources> = BTreeMap::new();
                 self.sched
                     .pending
                     .values()
@@ -496,7 +497,7 @@
             self.count("placements_refused", 1);
             self.send(
                 cell,
-                Body::OfferDone(Box::new(OfferDone {
+                Body::OfferOutcome(Box::new(OfferOutcome {
                     token: offer,
                     worker: worker.into(),
                     placed,
--- a/landingdrift/src/operator/ask.rs
+++ b/landingdrift/src/operator/ask.rs
@@ -9,7 +9,7 @@
 
 /// Why a command of the operator came to nothing.
 #[derive(Debug)]
-pub enum AskDefect {
+pub enum ClientError {
     Usage(String),
     Unreachable {
         at: Vec<String>,
@@ -32,7 +32,7 @@
     },
 }
 
-impl AskDefect {
+impl ClientError {
     /// The exit code that tells scripts the kind.
     pub fn code(&self) -> i32 {
         match self {
@@ -46,7 +46,7 @@
     }
 }
 
-impl fmt::Display for AskDefect {
+impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Usage(why) => write!(f, "{why}: see 'landingdrift operator --help'"),
@@ -62,14 +62,14 @@
 }
 
 /// Asks nodes, one after the other, until one gives a verdict or the time is over.
-pub struct Asker {
+pub struct ControlClient {
     at: Vec<String>,
     within: Duration,
     client: Client,
 }
 
-impl Asker {
-    pub fn new(at: Vec<String>, within: Duration) -> Result<Self, AskDefect> {
+impl ControlClient {
+    pub fn new(at: Vec<String>, within: Duration) -> Result<Self, ClientError> {
         let client = Client::builder()
             .timeout(Duration::from_secs(5))
             .no_proxy()
@@ -79,18 +79,23 @@
             .retry(retry::never())
             .redirect(redirect::Policy::none())
             .build()
-            .map_err(|e| AskDefect::Usage(e.to_string()))?;
+            .map_err(|e| ClientError::Usage(e.to_string()))?;
         Ok(Self { at, within, client })
     }
 
     /// Asks until a node answers. A call that may not be repeated goes on to the next node only while it is certain
     /// that no former one has taken it.
-    pub fn ask(&self, method: &str, path: &str, body: Option<&Value>) -> Result<Value, AskDefect> {
+    pub fn ask(
+        &self,
+        method: &str,
+        path: &str,
+        body: Option<&Value>,
+    ) -> Result<Value, ClientError> {
         let start = Instant::now();
         let (route, query) = path.split_once('?').unwrap_or((path, ""));
         let repeatable = may_repeat(method, route, query);
         let method =
-            Method::from_bytes(method.as_bytes()).map_err(|e| AskDefect::Usage(e.to_string()))?;
+            Method::from_bytes(method.as_bytes()).map_err(|e| ClientError::Usage(e.to_string()))?;
         let mut why = String::from("none was named");
         loop {
             let mut pause = Duration::from_millis(200);
@@ -98,18 +103,18 @@
                 match outcome(self.request(&method, at, path, body).send()) {
                     Outcome::Done(v) => return Ok(v),
                     Outcome::Refused { status, body } => {
-                        return Err(AskDefect::Refused { status, body })
+                        return Err(ClientError::Refused { status, body })
                     }
                     Outcome::Unsure(why) if !repeatable => {
                         let at = at.clone();
-                        return Err(AskDefect::Unsure { at, why });
+                        return Err(ClientError::Unsure { at, why });
                     }
                     Outcome::Unsure(told) => why = told,
                     Outcome::NotTaken { told, retry } => (why, pause) = (told, retry),
                 }
             }
             if start.elapsed() + pause > self.within {
-                return Err(AskDefect::Unreachable {
+                return Err(ClientError::Unreachable {
                     at: self.at.clone(),
                     why,
                 });
--- a/landingdrift/src/operator/commands.rs
+++ b/landingdrift/src/operator/commands.rs
@@ -1,4 +1,4 @@
-use super::ask::{AskDefect, Asker};
+use super::ask::{ClientError, ControlClient};
 use super::show::show;
 use crate::kernel::roles::Role;
 use serde_json::{json, Value};
@@ -55,8 +55,8 @@
     rest: Vec<String>,
 }
 
-fn read_words(words: Vec<OsString>) -> Result<Words, AskDefect> {
-    let bad = |e: lexopt::Error| AskDefect::Usage(e.to_string());
+fn read_words(words: Vec<OsString>) -> Result<Words, ClientError> {
+    let bad = |e: lexopt::Error| ClientError::Usage(e.to_string());
     let mut w = Words {
         at: vec!["127.0.0.1:8000".into()],
         within: 10,
@@ -68,12 +68,13 @@
         let text = |p: &mut lexopt::Parser| {
             p.value().map_err(bad).and_then(|v| {
                 v.into_string()
-                    .map_err(|_| AskDefect::Usage("flags take text in UTF-8".into()))
+                    .map_err(|_| ClientError::Usage("flags take text in UTF-8".into()))
             })
         };
         let number = |name: &str, v: String| {
-            v.parse::<u64>()
-                .map_err(|_| AskDefect::Usage(format!("--{name} takes a whole number, not '{v}'")))
+            v.parse::<u64>().map_err(|_| {
+                ClientError::Usage(format!("--{name} takes a whole number, not '{v}'"))
+            })
         };
         match arg {
             lexopt::Arg::Long("at") => {
@@ -99,7 +100,7 @@
             lexopt::Arg::Long("worker") => w.worker = text(&mut p)?,
             lexopt::Arg::Value(v) => w.rest.push(
                 v.into_string()
-                    .map_err(|_| AskDefect::Usage("arguments are text in UTF-8".into()))?,
+                    .map_err(|_| ClientError::Usage("arguments are text in UTF-8".into()))?,
             ),
             other => return Err(bad(other.unexpected())),
         }
@@ -119,7 +120,7 @@
             return if w.help {
                 Ok(())
             } else {
-                Err(AskDefect::Usage("no command was given".into()))
+                Err(ClientError::Usage("no command was given".into()))
             };
         }
         let v = perform(&command, &w)?;
@@ -142,22 +143,22 @@
     )
 }
 
-fn file(path: &str) -> Result<Value, AskDefect> {
+fn file(path: &str) -> Result<Value, ClientError> {
     std::fs::read_to_string(path)
-        .map_err(|e| AskDefect::Usage(format!("'{path}' can't be read ({e})")))
+        .map_err(|e| ClientError::Usage(format!("'{path}' can't be read ({e})")))
         .and_then(|t| {
             serde_json::from_str(&t)
-                .map_err(|e| AskDefect::Usage(format!("'{path}' is no JSON ({e})")))
+                .map_err(|e| ClientError::Usage(format!("'{path}' is no JSON ({e})")))
         })
 }
 
-fn perform(command: &str, w: &Words) -> Result<Value, AskDefect> {
-    let ask = Asker::new(w.at.clone(), Duration::from_secs(w.within))?;
+fn perform(command: &str, w: &Words) -> Result<Value, ClientError> {
+    let ask = ControlClient::new(w.at.clone(), Duration::from_secs(w.within))?;
     let arg = |i: usize, what: &str| {
         w.rest
             .get(i)
             .cloned()
-            .ok_or_else(|| AskDefect::Usage(format!("{command} needs {what}")))
+            .ok_or_else(|| ClientError::Usage(format!("{command} needs {what}")))
     };
     match command {
         "apply" => apply(&ask, w, &file(&arg(1, "a FILE")?)?, w.patch),
@@ -197,7 +198,9 @@
             Some(&json!({"outcome": arg(3, "'well' or 'defect'")?})),
         ),
         "workers" => ask.ask("GET", "/v1/workers", None),
-        other => Err(AskDefect::Usage(format!("no command is called '{other}'"))),
+        other => Err(ClientError::Usage(format!(
+            "no command is called '{other}'"
+        ))),
     }
 }
 
@@ -208,7 +211,7 @@
     format!("op-{t:x}-{}", std::process::id())
 }
 
-fn apply(ask: &Asker, w: &Words, value: &Value, patch: bool) -> Result<Value, AskDefect> {
+fn apply(ask: &ControlClient, w: &Words, value: &Value, patch: bool) -> Result<Value, ClientError> {
     let base = w.base.map_or_else(
         || {
             ask.ask("GET", "/v1/desired", None)
@@ -234,7 +237,7 @@
 }
 
 /// Drains, evacuates and restores by a change of the zone alone; a rival change is taken in and the patch tried again.
-fn steer(ask: &Asker, w: &Words, command: &str, zone: &str) -> Result<Value, AskDefect> {
+fn steer(ask: &ControlClient, w: &Words, command: &str, zone: &str) -> Result<Value, ClientError> {
     let mut tries = 0;
     let done = loop {
         let current = ask.ask("GET", "/v1/desired", None)?;
@@ -261,7 +264,7 @@
             &format!("/v1/desired?base={base}&change={}", change_id()),
             Some(&patch),
         ) {
-            Err(AskDefect::Refused { status: 409, .. }) if tries < 20 => tries += 1,
+            Err(ClientError::Refused { status: 409, .. }) if tries < 20 => tries += 1,
             other => break other?,
         }
     };
@@ -281,8 +284,8 @@
 
 pub(super) fn wait(
     within: u64,
-    mut look: impl FnMut() -> Result<(bool, Value), AskDefect>,
-) -> Result<Value, AskDefect> {
+    mut look: impl FnMut() -> Result<(bool, Value), ClientError>,
+) -> Result<Value, ClientError> {
     let start = Instant::now();
     loop {
         let (done, v) = look()?;
@@ -290,7 +293,7 @@
             return Ok(v);
         }
         if start.elapsed() > Duration::from_secs(within) {
-            return Err(AskDefect::Refused {
+            return Err(ClientError::Refused {
                 status: 504,
                 body: json!({"message": format!("not yet after {within} s, it goes on: look again with status; {v}")}),
             });
--- a/landingdrift/src/operator/mod.rs
+++ b/landingdrift/src/operator/mod.rs
@@ -6,4 +6,4 @@
 mod show;
 mod verify;
 
-pub use ask::{AskDefect, Asker};
+pub use ask::{ClientError, ControlClient};
--- a/landingdrift/src/operator/rollout.rs
+++ b/landingdrift/src/operator/rollout.rs
@@ -1,4 +1,4 @@
-use super::ask::{AskDefect, Asker};
+use super::ask::{ClientError, ControlClient};
 use super::commands::{change_id, wait};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -7,17 +7,17 @@
 /// Puts a configuration into force queue by queue, the rest last. Each stage is watched; where a queue spends its
 /// allowance or a node stays behind, the former state comes back as a new version.
 pub fn rollout(
-    ask: &Asker,
+    ask: &ControlClient,
     stages: &[String],
     watch: Duration,
     within: u64,
     value: &Value,
-) -> Result<Value, AskDefect> {
+) -> Result<Value, ClientError> {
     stages
         .iter()
         .find(|s| value["queues"].get(s.as_str()).is_none())
         .map_or(Ok(()), |s| {
-            Err(AskDefect::Usage(format!(
+            Err(ClientError::Usage(format!(
                 "--stages names queue '{s}', which the file does not have"
             )))
         })?;
@@ -48,7 +48,7 @@
                 &format!("/v1/desired?base={version}&change={}", change_id()),
                 Some(&former["desired"]),
             )?;
-            return Err(AskDefect::Halted {
+            return Err(ClientError::Halted {
                 stage: stage.into(),
                 why,
                 version: back["version"].as_u64().unwrap_or(0),
@@ -70,7 +70,7 @@
 }
 
 fn look(
-    ask: &Asker,
+    ask: &ControlClient,
     change: &str,
     spent: &BTreeSet<String>,
     watch: Duration,
--- a/landingdrift/src/record/apply/config.rs
+++ b/landingdrift/src/record/apply/config.rs
@@ -1,35 +1,39 @@
-use super::Ruling;
+use super::ApplyResult;
 use crate::desired::{merge, read};
-use crate::record::{Change, Record, Refusal, SendState, TaskState, CHANGES_KEPT_MS, CHANGES_MOST};
+use crate::record::{
+    AttemptState, Change, ClusterState, Rejection, TaskState, CHANGES_KEPT_MS, CHANGES_MOST,
+};
 use serde_json::{json, Value};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-impl Record {
+impl ClusterState {
     pub(super) fn configure(
         &mut self,
         change: &str,
         (base, number): (u64, u64),
         patch: bool,
         value: &Value,
-    ) -> Ruling {
+    ) -> ApplyResult {
         let asked = format!("{base}/{number}/{patch}/{value}");
         let digest: [u8; 32] = Sha256::digest(asked.as_bytes()).into();
         if let Some(c) = self.changes.iter().find(|c| c.change == change) {
             return (c.digest == digest)
                 .then(|| json!({"version": c.version, "place": c.place}))
-                .ok_or(Refusal::OtherBody);
+                .ok_or(Rejection::OtherBody);
         }
-        (base == self.version).then_some(()).ok_or(Refusal::Rival {
-            current: self.version,
-        })?;
+        (base == self.version)
+            .then_some(())
+            .ok_or(Rejection::Rival {
+                current: self.version,
+            })?;
         self.forget_changes();
         (self.changes.len() < CHANGES_MOST)
             .then_some(())
-            .ok_or(Refusal::TooManyChanges)?;
+            .ok_or(Rejection::TooManyChanges)?;
         (number == 0 || number > self.version)
             .then_some(())
-            .ok_or_else(|| Refusal::Invalid {
+            .ok_or_else(|| Rejection::Invalid {
                 path: "version".into(),
                 remedy: format!("give a number above the current one, {}", self.version),
             })?;
@@ -43,7 +47,7 @@
         } else {
             next = value.clone();
         }
-        let desired = read(&next).map_err(|e| Refusal::Invalid {
+        let desired = read(&next).map_err(|e| Rejection::Invalid {
             path: e.path().to_string(),
             remedy: e.to_string(),
         })?;
@@ -59,7 +63,7 @@
             .map(|(k, q)| (k.clone(), q.clone()))
             .collect();
         if let Some(q) = still.keys().next().filter(|_| !desired.retire_queues) {
-            return Err(Refusal::Invalid {
+            return Err(Rejection::Invalid {
                 path: format!("queues.{q}"),
                 remedy: format!("queues.{q}: it holds unfinished jobs: let them end or cancel them, then remove it"),
             });
@@ -108,7 +112,7 @@
                 if !spent || job.of(i).long_running {
                     continue;
                 }
-                let ordered = t.live().filter(|s| s.state == SendState::Ordered);
+                let ordered = t.live().filter(|s| s.state == AttemptState::Ordered);
                 recalled.extend(ordered.map(|s| s.no));
                 if t.live().next().is_none() {
                     job.put(i, TaskState::Failed);
@@ -123,7 +127,7 @@
     }
 
     /// Begins or ends the emptying of a zone; asked twice it does no harm.
-    pub(super) fn empty(&mut self, zone: &str, on: bool) -> Ruling {
+    pub(super) fn empty(&mut self, zone: &str, on: bool) -> ApplyResult {
         if on {
             self.emptied.insert(zone.into());
         } else {
@@ -150,7 +154,7 @@
                         .iter()
                         .position(|x| std::ptr::eq(x, t))
                         .is_some_and(|i| j.of(i).may_repeat);
-                    let unstarted = s.state == SendState::Ordered;
+                    let unstarted = s.state == AttemptState::Ordered;
                     (unstarted && !self.open(zone, &s.worker))
                         || (may_repeat && self.desired.evacuated(zone))
                 })
--- a/landingdrift/src/record/apply/jobs.rs
+++ b/landingdrift/src/record/apply/jobs.rs
@@ -1,39 +1,41 @@
-use super::Ruling;
-use crate::record::{Job, JobSpec, JobState, Record, Refusal, SendState, Task, TaskState};
+use super::ApplyResult;
+use crate::record::{
+    AttemptState, ClusterState, Job, JobSpec, JobState, Rejection, Task, TaskState,
+};
 use serde_json::{json, Value};
 
-impl Record {
+impl ClusterState {
     /// A job that is turned away leaves a mark, so that an older call of the same id can't bring it in afterwards.
-    pub(super) fn accept(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> Ruling {
-        let ruling = self.admit(spec, hash, seen);
-        let known = self.jobs.contains_key(&spec.id) || self.tombs.contains_key(&spec.id);
-        if ruling.is_err() && !known {
+    pub(super) fn accept(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> ApplyResult {
+        let result = self.admit(spec, hash, seen);
+        let known = self.jobs.contains_key(&spec.id) || self.tombstones.contains_key(&spec.id);
+        if result.is_err() && !known {
             self.refusals.insert(spec.id.clone(), (self.place, self.at));
         }
-        ruling
+        result
     }
 
-    fn admit(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> Ruling {
+    fn admit(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> ApplyResult {
         if let Some(known) = self
             .jobs
             .get(&spec.id)
             .map(|j| j.hash)
-            .or_else(|| self.tombs.get(&spec.id).map(|t| t.hash))
+            .or_else(|| self.tombstones.get(&spec.id).map(|t| t.hash))
         {
             return (known == hash)
                 .then(|| json!({"known": true}))
-                .ok_or(Refusal::OtherBody);
+                .ok_or(Rejection::OtherBody);
         }
         (self
             .refusals
             .get(&spec.id)
             .is_none_or(|(place, _)| *place <= seen))
         .then_some(())
-        .ok_or(Refusal::TurnedAway)?;
+        .ok_or(Rejection::TurnedAway)?;
         let waits = spec
             .check()
             .and_then(|w| spec.satisfiable(&self.desired).map(|()| w))
-            .map_err(|e| Refusal::Invalid {
+            .map_err(|e| Rejection::Invalid {
                 path: e.path,
                 remedy: e.remedy,
             })?;
@@ -41,7 +43,7 @@
         let tally = self.queues.entry(spec.queue.clone()).or_default();
         (tally.unfinished < quota)
             .then_some(())
-            .ok_or(Refusal::OverQuota { quota })?;
+            .ok_or(Rejection::OverQuota { quota })?;
         tally.unfinished += 1;
         self.refusals.remove(&spec.id);
         self.jobs.insert(
@@ -56,11 +58,11 @@
         Ok(json!({"known": false}))
     }
 
-    pub(super) fn cancel(&mut self, id: &str) -> Ruling {
-        if let Some(t) = self.tombs.get(id) {
+    pub(super) fn cancel(&mut self, id: &str) -> ApplyResult {
+        if let Some(t) = self.tombstones.get(id) {
             return Ok(json!({"state": t.state}));
         }
-        let job = self.jobs.get_mut(id).ok_or(Refusal::Unknown {
+        let job = self.jobs.get_mut(id).ok_or(Rejection::Unknown {
             what: format!("job '{id}'"),
         })?;
         if job.state.ended() || job.cancel {
@@ -79,21 +81,21 @@
         Ok(json!({"state": self.jobs.get(id).map(|j| j.state)}))
     }
 
-    pub(super) fn resolve(&mut self, id: &str, task: &str, well: bool) -> Ruling {
-        let job = self.jobs.get(id).ok_or(Refusal::Unknown {
+    pub(super) fn resolve(&mut self, id: &str, task: &str, well: bool) -> ApplyResult {
+        let job = self.jobs.get(id).ok_or(Rejection::Unknown {
             what: format!("job '{id}'"),
         })?;
-        let i = job.find(task).ok_or(Refusal::Unknown {
+        let i = job.find(task).ok_or(Rejection::Unknown {
             what: format!("task '{task}'"),
         })?;
         let numbers: Vec<u64> = job.tasks[i]
             .live()
-            .filter(|s| s.state == SendState::Unsure)
+            .filter(|s| s.state == AttemptState::Unsure)
             .map(|s| s.no)
             .collect();
         (!numbers.is_empty())
             .then_some(())
-            .ok_or(Refusal::Invalid {
+            .ok_or(Rejection::Invalid {
                 path: "task".into(),
                 remedy: "no send of the task is unsure: only unsure ones can be resolved".into(),
             })?;
@@ -101,9 +103,9 @@
             self.close(
                 *no,
                 if well {
-                    SendState::Well
+                    AttemptState::Well
                 } else {
-                    SendState::Defect
+                    AttemptState::Defect
                 },
                 0,
                 "resolved by the operator",
@@ -126,7 +128,7 @@
     }
 
     /// Ends a live send, frees its room and writes the task's ledger on.
-    pub(super) fn close(&mut self, no: u64, state: SendState, ran_ms: u64, note: &str) {
+    pub(super) fn close(&mut self, no: u64, state: AttemptState, ran_ms: u64, note: &str) {
         let Some((id, i)) = self.live.remove(&no) else {
             return;
         };
@@ -153,8 +155,8 @@
         send.ran_ms = ran_ms;
         send.note = note.into();
         let (worker, copy) = (send.worker.clone(), send.copy);
-        let first_well = state == SendState::Well && task.state != TaskState::Done && !lasts;
-        task.defects += u32::from(state == SendState::Defect);
+        let first_well = state == AttemptState::Well && task.state != TaskState::Done && !lasts;
+        task.defects += u32::from(state == AttemptState::Defect);
         // As long as another send may still end well, the task has not failed.
         let spent = task.state == TaskState::Waiting
             && !first_well
@@ -193,7 +195,7 @@
             tally.ran(ran_ms.min(u64::from(u32::MAX)) as u32);
         }
         rest.into_iter().for_each(|n| self.want_stop(n));
-        if !matches!(state, SendState::Well) {
+        if !matches!(state, AttemptState::Well) {
             self.recall_gang(&id, i);
         }
     }
--- a/landingdrift/src/record/apply/members.rs
+++ b/landingdrift/src/record/apply/members.rs
@@ -1,23 +1,23 @@
-use super::Ruling;
-use crate::record::{CoreMember, Grant, NodeMember, Record, Refusal};
+use super::ApplyResult;
+use crate::record::{ClusterState, Lease, NodeMember, Rejection, ReplicaMember};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-impl Record {
-    pub(super) fn grant(&mut self, duty: &str, holder: &str, from_epoch: u64) -> Ruling {
-        let current = self.grants.get(duty).map_or(0, |g| g.epoch);
+impl ClusterState {
+    pub(super) fn grant(&mut self, duty: &str, holder: &str, from_epoch: u64) -> ApplyResult {
+        let current = self.leases.get(duty).map_or(0, |g| g.epoch);
         (current == from_epoch)
             .then_some(())
-            .ok_or(Refusal::StaleGrant)?;
+            .ok_or(Rejection::StaleGrant)?;
         let alive = holder.is_empty() || self.nodes.get(holder).is_some_and(|n| n.alive);
-        alive.then_some(()).ok_or(Refusal::Unknown {
+        alive.then_some(()).ok_or(Rejection::Unknown {
             what: format!("living node '{holder}'"),
         })?;
         let epoch = self.next_epoch;
         self.next_epoch += 1;
-        self.grants.insert(
+        self.leases.insert(
             duty.into(),
-            Grant {
+            Lease {
                 holder: holder.into(),
                 epoch,
             },
@@ -25,7 +25,7 @@
         Ok(json!({"epoch": epoch}))
     }
 
-    pub(super) fn node(&mut self, node: &str, zone: &str, http: &str) -> Ruling {
+    pub(super) fn node(&mut self, node: &str, zone: &str, http: &str) -> ApplyResult {
         self.nodes.insert(
             node.into(),
             NodeMember {
@@ -37,7 +37,7 @@
         Ok(Value::Null)
     }
 
-    pub(super) fn node_gone(&mut self, node: &str) -> Ruling {
+    pub(super) fn node_gone(&mut self, node: &str) -> ApplyResult {
         self.nodes
             .get_mut(node)
             .iter_mut()
@@ -49,7 +49,7 @@
             .filter(|(_, n)| !n.alive)
             .map(|(k, _)| k.clone())
             .collect();
-        let held = |n: &str| self.grants.values().any(|g| g.holder == n);
+        let held = |n: &str| self.leases.values().any(|g| g.holder == n);
         let drop: Vec<String> = dead
             .into_iter()
             .rev()
@@ -64,24 +64,24 @@
 }
 
 /// Replicas of the log. The rules that need no view of who is reachable are checked here, whoever proposed a change.
-impl Record {
-    pub(super) fn found(&mut self, cores: &BTreeMap<String, CoreMember>) -> Ruling {
+impl ClusterState {
+    pub(super) fn found(&mut self, cores: &BTreeMap<String, ReplicaMember>) -> ApplyResult {
         if !self.cores.is_empty() {
-            return Err(Refusal::Ended);
+            return Err(Rejection::Ended);
         }
         self.cores = cores.clone();
         Ok(Value::Null)
     }
 
-    pub(super) fn core(&mut self, core: &str, member: &CoreMember) -> Ruling {
+    pub(super) fn core(&mut self, core: &str, member: &ReplicaMember) -> ApplyResult {
         self.cores.insert(core.into(), member.clone());
         Ok(Value::Null)
     }
 
-    pub(super) fn core_gone(&mut self, core: &str, disk: u64) -> Ruling {
+    pub(super) fn core_gone(&mut self, core: &str, disk: u64) -> ApplyResult {
         let known = self.cores.get(core).is_some_and(|m| m.disk == disk);
         if !known {
-            return Err(Refusal::Unknown {
+            return Err(Rejection::Unknown {
                 what: format!("replica '{core}' with this disk"),
             });
         }
--- a/landingdrift/src/record/apply/mod.rs
+++ b/landingdrift/src/record/apply/mod.rs
@@ -6,22 +6,22 @@
 mod sweep;
 mod workers;
 
-use super::{Command, Record, Refusal};
+use super::{ClusterState, Command, Rejection};
 use serde_json::{json, Value};
 
 /// The verdict on an entry.
-pub type Ruling = Result<Value, Refusal>;
+pub type ApplyResult = Result<Value, Rejection>;
 
-impl Record {
+impl ClusterState {
     /// Applies one committed entry. The same entries give the same record everywhere.
-    pub fn apply(&mut self, index: u64, at: u64, command: &Command) -> Ruling {
+    pub fn apply(&mut self, index: u64, at: u64, command: &Command) -> ApplyResult {
         self.place = index;
         self.at = self.at.max(at);
         self.dispose(command)
     }
 
     /// Does what a command says.
-    fn dispose(&mut self, command: &Command) -> Ruling {
+    fn dispose(&mut self, command: &Command) -> ApplyResult {
         match command {
             Command::Opened { .. } => Ok(Value::Null),
             Command::Configure {
@@ -65,7 +65,7 @@
             } => self.recall(worker, *cell_epoch, sends, *blame),
             Command::Empty { zone, on } => self.empty(zone, *on),
             Command::Resolve { job, task, well } => self.resolve(job, task, *well),
-            Command::Grant {
+            Command::Lease {
                 duty,
                 holder,
                 from_epoch,
@@ -73,7 +73,7 @@
             Command::Node { node, zone, http } => self.node(node, zone, http),
             Command::NodeGone { node } => self.node_gone(node),
             Command::Found { cores } => self.found(cores),
-            Command::Core { core, member } => self.core(core, member),
+            Command::Replica { core, member } => self.core(core, member),
             Command::CoreGone { core, disk } => self.core_gone(core, *disk),
             Command::Sweep {
                 retain_ms,
@@ -84,9 +84,9 @@
     }
 
     /// Applies an entry from its bytes.
-    pub fn apply_bytes(&mut self, index: u64, at: u64, command: &[u8]) -> Ruling {
+    pub fn apply_bytes(&mut self, index: u64, at: u64, command: &[u8]) -> ApplyResult {
         self.place = index;
-        let command = Command::unpack(command).map_err(|e| Refusal::Invalid {
+        let command = Command::unpack(command).map_err(|e| Rejection::Invalid {
             path: "entry".into(),
             remedy: format!("{e}: upgrade this process, a newer one wrote the entry"),
         })?;
@@ -95,7 +95,7 @@
 }
 
 /// The verdict from its bytes.
-pub fn unpack_ruling(bytes: &[u8]) -> Option<Ruling> {
+pub fn unpack_apply_result(bytes: &[u8]) -> Option<ApplyResult> {
     let v: Value = serde_json::from_slice(bytes).ok()?;
     v.get("done").cloned().map(Ok).or_else(|| {
         v.get("refused")
@@ -105,7 +105,7 @@
 }
 
 /// The verdict as bytes.
-pub fn pack_ruling(r: &Ruling) -> Vec<u8> {
+pub fn pack_apply_result(r: &ApplyResult) -> Vec<u8> {
     serde_json::to_vec(
         &r.as_ref()
             .map_or_else(|e| json!({"refused": e}), |v| json!({"done": v})),
--- a/landingdrift/src/record/apply/orders.rs
+++ b/landingdrift/src/record/apply/orders.rs
@@ -1,29 +1,29 @@
 //! Orders take effect once: the first copy that enters the log in time is obeyed, the others get its answer.
 
-use super::{pack_ruling, unpack_ruling, Ruling};
-use crate::record::{Order, Record, Refusal};
+use super::{pack_apply_result, unpack_apply_result, ApplyResult};
+use crate::record::{ClusterState, Order, Rejection};
 
-impl Record {
+impl ClusterState {
     /// Judges one copy of an order. Its answer is kept until the deadline; copies after that commit as nothing.
-    pub(super) fn order(&mut self, order: &Order) -> Ruling {
+    pub(super) fn order(&mut self, order: &Order) -> ApplyResult {
         self.forget_answers();
         let key = (order.deadline, order.proposal.clone());
-        if let Some(answer) = self.orders.get(&key).and_then(|a| unpack_ruling(a)) {
+        if let Some(answer) = self.orders.get(&key).and_then(|a| unpack_apply_result(a)) {
             return answer;
         }
         (self.at <= order.deadline)
             .then_some(())
-            .ok_or(Refusal::Late)?;
-        let ruling = if order.action.is_order() {
+            .ok_or(Rejection::Late)?;
+        let result = if order.action.is_order() {
             self.dispose(&order.action)
         } else {
-            Err(Refusal::Invalid {
+            Err(Rejection::Invalid {
                 path: "action".into(),
                 remedy: "this is no order: propose it as it is".into(),
             })
         };
-        self.orders.insert(key, pack_ruling(&ruling));
-        ruling
+        self.orders.insert(key, pack_apply_result(&result));
+        result
     }
 
     /// Drops answers whose deadline has passed: no copy that comes now is obeyed any more.
--- a/landingdrift/src/record/apply/start.rs
+++ b/landingdrift/src/record/apply/start.rs
@@ -1,27 +1,33 @@
-use super::Ruling;
+use super::ApplyResult;
 use crate::record::{
-    cell_duty, queue_duty, Placement, Record, Refusal, Room, Send, SendState, TaskState,
+    cell_duty, queue_duty, AttemptState, ClusterState, Placement, Rejection, Resources, Send,
+    TaskState,
 };
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Record {
+impl ClusterState {
     /// Places tasks on workers, all or none. Every rule that a record can check is checked here.
-    pub(super) fn start(&mut self, id: &str, owner_epoch: u64, placements: &[Placement]) -> Ruling {
-        let job = self.jobs.get(id).ok_or_else(|| Refusal::Unknown {
+    pub(super) fn start(
+        &mut self,
+        id: &str,
+        owner_epoch: u64,
+        placements: &[Placement],
+    ) -> ApplyResult {
+        let job = self.jobs.get(id).ok_or_else(|| Rejection::Unknown {
             what: format!("job '{id}'"),
         })?;
         let grant_ok = self
             .holder(&queue_duty(&job.spec.queue))
             .is_some_and(|g| g.epoch == owner_epoch);
-        grant_ok.then_some(()).ok_or(Refusal::StaleGrant)?;
-        (!job.state.ended()).then_some(()).ok_or(Refusal::Ended)?;
-        (!job.cancel).then_some(()).ok_or(Refusal::Cancelled)?;
-        let mut taken: BTreeMap<&str, Room> = BTreeMap::new();
+        grant_ok.then_some(()).ok_or(Rejection::StaleGrant)?;
+        (!job.state.ended()).then_some(()).ok_or(Rejection::Ended)?;
+        (!job.cancel).then_some(()).ok_or(Rejection::Cancelled)?;
+        let mut taken: BTreeMap<&str, Resources> = BTreeMap::new();
         for (n, p) in placements.iter().enumerate() {
             (!placements[..n].iter().any(|q| q.task == p.task))
                 .then_some(())
-                .ok_or(Refusal::Repeat)?;
+                .ok_or(Rejection::Repeat)?;
             self.may_start(id, p.task, p.copy, self.at)?;
             self.fits(id, p)?;
             let sum = taken.entry(p.worker.as_str()).or_default();
@@ -29,8 +35,10 @@
             let free = self
                 .workers
                 .get(&p.worker)
-                .map_or(Room::default(), |w| w.facts.all_room().less(w.used));
-            free.holds(*sum).then_some(()).ok_or(Refusal::NoRoom)?;
+                .map_or(Resources::default(), |w| {
+                    w.facts.total_resources().less(w.used)
+                });
+            free.holds(*sum).then_some(()).ok_or(Rejection::NoRoom)?;
             self.apart(id, p, &placements[..n])?;
         }
         self.gangs_whole(id, placements)?;
@@ -49,28 +57,28 @@
     }
 
     /// Whether a task may get a send at a moment, leaving the worker aside.
-    pub fn may_start(&self, id: &str, no: u32, copy: bool, at: u64) -> Result<(), Refusal> {
-        let (job, task) = self.task(id, no).ok_or_else(|| Refusal::Unknown {
+    pub fn may_start(&self, id: &str, no: u32, copy: bool, at: u64) -> Result<(), Rejection> {
+        let (job, task) = self.task(id, no).ok_or_else(|| Rejection::Unknown {
             what: format!("task {no}"),
         })?;
         (task.state == TaskState::Waiting)
             .then_some(())
-            .ok_or(Refusal::Ended)?;
+            .ok_or(Rejection::Ended)?;
         let spec = job.of(no as usize);
         let queue = self
             .queue(&job.spec.queue)
-            .ok_or_else(|| Refusal::Unknown {
+            .ok_or_else(|| Rejection::Unknown {
                 what: format!("queue '{}'", job.spec.queue),
             })?;
         (at >= job.due(no as usize))
             .then_some(())
-            .ok_or(Refusal::NotDue)?;
+            .ok_or(Rejection::NotDue)?;
         job.reached(no as usize)
             .then_some(())
-            .ok_or(Refusal::Waiting)?;
+            .ok_or(Rejection::Waiting)?;
         let (mut sure, mut unsure) = (0u32, 0u32);
         task.live().for_each(|s| {
-            if s.state == SendState::Unsure {
+            if s.state == AttemptState::Unsure {
                 unsure += 1
             } else {
                 sure += 1
@@ -83,11 +91,11 @@
             // Never again while a send may be running, and no copies at all.
             copy || sure + unsure > 0
         };
-        (!repeat).then_some(()).ok_or(Refusal::Repeat)?;
+        (!repeat).then_some(()).ok_or(Rejection::Repeat)?;
         // What may be running may fail, or has failed where nobody saw it: it counts as a try.
         (spec.long_running || task.defects + sure + unsure < queue.tries)
             .then_some(())
-            .ok_or(Refusal::Spent)?;
+            .ok_or(Rejection::Spent)?;
         if !copy {
             return Ok(());
         }
@@ -96,30 +104,30 @@
         let budget = (running * queue.speculation_percent).div_ceil(100);
         (copies < budget && !self.allowance_spent(&job.spec.queue))
             .then_some(())
-            .ok_or(Refusal::Budget)
+            .ok_or(Rejection::Budget)
     }
 
     /// Whether a worker may get a task of a job.
-    pub fn fits(&self, id: &str, p: &Placement) -> Result<(), Refusal> {
-        let unfit = |why: &str| Refusal::Unfit { why: why.into() };
-        let job = self.jobs.get(id).ok_or_else(|| Refusal::Unknown {
+    pub fn fits(&self, id: &str, p: &Placement) -> Result<(), Rejection> {
+        let unfit = |why: &str| Rejection::Unfit { why: why.into() };
+        let job = self.jobs.get(id).ok_or_else(|| Rejection::Unknown {
             what: format!("job '{id}'"),
         })?;
         let known = job.tasks.get(p.task as usize);
-        known.map(|_| ()).ok_or_else(|| Refusal::Unknown {
+        known.map(|_| ()).ok_or_else(|| Rejection::Unknown {
             what: format!("task {}", p.task),
         })?;
         let spec = job.of(p.task as usize);
         let w = self
             .workers
             .get(&p.worker)
-            .ok_or_else(|| Refusal::Unknown {
+            .ok_or_else(|| Rejection::Unknown {
                 what: format!("worker '{}'", p.worker),
             })?;
         let cell_ok = self
             .holder(&cell_duty(&w.facts.zone))
             .is_some_and(|g| g.epoch == p.cell_epoch);
-        cell_ok.then_some(()).ok_or(Refusal::StaleGrant)?;
+        cell_ok.then_some(()).ok_or(Rejection::StaleGrant)?;
         (w.facts.incarnation == p.incarnation)
             .then_some(())
             .ok_or_else(|| unfit("it has started anew"))?;
@@ -144,7 +152,7 @@
         let again = job.tasks[p.task as usize]
             .live()
             .any(|s| s.worker == p.worker);
-        (!again).then_some(()).ok_or(Refusal::Repeat)?;
+        (!again).then_some(()).ok_or(Rejection::Repeat)?;
         let most = spec.anti_affinity;
         (most == 0 || job.beside(p.task as usize, &p.worker) < most)
             .then_some(())
@@ -152,7 +160,7 @@
     }
 
     /// All members of a gang that are not done start in one entry, or none.
-    fn gangs_whole(&self, id: &str, placements: &[Placement]) -> Result<(), Refusal> {
+    fn gangs_whole(&self, id: &str, placements: &[Placement]) -> Result<(), Rejection> {
         let job = &self.jobs[id];
         let placed: BTreeSet<usize> = placements.iter().map(|p| p.task as usize).collect();
         let mut seen = BTreeSet::new();
@@ -164,11 +172,11 @@
                     .iter()
                     .all(|m| placed.contains(m) || job.tasks[*m].state == TaskState::Done)
         });
-        whole.then_some(()).ok_or(Refusal::GangSplit)
+        whole.then_some(()).ok_or(Rejection::GangSplit)
     }
 
     /// No more tasks of a step than it allows come to one worker.
-    fn apart(&self, id: &str, p: &Placement, before: &[Placement]) -> Result<(), Refusal> {
+    fn apart(&self, id: &str, p: &Placement, before: &[Placement]) -> Result<(), Rejection> {
         let job = &self.jobs[id];
         let most = job.of(p.task as usize).anti_affinity;
         if most == 0 {
@@ -179,7 +187,7 @@
         let with = before.iter().filter(same).count() as u32;
         (job.beside(p.task as usize, &p.worker) + with < most)
             .then_some(())
-            .ok_or_else(|| Refusal::Unfit {
+            .ok_or_else(|| Rejection::Unfit {
                 why: "as many tasks of the step are there as it allows".into(),
             })
     }
--- a/landingdrift/src/record/apply/sweep.rs
+++ b/landingdrift/src/record/apply/sweep.rs
@@ -1,11 +1,11 @@
-use super::Ruling;
-use crate::record::{Record, SendState, TaskState, Tomb};
+use super::ApplyResult;
+use crate::record::{AttemptState, ClusterState, TaskState, Tombstone};
 use serde_json::Value;
 
 /// How long the mark of a refusal is kept: far longer than any call is worked on.
 const REFUSALS_KEPT: u64 = 60_000;
 
-impl Record {
+impl ClusterState {
     /// When the next bound passes, if a sweep has anything to do.
     pub fn sweep_due(&self, retain_ms: u64, identity_ms: u64) -> Option<u64> {
         let unsure = self.unsure_dues().map(|(due, _)| due).min();
@@ -34,7 +34,7 @@
         self.live
             .keys()
             .filter_map(|no| self.send(*no))
-            .filter(|(_, _, s)| s.state == SendState::Unsure)
+            .filter(|(_, _, s)| s.state == AttemptState::Unsure)
             .map(|(j, _, s)| {
                 let bound = self
                     .queue(&j.spec.queue)
@@ -43,7 +43,7 @@
             })
     }
 
-    pub(super) fn sweep(&mut self, retain_ms: u64, identity_ms: u64) -> Ruling {
+    pub(super) fn sweep(&mut self, retain_ms: u64, identity_ms: u64) -> ApplyResult {
         let at = self.at;
         let passed: Vec<u64> = self
             .unsure_dues()
@@ -54,7 +54,12 @@
             let Some((id, i)) = self.live.get(&no).cloned() else {
                 continue;
             };
-            self.close(no, SendState::Defect, 0, "unsure for longer than its bound");
+            self.close(
+                no,
+                AttemptState::Defect,
+                0,
+                "unsure for longer than its bound",
+            );
             // Without mayRepeat it is never sent again, whatever the tries.
             let job = self.jobs.get_mut(&id);
             job.into_iter()
@@ -74,17 +79,21 @@
             if let Some(j) = self.jobs.remove(&id) {
                 self.expiry.remove(&(t, id.clone()));
                 self.expiry.insert((at, id.clone()));
-                self.tombs.insert(
+                self.tombstones.insert(
                     id,
-                    Tomb {
+                    Tombstone {
                         hash: j.hash,
                         state: j.state,
                         until: at + identity_ms,
                     },
                 );
-            } else if self.tombs.get(&id).is_none_or(|tomb| tomb.until <= at) {
+            } else if self
+                .tombstones
+                .get(&id)
+                .is_none_or(|tombstone| tombstone.until <= at)
+            {
                 self.expiry.remove(&(t, id.clone()));
-                self.tombs.remove(&id);
+                self.tombstones.remove(&id);
             }
         }
         let gone: Vec<String> = self
--- a/landingdrift/src/record/apply/workers.rs
+++ b/landingdrift/src/record/apply/workers.rs
@@ -1,6 +1,6 @@
-use super::Ruling;
+use super::ApplyResult;
 use crate::record::{
-    cell_duty, EndReport, Outcome, Record, Refusal, SendState, Worker, WorkerFacts,
+    cell_duty, AttemptState, ClusterState, EndReport, Outcome, Rejection, Worker, WorkerInfo,
 };
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -10,12 +10,12 @@
 /// Good ends in a row that end a probation.
 const REDEEMED: u32 = 3;
 
-impl Record {
-    pub(super) fn facts(&mut self, facts: &WorkerFacts, cell_epoch: u64) -> Ruling {
+impl ClusterState {
+    pub(super) fn facts(&mut self, facts: &WorkerInfo, cell_epoch: u64) -> ApplyResult {
         let cell_ok = self
             .holder(&cell_duty(&facts.zone))
             .is_some_and(|g| g.epoch == cell_epoch);
-        cell_ok.then_some(()).ok_or(Refusal::StaleGrant)?;
+        cell_ok.then_some(()).ok_or(Rejection::StaleGrant)?;
         let at = self.at;
         self.displace(facts);
         let w = self
@@ -27,7 +27,7 @@
             });
         (facts.incarnation >= w.facts.incarnation)
             .then_some(())
-            .ok_or(Refusal::Unfit {
+            .ok_or(Rejection::Unfit {
                 why: "a newer incarnation is known".into(),
             })?;
         let anew = facts.incarnation > w.facts.incarnation && !w.sends.is_empty();
@@ -44,7 +44,7 @@
         let over = self
             .workers
             .get(&facts.worker)
-            .is_some_and(|w| !facts.all_room().holds(w.used));
+            .is_some_and(|w| !facts.total_resources().holds(w.used));
         let fits = |(job, i): &(String, u32)| {
             self.jobs
                 .get(job)
@@ -54,7 +54,7 @@
             .into_iter()
             .filter(|no| {
                 self.send(*no)
-                    .is_some_and(|(_, _, s)| s.state == SendState::Ordered)
+                    .is_some_and(|(_, _, s)| s.state == AttemptState::Ordered)
             })
             .filter(|no| closed || over || !self.live.get(no).is_some_and(fits))
             .collect();
@@ -63,7 +63,7 @@
     }
 
     /// Whatever stood at the worker's address before it is gone, and all that ran there.
-    fn displace(&mut self, facts: &WorkerFacts) {
+    fn displace(&mut self, facts: &WorkerInfo) {
         if facts.address.is_empty() || self.workers.contains_key(&facts.worker) {
             return;
         }
@@ -90,7 +90,7 @@
     fn end_lapsed(&mut self, sends: BTreeSet<u64>) {
         for no in sends {
             let job = self.live.get(&no).map(|(id, _)| id.clone());
-            self.close(no, SendState::Lapsed, 0, "its worker is gone");
+            self.close(no, AttemptState::Lapsed, 0, "its worker is gone");
             job.iter().for_each(|id| self.settle(id));
         }
     }
@@ -101,8 +101,8 @@
         cell_epoch: u64,
         sends: &[u64],
         checkpoints: &[(u64, String)],
-    ) -> Ruling {
-        let w = self.workers.get(worker).ok_or(Refusal::Unknown {
+    ) -> ApplyResult {
+        let w = self.workers.get(worker).ok_or(Rejection::Unknown {
             what: format!("worker '{worker}'"),
         })?;
         let cell_ok = self
@@ -110,7 +110,7 @@
             .is_some_and(|g| g.epoch == cell_epoch);
         (cell_ok && w.facts.incarnation == incarnation)
             .then_some(())
-            .ok_or(Refusal::StaleGrant)?;
+            .ok_or(Rejection::StaleGrant)?;
         checkpoints
             .iter()
             .for_each(|(no, text)| self.keep_checkpoint(*no, text));
@@ -128,16 +128,16 @@
         cell_epoch: u64,
         sends: &[u64],
         blame: bool,
-    ) -> Ruling {
-        let w = self.workers.get_mut(worker).ok_or(Refusal::Unknown {
+    ) -> ApplyResult {
+        let w = self.workers.get_mut(worker).ok_or(Rejection::Unknown {
             what: format!("worker '{worker}'"),
         })?;
         let duty = cell_duty(&w.facts.zone);
         let cell_ok = self
-            .grants
+            .leases
             .get(&duty)
             .is_some_and(|g| g.epoch == cell_epoch);
-        cell_ok.then_some(()).ok_or(Refusal::StaleGrant)?;
+        cell_ok.then_some(()).ok_or(Rejection::StaleGrant)?;
         if blame {
             w.probation = REDEEMED;
             w.ends.clear();
@@ -179,7 +179,7 @@
         if old && may_repeat {
             self.close(
                 no,
-                SendState::Defect,
+                AttemptState::Defect,
                 0,
                 "the worker started anew while it ran",
             );
@@ -201,9 +201,9 @@
         job.tasks[i as usize]
             .sends
             .iter_mut()
-            .filter(|s| s.no == no && s.state != SendState::Unsure)
+            .filter(|s| s.no == no && s.state != AttemptState::Unsure)
             .for_each(|s| {
-                s.state = SendState::Unsure;
+                s.state = AttemptState::Unsure;
                 // While unsure, `ended` is the moment the doubt began.
                 s.ended = at;
             });
@@ -211,8 +211,8 @@
         self.recall_gang(&id, i);
     }
 
-    pub(super) fn lost(&mut self, worker: &str, incarnation: u64, cell_epoch: u64) -> Ruling {
-        let w = self.workers.get(worker).ok_or(Refusal::Unknown {
+    pub(super) fn lost(&mut self, worker: &str, incarnation: u64, cell_epoch: u64) -> ApplyResult {
+        let w = self.workers.get(worker).ok_or(Rejection::Unknown {
             what: format!("worker '{worker}'"),
         })?;
         let cell_ok = self
@@ -220,7 +220,7 @@
             .is_some_and(|g| g.epoch == cell_epoch);
         (cell_ok && w.facts.incarnation == incarnation)
             .then_some(())
-            .ok_or(Refusal::StaleGrant)?;
+            .ok_or(Rejection::StaleGrant)?;
         let sends: BTreeSet<u64> = w.sends.clone();
         sends.into_iter().for_each(|no| self.doubt(no));
         let at = self.at;
@@ -237,7 +237,7 @@
         incarnation: u64,
         running: &[u64],
         ends: &[EndReport],
-    ) -> Ruling {
+    ) -> ApplyResult {
         let at = self.at;
         // A word that something runs may come late: after its worker was lost or started anew it says nothing.
         let known = self.workers.get(worker);
@@ -253,7 +253,7 @@
                     .flat_map(|j| j.tasks[i as usize].sends.iter_mut())
                     .filter(|s| s.no == *no)
                     .for_each(|s| {
-                        s.state = SendState::Running;
+                        s.state = AttemptState::Running;
                         s.ended = 0;
                         s.started = if s.started == 0 { at } else { s.started };
                     });
@@ -269,14 +269,14 @@
             // What is unsure was told to stop without an entry.
             let asked = self
                 .send(e.no)
-                .is_some_and(|(_, _, s)| s.stop || s.state == SendState::Unsure);
+                .is_some_and(|(_, _, s)| s.stop || s.state == AttemptState::Unsure);
             let state = match e.outcome {
-                Outcome::Well => SendState::Well,
-                Outcome::Stopped if asked => SendState::Stopped,
+                Outcome::Well => AttemptState::Well,
+                Outcome::Stopped if asked => AttemptState::Stopped,
                 // Stopped without our order is the worker's own doing.
-                Outcome::Defect | Outcome::Stopped => SendState::Defect,
-                Outcome::Void => SendState::Void,
-                Outcome::Lapsed => SendState::Lapsed,
+                Outcome::Defect | Outcome::Stopped => AttemptState::Defect,
+                Outcome::Void => AttemptState::Void,
+                Outcome::Lapsed => AttemptState::Lapsed,
             };
             self.close(e.no, state, e.ran_ms, &e.note);
             self.judge(worker, state);
@@ -286,10 +286,10 @@
     }
 
     /// Evidence puts a worker on probation and takes it off.
-    fn judge(&mut self, worker: &str, state: SendState) {
+    fn judge(&mut self, worker: &str, state: AttemptState) {
         let good = match state {
-            SendState::Well => true,
-            SendState::Defect => false,
+            AttemptState::Well => true,
+            AttemptState::Defect => false,
             _ => return,
         };
         let fleet: (usize, usize) = self
--- a/landingdrift/src/record/command.rs
+++ b/landingdrift/src/record/command.rs
@@ -1,11 +1,11 @@
-use super::{CoreMember, JobSpec, Order, Room, TaskSpec};
+use super::{JobSpec, Order, ReplicaMember, Resources, TaskSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a worker says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
-pub struct WorkerFacts {
+pub struct WorkerInfo {
     pub worker: String,
     /// Grows with each start of the worker's process.
     pub incarnation: u64,
@@ -26,10 +26,10 @@
     pub leaving: bool,
 }
 
-impl WorkerFacts {
+impl WorkerInfo {
     /// All its room.
-    pub fn all_room(&self) -> Room {
-        Room {
+    pub fn total_resources(&self) -> Resources {
+        Resources {
             cpu: self.room,
             memory: self.memory,
             accelerators: self.accelerators,
@@ -131,7 +131,7 @@
     },
     /// A worker's facts have changed.
     Facts {
-        facts: WorkerFacts,
+        facts: WorkerInfo,
         cell_epoch: u64,
     },
     /// What a worker has started and ended.
@@ -174,7 +174,8 @@
         task: String,
         well: bool,
     },
-    Grant {
+    #[serde(rename = "Grant")]
+    Lease {
         duty: String,
         holder: String,
         from_epoch: u64,
@@ -189,12 +190,13 @@
     },
     /// The first replicas, all at once; refused where there are some already.
     Found {
-        cores: BTreeMap<String, CoreMember>,
+        cores: BTreeMap<String, ReplicaMember>,
     },
     /// A replica is admitted, promoted or demoted.
-    Core {
+    #[serde(rename = "Core")]
+    Replica {
         core: String,
-        member: CoreMember,
+        member: ReplicaMember,
     },
     /// An identity (an address with its disk) leaves the membership.
     CoreGone {
@@ -261,7 +263,7 @@
 
 /// Why the record refused an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum Rejection {
     /// The base version is no longer the current one.
     Rival {
         current: u64,
@@ -300,7 +302,7 @@
     Budget,
 }
 
-impl std::fmt::Display for Refusal {
+impl std::fmt::Display for Rejection {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             Self::Rival { current } => write!(f, "another change came first: read version {current} and send the change again on top of it"),
--- a/landingdrift/src/record/derive.rs
+++ b/landingdrift/src/record/derive.rs
@@ -1,6 +1,6 @@
 //! What Hopper needs to know, derived from the record.
 
-use super::{Job, QueueTally, Record, Task, TaskState};
+use super::{ClusterState, Job, QueueStats, Task, TaskState};
 
 /// What admission knows of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -22,7 +22,7 @@
 const KEPT: usize = 256;
 const EVERY: usize = 8;
 
-impl QueueTally {
+impl QueueStats {
     /// Takes note of how long a good run took.
     pub fn ran(&mut self, ms: u32) {
         self.durations.push_back(ms);
@@ -48,7 +48,7 @@
     }
 }
 
-impl Record {
+impl ClusterState {
     /// The shape of a queue's task durations, by the likelihood of its latest good runs.
     pub fn beta(&self, queue: &str) -> f64 {
         self.queues
@@ -105,7 +105,7 @@
     }
 
     /// Room of all workers that take work.
-    pub fn total_room(&self) -> u32 {
+    pub fn total_cpu(&self) -> u32 {
         self.workers
             .values()
             .filter(|w| !w.lost && !w.facts.leaving && self.open(&w.facts.zone, &w.facts.worker))
--- a/landingdrift/src/record/job/check.rs
+++ b/landingdrift/src/record/job/check.rs
@@ -11,20 +11,20 @@
 
 /// Why a job can't be taken as it is.
 #[derive(Debug, Clone, PartialEq)]
-pub struct SpecDefect {
+pub struct SpecError {
     pub path: String,
     pub remedy: String,
 }
 
-impl std::fmt::Display for SpecDefect {
+impl std::fmt::Display for SpecError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{}: {}", self.path, self.remedy)
     }
 }
 
 /// A defect at a field, and what to do about it.
-fn defect(path: String, remedy: impl Into<String>) -> SpecDefect {
-    SpecDefect {
+fn defect(path: String, remedy: impl Into<String>) -> SpecError {
+    SpecError {
         path,
         remedy: remedy.into(),
     }
@@ -32,16 +32,16 @@
 
 impl JobSpec {
     /// Reads a job, naming the field at fault.
-    pub fn read(body: &[u8]) -> Result<Self, SpecDefect> {
+    pub fn read(body: &[u8]) -> Result<Self, SpecError> {
         let de = &mut serde_json::Deserializer::from_slice(body);
-        serde_path_to_error::deserialize(de).map_err(|e| SpecDefect {
+        serde_path_to_error::deserialize(de).map_err(|e| SpecError {
             path: e.path().to_string(),
             remedy: e.inner().to_string(),
         })
     }
 
     /// Checks the shape of the job: names, steps, cycles, gangs.
-    pub fn check(&self) -> Result<Vec<Vec<u32>>, SpecDefect> {
+    pub fn check(&self) -> Result<Vec<Vec<u32>>, SpecError> {
         name_ok(&self.id).then_some(()).ok_or_else(|| {
             defect(
                 "id".into(),
@@ -63,7 +63,7 @@
     }
 
     /// Checks the single tasks one by one, and gives their numbers by their names.
-    fn check_tasks(&self) -> Result<BTreeMap<&str, u32>, SpecDefect> {
+    fn check_tasks(&self) -> Result<BTreeMap<&str, u32>, SpecError> {
         let mut by_name = BTreeMap::new();
         for (i, t) in self.tasks.iter().enumerate() {
             name_ok(&t.name).then_some(()).ok_or_else(|| {
@@ -88,7 +88,7 @@
     }
 
     /// The numbers of the tasks that each task waits for.
-    fn dependencies(&self, by_name: &BTreeMap<&str, u32>) -> Result<Vec<Vec<u32>>, SpecDefect> {
+    fn dependencies(&self, by_name: &BTreeMap<&str, u32>) -> Result<Vec<Vec<u32>>, SpecError> {
         let mut waits = Vec::new();
         for (i, t) in self.tasks.iter().enumerate() {
             let of: Result<Vec<u32>, _> = t
@@ -109,7 +109,7 @@
     }
 
     /// Checks the steps: how many tasks, and what each depends on.
-    fn check_steps(&self) -> Result<(), SpecDefect> {
+    fn check_steps(&self) -> Result<(), SpecError> {
         self.tasks
             .is_empty()
             .then_some(())
@@ -164,7 +164,7 @@
     }
 
     /// Checks that no task waits for itself over others.
-    fn check_cycle(&self, waits: &[Vec<u32>]) -> Result<(), SpecDefect> {
+    fn check_cycle(&self, waits: &[Vec<u32>]) -> Result<(), SpecError> {
         let mut left: Vec<usize> = waits.iter().map(Vec::len).collect();
         let mut next: Vec<Vec<usize>> = vec![Vec::new(); waits.len()];
         for (i, of) in waits.iter().enumerate() {
@@ -183,14 +183,14 @@
         }
         (seen == waits.len())
             .then_some(())
-            .ok_or_else(|| SpecDefect {
+            .ok_or_else(|| SpecError {
                 path: "tasks".into(),
                 remedy: "the steps depend on each other in a circle: remove one dependsOn".into(),
             })
     }
 
     /// Checks that no member of a gang waits for another.
-    fn check_gangs(&self, waits: &[Vec<u32>]) -> Result<(), SpecDefect> {
+    fn check_gangs(&self, waits: &[Vec<u32>]) -> Result<(), SpecError> {
         // Members start together, so none may wait, directly or not, for another of its gang.
         for (i, t) in self
             .tasks
@@ -201,7 +201,7 @@
             let mut todo = waits[i].clone();
             let mut seen = vec![false; waits.len()];
             while let Some(d) = todo.pop().map(|d| d as usize) {
-                (self.tasks[d].gang != t.gang).then_some(()).ok_or_else(|| SpecDefect {
+                (self.tasks[d].gang != t.gang).then_some(()).ok_or_else(|| SpecError {
                     path: format!("tasks[{i}].dependsOn"),
                     remedy: format!("a member of gang '{}' can't wait for another member: remove the dependsOn or the gang", t.gang),
                 })?;
@@ -214,7 +214,7 @@
     }
 
     /// Checks that the desired state lets the job run at all.
-    pub fn satisfiable(&self, desired: &crate::desired::Desired) -> Result<(), SpecDefect> {
+    pub fn satisfiable(&self, desired: &crate::desired::ClusterConfig) -> Result<(), SpecError> {
         desired.queues.get(&self.queue).map(|_| ()).ok_or_else(|| {
             defect(
                 "queue".into(),
--- a/landingdrift/src/record/job/ledger.rs
+++ b/landingdrift/src/record/job/ledger.rs
@@ -1,6 +1,6 @@
 //! Accepted jobs: their tasks, each with its ledger of sends.
 
-use super::{JobSpec, JobState, SendState, StepSpec, TaskSpec, TaskState};
+use super::{AttemptState, JobSpec, JobState, StepSpec, TaskSpec, TaskState};
 use serde::{Deserialize, Serialize};
 
 /// One send of a task to a worker.
@@ -12,7 +12,7 @@
     pub run: u32,
     pub worker: String,
     pub incarnation: u64,
-    pub state: SendState,
+    pub state: AttemptState,
     /// The worker is to stop it.
     pub stop: bool,
     /// A spare copy of a running one.
--- a/landingdrift/src/record/job/mod.rs
+++ b/landingdrift/src/record/job/mod.rs
@@ -6,8 +6,8 @@
 mod spec;
 mod state;
 
-pub use check::{SpecDefect, STEP_TASKS_MOST, TASKS_MOST};
+pub use check::{SpecError, STEP_TASKS_MOST, TASKS_MOST};
 pub use ledger::{Job, Send, Task};
-pub use room::Room;
+pub use room::Resources;
 pub use spec::{JobSpec, StepSpec, TaskSpec};
-pub use state::{JobState, SendState, TaskState};
+pub use state::{AttemptState, JobState, TaskState};
--- a/landingdrift/src/record/job/room.rs
+++ b/landingdrift/src/record/job/room.rs
@@ -4,13 +4,13 @@
 
 /// Room of a worker, or what a task needs of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     pub cpu: u32,
     pub memory: u32,
     pub accelerators: u32,
 }
 
-impl Room {
+impl Resources {
     /// Whether `other` fits into it.
     pub fn holds(self, other: Self) -> bool {
         other.cpu <= self.cpu
--- a/landingdrift/src/record/job/spec.rs
+++ b/landingdrift/src/record/job/spec.rs
@@ -1,6 +1,6 @@
 //! Jobs as clients hand them in.
 
-use super::Room;
+use super::Resources;
 use serde::{Deserialize, Serialize};
 
 /// A job as a client hands it in: single tasks, or steps of alike ones.
@@ -92,8 +92,8 @@
 
 impl TaskSpec {
     /// The room it needs.
-    pub fn needs(&self) -> Room {
-        Room {
+    pub fn needs(&self) -> Resources {
+        Resources {
             cpu: self.room,
             memory: self.memory,
             accelerators: self.accelerators,
--- a/landingdrift/src/record/job/state.rs
+++ b/landingdrift/src/record/job/state.rs
@@ -36,7 +36,7 @@
 /// What has become of a send.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum SendState {
+pub enum AttemptState {
     /// In the record; the worker has not said that it started.
     #[default]
     Ordered,
@@ -53,7 +53,7 @@
     Lapsed,
 }
 
-impl SendState {
+impl AttemptState {
     /// Whether the send may be running.
     pub fn live(self) -> bool {
         matches!(self, Self::Ordered | Self::Running | Self::Unsure)
--- a/landingdrift/src/record/mod.rs
+++ b/landingdrift/src/record/mod.rs
@@ -1,6 +1,6 @@
 //! The record: the one replicated state, and the rules that every entry is checked against.
 //!
-//! Admission proposes, the record disposes: [`Record::apply`] is the only place
+//! Admission proposes, the record disposes: [`ClusterState::apply`] is the only place
 //! where anything changes, and it is the same code on cores and nodes.
 
 pub mod command;
@@ -11,17 +11,19 @@
 
 mod apply;
 
-pub use apply::{pack_ruling, unpack_ruling, Ruling};
-pub use command::{Change, Command, EndReport, Outcome, Placement, Refusal, RunName, WorkerFacts};
-pub use job::{Job, JobSpec, JobState, Room, Send, SendState, StepSpec, Task, TaskSpec, TaskState};
+pub use apply::{pack_apply_result, unpack_apply_result, ApplyResult};
+pub use command::{Change, Command, EndReport, Outcome, Placement, Rejection, RunName, WorkerInfo};
+pub use job::{
+    AttemptState, Job, JobSpec, JobState, Resources, Send, StepSpec, Task, TaskSpec, TaskState,
+};
 pub use order::{Order, ProposalId};
 
-use crate::desired::Desired;
+use crate::desired::ClusterConfig;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Version of the record's format; another one is refused.
-pub const RECORD_VERSION: u16 = 3;
+pub const STATE_VERSION: u16 = 3;
 
 /// How long, by the agreed clock, a change of configuration is known by its identity; the newest one always is.
 pub const CHANGES_KEPT_MS: u64 = 86_400_000;
@@ -32,7 +34,7 @@
 /// A worker as the record knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    pub facts: WorkerFacts,
+    pub facts: WorkerInfo,
     /// Its beats are missing.
     pub lost: bool,
     /// Good ends needed before it is trusted again; 0 when trusted.
@@ -41,14 +43,14 @@
     pub ends: VecDeque<bool>,
     pub since: u64,
     /// Room taken by sends that may be running.
-    pub used: Room,
+    pub used: Resources,
     /// Sends that may be running.
     pub sends: BTreeSet<u64>,
 }
 
 /// A duty given to one node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct Lease {
     pub holder: String,
     pub epoch: u64,
 }
@@ -63,7 +65,7 @@
 
 /// A replica of the log as the cluster state lists it. Its identity is its address together with its disk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct CoreMember {
+pub struct ReplicaMember {
     pub voter: bool,
     /// Drawn when the data folder was made; 0 only before the first members are agreed on.
     pub disk: u64,
@@ -75,7 +77,7 @@
 
 /// What is left of a job after it was retained for its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tomb {
+pub struct Tombstone {
     pub hash: u64,
     pub state: JobState,
     pub until: u64,
@@ -83,7 +85,7 @@
 
 /// What a queue has lived through.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct QueueTally {
+pub struct QueueStats {
     /// How long good runs took, the latest last.
     pub durations: VecDeque<u32>,
     /// The shape of their tail, and their median; worked out anew when some have come.
@@ -104,7 +106,7 @@
 
 /// The whole state that the cores agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ClusterState {
     pub format: u16,
     pub cluster: String,
     /// The index of the last entry applied.
@@ -112,13 +114,14 @@
     /// The agreed clock, in milliseconds since 1970; it never goes back.
     pub at: u64,
     pub version: u64,
-    pub desired: Desired,
+    pub desired: ClusterConfig,
     /// The changes of configuration that are known by their identity, the newest last.
     pub changes: VecDeque<Change>,
     /// The answers to orders whose deadline has not passed, by deadline and proposal, as they go over the wire.
     pub orders: BTreeMap<(u64, ProposalId), Vec<u8>>,
     pub jobs: BTreeMap<String, Job>,
-    pub tombs: BTreeMap<String, Tomb>,
+    #[serde(rename = "tombs")]
+    pub tombstones: BTreeMap<String, Tombstone>,
     /// Jobs and tombs to drop, by time.
     pub expiry: BTreeSet<(u64, String)>,
     /// Ids turned away: at which place, and when.
@@ -126,14 +129,15 @@
     /// Unfinished jobs.
     pub open: BTreeSet<String>,
     pub workers: BTreeMap<String, Worker>,
-    pub grants: BTreeMap<String, Grant>,
+    #[serde(rename = "grants")]
+    pub leases: BTreeMap<String, Lease>,
     /// Zones that are being emptied, whatever the configuration says.
     pub emptied: BTreeSet<String>,
     /// Queues that were removed while they held unfinished jobs, until those end.
     pub retired: BTreeMap<String, crate::desired::Queue>,
     pub nodes: BTreeMap<String, NodeMember>,
-    pub cores: BTreeMap<String, CoreMember>,
-    pub queues: BTreeMap<String, QueueTally>,
+    pub cores: BTreeMap<String, ReplicaMember>,
+    pub queues: BTreeMap<String, QueueStats>,
     /// The sends that may be running, by number.
     pub live: BTreeMap<u64, (String, u32)>,
     pub next_send: u64,
@@ -150,11 +154,11 @@
     format!("queue/{queue}")
 }
 
-impl Record {
+impl ClusterState {
     /// An empty record.
     pub fn new(cluster: &str) -> Self {
         Self {
-            format: RECORD_VERSION,
+            format: STATE_VERSION,
             cluster: cluster.into(),
             next_send: 1,
             next_epoch: 1,
@@ -178,7 +182,7 @@
             desired: self.desired.clone(),
             changes: self.changes.clone(),
             orders: self.orders.clone(),
-            grants: self.grants.clone(),
+            leases: self.leases.clone(),
             emptied: self.emptied.clone(),
             nodes: self.nodes.clone(),
             cores: self.cores.clone(),
@@ -192,10 +196,10 @@
     pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
         // The format stands first, so that another one is told apart before the rest is read.
         let other = |f: u16| {
-            format!("the capture has format {f}, this build reads {RECORD_VERSION}: run the build that wrote it")
+            format!("the capture has format {f}, this build reads {STATE_VERSION}: run the build that wrote it")
         };
         let format = postcard::take_from_bytes::<u16>(bytes).map_or(0, |(f, _)| f);
-        (format == RECORD_VERSION)
+        (format == STATE_VERSION)
             .then_some(())
             .ok_or_else(|| other(format))?;
         pack::unpack(bytes).map_err(|e| {
@@ -227,8 +231,8 @@
     }
 
     /// The holder of a duty.
-    pub fn holder(&self, duty: &str) -> Option<&Grant> {
-        self.grants.get(duty)
+    pub fn holder(&self, duty: &str) -> Option<&Lease> {
+        self.leases.get(duty)
     }
 
     /// A task by its job and number.
--- a/landingdrift/src/relay/mod.rs
+++ b/landingdrift/src/relay/mod.rs
@@ -4,10 +4,10 @@
 
 pub use repeat::may_repeat;
 
-use crate::kernel::{Draw, Effect, Msg, Now, Part, Request, Verdict};
+use crate::kernel::{Effect, Msg, Now, Part, Request, Response, Rng};
 use crate::settings::Settings;
-use crate::views::Views;
-use crate::wire::{Body, Forward, Forwarded, RequestToken};
+use crate::views::PeerSampler;
+use crate::wire::{Body, ForwardRequest, ForwardResponse, RequestToken};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -64,10 +64,10 @@
 }
 
 /// A relay.
-pub struct Relay {
-    cfg: Settings,
-    draw: Draw,
-    views: Views,
+pub struct WorkerProxy {
+    settings: Settings,
+    rng: Rng,
+    views: PeerSampler,
     /// The node that answered last for the cell.
     holder: String,
     open: BTreeMap<u64, Open>,
@@ -79,21 +79,21 @@
     out: Vec<Effect>,
 }
 
-impl Relay {
+impl WorkerProxy {
     /// A relay that knows the seeds.
-    pub fn new(cfg: Settings, seed: u64) -> Self {
-        let mut draw = Draw::new(seed);
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let mut rng = Rng::new(seed);
         Self {
-            views: Views::new(&cfg.listen, "relay", &cfg.zone, &cfg.seeds),
-            next: draw.number() >> 16,
-            incarnation: draw.number(),
-            draw,
+            views: PeerSampler::new(&settings.listen, "relay", &settings.zone, &settings.seeds),
+            next: rng.number() >> 16,
+            incarnation: rng.number(),
+            rng,
             holder: String::new(),
             open: BTreeMap::new(),
             stopping: false,
             counters: BTreeMap::new(),
             out: Vec::new(),
-            cfg,
+            settings,
         }
     }
 
@@ -109,10 +109,10 @@
         }
         let known: Vec<String> = self.views.of_role("node");
         let nodes: Vec<String> = known.iter().filter(fresh).cloned().collect();
-        let seeds: Vec<String> = self.cfg.seeds.iter().filter(fresh).cloned().collect();
+        let seeds: Vec<String> = self.settings.seeds.iter().filter(fresh).cloned().collect();
         let all = if nodes.is_empty() { seeds } else { nodes };
-        let any = self.draw.pick(&all).cloned();
-        any.or_else(|| self.draw.pick(&self.cfg.seeds.clone()).cloned())
+        let any = self.rng.pick(&all).cloned();
+        any.or_else(|| self.rng.pick(&self.settings.seeds.clone()).cloned())
             .unwrap_or_default()
     }
 
@@ -127,12 +127,12 @@
             refused: false,
         });
         let pause = if o.is_of_worker() {
-            self.cfg.bounds.obey() / 5
+            self.settings.bounds.obey() / 5
         } else {
-            self.cfg.bounds.call() / 3
+            self.settings.bounds.call() / 3
         };
         o.again = o.repeatable().then(|| now.mono + pause);
-        let m = Forward {
+        let m = ForwardRequest {
             token: RequestToken {
                 incarnation: self.incarnation,
                 number: token,
@@ -145,13 +145,14 @@
         };
         self.open.insert(token, o);
         self.count("passed");
-        self.out.push(Effect::Send(to, Body::Forward(Box::new(m))));
+        self.out
+            .push(Effect::Send(to, Body::ForwardRequest(Box::new(m))));
     }
 
     fn on_tick(&mut self, now: Now) {
         // It asks for a part of a neighbour's view and gives none: workers' machines are not those to be known.
-        let every = 10 * self.cfg.bounds.shuffle();
-        if let Some((to, mut m)) = self.views.tick(now, every, &mut self.draw) {
+        let every = 10 * self.settings.bounds.shuffle();
+        if let Some((to, mut m)) = self.views.tick(now, every, &mut self.rng) {
             m.view.clear();
             m.cores.clear();
             self.out.push(Effect::Send(to, Body::Shuffle(Box::new(m))));
@@ -186,9 +187,9 @@
             return;
         };
         self.count("given_up");
-        let beat = self.cfg.bounds.beat();
+        let beat = self.settings.bounds.beat();
         let v = if o.is_beat() && o.req.query != LEAVING {
-            Verdict::new(
+            Response::new(
                 200,
                 json!({"starts": [], "stops": [], "settled": [], "beatMs": beat}),
             )
@@ -196,7 +197,7 @@
             unsure(beat)
         } else {
             let why = "no node answered for the cell: call again";
-            Verdict::error(503, "noCell", why).retry(beat)
+            Response::error(503, "noCell", why).retry(beat)
         };
         self.out.push(Effect::Answer(o.call, v));
     }
@@ -204,7 +205,7 @@
     fn on_call(&mut self, now: Now, call: u64, req: Request) {
         match (req.method.as_str(), req.path.as_str()) {
             ("GET", "/live" | "/ready") => {
-                let v = Verdict::new(200, json!({"ready": true}));
+                let v = Response::new(200, json!({"ready": true}));
                 self.out.push(Effect::Answer(call, v));
             }
             ("GET", "/metrics") => {
@@ -217,13 +218,13 @@
                 let mut o = Open {
                     call,
                     req,
-                    until: now.mono + self.cfg.bounds.call(),
+                    until: now.mono + self.settings.bounds.call(),
                     again: None,
                     asked: Vec::new(),
                 };
                 if o.is_of_worker() {
                     // An answer that takes longer is not obeyed.
-                    o.until = now.mono + self.cfg.bounds.obey() * 4 / 5;
+                    o.until = now.mono + self.settings.bounds.obey() * 4 / 5;
                 }
                 self.open.insert(token, o);
                 self.pass(now, token);
@@ -232,9 +233,9 @@
     }
 }
 
-impl Relay {
+impl WorkerProxy {
     /// Takes an answer from the node that was asked, for the call that it was asked for.
-    fn on_forwarded(&mut self, now: Now, from: &str, m: Forwarded) {
+    fn on_forwarded(&mut self, now: Now, from: &str, m: ForwardResponse) {
         let token = m.token.number;
         let send = self
             .open
@@ -259,13 +260,13 @@
             self.holder = if m.by.is_empty() { from.into() } else { m.by };
         }
         let v = if (400..500).contains(&m.status) && o.maybe_taken_elsewhere(m.token.attempt) {
-            unsure(self.cfg.bounds.beat())
+            unsure(self.settings.bounds.beat())
         } else {
-            Verdict {
+            Response {
                 status: m.status,
                 retry_ms: m.retry_ms,
                 body,
-                ..Verdict::default()
+                ..Response::default()
             }
         };
         self.out.push(Effect::Answer(o.call, v));
@@ -281,30 +282,30 @@
         if named && !o.was_asked(&self.holder) {
             return self.pass(now, token);
         }
-        let soon = now.mono + self.cfg.bounds.tick();
+        let soon = now.mono + self.settings.bounds.tick();
         let at = o.again.map_or(soon, |again| again.min(soon));
         o.again = Some(at.max(now.mono + 1));
     }
 }
 
 /// A node may have taken a call and gave no answer.
-fn unsure(retry_ms: u64) -> Verdict {
+fn unsure(retry_ms: u64) -> Response {
     let why = "it is not known whether this was taken: look, then call again";
-    Verdict::error(503, "unsure", why).retry(retry_ms)
+    Response::error(503, "unsure", why).retry(retry_ms)
 }
 
-impl Part for Relay {
+impl Part for WorkerProxy {
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
             Msg::Call(call, req) => self.on_call(now, call, req),
             Msg::Wire(_, Body::Shuffle(m)) => {
-                let _ = self.views.take(*m, &mut self.draw);
+                let _ = self.views.take(*m, &mut self.rng);
             }
-            Msg::Wire(from, Body::Forwarded(m)) => self.on_forwarded(now, &from, *m),
-            Msg::Changed(new) => self.cfg = *new,
+            Msg::Wire(from, Body::ForwardResponse(m)) => self.on_forwarded(now, &from, *m),
+            Msg::SettingsChanged(new) => self.settings = *new,
             Msg::Stop => self.stopping = true,
-            Msg::Wire(..) | Msg::Saved(_) | Msg::DiskDefect(_) => {}
+            Msg::Wire(..) | Msg::Persisted(_) | Msg::DiskFailed(_) => {}
         }
         std::mem::take(&mut self.out)
     }
--- a/landingdrift/src/replay/day.rs
+++ b/landingdrift/src/replay/day.rs
@@ -1,5 +1,5 @@
-use crate::disk::{read_whole, DiskDefect};
-use crate::record::{pack_ruling, Command, Record};
+use crate::disk::{read_whole, StorageError};
+use crate::record::{pack_apply_result, ClusterState, Command};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::fmt;
@@ -10,7 +10,7 @@
 
 /// What is wrong with a recording.
 #[derive(Debug)]
-pub enum DayDefect {
+pub enum RecordingError {
     Read {
         file: String,
         why: String,
@@ -28,12 +28,12 @@
     Truncated {
         lines: usize,
     },
-    Disk(DiskDefect),
+    Disk(StorageError),
     /// The folder's log no longer reaches back to a state that can be read.
     Damaged,
 }
 
-impl fmt::Display for DayDefect {
+impl fmt::Display for RecordingError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Read { file, why } => write!(f, "'{file}' can't be read ({why}): name a recording made with 'landingdrift replay record'"),
@@ -59,26 +59,32 @@
 /// A recorded day: the record at its beginning, and every entry since.
 #[derive(Clone, Debug)]
 pub struct Day {
-    pub start: Record,
+    pub start: ClusterState,
     pub lines: Vec<Line>,
 }
 
 impl Day {
     /// Records what the data folder of a stopped core holds.
-    pub fn record(folder: &Path) -> Result<Self, DayDefect> {
-        let (cluster, loaded) = read_whole(folder).map_err(DayDefect::Disk)?;
-        (!loaded.damaged).then_some(()).ok_or(DayDefect::Damaged)?;
+    pub fn record(folder: &Path) -> Result<Self, RecordingError> {
+        let (cluster, loaded) = read_whole(folder).map_err(RecordingError::Disk)?;
+        (!loaded.damaged)
+            .then_some(())
+            .ok_or(RecordingError::Damaged)?;
         let start = loaded
-            .capture
-            .map_or_else(|| Ok(Record::new(&cluster)), |c| Record::unpack(&c.bytes))
-            .map_err(|_| DayDefect::Damaged)?;
+            .snapshot
+            .map_or_else(
+                || Ok(ClusterState::new(&cluster)),
+                |c| ClusterState::unpack(&c.bytes),
+            )
+            .map_err(|_| RecordingError::Damaged)?;
         let mut r = start.clone();
         let mut lines = Vec::new();
         for e in loaded.entries {
-            let entry: Command = Command::unpack(&e.command).map_err(|why| DayDefect::Line {
-                line: e.index as usize,
-                why,
-            })?;
+            let entry: Command =
+                Command::unpack(&e.command).map_err(|why| RecordingError::Line {
+                    line: e.index as usize,
+                    why,
+                })?;
             let ruled = ruled(&mut r, e.index, e.at, &entry);
             lines.push(Line {
                 place: e.index,
@@ -102,8 +108,8 @@
     }
 
     /// Reads a recording.
-    pub fn read(file: &str) -> Result<Self, DayDefect> {
-        let text = std::fs::read_to_string(file).map_err(|e| DayDefect::Read {
+    pub fn read(file: &str) -> Result<Self, RecordingError> {
+        let text = std::fs::read_to_string(file).map_err(|e| RecordingError::Read {
             file: file.into(),
             why: e.to_string(),
         })?;
@@ -111,38 +117,38 @@
         let head: Value = of
             .next()
             .and_then(|(_, l)| serde_json::from_str(l).ok())
-            .ok_or_else(|| DayDefect::Foreign { file: file.into() })?;
+            .ok_or_else(|| RecordingError::Foreign { file: file.into() })?;
         let version = head["landingdriftDay"]
             .as_u64()
-            .ok_or_else(|| DayDefect::Foreign { file: file.into() })?;
+            .ok_or_else(|| RecordingError::Foreign { file: file.into() })?;
         (version == u64::from(DAY_VERSION))
             .then_some(())
-            .ok_or(DayDefect::Version { found: version })?;
-        let start: Record =
-            serde_json::from_value(head["start"].clone()).map_err(|e| DayDefect::Line {
+            .ok_or(RecordingError::Version { found: version })?;
+        let start: ClusterState =
+            serde_json::from_value(head["start"].clone()).map_err(|e| RecordingError::Line {
                 line: 1,
                 why: e.to_string(),
             })?;
         let mut lines: Vec<Line> = Vec::new();
         for (i, l) in of {
-            let v: Value = serde_json::from_str(l).map_err(|e| DayDefect::Line {
+            let v: Value = serde_json::from_str(l).map_err(|e| RecordingError::Line {
                 line: i + 1,
                 why: e.to_string(),
             })?;
             if let Some(n) = v.get("end") {
                 return (n.as_u64() == Some(lines.len() as u64))
                     .then_some(Self { start, lines })
-                    .ok_or(DayDefect::Line {
+                    .ok_or(RecordingError::Line {
                         line: i + 1,
                         why: "entries are missing".into(),
                     });
             }
-            lines.push(serde_json::from_value(v).map_err(|e| DayDefect::Line {
+            lines.push(serde_json::from_value(v).map_err(|e| RecordingError::Line {
                 line: i + 1,
                 why: e.to_string(),
             })?);
         }
-        Err(DayDefect::Truncated {
+        Err(RecordingError::Truncated {
             lines: lines.len() + 1,
         })
     }
@@ -160,7 +166,7 @@
     }
 
     /// The record at the end of the day.
-    pub fn end(&self) -> Record {
+    pub fn end(&self) -> ClusterState {
         let mut r = self.start.clone();
         self.lines.iter().for_each(|l| {
             let _ = r.apply(l.place, l.at, &l.entry);
@@ -169,6 +175,6 @@
     }
 }
 
-fn ruled(r: &mut Record, place: u64, at: u64, entry: &Command) -> Value {
-    serde_json::from_slice(&pack_ruling(&r.apply(place, at, entry))).unwrap_or_default()
+fn ruled(r: &mut ClusterState, place: u64, at: u64, entry: &Command) -> Value {
+    serde_json::from_slice(&pack_apply_result(&r.apply(place, at, entry))).unwrap_or_default()
 }
--- a/landingdrift/src/replay/mod.rs
+++ b/landingdrift/src/replay/mod.rs
@@ -4,5 +4,5 @@
 mod day;
 mod rerun;
 
-pub use day::{Day, DayDefect, Line};
+pub use day::{Day, Line, RecordingError};
 pub use rerun::{rerun, Story};
--- a/landingdrift/src/replay/rerun.rs
+++ b/landingdrift/src/replay/rerun.rs
@@ -1,14 +1,15 @@
 //! A day in virtual time: the jobs, cancels, changes and workers as recorded, decided anew.
 
 use super::Day;
-use crate::desired::Desired;
-use crate::kernel::{Effect, Msg, Now, Part, Request, Verdict};
-use crate::node::{Beat, Node, Running};
+use crate::desired::ClusterConfig;
+use crate::kernel::{Effect, Msg, Now, Part, Request, Response};
+use crate::node::{Heartbeat, Node, Running};
 use crate::record::{
-    pack_ruling, Command, EndReport, Job, JobState, Outcome, Record, SendState, WorkerFacts,
+    pack_apply_result, AttemptState, ClusterState, Command, EndReport, Job, JobState, Outcome,
+    WorkerInfo,
 };
 use crate::settings::Settings;
-use crate::wire::{Body, Entry, FeedBatch, Proposed, ReadPlace};
+use crate::wire::{Body, Entry, ProposeResponse, ReadIndexResponse, WatchBatch};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -34,7 +35,7 @@
 
 impl Story {
     /// The story that a record tells.
-    pub fn of(r: &Record) -> Self {
+    pub fn of(r: &ClusterState) -> Self {
         let mut s = Self {
             kept: r.queues.values().map(|q| q.kept).sum(),
             missed: r.queues.values().map(|q| q.missed).sum(),
@@ -50,7 +51,7 @@
             for (i, t) in j.tasks.iter().enumerate() {
                 t.sends
                     .iter()
-                    .find(|x| x.state == SendState::Well)
+                    .find(|x| x.state == AttemptState::Well)
                     .into_iter()
                     .for_each(|x| {
                         s.placed
@@ -65,14 +66,14 @@
 /// What a recorded task's runs were: how each ended, after how long.
 type Runs = BTreeMap<(String, u32), Vec<(Outcome, u64)>>;
 
-fn runs(end: &Record) -> Runs {
+fn runs(end: &ClusterState) -> Runs {
     let one = |j: &Job, i: usize| {
         j.tasks[i]
             .sends
             .iter()
             .filter_map(|s| match s.state {
-                SendState::Well => Some((Outcome::Well, s.ran_ms)),
-                SendState::Defect => Some((
+                AttemptState::Well => Some((Outcome::Well, s.ran_ms)),
+                AttemptState::Defect => Some((
                     Outcome::Defect,
                     s.ran_ms.max(s.ended.saturating_sub(s.ordered)),
                 )),
@@ -87,7 +88,7 @@
 }
 
 struct Hand {
-    facts: WorkerFacts,
+    facts: WorkerInfo,
     running: BTreeMap<u64, (u64, u64, Outcome)>,
     ended: Vec<EndReport>,
     over: BTreeSet<u64>,
@@ -96,7 +97,7 @@
 }
 
 struct Stage {
-    core: Record,
+    core: ClusterState,
     log: VecDeque<Entry>,
     node: Node,
     t: u64,
@@ -109,7 +110,7 @@
 }
 
 /// Decides a day anew, under another configuration or other settings where they are given.
-pub fn rerun(day: &Day, desired: Option<&Desired>, settings: &Settings) -> Story {
+pub fn rerun(day: &Day, desired: Option<&ClusterConfig>, settings: &Settings) -> Story {
     let runs = runs(&day.end());
     // The first entries of a new cluster come before its clock is set.
     let at0 = day
@@ -118,7 +119,7 @@
         .map(|l| l.at)
         .find(|at| *at > 0)
         .unwrap_or(0);
-    let cfg = Settings {
+    let settings = Settings {
         listen: NODE.into(),
         http: NODE.into(),
         zone: "replay".into(),
@@ -130,7 +131,7 @@
     let mut s = Stage {
         core: day.start.clone(),
         log: VecDeque::new(),
-        node: Node::new(cfg, now, 1),
+        node: Node::new(settings, now, 1),
         t: 0,
         at0,
         hands: BTreeMap::new(),
@@ -177,7 +178,7 @@
                 _ => {}
             }
         }
-        s.grants();
+        s.leases();
         s.feed();
         s.step(Msg::Tick);
         s.work();
@@ -198,17 +199,17 @@
 
     fn enter(&mut self, c: &Command) -> (u64, Vec<u8>) {
         let (index, at) = (self.core.place + 1, self.at0 + self.t);
-        let ruling = self.core.apply(index, at, c);
+        let result = self.core.apply(index, at, c);
         self.log.push_back(Entry {
             index,
             term: 1,
             at,
             command: serde_json::to_vec(c).unwrap_or_default(),
         });
-        (index, pack_ruling(&ruling))
+        (index, pack_apply_result(&result))
     }
 
-    fn configure(&mut self, d: &Desired) {
+    fn configure(&mut self, d: &ClusterConfig) {
         let (base, value) = (
             self.core.version,
             serde_json::to_value(d).unwrap_or_default(),
@@ -222,7 +223,7 @@
         });
     }
 
-    fn hand(&mut self, facts: &WorkerFacts) {
+    fn hand(&mut self, facts: &WorkerInfo) {
         let h = self
             .hands
             .entry(facts.worker.clone())
@@ -241,7 +242,7 @@
         h.silent = false;
     }
 
-    fn grants(&mut self) {
+    fn leases(&mut self) {
         let zones: BTreeSet<String> = self
             .hands
             .values()
@@ -257,7 +258,7 @@
         for duty in zones.into_iter().chain(queues) {
             let current = self.core.holder(&duty).map(|g| (g.holder.clone(), g.epoch));
             if current.as_ref().is_none_or(|(h, _)| h != NODE) {
-                self.enter(&Command::Grant {
+                self.enter(&Command::Lease {
                     duty,
                     holder: NODE.into(),
                     from_epoch: current.map_or(0, |(_, e)| e),
@@ -279,7 +280,7 @@
 
     fn feed(&mut self) {
         let behind = self.node.record().place == 0 && self.core.place > self.log.len() as u64;
-        let (capture, capture_index) = if behind {
+        let (snapshot, snapshot_index) = if behind {
             (self.core.pack(), self.core.place)
         } else {
             (Vec::new(), 0)
@@ -290,7 +291,7 @@
             self.log.iter().cloned().collect()
         };
         self.log.clear();
-        let batch = FeedBatch {
+        let batch = WatchBatch {
             core: CORE.into(),
             leader: CORE.into(),
             ok: true,
@@ -298,43 +299,49 @@
             quorum_age: 0,
             clock: self.at0 + self.t,
             commit: self.core.place,
-            capture,
-            capture_index,
+            snapshot,
+            snapshot_index,
             entries,
             light: false,
             reached: self.core.place,
             cores: vec![CORE.into()],
         };
-        self.step(Msg::Wire(CORE.into(), Body::FeedBatch(Box::new(batch))));
+        self.step(Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(batch))));
     }
 
     fn step(&mut self, msg: Msg) {
         let now = self.now();
         for e in self.node.step(now, msg) {
             match e {
-                Effect::Send(_, Body::Propose(p)) => {
+                Effect::Send(_, Body::ProposeRequest(p)) => {
                     let Ok(c) = Command::unpack(&p.command) else {
                         continue;
                     };
-                    let (place, verdict) = self.enter(&c);
-                    let back = Proposed {
+                    let (place, response) = self.enter(&c);
+                    let back = ProposeResponse {
                         token: p.token,
                         outcome: 0,
                         place,
                         leader: CORE.into(),
-                        verdict,
+                        response,
                     };
-                    self.step(Msg::Wire(CORE.into(), Body::Proposed(Box::new(back))));
+                    self.step(Msg::Wire(
+                        CORE.into(),
+                        Body::ProposeResponse(Box::new(back)),
+                    ));
                 }
-                Effect::Send(_, Body::ReadAsk(r)) => {
-                    let back = ReadPlace {
+                Effect::Send(_, Body::ReadIndexRequest(r)) => {
+                    let back = ReadIndexResponse {
                         token: r.token,
                         ok: true,
                         place: self.core.place,
                         leader: CORE.into(),
                         nodes: Vec::new(),
                     };
-                    self.step(Msg::Wire(CORE.into(), Body::ReadPlace(Box::new(back))));
+                    self.step(Msg::Wire(
+                        CORE.into(),
+                        Body::ReadIndexResponse(Box::new(back)),
+                    ));
                 }
                 Effect::Answer(call, v) => {
                     if let Some(w) = self.calls.remove(&call) {
@@ -388,11 +395,11 @@
                     ..Running::default()
                 })
                 .collect();
-            let beat = Beat {
+            let beat = Heartbeat {
                 facts: h.facts.clone(),
                 running,
                 ended: h.ended.clone(),
-                ..Beat::default()
+                ..Heartbeat::default()
             };
             let body = serde_json::to_vec(&beat).unwrap_or_default();
             self.next_call += 1;
@@ -410,7 +417,7 @@
         }
     }
 
-    fn told(&mut self, worker: &str, v: &Verdict) {
+    fn told(&mut self, worker: &str, v: &Response) {
         let t = self.t;
         let numbers = |key: &str| -> Vec<u64> {
             v.body[key]
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -2,7 +2,7 @@
 
 mod read;
 
-pub use read::{from_words, SettingsDefect, FLAGS};
+pub use read::{from_words, SettingsError, FLAGS};
 
 use serde::{Deserialize, Serialize};
 
@@ -169,7 +169,8 @@
     /// How long a finished job's identity is kept after that.
     pub identity_ms: u64,
     /// Entries between two captures.
-    pub capture_every: u64,
+    #[serde(rename = "capture_every")]
+    pub snapshot_every: u64,
     /// Bytes of entries that a core keeps in memory; a snapshot is taken after half of it.
     pub log_bytes: u64,
     /// Size at which a log segment is closed.
@@ -185,7 +186,7 @@
             calls: 2000,
             retain_ms: 600_000,
             identity_ms: 86_400_000,
-            capture_every: 5000,
+            snapshot_every: 5000,
             log_bytes: 32 << 20,
             segment_bytes: 8 << 20,
         }
--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -24,7 +24,7 @@
 
 /// What is wrong with the settings.
 #[derive(Debug, Clone, PartialEq)]
-pub enum SettingsDefect {
+pub enum SettingsError {
     /// The command line can't be read.
     Flag(String),
     /// The file can't be opened.
@@ -38,7 +38,7 @@
     },
 }
 
-impl fmt::Display for SettingsDefect {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Flag(why) => write!(f, "{why}: see --help for the flags"),
@@ -57,8 +57,8 @@
 }
 
 /// Reads the words after a role's name; flags win over the file.
-pub fn from_words(words: Vec<OsString>, core: bool) -> Result<Asked, SettingsDefect> {
-    let flag = |e: lexopt::Error| SettingsDefect::Flag(e.to_string());
+pub fn from_words(words: Vec<OsString>, core: bool) -> Result<Asked, SettingsError> {
+    let flag = |e: lexopt::Error| SettingsError::Flag(e.to_string());
     let mut p = lexopt::Parser::from_args(words);
     let (mut check_only, mut help, mut given) = (false, false, Vec::<(String, String)>::new());
     while let Some(arg) = p.next().map_err(flag)? {
@@ -69,7 +69,7 @@
                 let name = name.to_string();
                 let value =
                     p.value().map_err(flag)?.into_string().map_err(|_| {
-                        SettingsDefect::Flag(format!("--{name} takes text in UTF-8"))
+                        SettingsError::Flag(format!("--{name} takes text in UTF-8"))
                     })?;
                 given.push((name, value));
             }
@@ -82,12 +82,12 @@
         .find(|(n, _)| n == "settings")
         .map(|(_, file)| {
             std::fs::read_to_string(file)
-                .map_err(|e| SettingsDefect::File {
+                .map_err(|e| SettingsError::File {
                     file: file.clone(),
                     why: e.to_string(),
                 })
                 .and_then(|text| {
-                    toml::from_str::<Settings>(&text).map_err(|e| SettingsDefect::Text {
+                    toml::from_str::<Settings>(&text).map_err(|e| SettingsError::Text {
                         file: file.clone(),
                         why: e.to_string().trim().replace('\n', " "),
                     })
@@ -123,9 +123,9 @@
     })
 }
 
-fn check(s: &Settings, core: bool) -> Result<(), SettingsDefect> {
+fn check(s: &Settings, core: bool) -> Result<(), SettingsError> {
     let ensure = |ok: bool, setting: &'static str, remedy: &str| {
-        ok.then_some(()).ok_or_else(|| SettingsDefect::Value {
+        ok.then_some(()).ok_or_else(|| SettingsError::Value {
             setting,
             remedy: remedy.into(),
         })
@@ -252,7 +252,7 @@
         "give at least 60000, longer than any client retries",
     )?;
     ensure(
-        l.capture_every >= 10,
+        l.snapshot_every >= 10,
         "limits.capture_every",
         "give at least 10",
     )?;
--- a/landingdrift/src/views/mod.rs
+++ b/landingdrift/src/views/mod.rs
@@ -1,6 +1,6 @@
 //! Partial views: every process knows a few others and shuffles them with its neighbours.
 
-use crate::kernel::{Draw, Now};
+use crate::kernel::{Now, Rng};
 use crate::wire::{PeerView, Shuffle};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 
 /// The part of the system that one process knows of.
 #[derive(Clone, Debug, Default)]
-pub struct Views {
+pub struct PeerSampler {
     me: String,
     role: String,
     zone: String,
@@ -20,7 +20,7 @@
     next: u64,
 }
 
-impl Views {
+impl PeerSampler {
     /// A view that starts from the seeds.
     pub fn new(me: &str, role: &str, zone: &str, seeds: &[String]) -> Self {
         Self {
@@ -53,7 +53,7 @@
         self.view.keys().cloned().collect()
     }
 
-    fn sample(&self, draw: &mut Draw) -> Vec<PeerView> {
+    fn sample(&self, rng: &mut Rng) -> Vec<PeerView> {
         let mut all: Vec<(&String, &(String, String, u32))> = self.view.iter().collect();
         let mut some = vec![PeerView {
             addr: self.me.clone(),
@@ -62,7 +62,7 @@
             age: 0,
         }];
         while some.len() <= VIEW / 2 && !all.is_empty() {
-            let (addr, (role, zone, age)) = all.swap_remove(draw.below(all.len() as u64) as usize);
+            let (addr, (role, zone, age)) = all.swap_remove(rng.below(all.len() as u64) as usize);
             some.push(PeerView {
                 addr: addr.clone(),
                 role: role.clone(),
@@ -73,7 +73,7 @@
         some
     }
 
-    fn merge(&mut self, got: Vec<PeerView>, draw: &mut Draw) {
+    fn merge(&mut self, got: Vec<PeerView>, rng: &mut Rng) {
         for p in got.into_iter().filter(|p| p.addr != self.me && p.age < 100) {
             let known = self
                 .view
@@ -92,18 +92,18 @@
                 .filter(|(_, v)| v.2 == oldest)
                 .map(|(k, _)| k.clone())
                 .collect();
-            draw.pick(&of).iter().for_each(|k| {
+            rng.pick(&of).iter().for_each(|k| {
                 self.view.remove(*k);
             });
         }
     }
 
     /// Whom to shuffle with now, if it is time.
-    pub fn tick(&mut self, now: Now, every: u64, draw: &mut Draw) -> Option<(String, Shuffle)> {
+    pub fn tick(&mut self, now: Now, every: u64, rng: &mut Rng) -> Option<(String, Shuffle)> {
         if now.mono < self.next {
             return None;
         }
-        self.next = now.mono + every + draw.below(every / 4 + 1);
+        self.next = now.mono + every + rng.below(every / 4 + 1);
         self.view.values_mut().for_each(|v| v.2 += 1);
         // The oldest leaves the view and comes back with its answer; a seed now and then keeps halves from parting.
         let oldest = self
@@ -111,15 +111,15 @@
             .iter()
             .max_by_key(|(_, v)| v.2)
             .map(|(k, _)| k.clone())
-            .filter(|_| draw.below(8) > 0);
+            .filter(|_| rng.below(8) > 0);
         let seeds: Vec<String> = self
             .seeds
             .iter()
             .filter(|s| **s != self.me)
             .cloned()
             .collect();
-        let to = oldest.or_else(|| draw.pick(&seeds).cloned())?;
-        let view = self.sample(draw);
+        let to = oldest.or_else(|| rng.pick(&seeds).cloned())?;
+        let view = self.sample(rng);
         self.view.remove(&to);
         Some((
             to,
@@ -132,17 +132,17 @@
     }
 
     /// Takes a neighbour's part; the answer to it where one is due.
-    pub fn take(&mut self, m: Shuffle, draw: &mut Draw) -> Option<Shuffle> {
+    pub fn take(&mut self, m: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
         let back = (!m.reply).then(|| Shuffle {
             reply: true,
-            view: self.sample(draw),
+            view: self.sample(rng),
             cores: self.cores.iter().cloned().collect(),
         });
         m.view.iter().filter(|p| p.role == "core").for_each(|p| {
             self.cores.insert(p.addr.clone());
         });
         self.cores.extend(m.cores);
-        self.merge(m.view, draw);
+        self.merge(m.view, rng);
         back
     }
 
--- a/landingdrift/src/wire/mod.rs
+++ b/landingdrift/src/wire/mod.rs
@@ -14,7 +14,7 @@
 
 /// Why a frame was refused.
 #[derive(Debug, Clone, PartialEq)]
-pub enum WireDefect {
+pub enum WireError {
     /// The bytes are no envelope.
     Malformed(String),
     /// The sender speaks another version.
@@ -23,7 +23,7 @@
     Cluster(String),
 }
 
-impl fmt::Display for WireDefect {
+impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Malformed(why) => write!(f, "not a frame of this system ({why}): point the sender at this process's HTTP address instead"),
@@ -53,22 +53,22 @@
 }
 
 /// Reads an envelope and checks its version and cluster.
-pub fn unpack(cluster: &str, bytes: &[u8]) -> Result<Envelope, WireDefect> {
+pub fn unpack(cluster: &str, bytes: &[u8]) -> Result<Envelope, WireError> {
     unpack_as(WIRE_VERSION, cluster, bytes)
 }
 
 /// The same, as a build that speaks another version would.
-pub fn unpack_as(version: u16, cluster: &str, bytes: &[u8]) -> Result<Envelope, WireDefect> {
+pub fn unpack_as(version: u16, cluster: &str, bytes: &[u8]) -> Result<Envelope, WireError> {
     let read = || -> planus::Result<Envelope> {
         let env: EnvelopeRef = planus::ReadAsRoot::read_as_root(bytes)?;
         env.try_into()
     };
-    let env = read().map_err(|e| WireDefect::Malformed(e.to_string()))?;
+    let env = read().map_err(|e| WireError::Malformed(e.to_string()))?;
     (env.version == version)
         .then_some(())
-        .ok_or(WireDefect::Version(env.version))?;
+        .ok_or(WireError::Version(env.version))?;
     (env.cluster == cluster)
         .then_some(())
-        .ok_or(WireDefect::Cluster(env.cluster.clone()))?;
+        .ok_or(WireError::Cluster(env.cluster.clone()))?;
     Ok(env)
 }
--- a/landingdrift/tests/answers.rs
+++ b/landingdrift/tests/answers.rs
@@ -2,9 +2,11 @@
 
 use landingdrift::kernel::{Effect, Msg, Now, Part, Request};
 use landingdrift::node::Node;
-use landingdrift::record::{pack_ruling, Command, Record};
+use landingdrift::record::{pack_apply_result, ClusterState, Command};
 use landingdrift::settings::Settings;
-use landingdrift::wire::{Body, FeedBatch, Forwarded, Proposed, ReadPlace, RequestToken};
+use landingdrift::wire::{
+    Body, ForwardResponse, ProposeResponse, ReadIndexResponse, RequestToken, WatchBatch,
+};
 use serde_json::json;
 
 const NODE: &str = "10.0.0.1:1";
@@ -20,19 +22,19 @@
 
 impl Desk {
     fn new() -> Self {
-        let cfg = Settings {
+        let settings = Settings {
             listen: NODE.into(),
             seeds: vec![CORE.into()],
             ..Settings::default()
         };
-        let mut record = Record::new(&cfg.cluster);
+        let mut record = ClusterState::new(&settings.cluster);
         let commands = [
             Command::Node {
                 node: HOLDER.into(),
                 zone: "z".into(),
                 http: HOLDER.into(),
             },
-            Command::Grant {
+            Command::Lease {
                 duty: "cell/z".into(),
                 holder: HOLDER.into(),
                 from_epoch: 0,
@@ -41,9 +43,9 @@
         for (i, c) in commands.iter().enumerate() {
             record.apply(i as u64 + 1, 1000, c).expect("entered");
         }
-        let node = Node::new(cfg, Now { mono: 1, wall: 1 }, 1);
+        let node = Node::new(settings, Now { mono: 1, wall: 1 }, 1);
         let mut desk = Self { node, elapsed: 1 };
-        let batch = FeedBatch {
+        let batch = WatchBatch {
             core: CORE.into(),
             leader: CORE.into(),
             ok: true,
@@ -51,14 +53,14 @@
             quorum_age: 0,
             clock: 1000,
             commit: record.place,
-            capture: record.pack(),
-            capture_index: record.place,
+            snapshot: record.pack(),
+            snapshot_index: record.place,
             entries: Vec::new(),
             cores: vec![CORE.into()],
             light: false,
             reached: record.place,
         };
-        desk.hear(CORE, Body::FeedBatch(Box::new(batch)));
+        desk.hear(CORE, Body::WatchBatch(Box::new(batch)));
         desk
     }
 
@@ -105,7 +107,7 @@
 
 fn forwards(effects: &[Effect]) -> Vec<(String, RequestToken)> {
     let passed = effects.iter().filter_map(|e| match e {
-        Effect::Send(to, Body::Forward(f)) => Some((to.clone(), f.token)),
+        Effect::Send(to, Body::ForwardRequest(f)) => Some((to.clone(), f.token)),
         _ => None,
     });
     passed.collect()
@@ -121,7 +123,7 @@
 }
 
 fn forwarded(token: RequestToken) -> Body {
-    Body::Forwarded(Box::new(Forwarded {
+    Body::ForwardResponse(Box::new(ForwardResponse {
         token,
         status: 200,
         retry_ms: 0,
@@ -131,7 +133,7 @@
 }
 
 fn read_place(token: RequestToken) -> Body {
-    Body::ReadPlace(Box::new(ReadPlace {
+    Body::ReadIndexResponse(Box::new(ReadIndexResponse {
         token,
         ok: true,
         place: 2,
@@ -141,18 +143,18 @@
 }
 
 fn proposed(token: RequestToken) -> Body {
-    Body::Proposed(Box::new(Proposed {
+    Body::ProposeResponse(Box::new(ProposeResponse {
         token,
         outcome: 0,
         place: 3,
         leader: CORE.into(),
-        verdict: pack_ruling(&Ok(json!({"zone": "z", "emptied": true}))),
+        response: pack_apply_result(&Ok(json!({"zone": "z", "emptied": true}))),
     }))
 }
 
 fn read_token(effects: &[Effect]) -> RequestToken {
     let asked = effects.iter().find_map(|e| match e {
-        Effect::Send(to, Body::ReadAsk(r)) if to == CORE => Some(r.token),
+        Effect::Send(to, Body::ReadIndexRequest(r)) if to == CORE => Some(r.token),
         _ => None,
     });
     asked.expect("a core is asked")
@@ -160,7 +162,7 @@
 
 fn proposal_token(effects: &[Effect]) -> RequestToken {
     let asked = effects.iter().find_map(|e| match e {
-        Effect::Send(to, Body::Propose(p)) if to == CORE => Some(p.token),
+        Effect::Send(to, Body::ProposeRequest(p)) if to == CORE => Some(p.token),
         _ => None,
     });
     asked.expect("it is proposed")
@@ -209,11 +211,11 @@
 fn a_proposal_whose_answer_cannot_be_read_is_unsure_in_the_end() {
     let mut d = Desk::new();
     let token = proposal_token(&d.call("PUT", "/v1/zones/z/empty", ""));
-    let Body::Proposed(mut answer) = proposed(token) else {
+    let Body::ProposeResponse(mut answer) = proposed(token) else {
         panic!("it is an answer to a proposal");
     };
-    answer.verdict = b"{".to_vec();
-    assert_eq!(told(&d.hear(CORE, Body::Proposed(answer))), []);
+    answer.response = b"{".to_vec();
+    assert_eq!(told(&d.hear(CORE, Body::ProposeResponse(answer))), []);
     let told_then = told(&d.silence(6000));
     assert_eq!(told_then.len(), 1);
     assert_eq!(told_then[0].1["error"], json!("unsure"));
--- a/landingdrift/tests/asker.rs
+++ b/landingdrift/tests/asker.rs
@@ -1,6 +1,6 @@
 //! What the operator's client sends when connections break: a stand-in for a node breaks them at every byte.
 
-use landingdrift::operator::{AskDefect, Asker};
+use landingdrift::operator::{ClientError, ControlClient};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -86,9 +86,9 @@
 }
 
 /// A GET, so that a connection could be kept, then the call; what came of it, and how often it arrived.
-fn call(broken: Break, method: &str, path: &str) -> (Result<Value, AskDefect>, usize) {
+fn call(broken: Break, method: &str, path: &str) -> (Result<Value, ClientError>, usize) {
     let s = stand_in(broken);
-    let asker = Asker::new(vec![s.at.clone()], Duration::from_secs(5)).expect("made");
+    let asker = ControlClient::new(vec![s.at.clone()], Duration::from_secs(5)).expect("made");
     asker.ask("GET", "/v1/status", None).expect("answered");
     let done = asker.ask(method, path, None);
     (done, s.requests.load(Ordering::SeqCst) - 1)
@@ -108,7 +108,7 @@
         let (done, arrived) = call(broken, "DELETE", "/v1/jobs/j");
         assert_eq!(arrived, 1, "break {i}: it was sent again");
         assert!(
-            matches!(done, Err(AskDefect::Unsure { .. })),
+            matches!(done, Err(ClientError::Unsure { .. })),
             "break {i}: {done:?}"
         );
     }
--- a/landingdrift/tests/cell.rs
+++ b/landingdrift/tests/cell.rs
@@ -1,15 +1,15 @@
 //! What the holder of a cell makes of beats: each test drives one node by its messages.
 
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Verdict};
-use landingdrift::node::{Beat, Node, Running};
+use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::node::{Heartbeat, Node, Running};
 use landingdrift::record::{
-    Command, EndReport, JobSpec, Outcome, Placement, Record, RunName, StepSpec, TaskSpec,
-    WorkerFacts,
+    ClusterState, Command, EndReport, JobSpec, Outcome, Placement, RunName, StepSpec, TaskSpec,
+    WorkerInfo,
 };
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::wire::{
-    Body, Entry, FeedBatch, Forward, Offer, OfferVerdict, Proposed, RequestToken, Reservation,
-    Reserve,
+    Body, Entry, ForwardRequest, Offer, OfferResponse, ProposeResponse, RequestToken, Reservation,
+    Reserve, WatchBatch,
 };
 use serde_json::json;
 
@@ -18,26 +18,26 @@
 
 /// A node that holds the cell of zone `z` and owns queue `q`, with one worker.
 struct Desk {
-    r: Record,
+    r: ClusterState,
     n: Node,
     t: u64,
     call: u64,
 }
 
-fn facts() -> WorkerFacts {
-    WorkerFacts {
+fn facts() -> WorkerInfo {
+    WorkerInfo {
         worker: "w".into(),
         incarnation: 1,
         service: "s".into(),
         zone: "z".into(),
         room: 4,
-        ..WorkerFacts::default()
+        ..WorkerInfo::default()
     }
 }
 
 impl Desk {
     fn new() -> Self {
-        let cfg = Settings {
+        let settings = Settings {
             listen: NODE.into(),
             http: NODE.into(),
             zone: "z".into(),
@@ -50,8 +50,8 @@
         };
         let now = Now { mono: 1, wall: 1 };
         let mut d = Self {
-            r: Record::new(&cfg.cluster),
-            n: Node::new(cfg, now, 1),
+            r: ClusterState::new(&settings.cluster),
+            n: Node::new(settings, now, 1),
             t: 1,
             call: 0,
         };
@@ -61,7 +61,7 @@
             http: NODE.into(),
         });
         for duty in ["cell/z", "queue/q"] {
-            d.enter(Command::Grant {
+            d.enter(Command::Lease {
                 duty: duty.into(),
                 holder: NODE.into(),
                 from_epoch: 0,
@@ -98,7 +98,7 @@
 
     /// The node follows to where the record is.
     fn follow(&mut self) -> Vec<Effect> {
-        let batch = FeedBatch {
+        let batch = WatchBatch {
             core: CORE.into(),
             leader: CORE.into(),
             ok: true,
@@ -106,8 +106,8 @@
             quorum_age: 0,
             clock: 1000 + self.t,
             commit: self.r.place,
-            capture: self.r.pack(),
-            capture_index: self.r.place,
+            snapshot: self.r.pack(),
+            snapshot_index: self.r.place,
             entries: Vec::new(),
             cores: vec![CORE.into()],
             light: false,
@@ -116,7 +116,7 @@
         let now = self.now();
         self.n.step(
             now,
-            Msg::Wire(CORE.into(), Body::FeedBatch(Box::new(batch))),
+            Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(batch))),
         )
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// A beat of the worker; the answer, and what was proposed with it.
-    fn beat(&mut self, call: u64, running: bool) -> (Option<Verdict>, Vec<Command>) {
+    fn beat(&mut self, call: u64, running: bool) -> (Option<Response>, Vec<Command>) {
         let name = RunName {
             job: "j".into(),
             task: "0.0.0".into(),
@@ -171,12 +171,12 @@
             name: Some(name),
             ..Running::default()
         };
-        let beat = Beat {
+        let beat = Heartbeat {
             facts: facts(),
             running: if running { vec![run] } else { Vec::new() },
             call,
             named: true,
-            ..Beat::default()
+            ..Heartbeat::default()
         };
         self.call += 1;
         let req = Request {
@@ -190,13 +190,13 @@
     }
 }
 
-fn said(effects: Vec<Effect>) -> (Option<Verdict>, Vec<Command>) {
+fn said(effects: Vec<Effect>) -> (Option<Response>, Vec<Command>) {
     let mut answer = None;
     let mut proposed = Vec::new();
     for e in effects {
         match e {
             Effect::Answer(_, v) => answer = Some(v),
-            Effect::Send(_, Body::Propose(p)) => {
+            Effect::Send(_, Body::ProposeRequest(p)) => {
                 proposed.push(Command::unpack(&p.command).expect("a command"))
             }
             _ => {}
@@ -301,17 +301,17 @@
         zone: "z".into(),
         http: other.into(),
     });
-    d.enter(Command::Grant {
+    d.enter(Command::Lease {
         duty: "cell/z".into(),
         holder: other.into(),
         from_epoch: 1,
     });
     d.follow();
-    let beat = Beat {
+    let beat = Heartbeat {
         facts: facts(),
-        ..Beat::default()
+        ..Heartbeat::default()
     };
-    let m = Forward {
+    let m = ForwardRequest {
         token: RequestToken::default(),
         method: "POST".into(),
         path: "/v1/beats".into(),
@@ -321,10 +321,10 @@
     let now = d.now();
     let told = d.n.step(
         now,
-        Msg::Wire("10.0.0.9:1".into(), Body::Forward(Box::new(m))),
+        Msg::Wire("10.0.0.9:1".into(), Body::ForwardRequest(Box::new(m))),
     );
     let by = told.iter().find_map(|e| match e {
-        Effect::Send(_, Body::Forwarded(f)) => Some((f.status, f.by.clone())),
+        Effect::Send(_, Body::ForwardResponse(f)) => Some((f.status, f.by.clone())),
         _ => None,
     });
     assert_eq!(by, Some((503, other.to_string())));
@@ -341,14 +341,14 @@
     });
     d.accept("k", 8);
     d.follow();
-    let grant = Command::Grant {
+    let grant = Command::Lease {
         duty: "cell/z".into(),
         holder: other.into(),
         from_epoch: 1,
     };
     d.enter(grant.clone());
     d.t += 30;
-    let batch = FeedBatch {
+    let batch = WatchBatch {
         core: CORE.into(),
         leader: CORE.into(),
         ok: true,
@@ -356,8 +356,8 @@
         quorum_age: 0,
         clock: 1000 + d.t,
         commit: d.r.place,
-        capture: Vec::new(),
-        capture_index: 0,
+        snapshot: Vec::new(),
+        snapshot_index: 0,
         entries: vec![Entry {
             index: d.r.place,
             term: 1,
@@ -371,7 +371,7 @@
     let now = d.now();
     let out = d.n.step(
         now,
-        Msg::Wire(CORE.into(), Body::FeedBatch(Box::new(batch))),
+        Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(batch))),
     );
     let placed = out.iter().any(|e| match e {
         Effect::Send(to, Body::Reserve(r)) => to == other && r.reservations[0].job == "k",
@@ -421,7 +421,7 @@
         zone: "z".into(),
         http: scheduler.into(),
     });
-    d.enter(Command::Grant {
+    d.enter(Command::Lease {
         duty: "queue/q".into(),
         holder: scheduler.into(),
         from_epoch: 2,
@@ -447,13 +447,13 @@
         scheduler,
     );
     assert_eq!(made.len(), 1);
-    let verdict = |token: RequestToken| {
-        Body::OfferVerdict(Box::new(OfferVerdict {
+    let response = |token: RequestToken| {
+        Body::OfferResponse(Box::new(OfferResponse {
             token,
             worker: "w".into(),
             accepted: true,
             room: 1,
-            ..OfferVerdict::default()
+            ..OfferResponse::default()
         }))
     };
     let token = made[0].token;
@@ -461,10 +461,10 @@
         incarnation: token.incarnation ^ 1,
         ..token
     };
-    hear(stranger, verdict(token));
-    hear(scheduler, verdict(former));
-    hear(scheduler, verdict(token));
-    hear(scheduler, verdict(token));
+    hear(stranger, response(token));
+    hear(scheduler, response(former));
+    hear(scheduler, response(token));
+    hear(scheduler, response(token));
     let counted = d.n.counters();
     let count = |name: &str| counted.iter().find(|(k, _)| k == name).map(|(_, n)| *n);
     assert_eq!(count("offers_accepted"), Some(1));
@@ -475,7 +475,7 @@
 /// The sends of starts, each to its core with its token.
 fn start_proposals(effects: Vec<Effect>) -> Vec<(String, RequestToken)> {
     let sent = effects.into_iter().filter_map(|e| match e {
-        Effect::Send(to, Body::Propose(p)) => Some((to, *p)),
+        Effect::Send(to, Body::ProposeRequest(p)) => Some((to, *p)),
         _ => None,
     });
     sent.filter(|(_, p)| matches!(Command::unpack(&p.command), Ok(Command::Start { .. })))
@@ -498,15 +498,15 @@
 
     /// A core answers a proposal that it doesn't lead; the starts that are proposed thereupon.
     fn not_taken(&mut self, from: &str, token: RequestToken) -> Vec<(String, RequestToken)> {
-        let answer = Proposed {
+        let answer = ProposeResponse {
             token,
             outcome: 1,
             place: 0,
             leader: String::new(),
-            verdict: Vec::new(),
+            response: Vec::new(),
         };
         let now = self.now();
-        let body = Body::Proposed(Box::new(answer));
+        let body = Body::ProposeResponse(Box::new(answer));
         start_proposals(self.n.step(now, Msg::Wire(from.into(), body)))
     }
 }
--- a/landingdrift/tests/common/mod.rs
+++ b/landingdrift/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! Nodes beside one record that stands for the log; the test says which proposal is committed when, and how often.
 
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Verdict};
+use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::node::Node;
-use landingdrift::record::{pack_ruling, Command, Record};
+use landingdrift::record::{pack_apply_result, ClusterState, Command};
 use landingdrift::settings::Settings;
-use landingdrift::wire::{Body, FeedBatch, Propose, Proposed};
+use landingdrift::wire::{Body, ProposeRequest, ProposeResponse, WatchBatch};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 pub struct Order {
     node: usize,
     call: u64,
-    propose: Propose,
+    propose: ProposeRequest,
     /// The newest copy was committed.
     committed: bool,
 }
@@ -23,7 +23,7 @@
 /// What the log made of one copy of a proposal.
 pub struct Ruled {
     pub place: u64,
-    pub verdict: Vec<u8>,
+    pub response: Vec<u8>,
 }
 
 /// What the caller was told.
@@ -53,7 +53,7 @@
 }
 
 pub struct Cluster {
-    pub record: Record,
+    pub record: ClusterState,
     nodes: Vec<Node>,
     elapsed: u64,
     calls: u64,
@@ -71,7 +71,7 @@
         let now = Now { mono: 1, wall: 1 };
         let start = |n: usize| Node::new(settings(n), now, n as u64);
         let mut cluster = Self {
-            record: Record::new(&Settings::default().cluster),
+            record: ClusterState::new(&Settings::default().cluster),
             nodes: (0..nodes).map(start).collect(),
             elapsed: 1,
             calls: 0,
@@ -107,7 +107,7 @@
     }
 
     fn follow(&mut self, node: usize) {
-        let batch = FeedBatch {
+        let batch = WatchBatch {
             core: CORE.into(),
             leader: CORE.into(),
             ok: true,
@@ -115,14 +115,14 @@
             quorum_age: 0,
             clock: self.agreed(),
             commit: self.record.place,
-            capture: self.record.pack(),
-            capture_index: self.record.place,
+            snapshot: self.record.pack(),
+            snapshot_index: self.record.place,
             entries: Vec::new(),
             cores: vec![CORE.into()],
             light: false,
             reached: self.record.place,
         };
-        let body = Body::FeedBatch(Box::new(batch));
+        let body = Body::WatchBatch(Box::new(batch));
         self.step(node, Msg::Wire(CORE.into(), body));
     }
 
@@ -130,7 +130,7 @@
         let now = self.now();
         let effects = self.nodes[node].step(now, msg);
         for e in &effects {
-            if let Effect::Answer(call, Verdict { status, body, .. }) = e {
+            if let Effect::Answer(call, Response { status, body, .. }) = e {
                 let (status, body) = (*status, body.clone());
                 let before = self.replies.insert(*call, Reply { status, body });
                 assert!(before.is_none(), "call {call} was answered twice");
@@ -151,7 +151,7 @@
         let call = self.calls;
         let effects = self.step(node, Msg::Call(call, request));
         let propose = effects.into_iter().find_map(|e| match e {
-            Effect::Send(_, Body::Propose(p)) => Some(*p),
+            Effect::Send(_, Body::ProposeRequest(p)) => Some(*p),
             _ => None,
         });
         Order {
@@ -166,26 +166,26 @@
     pub fn commit(&mut self, order: &mut Order) -> Ruled {
         order.committed = true;
         let (place, at) = (self.record.place + 1, self.agreed());
-        let ruling = self.record.apply_bytes(place, at, &order.propose.command);
+        let result = self.record.apply_bytes(place, at, &order.propose.command);
         Ruled {
             place,
-            verdict: pack_ruling(&ruling),
+            response: pack_apply_result(&result),
         }
     }
 
-    fn proposed(&mut self, order: &Order, answer: Proposed) {
-        let body = Body::Proposed(Box::new(answer));
+    fn proposed(&mut self, order: &Order, answer: ProposeResponse) {
+        let body = Body::ProposeResponse(Box::new(answer));
         self.step(order.node, Msg::Wire(CORE.into(), body));
     }
 
     /// The answer to a copy arrives at the node; what the caller is told.
     pub fn answer(&mut self, order: &Order, ruled: &Ruled) -> Option<Reply> {
-        let answer = Proposed {
+        let answer = ProposeResponse {
             token: order.propose.token,
             outcome: 0,
             place: ruled.place,
             leader: CORE.into(),
-            verdict: ruled.verdict.clone(),
+            response: ruled.response.clone(),
         };
         self.proposed(order, answer);
         self.reply(order)
@@ -196,19 +196,19 @@
         if order.committed || self.reply(order).is_some() {
             return;
         }
-        let answer = Proposed {
+        let answer = ProposeResponse {
             token: order.propose.token,
             outcome: 1,
             place: 0,
             leader: String::new(),
-            verdict: Vec::new(),
+            response: Vec::new(),
         };
         self.proposed(order, answer);
         self.pass(50);
         let sent = self.step(order.node, Msg::Tick);
-        let own = |p: &Propose| p.command == order.propose.command;
+        let own = |p: &ProposeRequest| p.command == order.propose.command;
         let again = sent.into_iter().find_map(|e| match e {
-            Effect::Send(_, Body::Propose(p)) if own(&p) => Some(*p),
+            Effect::Send(_, Body::ProposeRequest(p)) if own(&p) => Some(*p),
             _ => None,
         });
         order.propose = again.unwrap_or_else(|| order.propose.clone());
--- a/landingdrift/tests/control.rs
+++ b/landingdrift/tests/control.rs
@@ -1,7 +1,7 @@
 //! The thread of control state steps its part no more often than it must.
 
 use landingdrift::daemon::{Calls, Clock, Control, Ending, Frames, Input, Traffic};
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Verdict};
+use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,7 +13,10 @@
     fn step(&mut self, _: Now, msg: Msg) -> Vec<Effect> {
         let (kind, effects) = match msg {
             Msg::Tick => ("tick", Vec::new()),
-            Msg::Call(n, _) => ("call", vec![Effect::Answer(n, Verdict::new(200, n.into()))]),
+            Msg::Call(n, _) => (
+                "call",
+                vec![Effect::Answer(n, Response::new(200, n.into()))],
+            ),
             Msg::Stop => ("stop", vec![Effect::Exit]),
             _ => ("other", Vec::new()),
         };
--- a/landingdrift/tests/cores/mod.rs
+++ b/landingdrift/tests/cores/mod.rs
@@ -2,11 +2,13 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use landingdrift::agreement::{Core, Loaded};
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Save, Verdict};
+use landingdrift::agreement::{Loaded, Replica};
+use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response, WriteBatch};
 use landingdrift::record::Command;
 use landingdrift::settings::{Limits, Settings};
-use landingdrift::wire::{Body, FeedBatch, FeedPull, Propose, Proposed, RequestToken};
+use landingdrift::wire::{
+    Body, ProposeRequest, ProposeResponse, RequestToken, WatchBatch, WatchRequest,
+};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -28,7 +30,7 @@
 /// A core's disk: what is durable, and what was handed over and is not.
 pub struct TestDisk {
     pub durable: Loaded,
-    pub pending: VecDeque<Save>,
+    pub pending: VecDeque<WriteBatch>,
     pub behaviour: Behaviour,
     next_retry: u64,
 }
@@ -48,7 +50,7 @@
     }
 
     fn write_all(&mut self) -> Option<u64> {
-        let last = self.pending.back().map(|s| s.ticket);
+        let last = self.pending.back().map(|s| s.write_id);
         for s in std::mem::take(&mut self.pending) {
             write(&mut self.durable, s);
         }
@@ -57,19 +59,19 @@
 
     /// The last index that a restart would find.
     pub fn last(&self) -> u64 {
-        let capture = self.durable.capture.as_ref().map_or(0, |c| c.index);
-        self.durable.entries.last().map_or(capture, |e| e.index)
+        let snapshot = self.durable.snapshot.as_ref().map_or(0, |c| c.index);
+        self.durable.entries.last().map_or(snapshot, |e| e.index)
     }
 }
 
-fn write(to: &mut Loaded, s: Save) {
-    s.hard.into_iter().for_each(|h| to.hard = h);
+fn write(to: &mut Loaded, s: WriteBatch) {
+    s.hard_state.into_iter().for_each(|h| to.hard_state = h);
     if let Some(cut) = s.cut {
         to.entries.retain(|e| e.index < cut);
     }
-    if let Some(capture) = s.capture {
-        to.entries.retain(|e| e.index > capture.index);
-        to.capture = Some(capture);
+    if let Some(snapshot) = s.snapshot {
+        to.entries.retain(|e| e.index > snapshot.index);
+        to.snapshot = Some(snapshot);
     }
     for e in s.entries {
         to.entries.retain(|x| x.index < e.index);
@@ -90,7 +92,7 @@
 
 pub struct Cores {
     pub t: u64,
-    pub cores: Vec<Option<Core>>,
+    pub cores: Vec<Option<Replica>>,
     pub disks: Vec<TestDisk>,
     pub settings: Vec<Settings>,
     /// Messages by when they arrive, in the order in which they were sent.
@@ -103,7 +105,7 @@
     pub sent: Vec<(u64, Carried)>,
     pub lines: Vec<String>,
     pub exits: usize,
-    answers: BTreeMap<u64, Verdict>,
+    answers: BTreeMap<u64, Response>,
     next: u64,
 }
 
@@ -152,9 +154,9 @@
 
     /// Starts a core from what its disk holds.
     pub fn boot(&mut self, i: usize) {
-        let (cfg, now) = (self.settings[i].clone(), self.now());
+        let (settings, now) = (self.settings[i].clone(), self.now());
         let loaded = self.disks[i].durable.clone();
-        let core = Core::new(cfg, loaded, now, 77 + i as u64 + self.t);
+        let core = Replica::new(settings, loaded, now, 77 + i as u64 + self.t);
         self.cores[i] = Some(core.expect("a sound disk loads"));
     }
 
@@ -166,7 +168,7 @@
         self.wires.retain(|(_, c)| c.to != gone);
     }
 
-    pub fn core(&self, i: usize) -> &Core {
+    pub fn core(&self, i: usize) -> &Replica {
         self.cores[i].as_ref().expect("it runs")
     }
 
@@ -178,7 +180,7 @@
     /// The leader of the newest term.
     pub fn leader(&self) -> Option<usize> {
         (0..self.cores.len())
-            .filter(|i| self.cores[*i].as_ref().is_some_and(Core::leads))
+            .filter(|i| self.cores[*i].as_ref().is_some_and(Replica::leads))
             .max_by_key(|i| self.core(*i).term())
     }
 
@@ -218,10 +220,10 @@
     fn disk(&mut self, i: usize) {
         let (t, disk) = (self.t, &mut self.disks[i]);
         let msg = match disk.behaviour {
-            Behaviour::Sound => disk.write_all().map(Msg::Saved),
+            Behaviour::Sound => disk.write_all().map(Msg::Persisted),
             Behaviour::Refuses if !disk.pending.is_empty() && t >= disk.next_retry => {
                 disk.next_retry = t + RETRY_MS;
-                Some(Msg::DiskDefect("the disk is full".into()))
+                Some(Msg::DiskFailed("the disk is full".into()))
             }
             _ => None,
         };
@@ -239,11 +241,11 @@
                     let from = name(i);
                     self.carry(i, Carried { from, to, body });
                 }
-                Effect::Save(save) => self.disks[i].pending.push_back(save),
+                Effect::Persist(save) => self.disks[i].pending.push_back(save),
                 Effect::Answer(call, v) => {
                     self.answers.insert(call, v);
                 }
-                Effect::Line(text) => self.lines.push(format!("{} {}: {text}", self.t, name(i))),
+                Effect::Log(text) => self.lines.push(format!("{} {}: {text}", self.t, name(i))),
                 Effect::Exit => self.exits += 1,
             }
         }
@@ -261,14 +263,14 @@
     fn check_promise(&self, i: usize, c: &Carried) {
         let disk = &self.disks[i];
         match &c.body {
-            Body::AppendVerdict(v) if v.ok => {
+            Body::AppendResponse(v) if v.ok => {
                 let last = disk.last();
                 assert!(v.matched <= last, "confirms {} of {last}", v.matched);
-                assert!(v.term <= disk.durable.hard.term, "a term not durable");
+                assert!(v.term <= disk.durable.hard_state.term, "a term not durable");
             }
-            Body::VoteVerdict(v) if v.granted && !v.pre => {
-                assert_eq!(disk.durable.hard.vote, c.to, "a vote not durable");
-                assert_eq!(disk.durable.hard.term, v.term);
+            Body::VoteResponse(v) if v.granted && !v.pre => {
+                assert_eq!(disk.durable.hard_state.vote, c.to, "a vote not durable");
+                assert_eq!(disk.durable.hard_state.term, v.term);
             }
             _ => {}
         }
@@ -290,17 +292,17 @@
             number: 0,
             value: json!({"notes": {(format!("n{token}")): noise(token, bytes)}}),
         };
-        let propose = Propose {
+        let propose = ProposeRequest {
             token: request(token),
             command: command.pack(),
         };
-        self.tell(i, CLIENT, Body::Propose(Box::new(propose)));
+        self.tell(i, CLIENT, Body::ProposeRequest(Box::new(propose)));
         token
     }
 
-    pub fn proposed(&self, token: u64) -> Option<Proposed> {
+    pub fn proposed(&self, token: u64) -> Option<ProposeResponse> {
         self.outside.iter().find_map(|c| match &c.body {
-            Body::Proposed(p) if p.token == request(token) => Some((**p).clone()),
+            Body::ProposeResponse(p) if p.token == request(token) => Some((**p).clone()),
             _ => None,
         })
     }
@@ -324,7 +326,7 @@
         panic!("not confirmed: {:#?}", self.lines);
     }
 
-    pub fn ask(&mut self, i: usize, path: &str) -> Verdict {
+    pub fn ask(&mut self, i: usize, path: &str) -> Response {
         self.next += 1;
         let call = self.next;
         let req = Request {
@@ -341,15 +343,15 @@
         self.pull_from(Self::pull_of(node, place));
     }
 
-    pub fn pull_from(&mut self, pull: FeedPull) {
+    pub fn pull_from(&mut self, pull: WatchRequest) {
         let leader = self.leader().expect("somebody leads");
         let node = pull.node.clone();
-        self.tell(leader, &node, Body::FeedPull(Box::new(pull)));
+        self.tell(leader, &node, Body::WatchRequest(Box::new(pull)));
     }
 
     /// What a node asks.
-    pub fn pull_of(node: &str, place: u64) -> FeedPull {
-        FeedPull {
+    pub fn pull_of(node: &str, place: u64) -> WatchRequest {
+        WatchRequest {
             node: node.into(),
             zone: "z".into(),
             http: node.into(),
@@ -368,10 +370,10 @@
         }
     }
 
-    pub fn batches(&self, node: &str) -> Vec<FeedBatch> {
+    pub fn batches(&self, node: &str) -> Vec<WatchBatch> {
         let of = self.outside.iter().filter(|c| c.to == node);
         of.filter_map(|c| match &c.body {
-            Body::FeedBatch(b) => Some((**b).clone()),
+            Body::WatchBatch(b) => Some((**b).clone()),
             _ => None,
         })
         .collect()
@@ -389,9 +391,9 @@
 
 /// Text that no build makes smaller.
 fn noise(seed: u64, bytes: usize) -> String {
-    let mut draw = landingdrift::kernel::Draw::new(seed);
+    let mut rng = landingdrift::kernel::Rng::new(seed);
     (0..bytes)
-        .map(|_| char::from(b'a' + draw.below(26) as u8))
+        .map(|_| char::from(b'a' + rng.below(26) as u8))
         .collect()
 }
 
--- a/landingdrift/tests/disk.rs
+++ b/landingdrift/tests/disk.rs
@@ -1,8 +1,8 @@
 //! The data folder under what disks do: torn tails, damage, strangers.
 
-use landingdrift::disk::{verify, DiskDefect, Folder};
-use landingdrift::kernel::{Capture, Hard, Save};
-use landingdrift::wire::{Entry, Note};
+use landingdrift::disk::{verify, DataFolder, StorageError};
+use landingdrift::kernel::{HardState, Snapshot, WriteBatch};
+use landingdrift::wire::{DurabilityWitness, Entry};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -21,11 +21,11 @@
     }
 }
 
-fn write(f: &mut Folder, from: u64, to: u64) {
+fn write(f: &mut DataFolder, from: u64, to: u64) {
     for i in from..=to {
-        f.save(&[Save {
+        f.save(&[WriteBatch {
             entries: vec![entry(i, 1)],
-            ..Save::default()
+            ..WriteBatch::default()
         }])
         .expect("saved");
     }
@@ -44,27 +44,27 @@
 #[test]
 fn what_was_saved_is_there_again_and_a_torn_tail_is_cut() {
     let p = folder("torn");
-    let (mut f, loaded) = Folder::open(&p, "c", 1 << 20, 7).expect("made");
+    let (mut f, loaded) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
     assert_eq!((loaded.disk, loaded.entries.len()), (7, 0));
     write(&mut f, 1, 5);
-    let hard = Hard {
+    let hard_state = HardState {
         term: 3,
         vote: "a".into(),
         silent_to: 2,
         founders: vec!["10.0.0.1:7000".into()],
     };
-    let notes = vec![Note {
+    let notes = vec![DurabilityWitness {
         core: "b".into(),
         disk: 9,
         index: 4,
         term: 1,
     }];
-    f.save(&[Save {
-        hard: Some(hard.clone()),
+    f.save(&[WriteBatch {
+        hard_state: Some(hard_state.clone()),
         notes: notes.clone(),
         cut: Some(5),
         entries: vec![entry(5, 2), entry(6, 2)],
-        ..Save::default()
+        ..WriteBatch::default()
     }])
     .expect("saved");
     drop(f);
@@ -73,10 +73,10 @@
     bytes.extend([40, 0, 0, 0, 1, 2, 3, 4, 9, 9]);
     fs::write(&last, &bytes).expect("written");
     assert!(verify(&p).expect("looked").torn_tail);
-    let (_, l) = Folder::open(&p, "c", 1 << 20, 8).expect("opened");
+    let (_, l) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened");
     assert_eq!(l.disk, 7);
     assert!(!l.damaged);
-    assert_eq!((l.hard, l.notes), (hard, notes));
+    assert_eq!((l.hard_state, l.notes), (hard_state, notes));
     assert_eq!(
         l.entries
             .iter()
@@ -89,14 +89,14 @@
 #[test]
 fn damage_in_the_middle_is_told_and_the_term_survives_it() {
     let p = folder("damage");
-    let (mut f, _) = Folder::open(&p, "c", 1 << 20, 7).expect("made");
+    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
     write(&mut f, 1, 20);
-    f.save(&[Save {
-        hard: Some(Hard {
+    f.save(&[WriteBatch {
+        hard_state: Some(HardState {
             term: 9,
-            ..Hard::default()
+            ..HardState::default()
         }),
-        ..Save::default()
+        ..WriteBatch::default()
     }])
     .expect("saved");
     drop(f);
@@ -106,8 +106,8 @@
     bytes[middle] ^= 0xff;
     fs::write(&first, &bytes).expect("written");
     assert!(verify(&p).expect("looked").damaged);
-    let (f, l) = Folder::open(&p, "c", 1 << 20, 8).expect("opened");
-    assert!(l.damaged && l.hard.term == 9);
+    let (f, l) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened");
+    assert!(l.damaged && l.hard_state.term == 9);
     let n = l.entries.len() as u64;
     assert!(n > 3 && n < 20, "kept {n}");
     assert!(l
@@ -117,23 +117,23 @@
         .all(|(i, e)| e.index == i as u64 + 1));
     drop(f);
     // What was whole is kept, and the folder can be used again.
-    let (_, again) = Folder::open(&p, "c", 1 << 20, 8).expect("opened again");
+    let (_, again) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened again");
     assert_eq!(again.entries.len() as u64, n);
 }
 
 #[test]
 fn captures_let_old_segments_go() {
     let p = folder("captures");
-    let (mut f, _) = Folder::open(&p, "c", 600, 7).expect("made");
+    let (mut f, _) = DataFolder::open(&p, "c", 600, 7).expect("made");
     write(&mut f, 1, 60);
     let before = segments(&p).len();
-    f.save(&[Save {
-        capture: Some(Capture {
+    f.save(&[WriteBatch {
+        snapshot: Some(Snapshot {
             index: 50,
             term: 1,
             bytes: b"state".to_vec(),
         }),
-        ..Save::default()
+        ..WriteBatch::default()
     }])
     .expect("saved");
     write(&mut f, 61, 62);
@@ -143,8 +143,8 @@
         segments(&p).len()
     );
     drop(f);
-    let (_, l) = Folder::open(&p, "c", 600, 7).expect("opened");
-    assert_eq!(l.capture.map(|c| c.index), Some(50));
+    let (_, l) = DataFolder::open(&p, "c", 600, 7).expect("opened");
+    assert_eq!(l.snapshot.map(|c| c.index), Some(50));
     assert_eq!(
         l.entries.iter().map(|e| e.index).collect::<Vec<_>>(),
         (51..=62).collect::<Vec<_>>()
@@ -157,18 +157,18 @@
     fs::create_dir_all(&p).expect("made");
     fs::write(p.join("photos.txt"), "mine").expect("written");
     assert!(matches!(
-        Folder::open(&p, "c", 600, 7),
-        Err(DiskDefect::Foreign(_))
+        DataFolder::open(&p, "c", 600, 7),
+        Err(StorageError::Foreign(_))
     ));
     let q = folder("cluster");
-    let kept = Folder::open(&q, "c", 600, 7).expect("made");
+    let kept = DataFolder::open(&q, "c", 600, 7).expect("made");
     assert!(matches!(
-        Folder::open(&q, "c", 600, 7),
-        Err(DiskDefect::Busy(_))
+        DataFolder::open(&q, "c", 600, 7),
+        Err(StorageError::Busy(_))
     ));
     drop(kept);
     assert!(matches!(
-        Folder::open(&q, "d", 600, 7),
-        Err(DiskDefect::Cluster { .. })
+        DataFolder::open(&q, "d", 600, 7),
+        Err(StorageError::Cluster { .. })
     ));
 }
--- a/landingdrift/tests/disk_power.rs
+++ b/landingdrift/tests/disk_power.rs
@@ -1,8 +1,8 @@
 //! The data folder when the power goes: whatever was not synced may be kept or lost, each change of a name by itself.
 
-use landingdrift::disk::{Directory, FileSystem, Folder};
-use landingdrift::kernel::{Capture, Hard, Save};
-use landingdrift::wire::{Entry, Note};
+use landingdrift::disk::{DataFolder, Directory, FileSystem};
+use landingdrift::kernel::{HardState, Snapshot, WriteBatch};
+use landingdrift::wire::{DurabilityWitness, Entry};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -179,7 +179,7 @@
 }
 
 struct Model {
-    folder: Folder,
+    folder: DataFolder,
     lossy: Lossy,
     at: PathBuf,
     confirmed: Confirmed,
@@ -197,7 +197,7 @@
         let at = place(name);
         fs::create_dir_all(&at).expect("made");
         let lossy = Lossy::new(&at);
-        let made = Folder::open_in(Box::new(lossy.clone()), &at, "c", SEGMENT_BYTES, 7);
+        let made = DataFolder::open_in(Box::new(lossy.clone()), &at, "c", SEGMENT_BYTES, 7);
         let (folder, _) = made.expect("made");
         lossy.take_images();
         Self {
@@ -210,14 +210,14 @@
     }
 
     /// Saves, and looks at all that the power may leave: before the end what was confirmed so far, then all.
-    fn save(&mut self, save: Save) {
+    fn save(&mut self, save: WriteBatch) {
         let before = self.confirmed.clone();
         self.folder
             .save(std::slice::from_ref(&save))
             .expect("saved");
         let c = &mut self.confirmed;
-        c.term = save.hard.map_or(c.term, |h| h.term);
-        c.captured = save.capture.map_or(c.captured, |x| x.index);
+        c.term = save.hard_state.map_or(c.term, |h| h.term);
+        c.captured = save.snapshot.map_or(c.captured, |x| x.index);
         c.last = save.cut.map_or(c.last, |cut| c.last.min(cut - 1));
         c.last = save
             .entries
@@ -237,13 +237,13 @@
         for lost in losses(image.unsynced.len()) {
             restore(image, lost, &scratch);
             let told = format!("{confirmed:?}, lost {lost:b} of {:?}", image.names());
-            let opened = Folder::open(&scratch, "c", SEGMENT_BYTES, 8);
+            let opened = DataFolder::open(&scratch, "c", SEGMENT_BYTES, 8);
             let (_, l) = opened.unwrap_or_else(|e| panic!("{e}: {told}"));
             self.seen += 1;
             assert!(!l.damaged, "{told}");
-            assert!(l.hard.term >= confirmed.term, "{told}");
+            assert!(l.hard_state.term >= confirmed.term, "{told}");
             assert!(l.notes.len() >= confirmed.notes, "{told}");
-            let captured = l.capture.as_ref().map_or(0, |c| c.index);
+            let captured = l.snapshot.as_ref().map_or(0, |c| c.index);
             assert!(captured >= confirmed.captured, "{told}");
             let last = l.entries.last().map_or(captured, |e| e.index);
             assert!(last >= confirmed.last, "{last}: {told}");
@@ -263,29 +263,29 @@
     }
 }
 
-fn entries(from: u64, to: u64, term: u64) -> Save {
+fn entries(from: u64, to: u64, term: u64) -> WriteBatch {
     let entry = |index| Entry {
         index,
         term,
         at: index,
         command: format!("\"e{index}\"").into_bytes(),
     };
-    Save {
+    WriteBatch {
         entries: (from..=to).map(entry).collect(),
-        ..Save::default()
+        ..WriteBatch::default()
     }
 }
 
-fn capture(index: u64, term: u64) -> Option<Capture> {
-    Some(Capture {
+fn snapshot(index: u64, term: u64) -> Option<Snapshot> {
+    Some(Snapshot {
         index,
         term,
         bytes: vec![b's'; 300],
     })
 }
 
-fn hard(term: u64) -> Option<Hard> {
-    Some(Hard {
+fn hard_state(term: u64) -> Option<HardState> {
+    Some(HardState {
         term,
         vote: "a".into(),
         silent_to: 0,
@@ -296,22 +296,22 @@
 #[test]
 fn what_was_confirmed_survives_any_loss_of_unsynced_names() {
     let mut m = Model::new("captures");
-    m.save(Save {
-        hard: hard(3),
-        notes: vec![Note {
+    m.save(WriteBatch {
+        hard_state: hard_state(3),
+        notes: vec![DurabilityWitness {
             core: "b".into(),
             disk: 9,
             index: 1,
             term: 1,
         }],
-        ..Save::default()
+        ..WriteBatch::default()
     });
     for round in 0..4 {
         let from = round * 30 + 1;
         (from..from + 30).for_each(|i| m.save(entries(i, i, 3)));
-        m.save(Save {
-            capture: capture(from + 19, 3),
-            ..Save::default()
+        m.save(WriteBatch {
+            snapshot: snapshot(from + 19, 3),
+            ..WriteBatch::default()
         });
     }
     assert!(m.seen > 200, "{} images", m.seen);
@@ -320,29 +320,29 @@
 #[test]
 fn a_snapshot_that_replaces_the_log_brings_no_void_entry_back() {
     let mut m = Model::new("installs");
-    m.save(Save {
-        hard: hard(2),
-        ..Save::default()
+    m.save(WriteBatch {
+        hard_state: hard_state(2),
+        ..WriteBatch::default()
     });
     // A log that nobody else has, longer than the snapshot that takes its place.
     (1..=60).for_each(|i| m.save(entries(i, i, 1)));
     m.confirmed.last = 0;
-    m.save(Save {
-        hard: hard(5),
+    m.save(WriteBatch {
+        hard_state: hard_state(5),
         cut: Some(1),
-        capture: capture(40, 4),
-        ..Save::default()
+        snapshot: snapshot(40, 4),
+        ..WriteBatch::default()
     });
     m.confirmed.newer = Some((41, 4));
-    m.save(Save {
-        notes: vec![Note::default()],
-        ..Save::default()
+    m.save(WriteBatch {
+        notes: vec![DurabilityWitness::default()],
+        ..WriteBatch::default()
     });
     m.save(entries(41, 43, 5));
     m.save(entries(44, 60, 5));
-    m.save(Save {
-        capture: capture(55, 5),
-        ..Save::default()
+    m.save(WriteBatch {
+        snapshot: snapshot(55, 5),
+        ..WriteBatch::default()
     });
     assert!(m.seen > 60, "{} images", m.seen);
 }
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -1,9 +1,9 @@
 //! A disk that refuses writes for a while: nothing is confirmed meanwhile, nothing is lost, and it comes back by itself.
 
 use landingdrift::daemon::{Disk, Input, Pauses, Store};
-use landingdrift::disk::{DiskDefect, Folder};
-use landingdrift::kernel::{Hard, Msg, Save};
-use landingdrift::wire::{Entry, Note};
+use landingdrift::disk::{DataFolder, StorageError};
+use landingdrift::kernel::{HardState, Msg, WriteBatch};
+use landingdrift::wire::{DurabilityWitness, Entry};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -23,28 +23,28 @@
     p
 }
 
-fn save(ticket: u64, from: u64, to: u64) -> Save {
+fn save(write_id: u64, from: u64, to: u64) -> WriteBatch {
     let entry = |index| Entry {
         index,
         term: 1,
         at: index * 10,
         command: format!("\"e{index}\"").into_bytes(),
     };
-    Save {
-        ticket,
+    WriteBatch {
+        write_id,
         entries: (from..=to).map(entry).collect(),
-        notes: vec![Note {
+        notes: vec![DurabilityWitness {
             core: "b".into(),
             disk: 9,
             index: to,
             term: 1,
         }],
-        ..Save::default()
+        ..WriteBatch::default()
     }
 }
 
 fn indexes(p: &Path) -> Vec<u64> {
-    let (_, loaded) = Folder::open(p, "c", SEGMENT_BYTES, 7).expect("opened");
+    let (_, loaded) = DataFolder::open(p, "c", SEGMENT_BYTES, 7).expect("opened");
     assert!(!loaded.damaged);
     loaded.entries.iter().map(|e| e.index).collect()
 }
@@ -57,19 +57,19 @@
 }
 
 impl Store for Refusing {
-    fn save(&mut self, batch: &[Save]) -> Result<(), DiskDefect> {
+    fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError> {
         if self.left.load(Ordering::SeqCst) > 0 {
             self.left.fetch_sub(1, Ordering::SeqCst);
-            return Err(DiskDefect::Io {
+            return Err(StorageError::Io {
                 path: "log".into(),
                 why: std::io::ErrorKind::StorageFull.into(),
             });
         }
         let mut written = self.written.lock().expect("free");
-        written.extend(batch.iter().map(|s| s.ticket));
+        written.extend(batch.iter().map(|s| s.write_id));
         Ok(())
     }
-    fn recover(&mut self) -> Result<(), DiskDefect> {
+    fn recover(&mut self) -> Result<(), StorageError> {
         self.recovered.fetch_add(1, Ordering::SeqCst);
         Ok(())
     }
@@ -83,16 +83,16 @@
 }
 
 /// How often the disk refused before it confirmed the ticket.
-fn refusals_until(rx: &Receiver<Input>, ticket: u64) -> usize {
+fn refusals_until(rx: &Receiver<Input>, write_id: u64) -> usize {
     let mut refusals = 0;
     loop {
         match rx.recv_timeout(LONG) {
-            Ok(Input::Msg(Msg::DiskDefect(why))) => {
+            Ok(Input::Msg(Msg::DiskFailed(why))) => {
                 assert!(!why.is_empty());
                 refusals += 1;
             }
-            Ok(Input::Msg(Msg::Saved(t))) if t == ticket => return refusals,
-            Ok(Input::Msg(Msg::Saved(_))) => {}
+            Ok(Input::Msg(Msg::Persisted(t))) if t == write_id => return refusals,
+            Ok(Input::Msg(Msg::Persisted(_))) => {}
             _ => panic!("the disk's thread has ended"),
         }
     }
@@ -116,7 +116,7 @@
     let (tx, rx) = channel();
     let disk = Disk::start(store, tx, pauses()).expect("starts");
     let since = Instant::now();
-    (1..=4).for_each(|ticket| disk.save(save(ticket, ticket, ticket)));
+    (1..=4).for_each(|write_id| disk.save(save(write_id, write_id, write_id)));
     assert_eq!(refusals_until(&rx, 4), 5);
     assert_eq!(*written.lock().expect("free"), [1, 2, 3, 4]);
     assert_eq!(recovered.load(Ordering::SeqCst), 5);
@@ -127,7 +127,7 @@
 #[test]
 fn a_folder_that_fails_in_the_middle_holds_all_that_is_handed_over_again() {
     let (p, away) = (folder("middle"), folder("middle-away"));
-    let (mut f, _) = Folder::open(&p, "c", SEGMENT_BYTES, 7).expect("made");
+    let (mut f, _) = DataFolder::open(&p, "c", SEGMENT_BYTES, 7).expect("made");
     (1..=3).for_each(|i| f.save(&[save(i, i, i)]).expect("saved"));
     // No segment can be begun while the folder is away; what is written into the open one is there.
     fs::rename(&p, &away).expect("moved");
@@ -145,9 +145,9 @@
 #[test]
 fn a_refused_batch_that_is_not_written_again_leaves_what_was_confirmed() {
     let (p, away) = (folder("refused"), folder("refused-away"));
-    let (mut f, _) = Folder::open(&p, "c", 1 << 20, 7).expect("made");
-    let voted = Save {
-        hard: Some(Hard {
+    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
+    let voted = WriteBatch {
+        hard_state: Some(HardState {
             term: 3,
             vote: "a".into(),
             silent_to: 0,
@@ -157,14 +157,14 @@
     };
     f.save(&[voted]).expect("saved");
     fs::rename(&p, &away).expect("moved");
-    let whole = Save {
+    let whole = WriteBatch {
         cut: Some(1),
-        capture: Some(landingdrift::kernel::Capture {
+        snapshot: Some(landingdrift::kernel::Snapshot {
             index: 9,
             term: 4,
             bytes: b"state".to_vec(),
         }),
-        ..Save::default()
+        ..WriteBatch::default()
     };
     assert!(f.save(&[whole]).is_err());
     fs::rename(&away, &p).expect("moved back");
@@ -172,23 +172,23 @@
     f.recover().expect("usable again");
     drop(f);
     assert_eq!(indexes(&p), [1, 2, 3, 4, 5]);
-    let (_, l) = Folder::open(&p, "c", 1 << 20, 7).expect("opened");
-    assert_eq!((l.hard.term, l.hard.vote.as_str()), (3, "a"));
+    let (_, l) = DataFolder::open(&p, "c", 1 << 20, 7).expect("opened");
+    assert_eq!((l.hard_state.term, l.hard_state.vote.as_str()), (3, "a"));
     assert_eq!(l.notes.len(), 1);
 }
 
 #[test]
 fn a_full_disk_is_freed_of_what_can_be_done_without() {
     let p = folder("room");
-    let (mut f, _) = Folder::open(&p, "c", 1 << 20, 7).expect("made");
+    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
     for n in 1..=3 {
-        let capture = landingdrift::kernel::Capture {
+        let snapshot = landingdrift::kernel::Snapshot {
             index: 10 * n,
             term: 1,
             bytes: vec![b's'; 100],
         };
-        let whole = Save {
-            capture: Some(capture),
+        let whole = WriteBatch {
+            snapshot: Some(snapshot),
             ..save(n, 10 * n - 9, 10 * n)
         };
         f.save(&[whole]).expect("saved");
@@ -197,15 +197,15 @@
     fs::write(p.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
     f.recover().expect("usable again");
     let left = fs::read_dir(&p).expect("a folder").filter_map(Result::ok);
-    let captures: Vec<String> = left
+    let snapshots: Vec<String> = left
         .filter_map(|e| e.file_name().into_string().ok())
         .filter(|n| n.starts_with("capture-"))
         .collect();
-    assert_eq!(captures, ["capture-0000000000000030.capture"]);
+    assert_eq!(snapshots, ["capture-0000000000000030.capture"]);
     f.save(&[save(4, 31, 35)]).expect("saved");
     drop(f);
-    let (_, l) = Folder::open(&p, "c", 1 << 20, 7).expect("opened");
+    let (_, l) = DataFolder::open(&p, "c", 1 << 20, 7).expect("opened");
     assert!(!l.damaged);
-    assert_eq!(l.capture.map(|c| c.index), Some(30));
+    assert_eq!(l.snapshot.map(|c| c.index), Some(30));
     assert_eq!(l.entries.last().map(|e| e.index), Some(35));
 }
--- a/landingdrift/tests/docs.rs
+++ b/landingdrift/tests/docs.rs
@@ -1,7 +1,7 @@
 //! The operators' pages say what the code does.
 
 use landingdrift::desired;
-use landingdrift::node::Beat;
+use landingdrift::node::Heartbeat;
 use landingdrift::record::JobSpec;
 use landingdrift::settings::Settings;
 use serde_json::Value;
@@ -76,7 +76,7 @@
             .unwrap_or_else(|e| panic!("{e}"));
     }
     for b in beats {
-        serde_json::from_str::<Beat>(&b).unwrap_or_else(|e| panic!("{e}"));
+        serde_json::from_str::<Heartbeat>(&b).unwrap_or_else(|e| panic!("{e}"));
     }
     for c in configurations {
         desired::read(&serde_json::from_str(&c).expect("JSON")).unwrap_or_else(|e| panic!("{e}"));
--- a/landingdrift/tests/light.rs
+++ b/landingdrift/tests/light.rs
@@ -2,9 +2,11 @@
 
 use landingdrift::kernel::{Effect, Msg, Now, Part, Request};
 use landingdrift::node::Node;
-use landingdrift::record::{Command, JobSpec, Order, Outcome, ProposalId, Record, WorkerFacts};
+use landingdrift::record::{
+    ClusterState, Command, JobSpec, Order, Outcome, ProposalId, WorkerInfo,
+};
 use landingdrift::settings::Settings;
-use landingdrift::wire::{Body, Entry, FeedBatch};
+use landingdrift::wire::{Body, Entry, WatchBatch};
 use serde_json::json;
 
 const CORE: &str = "10.0.0.2:1";
@@ -44,7 +46,7 @@
         ),
         (
             Command::Facts {
-                facts: WorkerFacts::default(),
+                facts: WorkerInfo::default(),
                 cell_epoch: 0,
             },
             false,
@@ -101,7 +103,7 @@
             false,
         ),
         (
-            Command::Grant {
+            Command::Lease {
                 duty: text(),
                 holder: text(),
                 from_epoch: 0,
@@ -124,7 +126,7 @@
             true,
         ),
         (
-            Command::Core {
+            Command::Replica {
                 core: text(),
                 member: Default::default(),
             },
@@ -177,8 +179,8 @@
     }
 }
 
-fn batch(r: &Record, t: u64) -> FeedBatch {
-    FeedBatch {
+fn batch(r: &ClusterState, t: u64) -> WatchBatch {
+    WatchBatch {
         core: CORE.into(),
         leader: CORE.into(),
         ok: true,
@@ -186,8 +188,8 @@
         quorum_age: 0,
         clock: 1000 + t,
         commit: r.place,
-        capture: Vec::new(),
-        capture_index: 0,
+        snapshot: Vec::new(),
+        snapshot_index: 0,
         entries: Vec::new(),
         cores: vec![CORE.into()],
         light: true,
@@ -197,15 +199,15 @@
 
 #[test]
 fn a_light_node_follows_over_gaps_and_passes_questions_after_jobs_on() {
-    let cfg = Settings {
+    let settings = Settings {
         listen: "10.0.0.1:1".into(),
         seeds: vec![CORE.into()],
         share: 50,
         ..Settings::default()
     };
-    let mut r = Record::new(&cfg.cluster);
-    let mut n = Node::new(cfg, Now { mono: 1, wall: 1 }, 1);
-    let enter = |r: &mut Record, c: Command| {
+    let mut r = ClusterState::new(&settings.cluster);
+    let mut n = Node::new(settings, Now { mono: 1, wall: 1 }, 1);
+    let enter = |r: &mut ClusterState, c: Command| {
         let index = r.place + 1;
         r.apply(index, 1000, &c)
             .map(|_| c)
@@ -217,19 +219,19 @@
         http: HOLDER.into(),
     };
     enter(&mut r, node).expect("entered");
-    let first = FeedBatch {
-        capture: r.light().pack(),
-        capture_index: r.place,
+    let first = WatchBatch {
+        snapshot: r.light().pack(),
+        snapshot_index: r.place,
         ..batch(&r, 1)
     };
-    let hear = |n: &mut Node, t: u64, b: FeedBatch| {
+    let hear = |n: &mut Node, t: u64, b: WatchBatch| {
         let now = Now { mono: t, wall: t };
-        n.step(now, Msg::Wire(CORE.into(), Body::FeedBatch(Box::new(b))))
+        n.step(now, Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(b))))
     };
     hear(&mut n, 1, first);
     // Entries that concern a job lie between, and are left out.
     r.place += 7;
-    let grant = Command::Grant {
+    let grant = Command::Lease {
         duty: "queue/q".into(),
         holder: HOLDER.into(),
         from_epoch: 0,
@@ -242,13 +244,13 @@
         command: grant.pack(),
     };
     r.place += 3;
-    let next = FeedBatch {
+    let next = WatchBatch {
         entries: vec![entry],
         ..batch(&r, 20)
     };
     hear(&mut n, 20, next);
     assert_eq!(n.record().place, r.place);
-    assert_eq!(n.record().grants["queue/q"].holder, HOLDER);
+    assert_eq!(n.record().leases["queue/q"].holder, HOLDER);
     assert!(n.is_ready(Now { mono: 30, wall: 30 }));
     let ask = Request {
         method: "GET".into(),
@@ -257,7 +259,7 @@
     };
     let out = n.step(Now { mono: 30, wall: 30 }, Msg::Call(1, ask));
     let passed = out.iter().any(|e| {
-        matches!(e, Effect::Send(to, Body::Forward(f)) if to == HOLDER && f.path == "/v1/jobs/j")
+        matches!(e, Effect::Send(to, Body::ForwardRequest(f)) if to == HOLDER && f.path == "/v1/jobs/j")
     });
     assert!(passed, "{out:?}");
 }
--- a/landingdrift/tests/membership.rs
+++ b/landingdrift/tests/membership.rs
@@ -3,13 +3,13 @@
 use landingdrift::agreement::membership::{
     Health, JoinRequest, MembershipChange, MembershipView, Observed, Resilience,
 };
-use landingdrift::record::CoreMember;
+use landingdrift::record::ReplicaMember;
 use std::collections::BTreeMap;
 
 /// A cluster as its leader sees it; changes are carried out at once.
 struct Cluster {
     target: usize,
-    members: BTreeMap<String, CoreMember>,
+    members: BTreeMap<String, ReplicaMember>,
     observed: BTreeMap<String, Observed>,
     requests: BTreeMap<String, JoinRequest>,
 }
@@ -39,7 +39,7 @@
     }
 
     fn add(&mut self, address: &str, zone: &str, voter: bool) {
-        let member = CoreMember {
+        let member = ReplicaMember {
             voter,
             disk: u64::from(address.as_bytes()[0]),
             zone: zone.into(),
--- a/landingdrift/tests/orderly_end.rs
+++ b/landingdrift/tests/orderly_end.rs
@@ -1,7 +1,7 @@
 //! A process that is told to end answers every call that it has read whole, and ends within its grace.
 
 use landingdrift::daemon::{Asked, Bounded, Handling, Manner, Process, Reply};
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Verdict};
+use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::{Bounds, Settings};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -36,7 +36,7 @@
                     .is_some_and(|e| e.load(Ordering::SeqCst));
                 let answers = self.waiting.drain(..);
                 return answers
-                    .map(|call| Effect::Answer(call, Verdict::new(200, call.into())))
+                    .map(|call| Effect::Answer(call, Response::new(200, call.into())))
                     .chain(ends.then_some(Effect::Exit))
                     .collect();
             }
@@ -86,7 +86,7 @@
             path: asked.path,
             ..Request::default()
         };
-        let tell = |v: Verdict| Reply {
+        let tell = |v: Response| Reply {
             status: v.status,
             headers: vec![("Retry-After".into(), v.retry_ms.to_string())],
             body: vec![b'x'; 3000],
--- a/landingdrift/tests/orders.rs
+++ b/landingdrift/tests/orders.rs
@@ -38,7 +38,7 @@
         c.record.emptied.is_empty(),
         "the late copy emptied the zone"
     );
-    assert_eq!(second.verdict, first.verdict, "it gets its first answer");
+    assert_eq!(second.response, first.response, "it gets its first answer");
 }
 
 #[test]
@@ -89,7 +89,7 @@
     c.order(1, put(1, "", &json!({"notes": {"by": "b"}})));
     assert_eq!(c.record.version, 2);
     let late = c.commit(&mut early);
-    assert_eq!(late.verdict, refused.verdict);
+    assert_eq!(late.response, refused.response);
     assert_eq!(
         (c.record.version, c.record.desired.notes["by"].as_str()),
         (2, "b")
@@ -104,7 +104,7 @@
     let mut other = c.call(1, put(2, "", &json!({"notes": {"by": "b"}})));
     c.commit(&mut other);
     let again = c.commit(&mut mine);
-    assert_eq!(again.verdict, taken.verdict);
+    assert_eq!(again.response, taken.response);
     let told = c.answer(&mine, &again).expect("answered");
     assert_eq!((told.status, told.version()), (200, 2));
 }
@@ -149,18 +149,18 @@
 /// What came of a race of operators.
 fn race(seed: u64) -> (Cluster, Vec<Option<Reply>>) {
     let mut c = Cluster::new(3);
-    let mut draw = landingdrift::kernel::Draw::new(seed);
+    let mut rng = landingdrift::kernel::Rng::new(seed);
     let mut calls: Vec<_> = (0..8)
         .map(|n| {
             let by = json!({"notes": {"by": n.to_string()}});
-            c.call(draw.below(3) as usize, put(1, "version=7", &by))
+            c.call(rng.below(3) as usize, put(1, "version=7", &by))
         })
         .collect();
     // Copies are committed in any order, some of them again; some answers are lost, some leaders are none any more.
     for _ in 0..40 {
-        let n = draw.below(8) as usize;
-        c.pass(draw.below(20));
-        match draw.below(4) {
+        let n = rng.below(8) as usize;
+        c.pass(rng.below(20));
+        match rng.below(4) {
             0 => c.refuse_as_follower(&mut calls[n]),
             1 => {
                 c.commit(&mut calls[n]);
--- a/landingdrift/tests/record.rs
+++ b/landingdrift/tests/record.rs
@@ -1,14 +1,14 @@
 //! The record disposes: whatever a stale, frozen or confused node proposes, no rule is broken in `apply`.
 
 use landingdrift::record::{
-    Command, EndReport, JobSpec, JobState, Outcome, Placement, Record, Refusal, Ruling, SendState,
-    TaskSpec, WorkerFacts,
+    ApplyResult, AttemptState, ClusterState, Command, EndReport, JobSpec, JobState, Outcome,
+    Placement, Rejection, TaskSpec, WorkerInfo,
 };
 use serde_json::json;
 
 /// A record with a node, grants, a configuration and two workers.
 struct Desk {
-    r: Record,
+    r: ClusterState,
     n: u64,
     at: u64,
 }
@@ -16,7 +16,7 @@
 impl Desk {
     fn new() -> Self {
         let mut d = Self {
-            r: Record::new("c"),
+            r: ClusterState::new("c"),
             n: 0,
             at: 1_000_000,
         };
@@ -25,12 +25,12 @@
             zone: "z".into(),
             http: "h".into(),
         });
-        d.ok(Command::Grant {
+        d.ok(Command::Lease {
             duty: "cell/z".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        d.ok(Command::Grant {
+        d.ok(Command::Lease {
             duty: "queue/q".into(),
             holder: "n".into(),
             from_epoch: 0,
@@ -46,7 +46,7 @@
         d.facts("v", 1, false);
         d
     }
-    fn apply(&mut self, c: Command) -> Ruling {
+    fn apply(&mut self, c: Command) -> ApplyResult {
         self.n += 1;
         self.at += 10;
         self.r.apply(self.n, self.at, &c)
@@ -56,7 +56,7 @@
         self.apply(c).unwrap_or_else(|e| panic!("{told}: {e}"))
     }
     fn facts(&mut self, worker: &str, incarnation: u64, leaving: bool) {
-        let facts = WorkerFacts {
+        let facts = WorkerInfo {
             worker: worker.into(),
             incarnation,
             service: "s".into(),
@@ -64,14 +64,14 @@
             zone: "z".into(),
             room: 4,
             leaving,
-            ..WorkerFacts::default()
+            ..WorkerInfo::default()
         };
         self.ok(Command::Facts {
             facts,
             cell_epoch: 1,
         });
     }
-    fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> Ruling {
+    fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
         let seen = self.r.place;
         self.apply(Command::Accept {
             spec: JobSpec {
@@ -84,7 +84,7 @@
             seen,
         })
     }
-    fn start(&mut self, job: &str, of: &[(u32, &str)]) -> Ruling {
+    fn start(&mut self, job: &str, of: &[(u32, &str)]) -> ApplyResult {
         self.start_as(job, of, 2, 1, false)
     }
     fn start_as(
@@ -94,7 +94,7 @@
         owner_epoch: u64,
         cell_epoch: u64,
         copy: bool,
-    ) -> Ruling {
+    ) -> ApplyResult {
         let incarnation = |w: &str| self.r.workers.get(w).map_or(0, |w| w.facts.incarnation);
         let placements = of
             .iter()
@@ -176,33 +176,33 @@
     .expect("accepted");
     assert_eq!(
         d.start("none", &[(0, "w")]),
-        Err(Refusal::Unknown {
+        Err(Rejection::Unknown {
             what: "job 'none'".into()
         })
     );
-    assert_eq!(d.start("j", &[(1, "w")]), Err(Refusal::Waiting));
-    assert_eq!(d.start("j", &[(2, "w")]), Err(Refusal::NotDue));
+    assert_eq!(d.start("j", &[(1, "w")]), Err(Rejection::Waiting));
+    assert_eq!(d.start("j", &[(2, "w")]), Err(Rejection::NotDue));
     assert!(matches!(
         d.start("j", &[(3, "w")]),
-        Err(Refusal::Unfit { .. })
+        Err(Rejection::Unfit { .. })
     ));
     assert_eq!(
         d.start_as("j", &[(0, "w")], 1, 1, false),
-        Err(Refusal::StaleGrant)
+        Err(Rejection::StaleGrant)
     );
     assert_eq!(
         d.start_as("j", &[(0, "w")], 2, 9, false),
-        Err(Refusal::StaleGrant)
+        Err(Rejection::StaleGrant)
     );
-    assert_eq!(d.start("j", &[(0, "w"), (0, "v")]), Err(Refusal::Repeat));
+    assert_eq!(d.start("j", &[(0, "w"), (0, "v")]), Err(Rejection::Repeat));
     d.start("j", &[(0, "w")]).expect("placed");
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Refusal::Repeat));
+    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Repeat));
     d.accept("k", vec![task("a")]).expect("accepted");
-    assert_eq!(d.start("k", &[(0, "w")]), Err(Refusal::NoRoom));
+    assert_eq!(d.start("k", &[(0, "w")]), Err(Rejection::NoRoom));
     d.facts("v", 1, true);
     assert!(matches!(
         d.start("k", &[(0, "v")]),
-        Err(Refusal::Unfit { .. })
+        Err(Rejection::Unfit { .. })
     ));
     d.facts("v", 2, false);
     d.ok(Command::Configure {
@@ -214,10 +214,10 @@
     });
     assert!(matches!(
         d.start("k", &[(0, "v")]),
-        Err(Refusal::Unfit { .. })
+        Err(Rejection::Unfit { .. })
     ));
     d.ok(Command::Cancel { job: "k".into() });
-    assert_eq!(d.start("k", &[(0, "v")]), Err(Refusal::Ended));
+    assert_eq!(d.start("k", &[(0, "v")]), Err(Rejection::Ended));
 }
 
 #[test]
@@ -230,17 +230,17 @@
         incarnation: 1,
         cell_epoch: 1,
     });
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Refusal::Repeat));
+    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Repeat));
     // A new process of the worker runs it no more, but it may have finished well.
     d.facts("w", 2, false);
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Refusal::Repeat));
+    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Repeat));
     d.at += 6000;
     d.ok(Command::Sweep {
         retain_ms: 60_000,
         identity_ms: 60_000,
     });
     assert_eq!(d.state("j"), JobState::Failed);
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Refusal::Ended));
+    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Ended));
     // The late report of another one counts, whenever it comes.
     d.accept("k", vec![task("a")]).expect("accepted");
     d.start("k", &[(0, "v")]).expect("placed");
@@ -260,7 +260,7 @@
     d.start("j", &[(0, "w")]).expect("placed");
     assert_eq!(
         d.start_as("j", &[(0, "w")], 2, 1, true),
-        Err(Refusal::Repeat),
+        Err(Rejection::Repeat),
         "a copy beside its original"
     );
     d.start_as("j", &[(0, "v")], 2, 1, true)
@@ -268,7 +268,7 @@
     d.facts("x", 1, false);
     assert_eq!(
         d.start_as("j", &[(0, "x")], 2, 1, true),
-        Err(Refusal::Repeat),
+        Err(Rejection::Repeat),
         "a third"
     );
     d.end("v", 2, Outcome::Well);
@@ -290,7 +290,7 @@
     d.start("k", &[(0, "w")]).expect("placed");
     assert_eq!(
         d.start_as("k", &[(0, "v")], 2, 1, true),
-        Err(Refusal::Budget)
+        Err(Rejection::Budget)
     );
     d.ok(Command::Lost {
         worker: "w".into(),
@@ -310,7 +310,7 @@
         d.end("w", no, Outcome::Defect);
     }
     assert_eq!(d.state("j"), JobState::Failed);
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Refusal::Ended));
+    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Ended));
 }
 
 #[test]
@@ -321,10 +321,10 @@
         ..task(n)
     };
     d.accept("j", vec![gang("a"), gang("b")]).expect("accepted");
-    assert_eq!(d.start("j", &[(0, "w")]), Err(Refusal::GangSplit));
+    assert_eq!(d.start("j", &[(0, "w")]), Err(Rejection::GangSplit));
     assert_eq!(
         d.start("j", &[(0, "w"), (1, "w")]),
-        Err(Refusal::NoRoom),
+        Err(Rejection::NoRoom),
         "all or none"
     );
     assert!(d.r.live.is_empty());
@@ -332,7 +332,7 @@
     d.end("v", 2, Outcome::Defect);
     let kept = &d.r.jobs["j"].tasks[0].sends[0];
     assert!(
-        kept.stop && kept.state == SendState::Ordered,
+        kept.stop && kept.state == AttemptState::Ordered,
         "its partner is called back"
     );
     d.end("w", 1, Outcome::Void);
@@ -369,7 +369,7 @@
             hash: 2,
             seen
         }),
-        Err(Refusal::OtherBody)
+        Err(Rejection::OtherBody)
     );
     d.ok(Command::Accept {
         spec: spec("k", 3),
@@ -387,7 +387,7 @@
             hash: 1,
             seen
         }),
-        Err(Refusal::OverQuota { quota: 3 })
+        Err(Rejection::OverQuota { quota: 3 })
     );
     d.ok(Command::Cancel { job: "k".into() });
     // An older call of the same id, which was under way elsewhere, can't bring in what was turned away.
@@ -397,7 +397,7 @@
             hash: 1,
             seen
         }),
-        Err(Refusal::TurnedAway)
+        Err(Rejection::TurnedAway)
     );
     let seen = d.r.place;
     d.ok(Command::Accept {
@@ -411,7 +411,7 @@
             hash: 1,
             seen
         }),
-        Err(Refusal::Invalid { .. })
+        Err(Rejection::Invalid { .. })
     ));
     // Long after its end a job's identity is still known, and not for ever.
     d.at += 70_000;
@@ -419,21 +419,21 @@
         retain_ms: 60_000,
         identity_ms: 100_000,
     });
-    assert!(!d.r.jobs.contains_key("k") && d.r.tombs.contains_key("k"));
+    assert!(!d.r.jobs.contains_key("k") && d.r.tombstones.contains_key("k"));
     assert_eq!(
         d.apply(Command::Accept {
             spec: spec("k", 2),
             hash: 2,
             seen
         }),
-        Err(Refusal::OtherBody)
+        Err(Rejection::OtherBody)
     );
     d.at += 200_000;
     d.ok(Command::Sweep {
         retain_ms: 60_000,
         identity_ms: 100_000,
     });
-    assert!(d.r.tombs.is_empty());
+    assert!(d.r.tombstones.is_empty());
 }
 
 #[test]
@@ -449,10 +449,10 @@
     d.ok(change("a", 1, "x"));
     assert_eq!(
         d.apply(change("b", 1, "y")),
-        Err(Refusal::Rival { current: 2 })
+        Err(Rejection::Rival { current: 2 })
     );
     assert_eq!(d.ok(change("a", 1, "x"))["version"], 2);
-    assert_eq!(d.apply(change("a", 1, "z")), Err(Refusal::OtherBody));
+    assert_eq!(d.apply(change("a", 1, "z")), Err(Rejection::OtherBody));
     let wrong = d.apply(Command::Configure {
         change: "c".into(),
         base: 2,
@@ -461,13 +461,13 @@
         value: json!({"queues": {"q": {"tries": "many"}}}),
     });
     assert!(
-        matches!(&wrong, Err(Refusal::Invalid { path, .. }) if path == "queues.q.tries"),
+        matches!(&wrong, Err(Rejection::Invalid { path, .. }) if path == "queues.q.tries"),
         "{wrong:?}"
     );
     assert_eq!(d.r.version, 2);
     let bytes = d.r.pack();
     assert_eq!(
-        Record::unpack(&bytes).as_ref(),
+        ClusterState::unpack(&bytes).as_ref(),
         Ok(&d.r),
         "a capture holds all of it"
     );
@@ -557,7 +557,7 @@
     d.start("j", &[(0, "w")]).expect("the second and last try");
     assert_eq!(
         d.start_as("j", &[(0, "v")], 2, 1, true),
-        Err(Refusal::Spent),
+        Err(Rejection::Spent),
         "a copy would be a third"
     );
     d.ok(Command::Lost {
@@ -567,7 +567,7 @@
     });
     assert_eq!(
         d.start("j", &[(0, "v")]),
-        Err(Refusal::Spent),
+        Err(Rejection::Spent),
         "it may have failed unseen"
     );
     d.end("w", 2, Outcome::Well);
@@ -587,7 +587,7 @@
     };
     let refused = d.apply(without("a"));
     assert!(
-        matches!(&refused, Err(Refusal::Invalid { path, .. }) if path == "queues.q"),
+        matches!(&refused, Err(Rejection::Invalid { path, .. }) if path == "queues.q"),
         "{refused:?}"
     );
     d.ok(Command::Cancel { job: "j".into() });
@@ -641,7 +641,7 @@
     d.start("x", &[(0, "w")]).expect("one");
     assert!(matches!(
         d.start("x", &[(1, "w")]),
-        Err(Refusal::Unfit { .. })
+        Err(Rejection::Unfit { .. })
     ));
     d.end("w", 13, Outcome::Well);
     no = 13;
@@ -695,14 +695,14 @@
 #[test]
 fn orders_are_called_back_from_a_worker_that_no_longer_fits() {
     let changed = |room, labels: &[&str]| Command::Facts {
-        facts: WorkerFacts {
+        facts: WorkerInfo {
             worker: "w".into(),
             incarnation: 1,
             service: "s".into(),
             labels: labels.iter().map(ToString::to_string).collect(),
             zone: "z".into(),
             room,
-            ..WorkerFacts::default()
+            ..WorkerInfo::default()
         },
         cell_epoch: 1,
     };
@@ -774,7 +774,7 @@
             ends: vec![],
         });
         let state = d.r.send(1).map(|(_, _, s)| s.state);
-        assert_eq!(state, Some(SendState::Unsure), "started anew: {anew}");
+        assert_eq!(state, Some(AttemptState::Unsure), "started anew: {anew}");
         d.end("w", 1, Outcome::Well);
         assert_eq!(d.state("j"), JobState::Done, "a late end still counts");
     }
@@ -791,12 +791,12 @@
         sends: vec![1],
         blame: true,
     };
-    assert_eq!(d.apply(recall(9)), Err(Refusal::StaleGrant));
+    assert_eq!(d.apply(recall(9)), Err(Rejection::StaleGrant));
     d.ok(recall(1));
     assert!(d.r.workers["w"].probation > 0);
     assert_eq!(
         d.start("j", &[(0, "v")]),
-        Err(Refusal::Repeat),
+        Err(Rejection::Repeat),
         "not before it has ended"
     );
     d.end("w", 1, Outcome::Stopped);
--- a/landingdrift/tests/relay.rs
+++ b/landingdrift/tests/relay.rs
@@ -1,21 +1,21 @@
 //! A relay carries a worker's calls; each test drives one by its messages.
 
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Verdict};
-use landingdrift::relay::{Relay, LEAVING};
+use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::relay::{WorkerProxy, LEAVING};
 use landingdrift::settings::Settings;
-use landingdrift::wire::{Body, Forwarded, RequestToken};
+use landingdrift::wire::{Body, ForwardResponse, RequestToken};
 use serde_json::json;
 
-fn relay() -> Relay {
-    let cfg = Settings {
+fn relay() -> WorkerProxy {
+    let settings = Settings {
         listen: "10.0.0.9:1".into(),
         seeds: vec!["10.0.0.1:1".into(), "10.0.0.2:1".into()],
         ..Settings::default()
     };
-    Relay::new(cfg, 1)
+    WorkerProxy::new(settings, 1)
 }
 
-fn step(r: &mut Relay, mono: u64, msg: Msg) -> Vec<Effect> {
+fn step(r: &mut WorkerProxy, mono: u64, msg: Msg) -> Vec<Effect> {
     r.step(Now { mono, wall: mono }, msg)
 }
 
@@ -34,13 +34,13 @@
     effects
         .iter()
         .filter_map(|e| match e {
-            Effect::Send(to, Body::Forward(f)) => Some((to.clone(), f.token)),
+            Effect::Send(to, Body::ForwardRequest(f)) => Some((to.clone(), f.token)),
             _ => None,
         })
         .collect()
 }
 
-fn answer(effects: &[Effect]) -> Option<Verdict> {
+fn answer(effects: &[Effect]) -> Option<Response> {
     effects.iter().find_map(|e| match e {
         Effect::Answer(7, v) => Some(v.clone()),
         _ => None,
@@ -48,14 +48,14 @@
 }
 
 fn back(from: &str, token: RequestToken, status: u16, by: &str) -> Msg {
-    let m = Forwarded {
+    let m = ForwardResponse {
         token,
         status,
         retry_ms: 0,
         body: json!({"beatMs": 150}).to_string().into_bytes(),
         by: by.into(),
     };
-    Msg::Wire(from.into(), Body::Forwarded(Box::new(m)))
+    Msg::Wire(from.into(), Body::ForwardResponse(Box::new(m)))
 }
 
 #[test]
@@ -92,7 +92,7 @@
 }
 
 /// The answers given while nobody speaks for the cell, over a second and a half.
-fn in_vain(query: &str) -> Vec<(u64, Verdict)> {
+fn in_vain(query: &str) -> Vec<(u64, Response)> {
     let mut r = relay();
     step(&mut r, 1, beat(query));
     (20..1500)
