--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -3,9 +3,11 @@
 mod cores;
 
 use cores::{name, Carried, Cores, NODE};
-use landingdrift::chunks::{Assembly, Snapshot, Taken, CHUNK_BYTES};
+use landingdrift::chunks::{Assembly, ChunkedSnapshot, Taken, CHUNK_BYTES};
 use landingdrift::settings::Limits;
-use landingdrift::wire::{Append, Body, FeedChunk, FeedPull, Install, InstallVerdict};
+use landingdrift::wire::{
+    AppendRequest, Body, InstallSnapshot, InstallSnapshotResponse, WatchRequest, WatchSnapshotChunk,
+};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -17,7 +19,7 @@
 
 fn limits() -> Limits {
     Limits {
-        capture_every: EVERY,
+        snapshot_every: EVERY,
         ..Limits::default()
     }
 }
@@ -34,10 +36,10 @@
     (all, leader, behind)
 }
 
-fn installs(all: &Cores, to: usize) -> Vec<(u64, Install)> {
+fn installs(all: &Cores, to: usize) -> Vec<(u64, InstallSnapshot)> {
     let of = all.sent.iter().filter(|(_, c)| c.to == name(to));
     of.filter_map(|(t, c)| match &c.body {
-        Body::Install(m) => Some((*t, (**m).clone())),
+        Body::InstallSnapshot(m) => Some((*t, (**m).clone())),
         _ => None,
     })
     .collect()
@@ -45,7 +47,7 @@
 
 fn beats(all: &Cores, to: usize) -> Vec<u64> {
     let of = all.sent.iter().filter(|(_, c)| c.to == name(to));
-    of.filter_map(|(t, c)| matches!(&c.body, Body::Append(_)).then_some(*t))
+    of.filter_map(|(t, c)| matches!(&c.body, Body::AppendRequest(_)).then_some(*t))
         .collect()
 }
 
@@ -72,7 +74,7 @@
         .map(|n| (n * CHUNK_BYTES) as u64)
         .collect();
     assert_eq!(offsets, want);
-    assert!(sent.iter().all(|(_, m)| m.capture.len() <= CHUNK_BYTES));
+    assert!(sent.iter().all(|(_, m)| m.snapshot.len() <= CHUNK_BYTES));
     assert_eq!(all.counter(leader, "captures_sent"), 1);
     assert_eq!(all.counter(leader, "snapshot_chunks_repeated"), 0);
     let first_beat = beats(&all, behind)[0];
@@ -83,8 +85,9 @@
 fn a_snapshot_waits_for_its_acknowledgement_and_heartbeats_do_not() {
     let (mut all, leader, behind) = one_behind();
     let me = name(behind);
-    all.loses =
-        Box::new(move |c: &Carried| c.from == me && matches!(&c.body, Body::InstallVerdict(_)));
+    all.loses = Box::new(move |c: &Carried| {
+        c.from == me && matches!(&c.body, Body::InstallSnapshotResponse(_))
+    });
     all.boot(behind);
     all.run(4000);
     let sent = installs(&all, behind);
@@ -104,7 +107,7 @@
     let (mut all, _, behind) = one_behind();
     let seen = Rc::new(Cell::new(0));
     all.loses = Box::new(move |c: &Carried| {
-        let chunk = matches!(&c.body, Body::Install(_));
+        let chunk = matches!(&c.body, Body::InstallSnapshot(_));
         seen.set(seen.get() + u64::from(chunk));
         chunk && seen.get().is_multiple_of(3)
     });
@@ -131,7 +134,7 @@
 
 #[test]
 fn the_next_leader_goes_on_where_the_same_snapshot_stopped() {
-    let snapshot = Snapshot::new(7, 2, vec![9; 3 * CHUNK_BYTES]);
+    let snapshot = ChunkedSnapshot::new(7, 2, vec![9; 3 * CHUNK_BYTES]);
     let of = snapshot.identity();
     let mut assembly = Assembly::default();
     assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), Taken::Part);
@@ -149,24 +152,24 @@
 }
 
 /// An installation as the leader of a term would send it.
-fn install(term: u64, index: u64, bytes: &[u8]) -> Install {
-    let of = Snapshot::new(index, term, bytes.to_vec()).identity();
-    Install {
+fn install(term: u64, index: u64, bytes: &[u8]) -> InstallSnapshot {
+    let of = ChunkedSnapshot::new(index, term, bytes.to_vec()).identity();
+    InstallSnapshot {
         term,
         round: 1,
         index,
         index_term: term,
-        capture: bytes.to_vec(),
+        snapshot: bytes.to_vec(),
         offset: 0,
         total: of.total,
         checksum: of.checksum,
     }
 }
 
-fn last_verdict(all: &Cores, from: usize) -> InstallVerdict {
+fn last_verdict(all: &Cores, from: usize) -> InstallSnapshotResponse {
     let mut of = all.sent.iter().rev().filter(|(_, c)| c.from == name(from));
     let found = of.find_map(|(_, c)| match &c.body {
-        Body::InstallVerdict(m) => Some((**m).clone()),
+        Body::InstallSnapshotResponse(m) => Some((**m).clone()),
         _ => None,
     });
     found.expect("a verdict")
@@ -182,17 +185,17 @@
     let term = all.core(leader).term();
     let place = all.core(to).record().place;
     let version = all.version(to);
-    let bytes = landingdrift::record::Record::new("landingdrift").pack();
+    let bytes = landingdrift::record::ClusterState::new("landingdrift").pack();
     let good = install(term, place + 10, &bytes);
-    let spoilt = Install {
+    let spoilt = InstallSnapshot {
         checksum: good.checksum ^ 1,
         ..good.clone()
     };
-    let cut = Install {
+    let cut = InstallSnapshot {
         total: good.total + 1,
         ..good.clone()
     };
-    let outdated = Install {
+    let outdated = InstallSnapshot {
         term: term - 1,
         ..good.clone()
     };
@@ -203,7 +206,7 @@
         (outdated, true),
         (no_record, true),
     ] {
-        all.tell(to, &name(leader), Body::Install(Box::new(m)));
+        all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(m)));
         assert_eq!(last_verdict(&all, to).refused, refused);
         assert_eq!(all.core(to).record().place, place);
     }
@@ -230,7 +233,7 @@
         more.index = last + n;
         more.clone()
     });
-    let append = Append {
+    let append = AppendRequest {
         term,
         prev_index: last,
         prev_term: term,
@@ -241,12 +244,12 @@
         clock: 0,
         may_leave: false,
     };
-    all.tell(to, &name(leader), Body::Append(Box::new(append)));
+    all.tell(to, &name(leader), Body::AppendRequest(Box::new(append)));
     all.run(3);
     assert_eq!(all.disks[to].last(), last + 2);
     let bytes = all.core(to).record().pack();
     let late = install(term, last + 1, &bytes);
-    all.tell(to, &name(leader), Body::Install(Box::new(late)));
+    all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(late)));
     all.run(3);
     assert_eq!(all.disks[to].last(), last + 2, "what it confirmed is gone");
     assert_eq!(all.counter(to, "captures_installed"), 0);
@@ -284,7 +287,7 @@
     // A narrow link: every chunk takes its time, and a change comes with each.
     let seen = Rc::new(Cell::new(0));
     all.loses = Box::new(move |c: &Carried| {
-        let chunk = matches!(&c.body, Body::Install(_));
+        let chunk = matches!(&c.body, Body::InstallSnapshot(_));
         seen.set(seen.get() + u64::from(chunk));
         chunk && seen.get() % 2 == 1
     });
@@ -318,10 +321,10 @@
     assert!(all.counter(0, "captures") > 3);
 }
 
-fn chunks(all: &Cores) -> Vec<FeedChunk> {
+fn chunks(all: &Cores) -> Vec<WatchSnapshotChunk> {
     let of = all.outside.iter().filter(|c| c.to == NODE);
     of.filter_map(|c| match &c.body {
-        Body::FeedChunk(m) => Some((**m).clone()),
+        Body::WatchSnapshotChunk(m) => Some((**m).clone()),
         _ => None,
     })
     .collect()
@@ -336,7 +339,7 @@
         let before = chunks(&all).len();
         let part = assembly.identity();
         let ask = |all: &mut Cores| {
-            all.pull_from(FeedPull {
+            all.pull_from(WatchRequest {
                 part_index: part.index,
                 part_checksum: part.checksum,
                 part_received: assembly.received(),
@@ -367,7 +370,7 @@
         }
     }
     let (index, bytes) = whole.expect("whole");
-    landingdrift::record::Record::unpack(&bytes).expect("a record");
+    landingdrift::record::ClusterState::unpack(&bytes).expect("a record");
     assert_eq!(all.counter(leader, "feed_captures"), 1);
     // It goes on with entries from there, and no further snapshot.
     let before = chunks(&all).len();
@@ -389,7 +392,7 @@
         .outside
         .iter()
         .filter_map(|c| match &c.body {
-            Body::FeedChunk(m) => Some((m.index, m.checksum, m.bytes.len())),
+            Body::WatchSnapshotChunk(m) => Some((m.index, m.checksum, m.bytes.len())),
             _ => None,
         })
         .collect();
--- a/landingdrift/tests/storage.rs
+++ b/landingdrift/tests/storage.rs
@@ -73,13 +73,13 @@
     let me = name(struck);
     let sent = all.sent.iter().filter(|(t, c)| *t > since && c.from == me);
     sent.for_each(|(_, c)| match &c.body {
-        Body::VoteVerdict(v) => assert!(!v.granted),
-        Body::Vote(_) => panic!("it stands for election"),
+        Body::VoteResponse(v) => assert!(!v.granted),
+        Body::VoteRequest(_) => panic!("it stands for election"),
         _ => {}
     });
     let beats = all.sent.iter().filter(|(t, c)| *t > since && c.to == me);
     let entries =
-        beats.filter(|(_, c)| matches!(&c.body, Body::Append(a) if !a.entries.is_empty()));
+        beats.filter(|(_, c)| matches!(&c.body, Body::AppendRequest(a) if !a.entries.is_empty()));
     assert_eq!(entries.count(), 0, "nothing is sent that can't be kept");
     comes_back(&mut all, struck);
 }
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -3,9 +3,9 @@
 use landingdrift::daemon::{
     Asked, Bounded, Calls, Frames, Handling, Input, Manner, Reply, Traffic, Transport,
 };
-use landingdrift::kernel::{Msg, Request, Verdict};
+use landingdrift::kernel::{Msg, Request, Response};
 use landingdrift::settings::Limits;
-use landingdrift::wire::{pack, unpack, Body, Forwarded, ReadAsk, RequestToken};
+use landingdrift::wire::{pack, unpack, Body, ForwardResponse, ReadIndexRequest, RequestToken};
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -40,11 +40,11 @@
 
 fn ask(number: u64) -> Body {
     let token = token(number);
-    Body::ReadAsk(Box::new(ReadAsk { token }))
+    Body::ReadIndexRequest(Box::new(ReadIndexRequest { token }))
 }
 
 fn forwarded(number: u64, bytes: usize) -> Body {
-    Body::Forwarded(Box::new(Forwarded {
+    Body::ForwardResponse(Box::new(ForwardResponse {
         token: token(number),
         status: 200,
         retry_ms: 0,
@@ -356,10 +356,11 @@
         body: b"body".to_vec(),
     };
     assert_eq!(req, want);
-    own.calls.answer(n, Verdict::new(200, json!({"own": true})));
+    own.calls
+        .answer(n, Response::new(200, json!({"own": true})));
     let (req, n) = other.next();
     assert_eq!(req.path, "tests");
-    other.calls.answer(n, Verdict::new(200, json!(null)));
+    other.calls.answer(n, Response::new(200, json!(null)));
     assert_eq!(
         to_own.join().expect("called"),
         (200, None, "{\"own\":true}\n".into())
@@ -382,7 +383,7 @@
     let (_, n) = s.next();
     let (status, _, text) = call(s.at, "/second", Vec::new()).join().expect("called");
     assert!(status == 503 && text.contains("retryMs"), "{status} {text}");
-    s.calls.answer(n, Verdict::new(200, json!("done")));
+    s.calls.answer(n, Response::new(200, json!("done")));
     assert_eq!(first.join().expect("called"), (200, None, "done".into()));
 }
 
--- a/rehearsal/src/explorer/client.rs
+++ b/rehearsal/src/explorer/client.rs
@@ -3,7 +3,7 @@
 use super::cluster::{Cluster, CLIENT};
 use landingdrift::kernel::Msg;
 use landingdrift::record::Command;
-use landingdrift::wire::{Body, Propose, ReadAsk, RequestToken};
+use landingdrift::wire::{Body, ProposeRequest, ReadIndexRequest, RequestToken};
 use serde_json::json;
 
 impl Cluster {
@@ -25,11 +25,11 @@
 
     /// Somebody proposes a command, whatever it is.
     pub fn propose_command(&mut self, i: usize, token: u64, command: &Command) {
-        let propose = Propose {
+        let propose = ProposeRequest {
             token: request(token),
             command: command.pack(),
         };
-        let body = Body::Propose(Box::new(propose));
+        let body = Body::ProposeRequest(Box::new(propose));
         self.step(i, Msg::Wire(CLIENT.into(), body));
     }
 
@@ -37,7 +37,7 @@
     pub fn read(&mut self, i: usize) {
         let token = self.token();
         self.ledger.reads(token);
-        let ask = Body::ReadAsk(Box::new(ReadAsk {
+        let ask = Body::ReadIndexRequest(Box::new(ReadIndexRequest {
             token: request(token),
         }));
         self.step(i, Msg::Wire(CLIENT.into(), ask));
@@ -50,12 +50,12 @@
 
     pub(super) fn answer(&mut self, body: &Body) {
         match body {
-            Body::Proposed(answer) if answer.outcome == 0 => {
+            Body::ProposeResponse(answer) if answer.outcome == 0 => {
                 if let Some(index) = self.ledger.proposed(answer) {
                     self.check_durable(index);
                 }
             }
-            Body::ReadPlace(answer) => self.ledger.read(answer),
+            Body::ReadIndexResponse(answer) => self.ledger.read(answer),
             _ => {}
         }
     }
--- a/rehearsal/src/explorer/cluster.rs
+++ b/rehearsal/src/explorer/cluster.rs
@@ -3,9 +3,9 @@
 use super::defect::{distort, Defect};
 use super::ledger::{Invariant, Ledger};
 use crate::simulator::disk::SimDisk;
-use landingdrift::agreement::Core;
-use landingdrift::kernel::{Effect, Msg, Now, Part, Save};
-use landingdrift::record::CoreMember;
+use landingdrift::agreement::Replica;
+use landingdrift::kernel::{Effect, Msg, Now, Part, WriteBatch};
+use landingdrift::record::ReplicaMember;
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::wire::{Body, Entry};
 use std::collections::BTreeMap;
@@ -21,10 +21,10 @@
 
 /// One machine with a disk.
 #[derive(Clone)]
-pub struct Replica {
+pub struct Machine {
     pub address: String,
     pub zone: String,
-    pub core: Option<Box<Core>>,
+    pub core: Option<Box<Replica>>,
     pub disk: SimDisk,
     pub disk_number: u64,
     pub frozen: bool,
@@ -52,7 +52,7 @@
 #[derive(Clone)]
 pub struct Cluster {
     pub now: u64,
-    pub replicas: Vec<Replica>,
+    pub replicas: Vec<Machine>,
     pub network: Vec<InFlight>,
     pub ledger: Ledger,
     pub settings: Settings,
@@ -105,7 +105,7 @@
     /// A new machine with an empty disk, started.
     pub fn add(&mut self, address: String, zone: String) -> usize {
         let disk_number = self.number();
-        self.replicas.push(Replica {
+        self.replicas.push(Machine {
             address,
             zone,
             core: None,
@@ -161,7 +161,7 @@
         let seed = self.number();
         let loaded = self.replicas[i].disk.load();
         let now = self.clock(i);
-        match Core::new(settings, loaded, now, seed) {
+        match Replica::new(settings, loaded, now, seed) {
             Ok(core) => self.replicas[i].core = Some(Box::new(core)),
             Err(why) => self.ledger.broken(Invariant::Progress, why),
         }
@@ -238,9 +238,9 @@
     fn carry_out(&mut self, i: usize, effect: Effect) {
         match effect {
             Effect::Send(to, body) => self.post(i, to, body),
-            Effect::Save(save) => self.save(i, save),
+            Effect::Persist(save) => self.save(i, save),
             Effect::Exit => self.crash(i, usize::MAX),
-            Effect::Line(text) => self.log_line(i, &text),
+            Effect::Log(text) => self.log_line(i, &text),
             Effect::Answer(..) => {}
         }
     }
@@ -269,26 +269,26 @@
         });
     }
 
-    fn save(&mut self, i: usize, save: Save) {
-        let ticket = save.ticket;
+    fn save(&mut self, i: usize, save: WriteBatch) {
+        let write_id = save.write_id;
         self.replicas[i].disk.pending.push_back(save);
         if self.defect == Some(Defect::ConfirmsUnsaved) {
-            self.step(i, Msg::Saved(ticket));
+            self.step(i, Msg::Persisted(write_id));
         } else if self.instant_disks {
-            self.replicas[i].disk.done(ticket);
-            self.step(i, Msg::Saved(ticket));
+            self.replicas[i].disk.done(write_id);
+            self.step(i, Msg::Persisted(write_id));
         }
     }
 
     /// The disk confirms everything that it was handed.
     pub fn sync(&mut self, i: usize) {
-        let ticket = self.replicas[i].disk.pending.back().map(|s| s.ticket);
-        let Some(ticket) = ticket.filter(|_| self.replicas[i].core.is_some()) else {
+        let write_id = self.replicas[i].disk.pending.back().map(|s| s.write_id);
+        let Some(write_id) = write_id.filter(|_| self.replicas[i].core.is_some()) else {
             return;
         };
         if self.defect != Some(Defect::ConfirmsUnsaved) {
-            self.replicas[i].disk.done(ticket);
-            self.step(i, Msg::Saved(ticket));
+            self.replicas[i].disk.done(write_id);
+            self.step(i, Msg::Persisted(write_id));
         }
     }
 
@@ -306,9 +306,9 @@
     /// An acknowledged entry is on as many disks as may be lost at once, and one more.
     pub(super) fn check_durable(&mut self, index: u64) {
         let term = self.ledger.committed_term(index);
-        let holds = |r: &&Replica| {
+        let holds = |r: &&Machine| {
             let loaded = r.disk.load();
-            let covered = loaded.capture.is_some_and(|c| c.index >= index);
+            let covered = loaded.snapshot.is_some_and(|c| c.index >= index);
             let same = |e: &Entry| e.index == index && term.is_none_or(|t| t == e.term);
             covered || loaded.entries.iter().any(same)
         };
@@ -349,7 +349,7 @@
     }
 
     /// The membership by the replica that knows most.
-    pub fn membership(&self) -> BTreeMap<String, CoreMember> {
+    pub fn membership(&self) -> BTreeMap<String, ReplicaMember> {
         let cores = self.replicas.iter().filter_map(|r| r.core.as_ref());
         cores
             .max_by_key(|c| c.record().place)
@@ -371,7 +371,7 @@
     /// The members that vote, as indices of the replicas whose disks they are; identities that are lost have none.
     pub fn intact_voters(&self) -> (usize, Vec<usize>) {
         let membership = self.membership();
-        let voters: Vec<(&String, &CoreMember)> =
+        let voters: Vec<(&String, &ReplicaMember)> =
             membership.iter().filter(|(_, m)| m.voter).collect();
         let intact = voters.iter().filter_map(|(address, member)| {
             self.replicas
--- a/rehearsal/src/explorer/defect.rs
+++ b/rehearsal/src/explorer/defect.rs
@@ -27,40 +27,40 @@
 /// What a misbehaving replica sends in place of a message.
 pub(super) fn distort(defect: Defect, body: Body) -> Body {
     match (defect, body) {
-        (Defect::VotesForAll, Body::VoteVerdict(mut verdict)) => {
-            verdict.granted = true;
-            Body::VoteVerdict(verdict)
+        (Defect::VotesForAll, Body::VoteResponse(mut response)) => {
+            response.granted = true;
+            Body::VoteResponse(response)
         }
-        (Defect::AnswersOldReads, Body::ReadPlace(mut answer)) => {
+        (Defect::AnswersOldReads, Body::ReadIndexResponse(mut answer)) => {
             answer.ok = true;
             answer.place = 0;
-            Body::ReadPlace(answer)
+            Body::ReadIndexResponse(answer)
         }
-        (Defect::AcknowledgesRivals, Body::Proposed(mut answer)) => {
+        (Defect::AcknowledgesRivals, Body::ProposeResponse(mut answer)) => {
             let won = json!({"done": {"version": 1, "place": answer.place}});
-            answer.verdict = serde_json::to_vec(&won).unwrap_or_default();
-            Body::Proposed(answer)
+            answer.response = serde_json::to_vec(&won).unwrap_or_default();
+            Body::ProposeResponse(answer)
         }
-        (Defect::VotesForNobody, Body::VoteVerdict(mut verdict)) => {
-            verdict.granted = false;
-            Body::VoteVerdict(verdict)
+        (Defect::VotesForNobody, Body::VoteResponse(mut response)) => {
+            response.granted = false;
+            Body::VoteResponse(response)
         }
         (Defect::ForgetsSilently, Body::Hello(mut hello)) => {
             hello.noted.index = 0;
             hello.notes.clear();
             Body::Hello(hello)
         }
-        (Defect::ForgetsSilently, Body::Append(mut append)) => {
+        (Defect::ForgetsSilently, Body::AppendRequest(mut append)) => {
             append.notes.clear();
-            Body::Append(append)
+            Body::AppendRequest(append)
         }
-        (Defect::IgnoresNewcomers, Body::Join(mut join)) => {
+        (Defect::IgnoresNewcomers, Body::JoinCluster(mut join)) => {
             join.standby_only = true;
-            Body::Join(join)
+            Body::JoinCluster(join)
         }
-        (Defect::AltersTimes, Body::Append(mut append)) => {
+        (Defect::AltersTimes, Body::AppendRequest(mut append)) => {
             append.entries.iter_mut().for_each(|e| e.at += 1);
-            Body::Append(append)
+            Body::AppendRequest(append)
         }
         (_, body) => body,
     }
--- a/rehearsal/src/explorer/ledger.rs
+++ b/rehearsal/src/explorer/ledger.rs
@@ -1,7 +1,7 @@
 //! What was seen of the replicas, and the invariants that it must satisfy. It knows nothing of the replicas' own rules.
 
-use landingdrift::kernel::digest;
-use landingdrift::wire::{Proposed, ReadPlace};
+use landingdrift::kernel::fnv1a;
+use landingdrift::wire::{ProposeResponse, ReadIndexResponse};
 use std::collections::BTreeMap;
 
 /// An invariant that was broken.
@@ -65,7 +65,7 @@
 
     /// A replica holds an entry to be committed.
     pub fn commits(&mut self, replica: &str, index: u64, term: u64, command: &[u8]) {
-        let seen = (term, digest(command));
+        let seen = (term, fnv1a(command));
         let first = *self.committed.entry(index).or_insert(seen);
         if first != seen {
             let what = format!(
@@ -88,7 +88,7 @@
 
     /// A replica has this state after an index.
     pub fn state(&mut self, replica: &str, index: u64, state: &[u8]) {
-        let seen = digest(state);
+        let seen = fnv1a(state);
         let first = *self.states.entry(index).or_insert(seen);
         if first != seen {
             let what = format!("{replica} has another state after entry {index}");
@@ -107,10 +107,10 @@
     }
 
     /// A client's proposal is answered. Returns the index of the entry if it was acknowledged.
-    pub fn proposed(&mut self, answer: &Proposed) -> Option<u64> {
-        let ruling: serde_json::Value = serde_json::from_slice(&answer.verdict).ok()?;
-        let version = ruling["done"]["version"].as_u64()?;
-        let index = ruling["done"]["place"].as_u64().unwrap_or(answer.place);
+    pub fn proposed(&mut self, answer: &ProposeResponse) -> Option<u64> {
+        let result: serde_json::Value = serde_json::from_slice(&answer.response).ok()?;
+        let version = result["done"]["version"].as_u64()?;
+        let index = result["done"]["place"].as_u64().unwrap_or(answer.place);
         let change = self.proposals.get(&answer.token.number)?.clone();
         let winner = self
             .winners
@@ -127,7 +127,7 @@
     }
 
     /// A client's read is answered.
-    pub fn read(&mut self, answer: &ReadPlace) {
+    pub fn read(&mut self, answer: &ReadIndexResponse) {
         let Some(at_least) = self
             .reads
             .remove(&answer.token.number)
--- a/rehearsal/src/explorer/search.rs
+++ b/rehearsal/src/explorer/search.rs
@@ -27,7 +27,7 @@
     Stop(usize),
     Freeze(usize),
     Thaw(usize),
-    Propose(usize),
+    Submit(usize),
 }
 
 /// How much of what may happen on one way.
@@ -142,7 +142,7 @@
             (budget.wipes > 0, Event::Wipe(i)),
             (budget.stops > 0, Event::Stop(i)),
             (budget.freezes > 0, Event::Freeze(i)),
-            (budget.proposals > 0, Event::Propose(i)),
+            (budget.proposals > 0, Event::Submit(i)),
         ];
         events.extend(allowed.iter().filter(|(may, _)| *may).map(|(_, e)| *e));
     }
@@ -202,7 +202,7 @@
             budget.freezes -= 1;
         }
         Event::Thaw(i) => cluster.freeze(i, false),
-        Event::Propose(i) => {
+        Event::Submit(i) => {
             let version = cluster.replicas[i]
                 .core
                 .as_ref()
--- a/rehearsal/src/explorer/trouble.rs
+++ b/rehearsal/src/explorer/trouble.rs
@@ -1,6 +1,6 @@
 //! What can befall the replicas on a walk.
 
-use landingdrift::kernel::Draw;
+use landingdrift::kernel::Rng;
 
 /// What can befall the replicas. Numbers choose among those that are there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,12 +78,12 @@
 pub type Timed = (u64, Trouble);
 
 /// Any trouble, drawn by lot.
-pub(super) fn draw_trouble(draw: &mut Draw) -> Trouble {
-    let who = draw.below(64) as usize;
-    let down_ms = 200 + draw.below(4000);
-    let for_ms = 200 + draw.below(8000);
-    let arrived = draw.below(3) as usize;
-    match draw.below(14) {
+pub(super) fn draw_trouble(rng: &mut Rng) -> Trouble {
+    let who = rng.below(64) as usize;
+    let down_ms = 200 + rng.below(4000);
+    let for_ms = 200 + rng.below(8000);
+    let arrived = rng.below(3) as usize;
+    match rng.below(14) {
         0 => Trouble::Kill { who, down_ms },
         1 | 2 => Trouble::PowerLoss {
             who,
@@ -100,12 +100,12 @@
         },
         6 => Trouble::Cut {
             who,
-            inward: draw.below(2) == 0,
+            inward: rng.below(2) == 0,
             outward: true,
             for_ms,
         },
         7 => Trouble::Lossy {
-            percent: 5 + draw.below(40),
+            percent: 5 + rng.below(40),
             for_ms,
         },
         8 => Trouble::StallDisk {
--- a/rehearsal/src/explorer/walk.rs
+++ b/rehearsal/src/explorer/walk.rs
@@ -4,7 +4,7 @@
 use super::defect::Defect;
 use super::ledger::{Invariant, Violation};
 use super::trouble::{draw_trouble, Timed, Trouble};
-use landingdrift::kernel::{Draw, Msg};
+use landingdrift::kernel::{Msg, Rng};
 use std::collections::BTreeSet;
 
 /// How long all machines must have been up before the next loss that takes data, in milliseconds.
@@ -54,9 +54,9 @@
 impl Walk {
     /// A walk drawn from a seed.
     pub fn drawn(seed: u64, voters: u32, standbys: usize, length_ms: u64, troubles: usize) -> Self {
-        let mut draw = Draw::new(seed);
+        let mut rng = Rng::new(seed);
         let mut drawn: Vec<Timed> = (0..troubles)
-            .map(|_| (6000 + draw.below(length_ms - 6000), draw_trouble(&mut draw)))
+            .map(|_| (6000 + rng.below(length_ms - 6000), draw_trouble(&mut rng)))
             .collect();
         drawn.sort_by_key(|(at, _)| *at);
         Self {
@@ -106,7 +106,7 @@
 struct Walker<'a> {
     walk: &'a Walk,
     cluster: Cluster,
-    draw: Draw,
+    rng: Rng,
     later: Vec<(u64, Later)>,
     cuts: Vec<(String, bool, bool, u64)>,
     lossy: (u64, u64),
@@ -124,7 +124,7 @@
         Self {
             walk,
             cluster,
-            draw: Draw::new(walk.seed ^ 0x5eed),
+            rng: Rng::new(walk.seed ^ 0x5eed),
             later: Vec::new(),
             cuts: Vec::new(),
             lossy: (0, 0),
@@ -199,7 +199,7 @@
             } => self.power_loss(who, arrived, down_ms),
             Trouble::PowerLossOfAll { arrived, down_ms } => {
                 for i in self.up() {
-                    let later = self.draw.below(300);
+                    let later = self.rng.below(300);
                     self.down(i, arrived, down_ms + later);
                 }
             }
@@ -282,7 +282,7 @@
     /// Whether nothing is lost, cut or young any more, so that the next machine may be lost.
     fn whole(&self) -> bool {
         let settled_before = self.cluster.now.saturating_sub(CATCH_UP_MS);
-        let fine = |r: &super::cluster::Replica| {
+        let fine = |r: &super::cluster::Machine| {
             r.gone || (r.core.is_some() && !r.frozen && r.up_since <= settled_before)
         };
         self.later.is_empty()
@@ -320,13 +320,13 @@
         let (percent, until) = self.lossy;
         let percent = if until > now { percent } else { 0 };
         let cuts = self.cuts.clone();
-        let draw = &mut self.draw;
+        let rng = &mut self.rng;
         let stalled: BTreeSet<usize> = self.stalled.iter().map(|(i, _)| *i).collect();
         self.cluster.run(ms, &stalled, |m: &InFlight| {
             let is_cut = cuts.iter().any(|(address, inward, outward, _)| {
                 (*outward && m.from == *address) || (*inward && m.to == *address)
             });
-            is_cut || draw.below(100) < percent
+            is_cut || rng.below(100) < percent
         });
     }
 
@@ -357,11 +357,11 @@
         let cores = self.cluster.replicas.iter().filter_map(|r| r.core.as_ref());
         let base = cores.map(|c| c.record().version).max().unwrap_or(0);
         for _ in 0..2 {
-            if let Some(i) = self.draw.pick(&up).copied() {
+            if let Some(i) = self.rng.pick(&up).copied() {
                 self.cluster.propose(i, base);
             }
         }
-        if let Some(i) = self.draw.pick(&up).copied() {
+        if let Some(i) = self.rng.pick(&up).copied() {
             self.cluster.read(i);
         }
     }
--- a/rehearsal/src/fleet/drive.rs
+++ b/rehearsal/src/fleet/drive.rs
@@ -1,5 +1,5 @@
 use super::launch::Fleet;
-use super::{FleetDefect, Options};
+use super::{FleetError, Options};
 use crate::checkers::{check, summary, Broken, Promised, Summary};
 use crate::history::{Event, History};
 use crate::scenario::{Fault, Kind};
@@ -7,8 +7,8 @@
 use crate::standin::operator::Operator;
 use crate::standin::worker::Worker;
 use crate::standin::{request, Ask};
-use landingdrift::kernel::{Draw, Request, Verdict};
-use landingdrift::record::WorkerFacts;
+use landingdrift::kernel::{Request, Response, Rng};
+use landingdrift::record::WorkerInfo;
 use reqwest::blocking::Client as Http;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,10 +35,10 @@
     Probe(usize),
 }
 
-type Answer = (Ent, u64, Verdict);
+type Answer = (Ent, u64, Response);
 
 /// Makes one call and gives what came back; a lost answer has status 0.
-pub fn call(http: &Http, to: &str, req: &Request) -> Verdict {
+pub fn call(http: &Http, to: &str, req: &Request) -> Response {
     let method = reqwest::Method::from_bytes(req.method.as_bytes()).unwrap_or_default();
     let query = if req.query.is_empty() {
         String::new()
@@ -50,15 +50,15 @@
         .body(req.body.clone())
         .send();
     sent.map_or_else(
-        |_| Verdict::default(),
+        |_| Response::default(),
         |r| {
             let status = r.status().as_u16();
             let body: Value = r.json().unwrap_or(Value::Null);
-            Verdict {
+            Response {
                 status,
                 retry_ms: body["retryMs"].as_u64().unwrap_or(0),
                 body,
-                ..Verdict::default()
+                ..Response::default()
             }
         },
     )
@@ -66,7 +66,7 @@
 
 struct Hand {
     worker: Option<Worker>,
-    facts: WorkerFacts,
+    facts: WorkerInfo,
     life: u64,
     cut: bool,
 }
@@ -80,7 +80,7 @@
     hands: Vec<Hand>,
     client: Client,
     operator: Operator,
-    draw: Draw,
+    rng: Rng,
     healing: Vec<(u64, Fault, usize)>,
     /// Processes that are killed or stand still.
     down: BTreeSet<usize>,
@@ -111,7 +111,7 @@
 }
 
 /// Runs a fleet's day and checks its history.
-pub fn run(o: &Options) -> Result<Outcome, FleetDefect> {
+pub fn run(o: &Options) -> Result<Outcome, FleetError> {
     let fleet = Fleet::start(o)?;
     let nodes = fleet.nodes();
     let (tx, rx) = channel();
@@ -128,7 +128,7 @@
         .all(|n| call(&http, n, &request("GET", "/ready", "", None)).status == 200)
     {
         if waiting.elapsed() > Duration::from_secs(60) {
-            return Err(FleetDefect::NotReady(
+            return Err(FleetError::NotReady(
                 "not all nodes became ready within a minute".into(),
             ));
         }
@@ -146,7 +146,7 @@
     let hands = (0..o.shape.workers())
         .map(|i| Hand {
             worker: None,
-            facts: WorkerFacts {
+            facts: WorkerInfo {
                 worker: format!("w{i}"),
                 incarnation: 0,
                 service: services[i % 2].clone(),
@@ -156,7 +156,7 @@
                     .collect(),
                 zone: format!("z{}", i % 3),
                 room: o.shape.room(),
-                ..WorkerFacts::default()
+                ..WorkerInfo::default()
             },
             life: 0,
             cut: false,
@@ -173,7 +173,7 @@
         hands,
         client: Client::new("j", nodes, mix, o.seed, epoch),
         operator,
-        draw: Draw::new(o.seed ^ 77),
+        rng: Rng::new(o.seed ^ 77),
         healing: Vec::new(),
         down: BTreeSet::new(),
         http,
@@ -200,7 +200,7 @@
     fn asked(&mut self, from: Ent, asks: Vec<Ask>) {
         for a in asks {
             match a {
-                Ask::Note(e) => self.note(e),
+                Ask::DurabilityWitness(e) => self.note(e),
                 // A cut is made here, in the stand-ins' own transport.
                 Ask::Call { .. } if matches!(from, Ent::Worker(i, _) if self.hands[i].cut) => {}
                 Ask::Call { to, call, req } => {
@@ -212,7 +212,7 @@
 
     fn worker_up(&mut self, i: usize) {
         let nodes = self.fleet.nodes();
-        let seed = self.draw.number();
+        let seed = self.rng.number();
         let h = &mut self.hands[i];
         h.life += 1;
         h.facts.incarnation = h.life;
@@ -229,7 +229,7 @@
         self.note(Event::WorkerDied { worker });
     }
 
-    fn live(mut self, answers: &Receiver<Answer>, epoch: u64) -> Result<Outcome, FleetDefect> {
+    fn live(mut self, answers: &Receiver<Answer>, epoch: u64) -> Result<Outcome, FleetError> {
         self.able();
         (0..self.hands.len()).for_each(|i| self.worker_up(i));
         let mut faults = self.o.faults.clone();
@@ -298,7 +298,7 @@
         self.close(epoch)
     }
 
-    fn answered(&mut self, ent: Ent, n: u64, v: &Verdict) {
+    fn answered(&mut self, ent: Ent, n: u64, v: &Response) {
         if v.status == 0 && !matches!(ent, Ent::Probe(_)) {
             return;
         }
@@ -312,12 +312,14 @@
             Ent::Worker(..) => Vec::new(),
             Ent::Client => self.client.answer(now, n, v),
             Ent::Operator => self.operator.answer(now, n, v),
-            Ent::Probe(i) if v.body["version"].is_u64() => vec![Ask::Note(Event::NodeVersion {
-                node: self.fleet.procs[i].http.clone(),
-                version: v.body["version"].as_u64().unwrap_or(0),
-                by: String::new(),
-                ready: v.status == 200,
-            })],
+            Ent::Probe(i) if v.body["version"].is_u64() => {
+                vec![Ask::DurabilityWitness(Event::NodeVersion {
+                    node: self.fleet.procs[i].http.clone(),
+                    version: v.body["version"].as_u64().unwrap_or(0),
+                    by: String::new(),
+                    ready: v.status == 200,
+                })]
+            }
             Ent::Probe(_) => Vec::new(),
         };
         self.asked(ent, asks);
@@ -456,7 +458,7 @@
         self.note(Event::Able { cores, nodes });
     }
 
-    fn heal(&mut self, f: &Fault, x: usize) -> Result<(), FleetDefect> {
+    fn heal(&mut self, f: &Fault, x: usize) -> Result<(), FleetError> {
         match f.kind {
             Kind::Kill | Kind::Restart | Kind::LoseTail => self.fleet.up(x)?,
             Kind::LoseZone => {
@@ -502,7 +504,7 @@
         Ok(())
     }
 
-    fn close(mut self, epoch: u64) -> Result<Outcome, FleetDefect> {
+    fn close(mut self, epoch: u64) -> Result<Outcome, FleetError> {
         let nodes = self.fleet.nodes();
         let ask = |path: &str, query: &str| {
             let tries = (0..30).map(|i| {
@@ -520,7 +522,7 @@
                 .map(|v| v.body)
                 .next()
                 .ok_or_else(|| {
-                    FleetDefect::NotReady(format!("{path} could not be read at the end of the day"))
+                    FleetError::NotReady(format!("{path} could not be read at the end of the day"))
                 })
         };
         let mut jobs: BTreeMap<String, (String, bool)> = BTreeMap::new();
@@ -562,7 +564,7 @@
         self.note(Event::Closed { version, by, jobs });
         for i in 0..self.fleet.procs.len() {
             if self.fleet.ended(i) {
-                return Err(FleetDefect::NotReady(format!(
+                return Err(FleetError::NotReady(format!(
                     "{} ended by itself",
                     self.fleet.procs[i].listen
                 )));
--- a/rehearsal/src/fleet/launch.rs
+++ b/rehearsal/src/fleet/launch.rs
@@ -1,4 +1,4 @@
-use super::{FleetDefect, Options};
+use super::{FleetError, Options};
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::{self, File};
 use std::path::PathBuf;
@@ -40,12 +40,12 @@
 
 impl Fleet {
     /// Starts all processes.
-    pub fn start(o: &Options) -> Result<Self, FleetDefect> {
+    pub fn start(o: &Options) -> Result<Self, FleetError> {
         o.program
             .is_file()
             .then_some(())
-            .ok_or_else(|| FleetDefect::NoProgram(o.program.clone()))?;
-        fs::create_dir_all(&o.folder).map_err(|why| FleetDefect::Io {
+            .ok_or_else(|| FleetError::NoProgram(o.program.clone()))?;
+        fs::create_dir_all(&o.folder).map_err(|why| FleetError::Io {
             what: o.folder.display().to_string(),
             why,
         })?;
@@ -84,7 +84,7 @@
     }
 
     /// Loses a core for good; an empty one starts at a new address.
-    pub fn replace(&mut self, i: usize) -> Result<(), FleetDefect> {
+    pub fn replace(&mut self, i: usize) -> Result<(), FleetError> {
         self.kill(i);
         self.procs[i].gone = true;
         let n = 50 + self.procs.len();
@@ -93,11 +93,11 @@
     }
 
     /// Takes the last bytes of a dead core's newest log segment away, as a disk that lost what it had confirmed.
-    pub fn cut_back(&self, i: usize, bytes: u64) -> Result<u64, FleetDefect> {
+    pub fn cut_back(&self, i: usize, bytes: u64) -> Result<u64, FleetError> {
         let Some(folder) = &self.procs[i].data else {
             return Ok(0);
         };
-        let io = |why| FleetDefect::Io {
+        let io = |why| FleetError::Io {
             what: folder.display().to_string(),
             why,
         };
@@ -125,13 +125,13 @@
     }
 
     /// Starts a process that is down.
-    pub fn up(&mut self, i: usize) -> Result<(), FleetDefect> {
+    pub fn up(&mut self, i: usize) -> Result<(), FleetError> {
         let p = &mut self.procs[i];
         if p.child.is_some() || p.gone {
             return Ok(());
         }
         let open = || File::options().create(true).append(true).open(&p.log);
-        let log = open().map_err(|why| FleetDefect::Io {
+        let log = open().map_err(|why| FleetError::Io {
             what: p.log.display().to_string(),
             why,
         })?;
@@ -156,7 +156,7 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn();
-        p.child = Some(child.map_err(|why| FleetDefect::Io {
+        p.child = Some(child.map_err(|why| FleetError::Io {
             what: self.program.display().to_string(),
             why,
         })?);
--- a/rehearsal/src/fleet/mod.rs
+++ b/rehearsal/src/fleet/mod.rs
@@ -31,13 +31,13 @@
 
 /// Why a fleet could not be rehearsed.
 #[derive(Debug)]
-pub enum FleetDefect {
+pub enum FleetError {
     NoProgram(PathBuf),
     Io { what: String, why: std::io::Error },
     NotReady(String),
 }
 
-impl fmt::Display for FleetDefect {
+impl fmt::Display for FleetError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::NoProgram(p) => write!(f, "no program at {}: build it with 'cargo build --workspace', or name it with --program", p.display()),
--- a/rehearsal/src/history.rs
+++ b/rehearsal/src/history.rs
@@ -167,6 +167,6 @@
     }
     /// A number that two equal histories share.
     pub fn digest(&self) -> u64 {
-        landingdrift::kernel::digest(self.text().as_bytes())
+        landingdrift::kernel::fnv1a(self.text().as_bytes())
     }
 }
--- a/rehearsal/src/measure/capacity/clockwork.rs
+++ b/rehearsal/src/measure/capacity/clockwork.rs
@@ -7,10 +7,10 @@
 use crate::standin::operator::Operator;
 use crate::standin::worker::Worker;
 use crate::standin::{request, Ask};
-use landingdrift::agreement::{Core, Loaded};
-use landingdrift::kernel::{Draw, Effect, Msg, Now, Part, Request, Verdict};
+use landingdrift::agreement::{Loaded, Replica};
+use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response, Rng};
 use landingdrift::node::Node;
-use landingdrift::record::{JobSpec, Record};
+use landingdrift::record::{ClusterState, JobSpec};
 use landingdrift::settings::Settings;
 use landingdrift::wire::{pack, unpack, Body};
 use serde_json::json;
@@ -21,7 +21,7 @@
 
 /// The part of a process, as far as the product's public surface shows it.
 enum Kind {
-    Core(Box<Core>),
+    Replica(Box<Replica>),
     Node(Box<Node>),
 }
 
@@ -34,25 +34,25 @@
 impl Proc {
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match &mut self.kind {
-            Kind::Core(c) => c.step(now, msg),
+            Kind::Replica(c) => c.step(now, msg),
             Kind::Node(n) => n.step(now, msg),
         }
     }
     fn counter(&self, name: &str) -> f64 {
         let all = match &self.kind {
-            Kind::Core(c) => c.counters(),
+            Kind::Replica(c) => c.counters(),
             Kind::Node(n) => n.counters(),
         };
         all.iter().find(|(k, _)| k == name).map_or(0, |(_, v)| *v) as f64
     }
-    fn record(&self) -> &Record {
+    fn record(&self) -> &ClusterState {
         match &self.kind {
-            Kind::Core(c) => c.record(),
+            Kind::Replica(c) => c.record(),
             Kind::Node(n) => n.record(),
         }
     }
     fn leads(&self) -> bool {
-        matches!(&self.kind, Kind::Core(c) if c.leads())
+        matches!(&self.kind, Kind::Replica(c) if c.leads())
     }
 }
 
@@ -68,7 +68,7 @@
     Deliver(usize, Vec<u8>),
     Saved(usize, u64),
     Call(usize, Ent, u64, Request),
-    Answer(Ent, u64, Verdict),
+    Answer(Ent, u64, Response),
     HandTick(usize),
     HandIn(u64),
     OperatorTick,
@@ -160,7 +160,7 @@
     t: u64,
     seq: u64,
     queue: BinaryHeap<Reverse<Due>>,
-    draw: Draw,
+    rng: Rng,
     procs: Vec<Proc>,
     by_addr: BTreeMap<String, usize>,
     arrivals: BTreeMap<(usize, usize), u64>,
@@ -186,7 +186,7 @@
 impl Clockwork {
     /// A cluster of a size, before its first moment.
     pub fn new(size: Size, seed: u64) -> Self {
-        let mut draw = Draw::new(seed);
+        let mut rng = Rng::new(seed);
         let cores: Vec<String> = (0..3).map(|i| name(true, i)).collect();
         let common = Settings {
             seeds: cores.clone(),
@@ -206,19 +206,19 @@
         let mut procs: Vec<Proc> = Vec::new();
         for (i, addr) in cores.iter().enumerate() {
             let loaded = Loaded {
-                disk: draw.number() | 1,
+                disk: rng.number() | 1,
                 ..Loaded::default()
             };
-            let part = Core::new(set(addr, i, "d"), loaded, at, draw.number());
+            let part = Replica::new(set(addr, i, "d"), loaded, at, rng.number());
             procs.push(Proc {
                 addr: addr.clone(),
-                kind: Kind::Core(Box::new(part.expect("an empty disk loads"))),
+                kind: Kind::Replica(Box::new(part.expect("an empty disk loads"))),
                 tally: Tally::default(),
             });
         }
         for i in 0..size.nodes {
             let addr = name(false, i);
-            let part = Node::new(set(&addr, i, ""), at, draw.number());
+            let part = Node::new(set(&addr, i, ""), at, rng.number());
             procs.push(Proc {
                 addr,
                 kind: Kind::Node(Box::new(part)),
@@ -227,9 +227,9 @@
         }
         let nodes: Vec<String> = procs.iter().skip(3).map(|p| p.addr.clone()).collect();
         let hands = (0..size.workers)
-            .map(|i| Worker::new(load::facts(i), nodes.clone(), draw.number()))
+            .map(|i| Worker::new(load::facts(i), nodes.clone(), rng.number()))
             .collect();
-        let mut operator = Operator::new("op", nodes, draw.number());
+        let mut operator = Operator::new("op", nodes, rng.number());
         operator.apply(false, load::desired());
         let mut w = Self {
             t: 0,
@@ -240,7 +240,7 @@
                 .enumerate()
                 .map(|(i, p)| (p.addr.clone(), i))
                 .collect(),
-            draw,
+            rng,
             procs,
             arrivals: BTreeMap::new(),
             hands,
@@ -253,11 +253,11 @@
             cluster: common.cluster,
         };
         for i in 0..w.procs.len() {
-            let jitter = w.draw.below(TICK);
+            let jitter = w.rng.below(TICK);
             w.at(1 + jitter, Happening::Tick(i));
         }
         for i in 0..size.workers {
-            let jitter = w.draw.below(250);
+            let jitter = w.rng.below(250);
             w.at(1000 + jitter, Happening::HandTick(i));
         }
         w.at(2000, Happening::OperatorTick);
@@ -274,7 +274,7 @@
         let (mut t, mut n) = (5000.0, 0);
         while t < until as f64 {
             n += 1;
-            let spec = load::job(&mut self.draw, n, self.size.task_ms());
+            let spec = load::job(&mut self.rng, n, self.size.task_ms());
             self.at(t as u64, Happening::HandIn(n));
             t += spec.tasks.len() as f64 * 1000.0 / self.size.starts;
             self.jobs.insert(n, spec);
@@ -345,17 +345,17 @@
 
     /// What each process does; a node with a cell and a queue counts as one with a cell.
     fn duties(&self) -> Vec<Duty> {
-        let grants = &self.leader().record().grants;
+        let leases = &self.leader().record().leases;
         let holds = |p: &Proc, of: &str| {
-            grants
+            leases
                 .iter()
                 .any(|(d, g)| g.holder == p.addr && d.starts_with(of))
         };
         self.procs
             .iter()
             .map(|p| match p.kind {
-                Kind::Core(_) if p.leads() => Duty::Leader,
-                Kind::Core(_) => Duty::Follower,
+                Kind::Replica(_) if p.leads() => Duty::Leader,
+                Kind::Replica(_) => Duty::Follower,
                 Kind::Node(_) if holds(p, "cell/") => Duty::Cell,
                 Kind::Node(_) if holds(p, "queue/") => Duty::Queue,
                 Kind::Node(_) => Duty::Plain,
@@ -380,7 +380,7 @@
                     self.reach(i, Msg::Wire(env.from, env.body));
                 }
             }
-            Happening::Saved(i, ticket) => self.reach(i, Msg::Saved(ticket)),
+            Happening::Saved(i, write_id) => self.reach(i, Msg::Persisted(write_id)),
             Happening::Call(i, from, n, req) => {
                 self.seq += 1;
                 let call = self.seq;
@@ -410,7 +410,7 @@
                 self.at(t + TICK, Happening::HandTick(i));
             }
             Happening::HandIn(job) => {
-                let node = 3 + self.draw.below(self.size.nodes as u64) as usize;
+                let node = 3 + self.rng.below(self.size.nodes as u64) as usize;
                 let body = self.jobs.get(&job).map(|s| json!(s));
                 if let Some(body) = body {
                     let req = request("POST", "/v1/jobs", "", Some(&body));
@@ -430,10 +430,10 @@
     fn asked(&mut self, from: Ent, asks: Vec<Ask>) {
         for a in asks {
             match a {
-                Ask::Note(Event::Started { .. }) => self.started += 1.0,
-                Ask::Note(_) => {}
+                Ask::DurabilityWitness(Event::Started { .. }) => self.started += 1.0,
+                Ask::DurabilityWitness(_) => {}
                 Ask::Call { to, call, req } => {
-                    let at = self.t + 1 + self.draw.below(4);
+                    let at = self.t + 1 + self.rng.below(4);
                     if let Some(i) = self.by_addr.get(&to).copied() {
                         self.at(at, Happening::Call(i, from, call, req));
                     }
@@ -454,17 +454,17 @@
         for e in effects {
             match e {
                 Effect::Send(to, body) => self.carry(i, &to, &body),
-                Effect::Save(save) => {
-                    let at = self.t + 2 + self.draw.below(3);
-                    self.at(at, Happening::Saved(i, save.ticket));
+                Effect::Persist(save) => {
+                    let at = self.t + 2 + self.rng.below(3);
+                    self.at(at, Happening::Saved(i, save.write_id));
                 }
                 Effect::Answer(call, v) => {
                     if let Some((to, n)) = self.calls.remove(&call) {
-                        let at = self.t + 1 + self.draw.below(3);
+                        let at = self.t + 1 + self.rng.below(3);
                         self.at(at, Happening::Answer(to, n, v));
                     }
                 }
-                Effect::Line(_) | Effect::Exit => {}
+                Effect::Log(_) | Effect::Exit => {}
             }
         }
     }
@@ -479,7 +479,7 @@
         p.tally.bytes_out += bytes.len() as f64;
         p.tally.wire += spent;
         // One connection keeps its order.
-        let at = self.t + 1 + self.draw.below(3);
+        let at = self.t + 1 + self.rng.below(3);
         let last = self.arrivals.entry((from, j)).or_default();
         *last = at.max(*last);
         let at = *last;
--- a/rehearsal/src/measure/capacity/footprint.rs
+++ b/rehearsal/src/measure/capacity/footprint.rs
@@ -1,5 +1,5 @@
 use super::meter::timed;
-use landingdrift::record::Record;
+use landingdrift::record::ClusterState;
 
 /// How long the packed record is, and what it is long for.
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,9 +19,9 @@
 }
 
 impl State {
-    pub(super) fn of(r: &Record, clock: f64) -> Self {
+    pub(super) fn of(r: &ClusterState, clock: f64) -> Self {
         let (bytes, pack) = timed(clock, || r.pack().len() as f64);
-        let without = |leave: fn(&mut Record)| {
+        let without = |leave: fn(&mut ClusterState)| {
             let mut less = r.clone();
             leave(&mut less);
             bytes - less.pack().len() as f64
@@ -54,8 +54,8 @@
 pub fn memory_of_a_byte(packed: &[u8]) -> f64 {
     let copies = (48 << 20) / packed.len().max(1) + 1;
     let before = resident();
-    let all: Vec<Record> = (0..copies)
-        .filter_map(|_| Record::unpack(packed).ok())
+    let all: Vec<ClusterState> = (0..copies)
+        .filter_map(|_| ClusterState::unpack(packed).ok())
         .collect();
     let grown = resident() - before;
     let bytes = all.len() * packed.len();
--- a/rehearsal/src/measure/capacity/load.rs
+++ b/rehearsal/src/measure/capacity/load.rs
@@ -1,6 +1,6 @@
 use super::target::{GANG, QUEUES, ZONES};
-use landingdrift::kernel::Draw;
-use landingdrift::record::{JobSpec, TaskSpec, WorkerFacts};
+use landingdrift::kernel::Rng;
+use landingdrift::record::{JobSpec, TaskSpec, WorkerInfo};
 use serde_json::{json, Value};
 
 /// Mean of the tasks of a job; the target doesn't say.
@@ -23,37 +23,37 @@
 }
 
 /// What a worker says of itself.
-pub fn facts(i: usize) -> WorkerFacts {
-    WorkerFacts {
+pub fn facts(i: usize) -> WorkerInfo {
+    WorkerInfo {
         worker: format!("w{i}"),
         incarnation: 1,
         service: SERVICES[i % 2].into(),
         labels: Default::default(),
         zone: format!("z{}", i % ZONES),
         room: ROOM,
-        ..WorkerFacts::default()
+        ..WorkerInfo::default()
     }
 }
 
 /// A job whose tasks run so many milliseconds in the mean; one in eight is a gang.
-pub fn job(draw: &mut Draw, number: u64, mean_ms: f64) -> JobSpec {
-    let gang = draw.below(8) == 0;
+pub fn job(rng: &mut Rng, number: u64, mean_ms: f64) -> JobSpec {
+    let gang = rng.below(8) == 0;
     let most = if gang { GANG - 1 } else { 2 * TASKS - 1 };
-    let service = draw.pick(&SERVICES).map_or("", |s| s);
-    let tasks = (0..1 + draw.below(most))
+    let service = rng.pick(&SERVICES).map_or("", |s| s);
+    let tasks = (0..1 + rng.below(most))
         .map(|i| TaskSpec {
             name: format!("t{i}"),
             service: service.into(),
             room: 1,
             may_repeat: !gang,
             gang: if gang { "g".into() } else { String::new() },
-            payload: json!({"ms": (mean_ms * (0.5 + draw.unit())) as u64}),
+            payload: json!({"ms": (mean_ms * (0.5 + rng.unit())) as u64}),
             ..TaskSpec::default()
         })
         .collect();
     JobSpec {
         id: format!("h-{number}"),
-        queue: format!("team{}", draw.below(QUEUES as u64)),
+        queue: format!("team{}", rng.below(QUEUES as u64)),
         tasks,
         ..JobSpec::default()
     }
--- a/rehearsal/src/measure/capacity/meter.rs
+++ b/rehearsal/src/measure/capacity/meter.rs
@@ -1,4 +1,4 @@
-use landingdrift::kernel::digest;
+use landingdrift::kernel::fnv1a;
 use rustix::time::{clock_gettime, ClockId};
 use std::ops::{AddAssign, Sub};
 
@@ -78,5 +78,5 @@
 /// The reference: a digest of 64 KiB, done once in every virtual second of the same run.
 pub fn reference(clock: f64) -> f64 {
     let text = std::hint::black_box(vec![7u8; 64 << 10]);
-    timed(clock, || std::hint::black_box(digest(&text))).1
+    timed(clock, || std::hint::black_box(fnv1a(&text))).1
 }
--- a/rehearsal/src/measure/capacity/table.rs
+++ b/rehearsal/src/measure/capacity/table.rs
@@ -73,7 +73,7 @@
     row(&cells.iter().map(|c| (*c).to_string()).collect::<Vec<_>>()) + &row(&rule)
 }
 
-fn verdict(holds: bool) -> &'static str {
+fn response(holds: bool) -> &'static str {
     if holds {
         "holds"
     } else {
@@ -287,7 +287,7 @@
     out
 }
 
-fn verdicts(all: &[(Duty, Vec<Fit>)], s: &Peak, t: &Target) -> String {
+fn responses(all: &[(Duty, Vec<Fit>)], s: &Peak, t: &Target) -> String {
     let mut out = String::from("\n### Against the bounds\n\nBytes in and out together; `step`, `pack` and `unpack` together, without sockets, disk and HTTP; memory of one copy of the record alone.\n\n");
     out += &head(&["role", "4.1 % of a core", "", "6 KB/s", "", "256 MB", ""]);
     for (d, fits) in all {
@@ -297,11 +297,11 @@
         out += &row(&[
             d.name().to_string(),
             format!("{percent:.2} %"),
-            verdict(percent <= t.core_percent).into(),
+            response(percent <= t.core_percent).into(),
             format!("{:.1} KB/s", bytes / 1000.0),
-            verdict(bytes <= t.bytes).into(),
+            response(bytes <= t.bytes).into(),
             format!("{:.0} MB", s.memory / 1e6),
-            verdict(s.memory <= t.memory).into(),
+            response(s.memory <= t.memory).into(),
         ]);
     }
     out
@@ -318,5 +318,5 @@
         + &a_start(runs)
         + &record(runs, &s)
         + &slopes(&all, &TARGET)
-        + &verdicts(&all, &s, &TARGET)
+        + &responses(&all, &s, &TARGET)
 }
--- a/rehearsal/src/measure/workload.rs
+++ b/rehearsal/src/measure/workload.rs
@@ -1,5 +1,5 @@
 use crate::scenario::Shape;
-use landingdrift::kernel::Draw;
+use landingdrift::kernel::Rng;
 use landingdrift::record::{JobSpec, TaskSpec};
 use serde_json::json;
 
@@ -23,20 +23,20 @@
 
 /// Jobs of heavy-tailed sizes, whose tasks run Pareto times, at a utilisation.
 pub fn workload(shape: Shape, utilisation: f64, beta: f64, seconds: u64, seed: u64) -> Load {
-    let mut draw = Draw::new(seed ^ 0x10ad);
+    let mut rng = Rng::new(seed ^ 0x10ad);
     let mix = shape.mix();
     let slots = f64::from(shape.room()) * shape.workers() as f64;
     let ms = shortest(shape);
     // The mean of a Pareto time cut off at its longest.
     let mean = ms * (1.0 + (1.0 - LONGEST.powf(1.0 - beta)) / (beta - 1.0));
-    let size = |draw: &mut Draw| ((1.0 - draw.unit()).powf(-1.0 / 1.1) as u64).clamp(1, 100);
-    let mean_size = (0..20_000).map(|_| size(&mut draw)).sum::<u64>() as f64 / 20_000.0;
+    let size = |rng: &mut Rng| ((1.0 - rng.unit()).powf(-1.0 / 1.1) as u64).clamp(1, 100);
+    let mean_size = (0..20_000).map(|_| size(&mut rng)).sum::<u64>() as f64 / 20_000.0;
     let gap = mean_size * mean / (utilisation * slots);
     let (mut t, mut jobs) = (2000.0, Vec::new());
     while t < (2 + seconds) as f64 * 1000.0 {
-        let n = size(&mut draw);
-        let queue = draw.pick(&mix.queues).cloned().unwrap_or_default();
-        let service = draw.pick(&mix.services).cloned().unwrap_or_default();
+        let n = size(&mut rng);
+        let queue = rng.pick(&mix.queues).cloned().unwrap_or_default();
+        let service = rng.pick(&mix.services).cloned().unwrap_or_default();
         let tasks = (0..n)
             .map(|i| TaskSpec {
                 name: format!("t{i}"),
@@ -56,7 +56,7 @@
                 ..JobSpec::default()
             },
         ));
-        t += -(1.0 - draw.unit()).ln() * gap;
+        t += -(1.0 - rng.unit()).ln() * gap;
     }
     Load { seconds, jobs }
 }
--- a/rehearsal/src/scale/callers.rs
+++ b/rehearsal/src/scale/callers.rs
@@ -1,5 +1,5 @@
 use crate::fleet::call;
-use landingdrift::kernel::{Request, Verdict};
+use landingdrift::kernel::{Request, Response};
 use reqwest::blocking::Client as Http;
 use std::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 /// Threads that make calls and send back what came of them.
 pub fn start<K: Send + 'static, T: Send + 'static>(
     back: &Sender<T>,
-    of: impl Fn(K, Verdict) -> T + Clone + Send + 'static,
+    of: impl Fn(K, Response) -> T + Clone + Send + 'static,
 ) -> Sender<(K, String, Request)> {
     let (tx, rx) = channel::<(K, String, Request)>();
     let rx = Arc::new(Mutex::new(rx));
--- a/rehearsal/src/scale/drive.rs
+++ b/rehearsal/src/scale/drive.rs
@@ -1,7 +1,7 @@
 use super::callers;
 use super::processes::{child_at, usage, Usage};
 use super::wires::{listen, Wires};
-use super::{Options, Outcome, ScaleDefect, Taken};
+use super::{Options, Outcome, ScaleError, Taken};
 use crate::fleet::{Fleet, Options as FleetOptions};
 use crate::history::Event;
 use crate::measure::capacity::{desired, facts, job, TARGET, ZONES};
@@ -10,7 +10,7 @@
 use crate::standin::worker::Worker;
 use crate::standin::{request, Ask};
 use hdrhistogram::Histogram;
-use landingdrift::kernel::{Draw, Effect, Msg, Now, Part, Request, Verdict};
+use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response, Rng};
 use landingdrift::node::Node;
 use landingdrift::record::JobSpec;
 use landingdrift::settings::Settings;
@@ -33,7 +33,7 @@
 
 enum Input {
     Frame(usize, Vec<u8>),
-    Answer((Ent, u64), Verdict),
+    Answer((Ent, u64), Response),
 }
 
 struct Hollow {
@@ -56,7 +56,7 @@
     workers: Vec<Worker>,
     operator: Operator,
     all_http: Vec<String>,
-    draw: Draw,
+    rng: Rng,
     /// Jobs that wait to be handed in, with when; and jobs not acknowledged yet.
     due: BTreeSet<(u64, u64)>,
     open: BTreeMap<u64, JobSpec>,
@@ -74,7 +74,7 @@
 }
 
 /// Runs real cores and nodes beside hollow ones, and stops them all.
-pub fn run(o: &Options) -> Result<Outcome, ScaleDefect> {
+pub fn run(o: &Options) -> Result<Outcome, ScaleError> {
     let fleet = Fleet::start(&FleetOptions {
         shape: Shape::Gunasekera,
         seconds: o.seconds,
@@ -111,8 +111,8 @@
 }
 
 impl<'a> Scale<'a> {
-    fn new(o: &'a Options, fleet: &Fleet, tx: &Sender<Input>) -> Result<Self, ScaleDefect> {
-        let mut draw = Draw::new(o.seed);
+    fn new(o: &'a Options, fleet: &Fleet, tx: &Sender<Input>) -> Result<Self, ScaleError> {
+        let mut rng = Rng::new(o.seed);
         let seeds: Vec<String> = fleet
             .procs
             .iter()
@@ -140,13 +140,13 @@
                 };
                 Hollow {
                     addr: set.listen.clone(),
-                    part: Node::new(set, now, draw.number()),
+                    part: Node::new(set, now, rng.number()),
                 }
             })
             .collect();
         for (i, n) in nodes.iter().enumerate() {
             listen(&n.addr, tx, move |bytes| Input::Frame(i, bytes)).map_err(|why| {
-                ScaleDefect::Address {
+                ScaleError::Address {
                     what: n.addr.clone(),
                     why,
                 }
@@ -159,9 +159,9 @@
             .chain(nodes.iter().map(at))
             .collect();
         let workers = (0..o.workers)
-            .map(|i| Worker::new(facts(i), all_http.clone(), draw.number()))
+            .map(|i| Worker::new(facts(i), all_http.clone(), rng.number()))
             .collect();
-        let mut operator = Operator::new("op", fleet.nodes(), draw.number());
+        let mut operator = Operator::new("op", fleet.nodes(), rng.number());
         operator.apply(false, desired());
         Ok(Self {
             o,
@@ -182,7 +182,7 @@
             workers,
             operator,
             all_http,
-            draw,
+            rng,
             due: BTreeSet::new(),
             open: BTreeMap::new(),
             handed: BTreeMap::new(),
@@ -200,11 +200,11 @@
     }
 
     /// Waits until the configuration is in force, at the most a minute.
-    fn ready(&mut self, rx: &Receiver<Input>) -> Result<(), ScaleDefect> {
+    fn ready(&mut self, rx: &Receiver<Input>) -> Result<(), ScaleError> {
         while !self.operator.idle() {
             (self.now() < 60_000)
                 .then_some(())
-                .ok_or(ScaleDefect::NotReady)?;
+                .ok_or(ScaleError::NotReady)?;
             self.round(rx);
         }
         Ok(())
@@ -214,7 +214,7 @@
         mut self,
         rx: &Receiver<Input>,
         names: &[(String, u32)],
-    ) -> Result<Outcome, ScaleDefect> {
+    ) -> Result<Outcome, ScaleError> {
         let zero = self.now();
         let length = self.o.seconds * 1000;
         self.plan(zero);
@@ -233,7 +233,7 @@
                 let taken: u64 = names.iter().map(|(_, p)| usage(*p).resident).sum();
                 (taken < MEMORY)
                     .then_some(())
-                    .ok_or(ScaleDefect::Memory(taken >> 20))?;
+                    .ok_or(ScaleError::Memory(taken >> 20))?;
             }
             self.round(rx);
             if t >= from {
@@ -269,7 +269,7 @@
         let end = (zero + self.o.seconds * 1000) as f64;
         while t < end {
             n += 1;
-            let spec = job(&mut self.draw, n, mean);
+            let spec = job(&mut self.rng, n, mean);
             self.due.insert((t as u64, n));
             t += spec.tasks.len() as f64 * 1000.0 / self.o.starts;
             self.open.insert(n, spec);
@@ -322,7 +322,7 @@
         let (id, body) = (spec.id.clone(), json!(spec));
         let now = self.now();
         self.handed.entry(id).or_insert(now);
-        let to = self.draw.pick(&self.all_http).cloned().unwrap_or_default();
+        let to = self.rng.pick(&self.all_http).cloned().unwrap_or_default();
         let req = request("POST", "/v1/jobs", "", Some(&body));
         self.call(Ent::Client(n), 0, &to, req);
     }
@@ -340,10 +340,10 @@
     fn asked(&mut self, from: Ent, asks: Vec<Ask>) {
         for a in asks {
             match a {
-                Ask::Note(Event::Started {
+                Ask::DurabilityWitness(Event::Started {
                     job, copy: false, ..
                 }) => self.begins(&job),
-                Ask::Note(_) => {}
+                Ask::DurabilityWitness(_) => {}
                 Ask::Call { to, call, req } => self.call(from, call, &to, req),
             }
         }
@@ -364,7 +364,7 @@
         }
     }
 
-    fn answered(&mut self, from: Ent, n: u64, v: &Verdict) {
+    fn answered(&mut self, from: Ent, n: u64, v: &Response) {
         let t = self.now();
         let asks = match from {
             Ent::Worker(i) => self.workers[i].answer(t, n, v),
@@ -390,7 +390,7 @@
                         self.answered(from, n, &v);
                     }
                 }
-                Effect::Save(_) | Effect::Line(_) | Effect::Exit => {}
+                Effect::Persist(_) | Effect::Log(_) | Effect::Exit => {}
             }
         }
     }
--- a/rehearsal/src/scale/mod.rs
+++ b/rehearsal/src/scale/mod.rs
@@ -9,7 +9,7 @@
 pub use drive::run;
 pub use processes::{usage, Usage};
 
-use crate::fleet::FleetDefect;
+use crate::fleet::FleetError;
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::path::PathBuf;
@@ -61,14 +61,14 @@
 
 /// Why a scale run could not be made.
 #[derive(Debug)]
-pub enum ScaleDefect {
-    Fleet(FleetDefect),
+pub enum ScaleError {
+    Fleet(FleetError),
     Address { what: String, why: std::io::Error },
     Memory(u64),
     NotReady,
 }
 
-impl fmt::Display for ScaleDefect {
+impl fmt::Display for ScaleError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Fleet(e) => write!(f, "{e}"),
@@ -79,8 +79,8 @@
     }
 }
 
-impl From<FleetDefect> for ScaleDefect {
-    fn from(e: FleetDefect) -> Self {
+impl From<FleetError> for ScaleError {
+    fn from(e: FleetError) -> Self {
         Self::Fleet(e)
     }
 }
--- a/rehearsal/src/scenario/faults.rs
+++ b/rehearsal/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-use landingdrift::kernel::Draw;
+use landingdrift::kernel::Rng;
 use serde::{Deserialize, Serialize};
 
 /// What goes wrong.
@@ -211,7 +211,7 @@
 }
 
 /// Faults drawn by a seed, between two moments: anything inside what three disks can survive, several at once.
-pub fn random_faults(draw: &mut Draw, number: usize, from: u64, to: u64) -> Vec<Fault> {
+pub fn random_faults(rng: &mut Rng, number: usize, from: u64, to: u64) -> Vec<Fault> {
     use Kind::*;
     let often = [Kill, Kill, Freeze, WorkerCrash, WorkerCut, LoseTail, Outage];
     // An upgrade is done in an order, not at random; disks that refuse have scenarios of their own.
@@ -223,7 +223,7 @@
         .collect();
     let mut out: Vec<Fault> = Vec::new();
     while out.len() < number {
-        let f = random_fault(draw, &kinds, from, to);
+        let f = random_fault(rng, &kinds, from, to);
         let near = |o: &Fault| {
             let (first, second) = if o.at <= f.at { (o, &f) } else { (&f, o) };
             second.at - first.at < first.lasts + apart(first.kind)
@@ -239,21 +239,21 @@
     out
 }
 
-fn random_fault(draw: &mut Draw, kinds: &[Kind], from: u64, to: u64) -> Fault {
-    let kind = *draw.pick(kinds).unwrap_or(&Kind::Kill);
-    let lasts = 500 + draw.below(5000);
-    let at = from + draw.below(to - from);
+fn random_fault(rng: &mut Rng, kinds: &[Kind], from: u64, to: u64) -> Fault {
+    let kind = *rng.pick(kinds).unwrap_or(&Kind::Kill);
+    let lasts = 500 + rng.below(5000);
+    let at = from + rng.below(to - from);
     let amount = match kind {
-        Kind::WorkerFailing => 10 + draw.below(50),
-        Kind::ClockJump => 1 + draw.below(3),
-        Kind::SlowDisk => 1 + draw.below(2),
-        Kind::Outage => draw.below(2),
-        Kind::Tries => draw.below(2),
+        Kind::WorkerFailing => 10 + rng.below(50),
+        Kind::ClockJump => 1 + rng.below(3),
+        Kind::SlowDisk => 1 + rng.below(2),
+        Kind::Outage => rng.below(2),
+        Kind::Tries => rng.below(2),
         _ => 0,
     };
     let jumps = [700, 2000, 60_000, 3_600_000, 86_400_000, 3 * 86_400_000];
-    let size = *draw.pick(&jumps).unwrap_or(&2000) + draw.below(2) as i64;
-    let by = if draw.below(2) == 0 { size } else { -size };
+    let size = *rng.pick(&jumps).unwrap_or(&2000) + rng.below(2) as i64;
+    let by = if rng.below(2) == 0 { size } else { -size };
     Fault {
         at,
         kind,
@@ -265,7 +265,7 @@
 }
 
 /// One last fault for the end of a day.
-pub fn last_fault(draw: &mut Draw, at: u64) -> Fault {
+pub fn last_fault(rng: &mut Rng, at: u64) -> Fault {
     use Kind::*;
     let kinds = [
         Kill,
@@ -288,6 +288,6 @@
     ];
     Fault {
         at,
-        ..random_fault(draw, &kinds, 0, 1)
+        ..random_fault(rng, &kinds, 0, 1)
     }
 }
--- a/rehearsal/src/scenario/mixes.rs
+++ b/rehearsal/src/scenario/mixes.rs
@@ -1,4 +1,4 @@
-use landingdrift::kernel::Draw;
+use landingdrift::kernel::Rng;
 use landingdrift::record::{JobSpec, TaskSpec};
 use serde_json::json;
 
@@ -39,23 +39,23 @@
 }
 
 /// A job of the mix: single, many, in steps, as a gang, or appointed.
-pub fn job(draw: &mut Draw, mix: &Mix, id: &str, now: u64) -> JobSpec {
-    let queue = draw.pick(&mix.queues).cloned().unwrap_or_default();
-    let service = draw.pick(&mix.services).cloned().unwrap_or_default();
-    let may_repeat = draw.unit() < mix.repeatable;
-    let doomed = draw.unit() < mix.doomed;
-    let kind = if mix.plain { 0 } else { draw.below(10) };
+pub fn job(rng: &mut Rng, mix: &Mix, id: &str, now: u64) -> JobSpec {
+    let queue = rng.pick(&mix.queues).cloned().unwrap_or_default();
+    let service = rng.pick(&mix.services).cloned().unwrap_or_default();
+    let may_repeat = rng.unit() < mix.repeatable;
+    let doomed = rng.unit() < mix.doomed;
+    let kind = if mix.plain { 0 } else { rng.below(10) };
     let number = match kind {
         0..=2 => 1,
-        _ => 2 + draw.below(mix.most_tasks.max(3) - 2),
+        _ => 2 + rng.below(mix.most_tasks.max(3) - 2),
     };
     let tasks = (0..number)
         .map(|i| {
-            let ms = mix.ms * (0.5 + draw.unit());
+            let ms = mix.ms * (0.5 + rng.unit());
             let mut t = TaskSpec {
                 name: format!("t{i}"),
                 service: service.clone(),
-                room: 1 + draw.below(2) as u32,
+                room: 1 + rng.below(2) as u32,
                 may_repeat,
                 payload: json!({"ms": ms as u64, "tail": mix.tail, "doomed": doomed, "failing": 0.01}),
                 ..TaskSpec::default()
@@ -70,9 +70,9 @@
                     }
                 }
                 7 => t.gang = "g".into(),
-                8 => t.due = now + 1000 + draw.below(3000),
+                8 => t.due = now + 1000 + rng.below(3000),
                 9 if i == 0 => t.labels = vec!["ssd".into()],
-                9 => t.near = format!("z{}", draw.below(3)),
+                9 => t.near = format!("z{}", rng.below(3)),
                 _ => {}
             }
             t
--- a/rehearsal/src/scenario/mod.rs
+++ b/rehearsal/src/scenario/mod.rs
@@ -122,12 +122,12 @@
 
 /// Why a scenario can't be rehearsed.
 #[derive(Debug)]
-pub enum ScenarioDefect {
+pub enum ScenarioError {
     File { path: String, why: String },
     Text { path: String, why: String },
 }
 
-impl fmt::Display for ScenarioDefect {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::File { path, why } => {
@@ -140,20 +140,20 @@
 
 impl Scenario {
     /// Reads a scenario file.
-    pub fn load(path: &str) -> Result<Self, ScenarioDefect> {
+    pub fn load(path: &str) -> Result<Self, ScenarioError> {
         std::fs::read_to_string(path)
-            .map_err(|e| ScenarioDefect::File {
+            .map_err(|e| ScenarioError::File {
                 path: path.into(),
                 why: e.to_string(),
             })
             .and_then(|t| {
-                toml::from_str(&t).map_err(|e| ScenarioDefect::Text {
+                toml::from_str(&t).map_err(|e| ScenarioError::Text {
                     path: path.into(),
                     why: e.to_string(),
                 })
             })
             .and_then(|s: Self| {
-                s.check().map(|()| s).map_err(|why| ScenarioDefect::Text {
+                s.check().map(|()| s).map_err(|why| ScenarioError::Text {
                     path: path.into(),
                     why,
                 })
--- a/rehearsal/src/simulator/disk.rs
+++ b/rehearsal/src/simulator/disk.rs
@@ -1,5 +1,5 @@
 use landingdrift::agreement::Loaded;
-use landingdrift::kernel::Save;
+use landingdrift::kernel::WriteBatch;
 use std::collections::VecDeque;
 
 /// Whether a disk takes what it is given.
@@ -17,20 +17,20 @@
 #[derive(Clone, Debug)]
 pub struct SimDisk {
     base: Loaded,
-    saves: VecDeque<Save>,
-    pub pending: VecDeque<Save>,
+    saves: VecDeque<WriteBatch>,
+    pub pending: VecDeque<WriteBatch>,
     pub delay: u64,
     pub condition: Condition,
 }
 
-fn fold(l: &mut Loaded, s: &Save) {
-    s.hard.iter().for_each(|h| l.hard = h.clone());
+fn fold(l: &mut Loaded, s: &WriteBatch) {
+    s.hard_state.iter().for_each(|h| l.hard_state = h.clone());
     if let Some(c) = s.cut {
         l.entries.retain(|e| e.index < c);
     }
-    if let Some(c) = &s.capture {
+    if let Some(c) = &s.snapshot {
         l.entries.retain(|e| e.index > c.index);
-        l.capture = Some(c.clone());
+        l.snapshot = Some(c.clone());
     }
     for e in &s.entries {
         l.entries.retain(|x| x.index < e.index);
@@ -56,8 +56,8 @@
     }
 
     /// All up to this ticket is durable now.
-    pub fn done(&mut self, ticket: u64) {
-        while let Some(s) = self.pending.pop_front_if(|s| s.ticket <= ticket) {
+    pub fn done(&mut self, write_id: u64) {
+        while let Some(s) = self.pending.pop_front_if(|s| s.write_id <= write_id) {
             self.saves.push_back(s);
         }
         while self.saves.len() > 64 {
@@ -88,7 +88,7 @@
         self.pending.clear();
         self.base = Loaded {
             disk: kept.disk,
-            hard: kept.hard,
+            hard_state: kept.hard_state,
             ..Loaded::default()
         };
     }
--- a/rehearsal/src/simulator/faults.rs
+++ b/rehearsal/src/simulator/faults.rs
@@ -2,7 +2,7 @@
 use super::world::{Ent, Happening, Kind as Part, World};
 use crate::history::Event;
 use crate::scenario::{job, Fault, Kind, Mix};
-use landingdrift::kernel::{Draw, Msg};
+use landingdrift::kernel::{Msg, Rng};
 use serde_json::json;
 
 impl World {
@@ -43,7 +43,7 @@
             _ => cores.into_iter().chain(nodes).collect(),
         };
         // Each fault draws for itself, so that leaving one out moves no other.
-        *Draw::new(self.seed ^ f.at).pick(&of).unwrap_or(&0)
+        *Rng::new(self.seed ^ f.at).pick(&of).unwrap_or(&0)
     }
 
     pub(super) fn strike(&mut self, i: usize) {
@@ -194,7 +194,7 @@
                 let mut m = self.shape.mix();
                 m.plain = true;
                 let t = self.t;
-                let mut spec = job(&mut self.draw, &m, &format!("huge-{t}"), super::EPOCH + t);
+                let mut spec = job(&mut self.rng, &m, &format!("huge-{t}"), super::EPOCH + t);
                 let one = spec.tasks[0].clone();
                 spec.tasks = (0..200)
                     .map(|n| landingdrift::record::TaskSpec {
@@ -372,7 +372,7 @@
                 ..self.shape.mix()
             };
             let mut spec = job(
-                &mut self.draw,
+                &mut self.rng,
                 &m,
                 &format!("wrong-{t}-{n}"),
                 super::EPOCH + t,
@@ -405,7 +405,7 @@
         }
         let inbox = std::mem::take(&mut self.procs[x].inbox);
         // What waited may come before the process has looked at the time, or after.
-        if self.draw.below(2) == 0 {
+        if self.rng.below(2) == 0 {
             self.reach(x, Msg::Tick);
         }
         inbox.into_iter().for_each(|m| self.reach(x, m));
@@ -446,14 +446,14 @@
     }
 
     fn set_delay(&mut self, x: usize, ms: u64) {
-        if let Part::Core(_, disk) = &mut self.procs[x].kind {
+        if let Part::Replica(_, disk) = &mut self.procs[x].kind {
             disk.delay = ms;
         }
     }
 
     fn set_conditions(&mut self, x: usize, f: &Fault, to: Condition) {
         for c in self.several(x, f) {
-            if let Part::Core(_, disk) = &mut self.procs[c].kind {
+            if let Part::Replica(_, disk) = &mut self.procs[c].kind {
                 disk.condition = to;
             }
         }
@@ -461,8 +461,8 @@
 
     fn lose_tail(&mut self, x: usize) {
         self.owe(x);
-        let n = 1 + self.draw.below(4) as usize;
-        let lost = if let Part::Core(_, disk) = &mut self.procs[x].kind {
+        let n = 1 + self.rng.below(4) as usize;
+        let lost = if let Part::Replica(_, disk) = &mut self.procs[x].kind {
             disk.lose(n)
         } else {
             0
@@ -477,7 +477,7 @@
         let t = self.t;
         for n in 0..number {
             let spec = job(
-                &mut self.draw,
+                &mut self.rng,
                 mix,
                 &format!("crowd-{t}-{n}"),
                 super::EPOCH + t,
--- a/rehearsal/src/simulator/world/callers.rs
+++ b/rehearsal/src/simulator/world/callers.rs
@@ -5,17 +5,17 @@
 use crate::simulator::EPOCH;
 use crate::standin::worker::Worker;
 use crate::standin::Ask;
-use landingdrift::kernel::Verdict;
-use landingdrift::record::WorkerFacts;
+use landingdrift::kernel::Response;
+use landingdrift::record::WorkerInfo;
 
 /// A worker's machine: the worker, if it runs, and what keeps it from working.
 pub(in crate::simulator) struct WorkerMachine {
     pub worker: Option<Worker>,
-    pub facts: WorkerFacts,
+    pub facts: WorkerInfo,
     pub zone: usize,
     pub frozen: bool,
     pub cut: bool,
-    pub inbox: Vec<(u64, Verdict)>,
+    pub inbox: Vec<(u64, Response)>,
     pub life: u64,
 }
 
@@ -30,7 +30,7 @@
 impl World {
     pub(in crate::simulator) fn start_worker(&mut self, i: usize) {
         let nodes = self.node_http();
-        let seed = self.draw.number();
+        let seed = self.rng.number();
         let h = &mut self.hands[i];
         h.life += 1;
         h.frozen = false;
@@ -41,7 +41,7 @@
         h.worker = Some(w);
         let life = h.life;
         self.note(up);
-        let jitter = self.draw.below(TICK);
+        let jitter = self.rng.below(TICK);
         self.at(self.t + 1 + jitter, Happening::HandTick(i, life));
     }
 
@@ -64,10 +64,10 @@
     pub(in crate::simulator) fn asked(&mut self, from: Ent, asks: Vec<Ask>) {
         for a in asks {
             match a {
-                Ask::Note(e) => self.note(e),
+                Ask::DurabilityWitness(e) => self.note(e),
                 Ask::Call { to, call, req } => {
                     if !self.dark(from) {
-                        let at = self.t + 1 + self.draw.below(4);
+                        let at = self.t + 1 + self.rng.below(4);
                         self.at(
                             at,
                             Happening::Call {
@@ -87,7 +87,7 @@
         matches!(e, Ent::Worker(i, _) if self.hands[i].cut)
     }
 
-    pub(super) fn answer(&mut self, to: Ent, call: u64, v: Verdict) {
+    pub(super) fn answer(&mut self, to: Ent, call: u64, v: Response) {
         let t = self.t;
         match to {
             Ent::Worker(i, life) => {
@@ -131,7 +131,7 @@
                     ..all.clone()
                 };
                 let mut spec = job(
-                    &mut self.draw,
+                    &mut self.rng,
                     &mix,
                     &format!("muster-{t}-{queue}-{service}"),
                     EPOCH + t,
--- a/rehearsal/src/simulator/world/day.rs
+++ b/rehearsal/src/simulator/world/day.rs
@@ -8,8 +8,8 @@
 use crate::scenario::{last_fault, Fault};
 use crate::simulator::EPOCH;
 use crate::standin::operator::Operator;
-use landingdrift::kernel::Draw;
-use landingdrift::record::Record;
+use landingdrift::kernel::Rng;
+use landingdrift::record::ClusterState;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
@@ -70,7 +70,7 @@
     fn close_day(&mut self) {
         self.closing = true;
         if self.scenario.last {
-            let f = last_fault(&mut Draw::new(self.seed ^ 0x1a57), self.t);
+            let f = last_fault(&mut Rng::new(self.seed ^ 0x1a57), self.t);
             self.faults.push(f);
             self.strike(self.faults.len() - 1);
         }
@@ -85,7 +85,7 @@
             .procs
             .iter()
             .filter_map(|p| {
-                if let Kind::Core(Some(c), _) = &p.kind {
+                if let Kind::Replica(Some(c), _) = &p.kind {
                     Some(c)
                 } else {
                     None
@@ -146,7 +146,7 @@
 }
 
 /// Lines that show each job that is still open, with its ledger.
-fn open_ledgers(record: &Record) -> Vec<String> {
+fn open_ledgers(record: &ClusterState) -> Vec<String> {
     let jobs = record.open.iter().filter_map(|id| record.jobs.get(id));
     jobs.map(|j| {
         format!(
@@ -157,7 +157,7 @@
     .collect()
 }
 
-fn states(r: &Record) -> BTreeMap<String, (String, bool)> {
+fn states(r: &ClusterState) -> BTreeMap<String, (String, bool)> {
     let text = |s| {
         serde_json::to_value(s)
             .ok()
@@ -168,14 +168,14 @@
         j.tasks.iter().any(|t| {
             t.sends
                 .iter()
-                .any(|s| s.state == landingdrift::record::SendState::Unsure)
+                .any(|s| s.state == landingdrift::record::AttemptState::Unsure)
         })
     };
     r.jobs
         .iter()
         .map(|(k, j)| (k.clone(), (text(j.state), unsure(j))))
         .chain(
-            r.tombs
+            r.tombstones
                 .iter()
                 .map(|(k, t)| (k.clone(), (text(t.state), false))),
         )
--- a/rehearsal/src/simulator/world/links.rs
+++ b/rehearsal/src/simulator/world/links.rs
@@ -2,11 +2,11 @@
 
 use super::{Ent, Happening, World};
 use landingdrift::kernel::{Msg, Request};
-use landingdrift::wire::{pack_as, unpack_as, Body, WireDefect};
+use landingdrift::wire::{pack_as, unpack_as, Body, WireError};
 
 impl World {
     pub(super) fn lag(&mut self, i: usize) -> u64 {
-        1 + self.draw.below(3) * self.procs[i].slow + (self.procs[i].slow - 1) * 20
+        1 + self.rng.below(3) * self.procs[i].slow + (self.procs[i].slow - 1) * 20
     }
 
     pub(super) fn carry(&mut self, from: usize, to: &str, body: &Body) {
@@ -21,11 +21,11 @@
         let at = self.t + self.lag(from) + (self.procs[j].slow - 1) * 20;
         let at = if self.procs[from].flaky || self.procs[j].flaky {
             // Connections break and come back: nothing keeps its order, some comes twice or never.
-            if self.draw.below(100) < 15 {
+            if self.rng.below(100) < 15 {
                 return;
             }
-            at + if self.draw.below(100) < 40 {
-                self.draw.below(400)
+            at + if self.rng.below(100) < 40 {
+                self.rng.below(400)
             } else {
                 0
             }
@@ -39,8 +39,8 @@
         let life = self.procs[j].life;
         let addr = self.procs[from].addr.clone();
         let bytes = pack_as(self.procs[from].wire, &self.settings.cluster, &addr, body);
-        if (self.procs[from].flaky || self.procs[j].flaky) && self.draw.below(100) < 10 {
-            let (from, bytes, again) = (addr.clone(), bytes.clone(), at + self.draw.below(500));
+        if (self.procs[from].flaky || self.procs[j].flaky) && self.rng.below(100) < 10 {
+            let (from, bytes, again) = (addr.clone(), bytes.clone(), at + self.rng.below(500));
             self.at(
                 again,
                 Happening::Deliver {
@@ -65,7 +65,7 @@
     /// Hands a frame to the process that it was sent to.
     pub(super) fn deliver(&mut self, to: usize, from: String, bytes: Vec<u8>) {
         match unpack_as(self.procs[to].wire, &self.settings.cluster, &bytes) {
-            Err(WireDefect::Version(_)) => {
+            Err(WireError::Version(_)) => {
                 *self.procs[to]
                     .counters
                     .entry("frames_of_another_version".into())
--- a/rehearsal/src/simulator/world/mod.rs
+++ b/rehearsal/src/simulator/world/mod.rs
@@ -18,7 +18,7 @@
 use crate::scenario::{Fault, Scenario, Shape};
 use crate::standin::client::Client;
 use crate::standin::operator::Operator;
-use landingdrift::kernel::Draw;
+use landingdrift::kernel::Rng;
 use landingdrift::record::JobSpec;
 use landingdrift::settings::Settings;
 use schedule::ScheduledEvent;
@@ -33,7 +33,7 @@
     pub(in crate::simulator) t: u64,
     seq: u64,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
-    pub(in crate::simulator) draw: Draw,
+    pub(in crate::simulator) rng: Rng,
     pub(in crate::simulator) shape: Shape,
     scenario: Scenario,
     pub(in crate::simulator) faults: Vec<Fault>,
--- a/rehearsal/src/simulator/world/observe.rs
+++ b/rehearsal/src/simulator/world/observe.rs
@@ -2,7 +2,7 @@
 
 use super::{Kind, Proc, World};
 use crate::history::Event;
-use landingdrift::record::Record;
+use landingdrift::record::ClusterState;
 use std::collections::BTreeMap;
 
 impl World {
@@ -28,7 +28,7 @@
     /// How many cores form the largest group that could work now, and the nodes that reach all of it.
     fn able_parts(&mut self) -> (usize, Vec<String>) {
         let record = |p: &Proc| {
-            if let Kind::Core(Some(c), _) = &p.kind {
+            if let Kind::Replica(Some(c), _) = &p.kind {
                 Some((c.record().place, c.record().cores.clone()))
             } else {
                 None
@@ -117,6 +117,6 @@
 }
 
 /// The mark that the change in force has left in the configuration.
-pub(super) fn mark(r: &Record) -> String {
+pub(super) fn mark(r: &ClusterState) -> String {
     r.desired.notes.get("by").cloned().unwrap_or_default()
 }
--- a/rehearsal/src/simulator/world/processes.rs
+++ b/rehearsal/src/simulator/world/processes.rs
@@ -6,7 +6,7 @@
 use crate::simulator::disk::Condition;
 use crate::simulator::disk::SimDisk;
 use crate::simulator::EPOCH;
-use landingdrift::agreement::Core;
+use landingdrift::agreement::Replica;
 use landingdrift::kernel::{Effect, Msg, Now, Part};
 use landingdrift::node::Node;
 use landingdrift::settings::Settings;
@@ -15,7 +15,7 @@
 
 /// The part that a process runs; none while it is down.
 pub(in crate::simulator) enum Kind {
-    Core(Option<Box<Core>>, Box<SimDisk>),
+    Replica(Option<Box<Replica>>, Box<SimDisk>),
     Node(Option<Box<Node>>),
 }
 
@@ -45,13 +45,13 @@
     /// Whether it runs.
     pub fn up(&self) -> bool {
         match &self.kind {
-            Kind::Core(p, _) => p.is_some(),
+            Kind::Replica(p, _) => p.is_some(),
             Kind::Node(p) => p.is_some(),
         }
     }
     /// Whether it is a core, and not a node.
     pub fn is_core(&self) -> bool {
-        matches!(self.kind, Kind::Core(..))
+        matches!(self.kind, Kind::Replica(..))
     }
 }
 
@@ -78,8 +78,8 @@
     }
 
     pub(in crate::simulator) fn add_core(&mut self, zone: usize, addr: String) {
-        let disk = SimDisk::new(self.draw.number() | 1);
-        self.add(Kind::Core(None, Box::new(disk)), zone, addr);
+        let disk = SimDisk::new(self.rng.number() | 1);
+        self.add(Kind::Replica(None, Box::new(disk)), zone, addr);
     }
 
     pub(in crate::simulator) fn add_node(&mut self, zone: usize, addr: String) {
@@ -89,7 +89,7 @@
     fn add(&mut self, kind: Kind, zone: usize, addr: String) {
         let i = self.procs.len();
         self.by_addr.insert(addr.clone(), i);
-        let mono_off = self.draw.below(1 << 40);
+        let mono_off = self.rng.below(1 << 40);
         self.procs.push(Proc {
             kind,
             addr,
@@ -123,10 +123,10 @@
         if self.procs[i].up() || self.procs[i].gone {
             return;
         }
-        self.procs[i].mono_off = self.draw.below(1 << 40);
-        let seed = self.draw.number();
+        self.procs[i].mono_off = self.rng.below(1 << 40);
+        let seed = self.rng.number();
         let now = self.now(i);
-        let cfg = self.settings_of(
+        let settings = self.settings_of(
             &self.procs[i].addr.clone(),
             self.procs[i].zone,
             self.procs[i].is_core(),
@@ -136,14 +136,14 @@
         p.frozen = false;
         p.inbox.clear();
         match &mut p.kind {
-            Kind::Core(part, disk) => {
+            Kind::Replica(part, disk) => {
                 *part = Some(Box::new(
-                    Core::new(cfg, disk.load(), now, seed).expect("a sound disk loads"),
+                    Replica::new(settings, disk.load(), now, seed).expect("a sound disk loads"),
                 ))
             }
-            Kind::Node(part) => *part = Some(Box::new(Node::new(cfg, now, seed))),
+            Kind::Node(part) => *part = Some(Box::new(Node::new(settings, now, seed))),
         }
-        let (life, jitter) = (p.life, self.draw.below(TICK));
+        let (life, jitter) = (p.life, self.rng.below(TICK));
         self.at(self.t + 1 + jitter, Happening::Tick(i, life));
     }
 
@@ -152,14 +152,14 @@
         if !self.procs[i].up() {
             return;
         }
-        let arrived = self.draw.below(3) as usize;
+        let arrived = self.rng.below(3) as usize;
         self.keep_counters(i);
         let p = &mut self.procs[i];
         p.life += 1;
         p.frozen = false;
         p.inbox.clear();
         match &mut p.kind {
-            Kind::Core(part, disk) => {
+            Kind::Replica(part, disk) => {
                 *part = None;
                 disk.crash(arrived);
             }
@@ -174,7 +174,7 @@
     pub(super) fn keep_counters(&mut self, i: usize) {
         let p = &mut self.procs[i];
         let now = match &p.kind {
-            Kind::Core(Some(c), _) => c.counters(),
+            Kind::Replica(Some(c), _) => c.counters(),
             Kind::Node(Some(n)) => n.counters(),
             _ => Vec::new(),
         };
@@ -190,7 +190,7 @@
 
     pub(in crate::simulator) fn leader(&self) -> Option<usize> {
         let leads = |p: &Proc| {
-            if let Kind::Core(Some(c), _) = &p.kind {
+            if let Kind::Replica(Some(c), _) = &p.kind {
                 c.leads().then(|| c.term())
             } else {
                 None
@@ -215,7 +215,7 @@
         let now = self.now(i);
         let p = &mut self.procs[i];
         let effects = match &mut p.kind {
-            Kind::Core(Some(c), _) => c.step(now, msg),
+            Kind::Replica(Some(c), _) => c.step(now, msg),
             Kind::Node(Some(n)) => n.step(now, msg),
             _ => Vec::new(),
         };
@@ -239,44 +239,44 @@
     }
 
     /// A disk that takes nothing is tried again.
-    pub(super) fn not_saved(&mut self, i: usize, life: u64, ticket: u64) {
-        if let Kind::Core(_, disk) = &self.procs[i].kind {
+    pub(super) fn not_saved(&mut self, i: usize, life: u64, write_id: u64) {
+        if let Kind::Replica(_, disk) = &self.procs[i].kind {
             if disk.condition == Condition::Full {
-                self.reach(i, Msg::DiskDefect("no space left".into()));
+                self.reach(i, Msg::DiskFailed("no space left".into()));
             }
         }
-        self.at(self.t + DISK_RETRY, Happening::Saved(i, life, ticket));
+        self.at(self.t + DISK_RETRY, Happening::Saved(i, life, write_id));
     }
 
     fn effect(&mut self, i: usize, e: Effect) {
         match e {
             Effect::Send(to, body) => self.carry(i, &to, &body),
-            Effect::Save(save) => {
-                let (t, life, jitter) = (self.t, self.procs[i].life, self.draw.below(3));
-                if let Kind::Core(_, disk) = &mut self.procs[i].kind {
-                    let ticket = save.ticket;
+            Effect::Persist(save) => {
+                let (t, life, jitter) = (self.t, self.procs[i].life, self.rng.below(3));
+                if let Kind::Replica(_, disk) = &mut self.procs[i].kind {
+                    let write_id = save.write_id;
                     disk.pending.push_back(save);
                     let at = t + disk.delay + jitter;
-                    self.at(at, Happening::Saved(i, life, ticket));
+                    self.at(at, Happening::Saved(i, life, write_id));
                 }
             }
             Effect::Answer(call, v) => {
                 if let Some((to, n)) = self.calls.remove(&call) {
-                    if self.answers_lost > 0 && self.draw.below(100) < self.answers_lost {
+                    if self.answers_lost > 0 && self.rng.below(100) < self.answers_lost {
                         return;
                     }
                     let at = self.t + self.lag(i);
                     self.at(at, Happening::Answer { to, call: n, v });
                 }
             }
-            Effect::Line(text) => {
+            Effect::Log(text) => {
                 let addr = self.procs[i].addr.clone();
                 self.say(format!("{addr} {text}"));
             }
             Effect::Exit => {
                 // An orderly end: what was on its way to the disk arrives.
                 let p = &mut self.procs[i];
-                if let Kind::Core(_, disk) = &mut p.kind {
+                if let Kind::Replica(_, disk) = &mut p.kind {
                     disk.crash(usize::MAX);
                 }
                 self.kill(i);
--- a/rehearsal/src/simulator/world/schedule.rs
+++ b/rehearsal/src/simulator/world/schedule.rs
@@ -2,7 +2,7 @@
 
 use super::{Ent, Kind, World, TICK};
 use crate::simulator::disk::Condition;
-use landingdrift::kernel::{Msg, Request, Verdict};
+use landingdrift::kernel::{Msg, Request, Response};
 use std::cmp::Reverse;
 
 /// What can happen at a moment of the day.
@@ -24,7 +24,7 @@
     Answer {
         to: Ent,
         call: u64,
-        v: Verdict,
+        v: Response,
     },
     HandTick(usize, u64),
     ClientTick,
@@ -83,15 +83,15 @@
             } if self.procs[to].life == life => {
                 self.deliver(to, from, bytes);
             }
-            Happening::Saved(i, life, ticket) if self.procs[i].life == life => {
-                let Kind::Core(_, disk) = &mut self.procs[i].kind else {
+            Happening::Saved(i, life, write_id) if self.procs[i].life == life => {
+                let Kind::Replica(_, disk) = &mut self.procs[i].kind else {
                     return;
                 };
                 if disk.condition != Condition::Sound {
-                    return self.not_saved(i, life, ticket);
+                    return self.not_saved(i, life, write_id);
                 }
-                disk.done(ticket);
-                self.reach(i, Msg::Saved(ticket));
+                disk.done(write_id);
+                self.reach(i, Msg::Persisted(write_id));
             }
             Happening::Call {
                 to,
--- a/rehearsal/src/simulator/world/setup.rs
+++ b/rehearsal/src/simulator/world/setup.rs
@@ -6,15 +6,15 @@
 use crate::simulator::EPOCH;
 use crate::standin::client::Client;
 use crate::standin::operator::Operator;
-use landingdrift::kernel::{Draw, Msg};
-use landingdrift::record::{JobSpec, WorkerFacts};
+use landingdrift::kernel::{Msg, Rng};
+use landingdrift::record::{JobSpec, WorkerInfo};
 use landingdrift::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
 impl World {
     /// A world at the beginning of a day.
     pub fn new(s: &Scenario, seed: u64) -> Self {
-        let mut draw = Draw::new(seed);
+        let mut rng = Rng::new(seed);
         let faults = planned_faults(s, seed);
         let mut mix = s.shape.mix();
         if s.rate > 0.0 {
@@ -29,9 +29,9 @@
             t: 0,
             seq: 0,
             queue: BinaryHeap::new(),
-            client: Client::new("j", Vec::new(), mix, draw.number(), EPOCH),
+            client: Client::new("j", Vec::new(), mix, rng.number(), EPOCH),
             operators: Vec::new(),
-            draw,
+            rng,
             shape: s.shape,
             scenario: s.clone(),
             faults,
@@ -84,14 +84,14 @@
             .into_iter()
             .flatten()
             .collect();
-            let facts = WorkerFacts {
+            let facts = WorkerInfo {
                 worker: format!("w{i}"),
                 incarnation: 1,
                 service: services[i % 2].clone(),
                 labels,
                 zone: format!("z{}", i % 3),
                 room: s.shape.room(),
-                ..WorkerFacts::default()
+                ..WorkerInfo::default()
             };
             self.hands.push(WorkerMachine {
                 worker: None,
@@ -108,7 +108,7 @@
 
     /// Puts the client and the two operators in place of the ones that the world began with.
     fn add_callers(&mut self, s: &Scenario, nodes: Vec<String>) {
-        let (seed_a, seed_b, seed_c) = (self.draw.number(), self.draw.number(), self.draw.number());
+        let (seed_a, seed_b, seed_c) = (self.rng.number(), self.rng.number(), self.rng.number());
         self.client = Client::new(
             "j",
             nodes.clone(),
@@ -165,7 +165,7 @@
             .into_iter()
             .flatten()
             .for_each(|(_, q)| q["speculationPercent"] = speculation_percent.into());
-        let (nodes, seed) = (self.node_http(), self.draw.number());
+        let (nodes, seed) = (self.node_http(), self.rng.number());
         self.operators[0] = Operator::new("op0", nodes, seed);
         self.operators[0].apply(false, desired);
         self.planned = jobs.into();
@@ -179,8 +179,8 @@
             .for_each(|w| w.paired = Some(seed));
         for i in 0..self.procs.len() {
             let p = &self.procs[i];
-            let cfg = self.settings_of(&p.addr.clone(), p.zone, p.is_core());
-            self.reach(i, Msg::Changed(Box::new(cfg)));
+            let settings = self.settings_of(&p.addr.clone(), p.zone, p.is_core());
+            self.reach(i, Msg::SettingsChanged(Box::new(settings)));
         }
     }
 }
@@ -189,7 +189,7 @@
 fn planned_faults(s: &Scenario, seed: u64) -> Vec<Fault> {
     let mut faults = s.faults.clone();
     faults.extend(random_faults(
-        &mut Draw::new(seed ^ 0xfa17),
+        &mut Rng::new(seed ^ 0xfa17),
         s.random,
         3000,
         s.seconds * 1000,
--- a/rehearsal/src/standin/client.rs
+++ b/rehearsal/src/standin/client.rs
@@ -3,7 +3,7 @@
 use super::{request, Ask};
 use crate::history::Event;
 use crate::scenario::{job, Mix};
-use landingdrift::kernel::{Draw, Verdict};
+use landingdrift::kernel::{Response, Rng};
 use landingdrift::record::JobSpec;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
 pub struct Client {
     /// Addresses of the nodes that the platform names.
     pub nodes: Vec<String>,
-    draw: Draw,
+    rng: Rng,
     mix: Mix,
     prefix: String,
     jobs: BTreeMap<String, Job>,
@@ -81,7 +81,7 @@
     pub fn new(prefix: &str, nodes: Vec<String>, mix: Mix, seed: u64, epoch: u64) -> Self {
         Self {
             nodes,
-            draw: Draw::new(seed),
+            rng: Rng::new(seed),
             mix,
             prefix: prefix.into(),
             jobs: BTreeMap::new(),
@@ -120,17 +120,17 @@
 
     /// Hands in a job made elsewhere.
     pub fn offer(&mut self, now: u64, spec: JobSpec) -> Vec<Ask> {
-        let cancel_at = (self.draw.unit() < self.cancels).then(|| now + self.draw.below(4000));
+        let cancel_at = (self.rng.unit() < self.cancels).then(|| now + self.rng.below(4000));
         let j = Job {
             spec: spec.clone(),
             stage: Stage::Submitting,
             next: now,
             asked: None,
             turned_away: 0,
-            stubborn: self.draw.below(4) as u32,
+            stubborn: self.rng.below(4) as u32,
             cancel_at,
             cancels: if cancel_at.is_some() {
-                1 + self.draw.below(2) as u32
+                1 + self.rng.below(2) as u32
             } else {
                 0
             },
@@ -138,17 +138,17 @@
             offered: now,
         };
         self.jobs.insert(spec.id.clone(), j);
-        vec![Ask::Note(Event::Offered { spec })]
+        vec![Ask::DurabilityWitness(Event::Offered { spec })]
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: u64) -> Vec<Ask> {
         let mut out = Vec::new();
         while self.offering && self.mix.rate > 0.0 && now >= self.next_job {
-            self.next_job += (-(1.0 - self.draw.unit()).ln() * 1000.0 / self.mix.rate) as u64;
+            self.next_job += (-(1.0 - self.rng.unit()).ln() * 1000.0 / self.mix.rate) as u64;
             self.made += 1;
             let id = format!("{}-{}", self.prefix, self.made);
-            let spec = job(&mut self.draw, &self.mix, &id, self.epoch + now);
+            let spec = job(&mut self.rng, &self.mix, &id, self.epoch + now);
             out.extend(self.offer(now, spec));
         }
         out.extend(self.look_again(now));
@@ -170,7 +170,7 @@
             return Vec::new();
         }
         self.next_look = now + 250;
-        let i = self.draw.below(self.ended.len() as u64) as usize;
+        let i = self.rng.below(self.ended.len() as u64) as usize;
         let id = self.ended.swap_remove(i);
         self.ask_again(now, &id);
         Vec::new()
@@ -210,7 +210,7 @@
             j.asked = None;
         }
         let to = self
-            .draw
+            .rng
             .pick(if self.ready.is_empty() {
                 &self.nodes
             } else {
@@ -246,11 +246,11 @@
             ),
         };
         self.calls.insert(call, id);
-        vec![Ask::Note(note), Ask::Call { to, call, req }]
+        vec![Ask::DurabilityWitness(note), Ask::Call { to, call, req }]
     }
 
     /// A node has answered.
-    pub fn answer(&mut self, now: u64, call: u64, v: &Verdict) -> Vec<Ask> {
+    pub fn answer(&mut self, now: u64, call: u64, v: &Response) -> Vec<Ask> {
         let Some(id) = self.calls.remove(&call) else {
             return Vec::new();
         };
@@ -266,7 +266,7 @@
             Wants::HandIn => {
                 let code = v.body["error"].as_str().unwrap_or("").to_string();
                 let refused = !matches!(code.as_str(), "unsure" | "noCore");
-                out.push(Ask::Note(Event::Submitted {
+                out.push(Ask::DurabilityWitness(Event::Submitted {
                     id: id.clone(),
                     status: v.status,
                     code,
@@ -281,14 +281,16 @@
                     _ => {
                         j.stage = Stage::Over;
                         self.told.refused += 1;
-                        out.push(Ask::Note(Event::GaveUp { id: id.clone() }));
+                        out.push(Ask::DurabilityWitness(Event::GaveUp { id: id.clone() }));
                     }
                 }
             }
             Wants::Cancel if v.status == 200 => {
                 j.cancels -= 1;
                 j.stage = Stage::Polling;
-                out.push(Ask::Note(Event::CancelAcked { id: id.clone() }));
+                out.push(Ask::DurabilityWitness(Event::CancelAcked {
+                    id: id.clone(),
+                }));
             }
             // Not known yet: it is handed in first.
             Wants::Cancel => j.cancel_at = Some(now + 2000),
@@ -296,7 +298,7 @@
                 let state = v.body["state"].as_str().unwrap_or("").to_string();
                 // Whoever wants to know a state doesn't sit out long pauses.
                 j.next = j.next.min(now + 400);
-                out.push(Ask::Note(Event::Polled {
+                out.push(Ask::DurabilityWitness(Event::Polled {
                     id: id.clone(),
                     status: v.status,
                     state: state.clone(),
--- a/rehearsal/src/standin/mod.rs
+++ b/rehearsal/src/standin/mod.rs
@@ -12,7 +12,7 @@
     /// Call the node at this HTTP address; the number comes back with the verdict.
     Call { to: String, call: u64, req: Request },
     /// Write down what happened.
-    Note(Event),
+    DurabilityWitness(Event),
 }
 
 /// A request with a JSON body.
--- a/rehearsal/src/standin/operator.rs
+++ b/rehearsal/src/standin/operator.rs
@@ -2,7 +2,7 @@
 
 use super::{request, Ask};
 use crate::history::{Event, Says};
-use landingdrift::kernel::{Draw, Verdict};
+use landingdrift::kernel::{Response, Rng};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
@@ -44,7 +44,7 @@
 pub struct Operator {
     /// Addresses of the nodes that the platform names.
     pub nodes: Vec<String>,
-    draw: Draw,
+    rng: Rng,
     name: String,
     wishes: VecDeque<Wish>,
     asked: Option<(u64, u64, Wish, u64)>,
@@ -59,7 +59,7 @@
     pub fn new(name: &str, nodes: Vec<String>, seed: u64) -> Self {
         Self {
             nodes,
-            draw: Draw::new(seed),
+            rng: Rng::new(seed),
             name: name.into(),
             wishes: VecDeque::new(),
             asked: None,
@@ -137,7 +137,7 @@
                 // Each change leaves its mark, so that content can be told from content.
                 let mut value = value;
                 value["notes"]["by"] = json!(change);
-                noted = vec![Ask::Note(Event::ConfigAsked {
+                noted = vec![Ask::DurabilityWitness(Event::ConfigAsked {
                     change: change.clone(),
                     says: says(&value),
                 })];
@@ -161,7 +161,7 @@
             }
         };
         self.asked = Some((self.calls, now, wish, base));
-        let Some(to) = self.draw.pick(&self.nodes).cloned() else {
+        let Some(to) = self.rng.pick(&self.nodes).cloned() else {
             return Vec::new();
         };
         noted.push(Ask::Call {
@@ -173,7 +173,7 @@
     }
 
     /// A node has answered.
-    pub fn answer(&mut self, now: u64, call: u64, v: &Verdict) -> Vec<Ask> {
+    pub fn answer(&mut self, now: u64, call: u64, v: &Response) -> Vec<Ask> {
         let Some((_, sent, wish, base)) = self.asked.take_if(|(c, ..)| *c == call) else {
             return Vec::new();
         };
@@ -186,7 +186,7 @@
                     .as_str()
                     .unwrap_or("")
                     .to_string();
-                vec![Ask::Note(Event::ConfigRead {
+                vec![Ask::DurabilityWitness(Event::ConfigRead {
                     version,
                     by,
                     asked: sent,
@@ -213,7 +213,7 @@
                         insist,
                     });
                 }
-                vec![Ask::Note(Event::Configured {
+                vec![Ask::DurabilityWitness(Event::Configured {
                     change,
                     base,
                     status: v.status,
--- a/rehearsal/src/standin/worker.rs
+++ b/rehearsal/src/standin/worker.rs
@@ -2,8 +2,8 @@
 
 use super::{request, Ask};
 use crate::history::Event;
-use landingdrift::kernel::{digest, Draw, Verdict};
-use landingdrift::record::{EndReport, Outcome, WorkerFacts};
+use landingdrift::kernel::{fnv1a, Response, Rng};
+use landingdrift::record::{EndReport, Outcome, WorkerInfo};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,18 +37,18 @@
 }
 
 /// What a run's luck is drawn from when policies are compared: each task and each copy has its own.
-pub fn paired(seed: u64, job: &str, task: &str, copy: bool) -> Draw {
-    Draw::new(seed ^ digest(format!("{job}/{task}/{copy}").as_bytes()))
+pub fn paired(seed: u64, job: &str, task: &str, copy: bool) -> Rng {
+    Rng::new(seed ^ fnv1a(format!("{job}/{task}/{copy}").as_bytes()))
 }
 
 /// A worker.
 pub struct Worker {
-    pub facts: WorkerFacts,
+    pub facts: WorkerInfo,
     pub manner: Manner,
     /// Addresses of the nodes that the platform names.
     pub nodes: Vec<String>,
     at: usize,
-    draw: Draw,
+    rng: Rng,
     seed: u64,
     /// Where set, a run's luck hangs on its job and task alone, the same under every policy.
     pub paired: Option<u64>,
@@ -65,15 +65,15 @@
 
 impl Worker {
     /// A worker that has just started.
-    pub fn new(facts: WorkerFacts, nodes: Vec<String>, seed: u64) -> Self {
-        let mut draw = Draw::new(seed ^ digest(facts.worker.as_bytes()) ^ facts.incarnation);
-        let at = draw.below(nodes.len() as u64) as usize;
+    pub fn new(facts: WorkerInfo, nodes: Vec<String>, seed: u64) -> Self {
+        let mut rng = Rng::new(seed ^ fnv1a(facts.worker.as_bytes()) ^ facts.incarnation);
+        let at = rng.below(nodes.len() as u64) as usize;
         Self {
             facts,
             manner: Manner::default(),
             nodes,
             at,
-            draw,
+            rng,
             seed,
             paired: None,
             running: BTreeMap::new(),
@@ -106,7 +106,7 @@
         self.facts.leaving = true;
         self.asked = None;
         self.next_beat = now;
-        let mut out = vec![Ask::Note(Event::WorkerLeaving {
+        let mut out = vec![Ask::DurabilityWitness(Event::WorkerLeaving {
             worker: self.facts.worker.clone(),
         })];
         out.extend(self.tick(now));
@@ -120,7 +120,7 @@
         self.asked = None;
         self.next_beat = now;
         let f = &self.facts;
-        vec![Ask::Note(Event::WorkerChanged {
+        vec![Ask::DurabilityWitness(Event::WorkerChanged {
             worker: f.worker.clone(),
             labels: f.labels.iter().cloned().collect(),
             room,
@@ -154,7 +154,7 @@
     }
 
     fn turn(&mut self, now: u64) {
-        let step = 1 + self.draw.below(self.nodes.len().max(2) as u64 - 1) as usize;
+        let step = 1 + self.rng.below(self.nodes.len().max(2) as u64 - 1) as usize;
         self.at = (self.at + step) % self.nodes.len().max(1);
         self.next_beat = now + 20;
     }
@@ -195,7 +195,7 @@
         });
         // Ends are told soon, so that the slot is used again.
         self.next_beat = self.next_beat.min(now + 20);
-        vec![Ask::Note(Event::Ended {
+        vec![Ask::DurabilityWitness(Event::Ended {
             worker: self.facts.worker.clone(),
             no,
             job: r.job,
@@ -205,7 +205,7 @@
     }
 
     /// A node has answered.
-    pub fn answer(&mut self, now: u64, call: u64, v: &Verdict) -> Vec<Ask> {
+    pub fn answer(&mut self, now: u64, call: u64, v: &Response) -> Vec<Ask> {
         let Some((_, sent)) = self.asked.filter(|(c, _)| *c == call) else {
             return Vec::new();
         };
@@ -230,7 +230,7 @@
         for no in numbers("stops") {
             if let Some(r) = self.running.get_mut(&no) {
                 // A run that is told to stop takes its time to let go of its room.
-                let ends = now + self.draw.below(300);
+                let ends = now + self.rng.below(300);
                 if ends < r.until {
                     (r.until, r.outcome) = (ends, Outcome::Stopped);
                 }
@@ -259,8 +259,8 @@
         if self.running.contains_key(&no) || self.over.contains(&no) {
             return Vec::new();
         }
-        let mut draw = self.paired.map_or_else(
-            || Draw::new(self.seed ^ (no << 20)),
+        let mut rng = self.paired.map_or_else(
+            || Rng::new(self.seed ^ (no << 20)),
             |seed| {
                 paired(
                     seed,
@@ -275,13 +275,13 @@
         let tail = p["tail"].as_f64().unwrap_or(0.0);
         // Pareto with the shape named, as the paper has it; without one, as long as it says.
         let long = if tail > 0.0 {
-            (1.0 - draw.unit()).powf(-1.0 / tail).min(20.0)
+            (1.0 - rng.unit()).powf(-1.0 / tail).min(20.0)
         } else {
             1.0
         };
         let took = (ms * long * self.manner.slow).max(1.0) as u64;
         let fails = p["doomed"] == json!(true)
-            || draw.unit()
+            || rng.unit()
                 < self
                     .manner
                     .failing
@@ -307,7 +307,7 @@
             },
         );
         self.next_beat = self.next_beat.min(now + 50);
-        vec![Ask::Note(Event::Started {
+        vec![Ask::DurabilityWitness(Event::Started {
             worker: self.facts.worker.clone(),
             no,
             job,
--- a/rehearsal/tests/capacity.rs
+++ b/rehearsal/tests/capacity.rs
@@ -70,11 +70,11 @@
     ]
     .iter()
     .for_each(|h| assert!(text.contains(h), "{h} is missing"));
-    let verdicts = text
+    let responses = text
         .split("### Against the bounds")
         .nth(1)
         .map_or(0, |t| t.matches("hold").count());
-    assert_eq!(verdicts, 3 * Duty::ALL.len());
+    assert_eq!(responses, 3 * Duty::ALL.len());
 }
 
 #[test]
--- a/rehearsal/tests/fleet.rs
+++ b/rehearsal/tests/fleet.rs
@@ -31,13 +31,17 @@
     };
     let outcome = run(&o).unwrap_or_else(|e| panic!("{e}; logs in {}", folder.display()));
     // How long things took on this machine is not this test's concern; what must never happen is.
-    let hard: Vec<String> = outcome
+    let hard_state: Vec<String> = outcome
         .broken
         .iter()
         .filter(|b| !TIMED.contains(&b.rule))
         .map(ToString::to_string)
         .collect();
-    assert!(hard.is_empty(), "{hard:?}; logs in {}", folder.display());
+    assert!(
+        hard_state.is_empty(),
+        "{hard_state:?}; logs in {}",
+        folder.display()
+    );
     assert!(
         outcome.summary.accepted > 20 && outcome.summary.done > 10,
         "{:?}",
