--- a/landingdrift/src/desired/check.rs
+++ b/landingdrift/src/config/check.rs
@@ -63,13 +63,13 @@
             "use 1 to 64 letters, digits, '-', '_' or '.' for the name",
         )?;
         ensure(
-            (1..=100).contains(&q.tries),
+            (1..=100).contains(&q.max_attempts),
             at("tries"),
             "give a number from 1 to 100",
         )?;
         ensure(q.quota >= 1, at("quota"), "give at least 1")?;
         ensure(
-            q.defect_allowance_percent <= 100,
+            q.failure_allowance_percent <= 100,
             at("defectAllowancePercent"),
             "give 0 to 100",
         )?;
@@ -113,12 +113,12 @@
             "use 1 to 64 letters, digits, '-', '_' or '.' for the name",
         )?;
         ensure(
-            s.task_room >= 1,
+            s.task_cpu >= 1,
             format!("services.{name}.taskRoom"),
             "give at least 1",
         )?;
         ensure(
-            s.gang_room >= s.task_room,
+            s.gang_cpu >= s.task_cpu,
             format!("services.{name}.gangRoom"),
             "give at least taskRoom",
         )?;
--- a/landingdrift/src/desired/mod.rs
+++ b/landingdrift/src/config/mod.rs
@@ -35,10 +35,12 @@
     pub finish_within_ms: u64,
     /// How many jobs in a hundred may miss the promise or fail within the window.
     #[prost(uint32, tag = "2")]
-    pub defect_allowance_percent: u32,
+    #[serde(rename = "defectAllowancePercent")]
+    pub failure_allowance_percent: u32,
     /// How often a task may fail before it is not tried again.
     #[prost(uint32, tag = "3")]
-    pub tries: u32,
+    #[serde(rename = "tries")]
+    pub max_attempts: u32,
     /// How many unfinished jobs the queue may hold.
     #[prost(uint32, tag = "4")]
     pub quota: u32,
@@ -79,10 +81,12 @@
     pub labels: Vec<String>,
     /// The most room that one task may need.
     #[prost(uint32, tag = "2")]
-    pub task_room: u32,
+    #[serde(rename = "taskRoom")]
+    pub task_cpu: u32,
     /// The most room that a gang may need altogether.
     #[prost(uint32, tag = "3")]
-    pub gang_room: u32,
+    #[serde(rename = "gangRoom")]
+    pub gang_cpu: u32,
     /// Workers may carry any label; `labels` lists none.
     #[prost(bool, tag = "4")]
     pub any_label: bool,
--- a/landingdrift/src/agreement/clock.rs
+++ b/landingdrift/src/consensus/clock.rs
@@ -1,9 +1,9 @@
-use crate::kernel::Now;
+use crate::sans_io::Now;
 use std::collections::BTreeMap;
 
 /// What a process says of the time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct ClockReading {
     pub at: u64,
     /// It heard the agreed time since it started and carries it on by durations; else it is its machine's clock.
     pub carried: bool,
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClusterClock {
     base: Option<(u64, u64)>,
-    seen: BTreeMap<String, (u64, Told)>,
+    seen: BTreeMap<String, (u64, ClockReading)>,
     since: u64,
     last: u64,
 }
@@ -32,14 +32,14 @@
         self.last = self.last.max(last);
     }
 
-    /// The leader has told the agreed time.
+    /// The leader has reading the agreed time.
     pub fn hear(&mut self, now: Now, at: u64) {
         self.base = Some((now.mono, at)).filter(|_| at > 0).or(self.base);
     }
 
-    /// Takes note of what another process says of the time.
-    pub fn sample(&mut self, now: Now, who: &str, told: Told) {
-        self.seen.insert(who.into(), (now.mono, told));
+    /// Takes witness of what another process says of the time.
+    pub fn sample(&mut self, now: Now, who: &str, reading: ClockReading) {
+        self.seen.insert(who.into(), (now.mono, reading));
     }
 
     /// Whether there is an agreed time.
@@ -48,8 +48,8 @@
     }
 
     /// What this process says of the time.
-    pub fn tell(&self, now: Now) -> Told {
-        Told {
+    pub fn tell(&self, now: Now) -> ClockReading {
+        ClockReading {
             at: self.carried(now).unwrap_or(now.wall),
             carried: self.base.is_some(),
         }
@@ -65,14 +65,14 @@
         if self.base.is_some() {
             return;
         }
-        let own = Told {
+        let own = ClockReading {
             at: now.wall,
             carried: false,
         };
-        let all: Vec<Told> = self
+        let all: Vec<ClockReading> = self
             .seen
             .values()
-            .map(|(m, t)| Told {
+            .map(|(m, t)| ClockReading {
                 at: t.at + now.mono.saturating_sub(*m),
                 ..*t
             })
@@ -103,8 +103,8 @@
 
     const HOUR: u64 = 3_600_000;
 
-    fn told(at: u64, carried: bool) -> Told {
-        Told { at, carried }
+    fn reading(at: u64, carried: bool) -> ClockReading {
+        ClockReading { at, carried }
     }
 
     #[test]
@@ -118,8 +118,8 @@
                 mono,
                 wall: 1_000_000 + mono + jump,
             };
-            c.sample(now, "b", told(1_000_000 + mono + jump, false));
-            c.sample(now, "c", told(1_000_005 + mono + jump, false));
+            c.sample(now, "b", reading(1_000_000 + mono + jump, false));
+            c.sample(now, "c", reading(1_000_005 + mono + jump, false));
             c.steer(now, 100);
             let read = c.read(now);
             assert!(read >= before);
@@ -139,8 +139,8 @@
             wall: 9 * HOUR,
         };
         c.lead(now, HOUR);
-        c.sample(now, "b", told(9 * HOUR, false));
-        c.sample(now, "n", told(2 * HOUR, true));
+        c.sample(now, "b", reading(9 * HOUR, false));
+        c.sample(now, "n", reading(2 * HOUR, true));
         c.steer(now, 1000);
         assert_eq!(c.read(now), 2 * HOUR);
     }
@@ -153,17 +153,17 @@
             wall: 9 * HOUR,
         };
         c.lead(now, 3 * HOUR);
-        c.sample(now, "b", told(9 * HOUR, false));
+        c.sample(now, "b", reading(9 * HOUR, false));
         c.steer(now, 1000);
         assert!(!c.set(), "two clocks are few while more may be heard");
         ["c", "n", "m"]
             .iter()
-            .for_each(|p| c.sample(now, p, told(4 * HOUR, false)));
+            .for_each(|p| c.sample(now, p, reading(4 * HOUR, false)));
         c.steer(now, 1000);
         assert_eq!(c.read(now), 4 * HOUR);
         let mut d = ClusterClock::default();
         d.lead(now, 10 * HOUR);
-        d.sample(now, "b", told(HOUR, false));
+        d.sample(now, "b", reading(HOUR, false));
         let later = Now {
             mono: 2000,
             wall: HOUR,
--- a/landingdrift/src/agreement/elect.rs
+++ b/landingdrift/src/consensus/election.rs
@@ -1,13 +1,13 @@
 use super::{Peer, Replica, Role};
-use crate::kernel::Now;
-use crate::record::Command;
+use crate::sans_io::Now;
+use crate::state::Command;
 use crate::wire::{Body, TransferLeadership, VoteRequest, VoteResponse};
 
 impl Replica {
-    pub(super) fn arm_election(&mut self, now: Now) {
+    pub(super) fn reset_election_timer(&mut self, now: Now) {
         let span = self.settings.bounds.election();
         // Just awake and with no leader heard of, there is most likely none: a total outage.
-        let eager = now.mono < self.eager_until && self.leader.is_empty();
+        let eager = now.mono < self.fast_election_until && self.leader.is_empty();
         let span = if eager { span / 4 } else { span };
         // Whoever is being shut down leaves the lead to others, as long as there are any.
         let reserve = if self.stopping.is_some() { span } else { 0 };
@@ -20,17 +20,17 @@
             self.hard_state.term = term;
             self.hard_state.vote.clear();
             self.verified = 0;
-            self.unsaved.hard_state = Some(self.hard_state.clone());
+            self.pending_batch.hard_state = Some(self.hard_state.clone());
         }
         if self.role == Role::Leader {
             self.line(format!("no longer leader, term {}", self.hard_state.term));
-            // What was proposed may still come through under another leader: nobody is told "refused".
+            // What was proposed may still come through under another leader: nobody is reading "refused".
             self.asked.clear();
             self.reads.clear();
             self.count("leaderships_lost", 1);
         }
         if self.role != Role::Follower {
-            self.arm_election(now);
+            self.reset_election_timer(now);
         }
         self.role = Role::Follower;
         if self.leader != leader {
@@ -39,32 +39,32 @@
     }
 
     /// Asks first whether an election would be won, so that a core that was cut off disturbs nobody.
-    pub(super) fn stand(&mut self, now: Now) {
-        self.arm_election(now);
+    pub(super) fn start_pre_vote(&mut self, now: Now) {
+        self.reset_election_timer(now);
         let own = {
             let (i, t) = self.last();
             (t, i)
         };
-        if self.waking.is_some()
+        if self.recovery.is_some()
             || !self.is_voter()
             || self.answerable(now) > own
             || !self.storage.takes_writes()
         {
             return;
         }
-        self.role = Role::Asking;
+        self.role = Role::PreCandidate;
         self.leader.clear();
-        self.ask_votes(now, true, false);
+        self.request_votes(now, true, false);
     }
 
-    fn ask_votes(&mut self, now: Now, pre: bool, handed: bool) {
+    fn request_votes(&mut self, now: Now, pre: bool, leadership_transfer: bool) {
         let me = self.name.clone();
         self.votes = [(me.clone(), self.disk)].into();
         let (last_index, last_term) = self.last();
         let term = self.hard_state.term + u64::from(pre);
         let body = Body::VoteRequest(Box::new(VoteRequest {
             pre,
-            handed,
+            leadership_transfer,
             term,
             last_index,
             last_term,
@@ -77,24 +77,27 @@
                 self.send_durable(&v, body.clone());
             }
         }
-        self.tally(now);
+        self.count_votes(now);
     }
 
-    fn campaign(&mut self, now: Now, handed: bool) {
+    fn campaign(&mut self, now: Now, leadership_transfer: bool) {
         self.role = Role::Candidate;
         self.hard_state.term += 1;
         self.hard_state.vote = self.name.clone();
-        self.unsaved.hard_state = Some(self.hard_state.clone());
+        self.pending_batch.hard_state = Some(self.hard_state.clone());
         self.count("elections", 1);
-        self.arm_election(now);
-        self.ask_votes(now, false, handed);
+        self.reset_election_timer(now);
+        self.request_votes(now, false, leadership_transfer);
     }
 
     pub(super) fn on_vote(&mut self, now: Now, from: &str, m: &VoteRequest) {
         let led = self.role == Role::Leader
             || (!self.leader.is_empty()
                 && now.mono.saturating_sub(self.heard_leader) < self.settings.bounds.election());
-        if self.waking.is_some() || (led && !m.handed) || !self.storage.takes_writes() {
+        if self.recovery.is_some()
+            || (led && !m.leadership_transfer)
+            || !self.storage.takes_writes()
+        {
             return;
         }
         // A candidate that is not known yet may be one promoted in entries that are missing here.
@@ -104,7 +107,7 @@
             let granted = known
                 && reaches
                 && m.term > self.hard_state.term
-                && m.term > self.hard_state.silent_to;
+                && m.term > self.hard_state.no_vote_through;
             self.send(
                 from,
                 Body::VoteResponse(Box::new(VoteResponse {
@@ -112,7 +115,7 @@
                     term: if granted {
                         m.term
                     } else {
-                        self.hard_state.term.max(self.hard_state.silent_to)
+                        self.hard_state.term.max(self.hard_state.no_vote_through)
                     },
                     granted,
                     disk: self.disk,
@@ -127,12 +130,12 @@
         let granted = known
             && reaches
             && m.term == self.hard_state.term
-            && m.term > self.hard_state.silent_to
+            && m.term > self.hard_state.no_vote_through
             && free;
         if granted {
             self.hard_state.vote = from.into();
-            self.unsaved.hard_state = Some(self.hard_state.clone());
-            self.arm_election(now);
+            self.pending_batch.hard_state = Some(self.hard_state.clone());
+            self.reset_election_timer(now);
         }
         let term = self.hard_state.term;
         self.send_durable(
@@ -152,17 +155,17 @@
             return;
         }
         let fits = match self.role {
-            Role::Asking => m.pre && m.term == self.hard_state.term + 1,
+            Role::PreCandidate => m.pre && m.term == self.hard_state.term + 1,
             Role::Candidate => !m.pre && m.term == self.hard_state.term,
             _ => false,
         };
         if fits && m.granted {
             self.votes.insert(from.into(), m.disk);
-            self.tally(now);
+            self.count_votes(now);
         }
     }
 
-    pub(super) fn tally(&mut self, now: Now) {
+    pub(super) fn count_votes(&mut self, now: Now) {
         let voters = self.voters();
         let given = self.votes.clone();
         let got = given
@@ -173,9 +176,11 @@
             return;
         }
         match self.role {
-            Role::Asking => self.campaign(now, false),
+            Role::PreCandidate => self.campaign(now, false),
             // Its own vote counts once it is durable.
-            Role::Candidate if self.unsaved.hard_state.is_none() && self.saved >= self.write_id => {
+            Role::Candidate
+                if self.pending_batch.hard_state.is_none() && self.saved >= self.write_id =>
+            {
                 self.lead(now)
             }
             _ => {}
@@ -185,15 +190,15 @@
     fn lead(&mut self, now: Now) {
         self.role = Role::Leader;
         self.leader = self.name.clone();
-        self.led_since = now.mono;
-        self.duty_index = 0;
+        self.leader_since = now.mono;
+        self.command_index = 0;
         let next = self.last().0 + 1;
         let me = self.name.clone();
         let last_at = self
             .log
             .back()
-            .map_or(self.record.at, |e| e.at)
-            .max(self.record.at);
+            .map_or(self.state.at, |e| e.at)
+            .max(self.state.at);
         self.peers = self
             .members()
             .into_keys()
@@ -211,12 +216,12 @@
             .collect();
         self.rounds.clear();
         self.last_round = 0;
-        self.followers.clear();
+        self.watchers.clear();
         self.clock.lead(now, last_at);
         self.count("leaderships", 1);
         self.line(format!("leader of term {}", self.hard_state.term));
         let leader = self.name.clone();
-        self.opened = self.push(now, &Command::Opened { leader });
+        self.term_start_index = self.push(now, &Command::TermStarted { leader });
         self.send_round(now, true);
     }
 
@@ -238,13 +243,13 @@
     }
 
     /// Whether this leader is being shut down and another can lead in its place.
-    pub(super) fn gives_way(&mut self, now: Now) -> bool {
+    pub(super) fn is_transferring_leadership(&mut self, now: Now) -> bool {
         self.stopping.is_some() && self.successor(now).is_some()
     }
 
     /// Offers the lead to a successor, if there is one.
-    pub(super) fn hand_over(&mut self, now: Now) {
-        self.handed_at = now.mono;
+    pub(super) fn transfer_leadership(&mut self, now: Now) {
+        self.transfer_offered_at = now.mono;
         let term = self.hard_state.term;
         if let Some(successor) = self.successor(now) {
             self.send(
@@ -254,18 +259,18 @@
         }
     }
 
-    pub(super) fn on_hand_over(&mut self, now: Now, term: u64) {
+    pub(super) fn on_transfer_leadership(&mut self, now: Now, term: u64) {
         let own = {
             let (i, t) = self.last();
             (t, i)
         };
         if term == self.hard_state.term
             && self.role == Role::Follower
-            && self.waking.is_none()
+            && self.recovery.is_none()
             && self.stopping.is_none()
             && self.storage.takes_writes()
             && self.is_voter()
-            && self.floor <= own
+            && self.recovery_floor <= own
         {
             self.campaign(now, true);
         }
--- a/landingdrift/src/agreement/inspect.rs
+++ b/landingdrift/src/consensus/inspect.rs
@@ -1,13 +1,13 @@
 //! What tests and the model checker may look at. Nothing here changes a replica.
 
 use super::{Replica, Role};
-use crate::record::ClusterState;
+use crate::state::ClusterState;
 use crate::wire::Entry;
 
 impl Replica {
     /// The cluster state as far as this replica has applied it.
-    pub fn record(&self) -> &ClusterState {
-        &self.record
+    pub fn state(&self) -> &ClusterState {
+        &self.state
     }
 
     /// Whether this replica leads.
@@ -17,7 +17,7 @@
 
     /// Whether this replica still finds out what it had confirmed before it started.
     pub fn recovers(&self) -> bool {
-        self.waking.is_some()
+        self.recovery.is_some()
     }
 
     /// The term this replica is in.
@@ -47,14 +47,19 @@
         let mut hasher = DefaultHasher::new();
         (self.role as u8, self.hard_state.term, &self.hard_state.vote).hash(&mut hasher);
         (
-            self.hard_state.silent_to,
-            self.floor,
+            self.hard_state.no_vote_through,
+            self.recovery_floor,
             self.commit,
             self.base,
         )
             .hash(&mut hasher);
         (&self.leader, self.durable, self.verified).hash(&mut hasher);
-        (self.waking.is_some(), self.stopping.is_some(), self.joining).hash(&mut hasher);
+        (
+            self.recovery.is_some(),
+            self.stopping.is_some(),
+            self.joining,
+        )
+            .hash(&mut hasher);
         self.votes.hash(&mut hasher);
         for entry in &self.log {
             (entry.index, entry.term, &entry.command).hash(&mut hasher);
--- a/landingdrift/src/agreement/log.rs
+++ b/landingdrift/src/consensus/log.rs
@@ -1,7 +1,7 @@
 //! The log in memory, and what of it is on the disk.
 
 use super::{Replica, Role};
-use crate::kernel::{Effect, Now};
+use crate::sans_io::{Effect, Now};
 use crate::wire::{Body, Entry};
 
 /// The bytes of entries in one message, unless a single entry is larger.
@@ -46,18 +46,18 @@
 
     /// Hands what has changed to the disk; returns the ticket that confirms it.
     pub(super) fn flush(&mut self) -> u64 {
-        let s = &self.unsaved;
+        let s = &self.pending_batch;
         if s.hard_state.is_none() && s.cut.is_none() && s.entries.is_empty() && s.snapshot.is_none()
         {
             return self.write_id;
         }
         self.write_id += 1;
-        let mut save = std::mem::take(&mut self.unsaved);
+        let mut save = std::mem::take(&mut self.pending_batch);
         save.write_id = self.write_id;
         if save.hard_state.is_some() {
             self.hard_state_write = self.write_id;
         }
-        save.notes = self.notes.values().cloned().collect();
+        save.witnesses = self.witnesses.values().cloned().collect();
         if let Some(cut) = save.cut {
             self.durable = self.durable.min(cut.saturating_sub(1));
             self.saving
@@ -94,7 +94,7 @@
         }
         match self.role {
             Role::Leader => self.advance(now),
-            Role::Candidate => self.tally(now),
+            Role::Candidate => self.count_votes(now),
             _ => self.confirm(),
         }
     }
--- a/landingdrift/src/agreement/members.rs
+++ b/landingdrift/src/consensus/members.rs
@@ -4,8 +4,8 @@
     majority, Health, JoinRequest, MembershipChange, MembershipView, Observed, Resilience,
 };
 use super::{Replica, Role};
-use crate::kernel::Now;
-use crate::record::{Command, ReplicaMember};
+use crate::sans_io::Now;
+use crate::state::{Command, ReplicaMember};
 use crate::wire::{Body, JoinCluster};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,18 +25,18 @@
         if let Some(members) = &self.members_cache {
             return members.clone();
         }
-        let mut members = self.record.cores.clone();
-        let applied = self.record.place;
+        let mut members = self.state.replicas.clone();
+        let applied = self.state.applied_index;
         for entry in self.log.iter().filter(|e| e.index > applied) {
             match Command::unpack(&entry.command) {
-                Ok(Command::Found { cores }) if members.is_empty() => members = cores,
-                Ok(Command::Replica { core, member }) => {
-                    members.insert(core, member);
+                Ok(Command::FoundCluster { replicas }) if members.is_empty() => members = replicas,
+                Ok(Command::UpdateReplica { replica, member }) => {
+                    members.insert(replica, member);
                 }
-                Ok(Command::CoreGone { core, disk })
-                    if members.get(&core).is_some_and(|m| m.disk == disk) =>
+                Ok(Command::RemoveReplica { replica, disk })
+                    if members.get(&replica).is_some_and(|m| m.disk == disk) =>
                 {
-                    members.remove(&core);
+                    members.remove(&replica);
                 }
                 _ => {}
             }
@@ -110,8 +110,8 @@
     }
 
     /// The next change of the membership, as an entry.
-    pub(super) fn membership_duty(&mut self, now: Now) -> Option<Command> {
-        if self.record.cores.is_empty() {
+    pub(super) fn membership_command(&mut self, now: Now) -> Option<Command> {
+        if self.state.replicas.is_empty() {
             return self.found(now);
         }
         let span = self.settings.bounds.replace_ms;
@@ -125,22 +125,22 @@
     }
 
     fn command_for(&self, members: &Members, change: MembershipChange) -> Command {
-        let with_vote = |core: String, voter: bool| {
+        let with_vote = |replica: String, voter: bool| {
             let member = ReplicaMember {
                 voter,
-                ..members.get(&core).cloned().unwrap_or_default()
+                ..members.get(&replica).cloned().unwrap_or_default()
             };
-            Command::Replica { core, member }
+            Command::UpdateReplica { replica, member }
         };
         match change {
-            MembershipChange::Promote(core) => with_vote(core, true),
-            MembershipChange::Demote(core) => with_vote(core, false),
-            MembershipChange::Remove(core) => {
-                let disk = members.get(&core).map_or(0, |m| m.disk);
-                Command::CoreGone { core, disk }
+            MembershipChange::Promote(replica) => with_vote(replica, true),
+            MembershipChange::Demote(replica) => with_vote(replica, false),
+            MembershipChange::Remove(replica) => {
+                let disk = members.get(&replica).map_or(0, |m| m.disk);
+                Command::RemoveReplica { replica, disk }
             }
-            MembershipChange::Admit(core, request) => Command::Replica {
-                core,
+            MembershipChange::Admit(replica, request) => Command::UpdateReplica {
+                replica,
                 member: ReplicaMember {
                     voter: false,
                     disk: request.disk,
@@ -155,7 +155,7 @@
     /// one may then be left out, since any majority with it and any without it still meet.
     fn found(&mut self, now: Now) -> Option<Command> {
         let founders = self.hard_state.founders.clone();
-        let mut cores = Members::new();
+        let mut replicas = Members::new();
         for address in &founders {
             let disk = if *address == self.name {
                 self.disk
@@ -174,13 +174,13 @@
                 standby_only: false,
             };
             if disk != 0 {
-                cores.insert(address.clone(), member);
+                replicas.insert(address.clone(), member);
             }
         }
-        let waited = now.mono.saturating_sub(self.led_since) >= self.settings.bounds.election();
+        let waited = now.mono.saturating_sub(self.leader_since) >= self.settings.bounds.election();
         let complete =
-            cores.len() == founders.len() || (waited && cores.len() + 1 == founders.len());
-        complete.then_some(Command::Found { cores })
+            replicas.len() == founders.len() || (waited && replicas.len() + 1 == founders.len());
+        complete.then_some(Command::FoundCluster { replicas })
     }
 
     /// Hands `use_view` what the leader knows of the members.
@@ -247,11 +247,11 @@
     /// voters holds as many disks as may be lost at once and one more. Where the machines do not give that, the leader
     /// goes on with what there is once it has waited for long.
     pub(super) fn accepts_orders(&mut self, now: Now) -> bool {
-        if self.record.version > 0 {
+        if self.state.version > 0 {
             return true;
         }
         let disks_needed = majority(self.settings.voters as usize);
-        let waited = now.mono.saturating_sub(self.led_since) > self.settings.bounds.outage_ms;
+        let waited = now.mono.saturating_sub(self.leader_since) > self.settings.bounds.outage_ms;
         self.majority() >= disks_needed || waited
     }
 
@@ -291,13 +291,14 @@
         let abandoned = silence > self.settings.bounds.exchange();
         let every = JOIN_EVERY_HEARTBEATS * self.settings.bounds.heartbeat();
         let due = self.joined_at.is_none_or(|at| now.mono >= at + every);
-        if self.waking.is_some() || self.role == Role::Leader || !due || (admitted && !abandoned) {
+        if self.recovery.is_some() || self.role == Role::Leader || !due || (admitted && !abandoned)
+        {
             return;
         }
         self.joined_at = Some(now.mono);
         let mut targets: BTreeSet<String> = self.members().into_keys().collect();
         targets.extend(self.settings.seeds.iter().cloned());
-        targets.extend(self.views.cores.iter().cloned());
+        targets.extend(self.peer_sampler.replicas.iter().cloned());
         targets.extend(Some(self.leader.clone()).filter(|l| !l.is_empty()));
         targets.remove(&name);
         let request = JoinCluster {
--- a/landingdrift/src/agreement/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -3,7 +3,7 @@
 //! A replica is identified by its address *and* its disk. Changes are made one at a time, each committed before the
 //! next is derived, so that every two majorities in force one after the other share a member.
 
-use crate::record::ReplicaMember;
+use crate::state::ReplicaMember;
 use std::collections::BTreeMap;
 
 /// How the leader sees a member at the moment.
--- a/landingdrift/src/agreement/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -1,30 +1,30 @@
 //! A core: the replicated log, its leader's duties and the feed to the nodes.
 
 mod clock;
-mod duties;
-mod elect;
-mod feed;
-mod feed_snapshots;
+mod election;
 mod inspect;
+mod leases;
 mod log;
 mod members;
 pub mod membership;
 mod peers;
+mod recovery;
 mod replicate;
 mod snapshot;
 mod status;
 mod stop;
 mod storage;
-mod wake;
+mod watch;
+mod watch_snapshots;
 
 pub use clock::ClusterClock;
-pub(crate) use peers::{Follower, Peer};
+pub(crate) use peers::{Peer, Watcher};
 
-use crate::chunks::{Assembly, ChunkedSnapshot};
-use crate::kernel::{Effect, HardState, Msg, Now, Part, Rng, Snapshot, WriteBatch};
-use crate::record::ClusterState;
+use crate::peer_sampler::PeerSampler;
+use crate::sans_io::{Effect, HardState, Msg, Now, Part, Rng, Snapshot, WriteBatch};
 use crate::settings::Settings;
-use crate::views::PeerSampler;
+use crate::snapshot_chunks::{Assembly, ChunkedSnapshot};
+use crate::state::ClusterState;
 use crate::wire::{Body, DurabilityWitness, Entry, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -37,7 +37,7 @@
     pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
-    pub notes: Vec<DurabilityWitness>,
+    pub witnesses: Vec<DurabilityWitness>,
     /// Something in the middle was damaged and left out.
     pub damaged: bool,
 }
@@ -47,7 +47,7 @@
 pub enum Role {
     Follower,
     /// Asks whether an election would be won.
-    Asking,
+    PreCandidate,
     Candidate,
     Leader,
 }
@@ -66,11 +66,11 @@
     log: VecDeque<Entry>,
     base: (u64, u64),
     snapshot: Arc<ChunkedSnapshot>,
-    captured: u64,
+    snapshot_index: u64,
     /// The bytes of the entries applied since.
-    uncaptured_bytes: u64,
+    bytes_since_snapshot: u64,
     incoming: Assembly,
-    record: ClusterState,
+    state: ClusterState,
     commit: u64,
     durable: u64,
     write_id: u64,
@@ -78,32 +78,32 @@
     held: VecDeque<(u64, Effect)>,
     /// Last index in each save not yet durable.
     saving: VecDeque<(u64, u64)>,
-    unsaved: WriteBatch,
+    pending_batch: WriteBatch,
     /// What each identity (address and disk) may have confirmed.
-    notes: BTreeMap<(String, u64), DurabilityWitness>,
+    witnesses: BTreeMap<(String, u64), DurabilityWitness>,
     /// The farthest place this core has confirmed, as others remember it.
-    floor: (u64, u64),
+    recovery_floor: (u64, u64),
     /// The farthest log it heard of when it woke, and until when it leaves the lead to whoever holds that.
-    yields: ((u64, u64), u64),
+    deferral: ((u64, u64), u64),
     damaged: bool,
-    waking: Option<wake::Waking>,
+    recovery: Option<recovery::Recovery>,
     heard_leader: u64,
     election_at: u64,
     /// Until when a core that woke stands early.
-    eager_until: u64,
+    fast_election_until: u64,
     /// Those that gave their vote, with their disks.
     votes: BTreeMap<String, u64>,
     peers: BTreeMap<String, Peer>,
     round: u64,
     rounds: VecDeque<(u64, u64)>,
-    led_since: u64,
-    opened: u64,
-    duty_index: u64,
+    leader_since: u64,
+    term_start_index: u64,
+    command_index: u64,
     /// When a duty was last moved to a better place.
     moved: u64,
-    followers: BTreeMap<String, Follower>,
-    feed_snapshots: feed_snapshots::FeedSnapshots,
-    reads: Vec<feed::Read>,
+    watchers: BTreeMap<String, Watcher>,
+    watch_snapshots: watch_snapshots::WatchSnapshots,
+    reads: Vec<watch::Read>,
     asked: BTreeMap<u64, (String, RequestToken)>,
     /// Whom to tell what has become durable, and the round it asked in.
     confirmed: Option<(String, u64)>,
@@ -118,21 +118,21 @@
     /// This replica's disk is empty while others have a log: it is a newcomer, whatever the settings say of founders.
     joining: bool,
     resilience: membership::Resilience,
-    wants_round: bool,
+    needs_round: bool,
     /// All others are to hear from this leader, whether there are entries for them or not.
-    wants_beat: bool,
+    needs_heartbeat: bool,
     last_round: u64,
     /// How far the log agrees with that of the present leader.
     verified: u64,
     clock: ClusterClock,
-    views: PeerSampler,
+    peer_sampler: PeerSampler,
     last_tick: u64,
     members_cache: Option<members::Members>,
     /// Asked to stop: until when it may go on, and whether the leader lets it end.
     stopping: Option<u64>,
-    released: bool,
+    leave_permitted: bool,
     /// When the lead was last offered to another.
-    handed_at: u64,
+    transfer_offered_at: u64,
     storage: storage::Storage,
     counters: BTreeMap<&'static str, u64>,
     out: Vec<Effect>,
@@ -141,14 +141,14 @@
 impl Replica {
     /// A core from what its disk holds.
     pub fn new(settings: Settings, loaded: Loaded, now: Now, seed: u64) -> Result<Self, String> {
-        let record = loaded.snapshot.as_ref().map_or_else(
+        let state = loaded.snapshot.as_ref().map_or_else(
             || Ok(ClusterState::new(&settings.cluster)),
             |c| ClusterState::unpack(&c.bytes),
         )?;
-        (record.cluster == settings.cluster).then_some(()).ok_or_else(|| {
+        (state.cluster == settings.cluster).then_some(()).ok_or_else(|| {
             format!(
                 "the data folder belongs to cluster '{}', not '{}': correct 'cluster' or 'data' in the settings",
-                record.cluster, settings.cluster
+                state.cluster, settings.cluster
             )
         })?;
         let base = loaded
@@ -162,18 +162,19 @@
             .collect();
         let last = log.back().map_or(base.0, |e| e.index);
         let name = settings.listen.clone();
-        let waking = wake::Waking::new(now, settings.bounds.wake());
+        let recovery = recovery::Recovery::new(now, settings.bounds.recovery_wait());
         let fresh = log.is_empty() && base.0 == 0 && loaded.hard_state == HardState::default();
         let mut hard_state = loaded.hard_state;
-        let mut unsaved = WriteBatch::default();
+        let mut pending_batch = WriteBatch::default();
         if fresh && !settings.join_only {
             // A founder stays one after a restart, whatever the settings say then.
             hard_state.founders = settings.founders();
-            unsaved.hard_state = Some(hard_state.clone());
+            pending_batch.hard_state = Some(hard_state.clone());
         }
-        let mut views = PeerSampler::new(&settings.listen, "core", &settings.zone, &settings.seeds);
-        views.cores = record
-            .cores
+        let mut peer_sampler =
+            PeerSampler::new(&settings.listen, "core", &settings.zone, &settings.seeds);
+        peer_sampler.replicas = state
+            .replicas
             .keys()
             .cloned()
             .chain(settings.founders())
@@ -188,44 +189,44 @@
             leader: String::new(),
             log,
             base,
-            captured: base.0,
+            snapshot_index: base.0,
             snapshot: Arc::new(
                 loaded
                     .snapshot
                     .map_or_else(ChunkedSnapshot::default, ChunkedSnapshot::from),
             ),
-            uncaptured_bytes: 0,
+            bytes_since_snapshot: 0,
             incoming: Assembly::default(),
-            record,
+            state,
             commit: base.0,
             durable: last,
             write_id: 0,
             saved: 0,
             held: VecDeque::new(),
             saving: VecDeque::new(),
-            unsaved,
-            notes: loaded
-                .notes
+            pending_batch,
+            witnesses: loaded
+                .witnesses
                 .into_iter()
-                .map(|n| ((n.core.clone(), n.disk), n))
+                .map(|n| ((n.replica.clone(), n.disk), n))
                 .collect(),
-            floor: (0, 0),
-            yields: ((0, 0), 0),
+            recovery_floor: (0, 0),
+            deferral: ((0, 0), 0),
             damaged: loaded.damaged,
-            waking: Some(waking),
+            recovery: Some(recovery),
             heard_leader: now.mono,
             election_at: now.mono + settings.bounds.election(),
-            eager_until: 0,
+            fast_election_until: 0,
             votes: BTreeMap::new(),
             peers: BTreeMap::new(),
             round: 0,
             rounds: VecDeque::new(),
-            led_since: 0,
-            opened: 0,
-            duty_index: 0,
+            leader_since: 0,
+            term_start_index: 0,
+            command_index: 0,
             moved: 0,
-            followers: BTreeMap::new(),
-            feed_snapshots: feed_snapshots::FeedSnapshots::default(),
+            watchers: BTreeMap::new(),
+            watch_snapshots: watch_snapshots::WatchSnapshots::default(),
             reads: Vec::new(),
             asked: BTreeMap::new(),
             confirmed: None,
@@ -234,17 +235,17 @@
             zones: BTreeMap::new(),
             joined_at: None,
             resilience: membership::Resilience::default(),
-            wants_round: false,
-            wants_beat: false,
+            needs_round: false,
+            needs_heartbeat: false,
             last_round: 0,
             verified: 0,
             clock: ClusterClock::default(),
-            views,
+            peer_sampler,
             last_tick: now.mono,
             members_cache: None,
             stopping: None,
-            released: false,
-            handed_at: 0,
+            leave_permitted: false,
+            transfer_offered_at: 0,
             storage: storage::Storage::default(),
             counters: BTreeMap::new(),
             out: Vec::new(),
@@ -266,24 +267,24 @@
 
     /// Applies what is committed and gives the waiting their verdicts.
     fn apply_committed(&mut self) {
-        while self.record.place < self.commit {
-            let next = self.record.place + 1;
+        while self.state.applied_index < self.commit {
+            let next = self.state.applied_index + 1;
             let Some(e) = self.entry(next).cloned() else {
                 break;
             };
-            let result = self.record.apply_bytes(e.index, e.at, &e.command);
-            self.uncaptured_bytes += e.command.len() as u64;
+            let result = self.state.apply_bytes(e.index, e.at, &e.command);
+            self.bytes_since_snapshot += e.command.len() as u64;
             self.count("entries_applied", 1);
             self.count("entries_refused", u64::from(result.is_err()));
             if let Some((to, token)) = self.asked.remove(&next) {
-                let response = crate::record::pack_apply_result(&result);
+                let response = crate::state::pack_apply_result(&result);
                 let leader = self.name.clone();
                 self.send(
                     &to,
                     Body::ProposeResponse(Box::new(crate::wire::ProposeResponse {
                         token,
                         outcome: 0,
-                        place: next,
+                        log_index: next,
                         leader,
                         response,
                     })),
@@ -300,22 +301,22 @@
             // This process was frozen: nothing it failed to hear meanwhile says anything of others.
             self.count("own_freezes", 1);
             self.heard_leader = now.mono;
-            self.arm_election(now);
+            self.reset_election_timer(now);
             self.peers.values_mut().for_each(|p| p.heard = now.mono);
-            self.followers.values_mut().for_each(|f| f.heard = now.mono);
+            self.watchers.values_mut().for_each(|f| f.heard = now.mono);
             self.storage.restart_wait(now.mono);
         }
         self.storage_tick(now);
-        self.wake_tick(now);
+        self.recovery_tick(now);
         self.join_tick(now);
         let every = self.settings.bounds.shuffle();
-        self.views
+        self.peer_sampler
             .tick(now, every, &mut self.rng)
             .into_iter()
             .for_each(|(to, m)| self.out.push(Effect::Send(to, Body::Shuffle(Box::new(m)))));
         match self.role {
             Role::Leader => self.lead_tick(now),
-            _ if now.mono >= self.election_at => self.stand(now),
+            _ if now.mono >= self.election_at => self.start_pre_vote(now),
             _ => {}
         }
         self.stop_tick(now);
@@ -341,13 +342,13 @@
                 Body::InstallSnapshotResponse(m) => {
                     self.on_install_snapshot_response(now, &from, &m)
                 }
-                Body::TransferLeadership(m) => self.on_hand_over(now, m.term),
+                Body::TransferLeadership(m) => self.on_transfer_leadership(now, m.term),
                 Body::JoinCluster(m) => self.on_join(now, &from, *m),
-                Body::WatchRequest(m) => self.on_pull(now, &from, *m),
+                Body::WatchRequest(m) => self.on_watch_request(now, &from, *m),
                 Body::Shuffle(m) => {
                     let members = self.members().into_keys().collect();
-                    self.views.set_cores(members);
-                    self.views
+                    self.peer_sampler.set_replicas(members);
+                    self.peer_sampler
                         .take(*m, &mut self.rng)
                         .into_iter()
                         .for_each(|back| self.send(&from, Body::Shuffle(Box::new(back))));
@@ -357,9 +358,9 @@
                 _ => self.count("messages_out_of_place", 1),
             },
         }
-        if self.role == Role::Leader && std::mem::take(&mut self.wants_round) {
-            let beat = std::mem::take(&mut self.wants_beat) || !self.reads.is_empty();
-            self.send_round(now, beat);
+        if self.role == Role::Leader && std::mem::take(&mut self.needs_round) {
+            let heartbeat = std::mem::take(&mut self.needs_heartbeat) || !self.reads.is_empty();
+            self.send_round(now, heartbeat);
         }
         self.flush();
         std::mem::take(&mut self.out)
--- a/landingdrift/src/agreement/peers.rs
+++ b/landingdrift/src/consensus/peers.rs
@@ -1,6 +1,6 @@
 //! What a leader knows of the replicas and nodes that follow it.
 
-use super::{feed_snapshots, snapshot};
+use super::{snapshot, watch_snapshots};
 
 /// What a leader knows of another core.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
 }
 
 impl Peer {
-    /// Takes note of the disk that answers. What an earlier disk at this address confirmed is gone with it.
+    /// Takes witness of the disk that answers. What an earlier disk at this address confirmed is gone with it.
     pub(super) fn take_disk(&mut self, disk: u64) {
         if self.disk != 0 && self.disk != disk {
             self.matched = 0;
@@ -40,8 +40,8 @@
 
 /// What a leader knows of a node that follows the feed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Follower {
-    pub(super) place: u64,
+pub(crate) struct Watcher {
+    pub(super) log_index: u64,
     pub(super) sent: u64,
     pub(super) heard: u64,
     pub(super) echo: u64,
@@ -54,6 +54,6 @@
     /// It follows a light copy of the record.
     pub(super) light: bool,
     /// The last chunk of a snapshot that it was sent, and the place of that snapshot.
-    pub(super) chunk: feed_snapshots::SentChunk,
+    pub(super) chunk: watch_snapshots::SentChunk,
     pub(super) fetched: u64,
 }
--- a/landingdrift/src/agreement/wake.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -1,12 +1,12 @@
 //! What a core does before it counts: it asks the others what it had confirmed.
 
 use super::Replica;
-use crate::kernel::Now;
+use crate::sans_io::Now;
 use crate::wire::{Body, DurabilityWitness, Hello};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone)]
-pub(crate) struct Waking {
+pub(crate) struct Recovery {
     until: u64,
     next_hello: u64,
     /// Those that answered, with their disks.
@@ -14,10 +14,10 @@
     knowing: bool,
     farthest: (u64, u64),
     highest_term: u64,
-    noted: Option<(u64, u64)>,
+    witnessed: Option<(u64, u64)>,
 }
 
-impl Waking {
+impl Recovery {
     pub fn new(now: Now, wait: u64) -> Self {
         Self {
             until: now.mono + wait,
@@ -26,7 +26,7 @@
             knowing: false,
             farthest: (0, 0),
             highest_term: 0,
-            noted: None,
+            witnessed: None,
         }
     }
 }
@@ -40,12 +40,12 @@
     fn hello(&mut self, to: &str, reply: Option<u64>) {
         let (last_index, last_term) = self.last();
         let asked = (to.to_string(), reply.unwrap_or(0));
-        let noted = self
-            .notes
+        let witnessed = self
+            .witnesses
             .get(&asked)
             .cloned()
             .unwrap_or(DurabilityWitness {
-                core: to.into(),
+                replica: to.into(),
                 disk: 0,
                 index: 0,
                 term: 0,
@@ -63,9 +63,9 @@
             reply: reply.is_some(),
             zone: self.settings.zone.clone(),
             knows: !self.empty(),
-            noted: Box::new(noted),
+            witnessed: Box::new(witnessed),
             members,
-            notes: self.notes.values().cloned().collect(),
+            witnesses: self.witnesses.values().cloned().collect(),
         };
         self.send(to, Body::Hello(Box::new(body)));
     }
@@ -73,10 +73,10 @@
     pub(super) fn on_hello(&mut self, now: Now, from: &str, mut m: Hello) {
         // What others confirmed is passed on: whoever remembers may be out of reach when it counts.
         let me = self.name.clone();
-        let notes = std::mem::take(&mut m.notes);
-        notes
+        let witnesses = std::mem::take(&mut m.witnesses);
+        witnesses
             .into_iter()
-            .filter(|n| n.core != me)
+            .filter(|n| n.replica != me)
             .for_each(|n| self.remember(n));
         self.zones.insert(from.into(), m.zone.clone());
         if !m.reply {
@@ -92,15 +92,15 @@
             return;
         }
         let mut fresh = Vec::new();
-        if let Some(w) = self.waking.as_mut() {
+        if let Some(w) = self.recovery.as_mut() {
             w.heard.insert(from.into(), m.disk);
             w.highest_term = w.highest_term.max(m.term);
             if m.knows {
                 w.knowing = true;
                 w.farthest = w.farthest.max((m.last_term, m.last_index));
             }
-            if m.noted.index > 0 && m.noted.disk == self.disk {
-                w.noted = w.noted.max(Some((m.noted.term, m.noted.index)));
+            if m.witnessed.index > 0 && m.witnessed.disk == self.disk {
+                w.witnessed = w.witnessed.max(Some((m.witnessed.term, m.witnessed.index)));
             }
             fresh = m.members;
         }
@@ -109,7 +109,7 @@
             .filter(|a| {
                 *a != me
                     && self
-                        .waking
+                        .recovery
                         .as_ref()
                         .is_some_and(|w| !w.heard.contains_key(a))
             })
@@ -117,32 +117,32 @@
         if self.empty() {
             others.iter().for_each(|a| self.hello(a, None));
         }
-        self.try_wake(now);
+        self.try_finish_recovery(now);
     }
 
-    pub(super) fn wake_tick(&mut self, now: Now) {
+    pub(super) fn recovery_tick(&mut self, now: Now) {
         let me = self.name.clone();
         let due = self
-            .waking
+            .recovery
             .as_ref()
             .is_some_and(|w| now.mono >= w.next_hello);
         if due {
             let mut targets: BTreeSet<String> = self.members().into_keys().collect();
             targets.extend(self.settings.seeds.iter().cloned());
-            targets.extend(self.views.cores.iter().cloned());
+            targets.extend(self.peer_sampler.replicas.iter().cloned());
             targets.remove(&me);
             targets.iter().for_each(|a| self.hello(a, None));
-            let beat = self.settings.bounds.heartbeat();
-            self.waking
+            let heartbeat = self.settings.bounds.heartbeat();
+            self.recovery
                 .iter_mut()
-                .for_each(|w| w.next_hello = now.mono + beat);
+                .for_each(|w| w.next_hello = now.mono + heartbeat);
         }
-        self.try_wake(now);
+        self.try_finish_recovery(now);
     }
 
     /// Ends the waking once all voters were heard, or the wait is over and a majority was.
-    fn try_wake(&mut self, now: Now) {
-        let Some(w) = self.waking.as_ref() else {
+    fn try_finish_recovery(&mut self, now: Now) {
+        let Some(w) = self.recovery.as_ref() else {
             return;
         };
         if w.knowing && self.empty() && !self.joining {
@@ -153,22 +153,24 @@
         if self.is_voter() && !self.enough_heard(now) {
             return;
         }
-        let Some(w) = self.waking.take() else { return };
+        let Some(w) = self.recovery.take() else {
+            return;
+        };
         let (index, term) = self.last();
         // What others remember of this disk; where nobody does and it is damaged, the farthest that anybody has.
-        let floor = w
-            .noted
+        let recovery_floor = w
+            .witnessed
             .filter(|n| *n > (term, index))
             .or((w.knowing && self.damaged).then_some(w.farthest));
-        if let Some(f) = floor.filter(|f| *f > (term, index)) {
-            self.floor = f;
-            self.hard_state.silent_to = self
+        if let Some(f) = recovery_floor.filter(|f| *f > (term, index)) {
+            self.recovery_floor = f;
+            self.hard_state.no_vote_through = self
                 .hard_state
-                .silent_to
+                .no_vote_through
                 .max(w.highest_term)
                 .max(self.hard_state.term);
             self.hard_state.term = self.hard_state.term.max(w.highest_term);
-            self.unsaved.hard_state = Some(self.hard_state.clone());
+            self.pending_batch.hard_state = Some(self.hard_state.clone());
             self.count("disk_losses_seen", 1);
             self.line(format!(
                 "the disk has lost what it confirmed (has {index}, had confirmed {} of term {}): no vote until caught up",
@@ -177,12 +179,12 @@
         }
         // Another one's log is longer: it may hold what was confirmed and is lost here, with nobody to remember it.
         if w.farthest > (term, index) {
-            self.yields = (w.farthest, now.mono + self.settings.bounds.outage_ms / 6);
+            self.deferral = (w.farthest, now.mono + self.settings.bounds.outage_ms / 6);
         }
         self.damaged = false;
         self.heard_leader = self.heard_leader.min(now.mono);
-        self.eager_until = now.mono + 4 * self.settings.bounds.election();
-        self.arm_election(now);
+        self.fast_election_until = now.mono + 4 * self.settings.bounds.election();
+        self.reset_election_timer(now);
         self.line(format!(
             "awake at {index} of term {term}, {} others heard",
             w.heard.len()
@@ -195,11 +197,11 @@
     fn enough_heard(&mut self, now: Now) -> bool {
         let name = self.name.clone();
         let voters = self.voters();
-        let Some(waking) = self.waking.as_ref() else {
+        let Some(recovery) = self.recovery.as_ref() else {
             return false;
         };
-        let waited = now.mono >= waking.until;
-        let answers: BTreeMap<String, u64> = waking.heard.clone();
+        let waited = now.mono >= recovery.until;
+        let answers: BTreeMap<String, u64> = recovery.heard.clone();
         let others: Vec<&String> = voters.iter().filter(|v| **v != name).collect();
         let accounted_for = others.iter().all(|v| answers.contains_key(*v));
         let heard = others
@@ -216,8 +218,8 @@
     /// The place this core must answer for when it votes or stands: as (term, index).
     pub(super) fn answerable(&self, now: Now) -> (u64, u64) {
         let (index, term) = self.last();
-        let (farthest, until) = self.yields;
-        let yields = if now.mono < until { farthest } else { (0, 0) };
-        self.floor.max((term, index)).max(yields)
+        let (farthest, until) = self.deferral;
+        let deferral = if now.mono < until { farthest } else { (0, 0) };
+        self.recovery_floor.max((term, index)).max(deferral)
     }
 }
--- a/landingdrift/src/agreement/replicate.rs
+++ b/landingdrift/src/consensus/replicate.rs
@@ -1,7 +1,7 @@
-use super::clock::Told;
+use super::clock::ClockReading;
 use super::{Replica, Role};
-use crate::kernel::Now;
-use crate::record::Command;
+use crate::sans_io::Now;
+use crate::state::Command;
 use crate::wire::{AppendRequest, AppendResponse, Body, DurabilityWitness, Entry};
 
 impl Replica {
@@ -10,7 +10,9 @@
         let bytes = command.pack();
         if matches!(
             command,
-            Command::Found { .. } | Command::Replica { .. } | Command::CoreGone { .. }
+            Command::FoundCluster { .. }
+                | Command::UpdateReplica { .. }
+                | Command::RemoveReplica { .. }
         ) {
             self.members_cache = None;
         }
@@ -21,8 +23,8 @@
         let before = self
             .log
             .back()
-            .map_or(self.record.at, |e| e.at)
-            .max(self.record.at);
+            .map_or(self.state.at, |e| e.at)
+            .max(self.state.at);
         let at = self.clock.read(now).max(before);
         let index = self.last().0 + 1;
         self.count("log_bytes", command.len() as u64);
@@ -33,7 +35,7 @@
             command,
         };
         self.log.push_back(e.clone());
-        self.unsaved.entries.push(e);
+        self.pending_batch.entries.push(e);
         index
     }
 
@@ -47,17 +49,17 @@
 
     /// Sends entries to all other cores; with a beat those hear it, too, for whom there is nothing new or whose batch is
     /// still under way.
-    pub(super) fn send_round(&mut self, now: Now, beat: bool) {
+    pub(super) fn send_round(&mut self, now: Now, heartbeat: bool) {
         self.next_round(now);
-        if beat {
+        if heartbeat {
             self.last_round = now.mono;
         }
         let to: Vec<String> = self.peers.keys().cloned().collect();
-        to.iter().for_each(|p| self.replicate(now, p, beat));
+        to.iter().for_each(|p| self.replicate(now, p, heartbeat));
     }
 
     /// One batch of entries is under way to a core at a time; beats go out beside it.
-    pub(super) fn replicate(&mut self, now: Now, to: &str, beat: bool) {
+    pub(super) fn replicate(&mut self, now: Now, to: &str, heartbeat: bool) {
         let patience = 4 * self.settings.bounds.heartbeat();
         let Some(p) = self.peers.get_mut(to) else {
             return;
@@ -70,20 +72,20 @@
         let p = p.clone();
         let (term, commit) = (self.hard_state.term, self.commit);
         let sure = p.pending > 0 || p.refuses;
-        if !beat && (sure || p.next > self.last().0) {
+        if !heartbeat && (sure || p.next > self.last().0) {
             return;
         }
         let from = if sure { p.matched } else { p.next - 1 };
-        let place = self.term_at(from).map(|term| (from, term));
-        if place.is_none() && !sure {
+        let log_index = self.term_at(from).map(|term| (from, term));
+        if log_index.is_none() && !sure {
             // Too far behind for the log: a snapshot goes first, beside the heartbeats.
             self.send_snapshot(now, to);
-            if !beat {
+            if !heartbeat {
                 return;
             }
         }
-        let (prev, prev_term) = place.unwrap_or((0, 0));
-        let entries = if sure || place.is_none() {
+        let (prev, prev_term) = log_index.unwrap_or((0, 0));
+        let entries = if sure || log_index.is_none() {
             Vec::new()
         } else {
             self.entries(p.next, 512)
@@ -100,12 +102,13 @@
         let round = self.round;
         // The leader's own place counts towards the majority, so the others remember it as well.
         let own = DurabilityWitness {
-            core: self.name.clone(),
+            replica: self.name.clone(),
             disk: self.disk,
             index: self.durable,
             term: self.term_at(self.durable).unwrap_or(0),
         };
-        let notes: Vec<DurabilityWitness> = self.notes.values().cloned().chain([own]).collect();
+        let witnesses: Vec<DurabilityWitness> =
+            self.witnesses.values().cloned().chain([own]).collect();
         let may_leave = self.may_leave(now, to);
         let clock = if self.clock.set() {
             self.clock.read(now)
@@ -121,7 +124,7 @@
                 commit,
                 round,
                 entries,
-                notes,
+                witnesses,
                 clock,
                 may_leave,
             })),
@@ -131,7 +134,7 @@
     pub(super) fn on_append(&mut self, now: Now, from: &str, m: AppendRequest) {
         if m.term < self.hard_state.term {
             let (term, last_index, disk) = (self.hard_state.term, self.last().0, self.disk);
-            let told = self.clock.tell(now);
+            let reading = self.clock.tell(now);
             self.send(
                 from,
                 Body::AppendResponse(Box::new(AppendResponse {
@@ -140,8 +143,8 @@
                     matched: 0,
                     last_index,
                     round: 0,
-                    clock: told.at,
-                    carried: told.carried,
+                    clock: reading.at,
+                    carried: reading.carried,
                     disk,
                     leaving: self.stopping.is_some(),
                     refuses: false,
@@ -151,13 +154,13 @@
         }
         self.follow(now, m.term, from);
         self.heard_leader = now.mono;
-        self.arm_election(now);
+        self.reset_election_timer(now);
         let me = self.name.clone();
         self.clock.hear(now, m.clock);
-        self.released = m.may_leave;
-        m.notes
+        self.leave_permitted = m.may_leave;
+        m.witnesses
             .into_iter()
-            .filter(|n| n.core != me)
+            .filter(|n| n.replica != me)
             .for_each(|n| self.remember(n));
         let fits = m.prev_index < self.base.0 || self.term_at(m.prev_index) == Some(m.prev_term);
         // A refusal names the place that did not fit.
@@ -174,7 +177,7 @@
                 }
                 if e.index == self.last().0 + 1 {
                     self.log.push_back(e.clone());
-                    self.unsaved.entries.push(e);
+                    self.pending_batch.entries.push(e);
                     self.members_cache = None;
                 }
             }
@@ -191,7 +194,7 @@
             matched
         };
         self.confirmed = Some((from.to_string(), m.round));
-        let told = self.clock.tell(now);
+        let reading = self.clock.tell(now);
         self.send_durable_hard(
             from,
             AppendResponse {
@@ -200,8 +203,8 @@
                 matched,
                 last_index,
                 round: m.round,
-                clock: told.at,
-                carried: told.carried,
+                clock: reading.at,
+                carried: reading.carried,
                 disk,
                 leaving: self.stopping.is_some(),
                 refuses,
@@ -217,26 +220,26 @@
         } else {
             let t = self.hard_state_write;
             self.held
-                .push_back((t, crate::kernel::Effect::Send(to.into(), body)));
+                .push_back((t, crate::sans_io::Effect::Send(to.into(), body)));
         }
     }
 
     /// Keeps the farthest place that a core may have confirmed.
     pub(super) fn remember(&mut self, n: DurabilityWitness) {
         let farther = self
-            .notes
-            .get(&(n.core.clone(), n.disk))
+            .witnesses
+            .get(&(n.replica.clone(), n.disk))
             .is_none_or(|old| (old.term, old.index) < (n.term, n.index));
         if farther {
-            self.notes.insert((n.core.clone(), n.disk), n);
+            self.witnesses.insert((n.replica.clone(), n.disk), n);
         }
     }
 
     fn cut(&mut self, from: u64) {
         let keep = (from - self.base.0 - 1) as usize;
         self.log.truncate(keep);
-        self.unsaved.entries.retain(|e| e.index < from);
-        self.unsaved.cut = Some(self.unsaved.cut.map_or(from, |c| c.min(from)));
+        self.pending_batch.entries.retain(|e| e.index < from);
+        self.pending_batch.cut = Some(self.pending_batch.cut.map_or(from, |c| c.min(from)));
         self.durable = self.durable.min(from - 1);
         self.verified = self.verified.min(from - 1);
         self.members_cache = None;
@@ -246,8 +249,8 @@
     /// Once caught up with what it had confirmed, a core counts again.
     pub(super) fn rise(&mut self) {
         let (index, term) = self.last();
-        if self.floor > (0, 0) && (term, index) >= self.floor {
-            self.floor = (0, 0);
+        if self.recovery_floor > (0, 0) && (term, index) >= self.recovery_floor {
+            self.recovery_floor = (0, 0);
             self.line(format!("caught up at {index} of term {term}: votes again"));
         }
     }
@@ -261,8 +264,8 @@
             self.durable.min(self.verified),
         );
         let refuses = !self.storage.takes_writes();
-        let told = self.confirmed.clone();
-        if let Some((to, round)) = told.filter(|(to, _)| *to == self.leader && !to.is_empty()) {
+        let reading = self.confirmed.clone();
+        if let Some((to, round)) = reading.filter(|(to, _)| *to == self.leader && !to.is_empty()) {
             self.send_durable_hard(
                 &to,
                 AppendResponse {
@@ -290,11 +293,11 @@
             return;
         }
         if m.clock > 0 {
-            let told = Told {
+            let reading = ClockReading {
                 at: m.clock,
                 carried: m.carried,
             };
-            self.clock.sample(now, from, told);
+            self.clock.sample(now, from, reading);
         }
         let sent = self
             .rounds
@@ -335,7 +338,7 @@
             }
             let term = self.term_at(matched).unwrap_or(0);
             self.remember(DurabilityWitness {
-                core: from.into(),
+                replica: from.into(),
                 disk,
                 index: matched,
                 term,
@@ -362,9 +365,9 @@
             self.commit = mark;
             self.apply_committed();
             // The others hear at once what was confirmed: should this disk lose it, they remember.
-            self.wants_round = true;
-            self.wants_beat = true;
-            self.push_feed(now);
+            self.needs_round = true;
+            self.needs_heartbeat = true;
+            self.push_to_watchers(now);
             self.answer_reads(now);
         }
     }
--- a/landingdrift/src/agreement/snapshot.rs
+++ b/landingdrift/src/consensus/snapshot.rs
@@ -5,14 +5,14 @@
 //! snapshot over only once it is whole and its checksum is right.
 
 use super::{Replica, Role};
-use crate::chunks::{ChunkedSnapshot, Identity, Taken};
-use crate::kernel::Now;
-use crate::record::ClusterState;
+use crate::sans_io::Now;
+use crate::snapshot_chunks::{ChunkedSnapshot, Identity, Taken};
+use crate::state::ClusterState;
 use crate::wire::{Body, InstallSnapshot, InstallSnapshotResponse};
 use std::sync::Arc;
 
 /// A chunk without an answer is repeated after so many heartbeats.
-pub(super) const REPEAT_AFTER_BEATS: u64 = 5;
+pub(super) const REPEAT_AFTER_HEARTBEATS: u64 = 5;
 /// The log is kept for receivers of a snapshot over at most so many times the entries between two snapshots.
 const KEPT_SNAPSHOTS: u64 = 4;
 
@@ -30,7 +30,7 @@
     /// Starts to send a snapshot, or repeats a chunk that found no answer.
     pub(super) fn send_snapshot(&mut self, now: Now, to: &str) {
         let (newest, base) = (self.snapshot.clone(), self.base.0);
-        let patience = REPEAT_AFTER_BEATS * self.settings.bounds.heartbeat();
+        let patience = REPEAT_AFTER_HEARTBEATS * self.settings.bounds.heartbeat();
         let Some(peer) = self.peers.get_mut(to).filter(|p| !p.refuses) else {
             return;
         };
@@ -122,7 +122,7 @@
         }
         self.follow(now, m.term, from);
         self.heard_leader = now.mono;
-        self.arm_election(now);
+        self.reset_election_timer(now);
         if !self.storage.takes_writes() {
             return;
         }
@@ -164,15 +164,15 @@
 
     /// Takes a whole snapshot over in place of the log.
     fn install(&mut self, of: Identity, bytes: Vec<u8>) -> Result<(), String> {
-        self.record = ClusterState::unpack(&bytes)?;
+        self.state = ClusterState::unpack(&bytes)?;
         self.log.clear();
         self.base = (of.index, of.term);
-        self.captured = of.index;
+        self.snapshot_index = of.index;
         self.commit = of.index;
         self.snapshot = Arc::new(ChunkedSnapshot::new(of.index, of.term, bytes));
-        self.unsaved.entries.clear();
-        self.unsaved.cut = Some(1);
-        self.unsaved.snapshot = Some(self.snapshot.to_snapshot());
+        self.pending_batch.entries.clear();
+        self.pending_batch.cut = Some(1);
+        self.pending_batch.snapshot = Some(self.snapshot.to_snapshot());
         self.members_cache = None;
         self.durable = 0;
         self.verified = of.index;
@@ -202,23 +202,23 @@
     /// Takes a snapshot of the record once enough was applied since the last one.
     pub(super) fn snapshot_when_due(&mut self) {
         let limits = &self.settings.limits;
-        let place = self.record.place;
-        let due = place >= self.captured + limits.snapshot_every
-            || self.uncaptured_bytes >= limits.log_bytes / 2;
+        let log_index = self.state.applied_index;
+        let due = log_index >= self.snapshot_index + limits.snapshot_every
+            || self.bytes_since_snapshot >= limits.log_bytes / 2;
         if !due
-            || place == self.captured
-            || self.unsaved.snapshot.is_some()
+            || log_index == self.snapshot_index
+            || self.pending_batch.snapshot.is_some()
             || !self.storage.takes_writes()
         {
             return;
         }
-        let Some(term) = self.term_at(place) else {
+        let Some(term) = self.term_at(log_index) else {
             return;
         };
-        self.snapshot = Arc::new(ChunkedSnapshot::new(place, term, self.record.pack()));
-        self.captured = place;
-        self.uncaptured_bytes = 0;
-        self.unsaved.snapshot = Some(self.snapshot.to_snapshot());
+        self.snapshot = Arc::new(ChunkedSnapshot::new(log_index, term, self.state.pack()));
+        self.snapshot_index = log_index;
+        self.bytes_since_snapshot = 0;
+        self.pending_batch.snapshot = Some(self.snapshot.to_snapshot());
         self.count("captures", 1);
         self.trim_log();
         self.flush();
@@ -228,13 +228,13 @@
     /// way; within the limit on its bytes.
     fn trim_log(&mut self) {
         let limits = &self.settings.limits;
-        let (place, every) = (self.captured, limits.snapshot_every);
+        let (log_index, every) = (self.snapshot_index, limits.snapshot_every);
         let peers = self.peers.values().filter_map(|p| p.outgoing.as_ref());
         let on_their_way = peers
             .map(|o| o.snapshot.identity().index)
-            .chain(self.feed_snapshots.indexes());
-        let wanted = on_their_way.fold(place.saturating_sub(every / 2), u64::min);
-        let oldest = place.saturating_sub(KEPT_SNAPSHOTS * every);
+            .chain(self.watch_snapshots.indexes());
+        let wanted = on_their_way.fold(log_index.saturating_sub(every / 2), u64::min);
+        let oldest = log_index.saturating_sub(KEPT_SNAPSHOTS * every);
         let mut bytes = 0;
         let fits = self
             .log
@@ -245,8 +245,8 @@
                 bytes <= limits.log_bytes
             })
             .count() as u64;
-        let bounded = self.last().0 - fits;
-        let drop_to = wanted.max(oldest).max(bounded).min(place);
+        let limits = self.last().0 - fits;
+        let drop_to = wanted.max(oldest).max(limits).min(log_index);
         while self.log.front().is_some_and(|e| e.index <= drop_to) {
             let dropped = self.log.pop_front();
             self.base = dropped.map_or(self.base, |e| (e.index, e.term));
--- a/landingdrift/src/agreement/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -1,14 +1,14 @@
 //! What a replica says of itself: over HTTP, and in counters.
 
 use super::{Replica, Role};
-use crate::kernel::{Effect, Now, Part, Request, Response};
+use crate::sans_io::{Effect, Now, Part, Request, Response};
 use serde_json::json;
 
 impl Replica {
     /// What the core says of itself over HTTP.
     pub(super) fn on_call(&mut self, now: Now, call: u64, req: &Request) {
         let ready = self.storage.takes_writes()
-            && self.waking.is_none()
+            && self.recovery.is_none()
             && (self.role == Role::Leader
                 || now.mono.saturating_sub(self.heard_leader)
                     < 2 * self.settings.bounds.election());
@@ -29,7 +29,7 @@
                 Response::new(
                     200,
                     json!({"core": self.name, "role": format!("{:?}", self.role), "leader": self.leader, "term": self.hard_state.term, "commit": self.commit,
-                           "last": self.last().0, "members": members, "version": self.record.version,
+                           "last": self.last().0, "members": members, "version": self.state.version,
                            "machineLossesLeft": left.machine_losses_left, "zoneLossSurvivable": left.zone_loss_survivable,
                            "disk": self.storage.report(now.mono)}),
                 )
@@ -55,8 +55,8 @@
         all.push(("disk_takes_writes".into(), u64::from(takes_writes)));
         all.push(("commit".into(), self.commit));
         all.push(("leads".into(), u64::from(self.role == Role::Leader)));
-        all.push(("jobs_open".into(), self.record.open.len() as u64));
-        all.push(("jobs_kept".into(), self.record.jobs.len() as u64));
+        all.push(("jobs_open".into(), self.state.open.len() as u64));
+        all.push(("jobs_kept".into(), self.state.jobs.len() as u64));
         all.push(("log_entries_in_memory".into(), self.log.len() as u64));
         if self.role == Role::Leader {
             let left = &self.resilience;
--- a/landingdrift/src/agreement/stop.rs
+++ b/landingdrift/src/consensus/stop.rs
@@ -1,7 +1,7 @@
 //! How a replica ends in order: it hands the lead on, lets a standby vote in its place, and goes on answering meanwhile.
 
 use super::{Replica, Role};
-use crate::kernel::{Effect, Now};
+use crate::sans_io::{Effect, Now};
 
 impl Replica {
     /// The process is asked to stop.
@@ -10,9 +10,9 @@
             return;
         }
         self.stopping = Some(now.mono + self.settings.bounds.leave());
-        self.released = false;
+        self.leave_permitted = false;
         if self.role == Role::Leader {
-            self.hand_over(now);
+            self.transfer_leadership(now);
         }
     }
 
@@ -20,16 +20,16 @@
     /// can, or its time is over.
     pub(super) fn stop_tick(&mut self, now: Now) {
         let Some(until) = self.stopping else { return };
-        let votes = self.record.cores.get(&self.name).is_some_and(|m| m.voter);
-        let replaced = self.role != Role::Leader && (!votes || self.released);
+        let votes = self.state.replicas.get(&self.name).is_some_and(|m| m.voter);
+        let replaced = self.role != Role::Leader && (!votes || self.leave_permitted);
         if now.mono >= until || replaced {
             self.out.push(Effect::Exit);
             return;
         }
         if self.role == Role::Leader
-            && now.mono >= self.handed_at + self.settings.bounds.heartbeat()
+            && now.mono >= self.transfer_offered_at + self.settings.bounds.heartbeat()
         {
-            self.hand_over(now);
+            self.transfer_leadership(now);
         }
     }
 }
--- a/landingdrift/src/agreement/storage.rs
+++ b/landingdrift/src/consensus/storage.rs
@@ -5,7 +5,7 @@
 //! that was handed over and not confirmed, in order; the first confirmation makes the core a full one again.
 
 use super::{Replica, Role};
-use crate::kernel::Now;
+use crate::sans_io::Now;
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
@@ -89,7 +89,7 @@
         self.waiting.iter_mut().for_each(|(_, w)| *w = at);
     }
 
-    /// What an operator is told.
+    /// What an operator is reading.
     pub(super) fn report(&self, at: u64) -> Value {
         json!({"state": self.condition.name(), "sinceMs": at.saturating_sub(self.since), "why": self.why,
                "writesWaiting": self.waiting.len()})
@@ -129,14 +129,14 @@
     pub(super) fn storage_confirmed(&mut self, now: Now, write_id: u64) {
         if let Some(away) = self.storage.confirmed(now.mono, write_id) {
             self.line(format!("the disk takes writes again, after {away} ms"));
-            self.arm_election(now);
+            self.reset_election_timer(now);
         }
     }
 
-    /// Gives up leading, or standing for it; whoever is farthest is told to lead.
+    /// Gives up leading, or standing for it; whoever is farthest is reading to lead.
     fn resign(&mut self, now: Now) {
         if self.role == Role::Leader {
-            self.hand_over(now);
+            self.transfer_leadership(now);
         }
         if self.role != Role::Follower {
             let term = self.hard_state.term;
--- a/landingdrift/src/agreement/feed.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -1,9 +1,9 @@
 //! The numbered feed: nodes follow the record from a place on, and start from a capture.
 
-use super::clock::Told;
-use super::{Follower, Replica, Role};
-use crate::kernel::Now;
-use crate::record::Command;
+use super::clock::ClockReading;
+use super::{Replica, Role, Watcher};
+use crate::sans_io::Now;
+use crate::state::Command;
 use crate::wire::{
     Body, NodeProgress, ProposeResponse, ReadIndexResponse, RequestToken, WatchBatch, WatchRequest,
 };
@@ -12,14 +12,14 @@
 /// So many entries are taken in by a capture rather than one by one.
 const FAR: u64 = 1024;
 /// Entries in one batch to a node.
-const FEED_ENTRIES: u64 = 512;
+const WATCH_ENTRIES: u64 = 512;
 
 #[derive(Clone)]
 pub(crate) struct Read {
     to: String,
     token: RequestToken,
     asked: u64,
-    place: u64,
+    log_index: u64,
 }
 
 impl Replica {
@@ -31,34 +31,38 @@
 
     fn settled(&self) -> bool {
         self.role == Role::Leader
-            && self.opened > 0
-            && self.commit >= self.opened
-            && self.record.place >= self.opened
+            && self.term_start_index > 0
+            && self.commit >= self.term_start_index
+            && self.state.applied_index >= self.term_start_index
     }
 
-    pub(super) fn on_pull(&mut self, now: Now, from: &str, m: WatchRequest) {
+    pub(super) fn on_watch_request(&mut self, now: Now, from: &str, m: WatchRequest) {
         if !self.settled() {
-            self.feed_snapshots.clear();
+            self.watch_snapshots.clear();
             self.send_batch(now, from, m.sent, false, None);
             return;
         }
         let unused = 2 * self.settings.bounds.node_lost();
-        self.feed_snapshots.expire(now, unused);
-        let told = Told {
+        self.watch_snapshots.expire(now, unused);
+        let reading = ClockReading {
             at: m.clock,
             carried: m.carried,
         };
-        self.clock.sample(now, &m.node, told);
+        self.clock.sample(now, &m.node, reading);
         let light = self.wants_light(now, &m);
         let (chunk, fetched) = self
-            .followers
+            .watchers
             .get(&m.node)
             .map_or_else(Default::default, |f| (f.chunk, f.fetched));
         // Another kind of copy than it has starts over.
-        let place = if light == m.light { m.place } else { u64::MAX };
-        let f = Follower {
-            place: m.place,
-            sent: m.place,
+        let log_index = if light == m.light {
+            m.log_index
+        } else {
+            u64::MAX
+        };
+        let f = Watcher {
+            log_index: m.log_index,
+            sent: m.log_index,
             heard: now.mono,
             echo: m.sent,
             zone: m.zone.clone(),
@@ -71,12 +75,12 @@
             chunk,
             fetched,
         };
-        self.followers.insert(m.node.clone(), f);
-        if self.needs_snapshot(&m.node, place) {
-            self.send_feed_chunk(now, from, &m);
+        self.watchers.insert(m.node.clone(), f);
+        if self.needs_snapshot(&m.node, log_index) {
+            self.send_watch_chunk(now, from, &m);
         }
-        let reached = self.send_batch(now, from, m.sent, true, Some(place));
-        self.followers
+        let reached = self.send_batch(now, from, m.sent, true, Some(log_index));
+        self.watchers
             .get_mut(&m.node)
             .iter_mut()
             .for_each(|f| f.sent = reached.max(f.sent));
@@ -84,16 +88,16 @@
 
     /// Whether a node is to follow a light copy: it has too little of a processor for duties, and others have enough.
     fn wants_light(&self, now: Now, m: &WatchRequest) -> bool {
-        let able = |f: &Follower| u64::from(f.share) >= super::duties::TINY;
-        u64::from(m.share) < super::duties::TINY
-            && (now.mono < self.led_since + 2 * self.settings.bounds.node_lost()
-                || self.followers.values().any(able))
+        let able = |f: &Watcher| u64::from(f.share) >= super::leases::TINY;
+        u64::from(m.share) < super::leases::TINY
+            && (now.mono < self.leader_since + 2 * self.settings.bounds.node_lost()
+                || self.watchers.values().any(able))
     }
 
     /// New entries go out as soon as they are committed to those who hold duties; the others hear them when they pull.
-    pub(super) fn push_feed(&mut self, now: Now) {
+    pub(super) fn push_to_watchers(&mut self, now: Now) {
         let holders: BTreeSet<String> = self
-            .record
+            .state
             .leases
             .values()
             .map(|g| g.holder.clone())
@@ -101,7 +105,7 @@
         let commit = self.commit;
         let span = self.settings.bounds.fresh();
         let due: Vec<(String, u64, u64)> = self
-            .followers
+            .watchers
             .iter()
             .filter(|(k, f)| {
                 holders.contains(*k)
@@ -111,9 +115,9 @@
             })
             .map(|(k, f)| (k.clone(), f.echo, f.sent))
             .collect();
-        for (to, echo, place) in due {
-            let reached = self.send_batch(now, &to, echo, true, Some(place));
-            self.followers
+        for (to, echo, log_index) in due {
+            let reached = self.send_batch(now, &to, echo, true, Some(log_index));
+            self.watchers
                 .get_mut(&to)
                 .iter_mut()
                 .for_each(|f| f.sent = reached.max(f.sent));
@@ -123,27 +127,34 @@
     /// Whether a node at a place is to start over from a snapshot: a place behind the log, or ahead of it (of a cluster
     /// that was), or one far behind, since the record is smaller than all that made it. One that has just fetched a
     /// snapshot goes on with the log, however much was added meanwhile.
-    fn needs_snapshot(&self, node: &str, place: u64) -> bool {
+    fn needs_snapshot(&self, node: &str, log_index: u64) -> bool {
         let (light, fetched) = self
-            .followers
+            .watchers
             .get(node)
             .map_or((false, 0), |f| (f.light, f.fetched));
-        let goes_on = fetched > 0 && place >= fetched;
-        let far = self.commit.saturating_sub(place) > FAR && !light && !goes_on;
-        place < self.base.0 || place > self.commit || far
+        let goes_on = fetched > 0 && log_index >= fetched;
+        let far = self.commit.saturating_sub(log_index) > FAR && !light && !goes_on;
+        log_index < self.base.0 || log_index > self.commit || far
     }
 
     /// Sends what follows a place; says how far that reaches.
-    fn send_batch(&mut self, now: Now, to: &str, sent: u64, ok: bool, place: Option<u64>) -> u64 {
+    fn send_batch(
+        &mut self,
+        now: Now,
+        to: &str,
+        sent: u64,
+        ok: bool,
+        log_index: Option<u64>,
+    ) -> u64 {
         let age = if ok {
             now.mono.saturating_sub(self.quorum_at(now))
         } else {
             0
         };
-        let light = self.followers.get(to).is_some_and(|f| f.light);
-        let from = place.filter(|p| !self.needs_snapshot(to, *p));
+        let light = self.watchers.get(to).is_some_and(|f| f.light);
+        let from = log_index.filter(|p| !self.needs_snapshot(to, *p));
         let mut entries = from.map_or_else(Vec::new, |p| {
-            let most = (self.commit - p).min(FEED_ENTRIES) as usize;
+            let most = (self.commit - p).min(WATCH_ENTRIES) as usize;
             self.entries(p + 1, most)
         });
         let reached = entries.last().map_or(from.unwrap_or(0), |e| e.index);
@@ -151,10 +162,10 @@
             entries.retain(|e| Command::concerns_all(&e.command));
         }
         self.count("feed_entries", entries.len() as u64);
-        let cores = self.members().into_keys().collect();
+        let replicas = self.members().into_keys().collect();
         let clock = self.clock.read(now);
         let batch = WatchBatch {
-            core: self.name.clone(),
+            replica: self.name.clone(),
             leader: self.leader.clone(),
             ok,
             sent,
@@ -165,7 +176,7 @@
             snapshot: Vec::new(),
             snapshot_index: 0,
             entries,
-            cores,
+            replicas,
             light,
             reached,
         };
@@ -184,7 +195,7 @@
             self.count("proposals_out_of_place", 1);
             return;
         }
-        if !self.settled() || self.gives_way(now) || !self.accepts_orders(now) {
+        if !self.settled() || self.is_transferring_leadership(now) || !self.accepts_orders(now) {
             let leader = if self.role == Role::Leader {
                 String::new()
             } else {
@@ -195,7 +206,7 @@
                 Body::ProposeResponse(Box::new(ProposeResponse {
                     token,
                     outcome: 1,
-                    place: 0,
+                    log_index: 0,
                     leader,
                     response: Vec::new(),
                 })),
@@ -205,7 +216,7 @@
         self.count("proposals", 1);
         let index = self.push_bytes(now, command);
         self.asked.insert(index, (from.into(), token));
-        self.wants_round = true;
+        self.needs_round = true;
     }
 
     pub(super) fn on_read(&mut self, now: Now, from: &str, token: RequestToken) {
@@ -220,21 +231,21 @@
                 Body::ReadIndexResponse(Box::new(ReadIndexResponse {
                     token,
                     ok: false,
-                    place: 0,
+                    log_index: 0,
                     leader,
                     nodes: Vec::new(),
                 })),
             );
             return;
         }
-        let place = self.commit;
+        let log_index = self.commit;
         self.reads.push(Read {
             to: from.into(),
             token,
             asked: now.mono,
-            place,
+            log_index,
         });
-        self.wants_round = true;
+        self.needs_round = true;
     }
 
     /// Reads are answered once a majority has confirmed, after they were asked, that this core still leads.
@@ -248,19 +259,19 @@
             .partition(|r| r.asked <= quorum);
         self.reads = rest;
         let nodes: Vec<NodeProgress> = self
-            .followers
+            .watchers
             .iter()
             // Those that are gone hold no change up.
-            .filter(|(k, _)| self.record.nodes.get(*k).is_some_and(|n| n.alive))
+            .filter(|(k, _)| self.state.nodes.get(*k).is_some_and(|n| n.alive))
             .map(|(k, f)| NodeProgress {
                 node: k.clone(),
-                place: f.place,
+                log_index: f.log_index,
                 version: self
-                    .record
+                    .state
                     .changes
                     .iter()
                     .rev()
-                    .find(|c| c.place <= f.place)
+                    .find(|c| c.log_index <= f.log_index)
                     .map_or(0, |c| c.version),
                 age: now.mono.saturating_sub(f.heard),
             })
@@ -272,7 +283,7 @@
                 Body::ReadIndexResponse(Box::new(ReadIndexResponse {
                     token: r.token,
                     ok: true,
-                    place: r.place,
+                    log_index: r.log_index,
                     leader,
                     nodes: nodes.clone(),
                 })),
--- a/landingdrift/src/agreement/feed_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -1,9 +1,9 @@
 //! The snapshots that nodes fetch: a few, shared by all that fetch them, and dropped when nobody does.
 
-use super::snapshot::REPEAT_AFTER_BEATS;
+use super::snapshot::REPEAT_AFTER_HEARTBEATS;
 use super::Replica;
-use crate::chunks::{ChunkedSnapshot, Identity};
-use crate::kernel::Now;
+use crate::sans_io::Now;
+use crate::snapshot_chunks::{ChunkedSnapshot, Identity};
 use crate::wire::{Body, WatchRequest, WatchSnapshotChunk};
 use std::sync::Arc;
 
@@ -22,9 +22,9 @@
 
 /// The snapshots of a leader that nodes fetch at present.
 #[derive(Clone, Default)]
-pub(crate) struct FeedSnapshots(Vec<Kept>);
+pub(crate) struct WatchSnapshots(Vec<Kept>);
 
-impl FeedSnapshots {
+impl WatchSnapshots {
     /// The places of those that are fetched.
     pub(super) fn indexes(&self) -> impl Iterator<Item = u64> + '_ {
         self.0.iter().map(|k| k.snapshot.identity().index)
@@ -70,9 +70,9 @@
 
 impl Replica {
     /// Sends the chunk that a node lacks, unless it may still be on its way.
-    pub(super) fn send_feed_chunk(&mut self, now: Now, to: &str, m: &WatchRequest) {
-        let light = self.followers.get(to).is_some_and(|f| f.light);
-        let snapshot = self.feed_snapshot(now, light, m);
+    pub(super) fn send_watch_chunk(&mut self, now: Now, to: &str, m: &WatchRequest) {
+        let light = self.watchers.get(to).is_some_and(|f| f.light);
+        let snapshot = self.watch_snapshot(now, light, m);
         let of = snapshot.identity();
         let resumes = (m.part_index, m.part_checksum) == (of.index, of.checksum);
         let chunk = SentChunk {
@@ -81,8 +81,8 @@
             offset: if resumes { m.part_received } else { 0 },
             at: now.mono,
         };
-        let patience = REPEAT_AFTER_BEATS * self.settings.bounds.heartbeat();
-        let Some(follower) = self.followers.get_mut(to) else {
+        let patience = REPEAT_AFTER_HEARTBEATS * self.settings.bounds.heartbeat();
+        let Some(follower) = self.watchers.get_mut(to) else {
             return;
         };
         let last = follower.chunk;
@@ -112,12 +112,12 @@
     }
 
     /// The snapshot that a node has a part of, if the log still follows on it; else one that is new enough.
-    fn feed_snapshot(&mut self, now: Now, light: bool, m: &WatchRequest) -> Arc<ChunkedSnapshot> {
-        let (base, place) = (self.base.0, self.record.place);
+    fn watch_snapshot(&mut self, now: Now, light: bool, m: &WatchRequest) -> Arc<ChunkedSnapshot> {
+        let (base, log_index) = (self.base.0, self.state.applied_index);
         let has = |of: Identity| (of.index, of.checksum) == (m.part_index, m.part_checksum);
         let usable = |k: &Kept| k.light == light && k.snapshot.identity().index >= base;
-        let fresh = |k: &Kept| place.saturating_sub(k.snapshot.identity().index) <= SHARED_FOR;
-        let snapshots = &mut self.feed_snapshots;
+        let fresh = |k: &Kept| log_index.saturating_sub(k.snapshot.identity().index) <= SHARED_FOR;
+        let snapshots = &mut self.watch_snapshots;
         let begun = snapshots
             .find(|k| usable(k) && has(k.snapshot.identity()))
             .is_some();
@@ -129,23 +129,23 @@
             k.used = now.mono;
             return k.snapshot.clone();
         }
-        let made = self.make_feed_snapshot(light);
-        self.feed_snapshots.add(light, made.clone(), now);
+        let made = self.make_watch_snapshot(light);
+        self.watch_snapshots.add(light, made.clone(), now);
         made
     }
 
-    fn make_feed_snapshot(&self, light: bool) -> Arc<ChunkedSnapshot> {
-        let place = self.record.place;
+    fn make_watch_snapshot(&self, light: bool) -> Arc<ChunkedSnapshot> {
+        let log_index = self.state.applied_index;
         let own = self.snapshot.identity().index;
-        if !light && own > 0 && own >= self.base.0 && place - own <= SHARED_FOR {
+        if !light && own > 0 && own >= self.base.0 && log_index - own <= SHARED_FOR {
             return self.snapshot.clone();
         }
         let bytes = if light {
-            self.record.light().pack()
+            self.state.light().pack()
         } else {
-            self.record.pack()
+            self.state.pack()
         };
-        let term = self.term_at(place).unwrap_or(0);
-        Arc::new(ChunkedSnapshot::new(place, term, bytes))
+        let term = self.term_at(log_index).unwrap_or(0);
+        Arc::new(ChunkedSnapshot::new(log_index, term, bytes))
     }
 }
--- a/landingdrift/src/daemon/calls.rs
+++ b/landingdrift/src/daemon/calls.rs
@@ -1,4 +1,4 @@
-use crate::kernel::Response;
+use crate::sans_io::Response;
 use dashmap::DashMap;
 use rocket::tokio::sync::oneshot::{channel, Receiver, Sender};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -2,7 +2,7 @@
 use super::disks::Disk;
 use super::ending::{Ending, StopSpans};
 use super::traffic::Transport;
-use crate::kernel::{Effect, Msg, Now, Part, Request};
+use crate::sans_io::{Effect, Msg, Now, Part, Request};
 use crate::settings::Settings;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/landingdrift/src/daemon/disks.rs
+++ b/landingdrift/src/daemon/disks.rs
@@ -1,7 +1,7 @@
 use super::control::Input;
 use super::threads;
 use crate::disk::{DataFolder, StorageError};
-use crate::kernel::{Msg, WriteBatch};
+use crate::sans_io::{Msg, WriteBatch};
 use crate::settings::Bounds;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::sleep;
--- a/landingdrift/src/daemon/logs.rs
+++ b/landingdrift/src/daemon/logs.rs
@@ -18,13 +18,13 @@
 fn line(
     w: &mut dyn std::io::Write,
     now: &mut flexi_logger::DeferredNow,
-    record: &log::Record,
+    state: &log::Record,
 ) -> std::io::Result<()> {
     write!(
         w,
         "{} {} {}",
         now.format_rfc3339(),
-        record.level(),
-        record.args()
+        state.level(),
+        state.args()
     )
 }
--- a/landingdrift/src/daemon/mod.rs
+++ b/landingdrift/src/daemon/mod.rs
@@ -17,4 +17,4 @@
 pub use disks::{Disk, Pauses, Store};
 pub use ending::{Ending, StopSpans};
 pub use process::{Handle, Process};
-pub use traffic::{Asked, Bounded, Frames, Handling, Manner, Reply, Traffic, Transport};
+pub use traffic::{Asked, Frames, Handling, HttpAdapter, HttpLimits, Reply, Traffic, Transport};
--- a/landingdrift/src/daemon/opening.rs
+++ b/landingdrift/src/daemon/opening.rs
@@ -1,9 +1,9 @@
 use super::calls::Calls;
 use super::control::Input;
 use super::disks::Pauses;
-use crate::agreement::Loaded;
+use crate::consensus::Loaded;
 use crate::disk::{DataFolder, StorageError};
-use crate::kernel::{Msg, Request, Response};
+use crate::sans_io::{Msg, Request, Response};
 use crate::settings::Settings;
 use serde_json::json;
 use std::path::Path;
@@ -24,15 +24,18 @@
     calls: &Calls,
     inputs: &Receiver<Input>,
 ) -> Result<Option<(DataFolder, Loaded)>, StorageError> {
-    for (tries, pause) in Pauses::of(&s.bounds).enumerate() {
+    for (max_attempts, pause) in Pauses::of(&s.bounds).enumerate() {
         log::warn!("the data folder can't be opened ({why}): tried again in {pause:?}");
-        if !wait(pause, calls, inputs, &why, tries as u64) {
+        if !wait(pause, calls, inputs, &why, max_attempts as u64) {
             return Ok(None);
         }
         match open(s, seed) {
-            Ok(opened) => {
-                log::info!("the data folder was opened after {} tries", tries + 1);
-                return Ok(Some(opened));
+            Ok(term_start_index) => {
+                log::info!(
+                    "the data folder was opened after {} tries",
+                    max_attempts + 1
+                );
+                return Ok(Some(term_start_index));
             }
             Err(e) if e.may_pass() => why = e,
             Err(e) => return Err(e),
@@ -47,12 +50,12 @@
     calls: &Calls,
     inputs: &Receiver<Input>,
     why: &StorageError,
-    tries: u64,
+    max_attempts: u64,
 ) -> bool {
     let until = Instant::now() + pause;
     loop {
         match inputs.recv_timeout(until.saturating_duration_since(Instant::now())) {
-            Ok(Input::Call(req, call)) => calls.answer(call, response(&req, why, tries)),
+            Ok(Input::Call(req, call)) => calls.answer(call, response(&req, why, max_attempts)),
             Ok(Input::Msg(Msg::Stop)) | Err(RecvTimeoutError::Disconnected) => return false,
             // What others say is said again once there is a core to hear it.
             Ok(Input::Msg(_)) => {}
@@ -61,13 +64,14 @@
     }
 }
 
-fn response(req: &Request, why: &StorageError, tries: u64) -> Response {
+fn response(req: &Request, why: &StorageError, max_attempts: u64) -> Response {
     match req.path.as_str() {
         "/live" => Response::new(200, json!({"live": true})),
         "/ready" => Response::new(503, json!({"ready": false})),
         "/metrics" => Response::new(
             200,
-            format!("landingdrift_disk_refused 1\nlandingdrift_disk_retries {tries}\n").into(),
+            format!("landingdrift_disk_refused 1\nlandingdrift_disk_retries {max_attempts}\n")
+                .into(),
         ),
         "/v1/status" => Response::new(
             200,
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -2,11 +2,11 @@
 use super::control::{Clock, Control, Input};
 use super::disks::{Disk, Pauses};
 use super::signals::Ended;
-use super::traffic::{Bounded, Frames, Manner, Traffic, Transport};
+use super::traffic::{Frames, HttpAdapter, HttpLimits, Traffic, Transport};
 use super::{logs, opening, signals, threads};
-use crate::agreement::{Loaded, Replica};
+use crate::consensus::{Loaded, Replica};
 use crate::disk::{DataFolder, StorageError};
-use crate::kernel::{fnv1a, Msg, Now, Part};
+use crate::sans_io::{fnv1a, Msg, Now, Part};
 use crate::settings::{Bounds, Settings};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
@@ -76,10 +76,10 @@
     }
 
     /// Starts a core on its data folder. Where the disk refuses, the folder is tried again while the other parts serve.
-    pub fn core(&mut self, s: &Settings) -> Result<Handle, String> {
+    pub fn replica(&mut self, s: &Settings) -> Result<Handle, String> {
         let seed = self.seed(&s.listen);
-        let opened = opening::open(s, seed);
-        if let Err(why) = opened
+        let term_start_index = opening::open(s, seed);
+        if let Err(why) = term_start_index
             .as_ref()
             .map_err(|why| (why.may_pass(), why.to_string()))
         {
@@ -95,9 +95,9 @@
             inputs: inputs.clone(),
             calls: calls.clone(),
         };
-        match opened {
-            Ok(opened) => {
-                let control = start.control(opened)?;
+        match term_start_index {
+            Ok(term_start_index) => {
+                let control = start.control(term_start_index)?;
                 self.begin(s, inputs, calls, move || control.run(&received))
             }
             Err(why) => self.begin(s, inputs, calls, move || start.run(why, &received)),
@@ -142,13 +142,13 @@
     pub fn http(
         &self,
         addr: SocketAddr,
-        bounded: Bounded,
-        manner: Manner,
+        limits: HttpLimits,
+        http_adapter: HttpAdapter,
         part: &Handle,
     ) -> Result<(), String> {
         let (calls, inputs) = (part.calls.clone(), part.inputs.clone());
         self.traffic
-            .http(addr, bounded, manner, calls, inputs)
+            .http(addr, limits, http_adapter, calls, inputs)
             .map(|_| ())
     }
 
@@ -196,18 +196,18 @@
         };
         let serve = longest(Bounds::serve_on);
         let (most, flush) = (longest(Bounds::end_process), longest(Bounds::flush_answers));
-        let gate = self.traffic.gate().clone();
-        gate.leave();
+        let serving = self.traffic.serving().clone();
+        serving.leave();
         self.parts.iter().for_each(|p| p.tell(Msg::Stop));
         sleep(serve.saturating_sub(since.elapsed()));
-        gate.refuse();
+        serving.refuse();
         let ended = |p: &RunningPart| p.thread.is_finished();
-        let busy = |parts: &[RunningPart]| gate.in_hand() > 0 || !parts.iter().all(ended);
+        let busy = |parts: &[RunningPart]| serving.in_flight() > 0 || !parts.iter().all(ended);
         while since.elapsed() + flush < most && busy(&self.parts) {
             sleep(LOOK);
         }
         if busy(&self.parts) {
-            log::warn!("ends with {} calls in hand", gate.in_hand());
+            log::warn!("ends with {} calls in hand", serving.in_flight());
         }
         // What was written out last gets a moment to leave.
         sleep(flush);
@@ -232,10 +232,10 @@
     /// Opens the folder at last, and runs the core.
     fn run(self, why: StorageError, received: &Receiver<Input>) {
         let (calls, seed) = (self.calls.clone(), self.seed);
-        let opened = opening::open_at_last(&self.settings, seed, why, &calls, received);
-        let control = opened
+        let term_start_index = opening::open_at_last(&self.settings, seed, why, &calls, received);
+        let control = term_start_index
             .map_err(|why| why.to_string())
-            .and_then(|opened| opened.map(|o| self.control(o)).transpose());
+            .and_then(|term_start_index| term_start_index.map(|o| self.control(o)).transpose());
         match control {
             Ok(Some(control)) => control.run(received),
             Ok(None) => {}
@@ -246,9 +246,9 @@
 
     fn control(self, (folder, loaded): (DataFolder, Loaded)) -> Result<Control, String> {
         let s = &self.settings;
-        let core = Replica::new(s.clone(), loaded, self.clock.now(), self.seed)?;
+        let replica = Replica::new(s.clone(), loaded, self.clock.now(), self.seed)?;
         let disk = Disk::start(folder, self.inputs, Pauses::of(&s.bounds))?;
-        let (part, disk) = (Box::new(core), Some(disk));
+        let (part, disk) = (Box::new(replica), Some(disk));
         Ok(Control::new(
             part,
             self.clock,
--- a/landingdrift/src/daemon/roles.rs
+++ b/landingdrift/src/daemon/roles.rs
@@ -1,7 +1,7 @@
 use super::process::Process;
-use super::traffic::{Bounded, Manner};
-use crate::kernel::roles::Role;
+use super::traffic::{HttpAdapter, HttpLimits};
 use crate::node::Node;
+use crate::sans_io::roles::Role;
 use crate::settings::{from_words, Settings, FLAGS};
 use std::ffi::OsString;
 use std::time::Duration;
@@ -27,8 +27,8 @@
 }
 
 fn run(role: &'static str, words: Vec<OsString>) -> i32 {
-    let core = role == "core";
-    let asked = match from_words(words.clone(), core) {
+    let replica = role == "core";
+    let asked = match from_words(words.clone(), replica) {
         Ok(a) => a,
         Err(e) => {
             eprintln!("landingdrift {role}: {e}");
@@ -50,10 +50,10 @@
 }
 
 fn start(role: &'static str, s: Settings, words: Vec<OsString>) -> Result<i32, String> {
-    let core = role == "core";
+    let replica = role == "core";
     let mut process = Process::start(&s.log)?;
-    let part = if core {
-        process.core(&s)?
+    let part = if replica {
+        process.replica(&s)?
     } else {
         let (seed, now) = (process.seed(&s.listen), process.now());
         process.part(Box::new(Node::new(s.clone(), now, seed)), &s)?
@@ -62,10 +62,10 @@
         .http
         .parse()
         .map_err(|_| format!("'{}' is no address: correct --http", s.http))?;
-    process.http(addr, bounded(&s), Manner::default(), &part)?;
+    process.http(addr, limits(&s), HttpAdapter::default(), &part)?;
     log::info!("{role} {} serves HTTP at {}", s.listen, s.http);
     let reread = || {
-        from_words(words.clone(), core)
+        from_words(words.clone(), replica)
             .map(|asked| vec![asked.settings])
             .map_err(|e| e.to_string())
     };
@@ -73,10 +73,10 @@
 }
 
 /// A part turns away calls beyond its limit itself; as many places again are for the beats and probes it always takes.
-fn bounded(s: &Settings) -> Bounded {
-    Bounded {
+fn limits(s: &Settings) -> HttpLimits {
+    HttpLimits {
         patience: Duration::from_millis(s.bounds.state_ms),
-        bytes: s.limits.job_bytes.max(s.limits.desired_bytes) + 1024,
+        bytes: s.limits.job_bytes.max(s.limits.config_bytes) + 1024,
         calls: s.limits.calls.saturating_mul(2),
     }
 }
--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -39,7 +39,7 @@
     pub fn longest(l: &Limits) -> u32 {
         l.open_jobs
             .saturating_mul(l.job_bytes)
-            .saturating_add(l.desired_bytes)
+            .saturating_add(l.config_bytes)
             .saturating_add(BESIDE)
             .min(TOP) as u32
     }
--- a/landingdrift/src/daemon/traffic/frames/receive.rs
+++ b/landingdrift/src/daemon/traffic/frames/receive.rs
@@ -1,6 +1,6 @@
 use super::{socket, Frames};
 use crate::daemon::control::Input;
-use crate::kernel::Msg;
+use crate::sans_io::Msg;
 use crate::wire::unpack;
 use rocket::tokio::io::{AsyncRead, AsyncReadExt, BufReader};
 use rocket::tokio::net::TcpListener;
--- a/landingdrift/src/daemon/traffic/http/manner.rs
+++ b/landingdrift/src/daemon/traffic/http/http_adapter.rs
@@ -1,4 +1,4 @@
-use crate::kernel::{Request, Response};
+use crate::sans_io::{Request, Response};
 use serde_json::Value;
 use std::sync::Arc;
 
@@ -30,18 +30,18 @@
 
 /// How calls at an address become requests, and verdicts replies.
 #[derive(Clone)]
-pub struct Manner {
+pub struct HttpAdapter {
     pub(super) read: Arc<dyn Fn(Asked) -> Handling + Send + Sync>,
 }
 
-impl Manner {
+impl HttpAdapter {
     /// A manner of one's own.
     pub fn new(read: Arc<dyn Fn(Asked) -> Handling + Send + Sync>) -> Self {
         Self { read }
     }
 }
 
-impl Default for Manner {
+impl Default for HttpAdapter {
     /// The manner of landingdrift's own pages: JSON, and text where the body is a string.
     fn default() -> Self {
         Self::new(Arc::new(read))
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -1,15 +1,15 @@
 //! HTTP towards callers, workers and operators, by `rocket`: it reads the call, control gives the verdict.
 
-mod door;
-mod gate;
-mod manner;
+mod http_adapter;
+mod request_handler;
+mod serving;
 
-pub use gate::Gate;
-pub use manner::{Asked, Handling, Manner, Reply};
+pub use http_adapter::{Asked, Handling, HttpAdapter, Reply};
+pub use serving::ServingState;
 
 use crate::daemon::calls::Calls;
 use crate::daemon::control::Input;
-use door::Door;
+use request_handler::RequestHandler;
 use rocket::config::{LogLevel, Shutdown};
 use rocket::fairing::AdHoc;
 use rocket::http::Method;
@@ -23,7 +23,7 @@
 
 /// What one address may cost.
 #[derive(Clone, Debug)]
-pub struct Bounded {
+pub struct HttpLimits {
     /// How long a body may take to come, and then a verdict.
     pub patience: Duration,
     /// The longest body in bytes.
@@ -48,27 +48,27 @@
 /// Serves an address; says which it became.
 pub fn serve(
     handle: &Handle,
-    gate: &Gate,
+    serving: &ServingState,
     addr: SocketAddr,
-    bounded: Bounded,
-    manner: Manner,
+    limits: HttpLimits,
+    http_adapter: HttpAdapter,
     calls: Calls,
     inputs: Sender<Input>,
 ) -> Result<SocketAddr, String> {
-    let places = (bounded.calls as usize).min(Semaphore::MAX_PERMITS);
-    let door = Door {
-        bounded,
-        manner,
+    let places = (limits.calls as usize).min(Semaphore::MAX_PERMITS);
+    let request_handler = RequestHandler {
+        limits,
+        http_adapter,
         calls,
         inputs,
-        gate: gate.clone(),
+        serving: serving.clone(),
         places: Arc::new(Semaphore::new(places)),
     };
     let (tx, rx) = sync_channel(2);
     let cant = move |why: String| {
         format!("can't serve HTTP at {addr} ({why}): free the address or name another with --http")
     };
-    handle.spawn(launch(addr, door, tx));
+    handle.spawn(launch(addr, request_handler, tx));
     rx.recv()
         .map_err(|e| cant(e.to_string()))
         .and_then(|up| up.map_err(cant))
@@ -76,10 +76,10 @@
 
 type Up = Result<SocketAddr, String>;
 
-async fn launch(addr: SocketAddr, door: Door, up: SyncSender<Up>) {
+async fn launch(addr: SocketAddr, request_handler: RequestHandler, up: SyncSender<Up>) {
     let lifted = up.clone();
-    let gate = door.gate.clone();
-    let listening = gate.clone();
+    let serving = request_handler.serving.clone();
+    let listening = serving.clone();
     let tell = AdHoc::on_liftoff("up", move |r| {
         listening.add(r.shutdown());
         let at = SocketAddr::new(r.config().address, r.config().port);
@@ -89,14 +89,14 @@
     let ended: Result<Rocket<Ignite>, rocket::Error> = rocket::custom(config(addr))
         .mount(
             "/",
-            METHODS.map(|m| Route::ranked(0, m, "/<path..>", door.clone())),
+            METHODS.map(|m| Route::ranked(0, m, "/<path..>", request_handler.clone())),
         )
-        .register("/", vec![Catcher::new(None, door)])
+        .register("/", vec![Catcher::new(None, request_handler)])
         .attach(tell)
         .launch()
         .await;
     let why = ended.map_or_else(|e| e.to_string(), |_| "it was shut down".into());
-    if up.try_send(Err(why.clone())).is_err() && !gate.refuses() {
+    if up.try_send(Err(why.clone())).is_err() && !serving.refuses() {
         log::error!("HTTP at {addr} ended ({why}): the process ends, start it again");
         std::process::exit(1);
     }
--- a/landingdrift/src/daemon/traffic/http/door.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -1,9 +1,9 @@
-use super::gate::{Body, Gate, InHand};
-use super::manner::write;
-use super::{Asked, Bounded, Handling, Manner, Reply};
+use super::http_adapter::write;
+use super::serving::{Body, InFlight, ServingState};
+use super::{Asked, Handling, HttpAdapter, HttpLimits, Reply};
 use crate::daemon::calls::Calls;
 use crate::daemon::control::Input;
-use crate::kernel::Response;
+use crate::sans_io::Response;
 use rocket::catcher;
 use rocket::data::{Data, ToByteUnit};
 use rocket::http::{Header, Status};
@@ -20,20 +20,20 @@
 
 /// Where calls at one address come in.
 #[derive(Clone)]
-pub struct Door {
-    pub bounded: Bounded,
-    pub manner: Manner,
+pub struct RequestHandler {
+    pub limits: HttpLimits,
+    pub http_adapter: HttpAdapter,
     pub calls: Calls,
     pub inputs: Sender<Input>,
-    pub gate: Gate,
+    pub serving: ServingState,
     pub places: Arc<Semaphore>,
 }
 
-impl Door {
+impl RequestHandler {
     async fn reply(&self, req: &Request<'_>, data: Data<'_>) -> Reply {
         match self.places.try_acquire() {
             Ok(_place) => match self.body(data).await {
-                Ok(body) => match (self.manner.read)(asked(req, body)) {
+                Ok(body) => match (self.http_adapter.read)(asked(req, body)) {
                     Handling::Ask(req, tell) => tell(self.ask(req).await),
                     Handling::Reply(r) => r,
                 },
@@ -49,12 +49,12 @@
     }
 
     async fn body(&self, data: Data<'_>) -> Result<Vec<u8>, Response> {
-        let most = self.bounded.bytes;
+        let most = self.limits.bytes;
         let unread = |why: String| {
             let message = format!("the body could not be read ({why}): send it again");
             Response::error(400, "noBody", message)
         };
-        let whole = timeout(self.bounded.patience, data.open(most.bytes()).into_bytes())
+        let whole = timeout(self.limits.patience, data.open(most.bytes()).into_bytes())
             .await
             .map_err(|_| unread("it came too slowly".into()))?
             .map_err(|e| unread(e.to_string()))?;
@@ -65,31 +65,31 @@
         })
     }
 
-    async fn ask(&self, req: crate::kernel::Request) -> Response {
-        if self.gate.refuses() || self.calls.closed() {
+    async fn ask(&self, req: crate::sans_io::Request) -> Response {
+        if self.serving.refuses() || self.calls.closed() {
             return leaving();
         }
         let mut waiting = self.calls.open();
         if self.inputs.send(Input::Call(req, waiting.call)).is_err() {
             return unsure();
         }
-        timeout(self.bounded.patience, &mut waiting.response)
+        timeout(self.limits.patience, &mut waiting.response)
             .await
             .ok()
             .and_then(Result::ok)
             .unwrap_or_else(unsure)
     }
 
-    fn respond<'r>(&self, reply: Reply, in_hand: InHand) -> RocketResponse<'r> {
+    fn respond<'r>(&self, reply: Reply, in_flight: InFlight) -> RocketResponse<'r> {
         let mut b = RocketResponse::build();
         b.status(Status::new(reply.status));
         reply.headers.into_iter().for_each(|(k, v)| {
             b.header_adjoin(Header::new(k, v));
         });
-        if self.gate.leaves() {
+        if self.serving.leaves() {
             b.header(Header::new("Connection", "close"));
         }
-        b.sized_body(reply.body.len(), Body::new(reply.body, in_hand))
+        b.sized_body(reply.body.len(), Body::new(reply.body, in_flight))
             .finalize()
     }
 }
@@ -125,20 +125,20 @@
 }
 
 #[rocket::async_trait]
-impl Handler for Door {
+impl Handler for RequestHandler {
     async fn handle<'r>(&self, req: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let in_hand = self.gate.enter();
+        let in_flight = self.serving.enter();
         let reply = self.reply(req, data).await;
-        Outcome::Success(self.respond(reply, in_hand))
+        Outcome::Success(self.respond(reply, in_flight))
     }
 }
 
 /// What the library refuses before it reaches us is told in the same manner.
 #[rocket::async_trait]
-impl catcher::Handler for Door {
+impl catcher::Handler for RequestHandler {
     async fn handle<'r>(&self, status: Status, _: &'r Request<'_>) -> catcher::Result<'r> {
         let message = format!("the request is no HTTP that is served here ({}): docs/operators/api.md lists methods and routes", status.reason_lossy());
         let response = Response::error(status.code, "wrongRequest", message);
-        Ok(self.respond(write(response), self.gate.enter()))
+        Ok(self.respond(write(response), self.serving.enter()))
     }
 }
--- a/landingdrift/src/daemon/traffic/http/gate.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -19,25 +19,25 @@
 
 /// The gate that all HTTP addresses of a process share.
 #[derive(Clone)]
-pub struct Gate(Arc<State>);
+pub struct ServingState(Arc<State>);
 
 struct State {
     phase: AtomicU8,
-    in_hand: AtomicU64,
+    in_flight: AtomicU64,
     servers: Mutex<Vec<Shutdown>>,
 }
 
-impl Default for Gate {
+impl Default for ServingState {
     fn default() -> Self {
         Self(Arc::new(State {
             phase: AtomicU8::new(Phase::Serving as u8),
-            in_hand: AtomicU64::new(0),
+            in_flight: AtomicU64::new(0),
             servers: Mutex::default(),
         }))
     }
 }
 
-impl Gate {
+impl ServingState {
     /// From now on every answer ends its connection, so that none is left idle when the process ends.
     pub fn leave(&self) {
         self.advance(Phase::Leaving);
@@ -51,8 +51,8 @@
     }
 
     /// Calls that were read and whose answer has not been written out.
-    pub fn in_hand(&self) -> u64 {
-        self.0.in_hand.load(Ordering::SeqCst)
+    pub fn in_flight(&self) -> u64 {
+        self.0.in_flight.load(Ordering::SeqCst)
     }
 
     /// Whether answers end their connections.
@@ -75,9 +75,9 @@
     }
 
     /// Counts a call until what is given is dropped.
-    pub(super) fn enter(&self) -> InHand {
-        self.0.in_hand.fetch_add(1, Ordering::SeqCst);
-        InHand(self.clone())
+    pub(super) fn enter(&self) -> InFlight {
+        self.0.in_flight.fetch_add(1, Ordering::SeqCst);
+        InFlight(self.clone())
     }
 
     fn servers(&self) -> std::sync::MutexGuard<'_, Vec<Shutdown>> {
@@ -97,26 +97,26 @@
 }
 
 /// A call in hand; dropped once its answer was written out, or its caller is gone.
-pub struct InHand(Gate);
+pub struct InFlight(ServingState);
 
-impl Drop for InHand {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0 .0.in_hand.fetch_sub(1, Ordering::SeqCst);
+        self.0 .0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 /// The body of an answer; the call counts as in hand until it was read to its end.
 pub struct Body {
     bytes: io::Cursor<Vec<u8>>,
-    _in_hand: InHand,
+    _in_flight: InFlight,
 }
 
 impl Body {
     /// The body of the answer to a call.
-    pub fn new(bytes: Vec<u8>, in_hand: InHand) -> Self {
+    pub fn new(bytes: Vec<u8>, in_flight: InFlight) -> Self {
         Self {
             bytes: io::Cursor::new(bytes),
-            _in_hand: in_hand,
+            _in_flight: in_flight,
         }
     }
 }
--- a/landingdrift/src/daemon/traffic/mod.rs
+++ b/landingdrift/src/daemon/traffic/mod.rs
@@ -4,7 +4,7 @@
 mod http;
 
 pub use frames::{Frames, Transport};
-pub use http::{Asked, Bounded, Gate, Handling, Manner, Reply};
+pub use http::{Asked, Handling, HttpAdapter, HttpLimits, Reply, ServingState};
 
 use super::calls::Calls;
 use super::control::Input;
@@ -18,7 +18,7 @@
 /// The traffic thread; it ends, and every socket with it, when this is dropped.
 pub struct Traffic {
     handle: Handle,
-    gate: Gate,
+    serving: ServingState,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -40,7 +40,7 @@
         })?;
         Ok(Self {
             handle,
-            gate: Gate::default(),
+            serving: ServingState::default(),
             stop: Some(stop),
             thread: Some(thread),
         })
@@ -52,25 +52,25 @@
     }
 
     /// The gate of all HTTP addresses.
-    pub fn gate(&self) -> &Gate {
-        &self.gate
+    pub fn serving(&self) -> &ServingState {
+        &self.serving
     }
 
     /// Serves HTTP at an address, in a manner, until the thread ends; says which address it became.
     pub fn http(
         &self,
         addr: SocketAddr,
-        bounded: Bounded,
-        manner: Manner,
+        limits: HttpLimits,
+        http_adapter: HttpAdapter,
         calls: Calls,
         inputs: Sender<Input>,
     ) -> Result<SocketAddr, String> {
         http::serve(
             &self.handle,
-            &self.gate,
+            &self.serving,
             addr,
-            bounded,
-            manner,
+            limits,
+            http_adapter,
             calls,
             inputs,
         )
--- a/landingdrift/src/disk/frames.rs
+++ b/landingdrift/src/disk/frames.rs
@@ -1,4 +1,4 @@
-use crate::kernel::{HardState, Snapshot};
+use crate::sans_io::{HardState, Snapshot};
 use crate::wire::{DurabilityWitness, Entry};
 
 /// One piece of a segment or capture file.
@@ -35,11 +35,11 @@
                     .for_each(|n| body.extend(n.to_le_bytes()));
                 body.extend(&e.command);
             }
-            Self::Notes(notes) => {
+            Self::Notes(witnesses) => {
                 body.push(4);
-                let plain: Vec<(&str, u64, u64, u64)> = notes
+                let plain: Vec<(&str, u64, u64, u64)> = witnesses
                     .iter()
-                    .map(|n| (n.core.as_str(), n.disk, n.index, n.term))
+                    .map(|n| (n.replica.as_str(), n.disk, n.index, n.term))
                     .collect();
                 body.extend(serde_json::to_vec(&plain).unwrap_or_default());
             }
@@ -85,8 +85,8 @@
                 Self::Notes(
                     plain
                         .into_iter()
-                        .map(|(core, disk, index, term)| DurabilityWitness {
-                            core,
+                        .map(|(replica, disk, index, term)| DurabilityWitness {
+                            replica,
                             disk,
                             index,
                             term,
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -1,6 +1,6 @@
 use super::defect::{io, StorageError};
 use super::frames::Frame;
-use crate::kernel::{HardState, Snapshot};
+use crate::sans_io::{HardState, Snapshot};
 use crate::wire::{DurabilityWitness, Entry};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
     pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
-    pub notes: Vec<DurabilityWitness>,
+    pub witnesses: Vec<DurabilityWitness>,
     /// Something that was confirmed can't be read.
     pub damaged: bool,
     /// The last write was cut short, as a crash does.
@@ -99,7 +99,7 @@
         match frame {
             Frame::HardState(h) => self.hard_state = h,
             Frame::Cut(c) => self.entries.retain(|e| e.index < c),
-            Frame::Notes(n) => self.notes = n,
+            Frame::Notes(n) => self.witnesses = n,
             Frame::Entry(e) => match self.entries.last().map(|l| l.index) {
                 Some(last) if e.index == last + 1 => self.entries.push(e),
                 None if e.index <= base + 1 => self.entries.push(e),
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -8,8 +8,8 @@
 pub use defect::StorageError;
 pub use directory::{Directory, FileSystem};
 
-use crate::agreement::Loaded;
-use crate::kernel::{HardState, Snapshot, WriteBatch};
+use crate::consensus::Loaded;
+use crate::sans_io::{HardState, Snapshot, WriteBatch};
 use crate::wire::DurabilityWitness;
 use defect::io;
 use directory::{make_durable, write_whole};
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 struct Head {
     hard_state: HardState,
-    notes: Vec<DurabilityWitness>,
+    witnesses: Vec<DurabilityWitness>,
     /// The last index of the log; entries after it are void, in whichever older segment they are found.
     last: u64,
 }
@@ -56,9 +56,9 @@
             self.last = e.index;
             Frame::Entry(e.clone()).write(bytes);
         });
-        if !s.notes.is_empty() {
-            self.notes = s.notes.clone();
-            Frame::Notes(s.notes.clone()).write(bytes);
+        if !s.witnesses.is_empty() {
+            self.witnesses = s.witnesses.clone();
+            Frame::Notes(s.witnesses.clone()).write(bytes);
         }
     }
 }
@@ -123,7 +123,7 @@
             hard_state: found.hard_state,
             snapshot: found.snapshot,
             entries: found.entries,
-            notes: found.notes,
+            witnesses: found.witnesses,
             damaged: found.damaged,
         };
         let folder = Self::begin(
@@ -159,7 +159,7 @@
             segment_bytes,
             head: Head {
                 hard_state: loaded.hard_state.clone(),
-                notes: loaded.notes.clone(),
+                witnesses: loaded.witnesses.clone(),
                 last,
             },
             closed,
@@ -167,7 +167,7 @@
         };
         let mut first = WriteBatch {
             hard_state: Some(loaded.hard_state.clone()),
-            notes: loaded.notes.clone(),
+            witnesses: loaded.witnesses.clone(),
             cut: Some(last + 1),
             ..WriteBatch::default()
         };
@@ -213,7 +213,7 @@
         self.size = 0;
         let first = WriteBatch {
             hard_state: Some(self.head.hard_state.clone()),
-            notes: self.head.notes.clone(),
+            witnesses: self.head.witnesses.clone(),
             cut: Some(self.head.last + 1),
             ..WriteBatch::default()
         };
@@ -356,7 +356,7 @@
             hard_state: f.hard_state,
             snapshot: f.snapshot,
             entries: f.entries,
-            notes: f.notes,
+            witnesses: f.witnesses,
             damaged: f.damaged,
         },
     ))
--- a/landingdrift/src/lib.rs
+++ b/landingdrift/src/lib.rs
@@ -1,23 +1,23 @@
 //! landingdrift: a scheduler for jobs on borrowed workers.
 //!
 //! Every part (a core's agreement, a node's cells, schedulers and calls) is a
-//! [`kernel::Part`]: it takes one message at a time and gives effects back.
+//! [`sans_io::Part`]: it takes one message at a time and gives effects back.
 //! Daemons and the rehearsal's simulator run the same parts.
 
-pub mod agreement;
-pub mod chunks;
+pub mod config;
+pub mod consensus;
 pub mod daemon;
-pub mod desired;
 pub mod disk;
-pub mod kernel;
 pub mod node;
 pub mod operator;
-pub mod record;
-pub mod relay;
+pub mod peer_sampler;
 pub mod replay;
+pub mod sans_io;
 pub mod settings;
-pub mod views;
+pub mod snapshot_chunks;
+pub mod state;
 pub mod wire;
+pub mod worker_proxy;
 
 /// Prints a line; a reader that went away is no reason to panic.
 #[macro_export]
--- a/landingdrift/src/main.rs
+++ b/landingdrift/src/main.rs
@@ -1,4 +1,4 @@
-use landingdrift::kernel::roles;
+use landingdrift::sans_io::roles;
 
 fn main() {
     let mut words = std::env::args_os().skip(1);
--- a/landingdrift/src/node/calls/at.rs
+++ b/landingdrift/src/node/calls/at.rs
@@ -1,19 +1,19 @@
 //! Jobs handed in by host and path: the queue whose host and longest prefix fit takes them.
 
 use super::Origin;
-use crate::kernel::{Now, Request, Response};
 use crate::node::Node;
-use crate::record::{JobSpec, JobState};
+use crate::sans_io::{Now, Request, Response};
+use crate::state::{JobSpec, JobState};
 use serde_json::json;
 
 const AT: &str = "/v1/at/";
 
 impl Node {
     /// The queue that a host and path belong to.
-    fn routed(&self, host: &str, path: &str) -> Option<(&str, &crate::desired::Queue)> {
+    fn routed(&self, host: &str, path: &str) -> Option<(&str, &crate::config::Queue)> {
         let host = host.split(':').next().unwrap_or_default();
-        self.record
-            .desired
+        self.state
+            .config
             .queues
             .iter()
             .filter(|(_, q)| !q.prefix.is_empty() && q.host.eq_ignore_ascii_case(host))
@@ -25,7 +25,7 @@
     pub(super) fn on_routed(&mut self, now: Now, origin: Origin, req: &Request) {
         let rest = req.path.strip_prefix(AT).unwrap_or_default();
         let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-        if !self.fresh(now) || self.record.version == 0 {
+        if !self.fresh(now) || self.state.version == 0 {
             let v = Response::error(503, "notReady", "this node has no configuration that is new enough, and took nothing: come back later, or go to another node");
             return self.reply(&origin, v.retry(self.settings.bounds.back()));
         }
@@ -42,7 +42,7 @@
         };
         let id = path[prefix..].trim_matches('/').to_string();
         if self.light && req.method == "GET" {
-            return self.pass_to_duty(now, origin, req);
+            return self.forward_to_holder(now, origin, req);
         }
         match (req.method.as_str(), id.as_str()) {
             ("GET", "") => {
@@ -77,8 +77,8 @@
 
     /// Jobs of a queue that hold nothing yet.
     fn waiting(&self, queue: &str) -> usize {
-        let jobs = self.record.open.iter();
-        jobs.filter_map(|id| self.record.jobs.get(id))
+        let jobs = self.state.open.iter();
+        jobs.filter_map(|id| self.state.jobs.get(id))
             .filter(|j| j.spec.queue == queue && j.state == JobState::Waiting)
             .count()
     }
--- a/landingdrift/src/node/calls/desired.rs
+++ b/landingdrift/src/node/calls/config.rs
@@ -1,14 +1,14 @@
 use super::{param, Origin, State, Then};
-use crate::kernel::{Now, Request, Response};
 use crate::node::propose::Purpose;
 use crate::node::Node;
-use crate::record::{ApplyResult, Command, Rejection};
+use crate::sans_io::{Now, Request, Response};
+use crate::state::{ApplyResult, Command, Rejection};
 use crate::wire::NodeProgress;
 use serde_json::{json, Value};
 
 impl Node {
     pub(super) fn configure(&mut self, now: Now, origin: Origin, req: &Request, patch: bool) {
-        let most = self.settings.limits.desired_bytes;
+        let most = self.settings.limits.config_bytes;
         if req.body.len() as u64 > most {
             return self.reply(
                 &origin,
@@ -60,7 +60,7 @@
         let call = self.open(now, origin, State::ProposalPending);
         self.propose(
             now,
-            &Command::Configure {
+            &Command::UpdateConfig {
                 change: change.clone(),
                 base,
                 patch,
@@ -78,8 +78,12 @@
                 200,
                 json!({"change": change, "version": v["version"], "place": v["place"]}),
             ),
-            Err(Rejection::Rival { current }) => {
-                let mut v = Response::error(409, "rival", Rejection::Rival { current }.to_string());
+            Err(Rejection::VersionConflict { current }) => {
+                let mut v = Response::error(
+                    409,
+                    "rival",
+                    Rejection::VersionConflict { current }.to_string(),
+                );
                 v.body["version"] = json!(current);
                 v
             }
@@ -96,10 +100,10 @@
     }
 
     /// Begins or ends the emptying of a zone.
-    pub(super) fn empty_zone(&mut self, now: Now, origin: Origin, zone: &str, on: bool) {
+    pub(super) fn evacuate_zone(&mut self, now: Now, origin: Origin, zone: &str, on: bool) {
         let within = self.settings.bounds.call();
         let call = self.open(now, origin, State::ProposalPending);
-        let command = Command::Empty {
+        let command = Command::SetEvacuation {
             zone: zone.into(),
             on,
         };
@@ -108,14 +112,14 @@
 
     /// How far a change has come, node by node.
     pub(super) fn change_response(&self, id: &str, nodes: &[NodeProgress]) -> Response {
-        self.record.changes.iter().find(|c| c.change == id).map_or_else(
+        self.state.changes.iter().find(|c| c.change == id).map_or_else(
             || Response::error(404, "unknownChange", format!("no change '{id}' was accepted lately: read the current version instead")),
             |c| {
                 let of: Vec<Value> = nodes
                     .iter()
-                    .map(|n| json!({"node": n.node, "inForce": n.place >= c.place, "version": n.version, "silentMs": n.age}))
+                    .map(|n| json!({"node": n.node, "inForce": n.log_index >= c.log_index, "version": n.version, "silentMs": n.age}))
                     .collect();
-                let everywhere = nodes.iter().all(|n| n.place >= c.place);
+                let everywhere = nodes.iter().all(|n| n.log_index >= c.log_index);
                 Response::new(200, json!({"change": c.change, "version": c.version, "at": c.at, "inForceEverywhere": everywhere, "nodes": of}))
             },
         )
--- a/landingdrift/src/node/calls/beats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -1,16 +1,16 @@
 //! Workers' beats and leaves, which the holder of the worker's cell answers.
 
 use super::Origin;
-use crate::kernel::{Now, Request, Response};
-use crate::node::cell::Heartbeat;
+use crate::node::zone_scheduler::Heartbeat;
 use crate::node::Node;
-use crate::record::cell_duty;
+use crate::sans_io::{Now, Request, Response};
+use crate::state::zone_lease;
 use serde_json::json;
 
 impl Node {
-    pub(super) fn on_beat(&mut self, now: Now, origin: Origin, req: Request) {
+    pub(super) fn on_heartbeat(&mut self, now: Now, origin: Origin, req: Request) {
         let de = &mut serde_json::Deserializer::from_slice(&req.body);
-        let beat: Heartbeat = match serde_path_to_error::deserialize(de) {
+        let heartbeat: Heartbeat = match serde_path_to_error::deserialize(de) {
             Ok(b) => b,
             Err(e) => {
                 return self.reply(
@@ -27,9 +27,9 @@
                 )
             }
         };
-        if beat.facts.worker.is_empty()
-            || beat.facts.zone.is_empty()
-            || beat.facts.service.is_empty()
+        if heartbeat.info.worker.is_empty()
+            || heartbeat.info.zone.is_empty()
+            || heartbeat.info.service.is_empty()
         {
             return self.reply(
                 &origin,
@@ -41,8 +41,8 @@
             );
         }
         let holder = self
-            .record
-            .holder(&cell_duty(&beat.facts.zone))
+            .state
+            .holder(&zone_lease(&heartbeat.info.zone))
             .map(|g| g.holder.clone());
         let remote = matches!(origin, Origin::Remote(..));
         match holder {
@@ -62,11 +62,11 @@
                 self.reply(&origin, v);
             }
             None => {
-                let v = self.found_zone(&beat);
+                let v = self.found_zone(&heartbeat);
                 self.reply(&origin, v);
             }
             _ => {
-                let v = self.beat(now, beat);
+                let v = self.heartbeat(now, heartbeat);
                 self.reply(&origin, v);
             }
         }
@@ -74,9 +74,9 @@
 
     /// A worker has left: the holder of its cell takes note.
     pub(super) fn on_left(&mut self, now: Now, origin: Origin, worker: &str, req: &Request) {
-        let known = self.record.workers.get(worker);
-        let zone = known.map(|w| w.facts.zone.clone()).unwrap_or_default();
-        let holder = self.record.holder(&cell_duty(&zone));
+        let known = self.state.workers.get(worker);
+        let zone = known.map(|w| w.info.zone.clone()).unwrap_or_default();
+        let holder = self.state.holder(&zone_lease(&zone));
         let holder = holder.map(|g| g.holder.clone()).unwrap_or_default();
         if !holder.is_empty() && holder != self.name && matches!(origin, Origin::Local(_)) {
             return self.pass_on(now, origin, &holder, req);
@@ -86,15 +86,15 @@
     }
 
     /// A zone that nobody declared and no node stands in has no cell.
-    fn found_zone(&mut self, beat: &Heartbeat) -> Response {
+    fn found_zone(&mut self, heartbeat: &Heartbeat) -> Response {
         Response::error(
             503,
             "noCell",
             format!(
                 "zone '{}' has no cell yet: declare the zone in the desired state, then beat again",
-                beat.facts.zone
+                heartbeat.info.zone
             ),
         )
-        .retry(self.settings.bounds.beat())
+        .retry(self.settings.bounds.worker_heartbeat())
     }
 }
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -1,8 +1,8 @@
 use super::{param, Origin, ReadThen, State, Then};
-use crate::kernel::{fnv1a, Now, Response};
 use crate::node::propose::Purpose;
 use crate::node::Node;
-use crate::record::{ApplyResult, AttemptState, Command, Job, JobSpec, JobState, Rejection};
+use crate::sans_io::{fnv1a, Now, Response};
+use crate::state::{ApplyResult, AttemptState, Command, Job, JobSpec, JobState, Rejection};
 use serde_json::{json, Value};
 
 /// Jobs on one page, at the most.
@@ -15,8 +15,8 @@
         .iter()
         .enumerate()
         .map(|(i, t)| {
-            let unsure = t.sends.iter().any(|x| x.state == AttemptState::Unsure);
-            let mut v = json!({"name": j.name(i), "state": t.state, "defects": t.defects, "sends": t.sends});
+            let unsure = t.attempts.iter().any(|x| x.state == AttemptState::Unsure);
+            let mut v = json!({"name": j.name(i), "state": t.state, "defects": t.failures, "sends": t.attempts});
             if unsure {
                 v["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
             }
@@ -53,8 +53,8 @@
         if let Err(e) = spec.check() {
             return self.reply(&origin, Response::error(400, "wrongJob", e.to_string()));
         }
-        if !self.record.open.contains(&spec.id)
-            && self.record.open.len() as u64 >= self.settings.limits.open_jobs
+        if !self.state.open.contains(&spec.id)
+            && self.state.open.len() as u64 >= self.settings.limits.open_jobs
         {
             self.count("jobs_turned_away", 1);
             return self.reply(
@@ -64,25 +64,25 @@
         }
         let hash = fnv1a(&serde_json::to_vec(&spec).unwrap_or_default());
         let known = self
-            .record
+            .state
             .jobs
             .get(&spec.id)
             .map(|j| j.hash)
-            .or_else(|| self.record.tombstones.get(&spec.id).map(|t| t.hash));
+            .or_else(|| self.state.tombstones.get(&spec.id).map(|t| t.hash));
         let id = spec.id.clone();
         if let Some(h) = known {
             let ruled = (h == hash)
                 .then(|| json!({"known": true}))
-                .ok_or(Rejection::OtherBody);
+                .ok_or(Rejection::BodyMismatch);
             let v = self.accepted_response(&id, ruled);
             return self.reply(&origin, v);
         }
-        let seen = self.record.place;
+        let seen = self.state.applied_index;
         let within = self.settings.bounds.call();
         let call = self.open(now, origin, State::ProposalPending);
         self.propose(
             now,
-            &Command::Accept { spec, hash, seen },
+            &Command::AcceptJob { spec, hash, seen },
             Purpose::Call(call, Then::Accepted { id }),
             within,
         );
@@ -94,11 +94,11 @@
             Ok(v) => {
                 self.count("jobs_accepted", 1);
                 let state = self
-                    .record
+                    .state
                     .jobs
                     .get(id)
                     .map(|j| j.state)
-                    .or_else(|| self.record.tombstones.get(id).map(|t| t.state))
+                    .or_else(|| self.state.tombstones.get(id).map(|t| t.state))
                     .unwrap_or(JobState::Waiting);
                 Response::new(
                     if v["known"] == json!(true) { 200 } else { 202 },
@@ -108,8 +108,8 @@
             Err(r) => {
                 self.count("jobs_refused", 1);
                 match r {
-                    Rejection::OtherBody => Response::error(409, "otherBody", r.to_string()),
-                    Rejection::OverQuota { .. } | Rejection::TurnedAway => {
+                    Rejection::BodyMismatch => Response::error(409, "otherBody", r.to_string()),
+                    Rejection::OverQuota { .. } | Rejection::PreviouslyRejected => {
                         Response::error(429, "overQuota", r.to_string()).retry(2 * back)
                     }
                     Rejection::Invalid { ref path, .. } if path == "queue" => {
@@ -123,15 +123,15 @@
 
     /// What this node knows of a job; `stale` tells the caller that there may be news it has not heard.
     pub(super) fn job_response(&self, id: &str, stale: bool) -> Option<Response> {
-        let kept = self.record.jobs.get(id).map(describe);
+        let kept = self.state.jobs.get(id).map(describe);
         kept.or_else(|| {
-            self.record
+            self.state
                 .tombstones
                 .get(id)
                 .map(|t| json!({"id": id, "state": t.state, "retained": false}))
         })
         .map(|mut v| {
-            v["asOf"] = json!(self.record.at);
+            v["asOf"] = json!(self.state.at);
             v["stale"] = json!(stale);
             Response::new(200, v)
         })
@@ -141,17 +141,17 @@
     /// For a job it doesn't know, or before it has caught up with the feed, the core is asked.
     pub(super) fn poll(&mut self, now: Now, origin: Origin, id: &str) {
         let kept = self
-            .record
+            .state
             .jobs
             .get(id)
             .map(|j| j.state)
-            .or_else(|| self.record.tombstones.get(id).map(|t| t.state));
+            .or_else(|| self.state.tombstones.get(id).map(|t| t.state));
         match kept {
             Some(state) if state.ended() => self
                 .job_response(id, false)
                 .into_iter()
                 .for_each(|v| self.reply(&origin, v)),
-            Some(_) if self.feed.captured => {
+            Some(_) if self.watch.has_snapshot => {
                 let patience = now.mono + self.settings.bounds.fresh() / 2;
                 let state = State::Fresh {
                     id: id.into(),
@@ -175,7 +175,7 @@
         };
         let (queue, after) = (param(query, "queue"), param(query, "after").unwrap_or(""));
         let mut of = self
-            .record
+            .state
             .jobs
             .range::<str, _>((std::ops::Bound::Excluded(after), std::ops::Bound::Unbounded))
             .map(|(_, j)| j)
@@ -194,7 +194,7 @@
         let call = self.open(now, origin, State::ProposalPending);
         self.propose(
             now,
-            &Command::Cancel { job: id.into() },
+            &Command::CancelJob { job: id.into() },
             Purpose::Call(call, Then::Cancelled { id: id.into() }),
             within,
         );
@@ -208,12 +208,12 @@
     }
 
     pub(super) fn resolve(&mut self, now: Now, origin: Origin, id: &str, task: &str, body: &[u8]) {
-        let well = serde_json::from_slice::<Value>(body).ok().and_then(|v| {
+        let succeeded = serde_json::from_slice::<Value>(body).ok().and_then(|v| {
             v["outcome"]
                 .as_str()
                 .and_then(|o| ["well", "defect"].contains(&o).then(|| o == "well"))
         });
-        let Some(well) = well else {
+        let Some(succeeded) = succeeded else {
             return self.reply(
                 &origin,
                 Response::error(400, "wrongOutcome", "outcome: give 'well' or 'defect'"),
@@ -223,10 +223,10 @@
         let call = self.open(now, origin, State::ProposalPending);
         self.propose(
             now,
-            &Command::Resolve {
+            &Command::ResolveAttempt {
                 job: id.into(),
                 task: task.into(),
-                well,
+                succeeded,
             },
             Purpose::Call(call, Then::Resolved { id: id.into() }),
             within,
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -1,16 +1,16 @@
 //! Calls over HTTP, each with its origin; any node takes any call.
 
 mod at;
-mod beats;
-mod desired;
+mod config;
+mod heartbeats;
 mod jobs;
 mod pass;
 mod read;
 mod status;
 
 use super::Node;
-use crate::kernel::{Effect, Now, Part, Request, Response};
-use crate::record::{ApplyResult, Rejection};
+use crate::sans_io::{Effect, Now, Part, Request, Response};
+use crate::state::{ApplyResult, Rejection};
 use crate::wire::{Body, ForwardResponse, NodeProgress, RequestToken};
 use read::ReadThen;
 use serde_json::json;
@@ -46,7 +46,7 @@
     /// Waits until the feed has come to a place.
     Following {
         then: ReadThen,
-        place: u64,
+        log_index: u64,
         nodes: Vec<NodeProgress>,
     },
     /// Waits until the feed has told all that was committed when the question came; after `patience` it tells what it knows.
@@ -118,7 +118,7 @@
             );
         }
         if self.light && about_jobs(&req.method, &parts) {
-            return self.pass_to_duty(now, origin, &req);
+            return self.forward_to_holder(now, origin, &req);
         }
         match (req.method.as_str(), parts.as_slice()) {
             ("GET", ["live"]) => self.reply(&origin, Response::new(200, json!({"live": true}))),
@@ -126,7 +126,7 @@
                 let ready = self.ready(now);
                 self.reply(
                     &origin,
-                    Response::new(if ready { 200 } else { 503 }, json!({"ready": ready, "place": self.record.place, "version": self.record.version})),
+                    Response::new(if ready { 200 } else { 503 }, json!({"ready": ready, "place": self.state.applied_index, "version": self.state.version})),
                 );
             }
             ("GET", ["metrics"]) => {
@@ -145,10 +145,10 @@
             ("GET", ["v1", "status"]) => self.read(now, origin, ReadThen::Status),
             ("GET", ["v1", "workers"]) => self.read(now, origin, ReadThen::Workers),
             (_, ["v1", "at", ..]) => self.on_routed(now, origin, &req),
-            ("PUT", ["v1", "zones", zone, "empty"]) => self.empty_zone(now, origin, zone, true),
-            ("DELETE", ["v1", "zones", zone, "empty"]) => self.empty_zone(now, origin, zone, false),
+            ("PUT", ["v1", "zones", zone, "empty"]) => self.evacuate_zone(now, origin, zone, true),
+            ("DELETE", ["v1", "zones", zone, "empty"]) => self.evacuate_zone(now, origin, zone, false),
             ("POST", ["v1", "workers", id, "left"]) => self.on_left(now, origin, id, &req),
-            ("POST", ["v1", "beats"]) => self.on_beat(now, origin, req),
+            ("POST", ["v1", "beats"]) => self.on_heartbeat(now, origin, req),
             (_, ["v1", "jobs" | "desired" | "beats" | "status" | "workers" | "zones", ..] | ["live" | "ready" | "metrics"]) => self.reply(
                 &origin,
                 Response::error(405, "wrongMethod", format!("{} is not served here: docs/operators/api.md lists the methods of each route", req.method)),
@@ -239,7 +239,7 @@
     pub(super) fn call_ruled(&mut self, call: u64, then: Then, ruled: ApplyResult) {
         let v = match then {
             // An earlier copy may have been taken.
-            _ if ruled == Err(Rejection::Late) => self.unsure_response(),
+            _ if ruled == Err(Rejection::DeadlinePassed) => self.unsure_response(),
             Then::Accepted { id } => self.accepted_response(&id, ruled),
             Then::Cancelled { id } => self.cancelled_response(&id, ruled),
             Then::Configured { change } => self.configured_response(&change, ruled),
--- a/landingdrift/src/node/calls/pass.rs
+++ b/landingdrift/src/node/calls/pass.rs
@@ -1,16 +1,16 @@
 //! Calls that another node answers: each is passed on once, and silence leaves it unsure.
 
 use super::{Origin, State};
-use crate::kernel::{Now, Request, Response};
 use crate::node::Node;
+use crate::sans_io::{Now, Request, Response};
 use crate::wire::{Body, ForwardRequest, ForwardResponse};
 use serde_json::Value;
 
 impl Node {
     /// Passes a call on to a node that holds a duty, and so follows jobs and workers.
-    pub(super) fn pass_to_duty(&mut self, now: Now, origin: Origin, req: &Request) {
+    pub(super) fn forward_to_holder(&mut self, now: Now, origin: Origin, req: &Request) {
         let holders: Vec<String> = self
-            .record
+            .state
             .leases
             .values()
             .map(|g| g.holder.clone())
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -1,8 +1,8 @@
 //! Reads that are surely not old: a core names the place to follow to, or the feed is as new as the question.
 
 use super::{Open, Origin, State};
-use crate::kernel::{Now, Response};
 use crate::node::Node;
+use crate::sans_io::{Now, Response};
 use crate::wire::{Body, NodeProgress, ReadIndexRequest, ReadIndexResponse};
 use serde_json::json;
 
@@ -33,12 +33,12 @@
     }
 
     pub(super) fn ask_place(&mut self, now: Now, call: u64, hint: Option<String>) {
-        let cores = self.cores();
-        let leader = Some(self.feed.leader.clone()).filter(|l| !l.is_empty());
+        let replicas = self.replicas();
+        let leader = Some(self.watch.leader.clone()).filter(|l| !l.is_empty());
         let to = hint
             .filter(|h| !h.is_empty())
             .or(leader)
-            .or_else(|| self.rng.pick(&cores).cloned())
+            .or_else(|| self.rng.pick(&replicas).cloned())
             .unwrap_or_default();
         let again = 5 * self.settings.bounds.heartbeat();
         if let Some(Open {
@@ -73,23 +73,23 @@
             let then = then.clone();
             o.state = State::Following {
                 then,
-                place: m.place,
+                log_index: m.log_index,
                 nodes: m.nodes,
             };
             self.calls_on_place();
         } else {
             *next = now.mono + self.settings.bounds.heartbeat() / 2;
-            if !m.leader.is_empty() && m.leader != self.feed.leader {
+            if !m.leader.is_empty() && m.leader != self.watch.leader {
                 self.ask_place(now, call, Some(m.leader));
             } else {
-                let cores = self.cores();
-                self.feed.leader = self.rng.pick(&cores).cloned().unwrap_or_default();
+                let replicas = self.replicas();
+                self.watch.leader = self.rng.pick(&replicas).cloned().unwrap_or_default();
             }
         }
     }
 
     pub(in crate::node) fn calls_on_place(&mut self) {
-        let place = self.record.place;
+        let log_index = self.state.applied_index;
         let ready: Vec<(u64, ReadThen, Vec<NodeProgress>)> = self
             .calls
             .open
@@ -97,9 +97,9 @@
             .filter_map(|(k, o)| match &o.state {
                 State::Following {
                     then,
-                    place: p,
+                    log_index: p,
                     nodes,
-                } if *p <= place => Some((*k, then.clone(), nodes.clone())),
+                } if *p <= log_index => Some((*k, then.clone(), nodes.clone())),
                 _ => None,
             })
             .collect();
@@ -121,7 +121,7 @@
             ReadThen::Jobs { query } => self.jobs_response(query),
             ReadThen::ClusterConfig => Response::new(
                 200,
-                json!({"version": self.record.version, "desired": self.record.desired}),
+                json!({"version": self.state.version, "desired": self.state.config}),
             ),
             ReadThen::Change { id } => self.change_response(id, nodes),
             ReadThen::Status => self.status_response(nodes),
@@ -131,7 +131,7 @@
 
     /// Answers questions after jobs that the feed is now fresh enough for, or that have waited long enough.
     pub(in crate::node) fn answer_fresh(&mut self, now: Now) {
-        let fresh_at = self.feed.fresh_at;
+        let fresh_at = self.watch.fresh_at;
         let due: Vec<(u64, String, bool)> = self
             .calls
             .open
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -1,7 +1,7 @@
 //! Gangs are placed whole, in one entry of the record.
 
 use super::Node;
-use crate::record::{cell_duty, ClusterState, Job, Placement, Resources, TaskState};
+use crate::state::{zone_lease, ClusterState, Job, Placement, Resources, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The gang that has waited longest beyond its patience, and the workers kept for it.
@@ -12,8 +12,8 @@
 }
 
 /// Members of a task's gang that are not done.
-pub fn members(record: &ClusterState, job: &str, task: u32) -> Vec<u32> {
-    record.jobs.get(job).map_or(Vec::new(), |j| {
+pub fn members(state: &ClusterState, job: &str, task: u32) -> Vec<u32> {
+    state.jobs.get(job).map_or(Vec::new(), |j| {
         let all = j.gang(task as usize).into_iter();
         all.filter(|i| j.tasks[*i].state != TaskState::Done)
             .map(|i| i as u32)
@@ -22,16 +22,16 @@
 }
 
 /// Whether the whole gang could start now, workers aside.
-pub fn startable(record: &ClusterState, at: u64, job: &str, task: u32) -> bool {
-    let m = members(record, job, task);
+pub fn startable(state: &ClusterState, at: u64, job: &str, task: u32) -> bool {
+    let m = members(state, job, task);
     !m.is_empty()
         && m.iter()
-            .all(|i| record.may_start(job, *i, false, at).is_ok())
+            .all(|i| state.may_start(job, *i, false, at).is_ok())
 }
 
 /// The one gang that others make way for: every node derives the same from the same record, so two never wait for each other.
-pub fn claim(record: &ClusterState, at: u64, patience: u64) -> Option<Claim> {
-    let jobs = record.open.iter().filter_map(|id| record.jobs.get(id));
+pub fn claim(state: &ClusterState, at: u64, patience: u64) -> Option<Claim> {
+    let jobs = state.open.iter().filter_map(|id| state.jobs.get(id));
     let waiting = jobs.filter(|j| !j.cancel && at >= j.accepted + patience);
     let oldest = waiting
         .filter_map(|j| {
@@ -40,42 +40,42 @@
             (0..j.tasks.len())
                 .filter(|i| j.in_gang(*i) && j.tasks[*i].state == TaskState::Waiting)
                 .filter(|i| ripe(i) && first(i))
-                .find(|i| startable(record, at, &j.spec.id, *i as u32))
+                .find(|i| startable(state, at, &j.spec.id, *i as u32))
                 .map(|i| (j.accepted.max(j.due(i)), j, i as u32))
         })
         .min_by(|a, b| (a.0, &a.1.spec.id).cmp(&(b.0, &b.1.spec.id)))?;
     let (_, job, task) = oldest;
-    let mut tasks = members(record, &job.spec.id, task);
-    tasks.sort_by_key(|i| std::cmp::Reverse(job.of(*i as usize).room));
+    let mut tasks = members(state, &job.spec.id, task);
+    tasks.sort_by_key(|i| std::cmp::Reverse(job.of(*i as usize).cpu));
     let mut left: BTreeMap<&String, (Resources, u32)> = BTreeMap::new();
     for i in tasks {
         let t = job.of(i as usize);
         let apart = |n: u32| t.anti_affinity == 0 || n < t.anti_affinity;
         let fit = |k: &String| {
-            record
+            state
                 .workers
                 .get(k)
-                .is_some_and(|w| takes(record, k) && w.probation == 0 && w.facts.serves(t))
+                .is_some_and(|w| takes(state, k) && w.probation == 0 && w.info.serves(t))
         };
         // Workers already kept first, then the roomiest.
         let kept = left
             .iter()
-            .find(|(k, (room, n))| fit(k) && room.holds(t.needs()) && apart(*n))
+            .find(|(k, (resources, n))| fit(k) && resources.holds(t.needs()) && apart(*n))
             .map(|(k, _)| *k);
         let of = kept.or_else(|| {
-            record
+            state
                 .workers
                 .iter()
                 .filter(|(k, w)| {
-                    !left.contains_key(k) && fit(k) && w.facts.total_resources().holds(t.needs())
+                    !left.contains_key(k) && fit(k) && w.info.total_resources().holds(t.needs())
                 })
-                .max_by_key(|(k, w)| (w.facts.room, std::cmp::Reverse(k.as_str())))
+                .max_by_key(|(k, w)| (w.info.cpu, std::cmp::Reverse(k.as_str())))
                 .map(|(k, _)| k)
         })?;
-        let (room, n) = left
+        let (resources, n) = left
             .entry(of)
-            .or_insert_with(|| (record.workers[of].facts.total_resources(), 0));
-        *room = room.less(t.needs());
+            .or_insert_with(|| (state.workers[of].info.total_resources(), 0));
+        *resources = resources.less(t.needs());
         *n += 1;
     }
     Some(Claim {
@@ -84,16 +84,16 @@
     })
 }
 
-fn takes(record: &ClusterState, worker: &str) -> bool {
-    record
+fn takes(state: &ClusterState, worker: &str) -> bool {
+    state
         .workers
         .get(worker)
-        .is_some_and(|w| !w.lost && !w.facts.leaving && record.open(&w.facts.zone, worker))
+        .is_some_and(|w| !w.lost && !w.info.leaving && state.open(&w.info.zone, worker))
 }
 
 impl Node {
-    /// A placement of the whole gang by the record's view of the room, the offered worker first. A gang that belongs
-    /// on one rack goes there whole if a rack has the room now, and else only when it has waited for `patience`.
+    /// A placement of the whole gang by the record's view of the resources, the offered worker first. A gang that belongs
+    /// on one rack goes there whole if a rack has the resources now, and else only when it has waited for `patience`.
     pub(super) fn place_gang(
         &self,
         at: u64,
@@ -101,27 +101,27 @@
         offered: &str,
         held: &BTreeMap<String, Resources>,
     ) -> Option<Vec<Placement>> {
-        let record = &self.record;
-        if !startable(record, at, job, task) {
+        let state = &self.state;
+        if !startable(state, at, job, task) {
             return None;
         }
-        let j = record.jobs.get(job)?;
-        let mut tasks = members(record, job, task);
-        tasks.sort_by_key(|i| std::cmp::Reverse(j.of(*i as usize).room));
+        let j = state.jobs.get(job)?;
+        let mut tasks = members(state, job, task);
+        tasks.sort_by_key(|i| std::cmp::Reverse(j.of(*i as usize).cpu));
         let near = &j.of(task as usize).near;
-        let mut free: Vec<(&String, &str, Resources)> = record
+        let mut free: Vec<(&String, &str, Resources)> = state
             .workers
             .iter()
-            .filter(|(k, _)| takes(record, k))
+            .filter(|(k, _)| takes(state, k))
             .map(|(k, w)| {
                 let taken = w.used.plus(held.get(k).copied().unwrap_or_default());
-                let left = w.facts.total_resources().less(taken);
-                (k, w.facts.rack.as_str(), left)
+                let left = w.info.total_resources().less(taken);
+                (k, w.info.rack.as_str(), left)
             })
             .collect();
-        free.sort_by_key(|(k, rack, room)| {
+        free.sort_by_key(|(k, rack, resources)| {
             let far = !near.is_empty() && near != rack && near != *k;
-            (far, k.as_str() != offered, std::cmp::Reverse(room.cpu))
+            (far, k.as_str() != offered, std::cmp::Reverse(resources.cpu))
         });
         if !j.of(task as usize).same_rack {
             return self.spread(job, j, &tasks, free);
@@ -157,7 +157,7 @@
                 let n = out.iter().filter(|p| p.worker == **k).count() as u32;
                 left.holds(t.needs())
                     && (t.anti_affinity == 0 || n + job.beside(*i as usize, k) < t.anti_affinity)
-                    && self.record.fits(id, &self.placement(k, *i, false)).is_ok()
+                    && self.state.fits(id, &self.placement(k, *i, false)).is_ok()
             })?;
             free[at].2 = free[at].2.less(t.needs());
             out.push(self.placement(free[at].0, *i, false));
@@ -168,16 +168,16 @@
     /// A placement under the worker's present incarnation and cell.
     pub(super) fn placement(&self, worker: &str, task: u32, copy: bool) -> Placement {
         let (incarnation, zone) = self
-            .record
+            .state
             .workers
             .get(worker)
-            .map_or((0, ""), |w| (w.facts.incarnation, w.facts.zone.as_str()));
-        let cell_epoch = self.record.holder(&cell_duty(zone)).map_or(0, |g| g.epoch);
+            .map_or((0, ""), |w| (w.info.incarnation, w.info.zone.as_str()));
+        let zone_epoch = self.state.holder(&zone_lease(zone)).map_or(0, |g| g.epoch);
         Placement {
             task,
             worker: worker.into(),
             incarnation,
-            cell_epoch,
+            zone_epoch,
             copy,
         }
     }
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -1,19 +1,19 @@
 //! A node: follows the feed, serves calls, owns queues and may hold cells.
 
 mod calls;
-mod cell;
-mod feed;
 mod gangs;
 mod neighbours;
 mod propose;
 mod scheduler;
+mod watch;
+mod zone_scheduler;
 
-pub use cell::{judge, Heartbeat, Pace, Run, Running, Why};
+pub use zone_scheduler::{judge, Heartbeat, Pace, Run, Running, Why};
 
-use crate::kernel::{fnv1a, Effect, Msg, Now, Part, Response, Rng};
-use crate::record::ClusterState;
+use crate::peer_sampler::PeerSampler;
+use crate::sans_io::{fnv1a, Effect, Msg, Now, Part, Response, Rng};
 use crate::settings::Settings;
-use crate::views::PeerSampler;
+use crate::state::ClusterState;
 use crate::wire::{Body, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,12 +22,12 @@
     pub(crate) settings: Settings,
     pub(crate) name: String,
     pub(crate) rng: Rng,
-    pub(crate) record: ClusterState,
+    pub(crate) state: ClusterState,
     /// It follows a light copy: configuration, duties and members, neither jobs nor workers.
     pub(crate) light: bool,
-    pub(crate) feed: feed::Feed,
-    pub(crate) views: PeerSampler,
-    pub(crate) cells: BTreeMap<String, cell::Cell>,
+    pub(crate) watch: watch::Watch,
+    pub(crate) peer_sampler: PeerSampler,
+    pub(crate) zone_schedulers: BTreeMap<String, zone_scheduler::ZoneScheduler>,
     pub(crate) sched: scheduler::Scheduler,
     pub(crate) calls: calls::Calls,
     pub(crate) proposals: BTreeMap<u64, propose::Proposal>,
@@ -49,11 +49,11 @@
         let boot = rng.number();
         let incarnation = rng.number();
         Self {
-            record: ClusterState::new(&settings.cluster),
+            state: ClusterState::new(&settings.cluster),
             light: false,
-            feed: feed::Feed::new(now),
-            views: PeerSampler::new(&name, "node", &settings.zone, &settings.seeds),
-            cells: BTreeMap::new(),
+            watch: watch::Watch::new(now),
+            peer_sampler: PeerSampler::new(&name, "node", &settings.zone, &settings.seeds),
+            zone_schedulers: BTreeMap::new(),
             sched: scheduler::Scheduler::default(),
             calls: calls::Calls::default(),
             proposals: BTreeMap::new(),
@@ -110,14 +110,14 @@
 
     /// Whether the feed is fresh enough to act on.
     pub(crate) fn fresh(&self, now: Now) -> bool {
-        self.feed.captured
-            && now.mono.saturating_sub(self.feed.fresh_at) <= self.settings.bounds.fresh()
+        self.watch.has_snapshot
+            && now.mono.saturating_sub(self.watch.fresh_at) <= self.settings.bounds.fresh()
     }
 
     /// Whether this node may speak for the cells it holds.
     pub(crate) fn speaks(&self, now: Now) -> bool {
-        self.feed.captured
-            && now.mono.saturating_sub(self.feed.fresh_at) <= self.settings.bounds.speaks()
+        self.watch.has_snapshot
+            && now.mono.saturating_sub(self.watch.fresh_at) <= self.settings.bounds.speaks()
     }
 
     fn ready(&self, now: Now) -> bool {
@@ -125,9 +125,9 @@
     }
 
     /// The epoch under which this node holds a duty, if it does.
-    pub(crate) fn epoch(&self, duty: &str) -> Option<u64> {
-        self.record
-            .holder(duty)
+    pub(crate) fn epoch(&self, lease: &str) -> Option<u64> {
+        self.state
+            .holder(lease)
             .filter(|g| g.holder == self.name)
             .map(|g| g.epoch)
     }
@@ -138,20 +138,20 @@
         if gap > self.settings.bounds.election() / 2 {
             // Frozen: the silence was this node's own, nobody else's.
             self.count("own_freezes", 1);
-            self.cells
+            self.zone_schedulers
                 .values_mut()
                 .flat_map(|c| c.workers.values_mut())
-                .for_each(|w| w.last_beat = now.mono);
+                .for_each(|w| w.last_heartbeat = now.mono);
         }
-        self.feed_tick(now);
-        self.views_tick(now);
+        self.watch_tick(now);
+        self.peer_sampler_tick(now);
         self.proposals_tick(now);
         self.calls_tick(now);
-        self.cells_tick(now);
+        self.zone_schedulers_tick(now);
         self.scheduler_tick(now);
         if let Some(until) = self.stopping {
-            let holds = self.record.leases.values().any(|g| g.holder == self.name)
-                || self.record.nodes.get(&self.name).is_some_and(|n| n.alive);
+            let holds = self.state.leases.values().any(|g| g.holder == self.name)
+                || self.state.nodes.get(&self.name).is_some_and(|n| n.alive);
             if now.mono >= until || (!holds && self.calls.idle()) {
                 self.out.push(Effect::Exit);
             }
@@ -161,8 +161,8 @@
     fn on_wire(&mut self, now: Now, from: &str, body: Body) {
         match body {
             Body::WatchBatch(m) => self.on_batch(now, from, *m),
-            Body::WatchSnapshotChunk(m) => self.on_feed_chunk(now, from, &m),
-            Body::WatchRequest(m) => self.on_stray_pull(from, m.sent),
+            Body::WatchSnapshotChunk(m) => self.on_watch_chunk(now, from, &m),
+            Body::WatchRequest(m) => self.on_misdirected_watch_request(from, m.sent),
             Body::ProposeResponse(m) if self.is_own(&m.token) => self.on_proposed(now, from, *m),
             Body::ReadIndexResponse(m) if self.is_own(&m.token) => {
                 self.on_read_place(now, from, *m)
@@ -187,8 +187,8 @@
     }
 
     /// The record as this node follows it.
-    pub fn record(&self) -> &ClusterState {
-        &self.record
+    pub fn state(&self) -> &ClusterState {
+        &self.state
     }
 
     /// Whether this node would say that it is ready.
@@ -215,8 +215,8 @@
             Msg::SettingsChanged(new) => self.settings = *new,
             Msg::Stop => {
                 self.stopping = Some(now.mono + self.settings.bounds.node_lost());
-                self.feed.next_pull = now.mono;
-                self.feed_tick(now);
+                self.watch.next_watch_request = now.mono;
+                self.watch_tick(now);
             }
             Msg::Persisted(_) | Msg::DiskFailed(_) => {}
         }
@@ -234,12 +234,12 @@
             .map(|(k, v)| (k.to_string(), *v))
             .collect();
         all.push(("follows_light".into(), u64::from(self.light)));
-        all.push(("feed_place".into(), self.record.place));
-        all.push(("version_in_force".into(), self.record.version));
-        all.push(("cells_held".into(), self.cells.len() as u64));
+        all.push(("feed_place".into(), self.state.applied_index));
+        all.push(("version_in_force".into(), self.state.version));
+        all.push(("cells_held".into(), self.zone_schedulers.len() as u64));
         all.push(("calls_open".into(), self.calls.len() as u64));
-        all.push(("jobs_open".into(), self.record.open.len() as u64));
-        all.push(("view_size".into(), self.views.len() as u64));
+        all.push(("jobs_open".into(), self.state.open.len() as u64));
+        all.push(("view_size".into(), self.peer_sampler.len() as u64));
         all
     }
 }
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -2,12 +2,12 @@
 
 use super::calls::Then;
 use super::Node;
-use crate::kernel::Now;
-use crate::record::{unpack_apply_result, Command, Order, ProposalId};
+use crate::sans_io::Now;
+use crate::state::{unpack_apply_result, Command, Order, ProposalId};
 use crate::wire::{Body, ProposeRequest, ProposeResponse, RequestToken};
 
 /// One send of a proposal to a core.
-struct Attempt {
+struct ProposalAttempt {
     to: String,
     at: u64,
     came: Came,
@@ -27,19 +27,19 @@
     Call(u64, Then),
     Start {
         offer: RequestToken,
-        cell: String,
+        zone_scheduler: String,
         worker: String,
     },
-    Facts {
+    UpdateWorker {
         worker: String,
     },
     Report {
         worker: String,
     },
-    Lapse {
+    ExpireAttempts {
         worker: String,
     },
-    Recall {
+    RescheduleAttempts {
         worker: String,
     },
 }
@@ -52,7 +52,7 @@
     /// Entering it twice does no harm, so that a lost answer may be asked for again.
     idempotent: bool,
     until: u64,
-    sends: Vec<Attempt>,
+    attempts: Vec<ProposalAttempt>,
 }
 
 /// A command on its way to the log.
@@ -70,17 +70,17 @@
 }
 
 impl Proposal {
-    fn next(&self, now: Now, beat: u64) -> Move {
-        match self.sends.last() {
+    fn next(&self, now: Now, heartbeat: u64) -> Move {
+        match self.attempts.last() {
             _ if now.mono >= self.until => Move::GiveUp,
             None => Move::SendOn,
-            Some(last) if last.came == Came::NotTaken && now.mono >= last.at + beat / 4 => {
+            Some(last) if last.came == Came::NotTaken && now.mono >= last.at + heartbeat / 4 => {
                 Move::SendOn
             }
             Some(last)
                 if last.came == Came::Nothing
                     && self.idempotent
-                    && now.mono >= last.at + 5 * beat =>
+                    && now.mono >= last.at + 5 * heartbeat =>
             {
                 Move::SendOn
             }
@@ -90,7 +90,9 @@
 
     /// Whether some core may have taken it.
     pub fn maybe_taken(&self) -> bool {
-        self.sends.iter().any(|send| send.came == Came::Nothing)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.came == Came::Nothing)
     }
 }
 
@@ -103,7 +105,7 @@
         within: u64,
     ) -> u64 {
         let token = self.token();
-        let idempotent = !matches!(command, Command::Start { .. });
+        let idempotent = !matches!(command, Command::StartAttempts { .. });
         let command = if command.is_order() {
             Packed::Order(command.clone())
         } else {
@@ -116,7 +118,7 @@
                 command,
                 idempotent,
                 until: now.mono + within,
-                sends: Vec::new(),
+                attempts: Vec::new(),
             },
         );
         self.count("proposals", 1);
@@ -125,11 +127,11 @@
     }
 
     fn drive(&mut self, now: Now, token: u64, hint: Option<String>) {
-        let beat = self.settings.bounds.heartbeat();
+        let heartbeat = self.settings.bounds.heartbeat();
         let Some(p) = self.proposals.get(&token) else {
             return;
         };
-        match p.next(now, beat) {
+        match p.next(now, heartbeat) {
             Move::Wait => {}
             Move::GiveUp => self.give_up(token),
             Move::SendOn => self.send_on(now, token, hint),
@@ -145,12 +147,12 @@
             return;
         };
         let last = p
-            .sends
+            .attempts
             .last()
-            .map(|send| send.to.clone())
+            .map(|attempt| attempt.to.clone())
             .unwrap_or_default();
-        let others: Vec<String> = self.cores().into_iter().filter(|c| *c != last).collect();
-        let leader = Some(self.feed.leader.clone()).filter(|l| !l.is_empty() && *l != last);
+        let others: Vec<String> = self.replicas().into_iter().filter(|c| *c != last).collect();
+        let leader = Some(self.watch.leader.clone()).filter(|l| !l.is_empty() && *l != last);
         let to = hint
             .filter(|h| !h.is_empty())
             .or(leader)
@@ -159,13 +161,13 @@
         let Some(p) = self.proposals.get_mut(&token) else {
             return;
         };
-        let attempt = p.sends.len();
-        p.sends.push(Attempt {
+        let attempt_index = p.attempts.len();
+        p.attempts.push(ProposalAttempt {
             to: to.clone(),
             at: now.mono,
             came: Came::Nothing,
         });
-        let token = self.request_token(token, attempt);
+        let token = self.request_token(token, attempt_index);
         self.send(
             &to,
             Body::ProposeRequest(Box::new(ProposeRequest { token, command })),
@@ -174,7 +176,7 @@
 
     /// The bytes of a proposal, the same for every copy; none while an order waits for the agreed time.
     fn packed(&mut self, now: Now, token: u64) -> Option<Vec<u8>> {
-        let agreed = self.feed.clock_known().then(|| self.agreed(now));
+        let agreed = self.watch.clock_known().then(|| self.agreed(now));
         let proposal = ProposalId {
             proposer: self.name.clone(),
             incarnation: self.incarnation,
@@ -202,18 +204,18 @@
 
     pub(super) fn on_proposed(&mut self, now: Now, from: &str, m: ProposeResponse) {
         let number = m.token.number;
-        let attempt = m.token.attempt as usize;
+        let attempt_index = m.token.attempt as usize;
         let asked = self
             .proposals
             .get_mut(&number)
-            .and_then(|p| p.sends.get_mut(attempt));
-        let Some(send) = asked.filter(|send| send.to == from) else {
+            .and_then(|p| p.attempts.get_mut(attempt_index));
+        let Some(attempt) = asked.filter(|attempt| attempt.to == from) else {
             return self.count("answers_unasked", 1);
         };
         if m.outcome == 1 {
-            send.came = Came::NotTaken;
+            attempt.came = Came::NotTaken;
             let hint = Some(m.leader).filter(|l| !l.is_empty() && l != from);
-            return self.not_taken(now, number, attempt, hint);
+            return self.not_taken(now, number, attempt_index, hint);
         }
         let Some(ruled) = unpack_apply_result(&m.response) else {
             // The send stays unanswered, and the call is told as unsure in the end.
@@ -226,24 +228,31 @@
             Purpose::Call(call, then) => self.call_ruled(call, then, ruled),
             Purpose::Start {
                 offer,
-                cell,
+                zone_scheduler,
                 worker,
-            } => self.start_ruled(number, offer, &cell, &worker, m.place, ruled.is_ok()),
-            Purpose::Facts { worker } => self.proposal_over(&worker, true),
+            } => self.start_ruled(
+                number,
+                offer,
+                &zone_scheduler,
+                &worker,
+                m.log_index,
+                ruled.is_ok(),
+            ),
+            Purpose::UpdateWorker { worker } => self.proposal_over(&worker, true),
             Purpose::Report { worker } => self.proposal_over(&worker, false),
-            Purpose::Lapse { worker } => self.lapse_over(&worker, true),
-            Purpose::Recall { worker } => self.recall_over(&worker),
+            Purpose::ExpireAttempts { worker } => self.expiry_done(&worker, true),
+            Purpose::RescheduleAttempts { worker } => self.reschedule_done(&worker),
         }
     }
 
     /// A core has taken nothing: if it was the last one asked and names the leader, that one is asked at once.
-    fn not_taken(&mut self, now: Now, number: u64, attempt: usize, hint: Option<String>) {
+    fn not_taken(&mut self, now: Now, number: u64, attempt_index: usize, hint: Option<String>) {
         let Some(p) = self.proposals.get_mut(&number) else {
             return;
         };
-        let newest = attempt + 1 == p.sends.len();
-        if newest && hint.is_some() && attempt < 7 {
-            p.sends[attempt].at = 0;
+        let newest = attempt_index + 1 == p.attempts.len();
+        if newest && hint.is_some() && attempt_index < 7 {
+            p.attempts[attempt_index].at = 0;
             self.drive(now, number, hint);
         }
     }
@@ -259,7 +268,7 @@
                 let response = if taken {
                     self.unsure_response()
                 } else {
-                    crate::kernel::Response::error(
+                    crate::sans_io::Response::error(
                         503,
                         "noCore",
                         "no core could be reached and nothing was taken: come back later",
@@ -270,14 +279,14 @@
             }
             Purpose::Start {
                 offer,
-                cell,
+                zone_scheduler,
                 worker,
-            } => self.start_ruled(token, offer, &cell, &worker, 0, false),
-            Purpose::Facts { worker } => self.proposal_over(&worker, true),
+            } => self.start_ruled(token, offer, &zone_scheduler, &worker, 0, false),
+            Purpose::UpdateWorker { worker } => self.proposal_over(&worker, true),
             Purpose::Report { worker } => self.proposal_over(&worker, false),
             // It may still come through: nothing is renewed until the core has ruled.
-            Purpose::Lapse { worker } => self.lapse_over(&worker, false),
-            Purpose::Recall { worker } => self.recall_over(&worker),
+            Purpose::ExpireAttempts { worker } => self.expiry_done(&worker, false),
+            Purpose::RescheduleAttempts { worker } => self.reschedule_done(&worker),
         }
     }
 }
--- a/landingdrift/src/node/scheduler.rs
+++ b/landingdrift/src/node/scheduler.rs
@@ -3,10 +3,10 @@
 use super::gangs;
 use super::propose::Purpose;
 use super::Node;
-use crate::kernel::Now;
-use crate::record::derive::Sizing;
-use crate::record::{
-    cell_duty, queue_duty, AttemptState, Command, Job, Placement, Resources, TaskSpec, TaskState,
+use crate::sans_io::Now;
+use crate::state::derive::Sizing;
+use crate::state::{
+    queue_lease, zone_lease, AttemptState, Command, Job, Placement, Resources, TaskSpec, TaskState,
 };
 use crate::wire::{
     Body, Offer, OfferOutcome, OfferResponse, RequestToken, Reservation, Reserve, Sizes,
@@ -37,10 +37,10 @@
 struct Pending {
     job: String,
     placements: Vec<Placement>,
-    rooms: Vec<Resources>,
+    reserved_resources: Vec<Resources>,
     until: u64,
     /// The place of the entry, once it is known.
-    place: u64,
+    log_index: u64,
 }
 
 /// What a job wants of a slot now.
@@ -59,22 +59,22 @@
 
 impl Node {
     fn owns(&self, queue: &str) -> Option<u64> {
-        self.epoch(&queue_duty(queue))
+        self.epoch(&queue_lease(queue))
     }
 
     pub(super) fn scheduler_tick(&mut self, now: Now) {
-        let place = self.record.place;
+        let log_index = self.state.applied_index;
         self.sched
             .pending
-            .retain(|_, p| now.mono < p.until && (p.place == 0 || p.place > place));
+            .retain(|_, p| now.mono < p.until && (p.log_index == 0 || p.log_index > log_index));
         if now.mono >= self.sched.next_full {
             self.sched.next_full = now.mono + self.settings.bounds.heartbeat();
             self.sched.all_dirty = true;
             let patience = 2 * self.settings.bounds.reserve();
-            self.sched.claim = gangs::claim(&self.record, self.agreed(now), patience);
-            self.sched.runnable = self.record.runnable(self.agreed(now));
+            self.sched.claim = gangs::claim(&self.state, self.agreed(now), patience);
+            self.sched.runnable = self.state.runnable(self.agreed(now));
             self.sched.ranked = self.rank();
-            let open = &self.record.open;
+            let open = &self.state.open;
             self.sched.reserved.retain(|j, _| open.contains(j));
         }
         self.schedule(now);
@@ -87,14 +87,14 @@
         }
         let dirty = std::mem::take(&mut self.sched.dirty);
         let ids: Vec<String> = if std::mem::take(&mut self.sched.all_dirty) {
-            self.record.open.iter().cloned().collect()
+            self.state.open.iter().cloned().collect()
         } else {
             dirty.into_iter().collect()
         };
         let mut out: BTreeMap<String, Vec<Reservation>> = BTreeMap::new();
         for id in ids {
             let Some(job) =
-                self.record.jobs.get(&id).filter(|j| {
+                self.state.jobs.get(&id).filter(|j| {
                     !j.state.ended() && !j.cancel && self.owns(&j.spec.queue).is_some()
                 })
             else {
@@ -114,13 +114,13 @@
             self.sched.reserved.insert(id.clone(), (now.mono, number));
             for r in self.reservations(now, &id, fresh) {
                 let zone = self
-                    .record
+                    .state
                     .workers
                     .get(&r.worker)
-                    .map_or(String::new(), |w| w.facts.zone.clone());
+                    .map_or(String::new(), |w| w.info.zone.clone());
                 let holder = self
-                    .record
-                    .holder(&cell_duty(&zone))
+                    .state
+                    .holder(&zone_lease(&zone))
                     .map(|g| g.holder.clone());
                 holder
                     .into_iter()
@@ -133,7 +133,7 @@
     }
 
     fn reservations(&mut self, now: Now, id: &str, tasks: u32) -> Vec<Reservation> {
-        let Some(job) = self.record.jobs.get(id) else {
+        let Some(job) = self.state.jobs.get(id) else {
             return Vec::new();
         };
         let sizes = self.sizes(job, self.floor());
@@ -145,16 +145,15 @@
             }
         }
         let mut fit: Vec<(String, bool)> = self
-            .record
+            .state
             .workers
             .iter()
-            .filter(|(k, w)| !w.lost && !w.facts.leaving && self.record.open(&w.facts.zone, k))
+            .filter(|(k, w)| !w.lost && !w.info.leaving && self.state.open(&w.info.zone, k))
             .filter_map(|(k, w)| {
-                let fits = |t: &&&TaskSpec| {
-                    w.facts.serves(t) && w.facts.total_resources().holds(t.needs())
-                };
+                let fits =
+                    |t: &&&TaskSpec| w.info.serves(t) && w.info.total_resources().holds(t.needs());
                 let own: Vec<&&TaskSpec> = needs.iter().filter(fits).collect();
-                let local = own.iter().any(|t| w.facts.near(&t.near));
+                let local = own.iter().any(|t| w.info.near(&t.near));
                 (!own.is_empty()).then(|| (k.clone(), local))
             })
             .collect();
@@ -195,9 +194,7 @@
         let agreed = self.agreed(now);
         let pending: BTreeSet<u32> = self.underway(id).map(|p| p.task).collect();
         let originals = (0..job.tasks.len() as u32)
-            .filter(|i| {
-                !pending.contains(i) && self.record.may_start(id, *i, false, agreed).is_ok()
-            })
+            .filter(|i| !pending.contains(i) && self.state.may_start(id, *i, false, agreed).is_ok())
             .count() as u32;
         Wants {
             originals,
@@ -212,7 +209,7 @@
     /// Running sends that are worth a spare copy, the slowest first: what is left would take longer than a new run.
     fn slow(&self, now: Now, id: &str, job: &Job) -> Vec<u32> {
         let queue = &job.spec.queue;
-        let Some(median) = self.record.median(queue) else {
+        let Some(median) = self.state.median(queue) else {
             return Vec::new();
         };
         let agreed = self.agreed(now);
@@ -229,7 +226,7 @@
             })
             .filter(|(ran, i)| {
                 *ran as f64 > self.settings.hopper.slow_factor * median
-                    && self.record.may_start(id, *i, true, agreed).is_ok()
+                    && self.state.may_start(id, *i, true, agreed).is_ok()
             })
             .collect();
         slow.sort_by(|a, b| b.cmp(a));
@@ -238,13 +235,13 @@
 
     fn weight(&self, job: &Job, s: &Sizing) -> f64 {
         // Larger priority counts as smaller size.
-        let priority = self.record.queue(&job.spec.queue).map_or(0, |q| q.priority);
+        let priority = self.state.queue(&job.spec.queue).map_or(0, |q| q.priority);
         s.rank / (1.0 + f64::from(priority))
     }
 
     /// A job's sizes, and the slots it holds or is about to.
     fn standing(&self, job: &Job) -> (Sizing, f64) {
-        let s = self.record.sizing(job);
+        let s = self.state.sizing(job);
         let occupied = f64::from(s.occupied) + self.underway(&job.spec.id).count() as f64;
         (s, occupied)
     }
@@ -262,22 +259,22 @@
         }
     }
 
-    /// The least share of every job, in whole slots of the mean task's room.
+    /// The least share of every job, in whole slots of the mean task's resources.
     fn floor(&self) -> f64 {
         let jobs = self.sched.runnable.max(1) as f64;
-        let (sends, used) = self
-            .record
+        let (attempts, used) = self
+            .state
             .workers
             .values()
             .fold((0usize, 0u32), |(n, u), w| {
-                (n + w.sends.len(), u.saturating_add(w.used.cpu))
+                (n + w.attempts.len(), u.saturating_add(w.used.cpu))
             });
-        let mean = if sends == 0 {
+        let mean = if attempts == 0 {
             1.0
         } else {
-            (f64::from(used) / sends as f64).max(1.0)
+            (f64::from(used) / attempts as f64).max(1.0)
         };
-        ((1.0 - self.settings.hopper.epsilon) * f64::from(self.record.total_cpu()) / mean / jobs)
+        ((1.0 - self.settings.hopper.epsilon) * f64::from(self.state.total_cpu()) / mean / jobs)
             .floor()
     }
 
@@ -291,14 +288,14 @@
             token: m.token,
             worker: m.worker.clone(),
             accepted: false,
-            room: 0,
+            cpu: 0,
             memory: 0,
             accelerators: 0,
             gone,
             sizes,
         };
         let Some((job, epoch)) = self
-            .record
+            .state
             .jobs
             .get(&m.job)
             .filter(|j| !j.state.ended() && !j.cancel && self.fresh(now))
@@ -319,24 +316,24 @@
             });
             return refuse(wants == Wants::default(), all);
         };
-        let rooms: Vec<Resources> = placements
+        let reserved_resources: Vec<Resources> = placements
             .iter()
             .map(|p| job.of(p.task as usize).needs())
             .collect();
-        let room = placements
+        let resources = placements
             .iter()
-            .zip(&rooms)
+            .zip(&reserved_resources)
             .filter(|(p, _)| p.worker == m.worker)
             .fold(Resources::default(), |sum, (_, r)| sum.plus(*r));
         let within = self.settings.bounds.offer() * 2;
-        let command = Command::Start {
+        let command = Command::StartAttempts {
             job: m.job.clone(),
             owner_epoch: epoch,
             placements: placements.clone(),
         };
         let purpose = Purpose::Start {
             offer: m.token,
-            cell: from.into(),
+            zone_scheduler: from.into(),
             worker: m.worker.clone(),
         };
         let copy = placements.iter().any(|p| p.copy);
@@ -346,15 +343,15 @@
             Pending {
                 job: m.job.clone(),
                 placements,
-                rooms,
+                reserved_resources,
                 until: now.mono + within,
-                place: 0,
+                log_index: 0,
             },
         );
         self.count("placements_proposed", 1);
         self.count("copies_proposed", u64::from(copy));
         let sizes = self
-            .record
+            .state
             .jobs
             .get(&m.job)
             .map(|j| self.sizes(j, floor))
@@ -364,9 +361,9 @@
             token: m.token,
             worker: m.worker.clone(),
             accepted: true,
-            room: room.cpu,
-            memory: room.memory,
-            accelerators: room.accelerators,
+            cpu: resources.cpu,
+            memory: resources.memory,
+            accelerators: resources.accelerators,
             gone: false,
             sizes,
         }
@@ -387,14 +384,12 @@
         let agreed = self.agreed(now);
         let pending: BTreeSet<u32> = self.underway(id).map(|p| p.task).collect();
         let mut waiting: Vec<u32> = (0..job.tasks.len() as u32)
-            .filter(|i| {
-                !pending.contains(i) && self.record.may_start(id, *i, false, agreed).is_ok()
-            })
+            .filter(|i| !pending.contains(i) && self.state.may_start(id, *i, false, agreed).is_ok())
             .collect();
-        let facts = self.record.workers.get(&m.worker).map(|w| &w.facts)?;
-        waiting.sort_by_key(|i| !facts.near(&job.of(*i as usize).near));
+        let info = self.state.workers.get(&m.worker).map(|w| &w.info)?;
+        waiting.sort_by_key(|i| !info.near(&job.of(*i as usize).near));
         let offered = Resources {
-            cpu: m.room,
+            cpu: m.cpu,
             memory: m.memory,
             accelerators: m.accelerators,
         };
@@ -409,7 +404,7 @@
             tried.push(spec);
             if !job.in_gang(i as usize) {
                 let p = self.placement(&m.worker, i, false);
-                if holds(i) && p.cell_epoch == m.epoch && self.record.fits(id, &p).is_ok() {
+                if holds(i) && p.zone_epoch == m.epoch && self.state.fits(id, &p).is_ok() {
                     return Some(vec![p]);
                 }
             } else {
@@ -421,7 +416,7 @@
                 self.sched
                     .pending
                     .values()
-                    .flat_map(|p| p.placements.iter().zip(&p.rooms))
+                    .flat_map(|p| p.placements.iter().zip(&p.reserved_resources))
                     .for_each(|(p, r)| {
                         let sum = held.entry(p.worker.clone()).or_default();
                         *sum = sum.plus(*r);
@@ -437,7 +432,7 @@
         self.slow(now, id, job)
             .into_iter()
             .map(|i| self.placement(&m.worker, i, true))
-            .find(|p| holds(p.task) && p.cell_epoch == m.epoch && self.record.fits(id, p).is_ok())
+            .find(|p| holds(p.task) && p.zone_epoch == m.epoch && self.state.fits(id, p).is_ok())
             .map(|p| vec![p])
     }
 
@@ -449,7 +444,7 @@
             .ranked
             .iter()
             .filter(|id| **id != m.job)
-            .filter_map(|id| self.record.jobs.get(id))
+            .filter_map(|id| self.state.jobs.get(id))
             .filter(|j| !j.state.ended() && !j.cancel && self.owns(&j.spec.queue).is_some())
             .take(NAMED)
             .map(|j| (j, self.sizes(j, floor)))
@@ -463,10 +458,10 @@
     fn rank(&self) -> Vec<String> {
         let floor = self.floor();
         let mut of: Vec<Sizes> = self
-            .record
+            .state
             .open
             .iter()
-            .filter_map(|id| self.record.jobs.get(id))
+            .filter_map(|id| self.state.jobs.get(id))
             .filter(|j| !j.cancel && self.owns(&j.spec.queue).is_some())
             .map(|j| self.sizes(j, floor))
             .filter(|s| s.unsatisfied)
@@ -479,24 +474,24 @@
         &mut self,
         token: u64,
         offer: RequestToken,
-        cell: &str,
+        zone_scheduler: &str,
         worker: &str,
-        place: u64,
+        log_index: u64,
         placed: bool,
     ) {
-        if placed && place > self.record.place {
+        if placed && log_index > self.state.applied_index {
             self.sched
                 .pending
                 .get_mut(&token)
                 .into_iter()
-                .for_each(|p| p.place = place);
+                .for_each(|p| p.log_index = log_index);
         } else {
             self.sched.pending.remove(&token);
         }
         if !placed {
             self.count("placements_refused", 1);
             self.send(
-                cell,
+                zone_scheduler,
                 Body::OfferOutcome(Box::new(OfferOutcome {
                     token: offer,
                     worker: worker.into(),
