--- a/landingdrift/src/node/feed.rs
+++ b/landingdrift/src/node/watch.rs
@@ -1,20 +1,20 @@
 //! How a node follows the record.
 
 use super::Node;
-use crate::chunks::{Assembly, Identity, Taken};
-use crate::kernel::Now;
-use crate::record::{ClusterState, Command};
+use crate::sans_io::Now;
+use crate::snapshot_chunks::{Assembly, Identity, Taken};
+use crate::state::{ClusterState, Command};
 use crate::wire::{Body, WatchBatch, WatchRequest, WatchSnapshotChunk};
 
 /// Where a node stands in the feed.
-pub struct Feed {
+pub struct Watch {
     /// A capture was read, or the feed followed from its beginning.
-    pub captured: bool,
+    pub has_snapshot: bool,
     /// The feed told all that was committed at this moment, by this node's clock.
     pub fresh_at: u64,
-    pub core: String,
+    pub replica: String,
     pub leader: String,
-    pub next_pull: u64,
+    pub next_watch_request: u64,
     pub answered: u64,
     /// The agreed clock, and when it was read.
     clock: (u64, u64),
@@ -22,14 +22,14 @@
     incoming: Assembly,
 }
 
-impl Feed {
+impl Watch {
     pub fn new(now: Now) -> Self {
         Self {
-            captured: false,
+            has_snapshot: false,
             fresh_at: 0,
-            core: String::new(),
+            replica: String::new(),
             leader: String::new(),
-            next_pull: 0,
+            next_watch_request: 0,
             answered: now.mono,
             clock: (0, 0),
             incoming: Assembly::default(),
@@ -37,7 +37,7 @@
     }
 }
 
-impl Feed {
+impl Watch {
     /// Whether a core has told the agreed time.
     pub fn clock_known(&self) -> bool {
         self.clock.0 > 0
@@ -47,13 +47,13 @@
 impl Node {
     /// The agreed time, as well as a node can know it; never ahead of what a core said.
     pub(crate) fn agreed(&self, now: Now) -> u64 {
-        let (clock, at) = self.feed.clock;
-        self.record.at.max(clock + now.mono.saturating_sub(at))
+        let (clock, at) = self.watch.clock;
+        self.state.at.max(clock + now.mono.saturating_sub(at))
     }
 
-    pub(crate) fn cores(&self) -> Vec<String> {
-        self.views
-            .cores
+    pub(crate) fn replicas(&self) -> Vec<String> {
+        self.peer_sampler
+            .replicas
             .iter()
             .chain(&self.settings.seeds)
             .filter(|a| **a != self.name)
@@ -63,36 +63,45 @@
 
     /// Turns to another core.
     pub(crate) fn turn(&mut self) {
-        let all = self.cores();
-        let others: Vec<String> = all.into_iter().filter(|a| *a != self.feed.core).collect();
-        self.feed.core = self.rng.pick(&others).cloned().unwrap_or_default();
+        let all = self.replicas();
+        let others: Vec<String> = all
+            .into_iter()
+            .filter(|a| *a != self.watch.replica)
+            .collect();
+        self.watch.replica = self.rng.pick(&others).cloned().unwrap_or_default();
     }
 
-    pub(super) fn feed_tick(&mut self, now: Now) {
-        if now.mono < self.feed.next_pull {
+    pub(super) fn watch_tick(&mut self, now: Now) {
+        if now.mono < self.watch.next_watch_request {
             return;
         }
-        let beat = self.settings.bounds.heartbeat();
+        let heartbeat = self.settings.bounds.heartbeat();
         // Who follows nobody yet looks round faster.
-        let beat = if self.feed.captured { beat } else { beat / 2 };
-        self.feed.next_pull = now.mono + beat;
-        if self.feed.core.is_empty() || now.mono.saturating_sub(self.feed.answered) > 4 * beat {
+        let heartbeat = if self.watch.has_snapshot {
+            heartbeat
+        } else {
+            heartbeat / 2
+        };
+        self.watch.next_watch_request = now.mono + heartbeat;
+        if self.watch.replica.is_empty()
+            || now.mono.saturating_sub(self.watch.answered) > 4 * heartbeat
+        {
             self.turn();
-            self.feed.answered = now.mono;
+            self.watch.answered = now.mono;
         }
-        let to = self.feed.core.clone();
+        let to = self.watch.replica.clone();
         let successor = if self.stopping.is_some() {
             self.successor()
         } else {
             String::new()
         };
-        let carried = self.feed.clock_known();
-        let part = self.feed.incoming.identity();
-        let pull = WatchRequest {
+        let carried = self.watch.clock_known();
+        let part = self.watch.incoming.identity();
+        let watch_request = WatchRequest {
             node: self.name.clone(),
             zone: self.settings.zone.clone(),
             http: self.settings.http.clone(),
-            place: self.record.place,
+            log_index: self.state.applied_index,
             sent: now.mono,
             leaving: self.stopping.is_some(),
             successor,
@@ -103,10 +112,10 @@
             light: self.light,
             part_index: part.index,
             part_checksum: part.checksum,
-            part_received: self.feed.incoming.received(),
+            part_received: self.watch.incoming.received(),
         };
         if !to.is_empty() {
-            self.send(&to, Body::WatchRequest(Box::new(pull)));
+            self.send(&to, Body::WatchRequest(Box::new(watch_request)));
         }
     }
 
@@ -115,7 +124,7 @@
         let me = self.name.clone();
         let zone = self.settings.zone.clone();
         let alive: Vec<(bool, String)> = self
-            .record
+            .state
             .nodes
             .iter()
             .filter(|(k, n)| n.alive && **k != me)
@@ -133,10 +142,10 @@
     }
 
     /// Another process took this node for a core: it says whom it follows.
-    pub(super) fn on_stray_pull(&mut self, from: &str, sent: u64) {
+    pub(super) fn on_misdirected_watch_request(&mut self, from: &str, sent: u64) {
         let batch = WatchBatch {
-            core: self.name.clone(),
-            leader: self.feed.leader.clone(),
+            replica: self.name.clone(),
+            leader: self.watch.leader.clone(),
             ok: false,
             sent,
             quorum_age: 0,
@@ -147,65 +156,68 @@
             entries: Vec::new(),
             light: false,
             reached: 0,
-            cores: self.views.cores.iter().cloned().collect(),
+            replicas: self.peer_sampler.replicas.iter().cloned().collect(),
         };
         self.send(from, Body::WatchBatch(Box::new(batch)));
     }
 
     pub(super) fn on_batch(&mut self, now: Now, from: &str, m: WatchBatch) {
         if !m.ok {
-            if from == self.feed.core {
+            if from == self.watch.replica {
                 let hint = m.leader.clone();
-                self.views.cores.extend(m.cores);
+                self.peer_sampler.replicas.extend(m.replicas);
                 if hint.is_empty() || hint == from {
                     self.turn();
                 } else {
-                    self.feed.core = hint;
-                    self.feed.next_pull = self
-                        .feed
-                        .next_pull
+                    self.watch.replica = hint;
+                    self.watch.next_watch_request = self
+                        .watch
+                        .next_watch_request
                         .min(now.mono + self.settings.bounds.tick());
                 }
             }
             return;
         }
-        self.feed.core = from.into();
-        self.feed.leader = from.into();
-        self.feed.answered = now.mono;
-        self.views.set_cores(m.cores);
+        self.watch.replica = from.into();
+        self.watch.leader = from.into();
+        self.watch.answered = now.mono;
+        self.peer_sampler.set_replicas(m.replicas);
         let mut changed = false;
         if !m.snapshot.is_empty()
-            && (m.snapshot_index > self.record.place
-                || m.commit < self.record.place
+            && (m.snapshot_index > self.state.applied_index
+                || m.commit < self.state.applied_index
                 || m.light != self.light)
         {
             changed = self.start_over(&m.snapshot, m.light);
         }
         let own_kind = m.light == self.light;
         for e in m.entries.iter().filter(|_| own_kind) {
-            let next = self.record.place + 1;
+            let next = self.state.applied_index + 1;
             if e.index == next || (self.light && e.index > next) {
                 self.follow_entry(e.index, e.at, &e.command);
                 changed = true;
             }
         }
-        if self.light && own_kind && m.reached > self.record.place {
+        if self.light && own_kind && m.reached > self.state.applied_index {
             // What lies between concerns jobs and workers, of which a light copy keeps nothing.
-            self.record.place = m.reached;
+            self.state.applied_index = m.reached;
             changed = true;
         }
-        if self.record.place >= m.commit && m.commit > 0 {
-            if !self.feed.captured {
-                self.line(format!("follows the feed from place {}", self.record.place));
+        if self.state.applied_index >= m.commit && m.commit > 0 {
+            if !self.watch.has_snapshot {
+                self.line(format!(
+                    "follows the feed from place {}",
+                    self.state.applied_index
+                ));
             }
-            self.feed.captured = true;
-            self.feed.fresh_at = self
-                .feed
+            self.watch.has_snapshot = true;
+            self.watch.fresh_at = self
+                .watch
                 .fresh_at
                 .max(m.sent.saturating_sub(m.quorum_age).min(now.mono));
-            self.feed.clock = (m.clock, now.mono);
-        } else if self.record.place < m.commit && changed {
-            self.feed.next_pull = now.mono;
+            self.watch.clock = (m.clock, now.mono);
+        } else if self.state.applied_index < m.commit && changed {
+            self.watch.next_watch_request = now.mono;
         }
         self.answer_fresh(now);
         if changed {
@@ -214,10 +226,11 @@
     }
 
     /// Takes a chunk of the snapshot that this node fetches, and asks for the next.
-    pub(super) fn on_feed_chunk(&mut self, now: Now, from: &str, m: &WatchSnapshotChunk) {
-        let wanted =
-            m.index > self.record.place || m.commit < self.record.place || m.light != self.light;
-        if from != self.feed.core || !wanted {
+    pub(super) fn on_watch_chunk(&mut self, now: Now, from: &str, m: &WatchSnapshotChunk) {
+        let wanted = m.index > self.state.applied_index
+            || m.commit < self.state.applied_index
+            || m.light != self.light;
+        if from != self.watch.replica || !wanted {
             return;
         }
         let of = Identity {
@@ -226,7 +239,7 @@
             total: m.total,
             checksum: m.checksum,
         };
-        match self.feed.incoming.take(of, m.offset, &m.bytes) {
+        match self.watch.incoming.take(of, m.offset, &m.bytes) {
             Taken::Part => {}
             Taken::Corrupt => {
                 self.count("feed_captures_refused", 1);
@@ -242,16 +255,16 @@
                 }
             }
         }
-        self.feed.answered = now.mono;
-        self.feed.next_pull = now.mono;
-        self.feed_tick(now);
+        self.watch.answered = now.mono;
+        self.watch.next_watch_request = now.mono;
+        self.watch_tick(now);
     }
 
     /// Takes a whole snapshot over in place of its copy; says whether it could.
     fn start_over(&mut self, bytes: &[u8], light: bool) -> bool {
         match ClusterState::unpack(bytes) {
-            Ok(record) => {
-                self.record = record;
+            Ok(state) => {
+                self.state = state;
                 self.light = light;
                 self.count("feed_captures", 1);
                 self.sched.all_dirty = true;
@@ -267,7 +280,7 @@
 
     /// Does what a change of the record asks for.
     fn take_up(&mut self, now: Now) {
-        self.hold_cells(now);
+        self.hold_zones(now);
         self.calls_on_place();
         self.schedule(now);
         self.offer_all(now);
@@ -276,46 +289,46 @@
     /// Applies one entry and lets the parts take note of what it touches.
     fn follow_entry(&mut self, index: u64, at: u64, bytes: &[u8]) {
         let command = Command::unpack(bytes).ok();
-        let version = self.record.version;
+        let version = self.state.version;
         match command.as_ref().map(Command::action) {
-            Some(Command::Report { ends, .. }) => {
+            Some(Command::ReportAttempts { ends, .. }) => {
                 let touched: Vec<String> = ends
                     .iter()
-                    .filter_map(|e| self.record.live.get(&e.no))
+                    .filter_map(|e| self.state.live.get(&e.no))
                     .map(|(j, _)| j.clone())
                     .collect();
                 self.sched.dirty.extend(touched);
             }
-            Some(Command::Accept { spec, .. }) => {
+            Some(Command::AcceptJob { spec, .. }) => {
                 self.sched.dirty.insert(spec.id.clone());
             }
-            Some(Command::Lease { duty, .. }) => {
+            Some(Command::GrantLease { lease, .. }) => {
                 self.sched.all_dirty = true;
-                if duty.starts_with("cell/") {
+                if lease.starts_with("cell/") {
                     self.sched.reserve_anew();
                 }
             }
             Some(
-                Command::Start { .. }
-                | Command::Opened { .. }
-                | Command::Cancel { .. }
-                | Command::Node { .. },
+                Command::StartAttempts { .. }
+                | Command::TermStarted { .. }
+                | Command::CancelJob { .. }
+                | Command::RegisterNode { .. },
             ) => {}
             _ => self.sched.all_dirty = true,
         }
-        let result = self.record.apply_bytes(index, at, bytes);
+        let result = self.state.apply_bytes(index, at, bytes);
         self.count("feed_entries", 1);
-        if let Some(Command::Start {
+        if let Some(Command::StartAttempts {
             job, placements, ..
         }) = &command
         {
             placements.iter().for_each(|p| self.unhold(&p.worker, job));
             self.count("starts_refused", u64::from(result.is_err()));
         }
-        if self.record.version != version {
+        if self.state.version != version {
             self.line(format!(
                 "configuration version {} in force",
-                self.record.version
+                self.state.version
             ));
         }
     }
--- a/landingdrift/src/node/cell/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Heartbeats of workers: what each says, and what the holder of its cell makes of it.
 
 use super::{Pace, WorkerState};
-use crate::kernel::{Now, Response};
 use crate::node::propose::Purpose;
 use crate::node::Node;
-use crate::record::{
-    cell_duty, AttemptState, ClusterState, Command, EndReport, Outcome, RunName, WorkerInfo,
+use crate::sans_io::{Now, Response};
+use crate::state::{
+    zone_lease, AttemptState, ClusterState, Command, EndReport, Outcome, RunName, WorkerInfo,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -14,7 +14,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Heartbeat {
-    pub facts: WorkerInfo,
+    #[serde(rename = "facts")]
+    pub info: WorkerInfo,
     #[serde(default)]
     pub running: Vec<Running>,
     /// Repeated until the answer says that they are settled.
@@ -50,59 +51,59 @@
 
 impl Node {
     /// The verdict on a beat, by the holder of the worker's cell.
-    pub(in crate::node) fn beat(&mut self, now: Now, mut beat: Heartbeat) -> Response {
-        let zone = beat.facts.zone.clone();
-        let id = beat.facts.worker.clone();
-        let Some(epoch) = self.epoch(&cell_duty(&zone)).filter(|_| self.speaks(now)) else {
+    pub(in crate::node) fn heartbeat(&mut self, now: Now, mut heartbeat: Heartbeat) -> Response {
+        let zone = heartbeat.info.zone.clone();
+        let id = heartbeat.info.worker.clone();
+        let Some(epoch) = self.epoch(&zone_lease(&zone)).filter(|_| self.speaks(now)) else {
             return self.not_ready();
         };
-        self.hold_cells(now);
+        self.hold_zones(now);
         self.count("beats", 1);
-        if self.is_late(&zone, &id, &beat) {
-            return self.late_beat();
+        if self.is_late(&zone, &id, &heartbeat) {
+            return self.late_heartbeat();
         }
-        self.number_runs(&id, &mut beat);
-        let known = self.record.workers.get(&id).cloned().unwrap_or_default();
-        if beat.facts.incarnation < known.facts.incarnation {
+        self.number_runs(&id, &mut heartbeat);
+        let known = self.state.workers.get(&id).cloned().unwrap_or_default();
+        if heartbeat.info.incarnation < known.info.incarnation {
             return old_incarnation();
         }
-        let new_facts = known.facts != beat.facts || known.lost;
-        let mut ends = self.live_ends(now, &beat);
-        let running = self.newly_running(&beat);
+        let new_facts = known.info != heartbeat.info || known.lost;
+        let mut ends = self.live_ends(now, &heartbeat);
+        let running = self.newly_running(&heartbeat);
         let held = self
-            .cells
+            .zone_schedulers
             .entry(zone.clone())
             .or_default()
             .workers
             .entry(id.clone())
             .or_default();
-        held.hear(now, &beat);
-        ends.extend(held.never_started(&self.record, &beat));
-        held.keep_state(now, &beat);
+        held.hear(now, &heartbeat);
+        ends.extend(held.never_started(&self.state, &heartbeat));
+        held.keep_state(now, &heartbeat);
         let paces = held.paces.clone();
-        let ask_facts = new_facts && !held.facts_asked;
-        held.facts_asked |= new_facts;
+        let request_info = new_facts && !held.info_proposed;
+        held.info_proposed |= new_facts;
         // That something runs is told with the next end, or after a while: it decides little, and an entry costs much.
         let waited = now.mono >= held.reported + self.settings.bounds.cancel_ms / 4;
         let has_report = !ends.is_empty() || (!running.is_empty() && waited);
-        let ask_report = has_report && !held.report_asked;
-        held.report_asked |= has_report;
+        let ask_report = has_report && !held.report_proposed;
+        held.report_proposed |= has_report;
         if ask_report {
             held.reported = now.mono;
         }
-        let recalling = held.recall_asked;
-        let leaves = beat.leaves_in_ms.filter(|_| beat.facts.leaving);
+        let recalling = held.reschedule_proposed;
+        let leaves = heartbeat.leaves_in_ms.filter(|_| heartbeat.info.leaving);
         let (late, blame) = self.stragglers(now, &id, &paces, leaves);
         if !late.is_empty() && !recalling {
-            self.recall(now, &id, epoch, late, blame);
+            self.reschedule_attempts(now, &id, epoch, late, blame);
         }
-        if ask_facts {
-            self.propose_facts(now, &beat, epoch);
+        if request_info {
+            self.propose_info(now, &heartbeat, epoch);
         }
         if ask_report {
-            self.propose_report(now, &beat, running, ends);
+            self.propose_report(now, &heartbeat, running, ends);
         }
-        self.orders(&beat, epoch)
+        self.orders(&heartbeat, epoch)
     }
 
     /// The verdict where this node can't speak for the cell.
@@ -112,60 +113,71 @@
             "notReady",
             "this node can't speak for the cell now: beat again, here or at another node",
         )
-        .retry(self.settings.bounds.beat())
+        .retry(self.settings.bounds.worker_heartbeat())
     }
 
     /// The verdict on a beat that comes too late to count.
-    fn late_beat(&self) -> Response {
+    fn late_heartbeat(&self) -> Response {
         Response::error(
             503,
             "lateBeat",
             "a newer beat of this worker was heard, or what it ran is being ended: beat again",
         )
-        .retry(self.settings.bounds.beat())
+        .retry(self.settings.bounds.worker_heartbeat())
     }
 
     /// Whether a newer beat of the worker was heard, or what it ran is being ended.
-    fn is_late(&self, zone: &str, id: &str, beat: &Heartbeat) -> bool {
-        self.cells
+    fn is_late(&self, zone: &str, id: &str, heartbeat: &Heartbeat) -> bool {
+        self.zone_schedulers
             .get(zone)
             .and_then(|c| c.workers.get(id))
-            .is_some_and(|w| !w.lapsing.is_empty() || (beat.call > 0 && beat.call < w.call))
+            .is_some_and(|w| {
+                !w.expiring.is_empty() || (heartbeat.call > 0 && heartbeat.call < w.call)
+            })
     }
 
     /// Gives the runs that a beat names their numbers.
-    fn number_runs(&self, id: &str, beat: &mut Heartbeat) {
+    fn number_runs(&self, id: &str, heartbeat: &mut Heartbeat) {
         // What the record does not know as live gets number 0.
         let number = |name: &Option<RunName>, no: u64| {
             name.as_ref()
-                .map_or(no, |n| self.record.named(id, n).unwrap_or(0))
+                .map_or(no, |n| self.state.named(id, n).unwrap_or(0))
         };
-        let running: Vec<u64> = beat.running.iter().map(|r| number(&r.name, r.no)).collect();
-        let ended: Vec<u64> = beat.ended.iter().map(|e| number(&e.name, e.no)).collect();
+        let running: Vec<u64> = heartbeat
+            .running
+            .iter()
+            .map(|r| number(&r.name, r.no))
+            .collect();
+        let ended: Vec<u64> = heartbeat
+            .ended
+            .iter()
+            .map(|e| number(&e.name, e.no))
+            .collect();
         running
             .into_iter()
-            .zip(&mut beat.running)
+            .zip(&mut heartbeat.running)
             .for_each(|(no, r)| r.no = no);
         ended
             .into_iter()
-            .zip(&mut beat.ended)
+            .zip(&mut heartbeat.ended)
             .for_each(|(no, e)| e.no = no);
     }
 
     /// The ends that a beat tells of runs which the record knows as live.
-    fn live_ends(&self, now: Now, beat: &Heartbeat) -> Vec<EndReport> {
+    fn live_ends(&self, now: Now, heartbeat: &Heartbeat) -> Vec<EndReport> {
         // How long a run took, where its worker does not say: since its first beat here.
         let held = self
-            .cells
-            .get(&beat.facts.zone)
-            .and_then(|c| c.workers.get(&beat.facts.worker));
+            .zone_schedulers
+            .get(&heartbeat.info.zone)
+            .and_then(|c| c.workers.get(&heartbeat.info.worker));
         let ran = |no: u64| {
             held.and_then(|w| w.paces.get(&no))
                 .map_or(0, |p| p.since(now.mono))
         };
-        beat.ended
+        heartbeat
+            .ended
             .iter()
-            .filter(|e| self.record.live.contains_key(&e.no))
+            .filter(|e| self.state.live.contains_key(&e.no))
             .map(|e| EndReport {
                 name: None,
                 ran_ms: Some(e.ran_ms)
@@ -177,28 +189,29 @@
     }
 
     /// The runs of a beat that the record does not show as running yet.
-    fn newly_running(&self, beat: &Heartbeat) -> Vec<u64> {
-        beat.running
+    fn newly_running(&self, heartbeat: &Heartbeat) -> Vec<u64> {
+        heartbeat
+            .running
             .iter()
             .map(|r| r.no)
             .filter(|no| {
-                self.record.send(*no).is_some_and(|(_, _, s)| {
-                    s.state != AttemptState::Running && s.worker == beat.facts.worker
+                self.state.attempt(*no).is_some_and(|(_, _, s)| {
+                    s.state != AttemptState::Running && s.worker == heartbeat.info.worker
                 })
             })
             .collect()
     }
 
     /// Proposes what the worker says of itself.
-    fn propose_facts(&mut self, now: Now, beat: &Heartbeat, cell_epoch: u64) {
+    fn propose_info(&mut self, now: Now, heartbeat: &Heartbeat, zone_epoch: u64) {
         self.propose(
             now,
-            &Command::Facts {
-                facts: beat.facts.clone(),
-                cell_epoch,
+            &Command::UpdateWorker {
+                info: heartbeat.info.clone(),
+                zone_epoch,
             },
-            Purpose::Facts {
-                worker: beat.facts.worker.clone(),
+            Purpose::UpdateWorker {
+                worker: heartbeat.info.worker.clone(),
             },
             self.settings.bounds.call(),
         );
@@ -208,21 +221,21 @@
     fn propose_report(
         &mut self,
         now: Now,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         running: Vec<u64>,
         ends: Vec<EndReport>,
     ) {
-        let incarnation = beat.facts.incarnation;
+        let incarnation = heartbeat.info.incarnation;
         self.propose(
             now,
-            &Command::Report {
-                worker: beat.facts.worker.clone(),
+            &Command::ReportAttempts {
+                worker: heartbeat.info.worker.clone(),
                 incarnation,
                 running,
                 ends,
             },
             Purpose::Report {
-                worker: beat.facts.worker.clone(),
+                worker: heartbeat.info.worker.clone(),
             },
             self.settings.bounds.call(),
         );
@@ -231,53 +244,56 @@
 
 impl WorkerState {
     /// Notes when the beat came, and which call it was.
-    fn hear(&mut self, now: Now, beat: &Heartbeat) {
-        self.last_beat = now.mono;
+    fn hear(&mut self, now: Now, heartbeat: &Heartbeat) {
+        self.last_heartbeat = now.mono;
         self.renewed = now.mono;
-        self.call = self.call.max(beat.call);
+        self.call = self.call.max(heartbeat.call);
         if self.first_call == 0 {
-            self.first_call = beat.call;
+            self.first_call = heartbeat.call;
         }
     }
 
     /// Ends of the runs that were never started and never will be.
-    fn never_started(&mut self, record: &ClusterState, beat: &Heartbeat) -> Vec<EndReport> {
+    fn never_started(&mut self, state: &ClusterState, heartbeat: &Heartbeat) -> Vec<EndReport> {
         // Calls follow one another, and an answer that comes after the next call is dropped. So what is not wanted any
         // more, and what a call does not show whose order went with an earlier answer, was never started and never will be.
-        let shown: BTreeSet<u64> = beat
+        let shown: BTreeSet<u64> = heartbeat
             .running
             .iter()
             .map(|r| r.no)
-            .chain(beat.ended.iter().map(|e| e.no))
+            .chain(heartbeat.ended.iter().map(|e| e.no))
             .collect();
-        let sends = record.workers.get(&beat.facts.worker).map(|w| &w.sends);
+        let attempts = state
+            .workers
+            .get(&heartbeat.info.worker)
+            .map(|w| &w.attempts);
         self.given
-            .retain(|no, _| sends.is_some_and(|s| s.contains(no)));
-        if beat.call <= self.first_call {
+            .retain(|no, _| attempts.is_some_and(|s| s.contains(no)));
+        if heartbeat.call <= self.first_call {
             return Vec::new();
         }
-        let gone = sends.into_iter().flatten().filter(|no| {
+        let gone = attempts.into_iter().flatten().filter(|no| {
             !shown.contains(no)
-                && self.given.get(no).is_none_or(|c| *c < beat.call)
-                && record.send(**no).is_some_and(|(_, _, s)| {
-                    s.incarnation == beat.facts.incarnation
+                && self.given.get(no).is_none_or(|c| *c < heartbeat.call)
+                && state.attempt(**no).is_some_and(|(_, _, s)| {
+                    s.incarnation == heartbeat.info.incarnation
                         && (s.stop || s.state == AttemptState::Unsure)
                 })
         });
         gone.map(|no| EndReport {
             no: *no,
-            outcome: Outcome::Void,
+            outcome: Outcome::NeverStarted,
             ..EndReport::default()
         })
         .collect()
     }
 
-    /// Keeps the room, the progress and the checkpoints that the beat tells.
-    fn keep_state(&mut self, now: Now, beat: &Heartbeat) {
-        self.leaving = beat.facts.leaving;
-        self.room = beat.facts.total_resources();
+    /// Keeps the resources, the progress and the checkpoints that the beat tells.
+    fn keep_state(&mut self, now: Now, heartbeat: &Heartbeat) {
+        self.leaving = heartbeat.info.leaving;
+        self.resources = heartbeat.info.total_resources();
         let mut paces = std::mem::take(&mut self.paces);
-        self.paces = beat
+        self.paces = heartbeat
             .running
             .iter()
             .filter(|r| r.no > 0)
@@ -288,7 +304,7 @@
                 (r.no, pace)
             })
             .collect();
-        self.checkpoints = beat
+        self.checkpoints = heartbeat
             .running
             .iter()
             .filter(|r| !r.checkpoint.is_empty())
--- a/landingdrift/src/node/cell/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -1,7 +1,7 @@
 //! A cell: a zone's workers, their beats and their reservation queues. Hopper's worker side.
 
 mod heartbeats;
-mod lapses;
+mod lease_expiry;
 mod offers;
 mod orders;
 mod pace;
@@ -11,15 +11,15 @@
 pub use pace::{judge, Pace, Run, Why};
 
 use super::Node;
-use crate::kernel::Now;
-use crate::record::Resources;
+use crate::sans_io::Now;
+use crate::state::Resources;
 use crate::wire::Reservation;
-use offers::{Episode, PromisedRoom};
+use offers::{Episode, PromisedResources};
 use std::collections::BTreeMap;
 
 /// A cell that this node holds.
 #[derive(Default)]
-pub struct Cell {
+pub struct ZoneScheduler {
     pub epoch: u64,
     pub workers: BTreeMap<String, WorkerState>,
 }
@@ -27,19 +27,19 @@
 /// A worker of a cell.
 #[derive(Default)]
 pub struct WorkerState {
-    pub last_beat: u64,
+    pub last_heartbeat: u64,
     leaving: bool,
-    room: Resources,
+    resources: Resources,
     queue: Vec<Reservation>,
     episode: Option<Episode>,
     /// Room promised to accepted offers that the record does not show yet.
-    pending: Vec<PromisedRoom>,
+    pending: Vec<PromisedResources>,
     idle_until: u64,
-    facts_asked: bool,
-    report_asked: bool,
+    info_proposed: bool,
+    report_proposed: bool,
     /// Its sends are being ended since its hold has passed: it is not held on meanwhile.
-    lapsing: Vec<u64>,
-    lapse_asked: bool,
+    expiring: Vec<u64>,
+    expiry_proposed: bool,
     /// When its hold was last renewed, by this node's clock; or when it said that it left.
     renewed: u64,
     left: Option<u64>,
@@ -52,64 +52,69 @@
     given: BTreeMap<u64, u64>,
     checkpoints: BTreeMap<u64, String>,
     paces: BTreeMap<u64, Pace>,
-    recall_asked: bool,
+    reschedule_proposed: bool,
     /// It does badly: no offers are made for it until then.
     suspect_until: u64,
 }
 
 impl Node {
     /// Takes cells over and gives them up, as the record says.
-    pub(in crate::node) fn hold_cells(&mut self, now: Now) {
+    pub(in crate::node) fn hold_zones(&mut self, now: Now) {
         let mine: BTreeMap<String, u64> = self
-            .record
+            .state
             .leases
             .iter()
             .filter(|(_, g)| g.holder == self.name)
             .filter_map(|(d, g)| d.strip_prefix("cell/").map(|z| (z.to_string(), g.epoch)))
             .collect();
-        self.cells.retain(|z, c| mine.get(z) == Some(&c.epoch));
+        self.zone_schedulers
+            .retain(|z, c| mine.get(z) == Some(&c.epoch));
         for (zone, epoch) in mine {
-            if !self.cells.contains_key(&zone) {
+            if !self.zone_schedulers.contains_key(&zone) {
                 self.line(format!("holds the cell of zone {zone}, epoch {epoch}"));
-                self.cells.insert(
+                self.zone_schedulers.insert(
                     zone.clone(),
-                    Cell {
+                    ZoneScheduler {
                         epoch,
-                        ..Cell::default()
+                        ..ZoneScheduler::default()
                     },
                 );
             }
             let known: Vec<(String, Resources)> = self
-                .record
+                .state
                 .workers
                 .iter()
-                .filter(|(_, w)| w.facts.zone == zone)
-                .map(|(k, w)| (k.clone(), w.facts.total_resources()))
+                .filter(|(_, w)| w.info.zone == zone)
+                .map(|(k, w)| (k.clone(), w.info.total_resources()))
                 .collect();
-            let cell = self.cells.entry(zone.clone()).or_default();
-            cell.workers
+            let zone_scheduler = self.zone_schedulers.entry(zone.clone()).or_default();
+            zone_scheduler
+                .workers
                 .retain(|k, _| known.iter().any(|(n, _)| n == k));
-            for (k, room) in known {
-                cell.workers.entry(k).or_insert_with(|| WorkerState {
-                    last_beat: now.mono,
-                    renewed: now.mono,
-                    room,
-                    ..WorkerState::default()
-                });
+            for (k, resources) in known {
+                zone_scheduler
+                    .workers
+                    .entry(k)
+                    .or_insert_with(|| WorkerState {
+                        last_heartbeat: now.mono,
+                        renewed: now.mono,
+                        resources,
+                        ..WorkerState::default()
+                    });
             }
         }
     }
 
     /// A proposal about a worker has been answered: on its facts, or on its report.
-    pub(in crate::node) fn proposal_over(&mut self, worker: &str, facts: bool) {
-        self.cells
+    pub(in crate::node) fn proposal_over(&mut self, worker: &str, info: bool) {
+        self.zone_schedulers
             .values_mut()
             .filter_map(|c| c.workers.get_mut(worker))
             .for_each(|w| {
-                *(if facts {
-                    &mut w.facts_asked
+                *(if info {
+                    &mut w.info_proposed
                 } else {
-                    &mut w.report_asked
+                    &mut w.report_proposed
                 }) = false
             });
     }
--- a/landingdrift/src/node/cell/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -1,19 +1,19 @@
 //! Offers: each free slot is offered to the schedulers that have reserved it. Hopper's worker side.
 
-use super::{Cell, WorkerState};
-use crate::kernel::Now;
+use super::{WorkerState, ZoneScheduler};
 use crate::node::Node;
-use crate::record::Resources;
+use crate::sans_io::Now;
 use crate::settings::Hopper;
+use crate::state::Resources;
 use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken, Reservation, Sizes};
 use std::collections::BTreeSet;
 
 /// Room promised to an accepted offer.
-pub(super) struct PromisedRoom {
+pub(super) struct PromisedResources {
     offer: RequestToken,
     scheduler: String,
     job: String,
-    room: Resources,
+    resources: Resources,
     pub(super) until: u64,
 }
 
@@ -41,11 +41,11 @@
 impl Node {
     /// Offers every free slot for its worker.
     pub(in crate::node) fn offer_all(&mut self, now: Now) {
-        if !self.speaks(now) || self.cells.is_empty() {
+        if !self.speaks(now) || self.zone_schedulers.is_empty() {
             return;
         }
         let idle: Vec<(String, String)> = self
-            .cells
+            .zone_schedulers
             .iter()
             .flat_map(|(z, c)| c.workers.iter().map(move |(k, w)| (z, k, w)))
             .filter(|(_, _, w)| {
@@ -58,14 +58,14 @@
             .filter(|(z, k, _)| self.free_resources(z, k).cpu > 0)
             .map(|(z, k, _)| (z.clone(), k.clone()))
             .collect();
-        // Only where there is room to offer is the queue looked through.
-        let record = &self.record;
+        // Only where there is resources to offer is the queue looked through.
+        let state = &self.state;
         for (zone, worker) in &idle {
-            self.cells
+            self.zone_schedulers
                 .get_mut(zone)
                 .and_then(|c| c.workers.get_mut(worker))
                 .into_iter()
-                .for_each(|w| w.queue.retain(|r| record.open.contains(&r.job)));
+                .for_each(|w| w.queue.retain(|r| state.open.contains(&r.job)));
         }
         for (zone, worker) in idle {
             if self.free_resources(&zone, &worker).cpu > 0 {
@@ -74,32 +74,36 @@
         }
     }
 
-    /// The room of a worker that nothing runs in and that is not promised.
+    /// The resources of a worker that nothing runs in and that is not promised.
     fn free_resources(&self, zone: &str, worker: &str) -> Resources {
         let Some(r) = self
-            .record
+            .state
             .workers
             .get(worker)
-            .filter(|r| !r.lost && !r.facts.leaving && self.record.open(zone, worker))
+            .filter(|r| !r.lost && !r.info.leaving && self.state.open(zone, worker))
         else {
             return Resources::default();
         };
-        let Some(w) = self.cells.get(zone).and_then(|c| c.workers.get(worker)) else {
+        let Some(w) = self
+            .zone_schedulers
+            .get(zone)
+            .and_then(|c| c.workers.get(worker))
+        else {
             return Resources::default();
         };
-        if r.probation > 0 && !(r.sends.is_empty() && w.pending.is_empty()) {
+        if r.probation > 0 && !(r.attempts.is_empty() && w.pending.is_empty()) {
             return Resources::default();
         }
         let pending = w.pending.iter();
-        let taken = pending.fold(r.used, |sum, p| sum.plus(p.room));
-        r.facts.total_resources().least(w.room).less(taken)
+        let taken = pending.fold(r.used, |sum, p| sum.plus(p.resources));
+        r.info.total_resources().least(w.resources).less(taken)
     }
 
     /// Begins to offer a free slot of a worker.
     fn begin(&mut self, now: Now, zone: &str, worker: &str) {
         let token = self.token();
         let Some(w) = self
-            .cells
+            .zone_schedulers
             .get_mut(zone)
             .and_then(|c| c.workers.get_mut(worker))
         else {
@@ -122,13 +126,13 @@
     /// The next scheduler to offer a slot to: the smallest job first, then what refusals named, then a draw by V.
     fn offer_next(&mut self, now: Now, zone: &str, worker: &str) {
         let rng = self.rng.unit();
-        let room = self.free_resources(zone, worker);
+        let resources = self.free_resources(zone, worker);
         let incarnation = self
-            .record
+            .state
             .workers
             .get(worker)
-            .map_or(0, |w| w.facts.incarnation);
-        let Some(c) = self.cells.get_mut(zone) else {
+            .map_or(0, |w| w.info.incarnation);
+        let Some(c) = self.zone_schedulers.get_mut(zone) else {
             return;
         };
         let epoch = c.epoch;
@@ -136,7 +140,7 @@
             return;
         };
         let Some(e) = w.episode.as_mut() else { return };
-        if room.cpu == 0 || e.forced {
+        if resources.cpu == 0 || e.forced {
             w.episode = None;
             w.idle_until = now.mono + self.settings.bounds.heartbeat();
             return;
@@ -167,11 +171,11 @@
             job,
             worker: worker.into(),
             incarnation,
-            cell: zone.into(),
+            zone_scheduler: zone.into(),
             epoch,
-            room: room.cpu,
-            memory: room.memory,
-            accelerators: room.accelerators,
+            cpu: resources.cpu,
+            memory: resources.memory,
+            accelerators: resources.accelerators,
             refusable,
         };
         self.send(&scheduler, Body::Offer(Box::new(offer)));
@@ -184,9 +188,9 @@
             let episode = w.episode.as_ref();
             episode.is_some_and(|e| e.offer == m.token && e.scheduler == from)
         };
-        let worker = |c: &Cell| c.workers.get(&m.worker).is_some_and(offered);
+        let worker = |c: &ZoneScheduler| c.workers.get(&m.worker).is_some_and(offered);
         let Some(zone) = self
-            .cells
+            .zone_schedulers
             .iter()
             .find(|(_, c)| worker(c))
             .map(|(z, _)| z.clone())
@@ -195,7 +199,7 @@
         };
         self.take_sizes(&m.sizes);
         let Some(w) = self
-            .cells
+            .zone_schedulers
             .get_mut(&zone)
             .and_then(|c| c.workers.get_mut(&m.worker))
         else {
@@ -205,12 +209,12 @@
             return;
         };
         if m.accepted {
-            w.promise(PromisedRoom {
+            w.promise(PromisedResources {
                 offer: m.token,
                 scheduler: from.into(),
                 job: job.clone(),
-                room: Resources {
-                    cpu: m.room,
+                resources: Resources {
+                    cpu: m.cpu,
                     memory: m.memory,
                     accelerators: m.accelerators,
                 },
@@ -227,11 +231,11 @@
 
     /// What was accepted came to nothing: the slot is free again.
     pub(in crate::node) fn on_offer_done(&mut self, now: Now, from: &str, m: OfferOutcome) {
-        let promised = |p: &PromisedRoom| p.offer == m.token && p.scheduler == from;
+        let promised = |p: &PromisedResources| p.offer == m.token && p.scheduler == from;
         if !m.placed {
             // The record knew better: its news comes before the next offer.
             let until = now.mono + self.settings.bounds.heartbeat();
-            self.cells
+            self.zone_schedulers
                 .values_mut()
                 .filter_map(|c| c.workers.get_mut(&m.worker))
                 .filter(|w| w.pending.iter().any(promised))
@@ -242,9 +246,9 @@
         }
     }
 
-    /// A start entered the record: the room promised for it is now counted there.
+    /// A start entered the record: the resources promised for it is now counted there.
     pub(in crate::node) fn unhold(&mut self, worker: &str, job: &str) {
-        self.cells
+        self.zone_schedulers
             .values_mut()
             .filter_map(|c| c.workers.get_mut(worker))
             .for_each(|w| {
@@ -260,8 +264,8 @@
 }
 
 impl WorkerState {
-    /// Keeps the room of an accepted offer, which takes the slot.
-    fn promise(&mut self, promise: PromisedRoom) {
+    /// Keeps the resources of an accepted offer, which takes the slot.
+    fn promise(&mut self, promise: PromisedResources) {
         let job = promise.job.clone();
         self.episode = None;
         self.pending.push(promise);
@@ -353,19 +357,19 @@
     fn a_placement_that_came_to_nothing_frees_its_own_room_and_no_other() {
         let now = Now { mono: 10, wall: 10 };
         let mut n = Node::new(Settings::default(), now, 1);
-        let cell = n.cells.entry("z".into()).or_default();
-        let held = cell.workers.entry("w".into()).or_default();
+        let zone_scheduler = n.zone_schedulers.entry("z".into()).or_default();
+        let held = zone_scheduler.workers.entry("w".into()).or_default();
         let token = |number| RequestToken {
             number,
             ..RequestToken::default()
         };
         held.pending = [(1, 3), (2, 5)]
-            .map(|(offer, room)| PromisedRoom {
+            .map(|(offer, resources)| PromisedResources {
                 offer: token(offer),
                 scheduler: "10.0.0.3:1".into(),
                 job: "j".into(),
-                room: Resources {
-                    cpu: room,
+                resources: Resources {
+                    cpu: resources,
                     ..Resources::default()
                 },
                 until: 1000,
@@ -377,12 +381,16 @@
             placed: false,
         };
         n.on_offer_done(now, "10.0.0.4:1", done.clone());
-        assert_eq!(n.cells["z"].workers["w"].pending.len(), 2, "not asked");
+        assert_eq!(
+            n.zone_schedulers["z"].workers["w"].pending.len(),
+            2,
+            "not asked"
+        );
         n.on_offer_done(now, "10.0.0.3:1", done);
-        let left: Vec<u32> = n.cells["z"].workers["w"]
+        let left: Vec<u32> = n.zone_schedulers["z"].workers["w"]
             .pending
             .iter()
-            .map(|p| p.room.cpu)
+            .map(|p| p.resources.cpu)
             .collect();
         assert_eq!(left, [5]);
     }
--- a/landingdrift/src/node/cell/orders.rs
+++ b/landingdrift/src/node/zone_scheduler/orders.rs
@@ -1,9 +1,9 @@
 //! Orders to workers: what the answer to a heartbeat tells a worker to start and to stop.
 
 use super::Heartbeat;
-use crate::kernel::Response;
 use crate::node::Node;
-use crate::record::{AttemptState, Job, Resources, Send, TaskState};
+use crate::sans_io::Response;
+use crate::state::{AttemptState, Job, Resources, Send, TaskState};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
@@ -19,66 +19,66 @@
 
 impl Node {
     /// Start and stop orders, derived from the record; repeated until beats confirm them.
-    pub(super) fn orders(&mut self, beat: &Heartbeat, epoch: u64) -> Response {
-        let mut orders = self.run_orders(beat);
-        self.stop_unknown(beat, &mut orders);
-        if beat.call > 0 {
-            self.note_given(beat, &orders.starts);
+    pub(super) fn orders(&mut self, heartbeat: &Heartbeat, epoch: u64) -> Response {
+        let mut orders = self.run_orders(heartbeat);
+        self.stop_unknown(heartbeat, &mut orders);
+        if heartbeat.call > 0 {
+            self.note_given(heartbeat, &orders.starts);
         }
         self.count("start_orders", orders.starts.len() as u64);
         self.count("stop_orders", orders.stops.len() as u64);
-        let mut answer = json!({"starts": orders.starts, "stops": orders.stops, "settled": self.settled(beat), "beatMs": self.settings.bounds.beat(), "obeyMs": self.settings.bounds.obey(), "epoch": epoch});
-        if self.settings.bounds.hold_ms > 0 {
-            answer["holdMs"] = json!(self.settings.bounds.hold_ms);
+        let mut answer = json!({"starts": orders.starts, "stops": orders.stops, "settled": self.settled(heartbeat), "beatMs": self.settings.bounds.worker_heartbeat(), "obeyMs": self.settings.bounds.obey(), "epoch": epoch});
+        if self.settings.bounds.lease_ms > 0 {
+            answer["holdMs"] = json!(self.settings.bounds.lease_ms);
         }
-        if beat.named {
+        if heartbeat.named {
             answer["stopRuns"] = json!(orders.named);
-            answer["settledTo"] = json!(self.settled_to(beat));
+            answer["settledTo"] = json!(self.settled_to(heartbeat));
         }
         Response::new(200, answer)
     }
 
     /// What the record wants started and stopped on the worker.
-    fn run_orders(&self, beat: &Heartbeat) -> RunOrders {
-        let f = &beat.facts;
-        let reported: BTreeSet<u64> = beat
+    fn run_orders(&self, heartbeat: &Heartbeat) -> RunOrders {
+        let f = &heartbeat.info;
+        let reported: BTreeSet<u64> = heartbeat
             .running
             .iter()
             .map(|r| r.no)
-            .chain(beat.ended.iter().map(|e| e.no))
+            .chain(heartbeat.ended.iter().map(|e| e.no))
             .collect();
         let open = !f.leaving
-            && self.record.open(&f.zone, &f.worker)
+            && self.state.open(&f.zone, &f.worker)
             && self
-                .record
+                .state
                 .workers
                 .get(&f.worker)
-                .is_some_and(|w| w.facts.incarnation == f.incarnation && !w.lost);
-        let mut left = self.room_left(beat);
+                .is_some_and(|w| w.info.incarnation == f.incarnation && !w.lost);
+        let mut left = self.resources_left(heartbeat);
         let mut orders = RunOrders::default();
         for no in self
-            .record
+            .state
             .workers
             .get(&f.worker)
-            .map(|w| w.sends.clone())
+            .map(|w| w.attempts.clone())
             .unwrap_or_default()
         {
-            let Some((job, task, send)) = self.record.send(no) else {
+            let Some((job, task, attempt)) = self.state.attempt(no) else {
                 continue;
             };
-            let i = self.record.live.get(&no).map(|(_, i)| *i as usize);
-            let Some(i) = i.filter(|_| send.incarnation == f.incarnation) else {
+            let i = self.state.live.get(&no).map(|(_, i)| *i as usize);
+            let Some(i) = i.filter(|_| attempt.incarnation == f.incarnation) else {
                 continue;
             };
             let spec = job.of(i);
-            if send.stop || (send.state == AttemptState::Unsure && !reported.contains(&no)) {
+            if attempt.stop || (attempt.state == AttemptState::Unsure && !reported.contains(&no)) {
                 orders.stops.insert(no);
-                if beat.named {
+                if heartbeat.named {
                     orders
                         .named
-                        .push(json!([job.spec.id, job.name(i), send.run]));
+                        .push(json!([job.spec.id, job.name(i), attempt.run]));
                 }
-            } else if send.state == AttemptState::Ordered
+            } else if attempt.state == AttemptState::Ordered
                 && !reported.contains(&no)
                 && open
                 && f.serves(spec)
@@ -87,31 +87,31 @@
                 && left.holds(spec.needs())
             {
                 left = left.less(spec.needs());
-                orders.starts.push(start_order(job, i, send));
+                orders.starts.push(start_order(job, i, attempt));
             }
         }
         orders
     }
 
     /// The room that the runs of a beat leave free.
-    fn room_left(&self, beat: &Heartbeat) -> Resources {
+    fn resources_left(&self, heartbeat: &Heartbeat) -> Resources {
         let room_of = |no: &u64| {
-            self.record
+            self.state
                 .live
                 .get(no)
-                .and_then(|(j, i)| self.record.jobs.get(j).map(|j| j.of(*i as usize).needs()))
+                .and_then(|(j, i)| self.state.jobs.get(j).map(|j| j.of(*i as usize).needs()))
                 .unwrap_or_default()
         };
-        let left = beat
+        let left = heartbeat
             .running
             .iter()
-            .fold(beat.facts.total_resources(), |left, r| {
+            .fold(heartbeat.info.total_resources(), |left, r| {
                 left.less(room_of(&r.no))
             });
-        if beat
+        if heartbeat
             .running
             .iter()
-            .any(|r| !self.record.live.contains_key(&r.no))
+            .any(|r| !self.state.live.contains_key(&r.no))
         {
             // What runs there without the record's knowledge takes room that nobody can tell: it ends first.
             return Resources::default();
@@ -120,16 +120,18 @@
     }
 
     /// Adds the runs that the record does not know as live to what is to be stopped.
-    fn stop_unknown(&self, beat: &Heartbeat, orders: &mut RunOrders) {
+    fn stop_unknown(&self, heartbeat: &Heartbeat, orders: &mut RunOrders) {
         // What runs without the record knowing it as live is over for us.
         orders.stops.extend(
-            beat.running
+            heartbeat
+                .running
                 .iter()
                 .map(|r| r.no)
-                .filter(|no| !self.record.live.contains_key(no) && *no < self.record.next_send),
+                .filter(|no| !self.state.live.contains_key(no) && *no < self.state.next_attempt),
         );
         orders.named.extend(
-            beat.running
+            heartbeat
+                .running
                 .iter()
                 .filter(|r| r.no == 0)
                 .filter_map(|r| r.name.as_ref())
@@ -138,41 +140,43 @@
     }
 
     /// How many of the ends, from the first on, need no repeating.
-    fn settled_to(&self, beat: &Heartbeat) -> usize {
-        beat.ended
+    fn settled_to(&self, heartbeat: &Heartbeat) -> usize {
+        heartbeat
+            .ended
             .iter()
-            .take_while(|e| !self.record.live.contains_key(&e.no))
+            .take_while(|e| !self.state.live.contains_key(&e.no))
             .count()
     }
 
     /// The ended runs of a beat that are settled.
-    fn settled(&self, beat: &Heartbeat) -> Vec<u64> {
-        beat.ended
+    fn settled(&self, heartbeat: &Heartbeat) -> Vec<u64> {
+        heartbeat
+            .ended
             .iter()
             .map(|e| e.no)
-            .filter(|no| !self.record.live.contains_key(no) && *no < self.record.next_send)
+            .filter(|no| !self.state.live.contains_key(no) && *no < self.state.next_attempt)
             .collect()
     }
 
     /// Keeps which call each start was an answer to.
-    fn note_given(&mut self, beat: &Heartbeat, starts: &[Value]) {
+    fn note_given(&mut self, heartbeat: &Heartbeat, starts: &[Value]) {
         let given: Vec<u64> = starts.iter().filter_map(|s| s["no"].as_u64()).collect();
         let held = self
-            .cells
-            .get_mut(&beat.facts.zone)
-            .and_then(|c| c.workers.get_mut(&beat.facts.worker));
+            .zone_schedulers
+            .get_mut(&heartbeat.info.zone)
+            .and_then(|c| c.workers.get_mut(&heartbeat.info.worker));
         held.into_iter()
-            .for_each(|w| w.given.extend(given.iter().map(|no| (*no, beat.call))));
+            .for_each(|w| w.given.extend(given.iter().map(|no| (*no, heartbeat.call))));
     }
 }
 
 /// The order to start a run of a task.
-fn start_order(job: &Job, i: usize, send: &Send) -> Value {
+fn start_order(job: &Job, i: usize, attempt: &Send) -> Value {
     let spec = job.of(i);
     let payload = if job.spec.steps.is_empty() {
         spec.payload.clone()
     } else {
         json!(job.spec.payload)
     };
-    json!({"no": send.no, "job": job.spec.id, "task": job.name(i), "run": send.run, "room": spec.room, "copy": send.copy, "payload": payload, "checkpoint": send.checkpoint})
+    json!({"no": attempt.no, "job": job.spec.id, "task": job.name(i), "run": attempt.run, "room": spec.cpu, "copy": attempt.copy, "payload": payload, "checkpoint": attempt.checkpoint})
 }
--- a/landingdrift/src/node/cell/pace.rs
+++ b/landingdrift/src/node/zone_scheduler/pace.rs
@@ -1,9 +1,9 @@
 //! What the progress of runs says: those that will not end before their worker leaves, that stand still or crawl, are
 //! called back to run elsewhere.
 
-use crate::kernel::{fnv1a, Now};
 use crate::node::Node;
-use crate::record::{AttemptState, ClusterState, Job, Send};
+use crate::sans_io::{fnv1a, Now};
+use crate::state::{AttemptState, ClusterState, Job, Send};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Progress is told in parts of this.
@@ -151,9 +151,9 @@
 }
 
 /// What the record says of a send that runs, for judging.
-fn run_of(record: &ClusterState, no: u64, pace: Pace, now: u64, gang_ms: u64) -> Option<Run> {
-    let (job, i) = record.live.get(&no)?;
-    let job: &Job = record.jobs.get(job)?;
+fn run_of(state: &ClusterState, no: u64, pace: Pace, now: u64, gang_ms: u64) -> Option<Run> {
+    let (job, i) = state.live.get(&no)?;
+    let job: &Job = state.jobs.get(job)?;
     let spec = job.of(*i as usize);
     let fresh = now.saturating_sub(pace.from.0) < gang_ms;
     let step = job.tasks[*i as usize].step;
@@ -162,7 +162,7 @@
     let stopped = |s: &Send| s.state == AttemptState::Stopped;
     Some(Run {
         group: fnv1a(&name),
-        moved: job.tasks[*i as usize].sends.iter().any(stopped),
+        moved: job.tasks[*i as usize].attempts.iter().any(stopped),
         estimate: f64::from(spec.estimate_ms),
         repeats: spec.may_repeat,
         lasts: spec.long_running,
@@ -183,41 +183,41 @@
     ) -> (Vec<u64>, bool) {
         let patience = self.settings.bounds.reserve();
         let gang_ms = 2 * self.settings.bounds.cancel_ms;
-        let stopped = |no: u64| self.record.send(no).is_none_or(|(_, _, s)| s.stop);
+        let stopped = |no: u64| self.state.attempt(no).is_none_or(|(_, _, s)| s.stop);
         let (numbers, runs): (Vec<u64>, Vec<Run>) = paces
             .iter()
             .filter(|(no, _)| !stopped(**no))
             .filter_map(|(no, pace)| {
-                run_of(&self.record, *no, *pace, now.mono, gang_ms).map(|r| (*no, r))
+                run_of(&self.state, *no, *pace, now.mono, gang_ms).map(|r| (*no, r))
             })
             .unzip();
         let of: Vec<(u64, Why)> = numbers
             .into_iter()
             .zip(judge(&runs, now.mono, leaves, patience))
             .filter_map(|(no, why)| why.map(|w| (no, w)))
-            .filter(|(no, why)| *why != Why::Slow || self.room_elsewhere(worker, *no))
+            .filter(|(no, why)| *why != Why::Slow || self.resources_elsewhere(worker, *no))
             .collect();
         let blame = of.iter().any(|(_, why)| *why != Why::Leaves);
         (of.into_iter().map(|(no, _)| no).collect(), blame)
     }
 
-    fn room_elsewhere(&self, worker: &str, no: u64) -> bool {
+    fn resources_elsewhere(&self, worker: &str, no: u64) -> bool {
         let Some(t) = self
-            .record
+            .state
             .live
             .get(&no)
-            .and_then(|(j, i)| self.record.jobs.get(j).map(|j| j.of(*i as usize)))
+            .and_then(|(j, i)| self.state.jobs.get(j).map(|j| j.of(*i as usize)))
         else {
             return false;
         };
-        self.record.workers.iter().any(|(k, w)| {
+        self.state.workers.iter().any(|(k, w)| {
             k != worker
                 && !w.lost
-                && !w.facts.leaving
+                && !w.info.leaving
                 && w.probation == 0
-                && w.facts.serves(t)
-                && self.record.open(&w.facts.zone, k)
-                && w.facts.total_resources().less(w.used).holds(t.needs())
+                && w.info.serves(t)
+                && self.state.open(&w.info.zone, k)
+                && w.info.total_resources().less(w.used).holds(t.needs())
         })
     }
 }
--- a/landingdrift/src/node/cell/reservations.rs
+++ b/landingdrift/src/node/zone_scheduler/reservations.rs
@@ -1,7 +1,7 @@
 //! Reservations of schedulers on workers, and the sizes of their jobs. Hopper's worker side.
 
-use crate::kernel::Now;
 use crate::node::Node;
+use crate::sans_io::Now;
 use crate::wire::{Reserve, Sizes};
 
 impl Node {
@@ -10,7 +10,7 @@
         self.count("reservations", m.reservations.len() as u64);
         for r in m.reservations {
             let Some(w) = self
-                .cells
+                .zone_schedulers
                 .values_mut()
                 .find_map(|c| c.workers.get_mut(&r.worker))
             else {
@@ -28,7 +28,7 @@
     /// Sizes travel on messages that are sent anyway.
     pub(super) fn take_sizes(&mut self, sizes: &[Sizes]) {
         for s in sizes {
-            self.cells
+            self.zone_schedulers
                 .values_mut()
                 .flat_map(|c| c.workers.values_mut())
                 .flat_map(|w| w.queue.iter_mut())
--- a/landingdrift/src/operator/ask.rs
+++ b/landingdrift/src/operator/ask.rs
@@ -1,6 +1,6 @@
 //! The operator's HTTP client: it repeats only what may be repeated, and nothing behind its own back.
 
-use crate::relay::may_repeat;
+use crate::worker_proxy::may_repeat;
 use reqwest::blocking::{Client, RequestBuilder, Response};
 use reqwest::{redirect, retry, Method};
 use serde_json::Value;
--- a/landingdrift/src/operator/commands.rs
+++ b/landingdrift/src/operator/commands.rs
@@ -1,6 +1,6 @@
 use super::ask::{ClientError, ControlClient};
 use super::show::show;
-use crate::kernel::roles::Role;
+use crate::sans_io::roles::Role;
 use serde_json::{json, Value};
 use std::ffi::OsString;
 use std::time::{Duration, Instant};
@@ -238,7 +238,7 @@
 
 /// Drains, evacuates and restores by a change of the zone alone; a rival change is taken in and the patch tried again.
 fn steer(ask: &ControlClient, w: &Words, command: &str, zone: &str) -> Result<Value, ClientError> {
-    let mut tries = 0;
+    let mut max_attempts = 0;
     let done = loop {
         let current = ask.ask("GET", "/v1/desired", None)?;
         let patch = if w.worker.is_empty() {
@@ -264,7 +264,7 @@
             &format!("/v1/desired?base={base}&change={}", change_id()),
             Some(&patch),
         ) {
-            Err(ClientError::Refused { status: 409, .. }) if tries < 20 => tries += 1,
+            Err(ClientError::Refused { status: 409, .. }) if max_attempts < 20 => max_attempts += 1,
             other => break other?,
         }
     };
--- a/landingdrift/src/operator/show.rs
+++ b/landingdrift/src/operator/show.rs
@@ -79,8 +79,8 @@
                 .unwrap_or(0)
         })
         .collect();
-    let line = |cells: Vec<&str>| {
-        cells
+    let line = |zone_schedulers: Vec<&str>| {
+        zone_schedulers
             .iter()
             .zip(&widths)
             .map(|(c, w)| format!("{c:<w$}"))
--- a/landingdrift/src/operator/verify.rs
+++ b/landingdrift/src/operator/verify.rs
@@ -1,5 +1,5 @@
 use crate::disk;
-use crate::kernel::roles::Role;
+use crate::sans_io::roles::Role;
 use std::ffi::OsString;
 use std::path::Path;
 
--- a/landingdrift/src/views/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -1,11 +1,11 @@
 //! Partial views: every process knows a few others and shuffles them with its neighbours.
 
-use crate::kernel::{Now, Rng};
+use crate::sans_io::{Now, Rng};
 use crate::wire::{PeerView, Shuffle};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many others a process keeps in view.
-pub const VIEW: usize = 8;
+pub const VIEW_SIZE: usize = 8;
 
 /// The part of the system that one process knows of.
 #[derive(Clone, Debug, Default)]
@@ -16,7 +16,7 @@
     seeds: Vec<String>,
     view: BTreeMap<String, (String, String, u32)>,
     /// Cores heard of, by feed or by neighbours.
-    pub cores: BTreeSet<String>,
+    pub replicas: BTreeSet<String>,
     next: u64,
 }
 
@@ -61,7 +61,7 @@
             zone: self.zone.clone(),
             age: 0,
         }];
-        while some.len() <= VIEW / 2 && !all.is_empty() {
+        while some.len() <= VIEW_SIZE / 2 && !all.is_empty() {
             let (addr, (role, zone, age)) = all.swap_remove(rng.below(all.len() as u64) as usize);
             some.push(PeerView {
                 addr: addr.clone(),
@@ -83,7 +83,7 @@
                 *known = (p.role, p.zone, p.age);
             }
         }
-        while self.view.len() > VIEW {
+        while self.view.len() > VIEW_SIZE {
             // The oldest goes, and among equals any.
             let oldest = self.view.values().map(|v| v.2).max().unwrap_or(0);
             let of: Vec<String> = self
@@ -126,7 +126,7 @@
             Shuffle {
                 reply: false,
                 view,
-                cores: self.cores.iter().cloned().collect(),
+                replicas: self.replicas.iter().cloned().collect(),
             },
         ))
     }
@@ -136,18 +136,18 @@
         let back = (!m.reply).then(|| Shuffle {
             reply: true,
             view: self.sample(rng),
-            cores: self.cores.iter().cloned().collect(),
+            replicas: self.replicas.iter().cloned().collect(),
         });
         m.view.iter().filter(|p| p.role == "core").for_each(|p| {
-            self.cores.insert(p.addr.clone());
+            self.replicas.insert(p.addr.clone());
         });
-        self.cores.extend(m.cores);
+        self.replicas.extend(m.replicas);
         self.merge(m.view, rng);
         back
     }
 
     /// The cores by the record replace hearsay.
-    pub fn set_cores(&mut self, cores: Vec<String>) {
-        self.cores = cores.into_iter().collect();
+    pub fn set_replicas(&mut self, replicas: Vec<String>) {
+        self.replicas = replicas.into_iter().collect();
     }
 }
--- a/landingdrift/src/replay/command.rs
+++ b/landingdrift/src/replay/command.rs
@@ -1,6 +1,6 @@
 use super::{rerun, Day, Story};
-use crate::desired;
-use crate::kernel::roles::Role;
+use crate::config;
+use crate::sans_io::roles::Role;
 use crate::settings::Settings;
 use serde_json::json;
 use std::ffi::OsString;
@@ -24,8 +24,7 @@
 
 fn perform(words: Vec<OsString>) -> Result<i32, String> {
     let bad = |e: lexopt::Error| format!("{e}\n\n{HELP}");
-    let (mut rest, mut new_desired, mut new_settings, mut as_json) =
-        (Vec::new(), None, None, false);
+    let (mut rest, mut new_config, mut new_settings, mut as_json) = (Vec::new(), None, None, false);
     let text = |p: &mut lexopt::Parser| {
         p.value().map_err(bad).and_then(|v| {
             v.into_string()
@@ -39,7 +38,7 @@
                 crate::say!("{HELP}");
                 return Ok(0);
             }
-            lexopt::Arg::Long("desired") => new_desired = Some(text(&mut p)?),
+            lexopt::Arg::Long("desired") => new_config = Some(text(&mut p)?),
             lexopt::Arg::Long("settings") => new_settings = Some(text(&mut p)?),
             lexopt::Arg::Long("json") => as_json = true,
             lexopt::Arg::Value(v) => rest.push(
@@ -56,7 +55,7 @@
     };
     match arg(0)? {
         "record" => {
-            let day = Day::record(Path::new(arg(1)?)).map_err(|e| e.to_string())?;
+            let day = Day::state(Path::new(arg(1)?)).map_err(|e| e.to_string())?;
             let out = arg(2)?;
             std::fs::write(out, day.text())
                 .map_err(|e| format!("'{out}' can't be written ({e}): name another file"))?;
@@ -66,8 +65,8 @@
         "check" => {
             let day = Day::read(arg(1)?).map_err(|e| e.to_string())?;
             let of = day.differences();
-            of.iter().take(20).for_each(|(place, then, now)| {
-                crate::say!("place {place}: recorded {then}, now {now}")
+            of.iter().take(20).for_each(|(log_index, then, now)| {
+                crate::say!("place {log_index}: recorded {then}, now {now}")
             });
             crate::say!("{} entries, {} verdicts differ", day.lines.len(), of.len());
             Ok(i32::from(!of.is_empty()))
@@ -78,7 +77,7 @@
                 std::fs::read_to_string(f)
                     .map_err(|e| format!("'{f}' can't be read ({e}): name another file"))
             };
-            let desired = new_desired
+            let config = new_config
                 .as_ref()
                 .map(|f| {
                     read(f)
@@ -86,7 +85,7 @@
                             serde_json::from_str(&t)
                                 .map_err(|e| format!("'{f}' is no JSON ({e}): correct it"))
                         })
-                        .and_then(|v| desired::read(&v).map_err(|e| e.to_string()))
+                        .and_then(|v| config::read(&v).map_err(|e| e.to_string()))
                 })
                 .transpose()?;
             let settings = new_settings
@@ -100,7 +99,7 @@
                 .unwrap_or_default();
             let (then, now) = (
                 Story::of(&day.end()),
-                rerun(&day, desired.as_ref(), &settings),
+                rerun(&day, config.as_ref(), &settings),
             );
             tell(&then, &now, as_json);
             Ok(0)
--- a/landingdrift/src/replay/day.rs
+++ b/landingdrift/src/replay/day.rs
@@ -1,5 +1,5 @@
 use crate::disk::{read_whole, StorageError};
-use crate::record::{pack_apply_result, ClusterState, Command};
+use crate::state::{pack_apply_result, ClusterState, Command};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::fmt;
@@ -50,7 +50,8 @@
 /// One entry of a day, with the verdict it got.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    pub place: u64,
+    #[serde(rename = "place")]
+    pub log_index: u64,
     pub at: u64,
     pub entry: Command,
     pub ruled: Value,
@@ -65,7 +66,7 @@
 
 impl Day {
     /// Records what the data folder of a stopped core holds.
-    pub fn record(folder: &Path) -> Result<Self, RecordingError> {
+    pub fn state(folder: &Path) -> Result<Self, RecordingError> {
         let (cluster, loaded) = read_whole(folder).map_err(RecordingError::Disk)?;
         (!loaded.damaged)
             .then_some(())
@@ -87,7 +88,7 @@
                 })?;
             let ruled = ruled(&mut r, e.index, e.at, &entry);
             lines.push(Line {
-                place: e.index,
+                log_index: e.index,
                 at: e.at,
                 entry,
                 ruled,
@@ -159,8 +160,8 @@
         self.lines
             .iter()
             .filter_map(|l| {
-                let now = ruled(&mut r, l.place, l.at, &l.entry);
-                (now != l.ruled).then(|| (l.place, l.ruled.clone(), now))
+                let now = ruled(&mut r, l.log_index, l.at, &l.entry);
+                (now != l.ruled).then(|| (l.log_index, l.ruled.clone(), now))
             })
             .collect()
     }
@@ -169,12 +170,12 @@
     pub fn end(&self) -> ClusterState {
         let mut r = self.start.clone();
         self.lines.iter().for_each(|l| {
-            let _ = r.apply(l.place, l.at, &l.entry);
+            let _ = r.apply(l.log_index, l.at, &l.entry);
         });
         r
     }
 }
 
-fn ruled(r: &mut ClusterState, place: u64, at: u64, entry: &Command) -> Value {
-    serde_json::from_slice(&pack_apply_result(&r.apply(place, at, entry))).unwrap_or_default()
+fn ruled(r: &mut ClusterState, log_index: u64, at: u64, entry: &Command) -> Value {
+    serde_json::from_slice(&pack_apply_result(&r.apply(log_index, at, entry))).unwrap_or_default()
 }
--- a/landingdrift/src/replay/rerun.rs
+++ b/landingdrift/src/replay/rerun.rs
@@ -1,14 +1,14 @@
 //! A day in virtual time: the jobs, cancels, changes and workers as recorded, decided anew.
 
 use super::Day;
-use crate::desired::ClusterConfig;
-use crate::kernel::{Effect, Msg, Now, Part, Request, Response};
+use crate::config::ClusterConfig;
 use crate::node::{Heartbeat, Node, Running};
-use crate::record::{
+use crate::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use crate::settings::Settings;
+use crate::state::{
     pack_apply_result, AttemptState, ClusterState, Command, EndReport, Job, JobState, Outcome,
     WorkerInfo,
 };
-use crate::settings::Settings;
 use crate::wire::{Body, Entry, ProposeResponse, ReadIndexResponse, WatchBatch};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -49,9 +49,9 @@
                     .insert(id.clone(), j.ended.saturating_sub(j.accepted));
             }
             for (i, t) in j.tasks.iter().enumerate() {
-                t.sends
+                t.attempts
                     .iter()
-                    .find(|x| x.state == AttemptState::Well)
+                    .find(|x| x.state == AttemptState::Succeeded)
                     .into_iter()
                     .for_each(|x| {
                         s.placed
@@ -69,12 +69,12 @@
 fn runs(end: &ClusterState) -> Runs {
     let one = |j: &Job, i: usize| {
         j.tasks[i]
-            .sends
+            .attempts
             .iter()
             .filter_map(|s| match s.state {
-                AttemptState::Well => Some((Outcome::Well, s.ran_ms)),
-                AttemptState::Defect => Some((
-                    Outcome::Defect,
+                AttemptState::Succeeded => Some((Outcome::Succeeded, s.ran_ms)),
+                AttemptState::Failed => Some((
+                    Outcome::Failed,
                     s.ran_ms.max(s.ended.saturating_sub(s.ordered)),
                 )),
                 _ => None,
@@ -88,7 +88,7 @@
 }
 
 struct Hand {
-    facts: WorkerInfo,
+    info: WorkerInfo,
     running: BTreeMap<u64, (u64, u64, Outcome)>,
     ended: Vec<EndReport>,
     over: BTreeSet<u64>,
@@ -97,7 +97,7 @@
 }
 
 struct Stage {
-    core: ClusterState,
+    replica: ClusterState,
     log: VecDeque<Entry>,
     node: Node,
     t: u64,
@@ -110,7 +110,7 @@
 }
 
 /// Decides a day anew, under another configuration or other settings where they are given.
-pub fn rerun(day: &Day, desired: Option<&ClusterConfig>, settings: &Settings) -> Story {
+pub fn rerun(day: &Day, config: Option<&ClusterConfig>, settings: &Settings) -> Story {
     let runs = runs(&day.end());
     // The first entries of a new cluster come before its clock is set.
     let at0 = day
@@ -129,7 +129,7 @@
     };
     let now = Now { mono: 1, wall: at0 };
     let mut s = Stage {
-        core: day.start.clone(),
+        replica: day.start.clone(),
         log: VecDeque::new(),
         node: Node::new(settings, now, 1),
         t: 0,
@@ -140,13 +140,13 @@
         calls: BTreeMap::new(),
         next_call: 0,
     };
-    s.enter(&Command::Node {
+    s.enter(&Command::RegisterNode {
         node: NODE.into(),
         zone: "replay".into(),
         http: NODE.into(),
     });
-    day.start.workers.values().for_each(|w| s.hand(&w.facts));
-    if let Some(d) = desired {
+    day.start.workers.values().for_each(|w| s.hand(&w.info));
+    if let Some(d) = config {
         s.configure(d);
     }
     let mut inputs: VecDeque<_> = day.lines.iter().collect();
@@ -155,22 +155,22 @@
         s.t += STEP;
         while let Some(l) = inputs.pop_front_if(|l| l.at <= at0 + s.t) {
             match l.entry.action() {
-                Command::Configure { .. } if desired.is_none() => {
+                Command::UpdateConfig { .. } if config.is_none() => {
                     s.enter(&l.entry);
                 }
-                Command::Cancel { .. } => {
+                Command::CancelJob { .. } => {
                     s.enter(&l.entry);
                 }
-                Command::Accept { spec, hash, .. } => {
-                    let seen = s.core.place;
-                    s.enter(&Command::Accept {
+                Command::AcceptJob { spec, hash, .. } => {
+                    let seen = s.replica.applied_index;
+                    s.enter(&Command::AcceptJob {
                         spec: spec.clone(),
                         hash: *hash,
                         seen,
                     });
                 }
-                Command::Facts { facts, .. } => s.hand(facts),
-                Command::Lost { worker, .. } => s
+                Command::UpdateWorker { info, .. } => s.hand(info),
+                Command::WorkerLost { worker, .. } => s
                     .hands
                     .get_mut(worker)
                     .into_iter()
@@ -179,14 +179,14 @@
             }
         }
         s.leases();
-        s.feed();
+        s.watch();
         s.step(Msg::Tick);
         s.work();
-        if inputs.is_empty() && s.core.open.is_empty() {
+        if inputs.is_empty() && s.replica.open.is_empty() {
             break;
         }
     }
-    Story::of(&s.core)
+    Story::of(&s.replica)
 }
 
 impl Stage {
@@ -198,8 +198,8 @@
     }
 
     fn enter(&mut self, c: &Command) -> (u64, Vec<u8>) {
-        let (index, at) = (self.core.place + 1, self.at0 + self.t);
-        let result = self.core.apply(index, at, c);
+        let (index, at) = (self.replica.applied_index + 1, self.at0 + self.t);
+        let result = self.replica.apply(index, at, c);
         self.log.push_back(Entry {
             index,
             term: 1,
@@ -211,10 +211,10 @@
 
     fn configure(&mut self, d: &ClusterConfig) {
         let (base, value) = (
-            self.core.version,
+            self.replica.version,
             serde_json::to_value(d).unwrap_or_default(),
         );
-        self.enter(&Command::Configure {
+        self.enter(&Command::UpdateConfig {
             change: "replay".into(),
             base,
             patch: false,
@@ -223,22 +223,22 @@
         });
     }
 
-    fn hand(&mut self, facts: &WorkerInfo) {
+    fn hand(&mut self, info: &WorkerInfo) {
         let h = self
             .hands
-            .entry(facts.worker.clone())
+            .entry(info.worker.clone())
             .or_insert_with(|| Hand {
-                facts: facts.clone(),
+                info: info.clone(),
                 running: BTreeMap::new(),
                 ended: Vec::new(),
                 over: BTreeSet::new(),
                 next: 0,
                 silent: false,
             });
-        if facts.incarnation > h.facts.incarnation {
+        if info.incarnation > h.info.incarnation {
             h.running.clear();
         }
-        h.facts = facts.clone();
+        h.info = info.clone();
         h.silent = false;
     }
 
@@ -246,20 +246,23 @@
         let zones: BTreeSet<String> = self
             .hands
             .values()
-            .map(|h| crate::record::cell_duty(&h.facts.zone))
+            .map(|h| crate::state::zone_lease(&h.info.zone))
             .collect();
         let queues: BTreeSet<String> = self
-            .core
-            .desired
+            .replica
+            .config
             .queues
             .keys()
-            .map(|q| crate::record::queue_duty(q))
+            .map(|q| crate::state::queue_lease(q))
             .collect();
-        for duty in zones.into_iter().chain(queues) {
-            let current = self.core.holder(&duty).map(|g| (g.holder.clone(), g.epoch));
+        for lease in zones.into_iter().chain(queues) {
+            let current = self
+                .replica
+                .holder(&lease)
+                .map(|g| (g.holder.clone(), g.epoch));
             if current.as_ref().is_none_or(|(h, _)| h != NODE) {
-                self.enter(&Command::Lease {
-                    duty,
+                self.enter(&Command::GrantLease {
+                    lease,
                     holder: NODE.into(),
                     from_epoch: current.map_or(0, |(_, e)| e),
                 });
@@ -267,21 +270,22 @@
         }
         let (retain, identity) = (u64::MAX / 4, u64::MAX / 4);
         if self
-            .core
+            .replica
             .sweep_due(retain, identity)
             .is_some_and(|due| due <= self.at0 + self.t)
         {
-            self.enter(&Command::Sweep {
+            self.enter(&Command::CollectGarbage {
                 retain_ms: retain,
                 identity_ms: identity,
             });
         }
     }
 
-    fn feed(&mut self) {
-        let behind = self.node.record().place == 0 && self.core.place > self.log.len() as u64;
+    fn watch(&mut self) {
+        let behind = self.node.state().applied_index == 0
+            && self.replica.applied_index > self.log.len() as u64;
         let (snapshot, snapshot_index) = if behind {
-            (self.core.pack(), self.core.place)
+            (self.replica.pack(), self.replica.applied_index)
         } else {
             (Vec::new(), 0)
         };
@@ -292,19 +296,19 @@
         };
         self.log.clear();
         let batch = WatchBatch {
-            core: CORE.into(),
+            replica: CORE.into(),
             leader: CORE.into(),
             ok: true,
             sent: self.now().mono,
             quorum_age: 0,
             clock: self.at0 + self.t,
-            commit: self.core.place,
+            commit: self.replica.applied_index,
             snapshot,
             snapshot_index,
             entries,
             light: false,
-            reached: self.core.place,
-            cores: vec![CORE.into()],
+            reached: self.replica.applied_index,
+            replicas: vec![CORE.into()],
         };
         self.step(Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(batch))));
     }
@@ -317,11 +321,11 @@
                     let Ok(c) = Command::unpack(&p.command) else {
                         continue;
                     };
-                    let (place, response) = self.enter(&c);
+                    let (log_index, response) = self.enter(&c);
                     let back = ProposeResponse {
                         token: p.token,
                         outcome: 0,
-                        place,
+                        log_index,
                         leader: CORE.into(),
                         response,
                     };
@@ -334,7 +338,7 @@
                     let back = ReadIndexResponse {
                         token: r.token,
                         ok: true,
-                        place: self.core.place,
+                        log_index: self.replica.applied_index,
                         leader: CORE.into(),
                         nodes: Vec::new(),
                     };
@@ -395,13 +399,13 @@
                     ..Running::default()
                 })
                 .collect();
-            let beat = Heartbeat {
-                facts: h.facts.clone(),
+            let heartbeat = Heartbeat {
+                info: h.info.clone(),
                 running,
                 ended: h.ended.clone(),
                 ..Heartbeat::default()
             };
-            let body = serde_json::to_vec(&beat).unwrap_or_default();
+            let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
             self.next_call += 1;
             let call = self.next_call;
             self.calls.insert(call, k);
@@ -437,7 +441,7 @@
                 .running
                 .remove(&no)
                 .map(|_| Outcome::Stopped)
-                .or_else(|| (!h.over.contains(&no)).then_some(Outcome::Void));
+                .or_else(|| (!h.over.contains(&no)).then_some(Outcome::NeverStarted));
             if let Some(outcome) = outcome {
                 h.over.insert(no);
                 h.ended.push(EndReport {
@@ -457,7 +461,7 @@
             if h.running.contains_key(&no) || h.over.contains(&no) {
                 continue;
             }
-            let Some(key) = self.core.live.get(&no).cloned() else {
+            let Some(key) = self.replica.live.get(&no).cloned() else {
                 continue;
             };
             let of = self.runs.get(&key).cloned().unwrap_or_default();
@@ -466,9 +470,9 @@
             let last = of
                 .iter()
                 .rev()
-                .find(|(o, _)| *o == Outcome::Well)
+                .find(|(o, _)| *o == Outcome::Succeeded)
                 .copied()
-                .unwrap_or((Outcome::Well, 100));
+                .unwrap_or((Outcome::Succeeded, 100));
             let (outcome, ran) = of.get(*n).copied().unwrap_or(last);
             *n += 1;
             h.running.insert(no, (t, t + ran.max(1), outcome));
--- a/landingdrift/src/kernel/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -85,7 +85,7 @@
     /// Entries from this index on are void.
     pub cut: Option<u64>,
     pub entries: Vec<Entry>,
-    pub notes: Vec<DurabilityWitness>,
+    pub witnesses: Vec<DurabilityWitness>,
     pub snapshot: Option<Snapshot>,
 }
 
@@ -95,7 +95,8 @@
     pub term: u64,
     pub vote: String,
     /// Votes in terms up to this one may have been given and forgotten.
-    pub silent_to: u64,
+    #[serde(rename = "silent_to")]
+    pub no_vote_through: u64,
     /// The first members of the cluster, for a replica that was started as one of them.
     #[serde(default)]
     pub founders: Vec<String>,
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -17,17 +17,21 @@
     /// A leaving worker gets nothing new after this time.
     pub leave_ms: u64,
     /// An emptied zone gets nothing new after this time.
-    pub empty_ms: u64,
+    #[serde(rename = "empty_ms")]
+    pub evacuate_ms: u64,
     /// A change of configuration takes hold within this time.
-    pub desired_ms: u64,
+    #[serde(rename = "desired_ms")]
+    pub config_ms: u64,
     /// Service returns within this time after a total outage.
     pub outage_ms: u64,
     /// A standby that is silent for three times as long is dropped from the membership.
     pub replace_ms: u64,
     /// What runs on a worker is held for this long after each beat, then its worker kills it; 0 holds for ever.
-    pub hold_ms: u64,
+    #[serde(rename = "hold_ms")]
+    pub lease_ms: u64,
     /// How often workers beat; 0 for an eighth of `leave_ms`.
-    pub beat_ms: u64,
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_ms: u64,
     /// How long a process that is told to end may take before it is killed.
     pub grace_ms: u64,
 }
@@ -38,12 +42,12 @@
             state_ms: 3000,
             cancel_ms: 3000,
             leave_ms: 2000,
-            empty_ms: 5000,
-            desired_ms: 2000,
+            evacuate_ms: 5000,
+            config_ms: 2000,
             outage_ms: 12_000,
             replace_ms: 10_000,
-            hold_ms: 0,
-            beat_ms: 0,
+            lease_ms: 0,
+            heartbeat_ms: 0,
             grace_ms: 6000,
         }
     }
@@ -52,15 +56,15 @@
 impl Bounds {
     /// How often parts look at the time.
     pub fn tick(&self) -> u64 {
-        self.desired_ms / 100
+        self.config_ms / 100
     }
     /// How often a leader is heard.
     pub fn heartbeat(&self) -> u64 {
-        self.desired_ms / 20
+        self.config_ms / 20
     }
     /// The shortest silence after which a core stands for election.
     pub fn election(&self) -> u64 {
-        self.desired_ms / 4
+        self.config_ms / 4
     }
     /// The silence after which a voter is exchanged for a standby that is caught up: it only becomes a standby itself.
     pub fn exchange(&self) -> u64 {
@@ -71,7 +75,7 @@
         self.grace_ms * 5 / 8
     }
     /// How long a waking core waits for all others.
-    pub fn wake(&self) -> u64 {
+    pub fn recovery_wait(&self) -> u64 {
         self.outage_ms / 8
     }
     /// How old a node's feed may be while it answers callers from it.
@@ -95,16 +99,16 @@
         self.cancel_ms / 4
     }
     /// How often workers beat.
-    pub fn beat(&self) -> u64 {
-        if self.beat_ms > 0 {
-            self.beat_ms
+    pub fn worker_heartbeat(&self) -> u64 {
+        if self.heartbeat_ms > 0 {
+            self.heartbeat_ms
         } else {
             self.leave_ms / 8
         }
     }
     /// When a hold has surely passed, by any worker's clock: those may run 2 % slow.
-    pub fn hold_passed(&self) -> u64 {
-        self.hold_ms + self.hold_ms * 3 / 100
+    pub fn lease_expired_after(&self) -> u64 {
+        self.lease_ms + self.lease_ms * 3 / 100
     }
     /// The silence after which a worker is lost.
     pub fn worker_lost(&self) -> u64 {
@@ -116,15 +120,15 @@
     }
     /// How long an offer waits for its verdict.
     pub fn offer(&self) -> u64 {
-        self.desired_ms / 4
+        self.config_ms / 4
     }
     /// How often views are shuffled.
     pub fn shuffle(&self) -> u64 {
-        self.desired_ms / 4
+        self.config_ms / 4
     }
     /// How often reservations are looked through and placed anew.
     pub fn reserve(&self) -> u64 {
-        self.desired_ms / 2
+        self.config_ms / 2
     }
     /// How long a process that is told to end goes on serving, so that callers find out that it is not ready.
     pub fn serve_on(&self) -> u64 {
@@ -144,7 +148,7 @@
     }
     /// The longest pause before a disk that refused is tried again.
     pub fn disk_pause(&self) -> u64 {
-        self.desired_ms / 2
+        self.config_ms / 2
     }
     /// When a caller told to come back should do so.
     pub fn back(&self) -> u64 {
@@ -159,7 +163,8 @@
     /// The largest body of a job.
     pub job_bytes: u64,
     /// The largest configuration.
-    pub desired_bytes: u64,
+    #[serde(rename = "desired_bytes")]
+    pub config_bytes: u64,
     /// Unfinished jobs in the whole system.
     pub open_jobs: u64,
     /// Calls that one node works on at once.
@@ -181,7 +186,7 @@
     fn default() -> Self {
         Self {
             job_bytes: 1 << 20,
-            desired_bytes: 4 << 20,
+            config_bytes: 4 << 20,
             open_jobs: 20_000,
             calls: 2000,
             retain_ms: 600_000,
--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -57,7 +57,7 @@
 }
 
 /// Reads the words after a role's name; flags win over the file.
-pub fn from_words(words: Vec<OsString>, core: bool) -> Result<Asked, SettingsError> {
+pub fn from_words(words: Vec<OsString>, replica: bool) -> Result<Asked, SettingsError> {
     let flag = |e: lexopt::Error| SettingsError::Flag(e.to_string());
     let mut p = lexopt::Parser::from_args(words);
     let (mut check_only, mut help, mut given) = (false, false, Vec::<(String, String)>::new());
@@ -114,7 +114,7 @@
         }
     }
     if !help {
-        check(&s, core)?;
+        check(&s, replica)?;
     }
     Ok(Asked {
         settings: s,
@@ -123,7 +123,7 @@
     })
 }
 
-fn check(s: &Settings, core: bool) -> Result<(), SettingsError> {
+fn check(s: &Settings, replica: bool) -> Result<(), SettingsError> {
     let ensure = |ok: bool, setting: &'static str, remedy: &str| {
         ok.then_some(()).ok_or_else(|| SettingsError::Value {
             setting,
@@ -162,12 +162,12 @@
         "give IP:PORT addresses of the first cores",
     )?;
     ensure(
-        !core || !s.data.is_empty(),
+        !replica || !s.data.is_empty(),
         "data",
         "a core needs a data folder: give one",
     )?;
     ensure(
-        core || s.data.is_empty(),
+        replica || s.data.is_empty(),
         "data",
         "a node keeps nothing on disk: leave this out",
     )?;
@@ -182,24 +182,20 @@
         "give an odd number from 1 to 15: 2f+1 where f machines may be lost at once",
     )?;
     let b = &s.bounds;
+    ensure(b.config_ms >= 400, "bounds.desired_ms", "give at least 400")?;
     ensure(
-        b.desired_ms >= 400,
-        "bounds.desired_ms",
-        "give at least 400",
-    )?;
-    ensure(
-        b.cancel_ms >= b.desired_ms,
+        b.cancel_ms >= b.config_ms,
         "bounds.cancel_ms",
         "give at least bounds.desired_ms",
     )?;
     ensure(b.leave_ms >= 400, "bounds.leave_ms", "give at least 400")?;
     ensure(
-        b.state_ms >= b.desired_ms,
+        b.state_ms >= b.config_ms,
         "bounds.state_ms",
         "give at least bounds.desired_ms",
     )?;
     ensure(
-        b.empty_ms >= b.cancel_ms,
+        b.evacuate_ms >= b.cancel_ms,
         "bounds.empty_ms",
         "give at least bounds.cancel_ms",
     )?;
@@ -214,17 +210,17 @@
         "give at least bounds.cancel_ms",
     )?;
     ensure(
-        b.grace_ms >= b.desired_ms,
+        b.grace_ms >= b.config_ms,
         "bounds.grace_ms",
         "give at least bounds.desired_ms",
     )?;
     ensure(
-        b.hold_ms == 0 || b.hold_ms >= b.cancel_ms,
+        b.lease_ms == 0 || b.lease_ms >= b.cancel_ms,
         "bounds.hold_ms",
         "give 0, or at least bounds.cancel_ms",
     )?;
     ensure(
-        b.beat_ms == 0 || (20..=b.cancel_ms / 3).contains(&b.beat_ms),
+        b.heartbeat_ms == 0 || (20..=b.cancel_ms / 3).contains(&b.heartbeat_ms),
         "bounds.beat_ms",
         "give 0, or 20 to a third of bounds.cancel_ms",
     )?;
@@ -235,7 +231,7 @@
         "give 1024 to 33554432",
     )?;
     ensure(
-        (1024..=(32 << 20)).contains(&l.desired_bytes),
+        (1024..=(32 << 20)).contains(&l.config_bytes),
         "limits.desired_bytes",
         "give 1024 to 33554432",
     )?;
--- a/landingdrift/src/chunks/mod.rs
+++ b/landingdrift/src/snapshot_chunks/mod.rs
@@ -1,6 +1,6 @@
 //! Snapshots of the record in chunks: sent one after another, put together and checked at the other end.
 
-use crate::kernel::Snapshot;
+use crate::sans_io::Snapshot;
 
 /// The bytes of one chunk: small enough that a heartbeat behind it is not late on a narrow link.
 pub const CHUNK_BYTES: usize = 256 << 10;
--- a/landingdrift/src/record/apply/config.rs
+++ b/landingdrift/src/state/apply/config.rs
@@ -1,6 +1,6 @@
 use super::ApplyResult;
-use crate::desired::{merge, read};
-use crate::record::{
+use crate::config::{merge, read};
+use crate::state::{
     AttemptState, Change, ClusterState, Rejection, TaskState, CHANGES_KEPT_MS, CHANGES_MOST,
 };
 use serde_json::{json, Value};
@@ -19,12 +19,12 @@
         let digest: [u8; 32] = Sha256::digest(asked.as_bytes()).into();
         if let Some(c) = self.changes.iter().find(|c| c.change == change) {
             return (c.digest == digest)
-                .then(|| json!({"version": c.version, "place": c.place}))
-                .ok_or(Rejection::OtherBody);
+                .then(|| json!({"version": c.version, "place": c.log_index}))
+                .ok_or(Rejection::BodyMismatch);
         }
         (base == self.version)
             .then_some(())
-            .ok_or(Rejection::Rival {
+            .ok_or(Rejection::VersionConflict {
                 current: self.version,
             })?;
         self.forget_changes();
@@ -38,7 +38,7 @@
                 remedy: format!("give a number above the current one, {}", self.version),
             })?;
         let mut next = if patch {
-            serde_json::to_value(&self.desired).unwrap_or_default()
+            serde_json::to_value(&self.config).unwrap_or_default()
         } else {
             Value::Null
         };
@@ -47,41 +47,40 @@
         } else {
             next = value.clone();
         }
-        let desired = read(&next).map_err(|e| Rejection::Invalid {
+        let config = read(&next).map_err(|e| Rejection::Invalid {
             path: e.path().to_string(),
             remedy: e.to_string(),
         })?;
         let held = |q: &&String| {
-            !desired.queues.contains_key(*q)
-                && self.queues.get(*q).is_some_and(|t| t.unfinished > 0)
+            !config.queues.contains_key(*q) && self.queues.get(*q).is_some_and(|t| t.unfinished > 0)
         };
-        let still: BTreeMap<String, crate::desired::Queue> = self
-            .desired
+        let still: BTreeMap<String, crate::config::Queue> = self
+            .config
             .queues
             .iter()
             .filter(|(q, _)| held(q))
             .map(|(k, q)| (k.clone(), q.clone()))
             .collect();
-        if let Some(q) = still.keys().next().filter(|_| !desired.retire_queues) {
+        if let Some(q) = still.keys().next().filter(|_| !config.retire_queues) {
             return Err(Rejection::Invalid {
                 path: format!("queues.{q}"),
                 remedy: format!("queues.{q}: it holds unfinished jobs: let them end or cancel them, then remove it"),
             });
         }
         self.retired.extend(still);
-        self.retired.retain(|k, _| !desired.queues.contains_key(k));
-        self.desired = desired;
+        self.retired.retain(|k, _| !config.queues.contains_key(k));
+        self.config = config;
         self.version = number.max(self.version + 1);
         self.changes.push_back(Change {
             change: change.into(),
             digest,
             version: self.version,
-            place: self.place,
+            log_index: self.applied_index,
             at: self.at,
         });
         self.stop_where_closed();
         self.fail_what_is_spent();
-        Ok(json!({"version": self.version, "place": self.place}))
+        Ok(json!({"version": self.version, "place": self.applied_index}))
     }
 
     /// Drops the identities of changes made long ago, but never the newest: it is acknowledged again however late.
@@ -99,16 +98,16 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let queues = &self.desired.queues;
+            let queues = &self.config.queues;
             let queue = queues
                 .get(&job.spec.queue)
                 .or_else(|| self.retired.get(&job.spec.queue));
-            let tries = queue.map_or(1, |q| q.tries);
+            let max_attempts = queue.map_or(1, |q| q.max_attempts);
             let mut recalled = Vec::new();
             let mut failed = false;
             for i in 0..job.tasks.len() {
                 let t = &job.tasks[i];
-                let spent = t.state == TaskState::Waiting && t.defects >= tries;
+                let spent = t.state == TaskState::Waiting && t.failures >= max_attempts;
                 if !spent || job.of(i).long_running {
                     continue;
                 }
@@ -129,9 +128,9 @@
     /// Begins or ends the emptying of a zone; asked twice it does no harm.
     pub(super) fn empty(&mut self, zone: &str, on: bool) -> ApplyResult {
         if on {
-            self.emptied.insert(zone.into());
+            self.evacuated_zones.insert(zone.into());
         } else {
-            self.emptied.remove(zone);
+            self.evacuated_zones.remove(zone);
         }
         self.stop_where_closed();
         Ok(json!({"zone": zone, "emptied": on}))
@@ -144,11 +143,11 @@
             .keys()
             .copied()
             .filter(|no| {
-                self.send(*no).is_some_and(|(j, t, s)| {
+                self.attempt(*no).is_some_and(|(j, t, s)| {
                     let zone = self
                         .workers
                         .get(&s.worker)
-                        .map_or("", |w| w.facts.zone.as_str());
+                        .map_or("", |w| w.info.zone.as_str());
                     let may_repeat = j
                         .tasks
                         .iter()
@@ -156,7 +155,7 @@
                         .is_some_and(|i| j.of(i).may_repeat);
                     let unstarted = s.state == AttemptState::Ordered;
                     (unstarted && !self.open(zone, &s.worker))
-                        || (may_repeat && self.desired.evacuated(zone))
+                        || (may_repeat && self.config.evacuated(zone))
                 })
             })
             .collect();
--- a/landingdrift/src/record/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -1,5 +1,5 @@
 use super::ApplyResult;
-use crate::record::{
+use crate::state::{
     AttemptState, ClusterState, Job, JobSpec, JobState, Rejection, Task, TaskState,
 };
 use serde_json::{json, Value};
@@ -10,7 +10,8 @@
         let result = self.admit(spec, hash, seen);
         let known = self.jobs.contains_key(&spec.id) || self.tombstones.contains_key(&spec.id);
         if result.is_err() && !known {
-            self.refusals.insert(spec.id.clone(), (self.place, self.at));
+            self.refusals
+                .insert(spec.id.clone(), (self.applied_index, self.at));
         }
         result
     }
@@ -24,27 +25,27 @@
         {
             return (known == hash)
                 .then(|| json!({"known": true}))
-                .ok_or(Rejection::OtherBody);
+                .ok_or(Rejection::BodyMismatch);
         }
         (self
             .refusals
             .get(&spec.id)
-            .is_none_or(|(place, _)| *place <= seen))
+            .is_none_or(|(log_index, _)| *log_index <= seen))
         .then_some(())
-        .ok_or(Rejection::TurnedAway)?;
+        .ok_or(Rejection::PreviouslyRejected)?;
         let waits = spec
             .check()
-            .and_then(|w| spec.satisfiable(&self.desired).map(|()| w))
+            .and_then(|w| spec.satisfiable(&self.config).map(|()| w))
             .map_err(|e| Rejection::Invalid {
                 path: e.path,
                 remedy: e.remedy,
             })?;
-        let quota = self.desired.queues.get(&spec.queue).map_or(0, |q| q.quota);
-        let tally = self.queues.entry(spec.queue.clone()).or_default();
-        (tally.unfinished < quota)
+        let quota = self.config.queues.get(&spec.queue).map_or(0, |q| q.quota);
+        let count_votes = self.queues.entry(spec.queue.clone()).or_default();
+        (count_votes.unfinished < quota)
             .then_some(())
             .ok_or(Rejection::OverQuota { quota })?;
-        tally.unfinished += 1;
+        count_votes.unfinished += 1;
         self.refusals.remove(&spec.id);
         self.jobs.insert(
             spec.id.clone(),
@@ -81,7 +82,7 @@
         Ok(json!({"state": self.jobs.get(id).map(|j| j.state)}))
     }
 
-    pub(super) fn resolve(&mut self, id: &str, task: &str, well: bool) -> ApplyResult {
+    pub(super) fn resolve(&mut self, id: &str, task: &str, succeeded: bool) -> ApplyResult {
         let job = self.jobs.get(id).ok_or(Rejection::Unknown {
             what: format!("job '{id}'"),
         })?;
@@ -102,10 +103,10 @@
         numbers.iter().for_each(|no| {
             self.close(
                 *no,
-                if well {
-                    AttemptState::Well
+                if succeeded {
+                    AttemptState::Succeeded
                 } else {
-                    AttemptState::Defect
+                    AttemptState::Failed
                 },
                 0,
                 "resolved by the operator",
@@ -121,13 +122,13 @@
             self.jobs
                 .get_mut(&job)
                 .and_then(|j| j.tasks.get_mut(task as usize))
-                .and_then(|t| t.sends.iter_mut().find(|s| s.no == no))
+                .and_then(|t| t.attempts.iter_mut().find(|s| s.no == no))
                 .iter_mut()
                 .for_each(|s| s.stop = true);
         }
     }
 
-    /// Ends a live send, frees its room and writes the task's ledger on.
+    /// Ends a live send, frees its resources and writes the task's ledger on.
     pub(super) fn close(&mut self, no: u64, state: AttemptState, ran_ms: u64, note: &str) {
         let Some((id, i)) = self.live.remove(&no) else {
             return;
@@ -137,31 +138,32 @@
             return;
         };
         let k = i as usize;
-        let room = job.of(k).needs();
+        let resources = job.of(k).needs();
         let lasts = job.of(k).long_running;
         let queue = job.spec.queue.clone();
-        let queues = &self.desired.queues;
-        let tries = queues
+        let queues = &self.config.queues;
+        let max_attempts = queues
             .get(&queue)
             .or_else(|| self.retired.get(&queue))
-            .map_or(1, |q| q.tries);
+            .map_or(1, |q| q.max_attempts);
         let cancel = job.cancel;
         let task = &mut job.tasks[k];
-        let Some(send) = task.sends.iter_mut().find(|s| s.no == no) else {
+        let Some(attempt) = task.attempts.iter_mut().find(|s| s.no == no) else {
             return;
         };
-        send.state = state;
-        send.ended = at;
-        send.ran_ms = ran_ms;
-        send.note = note.into();
-        let (worker, copy) = (send.worker.clone(), send.copy);
-        let first_well = state == AttemptState::Well && task.state != TaskState::Done && !lasts;
-        task.defects += u32::from(state == AttemptState::Defect);
+        attempt.state = state;
+        attempt.ended = at;
+        attempt.ran_ms = ran_ms;
+        attempt.note = note.into();
+        let (worker, copy) = (attempt.worker.clone(), attempt.copy);
+        let first_well =
+            state == AttemptState::Succeeded && task.state != TaskState::Done && !lasts;
+        task.failures += u32::from(state == AttemptState::Failed);
         // As long as another send may still end well, the task has not failed.
         let spent = task.state == TaskState::Waiting
             && !first_well
             && !lasts
-            && task.defects >= tries
+            && task.failures >= max_attempts
             && task.live().next().is_none();
         if first_well && job.ends_as_one(k) {
             // The members end together: this end counts for all of them.
@@ -183,25 +185,25 @@
                 task.live().map(|s| s.no).collect()
             };
         self.workers.get_mut(&worker).iter_mut().for_each(|w| {
-            if w.sends.remove(&no) {
-                w.used = w.used.less(room);
+            if w.attempts.remove(&no) {
+                w.used = w.used.less(resources);
             }
         });
-        let tally = self.queues.entry(queue).or_default();
-        tally.running = tally.running.saturating_sub(1);
-        tally.copies -= u32::from(copy).min(tally.copies);
-        tally.copies_won += u64::from(copy && first_well);
+        let count_votes = self.queues.entry(queue).or_default();
+        count_votes.running = count_votes.running.saturating_sub(1);
+        count_votes.copies -= u32::from(copy).min(count_votes.copies);
+        count_votes.copies_won += u64::from(copy && first_well);
         if first_well && ran_ms > 0 {
-            tally.ran(ran_ms.min(u64::from(u32::MAX)) as u32);
+            count_votes.ran(ran_ms.min(u64::from(u32::MAX)) as u32);
         }
         rest.into_iter().for_each(|n| self.want_stop(n));
-        if !matches!(state, AttemptState::Well) {
-            self.recall_gang(&id, i);
+        if !matches!(state, AttemptState::Succeeded) {
+            self.reschedule_gang(&id, i);
         }
     }
 
     /// When a gang member has to start again, the rest of the gang is stopped so that it starts whole.
-    pub(super) fn recall_gang(&mut self, id: &str, i: u32) {
+    pub(super) fn reschedule_gang(&mut self, id: &str, i: u32) {
         let Some(job) = self.jobs.get(id) else { return };
         let rest: Vec<u64> = job
             .gang(i as usize)
@@ -250,7 +252,7 @@
             JobState::Failed
         } else if job.cancel {
             JobState::Cancelled
-        } else if job.tasks.iter().any(|t| !t.sends.is_empty()) {
+        } else if job.tasks.iter().any(|t| !t.attempts.is_empty()) {
             JobState::Running
         } else {
             JobState::Waiting
@@ -263,8 +265,8 @@
                     format!(
                         "task '{}' failed {} times: {}",
                         job.name(i),
-                        t.defects,
-                        t.sends.last().map_or("", |s| s.note.as_str())
+                        t.failures,
+                        t.attempts.last().map_or("", |s| s.note.as_str())
                     )
                 });
         }
@@ -286,18 +288,18 @@
         self.open.remove(id);
         self.expiry.insert((at, id.to_string()));
         let promise = self.queue(&queue).map_or(0, |q| q.finish_within_ms);
-        let tally = self.queues.entry(queue.clone()).or_default();
-        tally.unfinished = tally.unfinished.saturating_sub(1);
-        if tally.unfinished == 0 {
+        let count_votes = self.queues.entry(queue.clone()).or_default();
+        count_votes.unfinished = count_votes.unfinished.saturating_sub(1);
+        if count_votes.unfinished == 0 {
             self.retired.remove(&queue);
         }
         if state != JobState::Cancelled {
             let kept = state == JobState::Done && (promise == 0 || took <= promise);
-            tally.promises.push_back((at, kept));
-            tally.kept += u64::from(kept);
-            tally.missed += u64::from(!kept);
-            if tally.promises.len() > 4096 {
-                tally.promises.pop_front();
+            count_votes.promises.push_back((at, kept));
+            count_votes.kept += u64::from(kept);
+            count_votes.missed += u64::from(!kept);
+            if count_votes.promises.len() > 4096 {
+                count_votes.promises.pop_front();
             }
         }
     }
--- a/landingdrift/src/record/apply/members.rs
+++ b/landingdrift/src/state/apply/members.rs
@@ -1,14 +1,14 @@
 use super::ApplyResult;
-use crate::record::{ClusterState, Lease, NodeMember, Rejection, ReplicaMember};
+use crate::state::{ClusterState, Lease, NodeMember, Rejection, ReplicaMember};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
 impl ClusterState {
-    pub(super) fn grant(&mut self, duty: &str, holder: &str, from_epoch: u64) -> ApplyResult {
-        let current = self.leases.get(duty).map_or(0, |g| g.epoch);
+    pub(super) fn grant(&mut self, lease: &str, holder: &str, from_epoch: u64) -> ApplyResult {
+        let current = self.leases.get(lease).map_or(0, |g| g.epoch);
         (current == from_epoch)
             .then_some(())
-            .ok_or(Rejection::StaleGrant)?;
+            .ok_or(Rejection::StaleLease)?;
         let alive = holder.is_empty() || self.nodes.get(holder).is_some_and(|n| n.alive);
         alive.then_some(()).ok_or(Rejection::Unknown {
             what: format!("living node '{holder}'"),
@@ -16,7 +16,7 @@
         let epoch = self.next_epoch;
         self.next_epoch += 1;
         self.leases.insert(
-            duty.into(),
+            lease.into(),
             Lease {
                 holder: holder.into(),
                 epoch,
@@ -37,7 +37,7 @@
         Ok(Value::Null)
     }
 
-    pub(super) fn node_gone(&mut self, node: &str) -> ApplyResult {
+    pub(super) fn remove_node(&mut self, node: &str) -> ApplyResult {
         self.nodes
             .get_mut(node)
             .iter_mut()
@@ -65,27 +65,27 @@
 
 /// Replicas of the log. The rules that need no view of who is reachable are checked here, whoever proposed a change.
 impl ClusterState {
-    pub(super) fn found(&mut self, cores: &BTreeMap<String, ReplicaMember>) -> ApplyResult {
-        if !self.cores.is_empty() {
+    pub(super) fn found(&mut self, replicas: &BTreeMap<String, ReplicaMember>) -> ApplyResult {
+        if !self.replicas.is_empty() {
             return Err(Rejection::Ended);
         }
-        self.cores = cores.clone();
+        self.replicas = replicas.clone();
         Ok(Value::Null)
     }
 
-    pub(super) fn core(&mut self, core: &str, member: &ReplicaMember) -> ApplyResult {
-        self.cores.insert(core.into(), member.clone());
+    pub(super) fn replica(&mut self, replica: &str, member: &ReplicaMember) -> ApplyResult {
+        self.replicas.insert(replica.into(), member.clone());
         Ok(Value::Null)
     }
 
-    pub(super) fn core_gone(&mut self, core: &str, disk: u64) -> ApplyResult {
-        let known = self.cores.get(core).is_some_and(|m| m.disk == disk);
+    pub(super) fn remove_replica(&mut self, replica: &str, disk: u64) -> ApplyResult {
+        let known = self.replicas.get(replica).is_some_and(|m| m.disk == disk);
         if !known {
             return Err(Rejection::Unknown {
-                what: format!("replica '{core}' with this disk"),
+                what: format!("replica '{replica}' with this disk"),
             });
         }
-        self.cores.remove(core);
+        self.replicas.remove(replica);
         Ok(Value::Null)
     }
 }
--- a/landingdrift/src/record/apply/mod.rs
+++ b/landingdrift/src/state/apply/mod.rs
@@ -15,7 +15,7 @@
 impl ClusterState {
     /// Applies one committed entry. The same entries give the same record everywhere.
     pub fn apply(&mut self, index: u64, at: u64, command: &Command) -> ApplyResult {
-        self.place = index;
+        self.applied_index = index;
         self.at = self.at.max(at);
         self.dispose(command)
     }
@@ -23,59 +23,63 @@
     /// Does what a command says.
     fn dispose(&mut self, command: &Command) -> ApplyResult {
         match command {
-            Command::Opened { .. } => Ok(Value::Null),
-            Command::Configure {
+            Command::TermStarted { .. } => Ok(Value::Null),
+            Command::UpdateConfig {
                 change,
                 base,
                 patch,
                 number,
                 value,
             } => self.configure(change, (*base, *number), *patch, value),
-            Command::Accept { spec, hash, seen } => self.accept(spec, *hash, *seen),
-            Command::Cancel { job } => self.cancel(job),
-            Command::Start {
+            Command::AcceptJob { spec, hash, seen } => self.accept(spec, *hash, *seen),
+            Command::CancelJob { job } => self.cancel(job),
+            Command::StartAttempts {
                 job,
                 owner_epoch,
                 placements,
             } => self.start(job, *owner_epoch, placements),
-            Command::Facts { facts, cell_epoch } => self.facts(facts, *cell_epoch),
-            Command::Report {
+            Command::UpdateWorker { info, zone_epoch } => self.info(info, *zone_epoch),
+            Command::ReportAttempts {
                 worker,
                 incarnation,
                 running,
                 ends,
             } => self.report(worker, *incarnation, running, ends),
-            Command::Lost {
+            Command::WorkerLost {
                 worker,
                 incarnation,
-                cell_epoch,
-            } => self.lost(worker, *incarnation, *cell_epoch),
-            Command::Lapse {
+                zone_epoch,
+            } => self.lost(worker, *incarnation, *zone_epoch),
+            Command::ExpireAttempts {
                 worker,
                 incarnation,
-                cell_epoch,
-                sends,
+                zone_epoch,
+                attempts,
                 checkpoints,
-            } => self.lapse((worker, *incarnation), *cell_epoch, sends, checkpoints),
-            Command::Recall {
+            } => self.expire_attempts((worker, *incarnation), *zone_epoch, attempts, checkpoints),
+            Command::RescheduleAttempts {
                 worker,
-                cell_epoch,
-                sends,
+                zone_epoch,
+                attempts,
                 blame,
-            } => self.recall(worker, *cell_epoch, sends, *blame),
-            Command::Empty { zone, on } => self.empty(zone, *on),
-            Command::Resolve { job, task, well } => self.resolve(job, task, *well),
-            Command::Lease {
-                duty,
+            } => self.reschedule_attempts(worker, *zone_epoch, attempts, *blame),
+            Command::SetEvacuation { zone, on } => self.empty(zone, *on),
+            Command::ResolveAttempt {
+                job,
+                task,
+                succeeded,
+            } => self.resolve(job, task, *succeeded),
+            Command::GrantLease {
+                lease,
                 holder,
                 from_epoch,
-            } => self.grant(duty, holder, *from_epoch),
-            Command::Node { node, zone, http } => self.node(node, zone, http),
-            Command::NodeGone { node } => self.node_gone(node),
-            Command::Found { cores } => self.found(cores),
-            Command::Replica { core, member } => self.core(core, member),
-            Command::CoreGone { core, disk } => self.core_gone(core, *disk),
-            Command::Sweep {
+            } => self.grant(lease, holder, *from_epoch),
+            Command::RegisterNode { node, zone, http } => self.node(node, zone, http),
+            Command::RemoveNode { node } => self.remove_node(node),
+            Command::FoundCluster { replicas } => self.found(replicas),
+            Command::UpdateReplica { replica, member } => self.replica(replica, member),
+            Command::RemoveReplica { replica, disk } => self.remove_replica(replica, *disk),
+            Command::CollectGarbage {
                 retain_ms,
                 identity_ms,
             } => self.sweep(*retain_ms, *identity_ms),
@@ -85,7 +89,7 @@
 
     /// Applies an entry from its bytes.
     pub fn apply_bytes(&mut self, index: u64, at: u64, command: &[u8]) -> ApplyResult {
-        self.place = index;
+        self.applied_index = index;
         let command = Command::unpack(command).map_err(|e| Rejection::Invalid {
             path: "entry".into(),
             remedy: format!("{e}: upgrade this process, a newer one wrote the entry"),
--- a/landingdrift/src/record/apply/orders.rs
+++ b/landingdrift/src/state/apply/orders.rs
@@ -1,7 +1,7 @@
 //! Orders take effect once: the first copy that enters the log in time is obeyed, the others get its answer.
 
 use super::{pack_apply_result, unpack_apply_result, ApplyResult};
-use crate::record::{ClusterState, Order, Rejection};
+use crate::state::{ClusterState, Order, Rejection};
 
 impl ClusterState {
     /// Judges one copy of an order. Its answer is kept until the deadline; copies after that commit as nothing.
@@ -13,7 +13,7 @@
         }
         (self.at <= order.deadline)
             .then_some(())
-            .ok_or(Rejection::Late)?;
+            .ok_or(Rejection::DeadlinePassed)?;
         let result = if order.action.is_order() {
             self.dispose(&order.action)
         } else {
--- a/landingdrift/src/record/apply/start.rs
+++ b/landingdrift/src/state/apply/start.rs
@@ -1,6 +1,6 @@
 use super::ApplyResult;
-use crate::record::{
-    cell_duty, queue_duty, AttemptState, ClusterState, Placement, Rejection, Resources, Send,
+use crate::state::{
+    queue_lease, zone_lease, AttemptState, ClusterState, Placement, Rejection, Resources, Send,
     TaskState,
 };
 use serde_json::json;
@@ -18,16 +18,16 @@
             what: format!("job '{id}'"),
         })?;
         let grant_ok = self
-            .holder(&queue_duty(&job.spec.queue))
+            .holder(&queue_lease(&job.spec.queue))
             .is_some_and(|g| g.epoch == owner_epoch);
-        grant_ok.then_some(()).ok_or(Rejection::StaleGrant)?;
+        grant_ok.then_some(()).ok_or(Rejection::StaleLease)?;
         (!job.state.ended()).then_some(()).ok_or(Rejection::Ended)?;
         (!job.cancel).then_some(()).ok_or(Rejection::Cancelled)?;
         let mut taken: BTreeMap<&str, Resources> = BTreeMap::new();
         for (n, p) in placements.iter().enumerate() {
             (!placements[..n].iter().any(|q| q.task == p.task))
                 .then_some(())
-                .ok_or(Rejection::Repeat)?;
+                .ok_or(Rejection::AlreadyRunning)?;
             self.may_start(id, p.task, p.copy, self.at)?;
             self.fits(id, p)?;
             let sum = taken.entry(p.worker.as_str()).or_default();
@@ -36,9 +36,11 @@
                 .workers
                 .get(&p.worker)
                 .map_or(Resources::default(), |w| {
-                    w.facts.total_resources().less(w.used)
+                    w.info.total_resources().less(w.used)
                 });
-            free.holds(*sum).then_some(()).ok_or(Rejection::NoRoom)?;
+            free.holds(*sum)
+                .then_some(())
+                .ok_or(Rejection::InsufficientResources)?;
             self.apart(id, p, &placements[..n])?;
         }
         self.gangs_whole(id, placements)?;
@@ -91,25 +93,25 @@
             // Never again while a send may be running, and no copies at all.
             copy || sure + unsure > 0
         };
-        (!repeat).then_some(()).ok_or(Rejection::Repeat)?;
+        (!repeat).then_some(()).ok_or(Rejection::AlreadyRunning)?;
         // What may be running may fail, or has failed where nobody saw it: it counts as a try.
-        (spec.long_running || task.defects + sure + unsure < queue.tries)
+        (spec.long_running || task.failures + sure + unsure < queue.max_attempts)
             .then_some(())
-            .ok_or(Rejection::Spent)?;
+            .ok_or(Rejection::AttemptsExhausted)?;
         if !copy {
             return Ok(());
         }
-        let tally = self.queues.get(&job.spec.queue);
-        let (running, copies) = tally.map_or((0, 0), |t| (t.running, t.copies));
+        let count_votes = self.queues.get(&job.spec.queue);
+        let (running, copies) = count_votes.map_or((0, 0), |t| (t.running, t.copies));
         let budget = (running * queue.speculation_percent).div_ceil(100);
         (copies < budget && !self.allowance_spent(&job.spec.queue))
             .then_some(())
-            .ok_or(Rejection::Budget)
+            .ok_or(Rejection::SpeculationBudgetExhausted)
     }
 
     /// Whether a worker may get a task of a job.
     pub fn fits(&self, id: &str, p: &Placement) -> Result<(), Rejection> {
-        let unfit = |why: &str| Rejection::Unfit { why: why.into() };
+        let unfit = |why: &str| Rejection::UnsuitableWorker { why: why.into() };
         let job = self.jobs.get(id).ok_or_else(|| Rejection::Unknown {
             what: format!("job '{id}'"),
         })?;
@@ -125,34 +127,34 @@
                 what: format!("worker '{}'", p.worker),
             })?;
         let cell_ok = self
-            .holder(&cell_duty(&w.facts.zone))
-            .is_some_and(|g| g.epoch == p.cell_epoch);
-        cell_ok.then_some(()).ok_or(Rejection::StaleGrant)?;
-        (w.facts.incarnation == p.incarnation)
+            .holder(&zone_lease(&w.info.zone))
+            .is_some_and(|g| g.epoch == p.zone_epoch);
+        cell_ok.then_some(()).ok_or(Rejection::StaleLease)?;
+        (w.info.incarnation == p.incarnation)
             .then_some(())
             .ok_or_else(|| unfit("it has started anew"))?;
         (!w.lost).then_some(()).ok_or_else(|| unfit("it is lost"))?;
-        (!w.facts.leaving)
+        (!w.info.leaving)
             .then_some(())
             .ok_or_else(|| unfit("it is leaving"))?;
-        self.open(&w.facts.zone, &p.worker)
+        self.open(&w.info.zone, &p.worker)
             .then_some(())
             .ok_or_else(|| unfit("its zone or itself is drained"))?;
-        (w.facts.service == spec.service)
+        (w.info.service == spec.service)
             .then_some(())
             .ok_or_else(|| unfit("another service"))?;
         spec.labels
             .iter()
-            .all(|l| w.facts.labels.contains(l))
+            .all(|l| w.info.labels.contains(l))
             .then_some(())
             .ok_or_else(|| unfit("a label is missing"))?;
-        (w.probation == 0 || w.sends.is_empty())
+        (w.probation == 0 || w.attempts.is_empty())
             .then_some(())
             .ok_or_else(|| unfit("on probation, one at a time"))?;
         let again = job.tasks[p.task as usize]
             .live()
             .any(|s| s.worker == p.worker);
-        (!again).then_some(()).ok_or(Rejection::Repeat)?;
+        (!again).then_some(()).ok_or(Rejection::AlreadyRunning)?;
         let most = spec.anti_affinity;
         (most == 0 || job.beside(p.task as usize, &p.worker) < most)
             .then_some(())
@@ -172,7 +174,7 @@
                     .iter()
                     .all(|m| placed.contains(m) || job.tasks[*m].state == TaskState::Done)
         });
-        whole.then_some(()).ok_or(Rejection::GangSplit)
+        whole.then_some(()).ok_or(Rejection::GangIncomplete)
     }
 
     /// No more tasks of a step than it allows come to one worker.
@@ -187,14 +189,14 @@
         let with = before.iter().filter(same).count() as u32;
         (job.beside(p.task as usize, &p.worker) + with < most)
             .then_some(())
-            .ok_or_else(|| Rejection::Unfit {
+            .ok_or_else(|| Rejection::UnsuitableWorker {
                 why: "as many tasks of the step are there as it allows".into(),
             })
     }
 
     fn next_run(&self, id: &str, task: u32) -> (u32, String) {
         let job = &self.jobs[id];
-        let last = |i: usize| job.tasks[i].sends.last().map_or(0, |s| s.run);
+        let last = |i: usize| job.tasks[i].attempts.last().map_or(0, |s| s.run);
         let own = task as usize;
         let run = job.gang(own).into_iter().map(last).max();
         let run = run.unwrap_or_else(|| last(own)) + 1;
@@ -202,12 +204,12 @@
     }
 
     fn enter(&mut self, id: &str, p: &Placement, (run, checkpoint): (u32, String)) -> u64 {
-        let no = self.next_send;
-        self.next_send += 1;
+        let no = self.next_attempt;
+        self.next_attempt += 1;
         let at = self.at;
         let job = self.jobs.get_mut(id).expect("checked before entering");
-        let room = job.of(p.task as usize).needs();
-        let send = Send {
+        let resources = job.of(p.task as usize).needs();
+        let attempt = Send {
             no,
             run,
             checkpoint,
@@ -217,15 +219,15 @@
             ordered: at,
             ..Send::default()
         };
-        job.tasks[p.task as usize].sends.push(send);
+        job.tasks[p.task as usize].attempts.push(attempt);
         self.live.insert(no, (id.to_string(), p.task));
-        let tally = self.queues.entry(job.spec.queue.clone()).or_default();
-        tally.running += 1;
-        tally.copies += u32::from(p.copy);
-        tally.copies_ever += u64::from(p.copy);
+        let count_votes = self.queues.entry(job.spec.queue.clone()).or_default();
+        count_votes.running += 1;
+        count_votes.copies += u32::from(p.copy);
+        count_votes.copies_ever += u64::from(p.copy);
         self.workers.get_mut(&p.worker).iter_mut().for_each(|w| {
-            w.used = w.used.plus(room);
-            w.sends.insert(no);
+            w.used = w.used.plus(resources);
+            w.attempts.insert(no);
         });
         no
     }
--- a/landingdrift/src/record/apply/sweep.rs
+++ b/landingdrift/src/state/apply/sweep.rs
@@ -1,5 +1,5 @@
 use super::ApplyResult;
-use crate::record::{AttemptState, ClusterState, TaskState, Tombstone};
+use crate::state::{AttemptState, ClusterState, TaskState, Tombstone};
 use serde_json::Value;
 
 /// How long the mark of a refusal is kept: far longer than any call is worked on.
@@ -19,7 +19,7 @@
         let lost = self
             .workers
             .values()
-            .filter(|w| w.lost && w.sends.is_empty())
+            .filter(|w| w.lost && w.attempts.is_empty())
             .map(|w| w.since + retain_ms)
             .min();
         let refused = self
@@ -33,7 +33,7 @@
     fn unsure_dues(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         self.live
             .keys()
-            .filter_map(|no| self.send(*no))
+            .filter_map(|no| self.attempt(*no))
             .filter(|(_, _, s)| s.state == AttemptState::Unsure)
             .map(|(j, _, s)| {
                 let bound = self
@@ -56,7 +56,7 @@
             };
             self.close(
                 no,
-                AttemptState::Defect,
+                AttemptState::Failed,
                 0,
                 "unsure for longer than its bound",
             );
@@ -99,7 +99,7 @@
         let gone: Vec<String> = self
             .workers
             .iter()
-            .filter(|(_, w)| w.lost && w.sends.is_empty() && w.since + retain_ms <= at)
+            .filter(|(_, w)| w.lost && w.attempts.is_empty() && w.since + retain_ms <= at)
             .map(|(k, _)| k.clone())
             .collect();
         gone.iter().for_each(|k| {
@@ -107,7 +107,7 @@
         });
         self.refusals.retain(|_, (_, t)| *t + REFUSALS_KEPT > at);
         let windows: Vec<(String, u64)> = self
-            .desired
+            .config
             .queues
             .iter()
             .map(|(k, q)| (k.clone(), q.window_ms))
--- a/landingdrift/src/record/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -1,6 +1,6 @@
 use super::ApplyResult;
-use crate::record::{
-    cell_duty, AttemptState, ClusterState, EndReport, Outcome, Rejection, Worker, WorkerInfo,
+use crate::state::{
+    zone_lease, AttemptState, ClusterState, EndReport, Outcome, Rejection, Worker, WorkerInfo,
 };
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -11,49 +11,49 @@
 const REDEEMED: u32 = 3;
 
 impl ClusterState {
-    pub(super) fn facts(&mut self, facts: &WorkerInfo, cell_epoch: u64) -> ApplyResult {
+    pub(super) fn info(&mut self, info: &WorkerInfo, zone_epoch: u64) -> ApplyResult {
         let cell_ok = self
-            .holder(&cell_duty(&facts.zone))
-            .is_some_and(|g| g.epoch == cell_epoch);
-        cell_ok.then_some(()).ok_or(Rejection::StaleGrant)?;
+            .holder(&zone_lease(&info.zone))
+            .is_some_and(|g| g.epoch == zone_epoch);
+        cell_ok.then_some(()).ok_or(Rejection::StaleLease)?;
         let at = self.at;
-        self.displace(facts);
+        self.displace(info);
         let w = self
             .workers
-            .entry(facts.worker.clone())
+            .entry(info.worker.clone())
             .or_insert_with(|| Worker {
                 since: at,
                 ..Worker::default()
             });
-        (facts.incarnation >= w.facts.incarnation)
+        (info.incarnation >= w.info.incarnation)
             .then_some(())
-            .ok_or(Rejection::Unfit {
+            .ok_or(Rejection::UnsuitableWorker {
                 why: "a newer incarnation is known".into(),
             })?;
-        let anew = facts.incarnation > w.facts.incarnation && !w.sends.is_empty();
-        w.facts = facts.clone();
+        let anew = info.incarnation > w.info.incarnation && !w.attempts.is_empty();
+        w.info = info.clone();
         w.lost = false;
-        let sends: Vec<u64> = w.sends.iter().copied().collect();
+        let attempts: Vec<u64> = w.attempts.iter().copied().collect();
         if anew {
-            sends
+            attempts
                 .iter()
-                .for_each(|no| self.restarted(*no, facts.incarnation));
+                .for_each(|no| self.restarted(*no, info.incarnation));
         }
         // What has not started is called back from a worker that may not have it any more.
-        let closed = facts.leaving || !self.open(&facts.zone, &facts.worker);
+        let closed = info.leaving || !self.open(&info.zone, &info.worker);
         let over = self
             .workers
-            .get(&facts.worker)
-            .is_some_and(|w| !facts.total_resources().holds(w.used));
+            .get(&info.worker)
+            .is_some_and(|w| !info.total_resources().holds(w.used));
         let fits = |(job, i): &(String, u32)| {
             self.jobs
                 .get(job)
-                .is_some_and(|j| facts.serves(j.of(*i as usize)))
+                .is_some_and(|j| info.serves(j.of(*i as usize)))
         };
-        let back: Vec<u64> = sends
+        let back: Vec<u64> = attempts
             .into_iter()
             .filter(|no| {
-                self.send(*no)
+                self.attempt(*no)
                     .is_some_and(|(_, _, s)| s.state == AttemptState::Ordered)
             })
             .filter(|no| closed || over || !self.live.get(no).is_some_and(fits))
@@ -63,14 +63,14 @@
     }
 
     /// Whatever stood at the worker's address before it is gone, and all that ran there.
-    fn displace(&mut self, facts: &WorkerInfo) {
-        if facts.address.is_empty() || self.workers.contains_key(&facts.worker) {
+    fn displace(&mut self, info: &WorkerInfo) {
+        if info.address.is_empty() || self.workers.contains_key(&info.worker) {
             return;
         }
         let old: Vec<String> = self
             .workers
             .iter()
-            .filter(|(k, w)| w.facts.address == facts.address && **k != facts.worker)
+            .filter(|(k, w)| w.info.address == info.address && **k != info.worker)
             .map(|(k, _)| k.clone())
             .collect();
         old.iter().for_each(|k| self.bury(k));
@@ -79,73 +79,73 @@
     /// Nothing of what a worker ran runs any more, and it gets nothing new until it is heard again.
     fn bury(&mut self, worker: &str) {
         let at = self.at;
-        let sends = self.workers.get(worker).map(|w| w.sends.clone());
-        self.end_lapsed(sends.unwrap_or_default());
+        let attempts = self.workers.get(worker).map(|w| w.attempts.clone());
+        self.end_expired(attempts.unwrap_or_default());
         self.workers.get_mut(worker).iter_mut().for_each(|w| {
             w.lost = true;
             w.since = at;
         });
     }
 
-    fn end_lapsed(&mut self, sends: BTreeSet<u64>) {
-        for no in sends {
+    fn end_expired(&mut self, attempts: BTreeSet<u64>) {
+        for no in attempts {
             let job = self.live.get(&no).map(|(id, _)| id.clone());
-            self.close(no, AttemptState::Lapsed, 0, "its worker is gone");
+            self.close(no, AttemptState::Expired, 0, "its worker is gone");
             job.iter().for_each(|id| self.settle(id));
         }
     }
 
-    pub(super) fn lapse(
+    pub(super) fn expire_attempts(
         &mut self,
         (worker, incarnation): (&str, u64),
-        cell_epoch: u64,
-        sends: &[u64],
+        zone_epoch: u64,
+        attempts: &[u64],
         checkpoints: &[(u64, String)],
     ) -> ApplyResult {
         let w = self.workers.get(worker).ok_or(Rejection::Unknown {
             what: format!("worker '{worker}'"),
         })?;
         let cell_ok = self
-            .holder(&cell_duty(&w.facts.zone))
-            .is_some_and(|g| g.epoch == cell_epoch);
-        (cell_ok && w.facts.incarnation == incarnation)
+            .holder(&zone_lease(&w.info.zone))
+            .is_some_and(|g| g.epoch == zone_epoch);
+        (cell_ok && w.info.incarnation == incarnation)
             .then_some(())
-            .ok_or(Rejection::StaleGrant)?;
+            .ok_or(Rejection::StaleLease)?;
         checkpoints
             .iter()
             .for_each(|(no, text)| self.keep_checkpoint(*no, text));
         // A copy that comes late ends none but those that it names.
-        let here = &self.workers[worker].sends;
-        let own = sends.iter().copied().filter(|no| here.contains(no));
+        let here = &self.workers[worker].attempts;
+        let own = attempts.iter().copied().filter(|no| here.contains(no));
         let own: BTreeSet<u64> = own.collect();
-        self.end_lapsed(own);
+        self.end_expired(own);
         Ok(Value::Null)
     }
 
-    pub(super) fn recall(
+    pub(super) fn reschedule_attempts(
         &mut self,
         worker: &str,
-        cell_epoch: u64,
-        sends: &[u64],
+        zone_epoch: u64,
+        attempts: &[u64],
         blame: bool,
     ) -> ApplyResult {
         let w = self.workers.get_mut(worker).ok_or(Rejection::Unknown {
             what: format!("worker '{worker}'"),
         })?;
-        let duty = cell_duty(&w.facts.zone);
+        let lease = zone_lease(&w.info.zone);
         let cell_ok = self
             .leases
-            .get(&duty)
-            .is_some_and(|g| g.epoch == cell_epoch);
-        cell_ok.then_some(()).ok_or(Rejection::StaleGrant)?;
+            .get(&lease)
+            .is_some_and(|g| g.epoch == zone_epoch);
+        cell_ok.then_some(()).ok_or(Rejection::StaleLease)?;
         if blame {
             w.probation = REDEEMED;
             w.ends.clear();
         }
-        let own: Vec<u64> = sends
+        let own: Vec<u64> = attempts
             .iter()
             .copied()
-            .filter(|no| w.sends.contains(no))
+            .filter(|no| w.attempts.contains(no))
             .collect();
         own.into_iter().for_each(|no| self.want_stop(no));
         Ok(Value::Null)
@@ -170,7 +170,7 @@
             return;
         };
         let old = self
-            .send(no)
+            .attempt(no)
             .is_some_and(|(_, _, s)| s.incarnation < incarnation);
         let may_repeat = self
             .jobs
@@ -179,7 +179,7 @@
         if old && may_repeat {
             self.close(
                 no,
-                AttemptState::Defect,
+                AttemptState::Failed,
                 0,
                 "the worker started anew while it ran",
             );
@@ -199,7 +199,7 @@
             return;
         };
         job.tasks[i as usize]
-            .sends
+            .attempts
             .iter_mut()
             .filter(|s| s.no == no && s.state != AttemptState::Unsure)
             .for_each(|s| {
@@ -208,21 +208,21 @@
                 s.ended = at;
             });
         // The others of a gang don't wait for one that may never come.
-        self.recall_gang(&id, i);
+        self.reschedule_gang(&id, i);
     }
 
-    pub(super) fn lost(&mut self, worker: &str, incarnation: u64, cell_epoch: u64) -> ApplyResult {
+    pub(super) fn lost(&mut self, worker: &str, incarnation: u64, zone_epoch: u64) -> ApplyResult {
         let w = self.workers.get(worker).ok_or(Rejection::Unknown {
             what: format!("worker '{worker}'"),
         })?;
         let cell_ok = self
-            .holder(&cell_duty(&w.facts.zone))
-            .is_some_and(|g| g.epoch == cell_epoch);
-        (cell_ok && w.facts.incarnation == incarnation)
+            .holder(&zone_lease(&w.info.zone))
+            .is_some_and(|g| g.epoch == zone_epoch);
+        (cell_ok && w.info.incarnation == incarnation)
             .then_some(())
-            .ok_or(Rejection::StaleGrant)?;
-        let sends: BTreeSet<u64> = w.sends.clone();
-        sends.into_iter().for_each(|no| self.doubt(no));
+            .ok_or(Rejection::StaleLease)?;
+        let attempts: BTreeSet<u64> = w.attempts.clone();
+        attempts.into_iter().for_each(|no| self.doubt(no));
         let at = self.at;
         self.workers.get_mut(worker).iter_mut().for_each(|w| {
             w.lost = true;
@@ -241,16 +241,16 @@
         let at = self.at;
         // A word that something runs may come late: after its worker was lost or started anew it says nothing.
         let known = self.workers.get(worker);
-        let heard = known.is_some_and(|w| !w.lost && w.facts.incarnation == incarnation);
+        let heard = known.is_some_and(|w| !w.lost && w.info.incarnation == incarnation);
         for no in running.iter().filter(|_| heard) {
             let ours = self
-                .send(*no)
+                .attempt(*no)
                 .is_some_and(|(_, _, s)| s.worker == worker && s.incarnation == incarnation);
             if let Some((id, i)) = self.live.get(no).cloned().filter(|_| ours) {
                 self.jobs
                     .get_mut(&id)
                     .iter_mut()
-                    .flat_map(|j| j.tasks[i as usize].sends.iter_mut())
+                    .flat_map(|j| j.tasks[i as usize].attempts.iter_mut())
                     .filter(|s| s.no == *no)
                     .for_each(|s| {
                         s.state = AttemptState::Running;
@@ -261,22 +261,24 @@
             }
         }
         for e in ends {
-            let ours = self.send(e.no).is_some_and(|(_, _, s)| s.worker == worker);
+            let ours = self
+                .attempt(e.no)
+                .is_some_and(|(_, _, s)| s.worker == worker);
             let Some((id, _)) = self.live.get(&e.no).cloned().filter(|_| ours) else {
                 continue;
             };
             self.keep_checkpoint(e.no, &e.checkpoint);
             // What is unsure was told to stop without an entry.
             let asked = self
-                .send(e.no)
+                .attempt(e.no)
                 .is_some_and(|(_, _, s)| s.stop || s.state == AttemptState::Unsure);
             let state = match e.outcome {
-                Outcome::Well => AttemptState::Well,
+                Outcome::Succeeded => AttemptState::Succeeded,
                 Outcome::Stopped if asked => AttemptState::Stopped,
                 // Stopped without our order is the worker's own doing.
-                Outcome::Defect | Outcome::Stopped => AttemptState::Defect,
-                Outcome::Void => AttemptState::Void,
-                Outcome::Lapsed => AttemptState::Lapsed,
+                Outcome::Failed | Outcome::Stopped => AttemptState::Failed,
+                Outcome::NeverStarted => AttemptState::NeverStarted,
+                Outcome::Expired => AttemptState::Expired,
             };
             self.close(e.no, state, e.ran_ms, &e.note);
             self.judge(worker, state);
@@ -288,8 +290,8 @@
     /// Evidence puts a worker on probation and takes it off.
     fn judge(&mut self, worker: &str, state: AttemptState) {
         let good = match state {
-            AttemptState::Well => true,
-            AttemptState::Defect => false,
+            AttemptState::Succeeded => true,
+            AttemptState::Failed => false,
             _ => return,
         };
         let fleet: (usize, usize) = self
--- a/landingdrift/src/record/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -13,7 +13,8 @@
     pub labels: BTreeSet<String>,
     pub zone: String,
     /// Processor room.
-    pub room: u32,
+    #[serde(rename = "room")]
+    pub cpu: u32,
     #[serde(default)]
     pub memory: u32,
     #[serde(default)]
@@ -30,14 +31,15 @@
     /// All its room.
     pub fn total_resources(&self) -> Resources {
         Resources {
-            cpu: self.room,
+            cpu: self.cpu,
             memory: self.memory,
             accelerators: self.accelerators,
         }
     }
     /// Whether data that is near the place named is near this worker.
-    pub fn near(&self, place: &str) -> bool {
-        !place.is_empty() && (place == self.worker || place == self.zone || place == self.rack)
+    pub fn near(&self, location: &str) -> bool {
+        !location.is_empty()
+            && (location == self.worker || location == self.zone || location == self.rack)
     }
     /// Whether a worker with these facts is of the task's service and carries its labels.
     pub fn serves(&self, task: &TaskSpec) -> bool {
@@ -52,7 +54,8 @@
     pub worker: String,
     pub incarnation: u64,
     /// The epoch of the cell that offered the slot.
-    pub cell_epoch: u64,
+    #[serde(rename = "cell_epoch")]
+    pub zone_epoch: u64,
     pub copy: bool,
 }
 
@@ -60,14 +63,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Outcome {
-    Well,
+    #[serde(rename = "well")]
+    Succeeded,
     #[default]
-    Defect,
+    #[serde(rename = "defect")]
+    Failed,
     Stopped,
     /// Never started, and never will be.
-    Void,
+    #[serde(rename = "void")]
+    NeverStarted,
     /// Dead through no fault of its own: its hold passed, or its gang broke up.
-    Lapsed,
+    #[serde(rename = "lapsed")]
+    Expired,
 }
 
 /// A run by its names, for workers that do not keep our numbers.
@@ -102,10 +109,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// The first entry of a term.
-    Opened {
-        leader: String,
-    },
-    Configure {
+    #[serde(rename = "Opened")]
+    TermStarted { leader: String },
+    #[serde(rename = "Configure")]
+    UpdateConfig {
         change: String,
         base: u64,
         patch: bool,
@@ -116,98 +123,111 @@
         value: serde_json::Value,
     },
     /// `seen` is the place that the admitting node had followed to when the call came.
-    Accept {
-        spec: JobSpec,
-        hash: u64,
-        seen: u64,
-    },
-    Cancel {
-        job: String,
-    },
-    Start {
+    #[serde(rename = "Accept")]
+    AcceptJob { spec: JobSpec, hash: u64, seen: u64 },
+    #[serde(rename = "Cancel")]
+    CancelJob { job: String },
+    #[serde(rename = "Start")]
+    StartAttempts {
         job: String,
         owner_epoch: u64,
         placements: Vec<Placement>,
     },
     /// A worker's facts have changed.
-    Facts {
-        facts: WorkerInfo,
-        cell_epoch: u64,
+    #[serde(rename = "Facts")]
+    UpdateWorker {
+        #[serde(rename = "facts")]
+        info: WorkerInfo,
+        #[serde(rename = "cell_epoch")]
+        zone_epoch: u64,
     },
     /// What a worker has started and ended.
-    Report {
+    #[serde(rename = "Report")]
+    ReportAttempts {
         worker: String,
         incarnation: u64,
         running: Vec<u64>,
         ends: Vec<EndReport>,
     },
     /// A worker's beats are missing.
-    Lost {
+    #[serde(rename = "Lost")]
+    WorkerLost {
         worker: String,
         incarnation: u64,
-        cell_epoch: u64,
+        #[serde(rename = "cell_epoch")]
+        zone_epoch: u64,
     },
     /// A worker's hold has surely passed, or it is gone: these sends run there no more. Checkpoints that were heard go along.
-    Lapse {
+    #[serde(rename = "Lapse")]
+    ExpireAttempts {
         worker: String,
         incarnation: u64,
-        cell_epoch: u64,
-        sends: Vec<u64>,
+        #[serde(rename = "cell_epoch")]
+        zone_epoch: u64,
+        #[serde(rename = "sends")]
+        attempts: Vec<u64>,
         #[serde(default)]
         checkpoints: Vec<(u64, String)>,
     },
     /// Sends that do no good where they are: told to stop, so that they run elsewhere. `blame` says that the worker is at fault.
-    Recall {
+    #[serde(rename = "Recall")]
+    RescheduleAttempts {
         worker: String,
-        cell_epoch: u64,
-        sends: Vec<u64>,
+        #[serde(rename = "cell_epoch")]
+        zone_epoch: u64,
+        #[serde(rename = "sends")]
+        attempts: Vec<u64>,
         blame: bool,
     },
     /// A zone is emptied, or serves again; apart from the configuration, so that it races no change.
-    Empty {
-        zone: String,
-        on: bool,
-    },
+    #[serde(rename = "Empty")]
+    SetEvacuation { zone: String, on: bool },
     /// The operator says how an unsure send ended.
-    Resolve {
+    #[serde(rename = "Resolve")]
+    ResolveAttempt {
         job: String,
         task: String,
-        well: bool,
+        #[serde(rename = "well")]
+        succeeded: bool,
     },
     #[serde(rename = "Grant")]
-    Lease {
-        duty: String,
+    GrantLease {
+        #[serde(rename = "duty")]
+        lease: String,
         holder: String,
         from_epoch: u64,
     },
-    Node {
+    #[serde(rename = "Node")]
+    RegisterNode {
         node: String,
         zone: String,
         http: String,
     },
-    NodeGone {
-        node: String,
-    },
+    #[serde(rename = "NodeGone")]
+    RemoveNode { node: String },
     /// The first replicas, all at once; refused where there are some already.
-    Found {
-        cores: BTreeMap<String, ReplicaMember>,
+    #[serde(rename = "Found")]
+    FoundCluster {
+        #[serde(rename = "cores")]
+        replicas: BTreeMap<String, ReplicaMember>,
     },
     /// A replica is admitted, promoted or demoted.
     #[serde(rename = "Core")]
-    Replica {
-        core: String,
+    UpdateReplica {
+        #[serde(rename = "core")]
+        replica: String,
         member: ReplicaMember,
     },
     /// An identity (an address with its disk) leaves the membership.
-    CoreGone {
-        core: String,
+    #[serde(rename = "CoreGone")]
+    RemoveReplica {
+        #[serde(rename = "core")]
+        replica: String,
         disk: u64,
     },
     /// Lets bounds that have passed take effect.
-    Sweep {
-        retain_ms: u64,
-        identity_ms: u64,
-    },
+    #[serde(rename = "Sweep")]
+    CollectGarbage { retain_ms: u64, identity_ms: u64 },
     /// An order of an operator or caller, which takes effect at most once and not after its deadline.
     Order(Order),
 }
@@ -242,10 +262,10 @@
     pub fn is_order(&self) -> bool {
         matches!(
             self,
-            Self::Configure { .. }
-                | Self::Empty { .. }
-                | Self::Cancel { .. }
-                | Self::Resolve { .. }
+            Self::UpdateConfig { .. }
+                | Self::SetEvacuation { .. }
+                | Self::CancelJob { .. }
+                | Self::ResolveAttempt { .. }
         )
     }
     /// What the command does: of an order, what is ordered.
@@ -265,11 +285,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Rejection {
     /// The base version is no longer the current one.
-    Rival {
+    #[serde(rename = "Rival")]
+    VersionConflict {
         current: u64,
     },
     /// The same identity came with another body.
-    OtherBody,
+    #[serde(rename = "OtherBody")]
+    BodyMismatch,
     Invalid {
         path: String,
         remedy: String,
@@ -281,49 +303,58 @@
         quota: u32,
     },
     /// The same id was turned away after this call was made.
-    TurnedAway,
+    #[serde(rename = "TurnedAway")]
+    PreviouslyRejected,
     /// This copy of an order entered the log after its deadline; an earlier one may have taken effect.
-    Late,
+    #[serde(rename = "Late")]
+    DeadlinePassed,
     /// No change of configuration can be remembered beside those of the last day.
     TooManyChanges,
     /// The proposer's grant has passed to another.
-    StaleGrant,
+    #[serde(rename = "StaleGrant")]
+    StaleLease,
     Ended,
     Cancelled,
     NotDue,
     Waiting,
-    NoRoom,
-    Repeat,
-    Spent,
-    Unfit {
+    #[serde(rename = "NoRoom")]
+    InsufficientResources,
+    #[serde(rename = "Repeat")]
+    AlreadyRunning,
+    #[serde(rename = "Spent")]
+    AttemptsExhausted,
+    #[serde(rename = "Unfit")]
+    UnsuitableWorker {
         why: String,
     },
-    GangSplit,
-    Budget,
+    #[serde(rename = "GangSplit")]
+    GangIncomplete,
+    #[serde(rename = "Budget")]
+    SpeculationBudgetExhausted,
 }
 
 impl std::fmt::Display for Rejection {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Self::Rival { current } => write!(f, "another change came first: read version {current} and send the change again on top of it"),
-            Self::OtherBody => write!(f, "this id was used with another body: give the new request an id of its own"),
+            Self::VersionConflict { current } => write!(f, "another change came first: read version {current} and send the change again on top of it"),
+            Self::BodyMismatch => write!(f, "this id was used with another body: give the new request an id of its own"),
             Self::Invalid { path, remedy } => write!(f, "{path}: {remedy}"),
             Self::Unknown { what } => write!(f, "{what} is not known: check the name"),
             Self::OverQuota { quota } => write!(f, "the queue holds its quota of {quota} unfinished jobs: come back later"),
-            Self::TurnedAway => write!(f, "the same id was turned away while this call was under way: hand it in again"),
-            Self::Late => write!(f, "the order came after its deadline: look whether it has taken effect, then give it again"),
+            Self::PreviouslyRejected => write!(f, "the same id was turned away while this call was under way: hand it in again"),
+            Self::DeadlinePassed => write!(f, "the order came after its deadline: look whether it has taken effect, then give it again"),
             Self::TooManyChanges => write!(f, "too many changes of configuration were made within a day: come back later"),
-            Self::StaleGrant => write!(f, "the duty has passed to another node: propose again through its holder"),
+            Self::StaleLease => write!(f, "the duty has passed to another node: propose again through its holder"),
             Self::Ended => write!(f, "it has ended already: nothing more can be done to it"),
             Self::Cancelled => write!(f, "the job is cancelled: hand in a new one"),
             Self::NotDue => write!(f, "its appointed time has not come: wait"),
             Self::Waiting => write!(f, "a step it depends on is not done: wait"),
-            Self::NoRoom => write!(f, "the worker has no room left: offer another"),
-            Self::Repeat => write!(f, "it may be running already and may not be repeated: wait for its end"),
-            Self::Spent => write!(f, "it has failed as often as its queue permits: look at the defects"),
-            Self::Unfit { why } => write!(f, "the worker does not fit ({why}): offer another"),
-            Self::GangSplit => write!(f, "the gang must be placed whole: propose all its members"),
-            Self::Budget => write!(f, "the queue's speculation budget is in use: wait"),
+            Self::InsufficientResources => write!(f, "the worker has no room left: offer another"),
+            Self::AlreadyRunning => write!(f, "it may be running already and may not be repeated: wait for its end"),
+            Self::AttemptsExhausted => write!(f, "it has failed as often as its queue permits: look at the defects"),
+            Self::UnsuitableWorker { why } => write!(f, "the worker does not fit ({why}): offer another"),
+            Self::GangIncomplete => write!(f, "the gang must be placed whole: propose all its members"),
+            Self::SpeculationBudgetExhausted => write!(f, "the queue's speculation budget is in use: wait"),
         }
     }
 }
@@ -335,6 +366,7 @@
     /// The SHA-256 of what was asked for.
     pub digest: [u8; 32],
     pub version: u64,
-    pub place: u64,
+    #[serde(rename = "place")]
+    pub log_index: u64,
     pub at: u64,
 }
--- a/landingdrift/src/record/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -108,8 +108,8 @@
     pub fn total_cpu(&self) -> u32 {
         self.workers
             .values()
-            .filter(|w| !w.lost && !w.facts.leaving && self.open(&w.facts.zone, &w.facts.worker))
-            .map(|w| w.facts.room)
+            .filter(|w| !w.lost && !w.info.leaving && self.open(&w.info.zone, &w.info.worker))
+            .map(|w| w.info.cpu)
             .sum()
     }
 
@@ -125,7 +125,7 @@
                 let (missed, all) = within.fold((0u32, 0u32), |(m, n), (_, kept)| {
                     (m + u32::from(!kept), n + 1)
                 });
-                all >= 20 && missed * 100 > all * q.defect_allowance_percent
+                all >= 20 && missed * 100 > all * q.failure_allowance_percent
             })
     }
 }
--- a/landingdrift/src/record/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -80,7 +80,7 @@
                         "give every task of a job a name of its own",
                     ))
                 })?;
-            (t.room >= 1)
+            (t.cpu >= 1)
                 .then_some(())
                 .ok_or_else(|| defect(format!("tasks[{i}].room"), "give at least 1"))?;
         }
@@ -214,8 +214,8 @@
     }
 
     /// Checks that the desired state lets the job run at all.
-    pub fn satisfiable(&self, desired: &crate::desired::ClusterConfig) -> Result<(), SpecError> {
-        desired.queues.get(&self.queue).map(|_| ()).ok_or_else(|| {
+    pub fn satisfiable(&self, config: &crate::config::ClusterConfig) -> Result<(), SpecError> {
+        config.queues.get(&self.queue).map(|_| ()).ok_or_else(|| {
             defect(
                 "queue".into(),
                 format!(
@@ -226,7 +226,7 @@
         })?;
         let mut gangs: BTreeMap<(String, &str), u32> = BTreeMap::new();
         for (at, t, together) in self.kinds() {
-            let s = desired.services.get(&t.service).ok_or_else(|| {
+            let s = config.services.get(&t.service).ok_or_else(|| {
                 defect(
                     format!("{at}.service"),
                     format!(
@@ -241,23 +241,23 @@
                     format!("service '{}' has no workers with label '{l}': declare it or leave it out", t.service),
                 ))
             })?;
-            (t.room <= s.task_room).then_some(()).ok_or_else(|| {
+            (t.cpu <= s.task_cpu).then_some(()).ok_or_else(|| {
                 defect(
                     format!("{at}.room"),
                     format!(
                         "service '{}' gives a task at most {}: ask for less",
-                        t.service, s.task_room
+                        t.service, s.task_cpu
                     ),
                 )
             })?;
             if !t.gang.is_empty() || together > 1 {
                 let name = if together > 1 { &at } else { &t.gang };
                 let sum = gangs.entry((name.clone(), &t.service)).or_default();
-                *sum = sum.saturating_add(t.room.saturating_mul(together));
-                (*sum <= s.gang_room).then_some(()).ok_or_else(|| {
+                *sum = sum.saturating_add(t.cpu.saturating_mul(together));
+                (*sum <= s.gang_cpu).then_some(()).ok_or_else(|| {
                     defect(
                         format!("{at}.gang"),
-                        format!("gang '{name}' needs more than the {} that service '{}' gives a gang: make it smaller", s.gang_room, t.service),
+                        format!("gang '{name}' needs more than the {} that service '{}' gives a gang: make it smaller", s.gang_cpu, t.service),
                     )
                 })?;
             }
--- a/landingdrift/src/record/job/ledger.rs
+++ b/landingdrift/src/state/job/ledger.rs
@@ -31,8 +31,10 @@
 #[serde(rename_all = "camelCase")]
 pub struct Task {
     pub state: TaskState,
-    pub defects: u32,
-    pub sends: Vec<Send>,
+    #[serde(rename = "defects")]
+    pub failures: u32,
+    #[serde(rename = "sends")]
+    pub attempts: Vec<Send>,
     /// Numbers of the single tasks it waits for.
     pub waits: Vec<u32>,
     /// The newest checkpoint known of it.
@@ -46,7 +48,7 @@
 impl Task {
     /// Sends that may be running.
     pub fn live(&self) -> impl Iterator<Item = &Send> {
-        self.sends.iter().filter(|s| s.state.live())
+        self.attempts.iter().filter(|s| s.state.live())
     }
 }
 
--- a/landingdrift/src/record/job/mod.rs
+++ b/landingdrift/src/state/job/mod.rs
@@ -2,12 +2,12 @@
 
 mod check;
 mod ledger;
-mod room;
+mod resources;
 mod spec;
 mod state;
 
 pub use check::{SpecError, STEP_TASKS_MOST, TASKS_MOST};
 pub use ledger::{Job, Send, Task};
-pub use room::Resources;
+pub use resources::Resources;
 pub use spec::{JobSpec, StepSpec, TaskSpec};
 pub use state::{AttemptState, JobState, TaskState};
--- a/landingdrift/src/record/job/spec.rs
+++ b/landingdrift/src/state/job/spec.rs
@@ -52,7 +52,8 @@
     #[serde(default)]
     pub labels: Vec<String>,
     /// Processor room.
-    pub room: u32,
+    #[serde(rename = "room")]
+    pub cpu: u32,
     #[serde(default)]
     pub memory: u32,
     #[serde(default)]
@@ -86,7 +87,7 @@
     #[serde(default)]
     pub estimate_ms: u32,
     /// Handed to the worker as it is.
-    #[serde(default, with = "crate::record::pack::json")]
+    #[serde(default, with = "crate::state::pack::json")]
     pub payload: serde_json::Value,
 }
 
@@ -94,7 +95,7 @@
     /// The room it needs.
     pub fn needs(&self) -> Resources {
         Resources {
-            cpu: self.room,
+            cpu: self.cpu,
             memory: self.memory,
             accelerators: self.accelerators,
         }
--- a/landingdrift/src/record/job/state.rs
+++ b/landingdrift/src/state/job/state.rs
@@ -43,14 +43,18 @@
     Running,
     /// Its start may have been delivered and its end is unknown.
     Unsure,
-    Well,
-    Defect,
+    #[serde(rename = "well")]
+    Succeeded,
+    #[serde(rename = "defect")]
+    Failed,
     /// Killed on our order; it is not running any more.
     Stopped,
     /// The worker says it never started it and never will.
-    Void,
+    #[serde(rename = "void")]
+    NeverStarted,
     /// Its hold passed, its worker is gone or its gang broke up: dead, through no fault of its own.
-    Lapsed,
+    #[serde(rename = "lapsed")]
+    Expired,
 }
 
 impl AttemptState {
--- a/landingdrift/src/record/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -18,7 +18,7 @@
 };
 pub use order::{Order, ProposalId};
 
-use crate::desired::ClusterConfig;
+use crate::config::ClusterConfig;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -34,7 +34,8 @@
 /// A worker as the record knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    pub facts: WorkerInfo,
+    #[serde(rename = "facts")]
+    pub info: WorkerInfo,
     /// Its beats are missing.
     pub lost: bool,
     /// Good ends needed before it is trusted again; 0 when trusted.
@@ -45,7 +46,8 @@
     /// Room taken by sends that may be running.
     pub used: Resources,
     /// Sends that may be running.
-    pub sends: BTreeSet<u64>,
+    #[serde(rename = "sends")]
+    pub attempts: BTreeSet<u64>,
 }
 
 /// A duty given to one node.
@@ -110,11 +112,13 @@
     pub format: u16,
     pub cluster: String,
     /// The index of the last entry applied.
-    pub place: u64,
+    #[serde(rename = "place")]
+    pub applied_index: u64,
     /// The agreed clock, in milliseconds since 1970; it never goes back.
     pub at: u64,
     pub version: u64,
-    pub desired: ClusterConfig,
+    #[serde(rename = "desired")]
+    pub config: ClusterConfig,
     /// The changes of configuration that are known by their identity, the newest last.
     pub changes: VecDeque<Change>,
     /// The answers to orders whose deadline has not passed, by deadline and proposal, as they go over the wire.
@@ -132,25 +136,28 @@
     #[serde(rename = "grants")]
     pub leases: BTreeMap<String, Lease>,
     /// Zones that are being emptied, whatever the configuration says.
-    pub emptied: BTreeSet<String>,
+    #[serde(rename = "emptied")]
+    pub evacuated_zones: BTreeSet<String>,
     /// Queues that were removed while they held unfinished jobs, until those end.
-    pub retired: BTreeMap<String, crate::desired::Queue>,
+    pub retired: BTreeMap<String, crate::config::Queue>,
     pub nodes: BTreeMap<String, NodeMember>,
-    pub cores: BTreeMap<String, ReplicaMember>,
+    #[serde(rename = "cores")]
+    pub replicas: BTreeMap<String, ReplicaMember>,
     pub queues: BTreeMap<String, QueueStats>,
     /// The sends that may be running, by number.
     pub live: BTreeMap<u64, (String, u32)>,
-    pub next_send: u64,
+    #[serde(rename = "next_send")]
+    pub next_attempt: u64,
     pub next_epoch: u64,
 }
 
 /// The name of the duty of keeping a zone's cell.
-pub fn cell_duty(zone: &str) -> String {
+pub fn zone_lease(zone: &str) -> String {
     format!("cell/{zone}")
 }
 
 /// The name of the duty of owning a queue.
-pub fn queue_duty(queue: &str) -> String {
+pub fn queue_lease(queue: &str) -> String {
     format!("queue/{queue}")
 }
 
@@ -160,7 +167,7 @@
         Self {
             format: STATE_VERSION,
             cluster: cluster.into(),
-            next_send: 1,
+            next_attempt: 1,
             next_epoch: 1,
             ..Self::default()
         }
@@ -176,17 +183,17 @@
         Self {
             format: self.format,
             cluster: self.cluster.clone(),
-            place: self.place,
+            applied_index: self.applied_index,
             at: self.at,
             version: self.version,
-            desired: self.desired.clone(),
+            config: self.config.clone(),
             changes: self.changes.clone(),
             orders: self.orders.clone(),
             leases: self.leases.clone(),
-            emptied: self.emptied.clone(),
+            evacuated_zones: self.evacuated_zones.clone(),
             nodes: self.nodes.clone(),
-            cores: self.cores.clone(),
-            next_send: self.next_send,
+            replicas: self.replicas.clone(),
+            next_attempt: self.next_attempt,
             next_epoch: self.next_epoch,
             ..Self::default()
         }
@@ -208,8 +215,8 @@
     }
 
     /// A queue by the configuration, or as it was when it was removed with jobs in it.
-    pub fn queue(&self, name: &str) -> Option<&crate::desired::Queue> {
-        self.desired
+    pub fn queue(&self, name: &str) -> Option<&crate::config::Queue> {
+        self.config
             .queues
             .get(name)
             .or_else(|| self.retired.get(name))
@@ -217,22 +224,22 @@
 
     /// Whether a worker of a zone may get new work.
     pub fn open(&self, zone: &str, worker: &str) -> bool {
-        !self.emptied.contains(zone) && self.desired.open(zone, worker)
+        !self.evacuated_zones.contains(zone) && self.config.open(zone, worker)
     }
 
     /// The number of the live send that a worker calls by its names.
     pub fn named(&self, worker: &str, name: &RunName) -> Option<u64> {
         let job = self.jobs.get(&name.job)?;
         let task = job.tasks.get(job.find(&name.task)?)?;
-        let send = task
+        let attempt = task
             .live()
             .find(|s| s.run == name.run && s.worker == worker)?;
-        Some(send.no)
+        Some(attempt.no)
     }
 
     /// The holder of a duty.
-    pub fn holder(&self, duty: &str) -> Option<&Lease> {
-        self.leases.get(duty)
+    pub fn holder(&self, lease: &str) -> Option<&Lease> {
+        self.leases.get(lease)
     }
 
     /// A task by its job and number.
@@ -243,9 +250,9 @@
     }
 
     /// A send by its number, while it may be running.
-    pub fn send(&self, no: u64) -> Option<(&Job, &Task, &Send)> {
+    pub fn attempt(&self, no: u64) -> Option<(&Job, &Task, &Send)> {
         let (job, task) = self.live.get(&no)?;
         let (j, t) = self.task(job, *task)?;
-        t.sends.iter().find(|s| s.no == no).map(|s| (j, t, s))
+        t.attempts.iter().find(|s| s.no == no).map(|s| (j, t, s))
     }
 }
--- a/landingdrift/src/relay/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -4,9 +4,9 @@
 
 pub use repeat::may_repeat;
 
-use crate::kernel::{Effect, Msg, Now, Part, Request, Response, Rng};
+use crate::peer_sampler::PeerSampler;
+use crate::sans_io::{Effect, Msg, Now, Part, Request, Response, Rng};
 use crate::settings::Settings;
-use crate::views::PeerSampler;
 use crate::wire::{Body, ForwardRequest, ForwardResponse, RequestToken};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -38,10 +38,10 @@
 
     /// Whether a worker calls, and drops what comes late; others wait for as long as a node works on a call.
     fn is_of_worker(&self) -> bool {
-        self.is_beat() || self.req.path.starts_with("/v1/workers/")
+        self.is_heartbeat() || self.req.path.starts_with("/v1/workers/")
     }
 
-    fn is_beat(&self) -> bool {
+    fn is_heartbeat(&self) -> bool {
         self.req.path == "/v1/beats"
     }
 
@@ -67,7 +67,7 @@
 pub struct WorkerProxy {
     settings: Settings,
     rng: Rng,
-    views: PeerSampler,
+    peer_sampler: PeerSampler,
     /// The node that answered last for the cell.
     holder: String,
     open: BTreeMap<u64, Open>,
@@ -84,7 +84,12 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Rng::new(seed);
         Self {
-            views: PeerSampler::new(&settings.listen, "relay", &settings.zone, &settings.seeds),
+            peer_sampler: PeerSampler::new(
+                &settings.listen,
+                "relay",
+                &settings.zone,
+                &settings.seeds,
+            ),
             next: rng.number() >> 16,
             incarnation: rng.number(),
             rng,
@@ -107,7 +112,7 @@
         if let Some(h) = Some(&self.holder).filter(fresh) {
             return h.clone();
         }
-        let known: Vec<String> = self.views.of_role("node");
+        let known: Vec<String> = self.peer_sampler.of_role("node");
         let nodes: Vec<String> = known.iter().filter(fresh).cloned().collect();
         let seeds: Vec<String> = self.settings.seeds.iter().filter(fresh).cloned().collect();
         let all = if nodes.is_empty() { seeds } else { nodes };
@@ -152,9 +157,9 @@
     fn on_tick(&mut self, now: Now) {
         // It asks for a part of a neighbour's view and gives none: workers' machines are not those to be known.
         let every = 10 * self.settings.bounds.shuffle();
-        if let Some((to, mut m)) = self.views.tick(now, every, &mut self.rng) {
+        if let Some((to, mut m)) = self.peer_sampler.tick(now, every, &mut self.rng) {
             m.view.clear();
-            m.cores.clear();
+            m.replicas.clear();
             self.out.push(Effect::Send(to, Body::Shuffle(Box::new(m))));
         }
         let over: Vec<u64> = self
@@ -187,17 +192,17 @@
             return;
         };
         self.count("given_up");
-        let beat = self.settings.bounds.beat();
-        let v = if o.is_beat() && o.req.query != LEAVING {
+        let heartbeat = self.settings.bounds.worker_heartbeat();
+        let v = if o.is_heartbeat() && o.req.query != LEAVING {
             Response::new(
                 200,
-                json!({"starts": [], "stops": [], "settled": [], "beatMs": beat}),
+                json!({"starts": [], "stops": [], "settled": [], "beatMs": heartbeat}),
             )
-        } else if !o.is_beat() && o.maybe_taken() {
-            unsure(beat)
+        } else if !o.is_heartbeat() && o.maybe_taken() {
+            unsure(heartbeat)
         } else {
             let why = "no node answered for the cell: call again";
-            Response::error(503, "noCell", why).retry(beat)
+            Response::error(503, "noCell", why).retry(heartbeat)
         };
         self.out.push(Effect::Answer(o.call, v));
     }
@@ -237,18 +242,18 @@
     /// Takes an answer from the node that was asked, for the call that it was asked for.
     fn on_forwarded(&mut self, now: Now, from: &str, m: ForwardResponse) {
         let token = m.token.number;
-        let send = self
+        let attempt = self
             .open
             .get_mut(&token)
             .filter(|_| m.token.incarnation == self.incarnation)
             .and_then(|o| o.asked.get_mut(m.token.attempt as usize))
-            .filter(|send| send.node == from);
-        let Some(send) = send else {
+            .filter(|attempt| attempt.node == from);
+        let Some(attempt) = attempt else {
             return self.count("answers_unasked");
         };
         let body: Value = serde_json::from_slice(&m.body).unwrap_or_default();
         let refused = m.status == 503 && body["error"] != json!("unsure");
-        send.refused = refused;
+        attempt.refused = refused;
         let again = self.open.get(&token).is_some_and(Open::repeatable);
         if refused || (m.status == 503 && again) {
             return self.try_another(now, token, from, m.by);
@@ -260,7 +265,7 @@
             self.holder = if m.by.is_empty() { from.into() } else { m.by };
         }
         let v = if (400..500).contains(&m.status) && o.maybe_taken_elsewhere(m.token.attempt) {
-            unsure(self.settings.bounds.beat())
+            unsure(self.settings.bounds.worker_heartbeat())
         } else {
             Response {
                 status: m.status,
@@ -300,7 +305,7 @@
             Msg::Tick => self.on_tick(now),
             Msg::Call(call, req) => self.on_call(now, call, req),
             Msg::Wire(_, Body::Shuffle(m)) => {
-                let _ = self.views.take(*m, &mut self.rng);
+                let _ = self.peer_sampler.take(*m, &mut self.rng);
             }
             Msg::Wire(from, Body::ForwardResponse(m)) => self.on_forwarded(now, &from, *m),
             Msg::SettingsChanged(new) => self.settings = *new,
@@ -317,7 +322,7 @@
             .map(|(k, v)| (k.to_string(), *v))
             .collect();
         all.push(("calls_open".into(), self.open.len() as u64));
-        all.push(("view_size".into(), self.views.len() as u64));
+        all.push(("view_size".into(), self.peer_sampler.len() as u64));
         all
     }
 }
--- a/landingdrift/tests/answers.rs
+++ b/landingdrift/tests/answers.rs
@@ -1,9 +1,9 @@
 //! An answer is taken from the peer that was asked, for the call that was asked, and once.
 
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request};
 use landingdrift::node::Node;
-use landingdrift::record::{pack_apply_result, ClusterState, Command};
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request};
 use landingdrift::settings::Settings;
+use landingdrift::state::{pack_apply_result, ClusterState, Command};
 use landingdrift::wire::{
     Body, ForwardResponse, ProposeResponse, ReadIndexResponse, RequestToken, WatchBatch,
 };
@@ -27,38 +27,38 @@
             seeds: vec![CORE.into()],
             ..Settings::default()
         };
-        let mut record = ClusterState::new(&settings.cluster);
+        let mut state = ClusterState::new(&settings.cluster);
         let commands = [
-            Command::Node {
+            Command::RegisterNode {
                 node: HOLDER.into(),
                 zone: "z".into(),
                 http: HOLDER.into(),
             },
-            Command::Lease {
-                duty: "cell/z".into(),
+            Command::GrantLease {
+                lease: "cell/z".into(),
                 holder: HOLDER.into(),
                 from_epoch: 0,
             },
         ];
         for (i, c) in commands.iter().enumerate() {
-            record.apply(i as u64 + 1, 1000, c).expect("entered");
+            state.apply(i as u64 + 1, 1000, c).expect("entered");
         }
         let node = Node::new(settings, Now { mono: 1, wall: 1 }, 1);
         let mut desk = Self { node, elapsed: 1 };
         let batch = WatchBatch {
-            core: CORE.into(),
+            replica: CORE.into(),
             leader: CORE.into(),
             ok: true,
             sent: 1,
             quorum_age: 0,
             clock: 1000,
-            commit: record.place,
-            snapshot: record.pack(),
-            snapshot_index: record.place,
+            commit: state.applied_index,
+            snapshot: state.pack(),
+            snapshot_index: state.applied_index,
             entries: Vec::new(),
-            cores: vec![CORE.into()],
+            replicas: vec![CORE.into()],
             light: false,
-            reached: record.place,
+            reached: state.applied_index,
         };
         desk.hear(CORE, Body::WatchBatch(Box::new(batch)));
         desk
@@ -84,9 +84,9 @@
     }
 
     /// A beat for the cell of the other node; the token under which it was passed on.
-    fn beat(&mut self) -> RequestToken {
-        let facts = json!({"worker": "w", "incarnation": 1, "service": "s", "labels": [], "zone": "z", "room": 1, "leaving": false});
-        let body = json!({"facts": facts, "running": [], "ended": []}).to_string();
+    fn heartbeat(&mut self) -> RequestToken {
+        let info = json!({"worker": "w", "incarnation": 1, "service": "s", "labels": [], "zone": "z", "room": 1, "leaving": false});
+        let body = json!({"facts": info, "running": [], "ended": []}).to_string();
         let effects = self.call("POST", "/v1/beats", &body);
         let passed = forwards(&effects);
         assert_eq!(passed.len(), 1, "{effects:?}");
@@ -136,7 +136,7 @@
     Body::ReadIndexResponse(Box::new(ReadIndexResponse {
         token,
         ok: true,
-        place: 2,
+        log_index: 2,
         leader: CORE.into(),
         nodes: Vec::new(),
     }))
@@ -146,7 +146,7 @@
     Body::ProposeResponse(Box::new(ProposeResponse {
         token,
         outcome: 0,
-        place: 3,
+        log_index: 3,
         leader: CORE.into(),
         response: pack_apply_result(&Ok(json!({"zone": "z", "emptied": true}))),
     }))
@@ -179,7 +179,7 @@
 #[test]
 fn a_call_passed_on_is_answered_by_the_node_that_was_asked_and_once() {
     let mut d = Desk::new();
-    let token = d.beat();
+    let token = d.heartbeat();
     assert_eq!(told(&d.hear(STRANGER, forwarded(token))), []);
     assert_eq!(told(&d.hear(HOLDER, forwarded(of_another_life(token)))), []);
     assert_eq!(told(&d.hear(HOLDER, forwarded(token))).len(), 1);
@@ -224,7 +224,7 @@
 #[test]
 fn silence_after_a_call_was_passed_on_sends_it_no_second_time_and_is_unsure() {
     let mut d = Desk::new();
-    let token = d.beat();
+    let token = d.heartbeat();
     let effects = d.silence(6000);
     assert_eq!(forwards(&effects), [], "it is sent once");
     let told_then = told(&effects);
--- a/landingdrift/tests/cell.rs
+++ b/landingdrift/tests/cell.rs
@@ -1,12 +1,12 @@
 //! What the holder of a cell makes of beats: each test drives one node by its messages.
 
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::node::{Heartbeat, Node, Running};
-use landingdrift::record::{
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::settings::{Bounds, Settings};
+use landingdrift::state::{
     ClusterState, Command, EndReport, JobSpec, Outcome, Placement, RunName, StepSpec, TaskSpec,
     WorkerInfo,
 };
-use landingdrift::settings::{Bounds, Settings};
 use landingdrift::wire::{
     Body, Entry, ForwardRequest, Offer, OfferResponse, ProposeResponse, RequestToken, Reservation,
     Reserve, WatchBatch,
@@ -24,13 +24,13 @@
     call: u64,
 }
 
-fn facts() -> WorkerInfo {
+fn info() -> WorkerInfo {
     WorkerInfo {
         worker: "w".into(),
         incarnation: 1,
         service: "s".into(),
         zone: "z".into(),
-        room: 4,
+        cpu: 4,
         ..WorkerInfo::default()
     }
 }
@@ -43,7 +43,7 @@
             zone: "z".into(),
             seeds: vec![CORE.into()],
             bounds: Bounds {
-                hold_ms: 6000,
+                lease_ms: 6000,
                 ..Bounds::default()
             },
             ..Settings::default()
@@ -55,19 +55,19 @@
             t: 1,
             call: 0,
         };
-        d.enter(Command::Node {
+        d.enter(Command::RegisterNode {
             node: NODE.into(),
             zone: "z".into(),
             http: NODE.into(),
         });
-        for duty in ["cell/z", "queue/q"] {
-            d.enter(Command::Lease {
-                duty: duty.into(),
+        for lease in ["cell/z", "queue/q"] {
+            d.enter(Command::GrantLease {
+                lease: lease.into(),
                 holder: NODE.into(),
                 from_epoch: 0,
             });
         }
-        d.enter(Command::Configure {
+        d.enter(Command::UpdateConfig {
             change: "c".into(),
             base: 0,
             patch: false,
@@ -75,15 +75,15 @@
             value: json!({"queues": {"q": {"tries": 3, "quota": 9, "windowMs": 1000, "unsureBoundMs": 1000, "speculationPercent": 0}},
                 "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
         });
-        d.enter(Command::Facts {
-            facts: facts(),
-            cell_epoch: 1,
+        d.enter(Command::UpdateWorker {
+            info: info(),
+            zone_epoch: 1,
         });
         d
     }
 
     fn enter(&mut self, c: Command) {
-        let index = self.r.place + 1;
+        let index = self.r.applied_index + 1;
         self.r
             .apply(index, 1000 + self.t, &c)
             .unwrap_or_else(|e| panic!("{c:?}: {e}"));
@@ -99,19 +99,19 @@
     /// The node follows to where the record is.
     fn follow(&mut self) -> Vec<Effect> {
         let batch = WatchBatch {
-            core: CORE.into(),
+            replica: CORE.into(),
             leader: CORE.into(),
             ok: true,
             sent: self.t,
             quorum_age: 0,
             clock: 1000 + self.t,
-            commit: self.r.place,
+            commit: self.r.applied_index,
             snapshot: self.r.pack(),
-            snapshot_index: self.r.place,
+            snapshot_index: self.r.applied_index,
             entries: Vec::new(),
-            cores: vec![CORE.into()],
+            replicas: vec![CORE.into()],
             light: false,
-            reached: self.r.place,
+            reached: self.r.applied_index,
         };
         let now = self.now();
         self.n.step(
@@ -122,8 +122,8 @@
 
     /// A job of one step of so many tasks.
     fn accept(&mut self, id: &str, count: u32) {
-        let seen = self.r.place;
-        self.enter(Command::Accept {
+        let seen = self.r.applied_index;
+        self.enter(Command::AcceptJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
@@ -131,7 +131,7 @@
                     count,
                     task: TaskSpec {
                         service: "s".into(),
-                        room: 1,
+                        cpu: 1,
                         ..TaskSpec::default()
                     },
                     ..StepSpec::default()
@@ -146,14 +146,14 @@
     /// A job of one task, and a run of it on the worker.
     fn started(&mut self) {
         self.accept("j", 1);
-        self.enter(Command::Start {
+        self.enter(Command::StartAttempts {
             job: "j".into(),
             owner_epoch: 2,
             placements: vec![Placement {
                 task: 0,
                 worker: "w".into(),
                 incarnation: 1,
-                cell_epoch: 1,
+                zone_epoch: 1,
                 copy: false,
             }],
         });
@@ -161,7 +161,7 @@
     }
 
     /// A beat of the worker; the answer, and what was proposed with it.
-    fn beat(&mut self, call: u64, running: bool) -> (Option<Response>, Vec<Command>) {
+    fn heartbeat(&mut self, call: u64, running: bool) -> (Option<Response>, Vec<Command>) {
         let name = RunName {
             job: "j".into(),
             task: "0.0.0".into(),
@@ -171,8 +171,8 @@
             name: Some(name),
             ..Running::default()
         };
-        let beat = Heartbeat {
-            facts: facts(),
+        let heartbeat = Heartbeat {
+            info: info(),
             running: if running { vec![run] } else { Vec::new() },
             call,
             named: true,
@@ -182,7 +182,7 @@
         let req = Request {
             method: "POST".into(),
             path: "/v1/beats".into(),
-            body: serde_json::to_vec(&beat).expect("JSON"),
+            body: serde_json::to_vec(&heartbeat).expect("JSON"),
             ..Request::default()
         };
         let now = self.now();
@@ -208,11 +208,11 @@
 fn voids(of: &[Command]) -> Vec<EndReport> {
     of.iter()
         .filter_map(|c| match c {
-            Command::Report { ends, .. } => Some(ends.clone()),
+            Command::ReportAttempts { ends, .. } => Some(ends.clone()),
             _ => None,
         })
         .flatten()
-        .filter(|e| e.outcome == Outcome::Void)
+        .filter(|e| e.outcome == Outcome::NeverStarted)
         .collect()
 }
 
@@ -220,25 +220,25 @@
 fn a_stopped_order_that_no_later_beat_shows_was_never_started() {
     let mut d = Desk::new();
     d.started();
-    let (v, _) = d.beat(1, false);
+    let (v, _) = d.heartbeat(1, false);
     let starts = v.expect("answered").body["starts"].clone();
     assert_eq!(starts[0]["task"], json!("0.0.0"), "the order goes out");
-    d.enter(Command::Cancel { job: "j".into() });
+    d.enter(Command::CancelJob { job: "j".into() });
     d.follow();
     // The same call again, by another way: the answer with the order may still be under way.
-    assert_eq!(voids(&d.beat(1, false).1), []);
+    assert_eq!(voids(&d.heartbeat(1, false).1), []);
     // The next call shows that the answer was dropped.
-    assert_eq!(voids(&d.beat(2, false).1).len(), 1);
+    assert_eq!(voids(&d.heartbeat(2, false).1).len(), 1);
 }
 
 #[test]
 fn a_stopped_order_that_runs_is_not_void() {
     let mut d = Desk::new();
     d.started();
-    d.beat(1, false);
-    d.enter(Command::Cancel { job: "j".into() });
+    d.heartbeat(1, false);
+    d.enter(Command::CancelJob { job: "j".into() });
     d.follow();
-    let (v, proposed) = d.beat(2, true);
+    let (v, proposed) = d.heartbeat(2, true);
     assert_eq!(voids(&proposed), []);
     assert_eq!(
         v.expect("answered").body["stopRuns"],
@@ -250,45 +250,45 @@
 fn a_new_holder_does_not_judge_by_the_first_call_it_hears() {
     let mut d = Desk::new();
     d.started();
-    d.enter(Command::Cancel { job: "j".into() });
+    d.enter(Command::CancelJob { job: "j".into() });
     d.follow();
     // Its predecessor may have answered this very call with the order.
-    assert_eq!(voids(&d.beat(7, false).1), []);
-    assert_eq!(voids(&d.beat(8, false).1).len(), 1);
+    assert_eq!(voids(&d.heartbeat(7, false).1), []);
+    assert_eq!(voids(&d.heartbeat(8, false).1).len(), 1);
 }
 
 #[test]
 fn a_silent_worker_is_let_go_once_its_hold_has_surely_passed_and_not_before() {
     let mut d = Desk::new();
     d.started();
-    d.beat(1, true);
-    d.enter(Command::Report {
+    d.heartbeat(1, true);
+    d.enter(Command::ReportAttempts {
         worker: "w".into(),
         incarnation: 1,
         running: vec![1],
         ends: vec![],
     });
-    let mut lapsed = Vec::new();
+    let mut expired = Vec::new();
     for t in (20..8000).step_by(20) {
         d.t = t;
         d.follow();
         let now = d.now();
         let (_, proposed) = said(d.n.step(now, Msg::Tick));
         // Until the core's word comes the proposal is sent again; the first one counts.
-        let first = lapsed.is_empty();
+        let first = expired.is_empty();
         for c in proposed.into_iter().filter(|_| first) {
-            if let Command::Lapse { worker, .. } = &c {
-                lapsed.push((t, worker.clone()));
+            if let Command::ExpireAttempts { worker, .. } = &c {
+                expired.push((t, worker.clone()));
             }
-            let index = d.r.place + 1;
+            let index = d.r.applied_index + 1;
             let _ = d.r.apply(index, 1000 + t, &c);
         }
     }
-    assert_eq!(lapsed.len(), 1, "{lapsed:?}");
+    assert_eq!(expired.len(), 1, "{expired:?}");
     // 6,000 ms by a clock that runs 2 % slow are 6,123.
-    assert!((6123..6400).contains(&lapsed[0].0), "{lapsed:?}");
+    assert!((6123..6400).contains(&expired[0].0), "{expired:?}");
     let task = &d.r.jobs["j"].tasks[0];
-    assert_eq!(task.defects, 0);
+    assert_eq!(task.failures, 0);
     assert!(task.live().next().is_none());
 }
 
@@ -296,19 +296,19 @@
 fn a_beat_that_comes_to_another_node_learns_who_holds_the_cell() {
     let mut d = Desk::new();
     let other = "10.0.0.3:1";
-    d.enter(Command::Node {
+    d.enter(Command::RegisterNode {
         node: other.into(),
         zone: "z".into(),
         http: other.into(),
     });
-    d.enter(Command::Lease {
-        duty: "cell/z".into(),
+    d.enter(Command::GrantLease {
+        lease: "cell/z".into(),
         holder: other.into(),
         from_epoch: 1,
     });
     d.follow();
-    let beat = Heartbeat {
-        facts: facts(),
+    let heartbeat = Heartbeat {
+        info: info(),
         ..Heartbeat::default()
     };
     let m = ForwardRequest {
@@ -316,7 +316,7 @@
         method: "POST".into(),
         path: "/v1/beats".into(),
         query: String::new(),
-        body: serde_json::to_vec(&beat).expect("JSON"),
+        body: serde_json::to_vec(&heartbeat).expect("JSON"),
     };
     let now = d.now();
     let told = d.n.step(
@@ -334,39 +334,39 @@
 fn when_a_cell_changes_hands_reservations_are_placed_anew_at_once() {
     let mut d = Desk::new();
     let other = "10.0.0.3:1";
-    d.enter(Command::Node {
+    d.enter(Command::RegisterNode {
         node: other.into(),
         zone: "z".into(),
         http: other.into(),
     });
     d.accept("k", 8);
     d.follow();
-    let grant = Command::Lease {
-        duty: "cell/z".into(),
+    let grant = Command::GrantLease {
+        lease: "cell/z".into(),
         holder: other.into(),
         from_epoch: 1,
     };
     d.enter(grant.clone());
     d.t += 30;
     let batch = WatchBatch {
-        core: CORE.into(),
+        replica: CORE.into(),
         leader: CORE.into(),
         ok: true,
         sent: d.t,
         quorum_age: 0,
         clock: 1000 + d.t,
-        commit: d.r.place,
+        commit: d.r.applied_index,
         snapshot: Vec::new(),
         snapshot_index: 0,
         entries: vec![Entry {
-            index: d.r.place,
+            index: d.r.applied_index,
             term: 1,
             at: 1000 + d.t,
             command: grant.pack(),
         }],
-        cores: vec![CORE.into()],
+        replicas: vec![CORE.into()],
         light: false,
-        reached: d.r.place,
+        reached: d.r.applied_index,
     };
     let now = d.now();
     let out = d.n.step(
@@ -384,7 +384,7 @@
 fn while_it_is_unsure_whether_a_worker_was_let_go_no_hold_is_renewed() {
     let mut d = Desk::new();
     d.started();
-    d.beat(1, true);
+    d.heartbeat(1, true);
     let mut proposed = Vec::new();
     // No core answers, and in the end the proposal is given up: it may still come through.
     for t in (20..12_000).step_by(20) {
@@ -393,12 +393,15 @@
         let now = d.now();
         proposed.extend(said(d.n.step(now, Msg::Tick)).1);
     }
-    let lapses: Vec<&Command> = proposed
+    let lease_expiry: Vec<&Command> = proposed
         .iter()
-        .filter(|c| matches!(c, Command::Lapse { .. }))
+        .filter(|c| matches!(c, Command::ExpireAttempts { .. }))
         .collect();
-    assert!(lapses.len() > 1, "it is proposed until the core has ruled");
-    let (v, _) = d.beat(2, true);
+    assert!(
+        lease_expiry.len() > 1,
+        "it is proposed until the core has ruled"
+    );
+    let (v, _) = d.heartbeat(2, true);
     let v = v.expect("answered");
     assert_eq!((v.status, v.body.get("holdMs")), (503, None));
 }
@@ -416,19 +419,19 @@
 fn an_offer_is_answered_by_the_scheduler_that_it_was_made_to_and_once() {
     let (scheduler, stranger) = ("10.0.0.3:1", "10.0.0.9:1");
     let mut d = Desk::new();
-    d.enter(Command::Node {
+    d.enter(Command::RegisterNode {
         node: scheduler.into(),
         zone: "z".into(),
         http: scheduler.into(),
     });
-    d.enter(Command::Lease {
-        duty: "queue/q".into(),
+    d.enter(Command::GrantLease {
+        lease: "queue/q".into(),
         holder: scheduler.into(),
         from_epoch: 2,
     });
     d.accept("k", 1);
     d.follow();
-    d.beat(1, false);
+    d.heartbeat(1, false);
     let reservation = Reservation {
         job: "k".into(),
         worker: "w".into(),
@@ -452,7 +455,7 @@
             token,
             worker: "w".into(),
             accepted: true,
-            room: 1,
+            cpu: 1,
             ..OfferResponse::default()
         }))
     };
@@ -478,9 +481,14 @@
         Effect::Send(to, Body::ProposeRequest(p)) => Some((to, *p)),
         _ => None,
     });
-    sent.filter(|(_, p)| matches!(Command::unpack(&p.command), Ok(Command::Start { .. })))
-        .map(|(to, p)| (to, p.token))
-        .collect()
+    sent.filter(|(_, p)| {
+        matches!(
+            Command::unpack(&p.command),
+            Ok(Command::StartAttempts { .. })
+        )
+    })
+    .map(|(to, p)| (to, p.token))
+    .collect()
 }
 
 impl Desk {
@@ -501,7 +509,7 @@
         let answer = ProposeResponse {
             token,
             outcome: 1,
-            place: 0,
+            log_index: 0,
             leader: String::new(),
             response: Vec::new(),
         };
@@ -515,16 +523,16 @@
 fn a_start_goes_to_another_core_only_when_the_last_one_has_taken_nothing() {
     let mut d = Desk::new();
     d.follow();
-    d.beat(1, false);
+    d.heartbeat(1, false);
     d.accept("k", 1);
     let first = d.starts_during(100);
     assert_eq!(first.len(), 1, "{first:?}");
-    let (core, token) = first[0].clone();
-    d.not_taken(&core, token);
+    let (replica, token) = first[0].clone();
+    d.not_taken(&replica, token);
     let second = d.starts_during(100);
     assert_eq!(second.len(), 1, "nothing was taken: it is sent again");
     assert_eq!(second[0].1.number, token.number);
     // The first refusal comes again, and says nothing of the second send.
-    d.not_taken(&core, token);
+    d.not_taken(&replica, token);
     assert_eq!(d.starts_during(800), [], "the second send may be taken");
 }
--- a/landingdrift/tests/common/mod.rs
+++ b/landingdrift/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Nodes beside one record that stands for the log; the test says which proposal is committed when, and how often.
 
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::node::Node;
-use landingdrift::record::{pack_apply_result, ClusterState, Command};
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::Settings;
+use landingdrift::state::{pack_apply_result, ClusterState, Command};
 use landingdrift::wire::{Body, ProposeRequest, ProposeResponse, WatchBatch};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 
 /// What the log made of one copy of a proposal.
 pub struct Ruled {
-    pub place: u64,
+    pub log_index: u64,
     pub response: Vec<u8>,
 }
 
@@ -53,7 +53,7 @@
 }
 
 pub struct Cluster {
-    pub record: ClusterState,
+    pub state: ClusterState,
     nodes: Vec<Node>,
     elapsed: u64,
     calls: u64,
@@ -71,13 +71,13 @@
         let now = Now { mono: 1, wall: 1 };
         let start = |n: usize| Node::new(settings(n), now, n as u64);
         let mut cluster = Self {
-            record: ClusterState::new(&Settings::default().cluster),
+            state: ClusterState::new(&Settings::default().cluster),
             nodes: (0..nodes).map(start).collect(),
             elapsed: 1,
             calls: 0,
             replies: BTreeMap::new(),
         };
-        let first = Command::Configure {
+        let first = Command::UpdateConfig {
             change: "first".into(),
             base: 0,
             patch: false,
@@ -86,7 +86,7 @@
                 "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
         };
         let at = cluster.agreed();
-        cluster.record.apply(1, at, &first).expect("a right one");
+        cluster.state.apply(1, at, &first).expect("a right one");
         (0..nodes).for_each(|n| cluster.follow(n));
         cluster
     }
@@ -108,19 +108,19 @@
 
     fn follow(&mut self, node: usize) {
         let batch = WatchBatch {
-            core: CORE.into(),
+            replica: CORE.into(),
             leader: CORE.into(),
             ok: true,
             sent: self.elapsed,
             quorum_age: 0,
             clock: self.agreed(),
-            commit: self.record.place,
-            snapshot: self.record.pack(),
-            snapshot_index: self.record.place,
+            commit: self.state.applied_index,
+            snapshot: self.state.pack(),
+            snapshot_index: self.state.applied_index,
             entries: Vec::new(),
-            cores: vec![CORE.into()],
+            replicas: vec![CORE.into()],
             light: false,
-            reached: self.record.place,
+            reached: self.state.applied_index,
         };
         let body = Body::WatchBatch(Box::new(batch));
         self.step(node, Msg::Wire(CORE.into(), body));
@@ -165,10 +165,12 @@
     /// One copy of the proposal reaches the log.
     pub fn commit(&mut self, order: &mut Order) -> Ruled {
         order.committed = true;
-        let (place, at) = (self.record.place + 1, self.agreed());
-        let result = self.record.apply_bytes(place, at, &order.propose.command);
+        let (log_index, at) = (self.state.applied_index + 1, self.agreed());
+        let result = self
+            .state
+            .apply_bytes(log_index, at, &order.propose.command);
         Ruled {
-            place,
+            log_index,
             response: pack_apply_result(&result),
         }
     }
@@ -183,7 +185,7 @@
         let answer = ProposeResponse {
             token: order.propose.token,
             outcome: 0,
-            place: ruled.place,
+            log_index: ruled.log_index,
             leader: CORE.into(),
             response: ruled.response.clone(),
         };
@@ -199,7 +201,7 @@
         let answer = ProposeResponse {
             token: order.propose.token,
             outcome: 1,
-            place: 0,
+            log_index: 0,
             leader: String::new(),
             response: Vec::new(),
         };
--- a/landingdrift/tests/control.rs
+++ b/landingdrift/tests/control.rs
@@ -1,7 +1,7 @@
 //! The thread of control state steps its part no more often than it must.
 
 use landingdrift::daemon::{Calls, Clock, Control, Ending, Frames, Input, Traffic};
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -37,9 +37,9 @@
         patience: Duration::from_secs(1),
         longest: 1 << 20,
     };
-    let noted = Arc::new(Mutex::new(Vec::new()));
+    let witnessed = Arc::new(Mutex::new(Vec::new()));
     let control = Control {
-        part: Box::new(Noting(noted.clone())),
+        part: Box::new(Noting(witnessed.clone())),
         clock: Clock::start(),
         transport: traffic.listen(frames, tx.clone()).expect("listens"),
         disk: None,
@@ -49,26 +49,26 @@
     };
     inputs.into_iter().for_each(|i| tx.send(i).expect("taken"));
     control.run(&rx);
-    let noted = noted.lock().expect("free");
-    noted.clone()
+    let witnessed = witnessed.lock().expect("free");
+    witnessed.clone()
 }
 
 #[test]
 fn a_busy_part_is_told_of_the_time_once_a_tick() {
     let calls = (0..1000).map(|n| Input::Call(Request::default(), n));
-    let noted = run(
+    let witnessed = run(
         Duration::from_secs(3600),
         calls.chain([Input::Msg(Msg::Stop)]).collect(),
     );
-    let count = |kind| noted.iter().filter(|k| **k == kind).count();
+    let count = |kind| witnessed.iter().filter(|k| **k == kind).count();
     assert_eq!((count("tick"), count("call"), count("stop")), (1, 1000, 1));
-    assert_eq!(noted.last(), Some(&"stop"));
+    assert_eq!(witnessed.last(), Some(&"stop"));
 }
 
 #[test]
 fn nothing_is_stepped_after_the_end() {
     let stop = Input::Msg(Msg::Stop);
     let late = Input::Call(Request::default(), 1);
-    let noted = run(Duration::from_secs(3600), vec![stop, late]);
-    assert_eq!(noted, ["tick", "stop"]);
+    let witnessed = run(Duration::from_secs(3600), vec![stop, late]);
+    assert_eq!(witnessed, ["tick", "stop"]);
 }
--- a/landingdrift/tests/disk.rs
+++ b/landingdrift/tests/disk.rs
@@ -1,7 +1,7 @@
 //! The data folder under what disks do: torn tails, damage, strangers.
 
 use landingdrift::disk::{verify, DataFolder, StorageError};
-use landingdrift::kernel::{HardState, Snapshot, WriteBatch};
+use landingdrift::sans_io::{HardState, Snapshot, WriteBatch};
 use landingdrift::wire::{DurabilityWitness, Entry};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -50,18 +50,18 @@
     let hard_state = HardState {
         term: 3,
         vote: "a".into(),
-        silent_to: 2,
+        no_vote_through: 2,
         founders: vec!["10.0.0.1:7000".into()],
     };
-    let notes = vec![DurabilityWitness {
-        core: "b".into(),
+    let witnesses = vec![DurabilityWitness {
+        replica: "b".into(),
         disk: 9,
         index: 4,
         term: 1,
     }];
     f.save(&[WriteBatch {
         hard_state: Some(hard_state.clone()),
-        notes: notes.clone(),
+        witnesses: witnesses.clone(),
         cut: Some(5),
         entries: vec![entry(5, 2), entry(6, 2)],
         ..WriteBatch::default()
@@ -76,7 +76,7 @@
     let (_, l) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened");
     assert_eq!(l.disk, 7);
     assert!(!l.damaged);
-    assert_eq!((l.hard_state, l.notes), (hard_state, notes));
+    assert_eq!((l.hard_state, l.witnesses), (hard_state, witnesses));
     assert_eq!(
         l.entries
             .iter()
