--- a/landingdrift/tests/disk_power.rs
+++ b/landingdrift/tests/disk_power.rs
@@ -1,7 +1,7 @@
 //! The data folder when the power goes: whatever was not synced may be kept or lost, each change of a name by itself.
 
 use landingdrift::disk::{DataFolder, Directory, FileSystem};
-use landingdrift::kernel::{HardState, Snapshot, WriteBatch};
+use landingdrift::sans_io::{HardState, Snapshot, WriteBatch};
 use landingdrift::wire::{DurabilityWitness, Entry};
 use std::fs::{self, File};
 use std::io;
@@ -173,7 +173,7 @@
     term: u64,
     last: u64,
     captured: u64,
-    notes: usize,
+    witnesses: usize,
     /// From here on the log is of this term.
     newer: Option<(u64, u64)>,
 }
@@ -224,7 +224,7 @@
             .last()
             .map_or(c.last, |e| e.index)
             .max(c.captured);
-        c.notes = c.notes.max(save.notes.len());
+        c.witnesses = c.witnesses.max(save.witnesses.len());
         let mut images = self.lossy.take_images();
         let last = images.pop().expect("an image");
         let confirmed = self.confirmed.clone();
@@ -237,12 +237,12 @@
         for lost in losses(image.unsynced.len()) {
             restore(image, lost, &scratch);
             let told = format!("{confirmed:?}, lost {lost:b} of {:?}", image.names());
-            let opened = DataFolder::open(&scratch, "c", SEGMENT_BYTES, 8);
-            let (_, l) = opened.unwrap_or_else(|e| panic!("{e}: {told}"));
+            let term_start_index = DataFolder::open(&scratch, "c", SEGMENT_BYTES, 8);
+            let (_, l) = term_start_index.unwrap_or_else(|e| panic!("{e}: {told}"));
             self.seen += 1;
             assert!(!l.damaged, "{told}");
             assert!(l.hard_state.term >= confirmed.term, "{told}");
-            assert!(l.notes.len() >= confirmed.notes, "{told}");
+            assert!(l.witnesses.len() >= confirmed.witnesses, "{told}");
             let captured = l.snapshot.as_ref().map_or(0, |c| c.index);
             assert!(captured >= confirmed.captured, "{told}");
             let last = l.entries.last().map_or(captured, |e| e.index);
@@ -288,7 +288,7 @@
     Some(HardState {
         term,
         vote: "a".into(),
-        silent_to: 0,
+        no_vote_through: 0,
         founders: Vec::new(),
     })
 }
@@ -298,8 +298,8 @@
     let mut m = Model::new("captures");
     m.save(WriteBatch {
         hard_state: hard_state(3),
-        notes: vec![DurabilityWitness {
-            core: "b".into(),
+        witnesses: vec![DurabilityWitness {
+            replica: "b".into(),
             disk: 9,
             index: 1,
             term: 1,
@@ -335,7 +335,7 @@
     });
     m.confirmed.newer = Some((41, 4));
     m.save(WriteBatch {
-        notes: vec![DurabilityWitness::default()],
+        witnesses: vec![DurabilityWitness::default()],
         ..WriteBatch::default()
     });
     m.save(entries(41, 43, 5));
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -2,7 +2,7 @@
 
 use landingdrift::daemon::{Disk, Input, Pauses, Store};
 use landingdrift::disk::{DataFolder, StorageError};
-use landingdrift::kernel::{HardState, Msg, WriteBatch};
+use landingdrift::sans_io::{HardState, Msg, WriteBatch};
 use landingdrift::wire::{DurabilityWitness, Entry};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -33,8 +33,8 @@
     WriteBatch {
         write_id,
         entries: (from..=to).map(entry).collect(),
-        notes: vec![DurabilityWitness {
-            core: "b".into(),
+        witnesses: vec![DurabilityWitness {
+            replica: "b".into(),
             disk: 9,
             index: to,
             term: 1,
@@ -49,7 +49,7 @@
     loaded.entries.iter().map(|e| e.index).collect()
 }
 
-/// Refuses the first tries, and notes what is written.
+/// Refuses the first tries, and witnesses what is written.
 struct Refusing {
     left: Arc<AtomicUsize>,
     written: Arc<Mutex<Vec<u64>>>,
@@ -150,7 +150,7 @@
         hard_state: Some(HardState {
             term: 3,
             vote: "a".into(),
-            silent_to: 0,
+            no_vote_through: 0,
             founders: Vec::new(),
         }),
         ..save(1, 1, 5)
@@ -159,7 +159,7 @@
     fs::rename(&p, &away).expect("moved");
     let whole = WriteBatch {
         cut: Some(1),
-        snapshot: Some(landingdrift::kernel::Snapshot {
+        snapshot: Some(landingdrift::sans_io::Snapshot {
             index: 9,
             term: 4,
             bytes: b"state".to_vec(),
@@ -174,7 +174,7 @@
     assert_eq!(indexes(&p), [1, 2, 3, 4, 5]);
     let (_, l) = DataFolder::open(&p, "c", 1 << 20, 7).expect("opened");
     assert_eq!((l.hard_state.term, l.hard_state.vote.as_str()), (3, "a"));
-    assert_eq!(l.notes.len(), 1);
+    assert_eq!(l.witnesses.len(), 1);
 }
 
 #[test]
@@ -182,7 +182,7 @@
     let p = folder("room");
     let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
     for n in 1..=3 {
-        let snapshot = landingdrift::kernel::Snapshot {
+        let snapshot = landingdrift::sans_io::Snapshot {
             index: 10 * n,
             term: 1,
             bytes: vec![b's'; 100],
--- a/landingdrift/tests/docs.rs
+++ b/landingdrift/tests/docs.rs
@@ -1,9 +1,9 @@
 //! The operators' pages say what the code does.
 
-use landingdrift::desired;
+use landingdrift::config;
 use landingdrift::node::Heartbeat;
-use landingdrift::record::JobSpec;
 use landingdrift::settings::Settings;
+use landingdrift::state::JobSpec;
 use serde_json::Value;
 
 fn page(name: &str) -> String {
@@ -47,10 +47,10 @@
         .filter(|l| l.starts_with("| `"))
         .map(|l| {
             l.split('|')
-                .map(|cell| cell.trim().replace('`', ""))
+                .map(|zone_scheduler| zone_scheduler.trim().replace('`', ""))
                 .collect::<Vec<_>>()
         })
-        .map(|cells| (cells[1].clone(), cells[2].clone()))
+        .map(|zone_schedulers| (zone_schedulers[1].clone(), zone_schedulers[2].clone()))
         .collect();
     listed
         .iter_mut()
@@ -67,18 +67,18 @@
 #[test]
 fn the_examples_are_right() {
     let jobs = examples(&page("api"), "json job");
-    let beats = examples(&page("workers"), "json beat");
+    let heartbeats = examples(&page("workers"), "json beat");
     let configurations = examples(&page("desired-state"), "json desired");
-    assert!(!jobs.is_empty() && !beats.is_empty() && !configurations.is_empty());
+    assert!(!jobs.is_empty() && !heartbeats.is_empty() && !configurations.is_empty());
     for j in jobs {
         JobSpec::read(j.as_bytes())
             .and_then(|s| s.check())
             .unwrap_or_else(|e| panic!("{e}"));
     }
-    for b in beats {
+    for b in heartbeats {
         serde_json::from_str::<Heartbeat>(&b).unwrap_or_else(|e| panic!("{e}"));
     }
     for c in configurations {
-        desired::read(&serde_json::from_str(&c).expect("JSON")).unwrap_or_else(|e| panic!("{e}"));
+        config::read(&serde_json::from_str(&c).expect("JSON")).unwrap_or_else(|e| panic!("{e}"));
     }
 }
--- a/landingdrift/tests/light.rs
+++ b/landingdrift/tests/light.rs
@@ -1,11 +1,9 @@
 //! Light copies of the record: configuration, duties and members, neither jobs nor workers.
 
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request};
 use landingdrift::node::Node;
-use landingdrift::record::{
-    ClusterState, Command, JobSpec, Order, Outcome, ProposalId, WorkerInfo,
-};
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request};
 use landingdrift::settings::Settings;
+use landingdrift::state::{ClusterState, Command, JobSpec, Order, Outcome, ProposalId, WorkerInfo};
 use landingdrift::wire::{Body, Entry, WatchBatch};
 use serde_json::json;
 
@@ -16,9 +14,9 @@
 fn kinds() -> Vec<(Command, bool)> {
     let text = String::new;
     vec![
-        (Command::Opened { leader: text() }, true),
+        (Command::TermStarted { leader: text() }, true),
         (
-            Command::Configure {
+            Command::UpdateConfig {
                 change: text(),
                 base: 0,
                 patch: false,
@@ -28,16 +26,16 @@
             true,
         ),
         (
-            Command::Accept {
+            Command::AcceptJob {
                 spec: JobSpec::default(),
                 hash: 0,
                 seen: 0,
             },
             false,
         ),
-        (Command::Cancel { job: text() }, false),
+        (Command::CancelJob { job: text() }, false),
         (
-            Command::Start {
+            Command::StartAttempts {
                 job: text(),
                 owner_epoch: 0,
                 placements: vec![],
@@ -45,14 +43,14 @@
             false,
         ),
         (
-            Command::Facts {
-                facts: WorkerInfo::default(),
-                cell_epoch: 0,
+            Command::UpdateWorker {
+                info: WorkerInfo::default(),
+                zone_epoch: 0,
             },
             false,
         ),
         (
-            Command::Report {
+            Command::ReportAttempts {
                 worker: text(),
                 incarnation: 0,
                 running: vec![],
@@ -61,86 +59,86 @@
             false,
         ),
         (
-            Command::Lost {
+            Command::WorkerLost {
                 worker: text(),
                 incarnation: 0,
-                cell_epoch: 0,
+                zone_epoch: 0,
             },
             false,
         ),
         (
-            Command::Lapse {
+            Command::ExpireAttempts {
                 worker: text(),
                 incarnation: 0,
-                cell_epoch: 0,
-                sends: vec![],
+                zone_epoch: 0,
+                attempts: vec![],
                 checkpoints: vec![],
             },
             false,
         ),
         (
-            Command::Recall {
+            Command::RescheduleAttempts {
                 worker: text(),
-                cell_epoch: 0,
-                sends: vec![],
+                zone_epoch: 0,
+                attempts: vec![],
                 blame: false,
             },
             false,
         ),
         (
-            Command::Empty {
+            Command::SetEvacuation {
                 zone: text(),
                 on: true,
             },
             true,
         ),
         (
-            Command::Resolve {
+            Command::ResolveAttempt {
                 job: text(),
                 task: text(),
-                well: Outcome::Well == Outcome::Defect,
+                succeeded: Outcome::Succeeded == Outcome::Failed,
             },
             false,
         ),
         (
-            Command::Lease {
-                duty: text(),
+            Command::GrantLease {
+                lease: text(),
                 holder: text(),
                 from_epoch: 0,
             },
             true,
         ),
         (
-            Command::Node {
+            Command::RegisterNode {
                 node: text(),
                 zone: text(),
                 http: text(),
             },
             true,
         ),
-        (Command::NodeGone { node: text() }, true),
+        (Command::RemoveNode { node: text() }, true),
         (
-            Command::Found {
-                cores: Default::default(),
+            Command::FoundCluster {
+                replicas: Default::default(),
             },
             true,
         ),
         (
-            Command::Replica {
-                core: text(),
+            Command::UpdateReplica {
+                replica: text(),
                 member: Default::default(),
             },
             true,
         ),
         (
-            Command::CoreGone {
-                core: text(),
+            Command::RemoveReplica {
+                replica: text(),
                 disk: 0,
             },
             true,
         ),
         (
-            Command::Sweep {
+            Command::CollectGarbage {
                 retain_ms: 0,
                 identity_ms: 0,
             },
@@ -181,19 +179,19 @@
 
 fn batch(r: &ClusterState, t: u64) -> WatchBatch {
     WatchBatch {
-        core: CORE.into(),
+        replica: CORE.into(),
         leader: CORE.into(),
         ok: true,
         sent: t,
         quorum_age: 0,
         clock: 1000 + t,
-        commit: r.place,
+        commit: r.applied_index,
         snapshot: Vec::new(),
         snapshot_index: 0,
         entries: Vec::new(),
-        cores: vec![CORE.into()],
+        replicas: vec![CORE.into()],
         light: true,
-        reached: r.place,
+        reached: r.applied_index,
     }
 }
 
@@ -208,12 +206,12 @@
     let mut r = ClusterState::new(&settings.cluster);
     let mut n = Node::new(settings, Now { mono: 1, wall: 1 }, 1);
     let enter = |r: &mut ClusterState, c: Command| {
-        let index = r.place + 1;
+        let index = r.applied_index + 1;
         r.apply(index, 1000, &c)
             .map(|_| c)
             .map_err(|e| e.to_string())
     };
-    let node = Command::Node {
+    let node = Command::RegisterNode {
         node: HOLDER.into(),
         zone: "z".into(),
         http: HOLDER.into(),
@@ -221,7 +219,7 @@
     enter(&mut r, node).expect("entered");
     let first = WatchBatch {
         snapshot: r.light().pack(),
-        snapshot_index: r.place,
+        snapshot_index: r.applied_index,
         ..batch(&r, 1)
     };
     let hear = |n: &mut Node, t: u64, b: WatchBatch| {
@@ -230,27 +228,27 @@
     };
     hear(&mut n, 1, first);
     // Entries that concern a job lie between, and are left out.
-    r.place += 7;
-    let grant = Command::Lease {
-        duty: "queue/q".into(),
+    r.applied_index += 7;
+    let grant = Command::GrantLease {
+        lease: "queue/q".into(),
         holder: HOLDER.into(),
         from_epoch: 0,
     };
     let grant = enter(&mut r, grant).expect("entered");
     let entry = Entry {
-        index: r.place,
+        index: r.applied_index,
         term: 1,
         at: 1000,
         command: grant.pack(),
     };
-    r.place += 3;
+    r.applied_index += 3;
     let next = WatchBatch {
         entries: vec![entry],
         ..batch(&r, 20)
     };
     hear(&mut n, 20, next);
-    assert_eq!(n.record().place, r.place);
-    assert_eq!(n.record().leases["queue/q"].holder, HOLDER);
+    assert_eq!(n.state().applied_index, r.applied_index);
+    assert_eq!(n.state().leases["queue/q"].holder, HOLDER);
     assert!(n.is_ready(Now { mono: 30, wall: 30 }));
     let ask = Request {
         method: "GET".into(),
--- a/landingdrift/tests/membership.rs
+++ b/landingdrift/tests/membership.rs
@@ -1,9 +1,9 @@
 //! The pure reconciler of the membership, step by step.
 
-use landingdrift::agreement::membership::{
+use landingdrift::consensus::membership::{
     Health, JoinRequest, MembershipChange, MembershipView, Observed, Resilience,
 };
-use landingdrift::record::ReplicaMember;
+use landingdrift::state::ReplicaMember;
 use std::collections::BTreeMap;
 
 /// A cluster as its leader sees it; changes are carried out at once.
--- a/landingdrift/tests/opening.rs
+++ b/landingdrift/tests/opening.rs
@@ -1,6 +1,6 @@
 //! A core whose data folder can't be opened yet: its process serves, and tries again.
 
-use landingdrift::daemon::{Bounded, Manner, Process};
+use landingdrift::daemon::{HttpAdapter, HttpLimits, Process};
 use landingdrift::settings::Settings;
 use serde_json::Value;
 use signal_hook::consts::SIGTERM;
@@ -43,15 +43,17 @@
         ..Settings::default()
     };
     let mut process = Process::start("error").expect("starts");
-    let core = process.core(&settings).expect("starts without its folder");
+    let replica = process
+        .replica(&settings)
+        .expect("starts without its folder");
     let at = free_address();
-    let bounded = Bounded {
+    let limits = HttpLimits {
         patience: LONG,
         bytes: 1000,
         calls: 10,
     };
     process
-        .http(at, bounded, Manner::default(), &core)
+        .http(at, limits, HttpAdapter::default(), &replica)
         .expect("serves");
     let running = spawn(move || process.run(&|| Ok(Vec::new())));
     sleep(Duration::from_millis(500));
@@ -81,6 +83,6 @@
         ..Settings::default()
     };
     let mut process = Process::start("error").expect("starts");
-    let why = process.core(&settings).map(|_| ()).expect_err("refused");
+    let why = process.replica(&settings).map(|_| ()).expect_err("refused");
     assert!(why.contains("something else"), "{why}");
 }
--- a/landingdrift/tests/orderly_end.rs
+++ b/landingdrift/tests/orderly_end.rs
@@ -1,7 +1,7 @@
 //! A process that is told to end answers every call that it has read whole, and ends within its grace.
 
-use landingdrift::daemon::{Asked, Bounded, Handling, Manner, Process, Reply};
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::daemon::{Asked, Handling, HttpAdapter, HttpLimits, Process, Reply};
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::{Bounds, Settings};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -78,9 +78,9 @@
 }
 
 /// Counts the calls that were read whole, and tells verdicts as they are.
-fn counting(counts: &Arc<Counts>) -> Manner {
+fn counting(counts: &Arc<Counts>) -> HttpAdapter {
     let counts = counts.clone();
-    Manner::new(Arc::new(move |asked: Asked| {
+    HttpAdapter::new(Arc::new(move |asked: Asked| {
         counts.read.fetch_add(1, Ordering::SeqCst);
         let req = Request {
             path: asked.path,
@@ -177,13 +177,13 @@
     };
     process.part(Box::new(other), &settings()).expect("starts");
     let at = free_address();
-    let bounded = Bounded {
+    let limits = HttpLimits {
         patience: Duration::from_secs(3),
         bytes: 1000,
         calls: 1000,
     };
     process
-        .http(at, bounded, counting(&counts), &serving)
+        .http(at, limits, counting(&counts), &serving)
         .expect("serves");
     let running = spawn(move || process.run(&|| Ok(vec![settings(), settings()])));
     let callers: Vec<_> = (0..2 * CALLERS)
@@ -269,13 +269,13 @@
     };
     let handle = process.part(Box::new(part), &settings()).expect("starts");
     let at = free_address();
-    let bounded = Bounded {
+    let limits = HttpLimits {
         patience: Duration::from_secs(30),
         bytes: 1000,
         calls: 1000,
     };
     process
-        .http(at, bounded, counting(&counts), &handle)
+        .http(at, limits, counting(&counts), &handle)
         .expect("serves");
     sleep(Duration::from_millis(200));
     let since = Instant::now();
--- a/landingdrift/tests/orders.rs
+++ b/landingdrift/tests/orders.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{put, Cluster, Reply};
-use landingdrift::kernel::Request;
+use landingdrift::sans_io::Request;
 use serde_json::json;
 
 const DAY_MS: u64 = 86_400_000;
@@ -32,10 +32,10 @@
     let first = c.commit(&mut begin);
     let mut finish = c.call(0, zone("DELETE"));
     c.commit(&mut finish);
-    assert!(c.record.emptied.is_empty());
+    assert!(c.state.evacuated_zones.is_empty());
     let second = c.commit(&mut begin);
     assert!(
-        c.record.emptied.is_empty(),
+        c.state.evacuated_zones.is_empty(),
         "the late copy emptied the zone"
     );
     assert_eq!(second.response, first.response, "it gets its first answer");
@@ -47,7 +47,10 @@
     let mut begin = c.call(0, zone("PUT"));
     c.pass(60_000);
     let late = c.commit(&mut begin);
-    assert!(c.record.emptied.is_empty(), "the late order was obeyed");
+    assert!(
+        c.state.evacuated_zones.is_empty(),
+        "the late order was obeyed"
+    );
     let told = c.answer(&begin, &late).expect("answered");
     assert_eq!((told.status, told.kind()), (503, "unsure"));
 }
@@ -74,7 +77,7 @@
     c.commit(&mut hand_in);
     c.commit(&mut cancel);
     assert!(
-        !c.record.jobs["j"].cancel,
+        !c.state.jobs["j"].cancel,
         "the late copy cancelled a new job"
     );
 }
@@ -87,11 +90,11 @@
     let told = c.answer(&early, &refused).expect("answered");
     assert_eq!((told.status, told.kind()), (409, "rival"));
     c.order(1, put(1, "", &json!({"notes": {"by": "b"}})));
-    assert_eq!(c.record.version, 2);
+    assert_eq!(c.state.version, 2);
     let late = c.commit(&mut early);
     assert_eq!(late.response, refused.response);
     assert_eq!(
-        (c.record.version, c.record.desired.notes["by"].as_str()),
+        (c.state.version, c.state.config.notes["by"].as_str()),
         (2, "b")
     );
 }
@@ -134,22 +137,22 @@
 #[test]
 fn a_thousand_changes_a_day_are_remembered_for_a_day_and_cost_little() {
     let mut c = Cluster::new(1);
-    let before = c.record.pack().len();
+    let before = c.state.pack().len();
     for n in 0..3000 {
         c.pass(DAY_MS / 1000);
         let digest = "0".repeat(64);
         c.order(0, change(1 + n, &format!("v{n}-{n}-{digest}"), "a"));
     }
-    let kept = c.record.changes.len();
+    let kept = c.state.changes.len();
     assert!((1000..=1001).contains(&kept), "{kept} changes are kept");
-    let grown = c.record.pack().len() - before;
+    let grown = c.state.pack().len() - before;
     assert!(grown < 200_000, "{grown} bytes for a day's changes");
 }
 
 /// What came of a race of operators.
 fn race(seed: u64) -> (Cluster, Vec<Option<Reply>>) {
     let mut c = Cluster::new(3);
-    let mut rng = landingdrift::kernel::Rng::new(seed);
+    let mut rng = landingdrift::sans_io::Rng::new(seed);
     let mut calls: Vec<_> = (0..8)
         .map(|n| {
             let by = json!({"notes": {"by": n.to_string()}});
@@ -180,8 +183,8 @@
 fn of_eight_rivals_under_one_number_only_the_one_in_force_is_ever_confirmed() {
     for seed in 0..200 {
         let (c, told) = race(seed);
-        let winner = c.record.desired.notes["by"].clone();
-        assert_eq!(c.record.version, 7, "seed {seed}");
+        let winner = c.state.config.notes["by"].clone();
+        assert_eq!(c.state.version, 7, "seed {seed}");
         for (n, reply) in told.iter().enumerate() {
             let reply = reply.as_ref().expect("every call is answered");
             let won = n.to_string() == winner;
--- a/landingdrift/tests/record.rs
+++ b/landingdrift/tests/record.rs
@@ -1,6 +1,6 @@
 //! The record disposes: whatever a stale, frozen or confused node proposes, no rule is broken in `apply`.
 
-use landingdrift::record::{
+use landingdrift::state::{
     ApplyResult, AttemptState, ClusterState, Command, EndReport, JobSpec, JobState, Outcome,
     Placement, Rejection, TaskSpec, WorkerInfo,
 };
@@ -20,30 +20,30 @@
             n: 0,
             at: 1_000_000,
         };
-        d.ok(Command::Node {
+        d.ok(Command::RegisterNode {
             node: "n".into(),
             zone: "z".into(),
             http: "h".into(),
         });
-        d.ok(Command::Lease {
-            duty: "cell/z".into(),
+        d.ok(Command::GrantLease {
+            lease: "cell/z".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        d.ok(Command::Lease {
-            duty: "queue/q".into(),
+        d.ok(Command::GrantLease {
+            lease: "queue/q".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        d.ok(Command::Configure {
+        d.ok(Command::UpdateConfig {
             change: "first".into(),
             base: 0,
             patch: false,
             number: 0,
-            value: desired(2),
+            value: config(2),
         });
-        d.facts("w", 1, false);
-        d.facts("v", 1, false);
+        d.info("w", 1, false);
+        d.info("v", 1, false);
         d
     }
     fn apply(&mut self, c: Command) -> ApplyResult {
@@ -55,25 +55,25 @@
         let told = format!("{c:?}");
         self.apply(c).unwrap_or_else(|e| panic!("{told}: {e}"))
     }
-    fn facts(&mut self, worker: &str, incarnation: u64, leaving: bool) {
-        let facts = WorkerInfo {
+    fn info(&mut self, worker: &str, incarnation: u64, leaving: bool) {
+        let info = WorkerInfo {
             worker: worker.into(),
             incarnation,
             service: "s".into(),
             labels: ["l".to_string()].into(),
             zone: "z".into(),
-            room: 4,
+            cpu: 4,
             leaving,
             ..WorkerInfo::default()
         };
-        self.ok(Command::Facts {
-            facts,
-            cell_epoch: 1,
+        self.ok(Command::UpdateWorker {
+            info,
+            zone_epoch: 1,
         });
     }
     fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
-        let seen = self.r.place;
-        self.apply(Command::Accept {
+        let seen = self.r.applied_index;
+        self.apply(Command::AcceptJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
@@ -92,28 +92,28 @@
         job: &str,
         of: &[(u32, &str)],
         owner_epoch: u64,
-        cell_epoch: u64,
+        zone_epoch: u64,
         copy: bool,
     ) -> ApplyResult {
-        let incarnation = |w: &str| self.r.workers.get(w).map_or(0, |w| w.facts.incarnation);
+        let incarnation = |w: &str| self.r.workers.get(w).map_or(0, |w| w.info.incarnation);
         let placements = of
             .iter()
             .map(|(task, w)| Placement {
                 task: *task,
                 worker: w.to_string(),
                 incarnation: incarnation(w),
-                cell_epoch,
+                zone_epoch,
                 copy,
             })
             .collect();
-        self.apply(Command::Start {
+        self.apply(Command::StartAttempts {
             job: job.into(),
             owner_epoch,
             placements,
         })
     }
     fn end(&mut self, worker: &str, no: u64, outcome: Outcome) {
-        self.ok(Command::Report {
+        self.ok(Command::ReportAttempts {
             worker: worker.into(),
             incarnation: 1,
             running: vec![],
@@ -130,8 +130,8 @@
     }
 }
 
-fn desired(tries: u32) -> serde_json::Value {
-    json!({"queues": {"q": {"tries": tries, "quota": 3, "windowMs": 60_000, "unsureBoundMs": 5000, "speculationPercent": 50, "defectAllowancePercent": 100}},
+fn config(max_attempts: u32) -> serde_json::Value {
+    json!({"queues": {"q": {"tries": max_attempts, "quota": 3, "windowMs": 60_000, "unsureBoundMs": 5000, "speculationPercent": 50, "defectAllowancePercent": 100}},
            "services": {"s": {"labels": ["l", "m"], "taskRoom": 4, "gangRoom": 8}}, "zones": {"z": {}}})
 }
 
@@ -139,7 +139,7 @@
     TaskSpec {
         name: name.into(),
         service: "s".into(),
-        room: 3,
+        cpu: 3,
         ..TaskSpec::default()
     }
 }
@@ -184,28 +184,34 @@
     assert_eq!(d.start("j", &[(2, "w")]), Err(Rejection::NotDue));
     assert!(matches!(
         d.start("j", &[(3, "w")]),
-        Err(Rejection::Unfit { .. })
+        Err(Rejection::UnsuitableWorker { .. })
     ));
     assert_eq!(
         d.start_as("j", &[(0, "w")], 1, 1, false),
-        Err(Rejection::StaleGrant)
+        Err(Rejection::StaleLease)
     );
     assert_eq!(
         d.start_as("j", &[(0, "w")], 2, 9, false),
-        Err(Rejection::StaleGrant)
+        Err(Rejection::StaleLease)
+    );
+    assert_eq!(
+        d.start("j", &[(0, "w"), (0, "v")]),
+        Err(Rejection::AlreadyRunning)
     );
-    assert_eq!(d.start("j", &[(0, "w"), (0, "v")]), Err(Rejection::Repeat));
     d.start("j", &[(0, "w")]).expect("placed");
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Repeat));
+    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::AlreadyRunning));
     d.accept("k", vec![task("a")]).expect("accepted");
-    assert_eq!(d.start("k", &[(0, "w")]), Err(Rejection::NoRoom));
-    d.facts("v", 1, true);
+    assert_eq!(
+        d.start("k", &[(0, "w")]),
+        Err(Rejection::InsufficientResources)
+    );
+    d.info("v", 1, true);
     assert!(matches!(
         d.start("k", &[(0, "v")]),
-        Err(Rejection::Unfit { .. })
+        Err(Rejection::UnsuitableWorker { .. })
     ));
-    d.facts("v", 2, false);
-    d.ok(Command::Configure {
+    d.info("v", 2, false);
+    d.ok(Command::UpdateConfig {
         change: "drain".into(),
         base: 1,
         patch: true,
@@ -214,9 +220,9 @@
     });
     assert!(matches!(
         d.start("k", &[(0, "v")]),
-        Err(Rejection::Unfit { .. })
+        Err(Rejection::UnsuitableWorker { .. })
     ));
-    d.ok(Command::Cancel { job: "k".into() });
+    d.ok(Command::CancelJob { job: "k".into() });
     assert_eq!(d.start("k", &[(0, "v")]), Err(Rejection::Ended));
 }
 
@@ -225,17 +231,17 @@
     let mut d = Desk::new();
     d.accept("j", vec![task("a")]).expect("accepted");
     d.start("j", &[(0, "w")]).expect("placed");
-    d.ok(Command::Lost {
+    d.ok(Command::WorkerLost {
         worker: "w".into(),
         incarnation: 1,
-        cell_epoch: 1,
+        zone_epoch: 1,
     });
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Repeat));
+    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::AlreadyRunning));
     // A new process of the worker runs it no more, but it may have finished well.
-    d.facts("w", 2, false);
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Repeat));
+    d.info("w", 2, false);
+    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::AlreadyRunning));
     d.at += 6000;
-    d.ok(Command::Sweep {
+    d.ok(Command::CollectGarbage {
         retain_ms: 60_000,
         identity_ms: 60_000,
     });
@@ -244,12 +250,12 @@
     // The late report of another one counts, whenever it comes.
     d.accept("k", vec![task("a")]).expect("accepted");
     d.start("k", &[(0, "v")]).expect("placed");
-    d.ok(Command::Lost {
+    d.ok(Command::WorkerLost {
         worker: "v".into(),
         incarnation: 1,
-        cell_epoch: 1,
+        zone_epoch: 1,
     });
-    d.end("v", 2, Outcome::Well);
+    d.end("v", 2, Outcome::Succeeded);
     assert_eq!(d.state("k"), JobState::Done);
 }
 
@@ -260,26 +266,26 @@
     d.start("j", &[(0, "w")]).expect("placed");
     assert_eq!(
         d.start_as("j", &[(0, "w")], 2, 1, true),
-        Err(Rejection::Repeat),
+        Err(Rejection::AlreadyRunning),
         "a copy beside its original"
     );
     d.start_as("j", &[(0, "v")], 2, 1, true)
         .expect("a copy elsewhere");
-    d.facts("x", 1, false);
+    d.info("x", 1, false);
     assert_eq!(
         d.start_as("j", &[(0, "x")], 2, 1, true),
-        Err(Rejection::Repeat),
+        Err(Rejection::AlreadyRunning),
         "a third"
     );
-    d.end("v", 2, Outcome::Well);
+    d.end("v", 2, Outcome::Succeeded);
     assert!(
-        d.r.jobs["j"].tasks[0].sends[0].stop,
+        d.r.jobs["j"].tasks[0].attempts[0].stop,
         "the later one is stopped"
     );
     assert_eq!(d.state("j"), JobState::Running);
     d.end("w", 1, Outcome::Stopped);
     assert_eq!(d.state("j"), JobState::Done);
-    d.ok(Command::Configure {
+    d.ok(Command::UpdateConfig {
         change: "none".into(),
         base: 1,
         patch: true,
@@ -290,12 +296,12 @@
     d.start("k", &[(0, "w")]).expect("placed");
     assert_eq!(
         d.start_as("k", &[(0, "v")], 2, 1, true),
-        Err(Rejection::Budget)
+        Err(Rejection::SpeculationBudgetExhausted)
     );
-    d.ok(Command::Lost {
+    d.ok(Command::WorkerLost {
         worker: "w".into(),
         incarnation: 1,
-        cell_epoch: 1,
+        zone_epoch: 1,
     });
     d.start("k", &[(0, "v")])
         .expect("sent again where a repeat is harmless");
@@ -307,7 +313,7 @@
     d.accept("j", vec![task("a")]).expect("accepted");
     for no in 1..=2 {
         d.start("j", &[(0, "w")]).expect("placed");
-        d.end("w", no, Outcome::Defect);
+        d.end("w", no, Outcome::Failed);
     }
     assert_eq!(d.state("j"), JobState::Failed);
     assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::Ended));
@@ -321,21 +327,21 @@
         ..task(n)
     };
     d.accept("j", vec![gang("a"), gang("b")]).expect("accepted");
-    assert_eq!(d.start("j", &[(0, "w")]), Err(Rejection::GangSplit));
+    assert_eq!(d.start("j", &[(0, "w")]), Err(Rejection::GangIncomplete));
     assert_eq!(
         d.start("j", &[(0, "w"), (1, "w")]),
-        Err(Rejection::NoRoom),
+        Err(Rejection::InsufficientResources),
         "all or none"
     );
     assert!(d.r.live.is_empty());
     d.start("j", &[(0, "w"), (1, "v")]).expect("placed whole");
-    d.end("v", 2, Outcome::Defect);
-    let kept = &d.r.jobs["j"].tasks[0].sends[0];
+    d.end("v", 2, Outcome::Failed);
+    let kept = &d.r.jobs["j"].tasks[0].attempts[0];
     assert!(
         kept.stop && kept.state == AttemptState::Ordered,
         "its partner is called back"
     );
-    d.end("w", 1, Outcome::Void);
+    d.end("w", 1, Outcome::NeverStarted);
     d.start("j", &[(0, "w"), (1, "v")])
         .expect("the whole gang again");
 }
@@ -343,20 +349,20 @@
 #[test]
 fn identities_quotas_and_refusals_hold() {
     let mut d = Desk::new();
-    let spec = |id: &str, room| JobSpec {
+    let spec = |id: &str, cpu| JobSpec {
         id: id.into(),
         queue: "q".into(),
-        tasks: vec![TaskSpec { room, ..task("a") }],
+        tasks: vec![TaskSpec { cpu, ..task("a") }],
         ..JobSpec::default()
     };
-    let seen = d.r.place;
-    d.ok(Command::Accept {
+    let seen = d.r.applied_index;
+    d.ok(Command::AcceptJob {
         spec: spec("j", 3),
         hash: 1,
         seen,
     });
     assert_eq!(
-        d.apply(Command::Accept {
+        d.apply(Command::AcceptJob {
             spec: spec("j", 3),
             hash: 1,
             seen
@@ -364,49 +370,49 @@
         Ok(json!({"known": true}))
     );
     assert_eq!(
-        d.apply(Command::Accept {
+        d.apply(Command::AcceptJob {
             spec: spec("j", 2),
             hash: 2,
             seen
         }),
-        Err(Rejection::OtherBody)
+        Err(Rejection::BodyMismatch)
     );
-    d.ok(Command::Accept {
+    d.ok(Command::AcceptJob {
         spec: spec("k", 3),
         hash: 1,
         seen,
     });
-    d.ok(Command::Accept {
+    d.ok(Command::AcceptJob {
         spec: spec("l", 3),
         hash: 1,
         seen,
     });
     assert_eq!(
-        d.apply(Command::Accept {
+        d.apply(Command::AcceptJob {
             spec: spec("m", 3),
             hash: 1,
             seen
         }),
         Err(Rejection::OverQuota { quota: 3 })
     );
-    d.ok(Command::Cancel { job: "k".into() });
+    d.ok(Command::CancelJob { job: "k".into() });
     // An older call of the same id, which was under way elsewhere, can't bring in what was turned away.
     assert_eq!(
-        d.apply(Command::Accept {
+        d.apply(Command::AcceptJob {
             spec: spec("m", 3),
             hash: 1,
             seen
         }),
-        Err(Rejection::TurnedAway)
+        Err(Rejection::PreviouslyRejected)
     );
-    let seen = d.r.place;
-    d.ok(Command::Accept {
+    let seen = d.r.applied_index;
+    d.ok(Command::AcceptJob {
         spec: spec("m", 3),
         hash: 1,
         seen,
     });
     assert!(matches!(
-        d.apply(Command::Accept {
+        d.apply(Command::AcceptJob {
             spec: spec("n", 99),
             hash: 1,
             seen
@@ -415,21 +421,21 @@
     ));
     // Long after its end a job's identity is still known, and not for ever.
     d.at += 70_000;
-    d.ok(Command::Sweep {
+    d.ok(Command::CollectGarbage {
         retain_ms: 60_000,
         identity_ms: 100_000,
     });
     assert!(!d.r.jobs.contains_key("k") && d.r.tombstones.contains_key("k"));
     assert_eq!(
-        d.apply(Command::Accept {
+        d.apply(Command::AcceptJob {
             spec: spec("k", 2),
             hash: 2,
             seen
         }),
-        Err(Rejection::OtherBody)
+        Err(Rejection::BodyMismatch)
     );
     d.at += 200_000;
-    d.ok(Command::Sweep {
+    d.ok(Command::CollectGarbage {
         retain_ms: 60_000,
         identity_ms: 100_000,
     });
@@ -439,7 +445,7 @@
 #[test]
 fn of_two_rival_changes_one_wins_and_a_lost_verdict_can_be_asked_for_again() {
     let mut d = Desk::new();
-    let change = |id: &str, base: u64, note: &str| Command::Configure {
+    let change = |id: &str, base: u64, note: &str| Command::UpdateConfig {
         change: id.into(),
         base,
         patch: true,
@@ -449,11 +455,11 @@
     d.ok(change("a", 1, "x"));
     assert_eq!(
         d.apply(change("b", 1, "y")),
-        Err(Rejection::Rival { current: 2 })
+        Err(Rejection::VersionConflict { current: 2 })
     );
     assert_eq!(d.ok(change("a", 1, "x"))["version"], 2);
-    assert_eq!(d.apply(change("a", 1, "z")), Err(Rejection::OtherBody));
-    let wrong = d.apply(Command::Configure {
+    assert_eq!(d.apply(change("a", 1, "z")), Err(Rejection::BodyMismatch));
+    let wrong = d.apply(Command::UpdateConfig {
         change: "c".into(),
         base: 2,
         patch: true,
@@ -515,14 +521,14 @@
 #[test]
 fn a_failed_copy_does_not_fail_a_task_whose_original_still_runs() {
     let mut d = Desk::new();
-    let tries = |base: u64, n: u32| Command::Configure {
+    let max_attempts = |base: u64, n: u32| Command::UpdateConfig {
         change: format!("tries{n}"),
         base,
         patch: true,
         number: 0,
         value: json!({"queues": {"q": {"tries": n}}}),
     };
-    d.ok(tries(1, 3));
+    d.ok(max_attempts(1, 3));
     d.accept(
         "j",
         vec![
@@ -535,16 +541,16 @@
     )
     .expect("accepted");
     d.start("j", &[(0, "w")]).expect("placed");
-    d.end("w", 1, Outcome::Defect);
+    d.end("w", 1, Outcome::Failed);
     d.start("j", &[(0, "w")]).expect("placed again");
     d.start_as("j", &[(0, "v")], 2, 1, true).expect("a copy");
     // Two tries are all from now on, and both are spent when the copy fails.
-    d.ok(tries(2, 2));
-    d.end("v", 3, Outcome::Defect);
+    d.ok(max_attempts(2, 2));
+    d.end("v", 3, Outcome::Failed);
     assert_eq!(d.state("j"), JobState::Running);
-    d.end("w", 2, Outcome::Well);
+    d.end("w", 2, Outcome::Succeeded);
     d.start("j", &[(1, "w")]).expect("the next step");
-    d.end("w", 4, Outcome::Well);
+    d.end("w", 4, Outcome::Succeeded);
     assert_eq!(d.state("j"), JobState::Done);
 }
 
@@ -553,24 +559,24 @@
     let mut d = Desk::new();
     d.accept("j", vec![repeatable("a")]).expect("accepted");
     d.start("j", &[(0, "w")]).expect("placed");
-    d.end("w", 1, Outcome::Defect);
+    d.end("w", 1, Outcome::Failed);
     d.start("j", &[(0, "w")]).expect("the second and last try");
     assert_eq!(
         d.start_as("j", &[(0, "v")], 2, 1, true),
-        Err(Rejection::Spent),
+        Err(Rejection::AttemptsExhausted),
         "a copy would be a third"
     );
-    d.ok(Command::Lost {
+    d.ok(Command::WorkerLost {
         worker: "w".into(),
         incarnation: 1,
-        cell_epoch: 1,
+        zone_epoch: 1,
     });
     assert_eq!(
         d.start("j", &[(0, "v")]),
-        Err(Rejection::Spent),
+        Err(Rejection::AttemptsExhausted),
         "it may have failed unseen"
     );
-    d.end("w", 2, Outcome::Well);
+    d.end("w", 2, Outcome::Succeeded);
     assert_eq!(d.state("j"), JobState::Done);
 }
 
@@ -578,7 +584,7 @@
 fn a_queue_that_holds_unfinished_jobs_is_not_removed() {
     let mut d = Desk::new();
     d.accept("j", vec![task("a")]).expect("accepted");
-    let without = |change: &str| Command::Configure {
+    let without = |change: &str| Command::UpdateConfig {
         change: change.into(),
         base: 1,
         patch: true,
@@ -590,14 +596,14 @@
         matches!(&refused, Err(Rejection::Invalid { path, .. }) if path == "queues.q"),
         "{refused:?}"
     );
-    d.ok(Command::Cancel { job: "j".into() });
+    d.ok(Command::CancelJob { job: "j".into() });
     d.ok(without("b"));
 }
 
 #[test]
 fn evidence_puts_a_quiet_failer_on_probation_and_takes_it_off() {
     let mut d = Desk::new();
-    d.ok(Command::Configure {
+    d.ok(Command::UpdateConfig {
         change: "more".into(),
         base: 1,
         patch: true,
@@ -610,7 +616,7 @@
         d.accept(
             &format!("j{no}"),
             vec![TaskSpec {
-                room: 1,
+                cpu: 1,
                 ..task("a")
             }],
         )
@@ -618,21 +624,21 @@
         d.start(&format!("j{no}"), &[(0, worker)]).expect("placed");
         d.end(worker, no, outcome);
     };
-    (0..8).for_each(|_| run(&mut d, "v", Outcome::Well));
-    (0..3).for_each(|_| run(&mut d, "w", Outcome::Defect));
+    (0..8).for_each(|_| run(&mut d, "v", Outcome::Succeeded));
+    (0..3).for_each(|_| run(&mut d, "w", Outcome::Failed));
     assert_eq!(d.r.workers["w"].probation, 0, "three are too few to tell");
-    run(&mut d, "w", Outcome::Defect);
+    run(&mut d, "w", Outcome::Failed);
     assert!(d.r.workers["w"].probation > 0 && d.r.workers["v"].probation == 0);
     // One at a time now, and three good ends in a row bring it back.
     d.accept(
         "x",
         vec![
             TaskSpec {
-                room: 1,
+                cpu: 1,
                 ..task("a")
             },
             TaskSpec {
-                room: 1,
+                cpu: 1,
                 ..task("b")
             },
         ],
@@ -641,16 +647,16 @@
     d.start("x", &[(0, "w")]).expect("one");
     assert!(matches!(
         d.start("x", &[(1, "w")]),
-        Err(Rejection::Unfit { .. })
+        Err(Rejection::UnsuitableWorker { .. })
     ));
-    d.end("w", 13, Outcome::Well);
+    d.end("w", 13, Outcome::Succeeded);
     no = 13;
     let mut run = |d: &mut Desk, outcome: Outcome| {
         no += 1;
         d.accept(
             &format!("k{no}"),
             vec![TaskSpec {
-                room: 1,
+                cpu: 1,
                 ..task("a")
             }],
         )
@@ -658,9 +664,9 @@
         d.start(&format!("k{no}"), &[(0, "w")]).expect("placed");
         d.end("w", no, outcome);
     };
-    run(&mut d, Outcome::Well);
+    run(&mut d, Outcome::Succeeded);
     assert!(d.r.workers["w"].probation > 0);
-    run(&mut d, Outcome::Well);
+    run(&mut d, Outcome::Succeeded);
     assert_eq!(d.r.workers["w"].probation, 0);
 }
 
@@ -670,12 +676,12 @@
     d.accept("idle", vec![task("a")]).expect("accepted");
     d.accept("under-way", vec![task("a")]).expect("accepted");
     d.start("idle", &[(0, "w")]).expect("started");
-    d.end("w", 1, Outcome::Defect);
+    d.end("w", 1, Outcome::Failed);
     d.start("under-way", &[(0, "v")]).expect("started");
-    d.end("v", 2, Outcome::Defect);
+    d.end("v", 2, Outcome::Failed);
     d.start("under-way", &[(0, "v")]).expect("started again");
     let value = json!({"queues": {"q": {"tries": 1}}});
-    let lower = |base| Command::Configure {
+    let lower = |base| Command::UpdateConfig {
         change: format!("lower-{base}"),
         base,
         patch: true,
@@ -685,28 +691,28 @@
     d.ok(lower(1));
     assert_eq!(d.state("idle"), JobState::Failed);
     assert!(
-        d.r.send(3).is_some_and(|(_, _, s)| s.stop),
+        d.r.attempt(3).is_some_and(|(_, _, s)| s.stop),
         "an order that has not started is called back"
     );
-    d.end("v", 3, Outcome::Void);
+    d.end("v", 3, Outcome::NeverStarted);
     assert_eq!(d.state("under-way"), JobState::Failed);
 }
 
 #[test]
 fn orders_are_called_back_from_a_worker_that_no_longer_fits() {
-    let changed = |room, labels: &[&str]| Command::Facts {
-        facts: WorkerInfo {
+    let changed = |cpu, labels: &[&str]| Command::UpdateWorker {
+        info: WorkerInfo {
             worker: "w".into(),
             incarnation: 1,
             service: "s".into(),
             labels: labels.iter().map(ToString::to_string).collect(),
             zone: "z".into(),
-            room,
+            cpu,
             ..WorkerInfo::default()
         },
-        cell_epoch: 1,
+        zone_epoch: 1,
     };
-    for (room, labels, stops) in [
+    for (cpu, labels, stops) in [
         (4, vec!["l"], false),
         (4, vec![], true),
         (2, vec!["l"], true),
@@ -718,11 +724,11 @@
         };
         d.accept("j", vec![needs]).expect("accepted");
         d.start("j", &[(0, "w")]).expect("started");
-        d.ok(changed(room, &labels));
+        d.ok(changed(cpu, &labels));
         assert_eq!(
-            d.r.send(1).is_some_and(|(_, _, s)| s.stop),
+            d.r.attempt(1).is_some_and(|(_, _, s)| s.stop),
             stops,
-            "room {room}, labels {labels:?}"
+            "room {cpu}, labels {labels:?}"
         );
     }
 }
@@ -759,23 +765,23 @@
         d.accept("j", vec![task("a")]).expect("accepted");
         d.start("j", &[(0, "w")]).expect("started");
         if anew {
-            d.facts("w", 2, false);
+            d.info("w", 2, false);
         } else {
-            d.ok(Command::Lost {
+            d.ok(Command::WorkerLost {
                 worker: "w".into(),
                 incarnation: 1,
-                cell_epoch: 1,
+                zone_epoch: 1,
             });
         }
-        d.ok(Command::Report {
+        d.ok(Command::ReportAttempts {
             worker: "w".into(),
             incarnation: 1,
             running: vec![1],
             ends: vec![],
         });
-        let state = d.r.send(1).map(|(_, _, s)| s.state);
+        let state = d.r.attempt(1).map(|(_, _, s)| s.state);
         assert_eq!(state, Some(AttemptState::Unsure), "started anew: {anew}");
-        d.end("w", 1, Outcome::Well);
+        d.end("w", 1, Outcome::Succeeded);
         assert_eq!(d.state("j"), JobState::Done, "a late end still counts");
     }
 }
@@ -785,22 +791,22 @@
     let mut d = Desk::new();
     d.accept("j", vec![task("a")]).expect("accepted");
     d.start("j", &[(0, "w")]).expect("starts");
-    let recall = |cell_epoch| Command::Recall {
+    let reschedule_attempts = |zone_epoch| Command::RescheduleAttempts {
         worker: "w".into(),
-        cell_epoch,
-        sends: vec![1],
+        zone_epoch,
+        attempts: vec![1],
         blame: true,
     };
-    assert_eq!(d.apply(recall(9)), Err(Rejection::StaleGrant));
-    d.ok(recall(1));
+    assert_eq!(d.apply(reschedule_attempts(9)), Err(Rejection::StaleLease));
+    d.ok(reschedule_attempts(1));
     assert!(d.r.workers["w"].probation > 0);
     assert_eq!(
         d.start("j", &[(0, "v")]),
-        Err(Rejection::Repeat),
+        Err(Rejection::AlreadyRunning),
         "not before it has ended"
     );
     d.end("w", 1, Outcome::Stopped);
-    assert_eq!(d.r.jobs["j"].tasks[0].defects, 0);
+    assert_eq!(d.r.jobs["j"].tasks[0].failures, 0);
     d.start("j", &[(0, "v")]).expect("elsewhere");
 }
 
@@ -809,17 +815,17 @@
     let mut d = Desk::new();
     d.accept("j", vec![task("a")]).expect("accepted");
     d.start("j", &[(0, "w")]).expect("starts");
-    let lapse = Command::Lapse {
+    let expire_attempts = Command::ExpireAttempts {
         worker: "w".into(),
         incarnation: 1,
-        cell_epoch: 1,
-        sends: vec![1],
+        zone_epoch: 1,
+        attempts: vec![1],
         checkpoints: vec![],
     };
-    d.ok(lapse.clone());
-    assert_eq!(d.r.jobs["j"].tasks[0].defects, 0);
-    d.facts("w", 1, false);
+    d.ok(expire_attempts.clone());
+    assert_eq!(d.r.jobs["j"].tasks[0].failures, 0);
+    d.info("w", 1, false);
     d.start("j", &[(0, "w")]).expect("again");
-    d.ok(lapse);
+    d.ok(expire_attempts);
     assert_eq!(d.r.jobs["j"].tasks[0].live().count(), 1);
 }
--- a/landingdrift/tests/relay.rs
+++ b/landingdrift/tests/relay.rs
@@ -1,12 +1,12 @@
 //! A relay carries a worker's calls; each test drives one by its messages.
 
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response};
-use landingdrift::relay::{WorkerProxy, LEAVING};
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::Settings;
 use landingdrift::wire::{Body, ForwardResponse, RequestToken};
+use landingdrift::worker_proxy::{WorkerProxy, LEAVING};
 use serde_json::json;
 
-fn relay() -> WorkerProxy {
+fn worker_proxy() -> WorkerProxy {
     let settings = Settings {
         listen: "10.0.0.9:1".into(),
         seeds: vec!["10.0.0.1:1".into(), "10.0.0.2:1".into()],
@@ -19,7 +19,7 @@
     r.step(Now { mono, wall: mono }, msg)
 }
 
-fn beat(query: &str) -> Msg {
+fn heartbeat(query: &str) -> Msg {
     let req = Request {
         method: "POST".into(),
         path: "/v1/beats".into(),
@@ -60,17 +60,17 @@
 
 #[test]
 fn the_node_that_answered_is_asked_first_the_next_time() {
-    let mut r = relay();
-    let (to, token) = passed(&step(&mut r, 10, beat("")))[0].clone();
+    let mut r = worker_proxy();
+    let (to, token) = passed(&step(&mut r, 10, heartbeat("")))[0].clone();
     let v = answer(&step(&mut r, 15, back(&to, token, 200, "10.0.0.5:1"))).expect("answered");
     assert_eq!(v.status, 200);
-    assert_eq!(passed(&step(&mut r, 160, beat("")))[0].0, "10.0.0.5:1");
+    assert_eq!(passed(&step(&mut r, 160, heartbeat("")))[0].0, "10.0.0.5:1");
 }
 
 #[test]
 fn one_that_is_silent_or_cannot_speak_makes_way_for_another() {
-    let mut r = relay();
-    let (first, token) = passed(&step(&mut r, 10, beat("")))[0].clone();
+    let mut r = worker_proxy();
+    let (first, token) = passed(&step(&mut r, 10, heartbeat("")))[0].clone();
     step(&mut r, 12, back(&first, token, 503, &first));
     let again = passed(&step(&mut r, 40, Msg::Tick));
     assert_eq!(again.len(), 1);
@@ -79,8 +79,8 @@
 
 #[test]
 fn a_node_that_names_the_holder_is_followed_at_once() {
-    let mut r = relay();
-    let (to, token) = passed(&step(&mut r, 10, beat("")))[0].clone();
+    let mut r = worker_proxy();
+    let (to, token) = passed(&step(&mut r, 10, heartbeat("")))[0].clone();
     let next = passed(&step(&mut r, 12, back(&to, token, 503, "10.0.0.5:1")));
     assert_eq!(next.len(), 1);
     assert_eq!(next[0].0, "10.0.0.5:1");
@@ -93,8 +93,8 @@
 
 /// The answers given while nobody speaks for the cell, over a second and a half.
 fn in_vain(query: &str) -> Vec<(u64, Response)> {
-    let mut r = relay();
-    step(&mut r, 1, beat(query));
+    let mut r = worker_proxy();
+    step(&mut r, 1, heartbeat(query));
     (20..1500)
         .step_by(20)
         .filter_map(|t| answer(&step(&mut r, t, Msg::Tick)).map(|v| (t, v)))
@@ -122,8 +122,8 @@
 
 #[test]
 fn an_answer_goes_to_the_beat_that_was_asked_from_the_node_that_was_asked() {
-    let mut r = relay();
-    let (to, first) = passed(&step(&mut r, 10, beat("")))[0].clone();
+    let mut r = worker_proxy();
+    let (to, first) = passed(&step(&mut r, 10, heartbeat("")))[0].clone();
     let stranger = back("10.0.0.8:1", first, 200, "");
     assert_eq!(answer(&step(&mut r, 11, stranger)), None);
     let former = RequestToken {
@@ -132,7 +132,7 @@
     };
     assert_eq!(answer(&step(&mut r, 12, back(&to, former, 200, ""))), None);
     assert!(answer(&step(&mut r, 13, back(&to, first, 200, &to))).is_some());
-    let (_, second) = passed(&step(&mut r, 160, beat("")))[0].clone();
+    let (_, second) = passed(&step(&mut r, 160, heartbeat("")))[0].clone();
     // The answer to the former beat comes once more: it says nothing of the one under way.
     assert_eq!(answer(&step(&mut r, 161, back(&to, first, 200, &to))), None);
     assert!(answer(&step(&mut r, 162, back(&to, second, 200, &to))).is_some());
@@ -144,8 +144,8 @@
 
 #[test]
 fn an_answer_after_the_beat_was_given_up_goes_to_nobody() {
-    let mut r = relay();
-    let (to, token) = passed(&step(&mut r, 1, beat("")))[0].clone();
+    let mut r = worker_proxy();
+    let (to, token) = passed(&step(&mut r, 1, heartbeat("")))[0].clone();
     let told = (20..1500)
         .step_by(20)
         .find_map(|t| answer(&step(&mut r, t, Msg::Tick)));
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_call_that_may_not_be_repeated_is_sent_once_and_silence_is_unsure() {
-    let mut r = relay();
+    let mut r = worker_proxy();
     let mut effects = step(&mut r, 1, zone_order());
     for t in (20..3000).step_by(20) {
         effects.extend(step(&mut r, t, Msg::Tick));
@@ -179,7 +179,7 @@
 
 #[test]
 fn a_call_that_may_not_be_repeated_goes_to_another_node_after_a_clear_refusal() {
-    let mut r = relay();
+    let mut r = worker_proxy();
     let (first, token) = passed(&step(&mut r, 1, zone_order()))[0].clone();
     step(&mut r, 5, back(&first, token, 503, &first));
     let again = passed(&step(&mut r, 40, Msg::Tick));
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_refusal_is_not_passed_on_as_final_while_another_node_may_still_take_the_call() {
-    let mut r = relay();
+    let mut r = worker_proxy();
     let req = Request {
         method: "PUT".into(),
         path: "/v1/desired".into(),
--- a/landingdrift/tests/cores/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -2,10 +2,10 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use landingdrift::agreement::{Loaded, Replica};
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response, WriteBatch};
-use landingdrift::record::Command;
+use landingdrift::consensus::{Loaded, Replica};
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response, WriteBatch};
 use landingdrift::settings::{Limits, Settings};
+use landingdrift::state::Command;
 use landingdrift::wire::{
     Body, ProposeRequest, ProposeResponse, RequestToken, WatchBatch, WatchRequest,
 };
@@ -77,8 +77,8 @@
         to.entries.retain(|x| x.index < e.index);
         to.entries.push(e);
     }
-    if !s.notes.is_empty() {
-        to.notes = s.notes;
+    if !s.witnesses.is_empty() {
+        to.witnesses = s.witnesses;
     }
 }
 
@@ -92,7 +92,7 @@
 
 pub struct Cores {
     pub t: u64,
-    pub cores: Vec<Option<Replica>>,
+    pub replicas: Vec<Option<Replica>>,
     pub disks: Vec<TestDisk>,
     pub settings: Vec<Settings>,
     /// Messages by when they arrive, in the order in which they were sent.
@@ -127,7 +127,7 @@
             .collect();
         let mut all = Self {
             t: 0,
-            cores: (0..3).map(|_| None).collect(),
+            replicas: (0..3).map(|_| None).collect(),
             disks: (0..3).map(|i| TestDisk::new(i + 1)).collect(),
             settings,
             wires: VecDeque::new(),
@@ -156,32 +156,32 @@
     pub fn boot(&mut self, i: usize) {
         let (settings, now) = (self.settings[i].clone(), self.now());
         let loaded = self.disks[i].durable.clone();
-        let core = Replica::new(settings, loaded, now, 77 + i as u64 + self.t);
-        self.cores[i] = Some(core.expect("a sound disk loads"));
+        let replica = Replica::new(settings, loaded, now, 77 + i as u64 + self.t);
+        self.replicas[i] = Some(replica.expect("a sound disk loads"));
     }
 
     /// The power of a core goes: what was not durable is lost.
     pub fn kill(&mut self, i: usize) {
-        self.cores[i] = None;
+        self.replicas[i] = None;
         self.disks[i].pending.clear();
         let gone = name(i);
         self.wires.retain(|(_, c)| c.to != gone);
     }
 
-    pub fn core(&self, i: usize) -> &Replica {
-        self.cores[i].as_ref().expect("it runs")
+    pub fn replica(&self, i: usize) -> &Replica {
+        self.replicas[i].as_ref().expect("it runs")
     }
 
     pub fn counter(&self, i: usize, of: &str) -> u64 {
-        let all = self.core(i).counters();
+        let all = self.replica(i).counters();
         all.into_iter().find(|(k, _)| k == of).map_or(0, |(_, v)| v)
     }
 
     /// The leader of the newest term.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.cores.len())
-            .filter(|i| self.cores[*i].as_ref().is_some_and(Replica::leads))
-            .max_by_key(|i| self.core(*i).term())
+        (0..self.replicas.len())
+            .filter(|i| self.replicas[*i].as_ref().is_some_and(Replica::leads))
+            .max_by_key(|i| self.replica(*i).term())
     }
 
     pub fn run(&mut self, ms: u64) {
@@ -232,10 +232,10 @@
 
     pub fn step(&mut self, i: usize, msg: Msg) {
         let now = self.now();
-        let Some(core) = self.cores[i].as_mut() else {
+        let Some(replica) = self.replicas[i].as_mut() else {
             return;
         };
-        for effect in core.step(now, msg) {
+        for effect in replica.step(now, msg) {
             match effect {
                 Effect::Send(to, body) => {
                     let from = name(i);
@@ -285,12 +285,12 @@
     pub fn propose(&mut self, i: usize, bytes: usize) -> u64 {
         self.next += 1;
         let token = self.next;
-        let command = Command::Configure {
+        let command = Command::UpdateConfig {
             change: format!("c{token}"),
             base: self.version(i),
             patch: true,
             number: 0,
-            value: json!({"notes": {(format!("n{token}")): noise(token, bytes)}}),
+            value: json!({"witnesses": {(format!("n{token}")): noise(token, bytes)}}),
         };
         let propose = ProposeRequest {
             token: request(token),
@@ -338,24 +338,24 @@
         self.answers.remove(&call).expect("an answer at once")
     }
 
-    /// A node asks the leader for what follows a place.
-    pub fn pull(&mut self, node: &str, place: u64) {
-        self.pull_from(Self::pull_of(node, place));
+    /// A node asks the leader for what follows a log_index.
+    pub fn watch_request(&mut self, node: &str, log_index: u64) {
+        self.pull_from(Self::pull_of(node, log_index));
     }
 
-    pub fn pull_from(&mut self, pull: WatchRequest) {
+    pub fn pull_from(&mut self, watch_request: WatchRequest) {
         let leader = self.leader().expect("somebody leads");
-        let node = pull.node.clone();
-        self.tell(leader, &node, Body::WatchRequest(Box::new(pull)));
+        let node = watch_request.node.clone();
+        self.tell(leader, &node, Body::WatchRequest(Box::new(watch_request)));
     }
 
     /// What a node asks.
-    pub fn pull_of(node: &str, place: u64) -> WatchRequest {
+    pub fn pull_of(node: &str, log_index: u64) -> WatchRequest {
         WatchRequest {
             node: node.into(),
             zone: "z".into(),
             http: node.into(),
-            place,
+            log_index,
             sent: 1,
             leaving: false,
             successor: String::new(),
@@ -380,18 +380,18 @@
     }
 
     pub fn version(&self, i: usize) -> u64 {
-        self.core(i).record().version
+        self.replica(i).state().version
     }
 
     pub fn all_alike(&self) -> bool {
-        let place = |i: usize| self.cores[i].as_ref().map(|c| c.record().place);
-        place(0).is_some() && place(0) == place(1) && place(1) == place(2)
+        let log_index = |i: usize| self.replicas[i].as_ref().map(|c| c.state().applied_index);
+        log_index(0).is_some() && log_index(0) == log_index(1) && log_index(1) == log_index(2)
     }
 }
 
 /// Text that no build makes smaller.
 fn noise(seed: u64, bytes: usize) -> String {
-    let mut rng = landingdrift::kernel::Rng::new(seed);
+    let mut rng = landingdrift::sans_io::Rng::new(seed);
     (0..bytes)
         .map(|_| char::from(b'a' + rng.below(26) as u8))
         .collect()
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -1,13 +1,13 @@
 //! Snapshots between cores and to nodes: in chunks, whole or not at all, and never less than was confirmed.
 
-mod cores;
+mod replicas;
 
-use cores::{name, Carried, Cores, NODE};
-use landingdrift::chunks::{Assembly, ChunkedSnapshot, Taken, CHUNK_BYTES};
 use landingdrift::settings::Limits;
+use landingdrift::snapshot_chunks::{Assembly, ChunkedSnapshot, Taken, CHUNK_BYTES};
 use landingdrift::wire::{
     AppendRequest, Body, InstallSnapshot, InstallSnapshotResponse, WatchRequest, WatchSnapshotChunk,
 };
+use replicas::{name, Carried, Cores, NODE};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -45,7 +45,7 @@
     .collect()
 }
 
-fn beats(all: &Cores, to: usize) -> Vec<u64> {
+fn heartbeats(all: &Cores, to: usize) -> Vec<u64> {
     let of = all.sent.iter().filter(|(_, c)| c.to == name(to));
     of.filter_map(|(t, c)| matches!(&c.body, Body::AppendRequest(_)).then_some(*t))
         .collect()
@@ -57,7 +57,11 @@
     assert!(all.counter(behind, "captures_installed") >= 1);
     all.run(200);
     let last = all.disks[behind].last();
-    assert_eq!(last, all.core(behind).record().place, "all is on its disk");
+    assert_eq!(
+        last,
+        all.replica(behind).state().applied_index,
+        "all is on its disk"
+    );
 }
 
 #[test]
@@ -77,7 +81,7 @@
     assert!(sent.iter().all(|(_, m)| m.snapshot.len() <= CHUNK_BYTES));
     assert_eq!(all.counter(leader, "captures_sent"), 1);
     assert_eq!(all.counter(leader, "snapshot_chunks_repeated"), 0);
-    let first_beat = beats(&all, behind)[0];
+    let first_beat = heartbeats(&all, behind)[0];
     assert!(first_beat <= since + 200, "its heartbeats go on");
 }
 
@@ -94,7 +98,7 @@
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     assert!(offsets.iter().all(|o| *o == 0), "{offsets:?}");
     assert!((2..=12).contains(&offsets.len()), "{offsets:?}");
-    let beaten = beats(&all, behind);
+    let beaten = heartbeats(&all, behind);
     let gaps = beaten.windows(2).map(|w| w[1] - w[0]);
     assert!(gaps.max().is_some_and(|g| g <= 200), "{beaten:?}");
     assert_eq!(all.leader(), Some(leader), "nobody stands for election");
@@ -182,11 +186,11 @@
     all.run(300);
     let leader = all.leader().expect("somebody leads");
     let to = (leader + 1) % 3;
-    let term = all.core(leader).term();
-    let place = all.core(to).record().place;
+    let term = all.replica(leader).term();
+    let log_index = all.replica(to).state().applied_index;
     let version = all.version(to);
-    let bytes = landingdrift::record::ClusterState::new("landingdrift").pack();
-    let good = install(term, place + 10, &bytes);
+    let bytes = landingdrift::state::ClusterState::new("landingdrift").pack();
+    let good = install(term, log_index + 10, &bytes);
     let spoilt = InstallSnapshot {
         checksum: good.checksum ^ 1,
         ..good.clone()
@@ -199,7 +203,7 @@
         term: term - 1,
         ..good.clone()
     };
-    let no_record = install(term, place + 10, b"nothing");
+    let no_record = install(term, log_index + 10, b"nothing");
     for (m, refused) in [
         (spoilt, true),
         (cut, false),
@@ -208,7 +212,7 @@
     ] {
         all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(m)));
         assert_eq!(last_verdict(&all, to).refused, refused);
-        assert_eq!(all.core(to).record().place, place);
+        assert_eq!(all.replica(to).state().applied_index, log_index);
     }
     assert_eq!(all.version(to), version);
     assert_eq!(all.counter(to, "captures_installed"), 0);
@@ -240,14 +244,14 @@
         commit: last,
         round: 1 << 40,
         entries: entries.to_vec(),
-        notes: Vec::new(),
+        witnesses: Vec::new(),
         clock: 0,
         may_leave: false,
     };
     all.tell(to, &name(leader), Body::AppendRequest(Box::new(append)));
     all.run(3);
     assert_eq!(all.disks[to].last(), last + 2);
-    let bytes = all.core(to).record().pack();
+    let bytes = all.replica(to).state().pack();
     let late = install(term, last + 1, &bytes);
     all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(late)));
     all.run(3);
@@ -263,7 +267,7 @@
         all.boot(behind);
         assert!(all.until(5000, |c| !installs(c, behind).is_empty()));
         all.run(at);
-        let whole = all.disks[behind].last() >= all.core(leader).record().place;
+        let whole = all.disks[behind].last() >= all.replica(leader).state().applied_index;
         all.kill(behind);
         all.kill(leader);
         all.boot(behind);
@@ -302,7 +306,7 @@
     let sent = installs(&all, behind);
     let places: BTreeSet<u64> = sent.iter().map(|(_, m)| m.index).collect();
     assert_eq!(places.len(), 1, "it chased the tail: {places:?}");
-    assert!(all.core(leader).record().place > 2 * EVERY + places.iter().sum::<u64>());
+    assert!(all.replica(leader).state().applied_index > 2 * EVERY + places.iter().sum::<u64>());
 }
 
 #[test]
@@ -321,7 +325,7 @@
     assert!(all.counter(0, "captures") > 3);
 }
 
-fn chunks(all: &Cores) -> Vec<WatchSnapshotChunk> {
+fn snapshot_chunks(all: &Cores) -> Vec<WatchSnapshotChunk> {
     let of = all.outside.iter().filter(|c| c.to == NODE);
     of.filter_map(|c| match &c.body {
         Body::WatchSnapshotChunk(m) => Some((**m).clone()),
@@ -336,7 +340,7 @@
     let mut assembly = Assembly::default();
     let mut whole = None;
     for _ in 0..200 {
-        let before = chunks(&all).len();
+        let before = snapshot_chunks(&all).len();
         let part = assembly.identity();
         let ask = |all: &mut Cores| {
             all.pull_from(WatchRequest {
@@ -350,11 +354,11 @@
         (0..3).for_each(|_| ask(&mut all));
         all.change(100);
         all.run(20);
-        let got = chunks(&all);
+        let got = snapshot_chunks(&all);
         assert_eq!(got.len(), before + 1, "one chunk for each");
         let m = got.last().expect("a chunk");
         assert!(m.bytes.len() <= CHUNK_BYTES);
-        let of = landingdrift::chunks::Identity {
+        let of = landingdrift::snapshot_chunks::Identity {
             index: m.index,
             term: m.term,
             total: m.total,
@@ -370,13 +374,13 @@
         }
     }
     let (index, bytes) = whole.expect("whole");
-    landingdrift::record::ClusterState::unpack(&bytes).expect("a record");
+    landingdrift::state::ClusterState::unpack(&bytes).expect("a record");
     assert_eq!(all.counter(leader, "feed_captures"), 1);
     // It goes on with entries from there, and no further snapshot.
-    let before = chunks(&all).len();
-    all.pull(NODE, index);
+    let before = snapshot_chunks(&all).len();
+    all.watch_request(NODE, index);
     all.run(5);
-    assert_eq!(chunks(&all).len(), before);
+    assert_eq!(snapshot_chunks(&all).len(), before);
     let batch = all.batches(NODE).pop().expect("a batch");
     assert_eq!(batch.entries.first().map(|e| e.index), Some(index + 1));
 }
@@ -385,7 +389,7 @@
 fn nodes_that_fetch_at_once_share_one_snapshot() {
     let (mut all, leader, _) = one_behind();
     for n in 0..20 {
-        all.pull(&format!("10.8.8.{n}:1"), 0);
+        all.watch_request(&format!("10.8.8.{n}:1"), 0);
     }
     all.run(10);
     let sent: Vec<(u64, u32, usize)> = all
--- a/landingdrift/tests/storage.rs
+++ b/landingdrift/tests/storage.rs
@@ -1,10 +1,10 @@
 //! Cores whose disks refuse or hang for a while.
 
-mod cores;
+mod replicas;
 
-use cores::{name, Behaviour, Cores};
 use landingdrift::settings::Limits;
 use landingdrift::wire::Body;
+use replicas::{name, Behaviour, Cores};
 
 /// Two election spans, and the time that others take to elect.
 const HANDED_ON_MS: u64 = 2500;
@@ -19,8 +19,8 @@
 }
 
 fn somebody_else_leads(all: &mut Cores, struck: usize) {
-    let handed = all.until(HANDED_ON_MS, |c| c.leader().is_some_and(|l| l != struck));
-    assert!(handed, "{:#?}", all.lines);
+    let leadership_transfer = all.until(HANDED_ON_MS, |c| c.leader().is_some_and(|l| l != struck));
+    assert!(leadership_transfer, "{:#?}", all.lines);
     all.change(10);
 }
 
@@ -30,7 +30,11 @@
     assert!(all.all_alike(), "{:#?}", all.lines);
     assert_eq!(all.exits, 0);
     let last = all.disks[struck].last();
-    assert_eq!(last, all.core(struck).record().place, "all is on its disk");
+    assert_eq!(
+        last,
+        all.replica(struck).state().applied_index,
+        "all is on its disk"
+    );
     let disk = all.ask(struck, "/v1/status").body["disk"]["state"].clone();
     assert_eq!(disk, "sound");
 }
@@ -77,9 +81,9 @@
         Body::VoteRequest(_) => panic!("it stands for election"),
         _ => {}
     });
-    let beats = all.sent.iter().filter(|(t, c)| *t > since && c.to == me);
-    let entries =
-        beats.filter(|(_, c)| matches!(&c.body, Body::AppendRequest(a) if !a.entries.is_empty()));
+    let heartbeats = all.sent.iter().filter(|(t, c)| *t > since && c.to == me);
+    let entries = heartbeats
+        .filter(|(_, c)| matches!(&c.body, Body::AppendRequest(a) if !a.entries.is_empty()));
     assert_eq!(entries.count(), 0, "nothing is sent that can't be kept");
     comes_back(&mut all, struck);
 }
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -1,9 +1,9 @@
 //! One thread carries all frames and all HTTP of a process.
 
 use landingdrift::daemon::{
-    Asked, Bounded, Calls, Frames, Handling, Input, Manner, Reply, Traffic, Transport,
+    Asked, Calls, Frames, Handling, HttpAdapter, HttpLimits, Input, Reply, Traffic, Transport,
 };
-use landingdrift::kernel::{Msg, Request, Response};
+use landingdrift::sans_io::{Msg, Request, Response};
 use landingdrift::settings::Limits;
 use landingdrift::wire::{pack, unpack, Body, ForwardResponse, ReadIndexRequest, RequestToken};
 use serde_json::json;
@@ -89,10 +89,10 @@
 #[test]
 fn parts_in_one_process_share_the_thread_and_keep_their_names() {
     let traffic = Traffic::start().expect("starts");
-    let ((mut core, at_core), (mut node, at_node)) = (listen(&traffic), listen(&traffic));
-    let (c, n) = (core.me().to_string(), node.me().to_string());
+    let ((mut replica, at_core), (mut node, at_node)) = (listen(&traffic), listen(&traffic));
+    let (c, n) = (replica.me().to_string(), node.me().to_string());
     node.send(&c, &ask(1));
-    core.send(&n, &ask(2));
+    replica.send(&n, &ask(2));
     node.send(&n, &ask(3));
     assert_eq!(next(&at_core), (n.clone(), ask(1)));
     let mut got = [next(&at_node), next(&at_node)];
@@ -120,13 +120,13 @@
     let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
     let deaf = TcpListener::bind("127.0.0.1:0").expect("bound");
     let deaf_at = deaf.local_addr().expect("an address").to_string();
-    let tries = (0..50_000)
+    let max_attempts = (0..50_000)
         .take_while(|i| {
             a.send(&deaf_at, &forwarded(*i, 8 << 10));
             a.dropped == 0
         })
         .count();
-    assert!(tries < 50_000, "its queue is bounded");
+    assert!(max_attempts < 50_000, "its queue is bounded");
     a.send(b.me(), &ask(1));
     assert_eq!(next(&at_b).1, ask(1));
 }
@@ -244,7 +244,13 @@
     assert!(why.contains("--listen"), "{why}");
     let taken = a.me().parse().expect("an address");
     let why = traffic
-        .http(taken, bounded(), Manner::default(), Calls::default(), tx)
+        .http(
+            taken,
+            limits(),
+            HttpAdapter::default(),
+            Calls::default(),
+            tx,
+        )
         .expect_err("taken");
     assert!(why.contains("--http"), "{why}");
 }
@@ -255,14 +261,14 @@
     let small = Limits {
         open_jobs: 10,
         job_bytes: 1 << 20,
-        desired_bytes: 4 << 20,
+        config_bytes: 4 << 20,
         ..Limits::default()
     };
     assert_eq!(Frames::longest(&small), 30 << 20);
 }
 
-fn bounded() -> Bounded {
-    Bounded {
+fn limits() -> HttpLimits {
+    HttpLimits {
         patience: LONG,
         bytes: 1000,
         calls: 10,
@@ -275,12 +281,12 @@
     inputs: Receiver<Input>,
 }
 
-fn serve(traffic: &Traffic, bounded: Bounded, manner: Manner) -> Served {
+fn serve(traffic: &Traffic, limits: HttpLimits, http_adapter: HttpAdapter) -> Served {
     let (tx, inputs) = channel();
     let calls = Calls::default();
     let any = "127.0.0.1:0".parse().expect("an address");
     let at = traffic
-        .http(any, bounded, manner, calls.clone(), tx)
+        .http(any, limits, http_adapter, calls.clone(), tx)
         .expect("serves");
     Served { at, calls, inputs }
 }
@@ -320,11 +326,11 @@
 #[test]
 fn two_addresses_have_handlers_of_their_own() {
     let traffic = Traffic::start().expect("starts");
-    let own = serve(&traffic, bounded(), Manner::default());
+    let own = serve(&traffic, limits(), HttpAdapter::default());
     let other = serve(
         &traffic,
-        bounded(),
-        Manner::new(Arc::new(|asked: Asked| {
+        limits(),
+        HttpAdapter::new(Arc::new(|asked: Asked| {
             let header = asked
                 .headers
                 .iter()
@@ -374,11 +380,11 @@
 #[test]
 fn calls_beyond_the_bound_are_told_to_come_back() {
     let traffic = Traffic::start().expect("starts");
-    let one = Bounded {
+    let one = HttpLimits {
         calls: 1,
-        ..bounded()
+        ..limits()
     };
-    let s = serve(&traffic, one, Manner::default());
+    let s = serve(&traffic, one, HttpAdapter::default());
     let first = call(s.at, "/first", Vec::new());
     let (_, n) = s.next();
     let (status, _, text) = call(s.at, "/second", Vec::new()).join().expect("called");
@@ -390,7 +396,7 @@
 #[test]
 fn a_body_that_is_too_long_or_no_http_is_refused_in_the_same_manner() {
     let traffic = Traffic::start().expect("starts");
-    let s = serve(&traffic, bounded(), Manner::default());
+    let s = serve(&traffic, limits(), HttpAdapter::default());
     let (status, _, text) = call(s.at, "/", vec![b'x'; 1001]).join().expect("called");
     assert!(
         status == 413 && text.contains("tooLarge"),
@@ -407,13 +413,13 @@
 #[test]
 fn nobody_who_decides_is_told_as_unsure() {
     let traffic = Traffic::start().expect("starts");
-    let s = serve(&traffic, bounded(), Manner::default());
+    let s = serve(&traffic, limits(), HttpAdapter::default());
     drop(s.inputs);
-    let short = Bounded {
+    let short = HttpLimits {
         patience: Duration::from_millis(50),
-        ..bounded()
+        ..limits()
     };
-    let silent = serve(&traffic, short, Manner::default());
+    let silent = serve(&traffic, short, HttpAdapter::default());
     for at in [s.at, silent.at] {
         let (status, _, text) = call(at, "/", Vec::new()).join().expect("called");
         assert!(status == 503 && text.contains("unsure"), "{status} {text}");
--- a/rehearsal/src/checkers/conditions.rs
+++ b/rehearsal/src/checkers/conditions.rs
@@ -19,11 +19,11 @@
         let mut down: Option<(u64, u64)> = None;
         let mut up: BTreeMap<&str, u64> = BTreeMap::new();
         for a in &h.events {
-            let Event::Able { cores, nodes } = &a.e else {
+            let Event::Able { replicas, nodes } = &a.e else {
                 continue;
             };
-            let back = if *cores == 0 { outage } else { recover };
-            if *cores < 2 || nodes.is_empty() {
+            let back = if *replicas == 0 { outage } else { recover };
+            if *replicas < 2 || nodes.is_empty() {
                 down = Some(down.map_or((a.t, back), |(t, b)| (t, b.max(back))));
             } else if let Some((from, back)) = down.take() {
                 c.excused.push((from, a.t + back));
--- a/rehearsal/src/checkers/runs/gangs.rs
+++ b/rehearsal/src/checkers/runs/gangs.rs
@@ -4,7 +4,7 @@
 use crate::checkers::conditions::Conditions;
 use crate::checkers::{Broken, Promised};
 use crate::history::{Event, History};
-use landingdrift::record::Outcome;
+use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
 /// Members of a gang are never left waiting alone: whoever runs for long, runs with all that are not done.
@@ -75,7 +75,7 @@
                 let partners = runs.iter().filter(|x| x.task == *other);
                 // With it from when it starts, if it has not ended by then, or at once when it was done well.
                 let since = partners
-                    .filter(|x| x.to >= r.from || x.outcome == Some(Outcome::Well))
+                    .filter(|x| x.to >= r.from || x.outcome == Some(Outcome::Succeeded))
                     .map(|x| x.from.max(r.from))
                     .min()
                     .unwrap_or(u64::MAX);
--- a/rehearsal/src/checkers/runs/limits.rs
+++ b/rehearsal/src/checkers/runs/limits.rs
@@ -3,7 +3,7 @@
 use super::specs;
 use crate::checkers::{Broken, Promised};
 use crate::history::{At, Event, History, Says};
-use landingdrift::record::Outcome;
+use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
 /// A change of a number, and when it may have been in force.
@@ -79,26 +79,26 @@
 }
 
 /// A task that has failed as often as its queue permits is not tried again.
-pub fn tries(h: &History, p: &Promised) -> Vec<Broken> {
+pub fn max_attempts(h: &History, p: &Promised) -> Vec<Broken> {
     let s = specs(h);
     let mut permitted = Limits::default();
-    let mut defects: BTreeMap<(&str, &str), u32> = BTreeMap::new();
+    let mut failures: BTreeMap<(&str, &str), u32> = BTreeMap::new();
     let mut out = Vec::new();
     for a in &h.events {
-        permitted.take(a, |s| &s.tries);
+        permitted.take(a, |s| &s.max_attempts);
         match &a.e {
             Event::Ended {
                 job,
                 task,
-                outcome: Outcome::Defect,
+                outcome: Outcome::Failed,
                 ..
-            } => *defects.entry((job, task)).or_default() += 1,
+            } => *failures.entry((job, task)).or_default() += 1,
             Event::Started { job, task, .. } => {
                 let most = s
                     .get(job.as_str())
-                    .and_then(|j| permitted.most(&j.queue, (a.t, a.t), p.desired))
+                    .and_then(|j| permitted.most(&j.queue, (a.t, a.t), p.config))
                     .unwrap_or(u32::MAX);
-                let had = defects
+                let had = failures
                     .get(&(job.as_str(), task.as_str()))
                     .copied()
                     .unwrap_or(0);
--- a/rehearsal/src/checkers/runs/mod.rs
+++ b/rehearsal/src/checkers/runs/mod.rs
@@ -5,12 +5,12 @@
 mod placement;
 
 pub use gangs::{alone_times, gangs};
-pub use limits::{tries, Limits};
-pub use placement::{emptied, fitting, leaving, room};
+pub use limits::{max_attempts, Limits};
+pub use placement::{cpu, evacuated_zones, fitting, leaving};
 
 use crate::checkers::{Broken, Promised};
 use crate::history::{Event, History};
-use landingdrift::record::{JobSpec, Outcome, TaskSpec};
+use landingdrift::state::{JobSpec, Outcome, TaskSpec};
 use std::collections::{BTreeMap, BTreeSet};
 
 type Specs<'a> = BTreeMap<&'a str, &'a JobSpec>;
@@ -71,7 +71,7 @@
                 no,
                 outcome,
                 ..
-            } if *outcome != Outcome::Void => {
+            } if *outcome != Outcome::NeverStarted => {
                 if let Some(i) = open.remove(&(worker.as_str(), *no)) {
                     out[i].to = a.t;
                     out[i].outcome = Some(*outcome);
@@ -112,7 +112,7 @@
                             r.worker, before.worker
                         ),
                     ));
-                } else if before.outcome == Some(Outcome::Well) {
+                } else if before.outcome == Some(Outcome::Succeeded) {
                     out.push(Broken::new(
                         "no repeat without leave",
                         r.from,
@@ -138,7 +138,7 @@
             Event::Ended {
                 job,
                 task,
-                outcome: Outcome::Well,
+                outcome: Outcome::Succeeded,
                 ..
             } => {
                 well.insert((job, task));
--- a/rehearsal/src/checkers/runs/placement.rs
+++ b/rehearsal/src/checkers/runs/placement.rs
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 
 /// No worker holds more than its room.
-pub fn room(h: &History, _: &Promised) -> Vec<Broken> {
-    let mut rooms: BTreeMap<&str, u32> = BTreeMap::new();
+pub fn cpu(h: &History, _: &Promised) -> Vec<Broken> {
+    let mut resources: BTreeMap<&str, u32> = BTreeMap::new();
     let mut held: BTreeMap<&str, BTreeMap<u64, u32>> = BTreeMap::new();
     let mut out = Vec::new();
     for a in &h.events {
         match &a.e {
-            Event::WorkerUp { worker, room, .. } => {
-                rooms.insert(worker, *room);
+            Event::WorkerUp { worker, cpu, .. } => {
+                resources.insert(worker, *cpu);
                 held.remove(worker.as_str());
             }
-            Event::WorkerChanged { worker, room, .. } => {
-                rooms.insert(worker, *room);
+            Event::WorkerChanged { worker, cpu, .. } => {
+                resources.insert(worker, *cpu);
             }
             Event::WorkerDied { worker } => {
                 held.remove(worker.as_str());
@@ -28,16 +28,19 @@
                 });
             }
             Event::Started {
-                worker, no, room, ..
+                worker, no, cpu, ..
             } => {
                 let w = held.entry(worker).or_default();
-                w.insert(*no, *room);
+                w.insert(*no, *cpu);
                 let sum: u32 = w.values().sum();
-                if sum > rooms.get(worker.as_str()).copied().unwrap_or(0) {
+                if sum > resources.get(worker.as_str()).copied().unwrap_or(0) {
                     out.push(Broken::new(
                         "room",
                         a.t,
-                        format!("{worker} holds {sum} of {:?}", rooms.get(worker.as_str())),
+                        format!(
+                            "{worker} holds {sum} of {:?}",
+                            resources.get(worker.as_str())
+                        ),
                     ));
                 }
             }
@@ -123,7 +126,7 @@
 }
 
 /// An emptied zone gets nothing new soon after.
-pub fn emptied(h: &History, p: &Promised) -> Vec<Broken> {
+pub fn evacuated_zones(h: &History, p: &Promised) -> Vec<Broken> {
     let mut zone_of: BTreeMap<&str, &str> = BTreeMap::new();
     let mut closed: BTreeMap<&str, u64> = BTreeMap::new();
     let mut out = Vec::new();
--- a/rehearsal/src/checkers/summary.rs
+++ b/rehearsal/src/checkers/summary.rs
@@ -39,7 +39,8 @@
     let mut s = Summary::default();
     let (mut accepted, mut cancel, mut leave, mut out_since) =
         (BTreeMap::new(), BTreeMap::new(), BTreeMap::new(), None);
-    let (mut zone_of, mut emptied, mut versions) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+    let (mut zone_of, mut evacuated_zones, mut versions) =
+        (BTreeMap::new(), BTreeMap::new(), Vec::new());
     for a in &h.events {
         match &a.e {
             Event::Offered { .. } => s.offered += 1,
@@ -67,13 +68,13 @@
                 versions.push((a.t, *version));
                 let closed = says.zones.iter().filter(|(_, state)| !serving(state));
                 closed.for_each(|(z, _)| {
-                    emptied.entry(z).or_insert(a.t);
+                    evacuated_zones.entry(z).or_insert(a.t);
                 });
             }
             Event::ConfigAsked { says, .. } => {
                 let open = says.zones.iter().filter(|(_, state)| serving(state));
                 open.for_each(|(z, _)| {
-                    emptied.remove(z);
+                    evacuated_zones.remove(z);
                 });
             }
             Event::NodeVersion {
@@ -107,7 +108,7 @@
                 s.latest_start_after_emptying_ms = s.latest_start_after_emptying_ms.max(
                     zone_of
                         .get(worker)
-                        .and_then(|z| emptied.get(z))
+                        .and_then(|z| evacuated_zones.get(z))
                         .map_or(0, |t| a.t - t),
                 );
                 s.longest_outage_ms = s
--- a/rehearsal/src/checkers/system.rs
+++ b/rehearsal/src/checkers/system.rs
@@ -136,7 +136,7 @@
 }
 
 /// An accepted change is in force soon on every node: on those that say they are ready, and on all that could be.
-pub fn takes_hold(h: &History, p: &Promised) -> Vec<Broken> {
+pub fn takes_effect(h: &History, p: &Promised) -> Vec<Broken> {
     let c = Conditions::of(h, p.recover, p.outage);
     let mut acked: Vec<(u64, u64)> = Vec::new();
     let mut unready: BTreeMap<&str, u64> = BTreeMap::new();
@@ -160,7 +160,7 @@
             } => {
                 let due = acked
                     .iter()
-                    .filter(|(t, _)| t + p.desired < a.t)
+                    .filter(|(t, _)| t + p.config < a.t)
                     .map(|(_, v)| *v)
                     .max()
                     .unwrap_or(0);
@@ -212,7 +212,7 @@
                 accepted.entry(id).or_insert(a.t);
                 let (q, from) = (queue_of.get(id.as_str()), handed.get(id.as_str()));
                 if let Some((q, from)) = q.zip(from).filter(|_| *status == 202) {
-                    taken.push((id, *from, a.t, limits.most(q, (*from, a.t), p.desired)));
+                    taken.push((id, *from, a.t, limits.most(q, (*from, a.t), p.config)));
                 }
             }
             Event::Polled {
--- a/rehearsal/src/cli/capacity.rs
+++ b/rehearsal/src/cli/capacity.rs
@@ -50,7 +50,7 @@
             file.display()
         )
     };
-    let packed = runs.last().map_or(&[][..], |r| &r.record);
+    let packed = runs.last().map_or(&[][..], |r| &r.packed_state);
     std::fs::write(&file, packed).map_err(defect)?;
     let out = std::env::current_exe().and_then(|exe| {
         Command::new(exe)
@@ -79,7 +79,7 @@
     (workers.len() >= 3)
         .then_some(())
         .ok_or("--sizes: give at least three sizes, so that slopes can be told")?;
-    let bounded = |name: &str, or: u64| {
+    let limits = |name: &str, or: u64| {
         let n = w.number(name, or)?;
         (10..=600)
             .contains(&n)
@@ -87,8 +87,8 @@
             .ok_or_else(|| format!("--{name}: give 10 to 600 seconds"))
     };
     let (warm, window, seed) = (
-        bounded("warm", 75)?,
-        bounded("seconds", 40)?,
+        limits("warm", 75)?,
+        limits("seconds", 40)?,
         w.number("seed", 1)?,
     );
     let runs: Vec<_> = sizes(&workers)
--- a/rehearsal/src/cli/digest.rs
+++ b/rehearsal/src/cli/digest.rs
@@ -79,7 +79,7 @@
     let days = for_each_seed(seeds.clone(), threads, |seed| {
         let report = World::new(&scenario, seed).run();
         let seen = (&report.history, report.messages, report.copies_won);
-        landingdrift::record::pack::pack(&seen)
+        landingdrift::state::pack::pack(&seen)
     })?;
     landingdrift::say!(
         "{} days of {file}, shape {}: {} bytes, {}",
@@ -91,7 +91,7 @@
 
     let walks = for_each_seed(seeds, threads, |seed| {
         let walk = Walk::drawn(seed, WALK_VOTERS, WALK_STANDBYS, WALK_MS, WALK_FAULTS);
-        landingdrift::record::pack::pack(&counts(&walk.take()))
+        landingdrift::state::pack::pack(&counts(&walk.take()))
     })?;
     landingdrift::say!("{} walks: {}", walks.len(), fingerprint(&walks));
     Ok(true)
--- a/rehearsal/src/cli/scale.rs
+++ b/rehearsal/src/cli/scale.rs
@@ -36,16 +36,16 @@
     (sizes.len() <= 20)
         .then_some(())
         .ok_or("--sizes: give at most 20 sizes at once")?;
-    let bounded = |name: &str, or: u64, least: u64, most: u64| {
+    let limits = |name: &str, or: u64, least: u64, most: u64| {
         let n = w.number(name, or)?;
         (least..=most)
             .contains(&n)
             .then_some(n)
             .ok_or_else(|| format!("--{name}: give {least} to {most}"))
     };
-    let nodes = bounded("nodes", 24, 1, NODES)? as usize;
-    let seconds = bounded("seconds", 75, 6, 600)?;
-    let starts = bounded("starts", 0, 0, 2000)? as f64;
+    let nodes = limits("nodes", 24, 1, NODES)? as usize;
+    let seconds = limits("seconds", 75, 6, 600)?;
+    let starts = limits("starts", 0, 0, 2000)? as f64;
     let seed = w.number("seed", 1)?;
     let folder = w.text("folder").map_or_else(
         || std::env::temp_dir().join(format!("landingdrift-scale-{}", std::process::id())),
@@ -60,11 +60,11 @@
     let runs = sizes
         .iter()
         .enumerate()
-        .map(|(place, workers)| {
+        .map(|(log_index, workers)| {
             let o = Options {
                 workers: *workers,
                 nodes,
-                place,
+                log_index,
                 starts: if starts > 0.0 {
                     starts
                 } else {
--- a/rehearsal/src/explorer/client.rs
+++ b/rehearsal/src/explorer/client.rs
@@ -1,19 +1,19 @@
-//! Clients of the replicas: they propose changes and ask how far the log goes.
+//! Clients of the machines: they propose changes and ask how far the log goes.
 
 use super::cluster::{Cluster, CLIENT};
-use landingdrift::kernel::Msg;
-use landingdrift::record::Command;
+use landingdrift::sans_io::Msg;
+use landingdrift::state::Command;
 use landingdrift::wire::{Body, ProposeRequest, ReadIndexRequest, RequestToken};
 use serde_json::json;
 
 impl Cluster {
-    /// A client proposes a configuration on top of a version at a replica.
+    /// A client proposes a configuration on top of a version at a machine.
     pub fn propose(&mut self, i: usize, base: u64) {
         let token = self.token();
         let change = format!("change-{token}");
         self.ledger.proposes(token, change.clone());
         let value = json!({"queues": {}, "notes": {"by": change}});
-        let command = Command::Configure {
+        let command = Command::UpdateConfig {
             change,
             base,
             patch: false,
@@ -33,7 +33,7 @@
         self.step(i, Msg::Wire(CLIENT.into(), body));
     }
 
-    /// A client asks a replica how far the log goes.
+    /// A client asks a machine how far the log goes.
     pub fn read(&mut self, i: usize) {
         let token = self.token();
         self.ledger.reads(token);
--- a/rehearsal/src/explorer/cluster.rs
+++ b/rehearsal/src/explorer/cluster.rs
@@ -1,12 +1,12 @@
-//! A few replicas with their disks and the messages between them, under the checker's control.
+//! A few machines with their disks and the messages between them, under the checker's control.
 
 use super::defect::{distort, Defect};
 use super::ledger::{Invariant, Ledger};
 use crate::simulator::disk::SimDisk;
-use landingdrift::agreement::Replica;
-use landingdrift::kernel::{Effect, Msg, Now, Part, WriteBatch};
-use landingdrift::record::ReplicaMember;
+use landingdrift::consensus::Replica;
+use landingdrift::sans_io::{Effect, Msg, Now, Part, WriteBatch};
 use landingdrift::settings::{Bounds, Settings};
+use landingdrift::state::ReplicaMember;
 use landingdrift::wire::{Body, Entry};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
 pub struct Machine {
     pub address: String,
     pub zone: String,
-    pub core: Option<Box<Replica>>,
+    pub replica: Option<Box<Replica>>,
     pub disk: SimDisk,
     pub disk_number: u64,
     pub frozen: bool,
@@ -48,18 +48,18 @@
     pub due: u64,
 }
 
-/// The replicas, their messages, and what was seen of them.
+/// The machines, their messages, and what was seen of them.
 #[derive(Clone)]
 pub struct Cluster {
     pub now: u64,
-    pub replicas: Vec<Machine>,
+    pub machines: Vec<Machine>,
     pub network: Vec<InFlight>,
     pub ledger: Ledger,
     pub settings: Settings,
     pub defect: Option<Defect>,
     /// Saves are confirmed at once; else by [`Cluster::sync`].
     pub instant_disks: bool,
-    /// What the replicas write, where that is wanted.
+    /// What the machines write, where that is wanted.
     pub log: Option<Vec<String>>,
     pub(super) next_token: u64,
     next_number: u64,
@@ -81,7 +81,7 @@
         };
         let mut cluster = Self {
             now: FIRST_START,
-            replicas: Vec::new(),
+            machines: Vec::new(),
             network: Vec::new(),
             ledger: Ledger::default(),
             settings,
@@ -105,10 +105,10 @@
     /// A new machine with an empty disk, started.
     pub fn add(&mut self, address: String, zone: String) -> usize {
         let disk_number = self.number();
-        self.replicas.push(Machine {
+        self.machines.push(Machine {
             address,
             zone,
-            core: None,
+            replica: None,
             disk: SimDisk::new(disk_number),
             disk_number,
             frozen: false,
@@ -118,20 +118,20 @@
             clock_ahead: 0,
             inbox: Vec::new(),
         });
-        let i = self.replicas.len() - 1;
+        let i = self.machines.len() - 1;
         self.start(i);
         i
     }
 
     /// A new machine at an address that nobody has had.
     pub fn add_newcomer(&mut self, zone: String) -> usize {
-        let address = address(self.replicas.len());
+        let address = address(self.machines.len());
         self.add(address, zone)
     }
 
     fn settings_of(&self, i: usize) -> Settings {
-        let replica = &self.replicas[i];
-        let others = self.replicas.iter().filter(|r| r.core.is_some());
+        let machine = &self.machines[i];
+        let others = self.machines.iter().filter(|r| r.replica.is_some());
         let listed: Vec<String> = others.map(|r| r.address.clone()).take(3).collect();
         let first_start = self.now == FIRST_START;
         Settings {
@@ -141,9 +141,9 @@
             } else {
                 listed
             },
-            listen: replica.address.clone(),
-            http: replica.address.clone(),
-            zone: replica.zone.clone(),
+            listen: machine.address.clone(),
+            http: machine.address.clone(),
+            zone: machine.zone.clone(),
             data: "d".into(),
             // Only the first start of the whole cluster founds it.
             join_only: !first_start,
@@ -151,27 +151,27 @@
         }
     }
 
-    /// Starts a replica from its disk.
+    /// Starts a machine from its disk.
     pub fn start(&mut self, i: usize) {
-        if self.replicas[i].core.is_some() || self.replicas[i].gone {
+        if self.machines[i].replica.is_some() || self.machines[i].gone {
             return;
         }
         let settings = self.settings_of(i);
-        self.replicas[i].started_at = self.now;
+        self.machines[i].started_at = self.now;
         let seed = self.number();
-        let loaded = self.replicas[i].disk.load();
+        let loaded = self.machines[i].disk.load();
         let now = self.clock(i);
         match Replica::new(settings, loaded, now, seed) {
-            Ok(core) => self.replicas[i].core = Some(Box::new(core)),
+            Ok(replica) => self.machines[i].replica = Some(Box::new(replica)),
             Err(why) => self.ledger.broken(Invariant::Progress, why),
         }
-        self.replicas[i].frozen = false;
-        self.replicas[i].up_since = self.now;
+        self.machines[i].frozen = false;
+        self.machines[i].up_since = self.now;
     }
 
     fn clock(&self, i: usize) -> Now {
-        let replica = &self.replicas[i];
-        let mono = 1 + self.now - replica.started_at + replica.clock_ahead;
+        let machine = &self.machines[i];
+        let mono = 1 + self.now - machine.started_at + machine.clock_ahead;
         Now {
             mono,
             wall: EPOCH + self.now,
@@ -180,14 +180,14 @@
 
     /// Ends a process. After a loss of power only the first `arrived` of the unconfirmed saves are on the disk.
     pub fn crash(&mut self, i: usize, arrived: usize) {
-        let replica = &mut self.replicas[i];
-        replica.core = None;
-        replica.inbox.clear();
-        replica.disk.crash(arrived);
+        let machine = &mut self.machines[i];
+        machine.replica = None;
+        machine.inbox.clear();
+        machine.disk.crash(arrived);
         if self.defect == Some(Defect::ForgetsSilently) {
-            replica.disk.forget_log();
+            machine.disk.forget_log();
         }
-        let address = replica.address.clone();
+        let address = machine.address.clone();
         self.network
             .retain(|m| m.from != address && m.to != address);
     }
@@ -196,39 +196,39 @@
     pub fn wipe(&mut self, i: usize) {
         self.crash(i, 0);
         let disk_number = self.number();
-        self.replicas[i].disk = SimDisk::new(disk_number);
-        self.replicas[i].disk_number = disk_number;
+        self.machines[i].disk = SimDisk::new(disk_number);
+        self.machines[i].disk_number = disk_number;
     }
 
     /// The machine is gone for good.
     pub fn remove(&mut self, i: usize) {
         self.crash(i, 0);
-        self.replicas[i].gone = true;
+        self.machines[i].gone = true;
     }
 
-    /// Stops a replica, or lets it go on with all that reached it meanwhile.
+    /// Stops a machine, or lets it go on with all that reached it meanwhile.
     pub fn freeze(&mut self, i: usize, frozen: bool) {
-        self.replicas[i].frozen = frozen;
+        self.machines[i].frozen = frozen;
         if frozen {
             return;
         }
-        self.replicas[i].up_since = self.now;
-        for msg in std::mem::take(&mut self.replicas[i].inbox) {
+        self.machines[i].up_since = self.now;
+        for msg in std::mem::take(&mut self.machines[i].inbox) {
             self.step(i, msg);
         }
     }
 
-    /// One step of a replica.
+    /// One step of a machine.
     pub fn step(&mut self, i: usize, msg: Msg) {
-        if self.replicas[i].frozen {
-            self.replicas[i].inbox.push(msg);
+        if self.machines[i].frozen {
+            self.machines[i].inbox.push(msg);
             return;
         }
         let now = self.clock(i);
-        let Some(core) = self.replicas[i].core.as_mut() else {
+        let Some(replica) = self.machines[i].replica.as_mut() else {
             return;
         };
-        let effects = core.step(now, msg);
+        let effects = replica.step(now, msg);
         for effect in effects {
             self.carry_out(i, effect);
         }
@@ -247,13 +247,13 @@
 
     fn log_line(&mut self, i: usize, text: &str) {
         if let Some(log) = &mut self.log {
-            let address = &self.replicas[i].address;
+            let address = &self.machines[i].address;
             log.push(format!("{:>6} {address} {text}", self.now));
         }
     }
 
     fn post(&mut self, i: usize, to: String, body: Body) {
-        let from = self.replicas[i].address.clone();
+        let from = self.machines[i].address.clone();
         let body = self.defect.map_or(body.clone(), |d| distort(d, body));
         if to == CLIENT {
             self.answer(&body);
@@ -271,33 +271,33 @@
 
     fn save(&mut self, i: usize, save: WriteBatch) {
         let write_id = save.write_id;
-        self.replicas[i].disk.pending.push_back(save);
+        self.machines[i].disk.pending.push_back(save);
         if self.defect == Some(Defect::ConfirmsUnsaved) {
             self.step(i, Msg::Persisted(write_id));
         } else if self.instant_disks {
-            self.replicas[i].disk.done(write_id);
+            self.machines[i].disk.done(write_id);
             self.step(i, Msg::Persisted(write_id));
         }
     }
 
     /// The disk confirms everything that it was handed.
     pub fn sync(&mut self, i: usize) {
-        let write_id = self.replicas[i].disk.pending.back().map(|s| s.write_id);
-        let Some(write_id) = write_id.filter(|_| self.replicas[i].core.is_some()) else {
+        let write_id = self.machines[i].disk.pending.back().map(|s| s.write_id);
+        let Some(write_id) = write_id.filter(|_| self.machines[i].replica.is_some()) else {
             return;
         };
         if self.defect != Some(Defect::ConfirmsUnsaved) {
-            self.replicas[i].disk.done(write_id);
+            self.machines[i].disk.done(write_id);
             self.step(i, Msg::Persisted(write_id));
         }
     }
 
-    /// Delivers a message to its replica, if that is up.
+    /// Delivers a message to its machine, if that is up.
     pub fn deliver(&mut self, message: InFlight) {
         let to = self
-            .replicas
+            .machines
             .iter()
-            .position(|r| r.address == message.to && r.core.is_some());
+            .position(|r| r.address == message.to && r.replica.is_some());
         if let Some(i) = to {
             self.step(i, Msg::Wire(message.from, message.body));
         }
@@ -312,7 +312,7 @@
             let same = |e: &Entry| e.index == index && term.is_none_or(|t| t == e.term);
             covered || loaded.entries.iter().any(same)
         };
-        let disks = self.replicas.iter().filter(holds).count();
+        let disks = self.machines.iter().filter(holds).count();
         let needed = self.settings.voters as usize / 2 + 1;
         if disks < needed {
             let what = format!("entry {index} was acknowledged on {disks} disks, not {needed}");
@@ -322,59 +322,59 @@
     }
 
     fn observe(&mut self, i: usize) {
-        let Some(core) = self.replicas[i].core.as_ref() else {
+        let Some(replica) = self.machines[i].replica.as_ref() else {
             return;
         };
-        let address = &self.replicas[i].address;
-        if core.leads() {
-            let life = format!("{address} (disk {})", self.replicas[i].disk_number);
-            self.ledger.leads(core.term(), &life);
+        let address = &self.machines[i].address;
+        if replica.leads() {
+            let life = format!("{address} (disk {})", self.machines[i].disk_number);
+            self.ledger.leads(replica.term(), &life);
         }
         let seen_to = self.ledger.committed_to().saturating_sub(8);
-        for entry in core.committed_entries().filter(|e| e.index > seen_to) {
+        for entry in replica.committed_entries().filter(|e| e.index > seen_to) {
             self.ledger
                 .commits(address, entry.index, entry.term, &entry.command);
         }
     }
 
-    /// Compares the states of all replicas that have applied the same entries.
+    /// Compares the states of all machines that have applied the same entries.
     pub fn check_states(&mut self) {
-        for replica in &self.replicas {
-            if let Some(core) = &replica.core {
-                let record = core.record();
+        for machine in &self.machines {
+            if let Some(replica) = &machine.replica {
+                let state = replica.state();
                 self.ledger
-                    .state(&replica.address, record.place, &record.pack());
+                    .state(&machine.address, state.applied_index, &state.pack());
             }
         }
     }
 
-    /// The membership by the replica that knows most.
+    /// The membership by the machine that knows most.
     pub fn membership(&self) -> BTreeMap<String, ReplicaMember> {
-        let cores = self.replicas.iter().filter_map(|r| r.core.as_ref());
-        cores
-            .max_by_key(|c| c.record().place)
-            .map(|c| c.record().cores.clone())
+        let replicas = self.machines.iter().filter_map(|r| r.replica.as_ref());
+        replicas
+            .max_by_key(|c| c.state().applied_index)
+            .map(|c| c.state().replicas.clone())
             .unwrap_or_default()
     }
 
-    /// The replica that leads in the highest term.
+    /// The machine that leads in the highest term.
     pub fn leader(&self) -> Option<usize> {
         let leads = |i: &usize| {
-            let replica = &self.replicas[*i];
-            replica.core.as_ref().is_some_and(|c| c.leads()) && !replica.frozen
+            let machine = &self.machines[*i];
+            machine.replica.as_ref().is_some_and(|c| c.leads()) && !machine.frozen
         };
-        (0..self.replicas.len())
+        (0..self.machines.len())
             .filter(leads)
-            .max_by_key(|i| self.replicas[*i].core.as_ref().map_or(0, |c| c.term()))
+            .max_by_key(|i| self.machines[*i].replica.as_ref().map_or(0, |c| c.term()))
     }
 
-    /// The members that vote, as indices of the replicas whose disks they are; identities that are lost have none.
+    /// The members that vote, as indices of the machines whose disks they are; identities that are lost have none.
     pub fn intact_voters(&self) -> (usize, Vec<usize>) {
         let membership = self.membership();
         let voters: Vec<(&String, &ReplicaMember)> =
             membership.iter().filter(|(_, m)| m.voter).collect();
         let intact = voters.iter().filter_map(|(address, member)| {
-            self.replicas
+            self.machines
                 .iter()
                 .position(|r| r.address == **address && r.disk_number == member.disk && !r.gone)
         });
--- a/rehearsal/src/explorer/defect.rs
+++ b/rehearsal/src/explorer/defect.rs
@@ -3,7 +3,7 @@
 use landingdrift::wire::Body;
 use serde_json::json;
 
-/// How a replica misbehaves on purpose, to show that an invariant catches it.
+/// How a machine misbehaves on purpose, to show that an invariant catches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     /// It gives its vote to everybody who asks.
@@ -24,7 +24,7 @@
     IgnoresNewcomers,
 }
 
-/// What a misbehaving replica sends in place of a message.
+/// What a misbehaving machine sends in place of a message.
 pub(super) fn distort(defect: Defect, body: Body) -> Body {
     match (defect, body) {
         (Defect::VotesForAll, Body::VoteResponse(mut response)) => {
@@ -33,11 +33,11 @@
         }
         (Defect::AnswersOldReads, Body::ReadIndexResponse(mut answer)) => {
             answer.ok = true;
-            answer.place = 0;
+            answer.log_index = 0;
             Body::ReadIndexResponse(answer)
         }
         (Defect::AcknowledgesRivals, Body::ProposeResponse(mut answer)) => {
-            let won = json!({"done": {"version": 1, "place": answer.place}});
+            let won = json!({"done": {"version": 1, "place": answer.log_index}});
             answer.response = serde_json::to_vec(&won).unwrap_or_default();
             Body::ProposeResponse(answer)
         }
@@ -46,12 +46,12 @@
             Body::VoteResponse(response)
         }
         (Defect::ForgetsSilently, Body::Hello(mut hello)) => {
-            hello.noted.index = 0;
-            hello.notes.clear();
+            hello.witnessed.index = 0;
+            hello.witnesses.clear();
             Body::Hello(hello)
         }
         (Defect::ForgetsSilently, Body::AppendRequest(mut append)) => {
-            append.notes.clear();
+            append.witnesses.clear();
             Body::AppendRequest(append)
         }
         (Defect::IgnoresNewcomers, Body::JoinCluster(mut join)) => {
--- a/rehearsal/src/explorer/ledger.rs
+++ b/rehearsal/src/explorer/ledger.rs
@@ -1,6 +1,6 @@
 //! What was seen of the replicas, and the invariants that it must satisfy. It knows nothing of the replicas' own rules.
 
-use landingdrift::kernel::fnv1a;
+use landingdrift::sans_io::fnv1a;
 use landingdrift::wire::{ProposeResponse, ReadIndexResponse};
 use std::collections::BTreeMap;
 
@@ -110,7 +110,7 @@
     pub fn proposed(&mut self, answer: &ProposeResponse) -> Option<u64> {
         let result: serde_json::Value = serde_json::from_slice(&answer.response).ok()?;
         let version = result["done"]["version"].as_u64()?;
-        let index = result["done"]["place"].as_u64().unwrap_or(answer.place);
+        let index = result["done"]["place"].as_u64().unwrap_or(answer.log_index);
         let change = self.proposals.get(&answer.token.number)?.clone();
         let winner = self
             .winners
@@ -136,10 +136,10 @@
             return;
         };
         self.answered_reads += 1;
-        if answer.place < at_least {
+        if answer.log_index < at_least {
             let what = format!(
                 "a read asked after {at_least} was acknowledged got {}",
-                answer.place
+                answer.log_index
             );
             self.broken(Invariant::NoStaleRead, what);
         }
--- a/rehearsal/src/explorer/search.rs
+++ b/rehearsal/src/explorer/search.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::Cluster;
 use super::ledger::Violation;
-use landingdrift::kernel::Msg;
+use landingdrift::sans_io::Msg;
 use landingdrift::wire::pack;
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -16,9 +16,9 @@
     Lose(usize),
     /// It arrives and will arrive once more.
     Duplicate(usize),
-    /// A replica's clock runs past its election span.
+    /// A machine's clock runs past its election span.
     Timeout(usize),
-    /// A replica's disk confirms.
+    /// A machine's disk confirms.
     Sync(usize),
     Crash(usize),
     PowerLoss(usize),
@@ -32,7 +32,7 @@
 
 /// How much of what may happen on one way.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct SpeculationBudgetExhausted {
     pub depth: usize,
     /// How many of the messages under way may be the next.
     pub window: usize,
@@ -56,7 +56,7 @@
 }
 
 /// Walks every order of events from a situation.
-pub fn search(from: &Cluster, budget: Budget) -> Found {
+pub fn search(from: &Cluster, budget: SpeculationBudgetExhausted) -> Found {
     let mut search = Search {
         seen: HashSet::new(),
         found: Found::default(),
@@ -74,7 +74,7 @@
 }
 
 impl Search {
-    fn enter(&mut self, cluster: &Cluster, budget: Budget) {
+    fn enter(&mut self, cluster: &Cluster, budget: SpeculationBudgetExhausted) {
         if self.found.broken.is_some() {
             return;
         }
@@ -97,13 +97,13 @@
 }
 
 /// A number that tells situations apart, with what may still happen on the way.
-fn fingerprint(cluster: &Cluster, budget: Budget) -> u64 {
+fn fingerprint(cluster: &Cluster, budget: SpeculationBudgetExhausted) -> u64 {
     let mut hasher = DefaultHasher::new();
-    for replica in &cluster.replicas {
-        (replica.disk_number, replica.frozen, replica.gone).hash(&mut hasher);
-        (replica.clock_ahead, replica.disk.pending.len()).hash(&mut hasher);
-        let core = replica.core.as_ref().map(|c| c.fingerprint());
-        core.hash(&mut hasher);
+    for machine in &cluster.machines {
+        (machine.disk_number, machine.frozen, machine.gone).hash(&mut hasher);
+        (machine.clock_ahead, machine.disk.pending.len()).hash(&mut hasher);
+        let replica = machine.replica.as_ref().map(|c| c.fingerprint());
+        replica.hash(&mut hasher);
     }
     for message in &cluster.network {
         (&message.to, pack("", &message.from, &message.body)).hash(&mut hasher);
@@ -112,7 +112,7 @@
     hasher.finish()
 }
 
-fn possible(cluster: &Cluster, budget: Budget) -> Vec<Event> {
+fn possible(cluster: &Cluster, budget: SpeculationBudgetExhausted) -> Vec<Event> {
     let mut events = Vec::new();
     let messages = cluster.network.len().min(budget.window);
     events.extend((0..messages).map(Event::Deliver));
@@ -122,20 +122,20 @@
     if budget.duplicates > 0 {
         events.extend((0..messages).map(Event::Duplicate));
     }
-    for (i, replica) in cluster.replicas.iter().enumerate() {
-        if replica.gone {
+    for (i, machine) in cluster.machines.iter().enumerate() {
+        if machine.gone {
             continue;
         }
-        if replica.core.is_none() {
+        if machine.replica.is_none() {
             events.push(Event::Start(i));
             continue;
         }
-        if replica.frozen {
+        if machine.frozen {
             events.push(Event::Thaw(i));
             continue;
         }
         let allowed = [
-            (!replica.disk.pending.is_empty(), Event::Sync(i)),
+            (!machine.disk.pending.is_empty(), Event::Sync(i)),
             (budget.timeouts > 0, Event::Timeout(i)),
             (budget.crashes > 0, Event::Crash(i)),
             (budget.crashes > 0, Event::PowerLoss(i)),
@@ -150,7 +150,11 @@
 }
 
 /// Lets an event happen; returns what may still happen.
-fn happen(cluster: &mut Cluster, event: Event, mut budget: Budget) -> Budget {
+fn happen(
+    cluster: &mut Cluster,
+    event: Event,
+    mut budget: SpeculationBudgetExhausted,
+) -> SpeculationBudgetExhausted {
     budget.depth -= 1;
     match event {
         Event::Deliver(k) => {
@@ -168,14 +172,14 @@
         }
         Event::Timeout(i) => {
             let span = 3 * cluster.settings.bounds.election();
-            cluster.replicas[i].clock_ahead += span;
-            // Two looks at the time: the first tells the replica that it stood still.
+            cluster.machines[i].clock_ahead += span;
+            // Two looks at the time: the first tells the machine that it stood still.
             cluster.step(i, Msg::Tick);
-            cluster.replicas[i].clock_ahead += span / 4;
+            cluster.machines[i].clock_ahead += span / 4;
             cluster.step(i, Msg::Tick);
-            cluster.replicas[i].clock_ahead += span / 4;
+            cluster.machines[i].clock_ahead += span / 4;
             cluster.step(i, Msg::Tick);
-            cluster.replicas[i].clock_ahead += span / 4;
+            cluster.machines[i].clock_ahead += span / 4;
             cluster.step(i, Msg::Tick);
             budget.timeouts -= 1;
         }
@@ -203,10 +207,10 @@
         }
         Event::Thaw(i) => cluster.freeze(i, false),
         Event::Submit(i) => {
-            let version = cluster.replicas[i]
-                .core
+            let version = cluster.machines[i]
+                .replica
                 .as_ref()
-                .map_or(0, |c| c.record().version);
+                .map_or(0, |c| c.state().version);
             cluster.propose(i, version);
             budget.proposals -= 1;
         }
--- a/rehearsal/src/explorer/time.rs
+++ b/rehearsal/src/explorer/time.rs
@@ -1,11 +1,11 @@
-//! How time passes for the replicas.
+//! How time passes for the machines.
 
 use super::cluster::{Cluster, InFlight};
-use landingdrift::kernel::Msg;
+use landingdrift::sans_io::Msg;
 use std::collections::BTreeSet;
 
 impl Cluster {
-    /// Lets time pass: messages arrive when they are due, replicas look at the time.
+    /// Lets time pass: messages arrive when they are due, machines look at the time.
     /// Disks named as stalled confirm nothing.
     pub fn run(
         &mut self,
@@ -19,10 +19,10 @@
             self.now += 1;
             self.deliver_due(&mut lossy);
             if self.now.is_multiple_of(tick) {
-                (0..self.replicas.len()).for_each(|i| self.step_if_awake(i));
+                (0..self.machines.len()).for_each(|i| self.step_if_awake(i));
             }
             if self.now.is_multiple_of(2) {
-                (0..self.replicas.len())
+                (0..self.machines.len())
                     .filter(|i| !stalled.contains(i))
                     .for_each(|i| self.sync(i));
             }
@@ -30,7 +30,7 @@
     }
 
     fn step_if_awake(&mut self, i: usize) {
-        if !self.replicas[i].frozen {
+        if !self.machines[i].frozen {
             self.step(i, Msg::Tick);
         }
     }
--- a/rehearsal/src/explorer/trouble.rs
+++ b/rehearsal/src/explorer/trouble.rs
@@ -1,8 +1,8 @@
-//! What can befall the replicas on a walk.
+//! What can befall the machines on a walk.
 
-use landingdrift::kernel::Rng;
+use landingdrift::sans_io::Rng;
 
-/// What can befall the replicas. Numbers choose among those that are there.
+/// What can befall the machines. Numbers choose among those that are there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     /// The process is killed, and starts again.
--- a/rehearsal/src/explorer/walk.rs
+++ b/rehearsal/src/explorer/walk.rs
@@ -4,7 +4,7 @@
 use super::defect::Defect;
 use super::ledger::{Invariant, Violation};
 use super::trouble::{draw_trouble, Timed, Trouble};
-use landingdrift::kernel::{Msg, Rng};
+use landingdrift::sans_io::{Msg, Rng};
 use std::collections::BTreeSet;
 
 /// How long all machines must have been up before the next loss that takes data, in milliseconds.
@@ -75,7 +75,7 @@
         Walker::new(self).take()
     }
 
-    /// Takes the walk, and keeps what the replicas write.
+    /// Takes the walk, and keeps what the machines write.
     pub fn take_logged(&self) -> Outcome {
         let mut walker = Walker::new(self);
         walker.cluster.log = Some(Vec::new());
@@ -166,8 +166,8 @@
 
     /// Machines that are up now.
     fn up(&self) -> Vec<usize> {
-        let replicas = self.cluster.replicas.iter().enumerate();
-        let up = replicas.filter(|(_, r)| r.core.is_some() && !r.frozen);
+        let machines = self.cluster.machines.iter().enumerate();
+        let up = machines.filter(|(_, r)| r.replica.is_some() && !r.frozen);
         up.map(|(i, _)| i).collect()
     }
 
@@ -211,7 +211,7 @@
                 for_ms,
             } => {
                 if let Some(i) = self.choose(who) {
-                    let address = self.cluster.replicas[i].address.clone();
+                    let address = self.cluster.machines[i].address.clone();
                     self.cuts.push((address, inward, outward, now + for_ms));
                     self.trouble_until(now + for_ms);
                 }
@@ -283,11 +283,11 @@
     fn whole(&self) -> bool {
         let settled_before = self.cluster.now.saturating_sub(CATCH_UP_MS);
         let fine = |r: &super::cluster::Machine| {
-            r.gone || (r.core.is_some() && !r.frozen && r.up_since <= settled_before)
+            r.gone || (r.replica.is_some() && !r.frozen && r.up_since <= settled_before)
         };
         self.later.is_empty()
             && self.troubled_until <= settled_before
-            && self.cluster.replicas.iter().all(fine)
+            && self.cluster.machines.iter().all(fine)
     }
 
     /// Where nothing is lost any more, the full, odd number of voters is there.
@@ -337,7 +337,7 @@
             Later::Remove(i) => self.cluster.remove(i),
             Later::Thaw(i) => self.cluster.freeze(i, false),
             Later::Newcomer(i) => {
-                let zone = self.cluster.replicas[i].zone.clone();
+                let zone = self.cluster.machines[i].zone.clone();
                 self.cluster.add_newcomer(zone);
             }
             Later::StopForGood(i) => {
@@ -351,11 +351,15 @@
         }
     }
 
-    /// Two clients propose on top of the same version, at replicas drawn by lot; one asks.
+    /// Two clients propose on top of the same version, at machines drawn by lot; one asks.
     fn clients(&mut self) {
         let up = self.up();
-        let cores = self.cluster.replicas.iter().filter_map(|r| r.core.as_ref());
-        let base = cores.map(|c| c.record().version).max().unwrap_or(0);
+        let replicas = self
+            .cluster
+            .machines
+            .iter()
+            .filter_map(|r| r.replica.as_ref());
+        let base = replicas.map(|c| c.state().version).max().unwrap_or(0);
         for _ in 0..2 {
             if let Some(i) = self.rng.pick(&up).copied() {
                 self.cluster.propose(i, base);
--- a/rehearsal/src/fleet/drive.rs
+++ b/rehearsal/src/fleet/drive.rs
@@ -7,8 +7,8 @@
 use crate::standin::operator::Operator;
 use crate::standin::worker::Worker;
 use crate::standin::{request, Ask};
-use landingdrift::kernel::{Request, Response, Rng};
-use landingdrift::record::WorkerInfo;
+use landingdrift::sans_io::{Request, Response, Rng};
+use landingdrift::state::WorkerInfo;
 use reqwest::blocking::Client as Http;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +66,7 @@
 
 struct Hand {
     worker: Option<Worker>,
-    facts: WorkerInfo,
+    info: WorkerInfo,
     life: u64,
     cut: bool,
 }
@@ -146,7 +146,7 @@
     let hands = (0..o.shape.workers())
         .map(|i| Hand {
             worker: None,
-            facts: WorkerInfo {
+            info: WorkerInfo {
                 worker: format!("w{i}"),
                 incarnation: 0,
                 service: services[i % 2].clone(),
@@ -155,7 +155,7 @@
                     .flatten()
                     .collect(),
                 zone: format!("z{}", i % 3),
-                room: o.shape.room(),
+                cpu: o.shape.cpu(),
                 ..WorkerInfo::default()
             },
             life: 0,
@@ -163,7 +163,7 @@
         })
         .collect();
     let mut operator = Operator::new("op", nodes.clone(), o.seed);
-    operator.apply(false, o.shape.desired());
+    operator.apply(false, o.shape.config());
     let day = Day {
         o,
         fleet,
@@ -215,8 +215,8 @@
         let seed = self.rng.number();
         let h = &mut self.hands[i];
         h.life += 1;
-        h.facts.incarnation = h.life;
-        let w = Worker::new(h.facts.clone(), nodes, seed);
+        h.info.incarnation = h.life;
+        let w = Worker::new(h.info.clone(), nodes, seed);
         let up = w.up();
         h.worker = Some(w);
         self.note(up);
@@ -225,7 +225,7 @@
     fn worker_dies(&mut self, i: usize) {
         self.hands[i].worker = None;
         self.hands[i].life += 1;
-        let worker = self.hands[i].facts.worker.clone();
+        let worker = self.hands[i].info.worker.clone();
         self.note(Event::WorkerDied { worker });
     }
 
@@ -273,7 +273,13 @@
             self.asked(Ent::Operator, asks);
             if now >= next_probe {
                 next_probe = now + 500;
-                for (i, p) in self.fleet.procs.iter().enumerate().filter(|(_, p)| !p.core) {
+                for (i, p) in self
+                    .fleet
+                    .procs
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, p)| !p.replica)
+                {
                     let _ = self.tx.send((
                         Ent::Probe(i),
                         p.http.clone(),
@@ -333,7 +339,7 @@
         self.fleet
             .procs
             .iter()
-            .position(|p| p.core && role(p))
+            .position(|p| p.replica && role(p))
             .unwrap_or(0)
     }
 
@@ -347,7 +353,7 @@
         let x = match f.who.split(':').next() {
             Some("leader") => self.leader(),
             Some("node") => {
-                let all = (0..self.fleet.procs.len()).filter(|i| !self.fleet.procs[*i].core);
+                let all = (0..self.fleet.procs.len()).filter(|i| !self.fleet.procs[*i].replica);
                 all.clone().nth(number % all.count().max(1)).unwrap_or(0)
             }
             Some("core") => number % 3,
@@ -358,7 +364,7 @@
             what: format!("{:?} {x}", f.kind),
         });
         let node_down = |d: &mut Self| {
-            if !d.fleet.procs[x].core {
+            if !d.fleet.procs[x].replica {
                 let node = d.fleet.procs[x].http.clone();
                 d.note(Event::NodeDown { node });
             }
@@ -384,13 +390,13 @@
                     .collect();
                 for i in of {
                     self.fleet.kill(i);
-                    if !self.fleet.procs[i].core {
+                    if !self.fleet.procs[i].replica {
                         let node = self.fleet.procs[i].http.clone();
                         self.note(Event::NodeDown { node });
                     }
                 }
                 let zone = format!("z{x}");
-                let lost = |h: &Hand| f.kind == Kind::LoseZone && h.facts.zone == zone;
+                let lost = |h: &Hand| f.kind == Kind::LoseZone && h.info.zone == zone;
                 (0..self.hands.len())
                     .filter(|i| lost(&self.hands[*i]))
                     .collect::<Vec<_>>()
@@ -448,14 +454,14 @@
 
     /// What could work now, for the history.
     fn able(&mut self) {
-        let up = |core: bool| -> Vec<String> {
+        let up = |replica: bool| -> Vec<String> {
             let all = self.fleet.procs.iter().enumerate();
-            all.filter(|(i, p)| p.core == core && !self.down.contains(i))
+            all.filter(|(i, p)| p.replica == replica && !self.down.contains(i))
                 .map(|(_, p)| p.http.clone())
                 .collect()
         };
-        let (cores, nodes) = (up(true).len(), up(false));
-        self.note(Event::Able { cores, nodes });
+        let (replicas, nodes) = (up(true).len(), up(false));
+        self.note(Event::Able { replicas, nodes });
     }
 
     fn heal(&mut self, f: &Fault, x: usize) -> Result<(), FleetError> {
@@ -507,7 +513,7 @@
     fn close(mut self, epoch: u64) -> Result<Outcome, FleetError> {
         let nodes = self.fleet.nodes();
         let ask = |path: &str, query: &str| {
-            let tries = (0..30).map(|i| {
+            let max_attempts = (0..30).map(|i| {
                 if i > 0 {
                     thread::sleep(Duration::from_millis(200));
                 }
@@ -517,7 +523,7 @@
                     &request("GET", path, query, None),
                 )
             });
-            tries
+            max_attempts
                 .filter(|v| v.status == 200)
                 .map(|v| v.body)
                 .next()
@@ -543,10 +549,10 @@
                 None => break,
             }
         }
-        let desired = ask("/v1/desired", "")?;
+        let config = ask("/v1/desired", "")?;
         let (version, by) = (
-            desired["version"].as_u64().unwrap_or(0),
-            desired["desired"]["notes"]["by"]
+            config["version"].as_u64().unwrap_or(0),
+            config["desired"]["notes"]["by"]
                 .as_str()
                 .unwrap_or("")
                 .to_string(),
--- a/rehearsal/src/fleet/launch.rs
+++ b/rehearsal/src/fleet/launch.rs
@@ -17,7 +17,7 @@
 
 /// A process of the fleet.
 pub struct Running {
-    pub core: bool,
+    pub replica: bool,
     pub listen: String,
     pub http: String,
     pub zone: usize,
@@ -63,23 +63,23 @@
         let places = (0..3)
             .map(|z| (true, z, 1))
             .chain((0..o.shape.nodes()).map(|i| (false, i % 3, 10 + i)));
-        places.for_each(|(core, zone, n)| fleet.add(core, zone, n));
+        places.for_each(|(replica, zone, n)| fleet.add(replica, zone, n));
         (0..fleet.procs.len()).try_for_each(|i| fleet.up(i))?;
         Ok(fleet)
     }
 
-    fn add(&mut self, core: bool, zone: usize, n: usize) {
-        let name = format!("{}-{zone}-{n}", if core { "core" } else { "node" });
+    fn add(&mut self, replica: bool, zone: usize, n: usize) {
+        let name = format!("{}-{zone}-{n}", if replica { "core" } else { "node" });
         let ip = format!("127.{}.{zone}.{n}", self.net);
         self.procs.push(Running {
-            core,
+            replica,
             listen: format!("{ip}:7000"),
             http: format!("{ip}:8000"),
             zone,
             gone: false,
             child: None,
             log: self.folder.join(format!("{name}.log")),
-            data: core.then(|| self.folder.join(name)),
+            data: replica.then(|| self.folder.join(name)),
         });
     }
 
@@ -120,7 +120,7 @@
 
     /// Where the nodes are called.
     pub fn nodes(&self) -> Vec<String> {
-        let nodes = self.procs.iter().filter(|p| !p.core);
+        let nodes = self.procs.iter().filter(|p| !p.replica);
         nodes.map(|p| p.http.clone()).collect()
     }
 
@@ -136,7 +136,7 @@
             why,
         })?;
         let mut c = Command::new(&self.program);
-        c.arg(if p.core { "core" } else { "node" }).args([
+        c.arg(if p.replica { "core" } else { "node" }).args([
             "--listen",
             &p.listen,
             "--http",
--- a/rehearsal/src/history.rs
+++ b/rehearsal/src/history.rs
@@ -1,6 +1,6 @@
 //! What happened, as seen from outside: by clients, workers and operators.
 
-use landingdrift::record::{JobSpec, Outcome};
+use landingdrift::state::{JobSpec, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -50,13 +50,13 @@
         service: String,
         labels: Vec<String>,
         zone: String,
-        room: u32,
+        cpu: u32,
     },
     /// A worker has other room or labels from now on.
     WorkerChanged {
         worker: String,
         labels: Vec<String>,
-        room: u32,
+        cpu: u32,
     },
     WorkerLeaving {
         worker: String,
@@ -69,7 +69,7 @@
         no: u64,
         job: String,
         task: String,
-        room: u32,
+        cpu: u32,
         copy: bool,
     },
     Ended {
@@ -107,7 +107,7 @@
     },
     /// From now on this many cores are up and can talk to each other, and these nodes to them.
     Able {
-        cores: usize,
+        replicas: usize,
         nodes: Vec<String>,
     },
     NodeDown {
@@ -136,7 +136,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Says {
     pub zones: BTreeMap<String, String>,
-    pub tries: BTreeMap<String, u32>,
+    pub max_attempts: BTreeMap<String, u32>,
     pub quotas: BTreeMap<String, u32>,
 }
 
@@ -167,6 +167,6 @@
     }
     /// A number that two equal histories share.
     pub fn digest(&self) -> u64 {
-        landingdrift::kernel::fnv1a(self.text().as_bytes())
+        landingdrift::sans_io::fnv1a(self.text().as_bytes())
     }
 }
--- a/rehearsal/src/measure/capacity/clockwork.rs
+++ b/rehearsal/src/measure/capacity/clockwork.rs
@@ -7,11 +7,11 @@
 use crate::standin::operator::Operator;
 use crate::standin::worker::Worker;
 use crate::standin::{request, Ask};
-use landingdrift::agreement::{Loaded, Replica};
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response, Rng};
+use landingdrift::consensus::{Loaded, Replica};
 use landingdrift::node::Node;
-use landingdrift::record::{ClusterState, JobSpec};
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response, Rng};
 use landingdrift::settings::Settings;
+use landingdrift::state::{ClusterState, JobSpec};
 use landingdrift::wire::{pack, unpack, Body};
 use serde_json::json;
 use std::cmp::Reverse;
@@ -45,10 +45,10 @@
         };
         all.iter().find(|(k, _)| k == name).map_or(0, |(_, v)| *v) as f64
     }
-    fn record(&self) -> &ClusterState {
+    fn state(&self) -> &ClusterState {
         match &self.kind {
-            Kind::Replica(c) => c.record(),
-            Kind::Node(n) => n.record(),
+            Kind::Replica(c) => c.state(),
+            Kind::Node(n) => n.state(),
         }
     }
     fn leads(&self) -> bool {
@@ -99,7 +99,7 @@
     Leader,
     Follower,
     Queue,
-    Cell,
+    ZoneScheduler,
     Plain,
 }
 
@@ -109,7 +109,7 @@
         Duty::Leader,
         Duty::Follower,
         Duty::Queue,
-        Duty::Cell,
+        Duty::ZoneScheduler,
         Duty::Plain,
     ];
     /// What the tables call it.
@@ -118,7 +118,7 @@
             Self::Leader => "core leader",
             Self::Follower => "core follower",
             Self::Queue => "node with a queue",
-            Self::Cell => "node with a cell",
+            Self::ZoneScheduler => "node with a cell",
             Self::Plain => "plain node",
         }
     }
@@ -152,7 +152,7 @@
     pub reference: f64,
     pub state: State,
     /// The packed record at the end.
-    pub record: Vec<u8>,
+    pub packed_state: Vec<u8>,
 }
 
 /// A day without faults in virtual time, in which every process is metered.
@@ -174,12 +174,12 @@
     cluster: String,
 }
 
-fn name(core: bool, i: usize) -> String {
+fn name(replica: bool, i: usize) -> String {
     let z = i % ZONES;
     format!(
         "10.{}.{z}.{}:7000",
         i / 200,
-        if core { 1 } else { 10 + i % 200 }
+        if replica { 1 } else { 10 + i % 200 }
     )
 }
 
@@ -187,9 +187,9 @@
     /// A cluster of a size, before its first moment.
     pub fn new(size: Size, seed: u64) -> Self {
         let mut rng = Rng::new(seed);
-        let cores: Vec<String> = (0..3).map(|i| name(true, i)).collect();
+        let replicas: Vec<String> = (0..3).map(|i| name(true, i)).collect();
         let common = Settings {
-            seeds: cores.clone(),
+            seeds: replicas.clone(),
             ..Settings::default()
         };
         let set = |addr: &str, i: usize, data: &str| Settings {
@@ -204,7 +204,7 @@
             wall: EPOCH,
         };
         let mut procs: Vec<Proc> = Vec::new();
-        for (i, addr) in cores.iter().enumerate() {
+        for (i, addr) in replicas.iter().enumerate() {
             let loaded = Loaded {
                 disk: rng.number() | 1,
                 ..Loaded::default()
@@ -227,10 +227,10 @@
         }
         let nodes: Vec<String> = procs.iter().skip(3).map(|p| p.addr.clone()).collect();
         let hands = (0..size.workers)
-            .map(|i| Worker::new(load::facts(i), nodes.clone(), rng.number()))
+            .map(|i| Worker::new(load::info(i), nodes.clone(), rng.number()))
             .collect();
         let mut operator = Operator::new("op", nodes, rng.number());
-        operator.apply(false, load::desired());
+        operator.apply(false, load::config());
         let mut w = Self {
             t: 0,
             seq: 0,
@@ -310,8 +310,8 @@
             starts: (self.started - started) / window as f64,
             roles,
             reference: refs.iter().sum::<f64>() / refs.len().max(1) as f64,
-            state: State::of(self.leader().record(), self.clock),
-            record: self.leader().record().pack(),
+            state: State::of(self.leader().state(), self.clock),
+            packed_state: self.leader().state().pack(),
         }
     }
 
@@ -345,7 +345,7 @@
 
     /// What each process does; a node with a cell and a queue counts as one with a cell.
     fn duties(&self) -> Vec<Duty> {
-        let leases = &self.leader().record().leases;
+        let leases = &self.leader().state().leases;
         let holds = |p: &Proc, of: &str| {
             leases
                 .iter()
@@ -356,7 +356,7 @@
             .map(|p| match p.kind {
                 Kind::Replica(_) if p.leads() => Duty::Leader,
                 Kind::Replica(_) => Duty::Follower,
-                Kind::Node(_) if holds(p, "cell/") => Duty::Cell,
+                Kind::Node(_) if holds(p, "cell/") => Duty::ZoneScheduler,
                 Kind::Node(_) if holds(p, "queue/") => Duty::Queue,
                 Kind::Node(_) => Duty::Plain,
             })
--- a/rehearsal/src/measure/capacity/footprint.rs
+++ b/rehearsal/src/measure/capacity/footprint.rs
@@ -1,5 +1,5 @@
 use super::meter::timed;
-use landingdrift::record::ClusterState;
+use landingdrift::state::ClusterState;
 
 /// How long the packed record is, and what it is long for.
 #[derive(Clone, Copy, Debug, Default)]
--- a/rehearsal/src/measure/capacity/load.rs
+++ b/rehearsal/src/measure/capacity/load.rs
@@ -1,6 +1,6 @@
 use super::target::{GANG, QUEUES, ZONES};
-use landingdrift::kernel::Rng;
-use landingdrift::record::{JobSpec, TaskSpec, WorkerInfo};
+use landingdrift::sans_io::Rng;
+use landingdrift::state::{JobSpec, TaskSpec, WorkerInfo};
 use serde_json::{json, Value};
 
 /// Mean of the tasks of a job; the target doesn't say.
@@ -11,7 +11,7 @@
 const SERVICES: [&str; 2] = ["even", "odd"];
 
 /// The configuration: as many queues and zones as the target has.
-pub fn desired() -> Value {
+pub fn config() -> Value {
     let queues: serde_json::Map<String, Value> = (0..QUEUES)
         .map(|q| (format!("team{q}"), json!({"finishWithinMs": 0, "defectAllowancePercent": 10, "tries": 3, "quota": 2000, "priority": q % 3, "speculationPercent": 40, "windowMs": 600_000, "unsureBoundMs": 15_000})))
         .collect();
@@ -23,14 +23,14 @@
 }
 
 /// What a worker says of itself.
-pub fn facts(i: usize) -> WorkerInfo {
+pub fn info(i: usize) -> WorkerInfo {
     WorkerInfo {
         worker: format!("w{i}"),
         incarnation: 1,
         service: SERVICES[i % 2].into(),
         labels: Default::default(),
         zone: format!("z{}", i % ZONES),
-        room: ROOM,
+        cpu: ROOM,
         ..WorkerInfo::default()
     }
 }
@@ -44,7 +44,7 @@
         .map(|i| TaskSpec {
             name: format!("t{i}"),
             service: service.into(),
-            room: 1,
+            cpu: 1,
             may_repeat: !gang,
             gang: if gang { "g".into() } else { String::new() },
             payload: json!({"ms": (mean_ms * (0.5 + rng.unit())) as u64}),
--- a/rehearsal/src/measure/capacity/meter.rs
+++ b/rehearsal/src/measure/capacity/meter.rs
@@ -1,4 +1,4 @@
-use landingdrift::kernel::fnv1a;
+use landingdrift::sans_io::fnv1a;
 use rustix::time::{clock_gettime, ClockId};
 use std::ops::{AddAssign, Sub};
 
--- a/rehearsal/src/measure/capacity/mod.rs
+++ b/rehearsal/src/measure/capacity/mod.rs
@@ -11,7 +11,7 @@
 pub use clockwork::{Clockwork, Duty, Run, Size};
 pub use fit::{fit, Fit};
 pub use footprint::{memory_of_a_byte, State};
-pub use load::{desired, facts, job, ROOM, TASKS};
+pub use load::{config, info, job, ROOM, TASKS};
 pub use meter::Tally;
 pub use table::report;
 pub use target::{Target, QUEUES, TARGET, ZONES};
--- a/rehearsal/src/measure/capacity/table.rs
+++ b/rehearsal/src/measure/capacity/table.rs
@@ -64,13 +64,17 @@
     }
 }
 
-fn row(cells: &[String]) -> String {
-    format!("| {} |\n", cells.join(" | "))
+fn row(zone_schedulers: &[String]) -> String {
+    format!("| {} |\n", zone_schedulers.join(" | "))
 }
 
-fn head(cells: &[&str]) -> String {
-    let rule: Vec<String> = cells.iter().map(|_| "---".to_string()).collect();
-    row(&cells.iter().map(|c| (*c).to_string()).collect::<Vec<_>>()) + &row(&rule)
+fn head(zone_schedulers: &[&str]) -> String {
+    let rule: Vec<String> = zone_schedulers.iter().map(|_| "---".to_string()).collect();
+    row(&zone_schedulers
+        .iter()
+        .map(|c| (*c).to_string())
+        .collect::<Vec<_>>())
+        + &row(&rule)
 }
 
 fn response(holds: bool) -> &'static str {
@@ -99,14 +103,17 @@
     ]);
     for r in runs {
         for (d, (n, t)) in &r.roles {
-            let cells = [
+            let zone_schedulers = [
                 format!("{}, {}", r.size.workers, r.size.nodes),
                 format!("{:.1}", r.starts),
                 d.name().to_string(),
                 n.to_string(),
             ];
             let figures = FIGURES.iter().map(|(_, f)| short(f(t)));
-            out += &row(&cells.into_iter().chain(figures).collect::<Vec<_>>());
+            out += &row(&zone_schedulers
+                .into_iter()
+                .chain(figures)
+                .collect::<Vec<_>>());
         }
     }
     out
@@ -184,7 +191,7 @@
     }
 }
 
-fn record(runs: &[Run], s: &Peak) -> String {
+fn state(runs: &[Run], s: &Peak) -> String {
     let mut out = String::from("\n### State\n\nBytes of `Record::pack` at the end of each run. Of jobs, workers, running tasks: what is missing when they are left out; a running task stands in its job and its worker as well.\n\n");
     out += &head(&[
         "workers, nodes",
@@ -316,7 +323,7 @@
         .collect();
     measured(runs)
         + &a_start(runs)
-        + &record(runs, &s)
+        + &state(runs, &s)
         + &slopes(&all, &TARGET)
         + &responses(&all, &s, &TARGET)
 }
--- a/rehearsal/src/measure/comparators.rs
+++ b/rehearsal/src/measure/comparators.rs
@@ -35,7 +35,7 @@
         (0..shape.workers())
             .filter(|i| i % services.len() == s)
             .count() as u64
-            * u64::from(shape.room())
+            * u64::from(shape.cpu())
     };
     let mut free: Vec<u64> = (0..services.len()).map(slots_of).collect();
     let mut out = Figures::default();
--- a/rehearsal/src/measure/workload.rs
+++ b/rehearsal/src/measure/workload.rs
@@ -1,6 +1,6 @@
 use crate::scenario::Shape;
-use landingdrift::kernel::Rng;
-use landingdrift::record::{JobSpec, TaskSpec};
+use landingdrift::sans_io::Rng;
+use landingdrift::state::{JobSpec, TaskSpec};
 use serde_json::json;
 
 /// Jobs with the times they are offered at.
@@ -25,7 +25,7 @@
 pub fn workload(shape: Shape, utilisation: f64, beta: f64, seconds: u64, seed: u64) -> Load {
     let mut rng = Rng::new(seed ^ 0x10ad);
     let mix = shape.mix();
-    let slots = f64::from(shape.room()) * shape.workers() as f64;
+    let slots = f64::from(shape.cpu()) * shape.workers() as f64;
     let ms = shortest(shape);
     // The mean of a Pareto time cut off at its longest.
     let mean = ms * (1.0 + (1.0 - LONGEST.powf(1.0 - beta)) / (beta - 1.0));
@@ -41,7 +41,7 @@
             .map(|i| TaskSpec {
                 name: format!("t{i}"),
                 service: service.clone(),
-                room: 1,
+                cpu: 1,
                 may_repeat: true,
                 payload: json!({"ms": ms as u64, "tail": beta}),
                 ..TaskSpec::default()
--- a/rehearsal/src/scale/callers.rs
+++ b/rehearsal/src/scale/callers.rs
@@ -1,5 +1,5 @@
 use crate::fleet::call;
-use landingdrift::kernel::{Request, Response};
+use landingdrift::sans_io::{Request, Response};
 use reqwest::blocking::Client as Http;
 use std::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex};
--- a/rehearsal/src/scale/drive.rs
+++ b/rehearsal/src/scale/drive.rs
@@ -4,16 +4,16 @@
 use super::{Options, Outcome, ScaleError, Taken};
 use crate::fleet::{Fleet, Options as FleetOptions};
 use crate::history::Event;
-use crate::measure::capacity::{desired, facts, job, TARGET, ZONES};
+use crate::measure::capacity::{config, info, job, TARGET, ZONES};
 use crate::scenario::Shape;
 use crate::standin::operator::Operator;
 use crate::standin::worker::Worker;
 use crate::standin::{request, Ask};
 use hdrhistogram::Histogram;
-use landingdrift::kernel::{Effect, Msg, Now, Part, Request, Response, Rng};
 use landingdrift::node::Node;
-use landingdrift::record::JobSpec;
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response, Rng};
 use landingdrift::settings::Settings;
+use landingdrift::state::JobSpec;
 use landingdrift::wire::{pack, unpack, Body};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -98,7 +98,7 @@
                 &p.http,
                 &request("GET", "/v1/status", "", None),
             );
-            let kind = match (p.core, role.body["role"] == "Leader") {
+            let kind = match (p.replica, role.body["role"] == "Leader") {
                 (true, true) => "core leader",
                 (true, false) => "core follower",
                 _ => "node",
@@ -116,7 +116,7 @@
         let seeds: Vec<String> = fleet
             .procs
             .iter()
-            .filter(|p| p.core)
+            .filter(|p| p.replica)
             .map(|p| p.listen.clone())
             .collect();
         // The fleet's own net of the loopback range, behind its processes.
@@ -129,7 +129,7 @@
         let now = clock(Instant::now());
         let nodes: Vec<Hollow> = (0..o.nodes)
             .map(|i| {
-                let ip = format!("127.{net}.{}.{}", 100 + o.place, 1 + i);
+                let ip = format!("127.{net}.{}.{}", 100 + o.log_index, 1 + i);
                 let set = Settings {
                     cluster: cluster.clone(),
                     listen: format!("{ip}:7000"),
@@ -159,10 +159,10 @@
             .chain(nodes.iter().map(at))
             .collect();
         let workers = (0..o.workers)
-            .map(|i| Worker::new(facts(i), all_http.clone(), rng.number()))
+            .map(|i| Worker::new(info(i), all_http.clone(), rng.number()))
             .collect();
         let mut operator = Operator::new("op", fleet.nodes(), rng.number());
-        operator.apply(false, desired());
+        operator.apply(false, config());
         Ok(Self {
             o,
             start: Instant::now(),
--- a/rehearsal/src/scale/mod.rs
+++ b/rehearsal/src/scale/mod.rs
@@ -21,7 +21,7 @@
     /// Hollow nodes, beside the real ones.
     pub nodes: usize,
     /// Which run of this process it is, from 0: each has addresses of its own for the hollow nodes.
-    pub place: usize,
+    pub log_index: usize,
     /// Task starts a second that the jobs handed in amount to.
     pub starts: f64,
     /// How long jobs are handed in; the last two thirds are measured.
--- a/rehearsal/src/scenario/faults.rs
+++ b/rehearsal/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-use landingdrift::kernel::Rng;
+use landingdrift::sans_io::Rng;
 use serde::{Deserialize, Serialize};
 
 /// What goes wrong.
@@ -136,7 +136,7 @@
     /// Milliseconds from the day's start.
     pub at: u64,
     pub kind: Kind,
-    /// `leader`, `core:0`, `node:1`, `worker:2`, `zone:0`; drawn by the seed where left out.
+    /// `leader`, `replica:0`, `node:1`, `worker:2`, `zone:0`; drawn by the seed where left out.
     #[serde(default)]
     pub who: String,
     #[serde(default = "lasts")]
--- a/rehearsal/src/scenario/mixes.rs
+++ b/rehearsal/src/scenario/mixes.rs
@@ -1,5 +1,5 @@
-use landingdrift::kernel::Rng;
-use landingdrift::record::{JobSpec, TaskSpec};
+use landingdrift::sans_io::Rng;
+use landingdrift::state::{JobSpec, TaskSpec};
 use serde_json::json;
 
 /// What kinds of jobs are offered, and how many.
@@ -55,7 +55,7 @@
             let mut t = TaskSpec {
                 name: format!("t{i}"),
                 service: service.clone(),
-                room: 1 + rng.below(2) as u32,
+                cpu: 1 + rng.below(2) as u32,
                 may_repeat,
                 payload: json!({"ms": ms as u64, "tail": mix.tail, "doomed": doomed, "failing": 0.01}),
                 ..TaskSpec::default()
--- a/rehearsal/src/scenario/mod.rs
+++ b/rehearsal/src/scenario/mod.rs
@@ -45,7 +45,7 @@
     pub fn workers(self) -> usize {
         11
     }
-    pub fn room(self) -> u32 {
+    pub fn cpu(self) -> u32 {
         match self {
             Self::Odvoza => 64,
             Self::Gunasekera => 16,
@@ -69,10 +69,10 @@
         }
     }
     /// The deployment's configuration.
-    pub fn desired(self) -> Value {
+    pub fn config(self) -> Value {
         let mix = self.mix();
         let queue = |within: u64, priority: u32| json!({"finishWithinMs": within, "defectAllowancePercent": 10, "tries": 3, "quota": 2000, "priority": priority, "speculationPercent": 40, "windowMs": 600_000, "unsureBoundMs": 15_000});
-        let service = json!({"labels": ["ssd", "printer"], "taskRoom": self.room() / 2, "gangRoom": self.room()});
+        let service = json!({"labels": ["ssd", "printer"], "taskRoom": self.cpu() / 2, "gangRoom": self.cpu()});
         json!({
             "queues": {(mix.queues[0].as_str()): queue(60_000, 0), (mix.queues[1].as_str()): queue(30_000, 1), (mix.queues[2].as_str()): queue(5_000, 4)},
             "services": {(mix.services[0].as_str()): service, (mix.services[1].as_str()): service},
--- a/rehearsal/src/simulator/disk.rs
+++ b/rehearsal/src/simulator/disk.rs
@@ -1,5 +1,5 @@
-use landingdrift::agreement::Loaded;
-use landingdrift::kernel::WriteBatch;
+use landingdrift::consensus::Loaded;
+use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
 /// Whether a disk takes what it is given.
@@ -36,8 +36,8 @@
         l.entries.retain(|x| x.index < e.index);
         l.entries.push(e.clone());
     }
-    if !s.notes.is_empty() {
-        l.notes = s.notes.clone();
+    if !s.witnesses.is_empty() {
+        l.witnesses = s.witnesses.clone();
     }
 }
 
--- a/rehearsal/src/simulator/faults.rs
+++ b/rehearsal/src/simulator/faults.rs
@@ -2,11 +2,11 @@
 use super::world::{Ent, Happening, Kind as Part, World};
 use crate::history::Event;
 use crate::scenario::{job, Fault, Kind, Mix};
-use landingdrift::kernel::{Msg, Rng};
+use landingdrift::sans_io::{Msg, Rng};
 use serde_json::json;
 
 impl World {
-    fn cores(&self) -> Vec<usize> {
+    fn replicas(&self) -> Vec<usize> {
         (0..self.procs.len())
             .filter(|i| self.procs[*i].is_core() && !self.procs[*i].gone)
             .collect()
@@ -22,25 +22,25 @@
     fn target(&mut self, f: &Fault) -> usize {
         use Kind::*;
         let number = |s: &str| s.rsplit(':').next().and_then(|n| n.parse::<usize>().ok());
-        let (cores, nodes) = (self.cores(), self.nodes());
+        let (replicas, nodes) = (self.replicas(), self.nodes());
         if f.who == "leader" {
-            return self.leader().unwrap_or(cores[0]);
+            return self.leader().unwrap_or(replicas[0]);
         }
         if let Some(n) = number(&f.who).filter(|_| !f.who.is_empty()) {
             return match f.who.split(':').next() {
-                Some("core") => cores[n % cores.len()],
+                Some("core") => replicas[n % replicas.len()],
                 Some("node") => nodes[n % nodes.len()],
                 _ => n,
             };
         }
         let of: Vec<usize> = match f.kind {
-            SplitCore | SlowDisk | LoseTail | ReplaceCore | DiskFull | DiskStall => cores,
+            SplitCore | SlowDisk | LoseTail | ReplaceCore | DiskFull | DiskStall => replicas,
             Tries | Quota => vec![0, 1, 2],
             SwapNode => nodes,
             LoseZone | Drain | Evacuate => vec![0, 1, 2],
             WorkerCrash | WorkerGone | WorkerFreeze | WorkerSlow | WorkerFailing | WorkerCut
             | WorkerLeaves | WorkerChange => (0..self.hands.len()).collect(),
-            _ => cores.into_iter().chain(nodes).collect(),
+            _ => replicas.into_iter().chain(nodes).collect(),
         };
         // Each fault draws for itself, so that leaving one out moves no other.
         *Rng::new(self.seed ^ f.at).pick(&of).unwrap_or(&0)
@@ -74,12 +74,12 @@
                 .filter(|j| **j != x)
                 .for_each(|j| self.block(x, *j, false)),
             SplitCore => self
-                .cores()
+                .replicas()
                 .iter()
                 .filter(|j| **j != x)
                 .for_each(|j| self.block(x, *j, true)),
             CutCores => {
-                for c in self.cores() {
+                for c in self.replicas() {
                     for n in self.nodes() {
                         self.block(c, n, true);
                     }
@@ -141,9 +141,9 @@
             Outage => {
                 self.look();
                 all.iter().for_each(|j| self.kill(*j));
-                let cores = self.cores();
+                let replicas = self.replicas();
                 let lost: Vec<usize> = (0..f.amount as usize)
-                    .map(|k| cores[(x + k) % cores.len()])
+                    .map(|k| replicas[(x + k) % replicas.len()])
                     .collect();
                 lost.into_iter().for_each(|c| self.lose_tail(c));
             }
@@ -168,8 +168,8 @@
                 self.hands[x].frozen = true;
                 self.dark_note(x, true);
             }
-            WorkerSlow => self.manner(x, |m| m.slow = 6.0),
-            WorkerFailing => self.manner(x, |m| {
+            WorkerSlow => self.http_adapter(x, |m| m.slow = 6.0),
+            WorkerFailing => self.http_adapter(x, |m| {
                 m.failing = if f.amount > 0 {
                     f.amount as f64 / 100.0
                 } else {
@@ -197,7 +197,7 @@
                 let mut spec = job(&mut self.rng, &m, &format!("huge-{t}"), super::EPOCH + t);
                 let one = spec.tasks[0].clone();
                 spec.tasks = (0..200)
-                    .map(|n| landingdrift::record::TaskSpec {
+                    .map(|n| landingdrift::state::TaskSpec {
                         name: format!("t{n}"),
                         ..one.clone()
                     })
@@ -232,8 +232,8 @@
             FlakyLink => self.procs[x].flaky = true,
             LostAnswers => self.answers_lost = 50,
             WorkerChange => {
-                let f = self.hands[x].facts.clone();
-                self.change_worker(x, f.room / 4, Default::default());
+                let f = self.hands[x].info.clone();
+                self.change_worker(x, f.cpu / 4, Default::default());
             }
             Urgent => {
                 let mut m = self.shape.mix();
@@ -277,9 +277,9 @@
             }
             Freeze => self.wake(x),
             Cut | CutOneWay => all.iter().for_each(|j| self.unblock(x, *j)),
-            SplitCore => self.cores().iter().for_each(|j| self.unblock(x, *j)),
+            SplitCore => self.replicas().iter().for_each(|j| self.unblock(x, *j)),
             CutCores => {
-                for c in self.cores() {
+                for c in self.replicas() {
                     for n in self.nodes() {
                         self.unblock(c, n);
                     }
@@ -308,8 +308,8 @@
             FlakyLink => self.procs[x].flaky = false,
             LostAnswers => self.answers_lost = 0,
             WorkerChange => {
-                let f = self.hands[x].facts.clone();
-                self.change_worker(x, f.room, f.labels);
+                let f = self.hands[x].info.clone();
+                self.change_worker(x, f.cpu, f.labels);
             }
             Tries if f.amount == 0 => self.set_queue(x, json!({"tries": 3})),
             Quota => self.set_queue(x, json!({"quota": 2000})),
@@ -320,8 +320,8 @@
             }
             WorkerCrash if self.hands[x].worker.is_none() => self.start_worker(x),
             WorkerFreeze => self.wake_worker(x),
-            WorkerSlow => self.manner(x, |m| m.slow = 1.0),
-            WorkerFailing => self.manner(x, |m| m.failing = 0.0),
+            WorkerSlow => self.http_adapter(x, |m| m.slow = 1.0),
+            WorkerFailing => self.http_adapter(x, |m| m.failing = 0.0),
             WorkerCut => {
                 self.hands[x].cut = false;
                 self.dark_note(x, false);
@@ -349,17 +349,17 @@
     /// The process struck, and the next ones of the core where several are meant.
     fn several(&self, x: usize, f: &Fault) -> Vec<usize> {
         let mut of = vec![x];
-        of.extend(self.cores().into_iter().filter(|c| *c != x));
+        of.extend(self.replicas().into_iter().filter(|c| *c != x));
         of.truncate(f.amount.max(1) as usize);
         of
     }
 
-    fn change_worker(&mut self, x: usize, room: u32, labels: std::collections::BTreeSet<String>) {
+    fn change_worker(&mut self, x: usize, cpu: u32, labels: std::collections::BTreeSet<String>) {
         let (t, life) = (self.t, self.hands[x].life);
         let asks = self.hands[x]
             .worker
             .as_mut()
-            .map_or(Vec::new(), |w| w.change(t, room, labels));
+            .map_or(Vec::new(), |w| w.change(t, cpu, labels));
         self.asked(Ent::Worker(x, life), asks);
     }
 
@@ -433,16 +433,16 @@
     fn crash_worker(&mut self, x: usize) {
         if self.hands[x].worker.take().is_some() {
             self.hands[x].life += 1;
-            let worker = self.hands[x].facts.worker.clone();
+            let worker = self.hands[x].info.worker.clone();
             self.note(Event::WorkerDied { worker });
         }
     }
 
-    fn manner(&mut self, x: usize, f: impl Fn(&mut crate::standin::worker::Manner)) {
+    fn http_adapter(&mut self, x: usize, f: impl Fn(&mut crate::standin::worker::HttpAdapter)) {
         self.hands[x]
             .worker
             .iter_mut()
-            .for_each(|w| f(&mut w.manner));
+            .for_each(|w| f(&mut w.http_adapter));
     }
 
     fn set_delay(&mut self, x: usize, ms: u64) {
--- a/rehearsal/src/simulator/world/callers.rs
+++ b/rehearsal/src/simulator/world/callers.rs
@@ -5,13 +5,13 @@
 use crate::simulator::EPOCH;
 use crate::standin::worker::Worker;
 use crate::standin::Ask;
-use landingdrift::kernel::Response;
-use landingdrift::record::WorkerInfo;
+use landingdrift::sans_io::Response;
+use landingdrift::state::WorkerInfo;
 
 /// A worker's machine: the worker, if it runs, and what keeps it from working.
 pub(in crate::simulator) struct WorkerMachine {
     pub worker: Option<Worker>,
-    pub facts: WorkerInfo,
+    pub info: WorkerInfo,
     pub zone: usize,
     pub frozen: bool,
     pub cut: bool,
@@ -34,9 +34,9 @@
         let h = &mut self.hands[i];
         h.life += 1;
         h.frozen = false;
-        h.facts.incarnation = h.life;
-        h.facts.leaving = false;
-        let w = Worker::new(h.facts.clone(), nodes, seed);
+        h.info.incarnation = h.life;
+        h.info.leaving = false;
+        let w = Worker::new(h.info.clone(), nodes, seed);
         let up = w.up();
         h.worker = Some(w);
         let life = h.life;
@@ -138,7 +138,7 @@
                 );
                 let one = spec.tasks[0].clone();
                 spec.tasks = (0..24)
-                    .map(|n| landingdrift::record::TaskSpec {
+                    .map(|n| landingdrift::state::TaskSpec {
                         name: format!("t{n}"),
                         ..one.clone()
                     })
--- a/rehearsal/src/simulator/world/day.rs
+++ b/rehearsal/src/simulator/world/day.rs
@@ -8,8 +8,8 @@
 use crate::scenario::{last_fault, Fault};
 use crate::simulator::EPOCH;
 use crate::standin::operator::Operator;
-use landingdrift::kernel::Rng;
-use landingdrift::record::ClusterState;
+use landingdrift::sans_io::Rng;
+use landingdrift::state::ClusterState;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
@@ -91,15 +91,13 @@
                     None
                 }
             })
-            .max_by_key(|c| (c.leads(), c.record().place));
-        let best_copies = best.map_or(0, |c| {
-            c.record().queues.values().map(|q| q.copies_won).sum()
-        });
+            .max_by_key(|c| (c.leads(), c.state().applied_index));
+        let best_copies = best.map_or(0, |c| c.state().queues.values().map(|q| q.copies_won).sum());
         let (version, by, jobs) = best.map_or((0, String::new(), BTreeMap::new()), |c| {
-            (c.record().version, mark(c.record()), states(c.record()))
+            (c.state().version, mark(c.state()), states(c.state()))
         });
         // Whatever has not ended is shown with its ledger, for whoever looks for the cause.
-        let open = best.map_or(Vec::new(), |c| open_ledgers(c.record()));
+        let open = best.map_or(Vec::new(), |c| open_ledgers(c.state()));
         open.into_iter().for_each(|l| self.say(l));
         let copies_won = best_copies;
         self.note(Event::Closed { version, by, jobs });
@@ -137,7 +135,7 @@
         self.blocked.clear();
         (0..self.procs.len()).for_each(|i| self.start(i));
         for i in 0..self.hands.len() {
-            if self.hands[i].worker.is_none() && !self.hands[i].facts.leaving {
+            if self.hands[i].worker.is_none() && !self.hands[i].info.leaving {
                 self.start_worker(i);
             }
         }
@@ -146,8 +144,8 @@
 }
 
 /// Lines that show each job that is still open, with its ledger.
-fn open_ledgers(record: &ClusterState) -> Vec<String> {
-    let jobs = record.open.iter().filter_map(|id| record.jobs.get(id));
+fn open_ledgers(state: &ClusterState) -> Vec<String> {
+    let jobs = state.open.iter().filter_map(|id| state.jobs.get(id));
     jobs.map(|j| {
         format!(
             "still open: {}",
@@ -164,11 +162,11 @@
             .and_then(|v| v.as_str().map(str::to_string))
             .unwrap_or_default()
     };
-    let unsure = |j: &landingdrift::record::Job| {
+    let unsure = |j: &landingdrift::state::Job| {
         j.tasks.iter().any(|t| {
-            t.sends
+            t.attempts
                 .iter()
-                .any(|s| s.state == landingdrift::record::AttemptState::Unsure)
+                .any(|s| s.state == landingdrift::state::AttemptState::Unsure)
         })
     };
     r.jobs
--- a/rehearsal/src/simulator/world/links.rs
+++ b/rehearsal/src/simulator/world/links.rs
@@ -1,7 +1,7 @@
 //! The links between processes: latency, loss, doubling and order of messages.
 
 use super::{Ent, Happening, World};
-use landingdrift::kernel::{Msg, Request};
+use landingdrift::sans_io::{Msg, Request};
 use landingdrift::wire::{pack_as, unpack_as, Body, WireError};
 
 impl World {
--- a/rehearsal/src/simulator/world/observe.rs
+++ b/rehearsal/src/simulator/world/observe.rs
@@ -2,7 +2,7 @@
 
 use super::{Kind, Proc, World};
 use crate::history::Event;
-use landingdrift::record::ClusterState;
+use landingdrift::state::ClusterState;
 use std::collections::BTreeMap;
 
 impl World {
@@ -12,7 +12,7 @@
         if able != self.able {
             self.able = able.clone();
             self.note(Event::Able {
-                cores: able.0,
+                replicas: able.0,
                 nodes: able.1,
             });
         }
@@ -27,9 +27,9 @@
 
     /// How many cores form the largest group that could work now, and the nodes that reach all of it.
     fn able_parts(&mut self) -> (usize, Vec<String>) {
-        let record = |p: &Proc| {
+        let state = |p: &Proc| {
             if let Kind::Replica(Some(c), _) = &p.kind {
-                Some((c.record().place, c.record().cores.clone()))
+                Some((c.state().applied_index, c.state().replicas.clone()))
             } else {
                 None
             }
@@ -37,8 +37,8 @@
         let newest = self
             .procs
             .iter()
-            .filter_map(record)
-            .max_by_key(|(place, _)| *place);
+            .filter_map(state)
+            .max_by_key(|(log_index, _)| *log_index);
         self.committed = self.committed.max(newest.as_ref().map_or(0, |(p, _)| *p));
         let voters = newest.map_or(BTreeMap::new(), |(_, c)| c);
         let whole = |p: &Proc| {
@@ -47,20 +47,20 @@
                 && !p.frozen
                 && !p.gone
                 && (voters.is_empty() || voters.get(&p.addr).is_some_and(|c| c.voter))
-                && record(p).is_some_and(|(at, _)| at >= p.owes)
+                && state(p).is_some_and(|(at, _)| at >= p.owes)
         };
         let linked = |a: usize, b: usize| {
             self.procs[a].wire == self.procs[b].wire
                 && !self.blocked.contains(&(a, b))
                 && !self.blocked.contains(&(b, a))
         };
-        let cores: Vec<usize> = (0..self.procs.len())
+        let replicas: Vec<usize> = (0..self.procs.len())
             .filter(|i| whole(&self.procs[*i]))
             .collect();
-        let group: Vec<usize> = cores
+        let group: Vec<usize> = replicas
             .iter()
             .map(|c| {
-                cores
+                replicas
                     .iter()
                     .copied()
                     .filter(|d| d == c || linked(*c, *d))
@@ -97,8 +97,8 @@
                 if !p.frozen {
                     let (node, version, by, ready) = (
                         p.addr.clone(),
-                        n.record().version,
-                        mark(n.record()),
+                        n.state().version,
+                        mark(n.state()),
                         n.is_ready(now),
                     );
                     self.note(Event::NodeVersion {
@@ -118,5 +118,5 @@
 
 /// The mark that the change in force has left in the configuration.
 pub(super) fn mark(r: &ClusterState) -> String {
-    r.desired.notes.get("by").cloned().unwrap_or_default()
+    r.config.notes.get("by").cloned().unwrap_or_default()
 }
--- a/rehearsal/src/simulator/world/processes.rs
+++ b/rehearsal/src/simulator/world/processes.rs
@@ -6,9 +6,9 @@
 use crate::simulator::disk::Condition;
 use crate::simulator::disk::SimDisk;
 use crate::simulator::EPOCH;
-use landingdrift::agreement::Replica;
-use landingdrift::kernel::{Effect, Msg, Now, Part};
+use landingdrift::consensus::Replica;
 use landingdrift::node::Node;
+use landingdrift::sans_io::{Effect, Msg, Now, Part};
 use landingdrift::settings::Settings;
 use landingdrift::wire::WIRE_VERSION;
 use std::collections::BTreeMap;
@@ -67,12 +67,12 @@
             .collect()
     }
 
-    pub(super) fn settings_of(&self, addr: &str, zone: usize, core: bool) -> Settings {
+    pub(super) fn settings_of(&self, addr: &str, zone: usize, replica: bool) -> Settings {
         Settings {
             listen: addr.into(),
             http: addr.into(),
             zone: format!("z{zone}"),
-            data: if core { "d".into() } else { String::new() },
+            data: if replica { "d".into() } else { String::new() },
             ..self.settings.clone()
         }
     }
@@ -224,10 +224,10 @@
         }
         let p = &mut self.procs[i];
         if let Kind::Node(Some(n)) = &p.kind {
-            let version = n.record().version;
+            let version = n.state().version;
             if version != p.version && n.is_ready(now) {
                 p.version = version;
-                let (node, by) = (p.addr.clone(), mark(n.record()));
+                let (node, by) = (p.addr.clone(), mark(n.state()));
                 self.note(Event::NodeVersion {
                     node,
                     version,
--- a/rehearsal/src/simulator/world/schedule.rs
+++ b/rehearsal/src/simulator/world/schedule.rs
@@ -2,7 +2,7 @@
 
 use super::{Ent, Kind, World, TICK};
 use crate::simulator::disk::Condition;
-use landingdrift::kernel::{Msg, Request, Response};
+use landingdrift::sans_io::{Msg, Request, Response};
 use std::cmp::Reverse;
 
 /// What can happen at a moment of the day.
--- a/rehearsal/src/simulator/world/setup.rs
+++ b/rehearsal/src/simulator/world/setup.rs
@@ -6,9 +6,9 @@
 use crate::simulator::EPOCH;
 use crate::standin::client::Client;
 use crate::standin::operator::Operator;
-use landingdrift::kernel::{Msg, Rng};
-use landingdrift::record::{JobSpec, WorkerInfo};
+use landingdrift::sans_io::{Msg, Rng};
 use landingdrift::settings::Settings;
+use landingdrift::state::{JobSpec, WorkerInfo};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
 impl World {
@@ -20,9 +20,9 @@
         if s.rate > 0.0 {
             mix.rate = s.rate;
         }
-        let cores: Vec<String> = (0..3).map(|i| format!("10.0.{i}.1:7000")).collect();
+        let replicas: Vec<String> = (0..3).map(|i| format!("10.0.{i}.1:7000")).collect();
         let settings = Settings {
-            seeds: cores.clone(),
+            seeds: replicas.clone(),
             ..Settings::default()
         };
         let mut w = Self {
@@ -55,7 +55,7 @@
             committed: 0,
             closing: false,
         };
-        (0..3).for_each(|i| w.add_core(i, cores[i].clone()));
+        (0..3).for_each(|i| w.add_core(i, replicas[i].clone()));
         (0..if s.nodes > 0 {
             s.nodes
         } else {
@@ -84,18 +84,18 @@
             .into_iter()
             .flatten()
             .collect();
-            let facts = WorkerInfo {
+            let info = WorkerInfo {
                 worker: format!("w{i}"),
                 incarnation: 1,
                 service: services[i % 2].clone(),
                 labels,
                 zone: format!("z{}", i % 3),
-                room: s.shape.room(),
+                cpu: s.shape.cpu(),
                 ..WorkerInfo::default()
             };
             self.hands.push(WorkerMachine {
                 worker: None,
-                facts,
+                info,
                 zone: i % 3,
                 frozen: false,
                 cut: false,
@@ -126,7 +126,7 @@
             Operator::new("op0", nodes.clone(), seed_b),
             Operator::new("op1", nodes, seed_c),
         ];
-        self.operators[0].apply(false, s.shape.desired());
+        self.operators[0].apply(false, s.shape.config());
     }
 
     /// Schedules the faults, the first ticks and probes, and the end of the disturbances.
@@ -149,25 +149,25 @@
         speculation_percent: u32,
     ) {
         // Promises that such a load can't keep would spend the queues' allowances, and with them all copies.
-        let mut desired = self.shape.desired();
-        desired["queues"]
+        let mut config = self.shape.config();
+        config["queues"]
             .as_object_mut()
             .into_iter()
             .flatten()
             .for_each(|(_, q)| q["finishWithinMs"] = 0.into());
-        desired["queues"]
+        config["queues"]
             .as_object_mut()
             .into_iter()
             .flatten()
             .for_each(|(_, q)| q["quota"] = 20_000.into());
-        desired["queues"]
+        config["queues"]
             .as_object_mut()
             .into_iter()
             .flatten()
             .for_each(|(_, q)| q["speculationPercent"] = speculation_percent.into());
         let (nodes, seed) = (self.node_http(), self.rng.number());
         self.operators[0] = Operator::new("op0", nodes, seed);
-        self.operators[0].apply(false, desired);
+        self.operators[0].apply(false, config);
         self.planned = jobs.into();
         self.client.offering = false;
         self.client.cancels = 0.0;
--- a/rehearsal/src/standin/client.rs
+++ b/rehearsal/src/standin/client.rs
@@ -3,8 +3,8 @@
 use super::{request, Ask};
 use crate::history::Event;
 use crate::scenario::{job, Mix};
-use landingdrift::kernel::{Response, Rng};
-use landingdrift::record::JobSpec;
+use landingdrift::sans_io::{Response, Rng};
+use landingdrift::state::JobSpec;
 use serde_json::json;
 use std::collections::BTreeMap;
 
--- a/rehearsal/src/standin/mod.rs
+++ b/rehearsal/src/standin/mod.rs
@@ -5,7 +5,7 @@
 pub mod worker;
 
 use crate::history::Event;
-use landingdrift::kernel::Request;
+use landingdrift::sans_io::Request;
 
 /// What a stand-in asks of its surroundings.
 pub enum Ask {
--- a/rehearsal/src/standin/operator.rs
+++ b/rehearsal/src/standin/operator.rs
@@ -2,7 +2,7 @@
 
 use super::{request, Ask};
 use crate::history::{Event, Says};
-use landingdrift::kernel::{Response, Rng};
+use landingdrift::sans_io::{Response, Rng};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
@@ -29,7 +29,7 @@
             .into_iter()
             .map(|(k, z)| (k, z["state"].as_str().unwrap_or("").to_string()))
             .collect(),
-        tries: parts("queues")
+        max_attempts: parts("queues")
             .into_iter()
             .filter_map(|(k, q)| number(&q, "tries").map(|n| (k, n)))
             .collect(),
@@ -123,7 +123,7 @@
             return Vec::new();
         };
         self.calls += 1;
-        let mut noted = Vec::new();
+        let mut witnessed = Vec::new();
         let (req, base, wish) = match wish {
             Wish::Read => (request("GET", "/v1/desired", "", None), 0, Wish::Read),
             Wish::Apply {
@@ -137,7 +137,7 @@
                 // Each change leaves its mark, so that content can be told from content.
                 let mut value = value;
                 value["notes"]["by"] = json!(change);
-                noted = vec![Ask::DurabilityWitness(Event::ConfigAsked {
+                witnessed = vec![Ask::DurabilityWitness(Event::ConfigAsked {
                     change: change.clone(),
                     says: says(&value),
                 })];
@@ -164,12 +164,12 @@
         let Some(to) = self.rng.pick(&self.nodes).cloned() else {
             return Vec::new();
         };
-        noted.push(Ask::Call {
+        witnessed.push(Ask::Call {
             to,
             call: self.calls,
             req,
         });
-        noted
+        witnessed
     }
 
     /// A node has answered.
--- a/rehearsal/src/standin/worker.rs
+++ b/rehearsal/src/standin/worker.rs
@@ -2,14 +2,14 @@
 
 use super::{request, Ask};
 use crate::history::Event;
-use landingdrift::kernel::{fnv1a, Response, Rng};
-use landingdrift::record::{EndReport, Outcome, WorkerInfo};
+use landingdrift::sans_io::{fnv1a, Response, Rng};
+use landingdrift::state::{EndReport, Outcome, WorkerInfo};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a worker behaves.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct HttpAdapter {
     /// Runs take this many times as long.
     pub slow: f64,
     /// Share of runs that fail quietly.
@@ -17,7 +17,7 @@
     pub leaving: bool,
 }
 
-impl Default for Manner {
+impl Default for HttpAdapter {
     fn default() -> Self {
         Self {
             slow: 1.0,
@@ -30,7 +30,7 @@
 struct Run {
     job: String,
     task: String,
-    room: u32,
+    cpu: u32,
     started: u64,
     until: u64,
     outcome: Outcome,
@@ -43,8 +43,8 @@
 
 /// A worker.
 pub struct Worker {
-    pub facts: WorkerInfo,
-    pub manner: Manner,
+    pub info: WorkerInfo,
+    pub http_adapter: HttpAdapter,
     /// Addresses of the nodes that the platform names.
     pub nodes: Vec<String>,
     at: usize,
@@ -56,8 +56,8 @@
     ended: Vec<EndReport>,
     /// Sends that ended or were called off before they came: never to be started.
     over: BTreeSet<u64>,
-    beat_ms: u64,
-    next_beat: u64,
+    heartbeat_ms: u64,
+    next_heartbeat: u64,
     asked: Option<(u64, u64)>,
     calls: u64,
     patience: u64,
@@ -65,12 +65,12 @@
 
 impl Worker {
     /// A worker that has just started.
-    pub fn new(facts: WorkerInfo, nodes: Vec<String>, seed: u64) -> Self {
-        let mut rng = Rng::new(seed ^ fnv1a(facts.worker.as_bytes()) ^ facts.incarnation);
+    pub fn new(info: WorkerInfo, nodes: Vec<String>, seed: u64) -> Self {
+        let mut rng = Rng::new(seed ^ fnv1a(info.worker.as_bytes()) ^ info.incarnation);
         let at = rng.below(nodes.len() as u64) as usize;
         Self {
-            facts,
-            manner: Manner::default(),
+            info,
+            http_adapter: HttpAdapter::default(),
             nodes,
             at,
             rng,
@@ -79,8 +79,8 @@
             running: BTreeMap::new(),
             ended: Vec::new(),
             over: BTreeSet::new(),
-            beat_ms: 250,
-            next_beat: 0,
+            heartbeat_ms: 250,
+            next_heartbeat: 0,
             asked: None,
             calls: 0,
             patience: 800,
@@ -89,41 +89,41 @@
 
     /// What is written down when it comes up.
     pub fn up(&self) -> Event {
-        let f = &self.facts;
+        let f = &self.info;
         Event::WorkerUp {
             worker: f.worker.clone(),
             incarnation: f.incarnation,
             service: f.service.clone(),
             labels: f.labels.iter().cloned().collect(),
             zone: f.zone.clone(),
-            room: f.room,
+            cpu: f.cpu,
         }
     }
 
     /// Announces that it is about to leave.
     pub fn leave(&mut self, now: u64) -> Vec<Ask> {
-        self.manner.leaving = true;
-        self.facts.leaving = true;
+        self.http_adapter.leaving = true;
+        self.info.leaving = true;
         self.asked = None;
-        self.next_beat = now;
+        self.next_heartbeat = now;
         let mut out = vec![Ask::DurabilityWitness(Event::WorkerLeaving {
-            worker: self.facts.worker.clone(),
+            worker: self.info.worker.clone(),
         })];
         out.extend(self.tick(now));
         out
     }
 
     /// Has other room or labels from now on; verdicts on older beats are not obeyed any more.
-    pub fn change(&mut self, now: u64, room: u32, labels: BTreeSet<String>) -> Vec<Ask> {
-        self.facts.room = room;
-        self.facts.labels = labels;
+    pub fn change(&mut self, now: u64, cpu: u32, labels: BTreeSet<String>) -> Vec<Ask> {
+        self.info.cpu = cpu;
+        self.info.labels = labels;
         self.asked = None;
-        self.next_beat = now;
-        let f = &self.facts;
+        self.next_heartbeat = now;
+        let f = &self.info;
         vec![Ask::DurabilityWitness(Event::WorkerChanged {
             worker: f.worker.clone(),
             labels: f.labels.iter().cloned().collect(),
-            room,
+            cpu,
         })]
     }
 
@@ -137,7 +137,7 @@
             .map(|(no, _)| *no)
             .collect();
         for no in done {
-            let outcome = self.running.get(&no).map_or(Outcome::Defect, |r| r.outcome);
+            let outcome = self.running.get(&no).map_or(Outcome::Failed, |r| r.outcome);
             out.extend(self.end(now, no, outcome));
         }
         if self
@@ -147,8 +147,8 @@
             self.asked = None;
             self.turn(now);
         }
-        if self.asked.is_none() && now >= self.next_beat {
-            out.push(self.beat(now));
+        if self.asked.is_none() && now >= self.next_heartbeat {
+            out.push(self.heartbeat(now));
         }
         out
     }
@@ -156,10 +156,10 @@
     fn turn(&mut self, now: u64) {
         let step = 1 + self.rng.below(self.nodes.len().max(2) as u64 - 1) as usize;
         self.at = (self.at + step) % self.nodes.len().max(1);
-        self.next_beat = now + 20;
+        self.next_heartbeat = now + 20;
     }
 
-    fn beat(&mut self, now: u64) -> Ask {
+    fn heartbeat(&mut self, now: u64) -> Ask {
         self.calls += 1;
         let call = self.calls;
         self.asked = Some((call, now));
@@ -168,7 +168,7 @@
             .iter()
             .map(|(no, r)| json!({"no": no, "progress": (now - r.started) * 1000 / (r.until - r.started).max(1)}))
             .collect();
-        let body = json!({"facts": self.facts, "running": running, "ended": self.ended});
+        let body = json!({"facts": self.info, "running": running, "ended": self.ended});
         Ask::Call {
             to: self.nodes[self.at % self.nodes.len().max(1)].clone(),
             call,
@@ -181,7 +181,7 @@
             return Vec::new();
         };
         self.over.insert(no);
-        let note = if outcome == Outcome::Defect {
+        let note = if outcome == Outcome::Failed {
             "the run failed"
         } else {
             ""
@@ -194,9 +194,9 @@
             ..EndReport::default()
         });
         // Ends are told soon, so that the slot is used again.
-        self.next_beat = self.next_beat.min(now + 20);
+        self.next_heartbeat = self.next_heartbeat.min(now + 20);
         vec![Ask::DurabilityWitness(Event::Ended {
-            worker: self.facts.worker.clone(),
+            worker: self.info.worker.clone(),
             no,
             job: r.job,
             task: r.task,
@@ -210,12 +210,12 @@
             return Vec::new();
         };
         self.asked = None;
-        self.next_beat = now + self.beat_ms;
+        self.next_heartbeat = now + self.heartbeat_ms;
         if v.status != 200 {
             self.turn(now);
             return Vec::new();
         }
-        self.beat_ms = v.body["beatMs"].as_u64().unwrap_or(250);
+        self.heartbeat_ms = v.body["beatMs"].as_u64().unwrap_or(250);
         let numbers = |key: &str| -> Vec<u64> {
             v.body[key]
                 .as_array()
@@ -237,15 +237,15 @@
             } else if self.over.insert(no) {
                 self.ended.push(EndReport {
                     no,
-                    outcome: Outcome::Void,
+                    outcome: Outcome::NeverStarted,
                     ran_ms: 0,
                     ..EndReport::default()
                 });
-                self.next_beat = now + 20;
+                self.next_heartbeat = now + 20;
             }
         }
         // An answer that took too long may be old news.
-        if now.saturating_sub(sent) <= v.body["obeyMs"].as_u64().unwrap_or(0) && !self.facts.leaving
+        if now.saturating_sub(sent) <= v.body["obeyMs"].as_u64().unwrap_or(0) && !self.info.leaving
         {
             for s in v.body["starts"].as_array().into_iter().flatten() {
                 out.extend(self.start(now, s));
@@ -279,14 +279,14 @@
         } else {
             1.0
         };
-        let took = (ms * long * self.manner.slow).max(1.0) as u64;
+        let took = (ms * long * self.http_adapter.slow).max(1.0) as u64;
         let fails = p["doomed"] == json!(true)
             || rng.unit()
                 < self
-                    .manner
+                    .http_adapter
                     .failing
                     .max(p["failing"].as_f64().unwrap_or(0.0));
-        let (job, task, room) = (
+        let (job, task, cpu) = (
             s["job"].as_str().unwrap_or("").to_string(),
             s["task"].as_str().unwrap_or("").to_string(),
             s["room"].as_u64().unwrap_or(0) as u32,
@@ -296,23 +296,23 @@
             Run {
                 job: job.clone(),
                 task: task.clone(),
-                room,
+                cpu,
                 started: now,
                 until: now + took,
                 outcome: if fails {
-                    Outcome::Defect
+                    Outcome::Failed
                 } else {
-                    Outcome::Well
+                    Outcome::Succeeded
                 },
             },
         );
-        self.next_beat = self.next_beat.min(now + 50);
+        self.next_heartbeat = self.next_heartbeat.min(now + 50);
         vec![Ask::DurabilityWitness(Event::Started {
-            worker: self.facts.worker.clone(),
+            worker: self.info.worker.clone(),
             no,
             job,
             task,
-            room,
+            cpu,
             copy: s["copy"] == json!(true),
         })]
     }
@@ -321,7 +321,7 @@
     pub fn load(&self) -> (usize, u32) {
         (
             self.running.len(),
-            self.running.values().map(|r| r.room).sum(),
+            self.running.values().map(|r| r.cpu).sum(),
         )
     }
 }
--- a/rehearsal/tests/checkers.rs
+++ b/rehearsal/tests/checkers.rs
@@ -1,6 +1,6 @@
 //! Each checker is shown a history that breaks its rule, and one that doesn't.
 
-use landingdrift::record::{JobSpec, Outcome, TaskSpec};
+use landingdrift::state::{JobSpec, Outcome, TaskSpec};
 use rehearsal::checkers::{check, Promised, ALL};
 use rehearsal::history::{Event, History, Says};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
     TaskSpec {
         name: name.into(),
         service: "s".into(),
-        room: 2,
+        cpu: 2,
         ..TaskSpec::default()
     }
 }
@@ -32,7 +32,7 @@
         service: "s".into(),
         labels: vec!["l".into()],
         zone: "z".into(),
-        room: 3,
+        cpu: 3,
     }
 }
 
@@ -42,7 +42,7 @@
         no,
         job: "j".into(),
         task: task.into(),
-        room: 2,
+        cpu: 2,
         copy: false,
     }
 }
@@ -57,10 +57,10 @@
     }
 }
 
-fn says(state: &str, tries: u32, quota: u32) -> Says {
+fn says(state: &str, max_attempts: u32, quota: u32) -> Says {
     Says {
         zones: [("z".to_string(), state.to_string())].into(),
-        tries: [("q".to_string(), tries)].into(),
+        max_attempts: [("q".to_string(), max_attempts)].into(),
         quotas: [("q".to_string(), quota)].into(),
     }
 }
@@ -151,9 +151,9 @@
     }
 }
 
-fn able(cores: usize) -> Event {
+fn able(replicas: usize) -> Event {
     Event::Able {
-        cores,
+        replicas,
         nodes: vec!["n".into()],
     }
 }
@@ -162,11 +162,11 @@
     Event::Asked { id: "j".into() }
 }
 
-fn changed(room: u32, labels: &[&str]) -> Event {
+fn changed(cpu: u32, labels: &[&str]) -> Event {
     Event::WorkerChanged {
         worker: "w".into(),
         labels: labels.iter().map(ToString::to_string).collect(),
-        room,
+        cpu,
     }
 }
 
@@ -350,7 +350,7 @@
                 (1, up("w")),
                 (1, up("v")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Defect)),
+                (3, ended("w", 1, "a", Outcome::Failed)),
                 (4, started("v", 2, "a")),
             ],
         ),
@@ -360,14 +360,14 @@
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Well)),
+                (3, ended("w", 1, "a", Outcome::Succeeded)),
                 (4, started("w", 2, "a")),
             ],
             vec![
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Well)),
+                (3, ended("w", 1, "a", Outcome::Succeeded)),
             ],
         ),
         (
@@ -381,7 +381,7 @@
                 (0, offered(vec![task("a"), after("b", "a")])),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Well)),
+                (3, ended("w", 1, "a", Outcome::Succeeded)),
                 (4, started("w", 2, "b")),
             ],
         ),
@@ -422,7 +422,7 @@
                 (0, offered(vec![task("a"), task("b")])),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Well)),
+                (3, ended("w", 1, "a", Outcome::Succeeded)),
                 (4, started("w", 2, "b")),
             ],
         ),
@@ -502,9 +502,9 @@
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Defect)),
+                (3, ended("w", 1, "a", Outcome::Failed)),
                 (4, started("w", 2, "a")),
-                (5, ended("w", 2, "a", Outcome::Defect)),
+                (5, ended("w", 2, "a", Outcome::Failed)),
                 (6, started("w", 3, "a")),
             ],
             vec![
@@ -513,7 +513,7 @@
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Defect)),
+                (3, ended("w", 1, "a", Outcome::Failed)),
                 (4, started("w", 2, "a")),
             ],
         ),
@@ -526,7 +526,7 @@
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Defect)),
+                (3, ended("w", 1, "a", Outcome::Failed)),
                 (4, asked("d", says("", 1, 9))),
                 (5, acked("d", 1, 2, says("", 1, 9))),
                 (2100, started("w", 2, "a")),
@@ -537,7 +537,7 @@
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Defect)),
+                (3, ended("w", 1, "a", Outcome::Failed)),
                 (4, asked("d", says("", 3, 9))),
                 (2100, started("w", 2, "a")),
             ],
@@ -594,7 +594,7 @@
                 (0, offered(vec![gang("a"), gang("b")])),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
-                (9000, ended("w", 1, "a", Outcome::Well)),
+                (9000, ended("w", 1, "a", Outcome::Succeeded)),
             ],
             vec![
                 (0, offered(vec![gang("a"), gang("b")])),
@@ -602,7 +602,7 @@
                 (1, up("v")),
                 (2, started("w", 1, "a")),
                 (50, started("v", 2, "b")),
-                (9000, ended("w", 1, "a", Outcome::Well)),
+                (9000, ended("w", 1, "a", Outcome::Succeeded)),
             ],
         ),
         // Half a second alone is nothing, two seconds are too long unless a fault struck.
@@ -614,7 +614,7 @@
                 (1, up("v")),
                 (2, started("w", 1, "a")),
                 (2000, started("v", 2, "b")),
-                (9000, ended("w", 1, "a", Outcome::Well)),
+                (9000, ended("w", 1, "a", Outcome::Succeeded)),
             ],
             vec![
                 (0, offered(vec![gang("a"), gang("b")])),
@@ -628,7 +628,7 @@
                 (1, up("v")),
                 (2, started("w", 1, "a")),
                 (2000, started("v", 2, "b")),
-                (9000, ended("w", 1, "a", Outcome::Well)),
+                (9000, ended("w", 1, "a", Outcome::Succeeded)),
             ],
         ),
         (
--- a/rehearsal/tests/code_shape.rs
+++ b/rehearsal/tests/code_shape.rs
@@ -58,7 +58,7 @@
 }
 
 /// What is wrong with the sizes of source files, given the large ones that are let be.
-fn defects(sources: &BTreeMap<String, usize>, large: &[(&str, usize)]) -> Vec<String> {
+fn failures(sources: &BTreeMap<String, usize>, large: &[(&str, usize)]) -> Vec<String> {
     let large: BTreeMap<&str, usize> = large.iter().copied().collect();
     let grown = sources.iter().filter_map(|(path, lines)| {
         let most = large.get(path.as_str()).copied().unwrap_or(MAX_LINES);
@@ -78,7 +78,7 @@
         sources.contains_key("rehearsal/tests/code_shape.rs"),
         "this very file is found"
     );
-    assert_eq!(defects(&sources, LARGE_FILES), Vec::<String>::new());
+    assert_eq!(failures(&sources, LARGE_FILES), Vec::<String>::new());
 }
 
 #[test]
@@ -97,7 +97,7 @@
         ("gone.rs", 500),
     ];
     assert_eq!(
-        defects(&sources, &large),
+        failures(&sources, &large),
         [
             "grown.rs has 501 lines, more than 500: split it",
             "new.rs has 401 lines, more than 400: split it",
--- a/rehearsal/tests/explorer.rs
+++ b/rehearsal/tests/explorer.rs
@@ -1,10 +1,10 @@
-//! The replicas under the model checker: random walks, every order of events to a depth, and planted defects.
+//! The machines under the model checker: random walks, every order of events to a depth, and planted defects.
 
-use landingdrift::record::Command;
+use landingdrift::state::Command;
 use rehearsal::explorer::cluster::Cluster;
 use rehearsal::explorer::defect::Defect;
 use rehearsal::explorer::ledger::Invariant;
-use rehearsal::explorer::search::{search, Budget, Found};
+use rehearsal::explorer::search::{search, Found, SpeculationBudgetExhausted};
 use rehearsal::explorer::trouble::Trouble;
 use rehearsal::explorer::walk::Walk;
 use std::collections::BTreeSet;
@@ -97,7 +97,7 @@
     cluster
 }
 
-const CALM: Budget = Budget {
+const CALM: SpeculationBudgetExhausted = SpeculationBudgetExhausted {
     depth: 6,
     window: 3,
     losses: 0,
@@ -118,7 +118,7 @@
 
 #[test]
 fn every_order_of_an_election_after_a_crash_keeps_the_invariants() {
-    let budget = Budget {
+    let budget = SpeculationBudgetExhausted {
         timeouts: 2,
         crashes: 1,
         losses: 1,
@@ -130,7 +130,7 @@
 
 #[test]
 fn every_order_around_a_lost_disk_keeps_the_invariants() {
-    let budget = Budget {
+    let budget = SpeculationBudgetExhausted {
         timeouts: 1,
         wipes: 1,
         duplicates: 1,
@@ -142,7 +142,7 @@
 
 #[test]
 fn every_order_around_a_stop_and_a_freeze_keeps_the_invariants() {
-    let budget = Budget {
+    let budget = SpeculationBudgetExhausted {
         timeouts: 1,
         stops: 1,
         freezes: 1,
@@ -159,7 +159,7 @@
     cluster.run(1000, &BTreeSet::new(), |_| false);
     cluster.network.clear();
     assert_eq!(cluster.membership().len(), 4, "the newcomer stands by");
-    let budget = Budget {
+    let budget = SpeculationBudgetExhausted {
         timeouts: 1,
         stops: 1,
         crashes: 1,
@@ -231,17 +231,17 @@
     let mut cluster = settled(3);
     let leader = cluster.leader().expect("somebody leads");
     let before = cluster.membership();
-    let (core, member) = before.iter().next().expect("members");
+    let (replica, member) = before.iter().next().expect("members");
     let commands = [
-        Command::CoreGone {
-            core: core.clone(),
+        Command::RemoveReplica {
+            replica: replica.clone(),
             disk: member.disk,
         },
-        Command::Found {
-            cores: Default::default(),
+        Command::FoundCluster {
+            replicas: Default::default(),
         },
-        Command::Opened {
-            leader: core.clone(),
+        Command::TermStarted {
+            leader: replica.clone(),
         },
     ];
     for (number, command) in commands.iter().enumerate() {
@@ -257,7 +257,7 @@
     (0..3).for_each(|i| cluster.crash(i, usize::MAX));
     cluster.wipe(1);
     (0..3).for_each(|i| cluster.start(i));
-    let wait = cluster.settings.bounds.wake();
+    let wait = cluster.settings.bounds.recovery_wait();
     cluster.run(wait / 2, &BTreeSet::new(), |_| false);
     assert!(cluster.leader().is_some(), "two of three know everything");
 }
@@ -268,6 +268,6 @@
     let newcomer = cluster.add_newcomer("z0".into());
     let heartbeats = 3 * cluster.settings.bounds.heartbeat();
     cluster.run(heartbeats, &BTreeSet::new(), |_| false);
-    let address = &cluster.replicas[newcomer].address;
+    let address = &cluster.machines[newcomer].address;
     assert!(cluster.membership().contains_key(address));
 }
--- a/rehearsal/tests/operator.rs
+++ b/rehearsal/tests/operator.rs
@@ -56,15 +56,15 @@
     let at: Vec<String> = fleet
         .procs
         .iter()
-        .filter(|p| !p.core)
+        .filter(|p| !p.replica)
         .map(|p| p.http.clone())
         .collect();
     let d = Desk {
         fleet,
         at: at.join(","),
     };
-    let mut desired = Shape::Gunasekera.desired();
-    let first = write(&folder, "first.json", &desired);
+    let mut config = Shape::Gunasekera.config();
+    let first = write(&folder, "first.json", &config);
     assert_eq!(
         d.ok(&["apply", &first, "--wait"])["inForceEverywhere"],
         true
@@ -93,10 +93,10 @@
     assert_eq!(d.ok(&["cancel", "j"])["state"], "cancelled");
     assert_eq!(d.ask(&["job", "none"]).0, 1);
     // A roll-out in stages, and one that a node does not follow.
-    desired = d.ok(&["get"])["desired"].clone();
-    desired["queues"]["pickups"]["quota"] = 77.into();
-    desired["notes"]["stage"] = "two".into();
-    let second = write(&folder, "second.json", &desired);
+    config = d.ok(&["get"])["desired"].clone();
+    config["queues"]["pickups"]["quota"] = 77.into();
+    config["notes"]["stage"] = "two".into();
+    let second = write(&folder, "second.json", &config);
     assert_eq!(
         d.ok(&[
             "rollout",
@@ -110,9 +110,14 @@
     );
     let before = d.ok(&["get"]);
     assert_eq!(before["desired"]["queues"]["pickups"]["quota"], 77);
-    desired["queues"]["pickups"]["quota"] = 88.into();
-    let third = write(&folder, "third.json", &desired);
-    let frozen = d.fleet.procs.iter().position(|p| !p.core).expect("a node");
+    config["queues"]["pickups"]["quota"] = 88.into();
+    let third = write(&folder, "third.json", &config);
+    let frozen = d
+        .fleet
+        .procs
+        .iter()
+        .position(|p| !p.replica)
+        .expect("a node");
     let others: Vec<&String> = at
         .iter()
         .filter(|a| **a != d.fleet.procs[frozen].http)
--- a/rehearsal/tests/scale.rs
+++ b/rehearsal/tests/scale.rs
@@ -8,16 +8,16 @@
 fn a_small_run_starts_tasks_and_tells_what_each_process_took() {
     let folder = std::env::temp_dir().join(format!("landingdrift-scaled-{}", std::process::id()));
     // Two runs in one process don't meet.
-    for place in 0..2 {
+    for log_index in 0..2 {
         let o = Options {
             workers: 14,
             nodes: 3,
-            place,
+            log_index,
             // A job a second in the mean, so that some are handed in within the time measured.
             starts: 60.0,
             seconds: 9,
             program: program(),
-            folder: folder.join(place.to_string()),
+            folder: folder.join(log_index.to_string()),
             seed: 4,
         };
         let out = run(&o).unwrap_or_else(|e| panic!("{e}; logs in {}", folder.display()));
