--- a/rehearsal/src/explorer/search.rs
+++ b/rehearsal/src/explorer/search.rs
@@ -32,7 +32,7 @@
 
 /// How much of what may happen on one way.
 #[derive(Clone, Copy, Debug)]
-pub struct SpeculationBudgetExhausted {
+pub struct Budget {
     pub depth: usize,
     /// How many of the messages under way may be the next.
     pub window: usize,
@@ -56,7 +56,7 @@
 }
 
 /// Walks every order of events from a situation.
-pub fn search(from: &Cluster, budget: SpeculationBudgetExhausted) -> Found {
+pub fn search(from: &Cluster, budget: Budget) -> Found {
     let mut search = Search {
         seen: HashSet::new(),
         found: Found::default(),
@@ -74,7 +74,7 @@
 }
 
 impl Search {
-    fn enter(&mut self, cluster: &Cluster, budget: SpeculationBudgetExhausted) {
+    fn enter(&mut self, cluster: &Cluster, budget: Budget) {
         if self.found.broken.is_some() {
             return;
         }
@@ -97,7 +97,7 @@
 }
 
 /// A number that tells situations apart, with what may still happen on the way.
-fn fingerprint(cluster: &Cluster, budget: SpeculationBudgetExhausted) -> u64 {
+fn fingerprint(cluster: &Cluster, budget: Budget) -> u64 {
     let mut hasher = DefaultHasher::new();
     for machine in &cluster.machines {
         (machine.disk_number, machine.frozen, machine.gone).hash(&mut hasher);
@@ -112,7 +112,7 @@
     hasher.finish()
 }
 
-fn possible(cluster: &Cluster, budget: SpeculationBudgetExhausted) -> Vec<Event> {
+fn possible(cluster: &Cluster, budget: Budget) -> Vec<Event> {
     let mut events = Vec::new();
     let messages = cluster.network.len().min(budget.window);
     events.extend((0..messages).map(Event::Deliver));
@@ -150,11 +150,7 @@
 }
 
 /// Lets an event happen; returns what may still happen.
-fn happen(
-    cluster: &mut Cluster,
-    event: Event,
-    mut budget: SpeculationBudgetExhausted,
-) -> SpeculationBudgetExhausted {
+fn happen(cluster: &mut Cluster, event: Event, mut budget: Budget) -> Budget {
     budget.depth -= 1;
     match event {
         Event::Deliver(k) => {
--- a/rehearsal/tests/explorer.rs
+++ b/rehearsal/tests/explorer.rs
@@ -4,7 +4,7 @@
 use rehearsal::explorer::cluster::Cluster;
 use rehearsal::explorer::defect::Defect;
 use rehearsal::explorer::ledger::Invariant;
-use rehearsal::explorer::search::{search, Found, SpeculationBudgetExhausted};
+use rehearsal::explorer::search::{search, Budget, Found};
 use rehearsal::explorer::trouble::Trouble;
 use rehearsal::explorer::walk::Walk;
 use std::collections::BTreeSet;
@@ -97,7 +97,7 @@
     cluster
 }
 
-const CALM: SpeculationBudgetExhausted = SpeculationBudgetExhausted {
+const CALM: Budget = Budget {
     depth: 6,
     window: 3,
     losses: 0,
@@ -118,7 +118,7 @@
 
 #[test]
 fn every_order_of_an_election_after_a_crash_keeps_the_invariants() {
-    let budget = SpeculationBudgetExhausted {
+    let budget = Budget {
         timeouts: 2,
         crashes: 1,
         losses: 1,
@@ -130,7 +130,7 @@
 
 #[test]
 fn every_order_around_a_lost_disk_keeps_the_invariants() {
-    let budget = SpeculationBudgetExhausted {
+    let budget = Budget {
         timeouts: 1,
         wipes: 1,
         duplicates: 1,
@@ -142,7 +142,7 @@
 
 #[test]
 fn every_order_around_a_stop_and_a_freeze_keeps_the_invariants() {
-    let budget = SpeculationBudgetExhausted {
+    let budget = Budget {
         timeouts: 1,
         stops: 1,
         freezes: 1,
@@ -159,7 +159,7 @@
     cluster.run(1000, &BTreeSet::new(), |_| false);
     cluster.network.clear();
     assert_eq!(cluster.membership().len(), 4, "the newcomer stands by");
-    let budget = SpeculationBudgetExhausted {
+    let budget = Budget {
         timeouts: 1,
         stops: 1,
         crashes: 1,
