--- a/landingdrift/src/config/mod.rs
+++ b/landingdrift/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The desired state: what operators declare.
+//! The configuration: what operators declare.
 
 mod check;
 mod patch;
@@ -47,13 +47,13 @@
     /// Larger goes first where sizes are alike; weighs V.
     #[prost(uint32, tag = "5")]
     pub priority: u32,
-    /// Running spare copies, in a hundred of the queue's running sends.
+    /// Running spare copies, in a hundred of the queue's running attempts.
     #[prost(uint32, tag = "6")]
     pub speculation_percent: u32,
     /// The window over which the allowances are counted.
     #[prost(uint64, tag = "7")]
     pub window_ms: u64,
-    /// How long an unsure send may stay unsure before it counts as a defect.
+    /// How long an unsure attempt may stay unsure before it counts as a error.
     #[prost(uint64, tag = "8")]
     pub unsure_bound_ms: u64,
     /// The service that runs the tasks of jobs handed in by host and prefix.
@@ -79,11 +79,11 @@
     /// Labels that workers of the service may carry.
     #[prost(string, repeated, tag = "1")]
     pub labels: Vec<String>,
-    /// The most room that one task may need.
+    /// The most capacity that one task may need.
     #[prost(uint32, tag = "2")]
     #[serde(rename = "taskRoom")]
     pub task_cpu: u32,
-    /// The most room that a gang may need altogether.
+    /// The most capacity that a gang may need altogether.
     #[prost(uint32, tag = "3")]
     #[serde(rename = "gangRoom")]
     pub gang_cpu: u32,
--- a/landingdrift/src/consensus/clock.rs
+++ b/landingdrift/src/consensus/clock.rs
@@ -9,7 +9,7 @@
     pub carried: bool,
 }
 
-/// The clock that the cores agree on: agreed once, carried on by durations, never back.
+/// The clock that the replicas agree on: agreed once, carried on by durations, never back.
 ///
 /// Machines' clocks are asked only when nobody carries an agreed time, that is at the first start and after a total
 /// outage. A clock that jumps while its process runs moves nothing.
--- a/landingdrift/src/consensus/election.rs
+++ b/landingdrift/src/consensus/election.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Asks first whether an election would be won, so that a core that was cut off disturbs nobody.
+    /// Asks first whether an election would be won, so that a replica that was cut off disturbs nobody.
     pub(super) fn start_pre_vote(&mut self, now: Now) {
         self.reset_election_timer(now);
         let own = {
--- a/landingdrift/src/consensus/leases.rs
+++ b/landingdrift/src/consensus/leases.rs
@@ -6,7 +6,7 @@
 use crate::state::{queue_lease, zone_lease, Command};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Nodes with less than so many thousandths of a core get duties only where there is nobody else.
+/// Nodes with less than so many thousandths of a core get leases only where there is nobody else.
 pub(super) const TINY: u64 = 100;
 
 impl Replica {
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Every zone with workers or nodes has its cell held, every queue its owner, spread evenly.
+    /// Every zone with workers or nodes has its zone scheduler held, every queue its owner, spread evenly.
     fn lease_command(&mut self, now: Now) -> Option<Command> {
         let (span, queue_lost) = (
             self.settings.bounds.node_lost(),
@@ -198,13 +198,13 @@
         let move_ = better.filter(|_| calm);
         if move_.is_some() {
             self.moved = now.mono;
-            self.count("duties_moved", 1);
+            self.count("leases_moved", 1);
         }
         move_
     }
 
-    /// How good a placement_cost a node is for a duty, the smaller the better: in the zone, able to carry it, and with the least
-    /// load for its share. A core beside it counts as most of the share: one loss should not hit both.
+    /// How good a placement_cost a node is for a lease, the smaller the better: in the zone, able to carry it, and with the least
+    /// load for its share. A replica beside it counts as most of the share: one loss should not hit both.
     fn placement_cost(&self, node: &str, zone: Option<&str>, load: usize) -> (u32, u64, u64) {
         let away = zone.is_some_and(|z| self.state.nodes.get(node).is_none_or(|x| x.zone != z));
         let (share, replica) = self.watchers.get(node).map_or((1000, false), |f| {
--- a/landingdrift/src/consensus/members.rs
+++ b/landingdrift/src/consensus/members.rs
@@ -1,4 +1,4 @@
-//! The membership as one replica knows it, and the leader's duty of keeping it as wanted.
+//! The membership as one replica knows it, and the leader's lease of keeping it as wanted.
 
 use super::membership::{
     majority, Health, JoinRequest, MembershipChange, MembershipView, Observed, Resilience,
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -1,4 +1,4 @@
-//! A core: the replicated log, its leader's duties and the feed to the nodes.
+//! A replica: the replicated log, its leader's leases and the watch to the nodes.
 
 mod clock;
 mod election;
@@ -23,13 +23,13 @@
 use crate::peer_sampler::PeerSampler;
 use crate::sans_io::{Effect, HardState, Msg, Now, Part, Rng, Snapshot, WriteBatch};
 use crate::settings::Settings;
-use crate::snapshot_chunks::{Assembly, ChunkedSnapshot};
+use crate::snapshot_chunks::{ChunkedSnapshot, SnapshotAssembly};
 use crate::state::ClusterState;
 use crate::wire::{Body, DurabilityWitness, Entry, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// What a core finds on its disk when it starts.
+/// What a replica finds on its disk when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct Loaded {
     /// Drawn when the data folder was made.
@@ -52,7 +52,7 @@
     Leader,
 }
 
-/// A core.
+/// A replica.
 #[derive(Clone)]
 pub struct Replica {
     pub(crate) settings: Settings,
@@ -69,7 +69,7 @@
     snapshot_index: u64,
     /// The bytes of the entries applied since.
     bytes_since_snapshot: u64,
-    incoming: Assembly,
+    incoming: SnapshotAssembly,
     state: ClusterState,
     commit: u64,
     durable: u64,
@@ -81,7 +81,7 @@
     pending_batch: WriteBatch,
     /// What each identity (address and disk) may have confirmed.
     witnesses: BTreeMap<(String, u64), DurabilityWitness>,
-    /// The farthest place this core has confirmed, as others remember it.
+    /// The farthest place this replica has confirmed, as others remember it.
     recovery_floor: (u64, u64),
     /// The farthest log it heard of when it woke, and until when it leaves the lead to whoever holds that.
     deferral: ((u64, u64), u64),
@@ -89,7 +89,7 @@
     recovery: Option<recovery::Recovery>,
     heard_leader: u64,
     election_at: u64,
-    /// Until when a core that woke stands early.
+    /// Until when a replica that woke stands early.
     fast_election_until: u64,
     /// Those that gave their vote, with their disks.
     votes: BTreeMap<String, u64>,
@@ -99,7 +99,7 @@
     leader_since: u64,
     term_start_index: u64,
     command_index: u64,
-    /// When a duty was last moved to a better place.
+    /// When a lease was last moved to a better place.
     moved: u64,
     watchers: BTreeMap<String, Watcher>,
     watch_snapshots: watch_snapshots::WatchSnapshots,
@@ -139,7 +139,7 @@
 }
 
 impl Replica {
-    /// A core from what its disk holds.
+    /// A replica from what its disk holds.
     pub fn new(settings: Settings, loaded: Loaded, now: Now, seed: u64) -> Result<Self, String> {
         let state = loaded.snapshot.as_ref().map_or_else(
             || Ok(ClusterState::new(&settings.cluster)),
@@ -196,7 +196,7 @@
                     .map_or_else(ChunkedSnapshot::default, ChunkedSnapshot::from),
             ),
             bytes_since_snapshot: 0,
-            incoming: Assembly::default(),
+            incoming: SnapshotAssembly::default(),
             state,
             commit: base.0,
             durable: last,
@@ -265,7 +265,7 @@
         self.out.push(Effect::Send(to.into(), body));
     }
 
-    /// Applies what is committed and gives the waiting their verdicts.
+    /// Applies what is committed and gives the waiting their responses.
     fn apply_committed(&mut self) {
         while self.state.applied_index < self.commit {
             let next = self.state.applied_index + 1;
@@ -275,7 +275,7 @@
             let result = self.state.apply_bytes(e.index, e.at, &e.command);
             self.bytes_since_snapshot += e.command.len() as u64;
             self.count("entries_applied", 1);
-            self.count("entries_refused", u64::from(result.is_err()));
+            self.count("entries_rejected", u64::from(result.is_err()));
             if let Some((to, token)) = self.asked.remove(&next) {
                 let response = crate::state::pack_apply_result(&result);
                 let leader = self.name.clone();
@@ -355,7 +355,7 @@
                 }
                 Body::ProposeRequest(m) => self.on_propose(now, &from, m.token, m.command),
                 Body::ReadIndexRequest(m) => self.on_read(now, &from, m.token),
-                _ => self.count("messages_out_of_place", 1),
+                _ => self.count("messages_unexpected", 1),
             },
         }
         if self.role == Role::Leader && std::mem::take(&mut self.needs_round) {
--- a/landingdrift/src/consensus/peers.rs
+++ b/landingdrift/src/consensus/peers.rs
@@ -2,7 +2,7 @@
 
 use super::{snapshot, watch_snapshots};
 
-/// What a leader knows of another core.
+/// What a leader knows of another replica.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peer {
     pub(super) next: u64,
@@ -20,7 +20,7 @@
     /// The round of the batch under way; 0 for none.
     pub(super) pending: u64,
     pub(super) outgoing: Option<snapshot::Outgoing>,
-    /// Its disk takes nothing: it hears beats, and gets no entries.
+    /// Its disk takes nothing: it hears heartbeats, and gets no entries.
     pub(super) refuses: bool,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// What a leader knows of a node that follows the feed.
+/// What a leader knows of a node that follows the watch.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Watcher {
     pub(super) log_index: u64,
@@ -51,7 +51,7 @@
     pub(super) successor: String,
     pub(super) share: u32,
     pub(super) beside_core: bool,
-    /// It follows a light copy of the record.
+    /// It follows a light copy of the cluster state.
     pub(super) light: bool,
     /// The last chunk of a snapshot that it was sent, and the place of that snapshot.
     pub(super) chunk: watch_snapshots::SentChunk,
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -1,4 +1,4 @@
-//! What a core does before it counts: it asks the others what it had confirmed.
+//! What a replica does before it counts: it asks the others what it had confirmed.
 
 use super::Replica;
 use crate::sans_io::Now;
@@ -80,7 +80,7 @@
             .for_each(|n| self.remember(n));
         self.zones.insert(from.into(), m.zone.clone());
         if !m.reply {
-            // A core that starts anew: what it confirmed before may be gone.
+            // A replica that starts anew: what it confirmed before may be gone.
             self.peers.get_mut(from).iter_mut().for_each(|p| {
                 p.take_disk(m.disk);
                 p.next = m.last_index + 1;
@@ -140,7 +140,7 @@
         self.try_finish_recovery(now);
     }
 
-    /// Ends the waking once all voters were heard, or the wait is over and a majority was.
+    /// Ends the recovering once all voters were heard, or the wait is over and a majority was.
     fn try_finish_recovery(&mut self, now: Now) {
         let Some(w) = self.recovery.as_ref() else {
             return;
@@ -186,7 +186,7 @@
         self.fast_election_until = now.mono + 4 * self.settings.bounds.election();
         self.reset_election_timer(now);
         self.line(format!(
-            "awake at {index} of term {term}, {} others heard",
+            "recovered at index {index} of term {term}, {} other replicas heard",
             w.heard.len()
         ));
     }
@@ -215,7 +215,7 @@
         1 + heard >= self.majority() && (accounted_for || waited)
     }
 
-    /// The place this core must answer for when it votes or stands: as (term, index).
+    /// The place this replica must answer for when it votes or stands: as (term, index).
     pub(super) fn answerable(&self, now: Now) -> (u64, u64) {
         let (index, term) = self.last();
         let (farthest, until) = self.deferral;
--- a/landingdrift/src/consensus/replicate.rs
+++ b/landingdrift/src/consensus/replicate.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sends entries to all other cores; with a beat those hear it, too, for whom there is nothing new or whose batch is
+    /// Sends entries to all other replicas; with a heartbeat those hear it, too, for whom there is nothing new or whose batch is
     /// still under way.
     pub(super) fn send_round(&mut self, now: Now, heartbeat: bool) {
         self.next_round(now);
@@ -58,7 +58,7 @@
         to.iter().for_each(|p| self.replicate(now, p, heartbeat));
     }
 
-    /// One batch of entries is under way to a core at a time; beats go out beside it.
+    /// One batch of entries is under way to a replica at a time; heartbeats go out beside it.
     pub(super) fn replicate(&mut self, now: Now, to: &str, heartbeat: bool) {
         let patience = 4 * self.settings.bounds.heartbeat();
         let Some(p) = self.peers.get_mut(to) else {
@@ -212,7 +212,7 @@
         );
     }
 
-    /// The verdict must not leave before the term it names is durable; the entries have their own mark.
+    /// The response must not leave before the term it names is durable; the entries have their own mark.
     fn send_durable_hard(&mut self, to: &str, v: AppendResponse) {
         let body = Body::AppendResponse(Box::new(v));
         if self.hard_state_write <= self.saved {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Keeps the farthest place that a core may have confirmed.
+    /// Keeps the farthest place that a replica may have confirmed.
     pub(super) fn remember(&mut self, n: DurabilityWitness) {
         let farther = self
             .witnesses
@@ -243,10 +243,10 @@
         self.durable = self.durable.min(from - 1);
         self.verified = self.verified.min(from - 1);
         self.members_cache = None;
-        self.count("entries_cut", 1);
+        self.count("entries_truncated", 1);
     }
 
-    /// Once caught up with what it had confirmed, a core counts again.
+    /// Once caught up with what it had confirmed, a replica counts again.
     pub(super) fn rise(&mut self) {
         let (index, term) = self.last();
         if self.recovery_floor > (0, 0) && (term, index) >= self.recovery_floor {
@@ -325,7 +325,7 @@
             p.pending = 0;
             p.next = p.matched + 1;
         }
-        // A verdict on an older round says nothing about the batch under way.
+        // A response on an older round says nothing about the batch under way.
         let fresh = m.round >= p.pending;
         if fresh {
             p.pending = 0;
--- a/landingdrift/src/consensus/snapshot.rs
+++ b/landingdrift/src/consensus/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots between cores: the leader sends one to a core that is behind its log, a chunk at a time.
+//! Snapshots between replicas: the leader sends one to a replica that is behind its log, a chunk at a time.
 //!
 //! The next chunk goes out when the last one is acknowledged; a chunk without an answer is repeated after a silence.
 //! The receiver answers with how much it has, so that either side may start anew and go on from there. It takes the
@@ -6,7 +6,7 @@
 
 use super::{Replica, Role};
 use crate::sans_io::Now;
-use crate::snapshot_chunks::{ChunkedSnapshot, Identity, Taken};
+use crate::snapshot_chunks::{ChunkOutcome, ChunkedSnapshot, SnapshotId};
 use crate::state::ClusterState;
 use crate::wire::{Body, InstallSnapshot, InstallSnapshotResponse};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 /// The log is kept for receivers of a snapshot over at most so many times the entries between two snapshots.
 const KEPT_SNAPSHOTS: u64 = 4;
 
-/// A snapshot on its way to another core.
+/// A snapshot on its way to another replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
     snapshot: Arc<ChunkedSnapshot>,
@@ -45,7 +45,7 @@
                     offset: 0,
                     sent: 0,
                 });
-                "captures_sent"
+                "snapshots_sent"
             }
         };
         self.count(counter, 1);
@@ -128,12 +128,14 @@
         }
         if !self.holds(of) {
             match self.incoming.take(of, m.offset, &m.snapshot) {
-                Taken::Part => {
+                ChunkOutcome::Part => {
                     let received = self.incoming.received();
                     return self.answer_install(from, of, received, false);
                 }
-                Taken::Corrupt => return self.refuse_install(from, of, "its checksum is wrong"),
-                Taken::Whole(bytes) => {
+                ChunkOutcome::Corrupt => {
+                    return self.refuse_install(from, of, "its checksum is wrong")
+                }
+                ChunkOutcome::Whole(bytes) => {
                     if let Err(why) = self.install(of, bytes) {
                         return self.refuse_install(from, of, &why);
                     }
@@ -148,7 +150,7 @@
     }
 
     /// Whether the log needs nothing of a snapshot: then what was confirmed after it must not be thrown away.
-    fn holds(&mut self, of: Identity) -> bool {
+    fn holds(&mut self, of: SnapshotId) -> bool {
         if of.index <= self.commit {
             return true;
         }
@@ -163,7 +165,7 @@
     }
 
     /// Takes a whole snapshot over in place of the log.
-    fn install(&mut self, of: Identity, bytes: Vec<u8>) -> Result<(), String> {
+    fn install(&mut self, of: SnapshotId, bytes: Vec<u8>) -> Result<(), String> {
         self.state = ClusterState::unpack(&bytes)?;
         self.log.clear();
         self.base = (of.index, of.term);
@@ -176,18 +178,18 @@
         self.members_cache = None;
         self.durable = 0;
         self.verified = of.index;
-        self.count("captures_installed", 1);
+        self.count("snapshots_installed", 1);
         self.rise();
         Ok(())
     }
 
-    fn refuse_install(&mut self, from: &str, of: Identity, why: &str) {
-        self.count("captures_refused", 1);
-        self.line(format!("a snapshot of place {} refused: {why}", of.index));
+    fn refuse_install(&mut self, from: &str, of: SnapshotId, why: &str) {
+        self.count("snapshots_refused", 1);
+        self.line(format!("a snapshot at index {} refused: {why}", of.index));
         self.answer_install(from, of, 0, true);
     }
 
-    fn answer_install(&mut self, to: &str, of: Identity, received: u64, refused: bool) {
+    fn answer_install(&mut self, to: &str, of: SnapshotId, received: u64, refused: bool) {
         let response = InstallSnapshotResponse {
             term: self.hard_state.term,
             index: of.index,
@@ -199,7 +201,7 @@
         self.send(to, Body::InstallSnapshotResponse(Box::new(response)));
     }
 
-    /// Takes a snapshot of the record once enough was applied since the last one.
+    /// Takes a snapshot of the cluster state once enough was applied since the last one.
     pub(super) fn snapshot_when_due(&mut self) {
         let limits = &self.settings.limits;
         let log_index = self.state.applied_index;
@@ -219,7 +221,7 @@
         self.snapshot_index = log_index;
         self.bytes_since_snapshot = 0;
         self.pending_batch.snapshot = Some(self.snapshot.to_snapshot());
-        self.count("captures", 1);
+        self.count("snapshots", 1);
         self.trim_log();
         self.flush();
     }
@@ -255,9 +257,9 @@
 }
 
 /// Which snapshot a chunk belongs to. An older build sends a snapshot whole, without its length and checksum.
-fn identity(m: &InstallSnapshot) -> Identity {
+fn identity(m: &InstallSnapshot) -> SnapshotId {
     let whole = m.total == 0;
-    Identity {
+    SnapshotId {
         index: m.index,
         term: m.index_term,
         total: if whole {
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 impl Replica {
-    /// What the core says of itself over HTTP.
+    /// What the replica says of itself over HTTP.
     pub(super) fn on_call(&mut self, now: Now, call: u64, req: &Request) {
         let ready = self.storage.takes_writes()
             && self.recovery.is_none()
--- a/landingdrift/src/consensus/storage.rs
+++ b/landingdrift/src/consensus/storage.rs
@@ -1,8 +1,8 @@
-//! What a core knows of its own disk, and what it does while the disk takes nothing.
+//! What a replica knows of its own disk, and what it does while the disk takes nothing.
 //!
-//! While the disk refuses or hangs, the core leads nobody, votes for nobody and takes no entries. It still answers
+//! While the disk refuses or hangs, the replica leads nobody, votes for nobody and takes no entries. It still answers
 //! heartbeats, since these promise nothing that is not durable. The thread that writes tries again by itself, with all
-//! that was handed over and not confirmed, in order; the first confirmation makes the core a full one again.
+//! that was handed over and not confirmed, in order; the first confirmation makes the replica a full one again.
 
 use super::{Replica, Role};
 use crate::sans_io::Now;
@@ -42,7 +42,7 @@
 }
 
 impl Storage {
-    /// Whether the core may rely on its disk.
+    /// Whether the replica may rely on its disk.
     pub(super) fn takes_writes(&self) -> bool {
         self.condition == Condition::Sound
     }
@@ -110,7 +110,7 @@
         }
         self.count("disk_refused", 1);
         self.line(format!(
-            "the disk refused ({why}): this core neither leads nor votes until a write succeeds; it tries by itself"
+            "the disk refused ({why}): this replica neither leads nor votes until a write succeeds; it tries by itself"
         ));
         self.resign(now);
     }
@@ -120,7 +120,7 @@
         if self.storage.stalls(now.mono, patience) {
             self.count("disk_stalled", 1);
             self.line(format!(
-                "the disk has confirmed nothing for {patience} ms: this core neither leads nor votes until it does"
+                "the disk has confirmed nothing for {patience} ms: this replica neither leads nor votes until it does"
             ));
             self.resign(now);
         }
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -1,4 +1,4 @@
-//! The numbered feed: nodes follow the record from a place on, and start from a capture.
+//! The numbered watch: nodes follow the cluster state from a place on, and start from a snapshot.
 
 use super::clock::ClockReading;
 use super::{Replica, Role, Watcher};
@@ -9,7 +9,7 @@
 };
 use std::collections::BTreeSet;
 
-/// So many entries are taken in by a capture rather than one by one.
+/// So many entries are taken in by a snapshot rather than one by one.
 const FAR: u64 = 1024;
 /// Entries in one batch to a node.
 const WATCH_ENTRIES: u64 = 512;
@@ -86,7 +86,7 @@
             .for_each(|f| f.sent = reached.max(f.sent));
     }
 
-    /// Whether a node is to follow a light copy: it has too little of a processor for duties, and others have enough.
+    /// Whether a node is to follow a light copy: it has too little of a processor for leases, and others have enough.
     fn wants_light(&self, now: Now, m: &WatchRequest) -> bool {
         let able = |f: &Watcher| u64::from(f.share) >= super::leases::TINY;
         u64::from(m.share) < super::leases::TINY
@@ -94,7 +94,7 @@
                 || self.watchers.values().any(able))
     }
 
-    /// New entries go out as soon as they are committed to those who hold duties; the others hear them when they pull.
+    /// New entries go out as soon as they are committed to those who hold leases; the others hear them when they pull.
     pub(super) fn push_to_watchers(&mut self, now: Now) {
         let holders: BTreeSet<String> = self
             .state
@@ -125,7 +125,7 @@
     }
 
     /// Whether a node at a place is to start over from a snapshot: a place behind the log, or ahead of it (of a cluster
-    /// that was), or one far behind, since the record is smaller than all that made it. One that has just fetched a
+    /// that was), or one far behind, since the cluster state is smaller than all that made it. One that has just fetched a
     /// snapshot goes on with the log, however much was added meanwhile.
     fn needs_snapshot(&self, node: &str, log_index: u64) -> bool {
         let (light, fetched) = self
@@ -161,7 +161,7 @@
         if light {
             entries.retain(|e| Command::concerns_all(&e.command));
         }
-        self.count("feed_entries", entries.len() as u64);
+        self.count("watch_entries", entries.len() as u64);
         let replicas = self.members().into_keys().collect();
         let clock = self.clock.read(now);
         let batch = WatchBatch {
@@ -192,7 +192,7 @@
         command: Vec<u8>,
     ) {
         if !Command::may_be_proposed(&command) {
-            self.count("proposals_out_of_place", 1);
+            self.count("proposals_unexpected", 1);
             return;
         }
         if !self.settled() || self.is_transferring_leadership(now) || !self.accepts_orders(now) {
@@ -248,7 +248,7 @@
         self.needs_round = true;
     }
 
-    /// Reads are answered once a majority has confirmed, after they were asked, that this core still leads.
+    /// Reads are answered once a majority has confirmed, after they were asked, that this replica still leads.
     pub(super) fn answer_reads(&mut self, now: Now) {
         if self.reads.is_empty() {
             return;
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -3,7 +3,7 @@
 use super::snapshot::REPEAT_AFTER_HEARTBEATS;
 use super::Replica;
 use crate::sans_io::Now;
-use crate::snapshot_chunks::{ChunkedSnapshot, Identity};
+use crate::snapshot_chunks::{ChunkedSnapshot, SnapshotId};
 use crate::wire::{Body, WatchRequest, WatchSnapshotChunk};
 use std::sync::Arc;
 
@@ -96,8 +96,8 @@
         follower.chunk = chunk;
         follower.fetched = of.index;
         let commit = self.commit;
-        self.count("feed_captures", u64::from(chunk.offset == 0 && !same));
-        self.count("feed_chunks", 1);
+        self.count("watch_snapshots", u64::from(chunk.offset == 0 && !same));
+        self.count("watch_chunks", 1);
         let body = WatchSnapshotChunk {
             commit,
             light,
@@ -114,7 +114,7 @@
     /// The snapshot that a node has a part of, if the log still follows on it; else one that is new enough.
     fn watch_snapshot(&mut self, now: Now, light: bool, m: &WatchRequest) -> Arc<ChunkedSnapshot> {
         let (base, log_index) = (self.base.0, self.state.applied_index);
-        let has = |of: Identity| (of.index, of.checksum) == (m.part_index, m.part_checksum);
+        let has = |of: SnapshotId| (of.index, of.checksum) == (m.part_index, m.part_checksum);
         let usable = |k: &Kept| k.light == light && k.snapshot.identity().index >= base;
         let fresh = |k: &Kept| log_index.saturating_sub(k.snapshot.identity().index) <= SHARED_FOR;
         let snapshots = &mut self.watch_snapshots;
--- a/landingdrift/src/daemon/calls.rs
+++ b/landingdrift/src/daemon/calls.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Calls whose callers wait for a verdict; one control thread answers them, any number of addresses may open them.
+/// Calls whose callers wait for a response; one control thread answers them, any number of addresses may open them.
 #[derive(Clone)]
 pub struct Calls {
     open: Arc<DashMap<u64, Sender<Response>>>,
@@ -24,7 +24,7 @@
 }
 
 impl Calls {
-    /// Gives a call its verdict, if anybody waits for it still.
+    /// Gives a call its response, if anybody waits for it still.
     pub fn answer(&self, call: u64, v: Response) {
         if let Some((_, tx)) = self.open.remove(&call) {
             let _ = tx.send(v);
--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -1,6 +1,6 @@
 use super::calls::Calls;
 use super::disks::Disk;
-use super::ending::{Ending, StopSpans};
+use super::shutdown_timer::{GracePeriods, ShutdownTimer};
 use super::traffic::Transport;
 use crate::sans_io::{Effect, Msg, Now, Part, Request};
 use crate::settings::Settings;
@@ -53,7 +53,7 @@
     pub disk: Option<Disk>,
     pub calls: Calls,
     pub tick: Duration,
-    pub ending: Ending,
+    pub shutdown_timer: ShutdownTimer,
 }
 
 impl Control {
@@ -73,7 +73,7 @@
             disk,
             calls,
             tick: Duration::from_millis(s.bounds.tick()),
-            ending: Ending::new(StopSpans::of(&s.bounds)),
+            shutdown_timer: ShutdownTimer::new(GracePeriods::of(&s.bounds)),
         }
     }
 
@@ -110,17 +110,17 @@
         match &msg {
             Msg::SettingsChanged(s) => {
                 self.tick = Duration::from_millis(s.bounds.tick());
-                self.ending.spans = StopSpans::of(&s.bounds);
+                self.shutdown_timer.spans = GracePeriods::of(&s.bounds);
             }
-            Msg::Stop => self.ending.ask(Instant::now()),
+            Msg::Stop => self.shutdown_timer.ask(Instant::now()),
             _ => {}
         }
         let before = effects.len();
         effects.extend(self.part.step(self.clock.now(), msg));
         if effects[before..].iter().any(|e| matches!(e, Effect::Exit)) {
-            self.ending.part_is_done();
+            self.shutdown_timer.part_is_done();
         }
-        self.ending.over(Instant::now(), self.calls.idle())
+        self.shutdown_timer.over(Instant::now(), self.calls.idle())
     }
 
     fn carry_out(&mut self, effect: Effect) {
--- a/landingdrift/src/daemon/disks.rs
+++ b/landingdrift/src/daemon/disks.rs
@@ -26,12 +26,12 @@
 
 /// How long to wait before a disk that refused is tried again; each pause is twice the one before.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses {
+pub struct Backoff {
     pub next: Duration,
     pub longest: Duration,
 }
 
-impl Pauses {
+impl Backoff {
     /// The pauses that the bounds allow for.
     pub fn of(bounds: &Bounds) -> Self {
         Self {
@@ -41,7 +41,7 @@
     }
 }
 
-impl Iterator for Pauses {
+impl Iterator for Backoff {
     type Item = Duration;
     fn next(&mut self) -> Option<Duration> {
         let pause = self.next;
@@ -58,11 +58,11 @@
     pub fn start(
         store: impl Store + 'static,
         inputs: Sender<Input>,
-        pauses: Pauses,
+        backoff: Backoff,
     ) -> Result<Self, String> {
         let (tx, rx) = channel::<WriteBatch>();
         threads::spawn("disk", threads::SMALL, move || {
-            write(store, &rx, &inputs, pauses);
+            write(store, &rx, &inputs, backoff);
         })?;
         Ok(Self(tx))
     }
@@ -78,13 +78,13 @@
     mut store: impl Store,
     saves: &Receiver<WriteBatch>,
     inputs: &Sender<Input>,
-    pauses: Pauses,
+    backoff: Backoff,
 ) {
     while let Ok(first) = saves.recv() {
         let mut batch = vec![first];
         batch.extend(saves.try_iter());
         let write_id = batch.last().map_or(0, |s| s.write_id);
-        let written = save_at_last(&mut store, &batch, inputs, pauses);
+        let written = save_at_last(&mut store, &batch, inputs, backoff);
         if written.is_none() || inputs.send(Input::Msg(Msg::Persisted(write_id))).is_err() {
             return;
         }
@@ -96,13 +96,13 @@
     store: &mut impl Store,
     batch: &[WriteBatch],
     inputs: &Sender<Input>,
-    mut pauses: Pauses,
+    mut backoff: Backoff,
 ) -> Option<()> {
     let mut written = store.save(batch);
     while let Err(why) = written {
         let told = Msg::DiskFailed(why.to_string());
         inputs.send(Input::Msg(told)).ok()?;
-        sleep(pauses.next().unwrap_or_default());
+        sleep(backoff.next().unwrap_or_default());
         // Whatever of the batch was written is cut off first, then all of it is written again in order.
         written = store.recover().and_then(|()| store.save(batch));
     }
--- a/landingdrift/src/daemon/opening.rs
+++ b/landingdrift/src/daemon/opening.rs
@@ -1,6 +1,6 @@
 use super::calls::Calls;
 use super::control::Input;
-use super::disks::Pauses;
+use super::disks::Backoff;
 use crate::consensus::Loaded;
 use crate::disk::{DataFolder, StorageError};
 use crate::sans_io::{Msg, Request, Response};
@@ -24,7 +24,7 @@
     calls: &Calls,
     inputs: &Receiver<Input>,
 ) -> Result<Option<(DataFolder, Loaded)>, StorageError> {
-    for (max_attempts, pause) in Pauses::of(&s.bounds).enumerate() {
+    for (max_attempts, pause) in Backoff::of(&s.bounds).enumerate() {
         log::warn!("the data folder can't be opened ({why}): tried again in {pause:?}");
         if !wait(pause, calls, inputs, &why, max_attempts as u64) {
             return Ok(None);
@@ -57,7 +57,7 @@
         match inputs.recv_timeout(until.saturating_duration_since(Instant::now())) {
             Ok(Input::Call(req, call)) => calls.answer(call, response(&req, why, max_attempts)),
             Ok(Input::Msg(Msg::Stop)) | Err(RecvTimeoutError::Disconnected) => return false,
-            // What others say is said again once there is a core to hear it.
+            // What others say is said again once there is a replica to hear it.
             Ok(Input::Msg(_)) => {}
             Err(RecvTimeoutError::Timeout) => return true,
         }
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -1,6 +1,6 @@
 use super::calls::Calls;
 use super::control::{Clock, Control, Input};
-use super::disks::{Disk, Pauses};
+use super::disks::{Backoff, Disk};
 use super::signals::Ended;
 use super::traffic::{Frames, HttpAdapter, HttpLimits, Traffic, Transport};
 use super::{logs, opening, signals, threads};
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Starts a core on its data folder. Where the disk refuses, the folder is tried again while the other parts serve.
+    /// Starts a replica on its data folder. Where the disk refuses, the folder is tried again while the other parts serve.
     pub fn replica(&mut self, s: &Settings) -> Result<Handle, String> {
         let seed = self.seed(&s.listen);
         let term_start_index = opening::open(s, seed);
@@ -218,7 +218,7 @@
     }
 }
 
-/// All that a core needs to start, but its data folder.
+/// All that a replica needs to start, but its data folder.
 struct CoreStart {
     settings: Settings,
     seed: u64,
@@ -229,7 +229,7 @@
 }
 
 impl CoreStart {
-    /// Opens the folder at last, and runs the core.
+    /// Opens the folder at last, and runs the replica.
     fn run(self, why: StorageError, received: &Receiver<Input>) {
         let (calls, seed) = (self.calls.clone(), self.seed);
         let term_start_index = opening::open_at_last(&self.settings, seed, why, &calls, received);
@@ -247,7 +247,7 @@
     fn control(self, (folder, loaded): (DataFolder, Loaded)) -> Result<Control, String> {
         let s = &self.settings;
         let replica = Replica::new(s.clone(), loaded, self.clock.now(), self.seed)?;
-        let disk = Disk::start(folder, self.inputs, Pauses::of(&s.bounds))?;
+        let disk = Disk::start(folder, self.inputs, Backoff::of(&s.bounds))?;
         let (part, disk) = (Box::new(replica), Some(disk));
         Ok(Control::new(
             part,
--- a/landingdrift/src/daemon/roles.rs
+++ b/landingdrift/src/daemon/roles.rs
@@ -2,33 +2,33 @@
 use super::traffic::{HttpAdapter, HttpLimits};
 use crate::node::Node;
 use crate::sans_io::roles::Role;
-use crate::settings::{from_words, Settings, FLAGS};
+use crate::settings::{from_arguments, Settings, FLAGS};
 use std::ffi::OsString;
 use std::time::Duration;
 
 inventory::submit! { Role { name: "core", summary: "keeps the record on disk, with two others", run: run_core } }
 inventory::submit! { Role { name: "node", summary: "serves callers, workers and operators; places jobs", run: run_node } }
 
-fn run_core(words: Vec<OsString>) -> i32 {
-    run("core", words)
+fn run_core(arguments: Vec<OsString>) -> i32 {
+    run("core", arguments)
 }
 
-fn run_node(words: Vec<OsString>) -> i32 {
-    run("node", words)
+fn run_node(arguments: Vec<OsString>) -> i32 {
+    run("node", arguments)
 }
 
 fn usage(role: &str) {
-    crate::say!("landingdrift {role} [flags]\n\nFlags win over the settings file.\n");
+    crate::outln!("landingdrift {role} [flags]\n\nFlags win over the settings file.\n");
     FLAGS
         .iter()
         .filter(|(f, _)| role == "core" || *f != "data")
-        .for_each(|(f, what)| crate::say!("  --{f} {what}"));
-    crate::say!("  --check  check the settings and end\n  --help");
+        .for_each(|(f, what)| crate::outln!("  --{f} {what}"));
+    crate::outln!("  --check  check the settings and end\n  --help");
 }
 
-fn run(role: &'static str, words: Vec<OsString>) -> i32 {
+fn run(role: &'static str, arguments: Vec<OsString>) -> i32 {
     let replica = role == "core";
-    let asked = match from_words(words.clone(), replica) {
+    let asked = match from_arguments(arguments.clone(), replica) {
         Ok(a) => a,
         Err(e) => {
             eprintln!("landingdrift {role}: {e}");
@@ -40,16 +40,16 @@
         return 0;
     }
     if asked.check_only {
-        crate::say!("settings are right");
+        crate::outln!("settings are right");
         return 0;
     }
-    start(role, asked.settings, words).unwrap_or_else(|why| {
+    start(role, asked.settings, arguments).unwrap_or_else(|why| {
         eprintln!("landingdrift {role}: {why}");
         1
     })
 }
 
-fn start(role: &'static str, s: Settings, words: Vec<OsString>) -> Result<i32, String> {
+fn start(role: &'static str, s: Settings, arguments: Vec<OsString>) -> Result<i32, String> {
     let replica = role == "core";
     let mut process = Process::start(&s.log)?;
     let part = if replica {
@@ -65,14 +65,14 @@
     process.http(addr, limits(&s), HttpAdapter::default(), &part)?;
     log::info!("{role} {} serves HTTP at {}", s.listen, s.http);
     let reread = || {
-        from_words(words.clone(), replica)
+        from_arguments(arguments.clone(), replica)
             .map(|asked| vec![asked.settings])
             .map_err(|e| e.to_string())
     };
     process.run(&reread).map(|()| 0)
 }
 
-/// A part turns away calls beyond its limit itself; as many places again are for the beats and probes it always takes.
+/// A part rejects calls beyond its limit itself; as many places again are for the heartbeats and probes it always takes.
 fn limits(s: &Settings) -> HttpLimits {
     HttpLimits {
         patience: Duration::from_millis(s.bounds.state_ms),
--- a/landingdrift/src/daemon/ending.rs
+++ b/landingdrift/src/daemon/shutdown_timer.rs
@@ -3,14 +3,14 @@
 
 /// How long a part is kept after it was told to stop.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StopSpans {
+pub struct GracePeriods {
     /// It goes on for so long, even where it is done before.
     pub serve: Duration,
     /// It is ended after so long, even where it is not done.
     pub most: Duration,
 }
 
-impl StopSpans {
+impl GracePeriods {
     /// The spans that the bounds allow for.
     pub fn of(bounds: &Bounds) -> Self {
         Self {
@@ -23,15 +23,15 @@
 /// When the thread of a part ends. A part that was told to stop is stepped on until its callers have gone elsewhere,
 /// then until no caller waits; one that ends by itself ends at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ending {
-    pub spans: StopSpans,
+pub struct ShutdownTimer {
+    pub spans: GracePeriods,
     asked: Option<Instant>,
     done: bool,
 }
 
-impl Ending {
+impl ShutdownTimer {
     /// Nothing has been told yet.
-    pub fn new(spans: StopSpans) -> Self {
+    pub fn new(spans: GracePeriods) -> Self {
         Self {
             spans,
             ..Self::default()
--- a/landingdrift/src/daemon/traffic/http/http_adapter.rs
+++ b/landingdrift/src/daemon/traffic/http/http_adapter.rs
@@ -22,13 +22,13 @@
 
 /// What is done with a call.
 pub enum Handling {
-    /// The part is asked, and its verdict told so.
+    /// The part is asked, and its response told so.
     Ask(Request, Box<dyn FnOnce(Response) -> Reply + Send>),
     /// It is answered without asking.
     Reply(Reply),
 }
 
-/// How calls at an address become requests, and verdicts replies.
+/// How calls at an address become requests, and responses replies.
 #[derive(Clone)]
 pub struct HttpAdapter {
     pub(super) read: Arc<dyn Fn(Asked) -> Handling + Send + Sync>,
@@ -58,7 +58,7 @@
     Handling::Ask(req, Box::new(write))
 }
 
-/// A verdict in the manner of landingdrift's own pages.
+/// A response in the manner of landingdrift's own pages.
 pub(super) fn write(mut v: Response) -> Reply {
     let retry = Some(v.retry_ms).filter(|ms| *ms > 0);
     if let (Some(ms), Value::Object(o)) = (retry, &mut v.body) {
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers, workers and operators, by `rocket`: it reads the call, control gives the verdict.
+//! HTTP towards callers, workers and operators, by `rocket`: it reads the call, control gives the response.
 
 mod http_adapter;
 mod request_handler;
@@ -24,7 +24,7 @@
 /// What one address may cost.
 #[derive(Clone, Debug)]
 pub struct HttpLimits {
-    /// How long a body may take to come, and then a verdict.
+    /// How long a body may take to come, and then a response.
     pub patience: Duration,
     /// The longest body in bytes.
     pub bytes: u64,
--- a/landingdrift/src/daemon/traffic/http/request_handler.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -15,7 +15,7 @@
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 
-/// When a caller that found no verdict should come back.
+/// When a caller that found no response should come back.
 const RETRY_MS: u64 = 1000;
 
 /// Where calls at one address come in.
@@ -100,7 +100,7 @@
     Response::error(503, "leaving", message).retry(RETRY_MS)
 }
 
-/// The answer to a call that was handed on and found no verdict.
+/// The answer to a call that was handed on and found no response.
 fn unsure() -> Response {
     let message = "this process gave no verdict: ask again, here or at another node";
     Response::error(503, "unsure", message).retry(RETRY_MS)
--- a/landingdrift/src/daemon/traffic/http/serving.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -17,7 +17,7 @@
     Refusing,
 }
 
-/// The gate that all HTTP addresses of a process share.
+/// The serving state that all HTTP addresses of a process share.
 #[derive(Clone)]
 pub struct ServingState(Arc<State>);
 
--- a/landingdrift/src/daemon/traffic/mod.rs
+++ b/landingdrift/src/daemon/traffic/mod.rs
@@ -51,7 +51,7 @@
         frames::listen(&self.handle, frames, inputs)
     }
 
-    /// The gate of all HTTP addresses.
+    /// The serving state of all HTTP addresses.
     pub fn serving(&self) -> &ServingState {
         &self.serving
     }
--- a/landingdrift/src/disk/directory.rs
+++ b/landingdrift/src/disk/directory.rs
@@ -1,4 +1,4 @@
-use super::defect::{io, StorageError};
+use super::error::{io, StorageError};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self as std_io, Write};
 use std::path::Path;
--- a/landingdrift/src/disk/frames.rs
+++ b/landingdrift/src/disk/frames.rs
@@ -1,7 +1,7 @@
 use crate::sans_io::{HardState, Snapshot};
 use crate::wire::{DurabilityWitness, Entry};
 
-/// One piece of a segment or capture file.
+/// One piece of a segment or snapshot file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     HardState(HardState),
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -1,4 +1,4 @@
-use super::defect::{io, StorageError};
+use super::error::{io, StorageError};
 use super::frames::Frame;
 use crate::sans_io::{HardState, Snapshot};
 use crate::wire::{DurabilityWitness, Entry};
@@ -41,7 +41,7 @@
     Ok(of)
 }
 
-/// Reads the newest whole capture and all segments. With `mend`, a torn tail is cut off.
+/// Reads the newest whole snapshot and all segments. With `mend`, a torn tail is cut off.
 pub fn load(path: &Path, mend: bool) -> Result<Found, StorageError> {
     let mut found = Found::default();
     for (_, p) in numbered(path, "capture-", ".capture")?.iter().rev() {
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -1,18 +1,18 @@
-//! The data folder: a log in segments with captures beside it; only what is synced counts.
+//! The data folder: a log in segments with snapshots beside it; only what is synced counts.
 
-mod defect;
 mod directory;
+mod error;
 mod frames;
 mod load;
 
-pub use defect::StorageError;
 pub use directory::{Directory, FileSystem};
+pub use error::StorageError;
 
 use crate::consensus::Loaded;
 use crate::sans_io::{HardState, Snapshot, WriteBatch};
 use crate::wire::DurabilityWitness;
-use defect::io;
 use directory::{make_durable, write_whole};
+use error::io;
 use frames::Frame;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
@@ -22,11 +22,11 @@
 /// Version of the folder's format; another one is refused.
 pub const FOLDER_VERSION: u16 = 1;
 
-const MARK: &str = "landingdrift.json";
+const MARKER_FILE: &str = "landingdrift.json";
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Mark {
+struct FolderMarker {
     format: u16,
     cluster: String,
     disk: u64,
@@ -185,7 +185,7 @@
         let mut head = self.head.clone();
         let mut bytes = Vec::new();
         batch.iter().for_each(|s| head.write(s, &mut bytes));
-        // A capture goes first: a cut that relies on it must not be seen without it.
+        // A snapshot goes first: a cut that relies on it must not be seen without it.
         for c in batch.iter().filter_map(|s| s.snapshot.as_ref()) {
             self.write_snapshot(c)?;
         }
@@ -234,7 +234,7 @@
         self.roll()
     }
 
-    /// Removes what a full disk can do without: captures that were not written whole, and all whole ones but the newest.
+    /// Removes what a full disk can do without: snapshots that were not written whole, and all whole ones but the newest.
     fn make_room(&self) -> Result<(), StorageError> {
         let halves = load::numbered(&self.path, "capture-", ".new")?;
         let whole = load::numbered(&self.path, "capture-", ".capture")?;
@@ -252,7 +252,7 @@
         write_whole(self.directory.as_ref(), &path, &bytes)
     }
 
-    /// Segments that end before the capture, and all but the two newest captures, are not needed any more.
+    /// Segments that end before the snapshot, and all but the two newest snapshots, are not needed any more.
     fn drop_old(&mut self, index: u64) -> Result<(), StorageError> {
         self.roll()?;
         let (old, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.closed)
@@ -284,8 +284,8 @@
     path: &Path,
     cluster: &str,
     fresh: u64,
-) -> Result<Mark, StorageError> {
-    let mark_path = path.join(MARK);
+) -> Result<FolderMarker, StorageError> {
+    let mark_path = path.join(MARKER_FILE);
     if !mark_path.exists() {
         let names = fs::read_dir(path).map_err(io(path))?;
         let strange = names
@@ -294,7 +294,7 @@
         (!strange)
             .then_some(())
             .ok_or_else(|| StorageError::Foreign(path.to_path_buf()))?;
-        let mark = Mark {
+        let mark = FolderMarker {
             format: FOLDER_VERSION,
             cluster: cluster.into(),
             disk: fresh,
@@ -326,10 +326,10 @@
     Ok(lock)
 }
 
-fn read_mark(path: &Path) -> Result<Mark, StorageError> {
-    let p = path.join(MARK);
+fn read_mark(path: &Path) -> Result<FolderMarker, StorageError> {
+    let p = path.join(MARKER_FILE);
     let bytes = fs::read(&p).map_err(io(&p))?;
-    let mark: Mark =
+    let mark: FolderMarker =
         serde_json::from_slice(&bytes).map_err(|_| StorageError::Foreign(path.to_path_buf()))?;
     (mark.format == FOLDER_VERSION)
         .then_some(())
@@ -338,8 +338,8 @@
 }
 
 /// Reads a data folder without changing it.
-fn look(path: &Path) -> Result<(Mark, load::Found), StorageError> {
-    path.join(MARK)
+fn look(path: &Path) -> Result<(FolderMarker, load::Found), StorageError> {
+    path.join(MARKER_FILE)
         .exists()
         .then_some(())
         .ok_or_else(|| StorageError::Foreign(path.to_path_buf()))?;
--- a/landingdrift/src/lib.rs
+++ b/landingdrift/src/lib.rs
@@ -1,8 +1,8 @@
 //! landingdrift: a scheduler for jobs on borrowed workers.
 //!
-//! Every part (a core's agreement, a node's cells, schedulers and calls) is a
+//! Every part (a replica's agreement, a node's zone schedulers, schedulers and calls) is a
 //! [`sans_io::Part`]: it takes one message at a time and gives effects back.
-//! Daemons and the rehearsal's simulator run the same parts.
+//! Daemons and the simulation's simulator run the same parts.
 
 pub mod config;
 pub mod consensus;
@@ -21,7 +21,7 @@
 
 /// Prints a line; a reader that went away is no reason to panic.
 #[macro_export]
-macro_rules! say {
+macro_rules! outln {
     ($($text:tt)*) => {{
         use std::io::Write;
         let _ = writeln!(std::io::stdout(), $($text)*);
--- a/landingdrift/src/node/calls/heartbeats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' beats and leaves, which the holder of the worker's cell answers.
+//! Workers' heartbeats and leaves, which the holder of the worker's zone scheduler answers.
 
 use super::Origin;
 use crate::node::zone_scheduler::Heartbeat;
@@ -47,10 +47,10 @@
         let remote = matches!(origin, Origin::Remote(..));
         match holder {
             Some(h) if h != self.name && !h.is_empty() && !remote => {
-                self.pass_on(now, origin, &h, &req)
+                self.forward_on(now, origin, &h, &req)
             }
             Some(h) if h != self.name && !h.is_empty() => {
-                // A beat is passed on once; who is asked by another names the holder it knows.
+                // A heartbeat is passed on once; who is asked by another names the holder it knows.
                 let v = Response {
                     by: h,
                     ..Response::error(
@@ -72,20 +72,20 @@
         }
     }
 
-    /// A worker has left: the holder of its cell takes note.
+    /// A worker has left: the holder of its zone scheduler takes note.
     pub(super) fn on_left(&mut self, now: Now, origin: Origin, worker: &str, req: &Request) {
         let known = self.state.workers.get(worker);
         let zone = known.map(|w| w.info.zone.clone()).unwrap_or_default();
         let holder = self.state.holder(&zone_lease(&zone));
         let holder = holder.map(|g| g.holder.clone()).unwrap_or_default();
         if !holder.is_empty() && holder != self.name && matches!(origin, Origin::Local(_)) {
-            return self.pass_on(now, origin, &holder, req);
+            return self.forward_on(now, origin, &holder, req);
         }
         self.left(now, worker);
         self.reply(&origin, Response::new(200, json!({"worker": worker})));
     }
 
-    /// A zone that nobody declared and no node stands in has no cell.
+    /// A zone that nobody declared and no node stands in has no zone scheduler.
     fn found_zone(&mut self, heartbeat: &Heartbeat) -> Response {
         Response::error(
             503,
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -56,7 +56,7 @@
         if !self.state.open.contains(&spec.id)
             && self.state.open.len() as u64 >= self.settings.limits.open_jobs
         {
-            self.count("jobs_turned_away", 1);
+            self.count("jobs_rejected", 1);
             return self.reply(
                 &origin,
                 Response::error(503, "full", "the system holds as many unfinished jobs as it may and took nothing of this call: come back later").retry(5 * self.settings.bounds.back()),
@@ -137,8 +137,8 @@
         })
     }
 
-    /// An end is told at once; else the feed must be as new as the question, so that no state told elsewhere is taken back.
-    /// For a job it doesn't know, or before it has caught up with the feed, the core is asked.
+    /// An end is told at once; else the watch must be as new as the question, so that no state told elsewhere is taken back.
+    /// For a job it doesn't know, or before it has caught up with the watch, the replica is asked.
     pub(super) fn poll(&mut self, now: Now, origin: Origin, id: &str) {
         let kept = self
             .state
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Where a call came from, and where its verdict goes.
+/// Where a call came from, and where its response goes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Origin {
     Local(u64),
@@ -24,7 +24,7 @@
     Remote(String, RequestToken),
 }
 
-/// What is done once the core has ruled on a proposal.
+/// What is done once the replica has ruled on a proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Then {
     Accepted { id: String },
@@ -35,28 +35,28 @@
 }
 
 enum State {
-    /// Waits for a ruling of the record.
+    /// Waits for a result of the cluster state.
     ProposalPending,
-    /// Asked cores how far the record goes, one after the other; the next is asked at `next`.
+    /// Asked replicas how far the cluster state goes, one after the other; the next is asked at `next`.
     Asked {
         then: ReadThen,
         next: u64,
         asked: Vec<String>,
     },
-    /// Waits until the feed has come to a place.
+    /// Waits until the watch has come to a place.
     Following {
         then: ReadThen,
         log_index: u64,
         nodes: Vec<NodeProgress>,
     },
-    /// Waits until the feed has told all that was committed when the question came; after `patience` it tells what it knows.
+    /// Waits until the watch has told all that was committed when the question came; after `patience` it tells what it knows.
     Fresh {
         id: String,
         asked: u64,
         patience: u64,
     },
     /// Passed on to another node, once.
-    Passed { to: String },
+    Forwarded { to: String },
 }
 
 struct Open {
@@ -91,7 +91,7 @@
         .map(|(_, v)| v)
 }
 
-/// Whether a call asks what a light copy of the record does not know.
+/// Whether a call asks what a light copy of the cluster state does not know.
 fn about_jobs(method: &str, parts: &[&str]) -> bool {
     method == "GET" && matches!(parts, ["v1", "jobs" | "status" | "workers", ..])
 }
@@ -106,7 +106,7 @@
             && parts != ["v1", "beats"]
             && self.calls.len() as u64 >= self.settings.limits.calls
         {
-            self.count("calls_turned_away", 1);
+            self.count("calls_rejected", 1);
             return self.reply(
                 &origin,
                 Response::error(
@@ -211,7 +211,7 @@
         for call in over {
             let passed = matches!(
                 self.calls.open.get(&call).map(|o| &o.state),
-                Some(State::Passed { .. })
+                Some(State::Forwarded { .. })
             );
             let v = if passed {
                 self.unsure_response()
@@ -235,7 +235,7 @@
         ask.into_iter().for_each(|c| self.ask_place(now, c, None));
     }
 
-    /// The record has ruled on what a call proposed.
+    /// The cluster state has ruled on what a call proposed.
     pub(super) fn call_ruled(&mut self, call: u64, then: Then, ruled: ApplyResult) {
         let v = match then {
             // An earlier copy may have been taken.
--- a/landingdrift/src/node/calls/pass.rs
+++ b/landingdrift/src/node/calls/pass.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 impl Node {
-    /// Passes a call on to a node that holds a duty, and so follows jobs and workers.
+    /// Passes a call on to a node that holds a lease, and so follows jobs and workers.
     pub(super) fn forward_to_holder(&mut self, now: Now, origin: Origin, req: &Request) {
         let holders: Vec<String> = self
             .state
@@ -18,7 +18,7 @@
             .collect();
         let to = self.rng.pick(&holders).cloned();
         match to.filter(|_| matches!(origin, Origin::Local(_))) {
-            Some(to) => self.pass_on(now, origin, &to, req),
+            Some(to) => self.forward_on(now, origin, &to, req),
             None => {
                 let why = "this node keeps no jobs and knows of none that does: come back later, or go to another node";
                 let v = Response::error(503, "noDuty", why).retry(self.settings.bounds.back());
@@ -27,8 +27,8 @@
         }
     }
 
-    pub(super) fn pass_on(&mut self, now: Now, origin: Origin, to: &str, req: &Request) {
-        let call = self.open(now, origin, State::Passed { to: to.into() });
+    pub(super) fn forward_on(&mut self, now: Now, origin: Origin, to: &str, req: &Request) {
+        let call = self.open(now, origin, State::Forwarded { to: to.into() });
         let m = ForwardRequest {
             token: self.request_token(call, 0),
             method: req.method.clone(),
@@ -36,7 +36,7 @@
             query: req.query.clone(),
             body: req.body.clone(),
         };
-        self.count("calls_passed_on", 1);
+        self.count("calls_forwarded", 1);
         self.send(to, Body::ForwardRequest(Box::new(m)));
     }
 
@@ -56,8 +56,8 @@
     pub(in crate::node) fn on_forwarded(&mut self, from: &str, m: ForwardResponse) {
         let call = m.token.number;
         let passed = self.calls.open.get(&call).map(|o| &o.state);
-        if !matches!(passed, Some(State::Passed { to }) if to == from) {
-            return self.count("answers_unasked", 1);
+        if !matches!(passed, Some(State::Forwarded { to }) if to == from) {
+            return self.count("responses_unexpected", 1);
         }
         let body = serde_json::from_slice(&m.body).unwrap_or(Value::Null);
         self.finish(
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -1,4 +1,4 @@
-//! Reads that are surely not old: a core names the place to follow to, or the feed is as new as the question.
+//! Reads that are surely not old: a replica names the place to follow to, or the watch is as new as the question.
 
 use super::{Open, Origin, State};
 use crate::node::Node;
@@ -6,7 +6,7 @@
 use crate::wire::{Body, NodeProgress, ReadIndexRequest, ReadIndexResponse};
 use serde_json::json;
 
-/// What is done once this node has followed to a place that the core named.
+/// What is done once this node has followed to a place that the replica named.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ReadThen {
     Job { id: String },
@@ -18,7 +18,7 @@
 }
 
 impl Node {
-    /// Reads what is surely not old: the core names the place to follow to.
+    /// Reads what is surely not old: the replica names the place to follow to.
     pub(super) fn read(&mut self, now: Now, origin: Origin, then: ReadThen) {
         let call = self.open(
             now,
@@ -67,7 +67,7 @@
         };
         let attempt = m.token.attempt as usize;
         if asked.get(attempt).is_none_or(|to| to != from) {
-            return self.count("answers_unasked", 1);
+            return self.count("responses_unexpected", 1);
         }
         if m.ok {
             let then = then.clone();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Answers questions after jobs that the feed is now fresh enough for, or that have waited long enough.
+    /// Answers questions after jobs that the watch is now fresh enough for, or that have waited long enough.
     pub(in crate::node) fn answer_fresh(&mut self, now: Now) {
         let fresh_at = self.watch.fresh_at;
         let due: Vec<(u64, String, bool)> = self
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs are placed whole, in one entry of the record.
+//! Gangs are placed whole, in one entry of the cluster state.
 
 use super::Node;
 use crate::state::{zone_lease, ClusterState, Job, Placement, Resources, TaskState};
@@ -92,7 +92,7 @@
 }
 
 impl Node {
-    /// A placement of the whole gang by the record's view of the resources, the offered worker first. A gang that belongs
+    /// A placement of the whole gang by the cluster state's view of the resources, the offered worker first. A gang that belongs
     /// on one rack goes there whole if a rack has the resources now, and else only when it has waited for `patience`.
     pub(super) fn place_gang(
         &self,
@@ -165,7 +165,7 @@
         Some(out)
     }
 
-    /// A placement under the worker's present incarnation and cell.
+    /// A placement under the worker's present incarnation and zone scheduler.
     pub(super) fn placement(&self, worker: &str, task: u32, copy: bool) -> Placement {
         let (incarnation, zone) = self
             .state
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node: follows the feed, serves calls, owns queues and may hold cells.
+//! A node: follows the watch, serves calls, owns queues and may hold zone schedulers.
 
 mod calls;
 mod gangs;
@@ -8,7 +8,7 @@
 mod watch;
 mod zone_scheduler;
 
-pub use zone_scheduler::{judge, Heartbeat, Pace, Run, Running, Why};
+pub use zone_scheduler::{judge, Heartbeat, Pace, RescheduleReason, Run, Running};
 
 use crate::peer_sampler::PeerSampler;
 use crate::sans_io::{fnv1a, Effect, Msg, Now, Part, Response, Rng};
@@ -23,7 +23,7 @@
     pub(crate) name: String,
     pub(crate) rng: Rng,
     pub(crate) state: ClusterState,
-    /// It follows a light copy: configuration, duties and members, neither jobs nor workers.
+    /// It follows a light copy: configuration, leases and members, neither jobs nor workers.
     pub(crate) light: bool,
     pub(crate) watch: watch::Watch,
     pub(crate) peer_sampler: PeerSampler,
@@ -83,7 +83,7 @@
         self.next_token
     }
 
-    /// What goes out with one send of a request.
+    /// What goes out with one attempt of a request.
     pub(crate) fn request_token(&self, number: u64, attempt: usize) -> RequestToken {
         RequestToken {
             incarnation: self.incarnation,
@@ -95,7 +95,7 @@
     /// Whether an answer is to a request of this life of the process; others are counted and dropped.
     fn is_own(&mut self, token: &RequestToken) -> bool {
         let own = token.incarnation == self.incarnation;
-        self.count("answers_to_another_life", u64::from(!own));
+        self.count("responses_to_another_incarnation", u64::from(!own));
         own
     }
 
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Whether the feed is fresh enough to act on.
+    /// Whether the watch is fresh enough to act on.
     pub(crate) fn fresh(&self, now: Now) -> bool {
         self.watch.has_snapshot
             && now.mono.saturating_sub(self.watch.fresh_at) <= self.settings.bounds.fresh()
     }
 
-    /// Whether this node may speak for the cells it holds.
+    /// Whether this node may speak for the zone schedulers it holds.
     pub(crate) fn speaks(&self, now: Now) -> bool {
         self.watch.has_snapshot
             && now.mono.saturating_sub(self.watch.fresh_at) <= self.settings.bounds.speaks()
@@ -124,7 +124,7 @@
         self.fresh(now) && self.stopping.is_none()
     }
 
-    /// The epoch under which this node holds a duty, if it does.
+    /// The epoch under which this node holds a lease, if it does.
     pub(crate) fn epoch(&self, lease: &str) -> Option<u64> {
         self.state
             .holder(lease)
@@ -182,11 +182,11 @@
             | Body::OfferResponse(_)
             | Body::OfferOutcome(_)
             | Body::ForwardResponse(_) => {}
-            _ => self.count("messages_out_of_place", 1),
+            _ => self.count("messages_unexpected", 1),
         }
     }
 
-    /// The record as this node follows it.
+    /// The cluster state as this node follows it.
     pub fn state(&self) -> &ClusterState {
         &self.state
     }
@@ -233,10 +233,10 @@
             .iter()
             .map(|(k, v)| (k.to_string(), *v))
             .collect();
-        all.push(("follows_light".into(), u64::from(self.light)));
-        all.push(("feed_place".into(), self.state.applied_index));
+        all.push(("watches_light_copy".into(), u64::from(self.light)));
+        all.push(("watch_index".into(), self.state.applied_index));
         all.push(("version_in_force".into(), self.state.version));
-        all.push(("cells_held".into(), self.zone_schedulers.len() as u64));
+        all.push(("zones_held".into(), self.zone_schedulers.len() as u64));
         all.push(("calls_open".into(), self.calls.len() as u64));
         all.push(("jobs_open".into(), self.state.open.len() as u64));
         all.push(("view_size".into(), self.peer_sampler.len() as u64));
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -1,4 +1,4 @@
-//! Proposals to the core: each is a ledger of sends from which the next move is derived.
+//! Proposals to the replica: each is a history of attempts of attempts from which the next move is derived.
 
 use super::calls::Then;
 use super::Node;
@@ -6,18 +6,18 @@
 use crate::state::{unpack_apply_result, Command, Order, ProposalId};
 use crate::wire::{Body, ProposeRequest, ProposeResponse, RequestToken};
 
-/// One send of a proposal to a core.
+/// One attempt of a proposal to a replica.
 struct ProposalAttempt {
     to: String,
     at: u64,
-    came: Came,
+    outcome: AttemptOutcome,
 }
 
-/// What came of one send.
+/// What came of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Came {
+enum AttemptOutcome {
     Nothing,
-    /// The core does not lead: it has taken nothing.
+    /// The replica does not lead: it has taken nothing.
     NotTaken,
 }
 
@@ -44,7 +44,7 @@
     },
 }
 
-/// One proposal with its ledger.
+/// One proposal with its history of attempts.
 pub struct Proposal {
     pub purpose: Purpose,
     /// As it goes out; an order is packed with its deadline when the agreed time is known.
@@ -65,7 +65,7 @@
 /// The next move of a proposal.
 enum Move {
     Wait,
-    SendOn,
+    Resend,
     GiveUp,
 }
 
@@ -73,26 +73,29 @@
     fn next(&self, now: Now, heartbeat: u64) -> Move {
         match self.attempts.last() {
             _ if now.mono >= self.until => Move::GiveUp,
-            None => Move::SendOn,
-            Some(last) if last.came == Came::NotTaken && now.mono >= last.at + heartbeat / 4 => {
-                Move::SendOn
+            None => Move::Resend,
+            Some(last)
+                if last.outcome == AttemptOutcome::NotTaken
+                    && now.mono >= last.at + heartbeat / 4 =>
+            {
+                Move::Resend
             }
             Some(last)
-                if last.came == Came::Nothing
+                if last.outcome == AttemptOutcome::Nothing
                     && self.idempotent
                     && now.mono >= last.at + 5 * heartbeat =>
             {
-                Move::SendOn
+                Move::Resend
             }
             _ => Move::Wait,
         }
     }
 
-    /// Whether some core may have taken it.
+    /// Whether some replica may have taken it.
     pub fn maybe_taken(&self) -> bool {
         self.attempts
             .iter()
-            .any(|attempt| attempt.came == Came::Nothing)
+            .any(|attempt| attempt.outcome == AttemptOutcome::Nothing)
     }
 }
 
@@ -134,12 +137,12 @@
         match p.next(now, heartbeat) {
             Move::Wait => {}
             Move::GiveUp => self.give_up(token),
-            Move::SendOn => self.send_on(now, token, hint),
+            Move::Resend => self.resend(now, token, hint),
         }
     }
 
-    /// Sends a copy of a proposal to the core that most likely leads, and not to the one that was asked last.
-    fn send_on(&mut self, now: Now, token: u64, hint: Option<String>) {
+    /// Sends a copy of a proposal to the replica that most likely leads, and not to the one that was asked last.
+    fn resend(&mut self, now: Now, token: u64, hint: Option<String>) {
         let Some(command) = self.packed(now, token) else {
             return;
         };
@@ -165,7 +168,7 @@
         p.attempts.push(ProposalAttempt {
             to: to.clone(),
             at: now.mono,
-            came: Came::Nothing,
+            outcome: AttemptOutcome::Nothing,
         });
         let token = self.request_token(token, attempt_index);
         self.send(
@@ -210,16 +213,16 @@
             .get_mut(&number)
             .and_then(|p| p.attempts.get_mut(attempt_index));
         let Some(attempt) = asked.filter(|attempt| attempt.to == from) else {
-            return self.count("answers_unasked", 1);
+            return self.count("responses_unexpected", 1);
         };
         if m.outcome == 1 {
-            attempt.came = Came::NotTaken;
+            attempt.outcome = AttemptOutcome::NotTaken;
             let hint = Some(m.leader).filter(|l| !l.is_empty() && l != from);
             return self.not_taken(now, number, attempt_index, hint);
         }
         let Some(ruled) = unpack_apply_result(&m.response) else {
-            // The send stays unanswered, and the call is told as unsure in the end.
-            return self.count("answers_unreadable", 1);
+            // The attempt stays unanswered, and the call is told as unsure in the end.
+            return self.count("responses_unreadable", 1);
         };
         let Some(p) = self.proposals.remove(&number) else {
             return;
@@ -245,7 +248,7 @@
         }
     }
 
-    /// A core has taken nothing: if it was the last one asked and names the leader, that one is asked at once.
+    /// A replica has taken nothing: if it was the last one asked and names the leader, that one is asked at once.
     fn not_taken(&mut self, now: Now, number: u64, attempt_index: usize, hint: Option<String>) {
         let Some(p) = self.proposals.get_mut(&number) else {
             return;
@@ -284,7 +287,7 @@
             } => self.start_ruled(token, offer, &zone_scheduler, &worker, 0, false),
             Purpose::UpdateWorker { worker } => self.proposal_over(&worker, true),
             Purpose::Report { worker } => self.proposal_over(&worker, false),
-            // It may still come through: nothing is renewed until the core has ruled.
+            // It may still come through: nothing is renewed until the replica has ruled.
             Purpose::ExpireAttempts { worker } => self.expiry_done(&worker, false),
             Purpose::RescheduleAttempts { worker } => self.reschedule_done(&worker),
         }
--- a/landingdrift/src/node/scheduler.rs
+++ b/landingdrift/src/node/scheduler.rs
@@ -13,7 +13,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the scheduler keeps beside the record.
+/// What the scheduler keeps beside the cluster state.
 #[derive(Default)]
 pub struct Scheduler {
     /// Jobs that changed since they were last looked at.
@@ -21,7 +21,7 @@
     pub all_dirty: bool,
     /// When a job last placed reservations, and for how many tasks.
     reserved: BTreeMap<String, (u64, u32)>,
-    /// Starts proposed and not yet seen in the feed.
+    /// Starts proposed and not yet seen in the watch.
     pending: BTreeMap<u64, Pending>,
     claim: Option<gangs::Claim>,
     /// Unsatisfied jobs, the smallest first, as of the last full look.
@@ -51,7 +51,7 @@
 }
 
 impl Scheduler {
-    /// A cell has changed hands and its new holder has no reservations: they are placed at once, not when they are due.
+    /// A zone scheduler has changed hands and its new holder has no reservations: they are placed at once, not when they are due.
     pub fn reserve_anew(&mut self) {
         self.reserved.clear();
     }
@@ -181,7 +181,7 @@
             .collect()
     }
 
-    /// Sends of a job that were proposed and are not yet in the record.
+    /// Sends of a job that were proposed and are not yet in the cluster state.
     fn underway<'a>(&'a self, job: &'a str) -> impl Iterator<Item = &'a Placement> + 'a {
         self.sched
             .pending
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Running sends that are worth a spare copy, the slowest first: what is left would take longer than a new run.
+    /// Running attempts that are worth a spare copy, the slowest first: what is left would take longer than a new run.
     fn slow(&self, now: Now, id: &str, job: &Job) -> Vec<u32> {
         let queue = &job.spec.queue;
         let Some(median) = self.state.median(queue) else {
--- a/landingdrift/src/node/watch.rs
+++ b/landingdrift/src/node/watch.rs
@@ -1,16 +1,16 @@
-//! How a node follows the record.
+//! How a node follows the cluster state.
 
 use super::Node;
 use crate::sans_io::Now;
-use crate::snapshot_chunks::{Assembly, Identity, Taken};
+use crate::snapshot_chunks::{ChunkOutcome, SnapshotAssembly, SnapshotId};
 use crate::state::{ClusterState, Command};
 use crate::wire::{Body, WatchBatch, WatchRequest, WatchSnapshotChunk};
 
-/// Where a node stands in the feed.
+/// Where a node stands in the watch.
 pub struct Watch {
-    /// A capture was read, or the feed followed from its beginning.
+    /// A snapshot was read, or the watch followed from its beginning.
     pub has_snapshot: bool,
-    /// The feed told all that was committed at this moment, by this node's clock.
+    /// The watch told all that was committed at this moment, by this node's clock.
     pub fresh_at: u64,
     pub replica: String,
     pub leader: String,
@@ -19,7 +19,7 @@
     /// The agreed clock, and when it was read.
     clock: (u64, u64),
     /// The snapshot that is being fetched.
-    incoming: Assembly,
+    incoming: SnapshotAssembly,
 }
 
 impl Watch {
@@ -32,20 +32,20 @@
             next_watch_request: 0,
             answered: now.mono,
             clock: (0, 0),
-            incoming: Assembly::default(),
+            incoming: SnapshotAssembly::default(),
         }
     }
 }
 
 impl Watch {
-    /// Whether a core has told the agreed time.
+    /// Whether a replica has told the agreed time.
     pub fn clock_known(&self) -> bool {
         self.clock.0 > 0
     }
 }
 
 impl Node {
-    /// The agreed time, as well as a node can know it; never ahead of what a core said.
+    /// The agreed time, as well as a node can know it; never ahead of what a replica said.
     pub(crate) fn agreed(&self, now: Now) -> u64 {
         let (clock, at) = self.watch.clock;
         self.state.at.max(clock + now.mono.saturating_sub(at))
@@ -61,7 +61,7 @@
             .collect()
     }
 
-    /// Turns to another core.
+    /// Turns to another replica.
     pub(crate) fn turn(&mut self) {
         let all = self.replicas();
         let others: Vec<String> = all
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Whom this node names to take over its duties: a living node, of its own zone if there is one.
+    /// Whom this node names to take over its leases: a living node, of its own zone if there is one.
     fn successor(&mut self) -> String {
         let me = self.name.clone();
         let zone = self.settings.zone.clone();
@@ -141,7 +141,7 @@
             .unwrap_or_default()
     }
 
-    /// Another process took this node for a core: it says whom it follows.
+    /// Another process took this node for a replica: it says whom it follows.
     pub(super) fn on_misdirected_watch_request(&mut self, from: &str, sent: u64) {
         let batch = WatchBatch {
             replica: self.name.clone(),
@@ -206,7 +206,7 @@
         if self.state.applied_index >= m.commit && m.commit > 0 {
             if !self.watch.has_snapshot {
                 self.line(format!(
-                    "follows the feed from place {}",
+                    "watches the log from index {}",
                     self.state.applied_index
                 ));
             }
@@ -233,23 +233,23 @@
         if from != self.watch.replica || !wanted {
             return;
         }
-        let of = Identity {
+        let of = SnapshotId {
             index: m.index,
             term: m.term,
             total: m.total,
             checksum: m.checksum,
         };
         match self.watch.incoming.take(of, m.offset, &m.bytes) {
-            Taken::Part => {}
-            Taken::Corrupt => {
-                self.count("feed_captures_refused", 1);
+            ChunkOutcome::Part => {}
+            ChunkOutcome::Corrupt => {
+                self.count("watch_snapshots_refused", 1);
                 self.line(format!(
-                    "a snapshot of place {} refused: its checksum is wrong",
+                    "a snapshot at index {} refused: its checksum is wrong",
                     m.index
                 ));
                 return;
             }
-            Taken::Whole(bytes) => {
+            ChunkOutcome::Whole(bytes) => {
                 if self.start_over(&bytes, m.light) {
                     self.take_up(now);
                 }
@@ -266,7 +266,7 @@
             Ok(state) => {
                 self.state = state;
                 self.light = light;
-                self.count("feed_captures", 1);
+                self.count("watch_snapshots", 1);
                 self.sched.all_dirty = true;
                 self.sched.reserve_anew();
                 true
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Does what a change of the record asks for.
+    /// Does what a change of the cluster state asks for.
     fn take_up(&mut self, now: Now) {
         self.hold_zones(now);
         self.calls_on_place();
@@ -317,7 +317,7 @@
             _ => self.sched.all_dirty = true,
         }
         let result = self.state.apply_bytes(index, at, bytes);
-        self.count("feed_entries", 1);
+        self.count("watch_entries", 1);
         if let Some(Command::StartAttempts {
             job, placements, ..
         }) = &command
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: what each says, and what the holder of its cell makes of it.
+//! Heartbeats of workers: what each says, and what the holder of its zone scheduler makes of it.
 
 use super::{Pace, WorkerState};
 use crate::node::propose::Purpose;
@@ -21,7 +21,7 @@
     /// Repeated until the answer says that they are settled.
     #[serde(default)]
     pub ended: Vec<EndReport>,
-    /// Rises with each beat of a worker, so that a late one is known; 0 where it isn't counted.
+    /// Rises with each heartbeat of a worker, so that a late one is known; 0 where it isn't counted.
     #[serde(default)]
     pub call: u64,
     /// The worker keeps runs by their names: stops are told by names, too.
@@ -32,7 +32,7 @@
     pub leaves_in_ms: Option<u64>,
 }
 
-/// A send that is running on a worker.
+/// A attempt that is running on a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Running {
@@ -50,7 +50,7 @@
 }
 
 impl Node {
-    /// The verdict on a beat, by the holder of the worker's cell.
+    /// The response on a heartbeat, by the holder of the worker's zone scheduler.
     pub(in crate::node) fn heartbeat(&mut self, now: Now, mut heartbeat: Heartbeat) -> Response {
         let zone = heartbeat.info.zone.clone();
         let id = heartbeat.info.worker.clone();
@@ -58,7 +58,7 @@
             return self.not_ready();
         };
         self.hold_zones(now);
-        self.count("beats", 1);
+        self.count("heartbeats", 1);
         if self.is_late(&zone, &id, &heartbeat) {
             return self.late_heartbeat();
         }
@@ -106,7 +106,7 @@
         self.orders(&heartbeat, epoch)
     }
 
-    /// The verdict where this node can't speak for the cell.
+    /// The response where this node can't speak for the zone scheduler.
     fn not_ready(&self) -> Response {
         Response::error(
             503,
@@ -116,7 +116,7 @@
         .retry(self.settings.bounds.worker_heartbeat())
     }
 
-    /// The verdict on a beat that comes too late to count.
+    /// The response on a heartbeat that comes too late to count.
     fn late_heartbeat(&self) -> Response {
         Response::error(
             503,
@@ -126,7 +126,7 @@
         .retry(self.settings.bounds.worker_heartbeat())
     }
 
-    /// Whether a newer beat of the worker was heard, or what it ran is being ended.
+    /// Whether a newer heartbeat of the worker was heard, or what it ran is being ended.
     fn is_late(&self, zone: &str, id: &str, heartbeat: &Heartbeat) -> bool {
         self.zone_schedulers
             .get(zone)
@@ -136,9 +136,9 @@
             })
     }
 
-    /// Gives the runs that a beat names their numbers.
+    /// Gives the runs that a heartbeat names their numbers.
     fn number_runs(&self, id: &str, heartbeat: &mut Heartbeat) {
-        // What the record does not know as live gets number 0.
+        // What the cluster state does not know as live gets number 0.
         let number = |name: &Option<RunName>, no: u64| {
             name.as_ref()
                 .map_or(no, |n| self.state.named(id, n).unwrap_or(0))
@@ -163,9 +163,9 @@
             .for_each(|(no, e)| e.no = no);
     }
 
-    /// The ends that a beat tells of runs which the record knows as live.
+    /// The ends that a heartbeat tells of runs which the cluster state knows as live.
     fn live_ends(&self, now: Now, heartbeat: &Heartbeat) -> Vec<EndReport> {
-        // How long a run took, where its worker does not say: since its first beat here.
+        // How long a run took, where its worker does not say: since its first heartbeat here.
         let held = self
             .zone_schedulers
             .get(&heartbeat.info.zone)
@@ -188,7 +188,7 @@
             .collect()
     }
 
-    /// The runs of a beat that the record does not show as running yet.
+    /// The runs of a heartbeat that the cluster state does not show as running yet.
     fn newly_running(&self, heartbeat: &Heartbeat) -> Vec<u64> {
         heartbeat
             .running
@@ -243,7 +243,7 @@
 }
 
 impl WorkerState {
-    /// Notes when the beat came, and which call it was.
+    /// Notes when the heartbeat came, and which call it was.
     fn hear(&mut self, now: Now, heartbeat: &Heartbeat) {
         self.last_heartbeat = now.mono;
         self.renewed = now.mono;
@@ -288,7 +288,7 @@
         .collect()
     }
 
-    /// Keeps the resources, the progress and the checkpoints that the beat tells.
+    /// Keeps the resources, the progress and the checkpoints that the heartbeat tells.
     fn keep_state(&mut self, now: Now, heartbeat: &Heartbeat) {
         self.leaving = heartbeat.info.leaving;
         self.resources = heartbeat.info.total_resources();
@@ -313,7 +313,7 @@
     }
 }
 
-/// The verdict on a beat of a process that a newer one has replaced.
+/// The response on a heartbeat of a process that a newer one has replaced.
 fn old_incarnation() -> Response {
     Response::error(
         409,
--- a/landingdrift/src/node/zone_scheduler/lease_expiry.rs
+++ b/landingdrift/src/node/zone_scheduler/lease_expiry.rs
@@ -20,7 +20,7 @@
 }
 
 impl Node {
-    /// Looks for workers that are silent, gone or lapsed, and offers free slots.
+    /// Looks for workers that are silent, gone or expired, and offers free slots.
     pub(in crate::node) fn zone_schedulers_tick(&mut self, now: Now) {
         let lost_after = self.settings.bounds.worker_lost();
         if !self.speaks(now) {
@@ -95,7 +95,7 @@
         (lost, expired)
     }
 
-    /// Proposes that the sends of a silent worker are unsure.
+    /// Proposes that the attempts of a silent worker are unsure.
     fn propose_lost(&mut self, now: Now, lost: Lost) {
         let Lost { worker, zone_epoch } = lost;
         let incarnation = self
@@ -103,7 +103,9 @@
             .workers
             .get(&worker)
             .map_or(0, |w| w.info.incarnation);
-        self.line(format!("worker {worker} is silent: its sends are unsure"));
+        self.line(format!(
+            "worker {worker} is silent: the outcome of its attempts is unknown"
+        ));
         self.count("workers_lost", 1);
         self.propose(
             now,
@@ -128,9 +130,9 @@
         let known = self.state.workers.get(&worker);
         let incarnation = known.map_or(0, |w| w.info.incarnation);
         self.line(format!(
-            "worker {worker} is silent beyond its hold: what ran there is dead"
+            "worker {worker} is silent beyond its lease: what ran there is dead"
         ));
-        self.count("workers_lapsed", 1);
+        self.count("workers_lease_expired", 1);
         let command = Command::ExpireAttempts {
             worker: worker.clone(),
             incarnation,
@@ -142,7 +144,7 @@
         self.propose(now, &command, Purpose::ExpireAttempts { worker }, within);
     }
 
-    /// A proposal that a worker's runs are dead has been answered; `ruled` says that the record took it.
+    /// A proposal that a worker's runs are dead has been answered; `ruled` says that the cluster state took it.
     pub(in crate::node) fn expiry_done(&mut self, worker: &str, ruled: bool) {
         self.zone_schedulers
             .values_mut()
@@ -187,10 +189,10 @@
                 w.suspect_until = until;
             }
         });
-        self.count("sends_recalled", attempts.len() as u64);
+        self.count("attempts_rescheduled", attempts.len() as u64);
         if blame {
             self.line(format!(
-                "worker {worker} stands still or crawls: {} of its runs are called back",
+                "worker {worker} stands still or crawls: {} of its runs are rescheduled",
                 attempts.len()
             ));
             self.count("workers_suspected", 1);
--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! A cell: a zone's workers, their beats and their reservation queues. Hopper's worker side.
+//! A zone scheduler: a zone's workers, their heartbeats and their reservation queues. Hopper's worker side.
 
 mod heartbeats;
 mod lease_expiry;
@@ -8,7 +8,7 @@
 mod reservations;
 
 pub use heartbeats::{Heartbeat, Running};
-pub use pace::{judge, Pace, Run, Why};
+pub use pace::{judge, Pace, RescheduleReason, Run};
 
 use super::Node;
 use crate::sans_io::Now;
@@ -17,14 +17,14 @@
 use offers::{Episode, PromisedResources};
 use std::collections::BTreeMap;
 
-/// A cell that this node holds.
+/// A zone scheduler that this node holds.
 #[derive(Default)]
 pub struct ZoneScheduler {
     pub epoch: u64,
     pub workers: BTreeMap<String, WorkerState>,
 }
 
-/// A worker of a cell.
+/// A worker of a zone scheduler.
 #[derive(Default)]
 pub struct WorkerState {
     pub last_heartbeat: u64,
@@ -32,15 +32,15 @@
     resources: Resources,
     queue: Vec<Reservation>,
     episode: Option<Episode>,
-    /// Room promised to accepted offers that the record does not show yet.
+    /// Room promised to accepted offers that the cluster state does not show yet.
     pending: Vec<PromisedResources>,
     idle_until: u64,
     info_proposed: bool,
     report_proposed: bool,
-    /// Its sends are being ended since its hold has passed: it is not held on meanwhile.
+    /// Its sends are being ended since its lease has passed: it is not held on meanwhile.
     expiring: Vec<u64>,
     expiry_proposed: bool,
-    /// When its hold was last renewed, by this node's clock; or when it said that it left.
+    /// When its lease was last renewed, by this node's clock; or when it said that it left.
     renewed: u64,
     left: Option<u64>,
     /// When a report was last proposed.
@@ -58,7 +58,7 @@
 }
 
 impl Node {
-    /// Takes cells over and gives them up, as the record says.
+    /// Takes zone schedulers over and gives them up, as the cluster state says.
     pub(in crate::node) fn hold_zones(&mut self, now: Now) {
         let mine: BTreeMap<String, u64> = self
             .state
@@ -71,7 +71,7 @@
             .retain(|z, c| mine.get(z) == Some(&c.epoch));
         for (zone, epoch) in mine {
             if !self.zone_schedulers.contains_key(&zone) {
-                self.line(format!("holds the cell of zone {zone}, epoch {epoch}"));
+                self.line(format!("holds the lease of zone {zone}, epoch {epoch}"));
                 self.zone_schedulers.insert(
                     zone.clone(),
                     ZoneScheduler {
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -195,7 +195,7 @@
             .find(|(_, c)| worker(c))
             .map(|(z, _)| z.clone())
         else {
-            return self.count("answers_unasked", 1);
+            return self.count("responses_unexpected", 1);
         };
         self.take_sizes(&m.sizes);
         let Some(w) = self
@@ -233,7 +233,7 @@
     pub(in crate::node) fn on_offer_done(&mut self, now: Now, from: &str, m: OfferOutcome) {
         let promised = |p: &PromisedResources| p.offer == m.token && p.scheduler == from;
         if !m.placed {
-            // The record knew better: its news comes before the next offer.
+            // The cluster state knew better: its news comes before the next offer.
             let until = now.mono + self.settings.bounds.heartbeat();
             self.zone_schedulers
                 .values_mut()
@@ -246,7 +246,7 @@
         }
     }
 
-    /// A start entered the record: the resources promised for it is now counted there.
+    /// A start entered the cluster state: the resources promised for it is now counted there.
     pub(in crate::node) fn unhold(&mut self, worker: &str, job: &str) {
         self.zone_schedulers
             .values_mut()
--- a/landingdrift/src/node/zone_scheduler/orders.rs
+++ b/landingdrift/src/node/zone_scheduler/orders.rs
@@ -18,7 +18,7 @@
 }
 
 impl Node {
-    /// Start and stop orders, derived from the record; repeated until beats confirm them.
+    /// Start and stop orders, derived from the cluster state; repeated until heartbeats confirm them.
     pub(super) fn orders(&mut self, heartbeat: &Heartbeat, epoch: u64) -> Response {
         let mut orders = self.run_orders(heartbeat);
         self.stop_unknown(heartbeat, &mut orders);
@@ -38,7 +38,7 @@
         Response::new(200, answer)
     }
 
-    /// What the record wants started and stopped on the worker.
+    /// What the cluster state wants started and stopped on the worker.
     fn run_orders(&self, heartbeat: &Heartbeat) -> RunOrders {
         let f = &heartbeat.info;
         let reported: BTreeSet<u64> = heartbeat
@@ -93,7 +93,7 @@
         orders
     }
 
-    /// The room that the runs of a beat leave free.
+    /// The capacity that the runs of a heartbeat leave free.
     fn resources_left(&self, heartbeat: &Heartbeat) -> Resources {
         let room_of = |no: &u64| {
             self.state
@@ -113,15 +113,15 @@
             .iter()
             .any(|r| !self.state.live.contains_key(&r.no))
         {
-            // What runs there without the record's knowledge takes room that nobody can tell: it ends first.
+            // What runs there without the cluster state's knowledge takes capacity that nobody can tell: it ends first.
             return Resources::default();
         }
         left
     }
 
-    /// Adds the runs that the record does not know as live to what is to be stopped.
+    /// Adds the runs that the cluster state does not know as live to what is to be stopped.
     fn stop_unknown(&self, heartbeat: &Heartbeat, orders: &mut RunOrders) {
-        // What runs without the record knowing it as live is over for us.
+        // What runs without the cluster state knowing it as live is over for us.
         orders.stops.extend(
             heartbeat
                 .running
@@ -148,7 +148,7 @@
             .count()
     }
 
-    /// The ended runs of a beat that are settled.
+    /// The ended runs of a heartbeat that are settled.
     fn settled(&self, heartbeat: &Heartbeat) -> Vec<u64> {
         heartbeat
             .ended
--- a/landingdrift/src/node/zone_scheduler/pace.rs
+++ b/landingdrift/src/node/zone_scheduler/pace.rs
@@ -13,7 +13,7 @@
 /// So many runs tell whether their worker is slow.
 const ENOUGH: usize = 3;
 
-/// How a run got on, as its beats told.
+/// How a run got on, as its heartbeats told.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     from: (u64, u32),
@@ -34,7 +34,7 @@
         now.saturating_sub(self.from.0)
     }
 
-    /// What a later beat told.
+    /// What a later heartbeat told.
     pub fn hear(&mut self, at: u64, progress: u32) {
         if progress != self.moved.1 {
             // A step back is a new beginning.
@@ -54,7 +54,7 @@
 
 /// Why runs are called back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RescheduleReason {
     Leaves,
     Stuck,
     Slow,
@@ -82,12 +82,17 @@
 ///
 /// Tasks are uneven, steps as a whole too, and guesses rough, so one step tells nothing of its worker: it is judged by
 /// all that it runs. Only where a single one is all there is, standing still for long is enough.
-pub fn judge(runs: &[Run], now: u64, leaves: Option<u64>, patience: u64) -> Vec<Option<Why>> {
+pub fn judge(
+    runs: &[Run],
+    now: u64,
+    leaves: Option<u64>,
+    patience: u64,
+) -> Vec<Option<RescheduleReason>> {
     if let Some(ms) = leaves {
         let late = |r: &Run| r.lasts || r.need(now, patience) + 100.0 > ms as f64;
         return runs
             .iter()
-            .map(|r| late(r).then_some(Why::Leaves))
+            .map(|r| late(r).then_some(RescheduleReason::Leaves))
             .collect();
     }
     let works: Vec<&Run> = runs.iter().filter(|r| r.works()).collect();
@@ -114,10 +119,10 @@
         .map(|r| {
             let judged = r.works();
             if judged && stuck {
-                Some(Why::Stuck)
+                Some(RescheduleReason::Stuck)
             } else {
                 (judged && slow && !r.repeats && !r.moved && r.pays(now, patience))
-                    .then_some(Why::Slow)
+                    .then_some(RescheduleReason::Slow)
             }
         })
         .collect()
@@ -150,7 +155,7 @@
     }
 }
 
-/// What the record says of a send that runs, for judging.
+/// What the cluster state says of a attempt that runs, for judging.
 fn run_of(state: &ClusterState, no: u64, pace: Pace, now: u64, gang_ms: u64) -> Option<Run> {
     let (job, i) = state.live.get(&no)?;
     let job: &Job = state.jobs.get(job)?;
@@ -173,7 +178,7 @@
 }
 
 impl Node {
-    /// Judges what runs on a worker by its newest beat; the sends to call back, and whether the worker is to blame.
+    /// Judges what runs on a worker by its newest heartbeat; the sends to call back, and whether the worker is to blame.
     pub(super) fn stragglers(
         &self,
         now: Now,
@@ -191,13 +196,15 @@
                 run_of(&self.state, *no, *pace, now.mono, gang_ms).map(|r| (*no, r))
             })
             .unzip();
-        let of: Vec<(u64, Why)> = numbers
+        let of: Vec<(u64, RescheduleReason)> = numbers
             .into_iter()
             .zip(judge(&runs, now.mono, leaves, patience))
             .filter_map(|(no, why)| why.map(|w| (no, w)))
-            .filter(|(no, why)| *why != Why::Slow || self.resources_elsewhere(worker, *no))
+            .filter(|(no, why)| {
+                *why != RescheduleReason::Slow || self.resources_elsewhere(worker, *no)
+            })
             .collect();
-        let blame = of.iter().any(|(_, why)| *why != Why::Leaves);
+        let blame = of.iter().any(|(_, why)| *why != RescheduleReason::Leaves);
         (of.into_iter().map(|(no, _)| no).collect(), blame)
     }
 
--- a/landingdrift/src/operator/ask.rs
+++ b/landingdrift/src/operator/client.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Asks nodes, one after the other, until one gives a verdict or the time is over.
+/// Asks nodes, one after the other, until one gives a response or the time is over.
 pub struct ControlClient {
     at: Vec<String>,
     within: Duration,
@@ -85,7 +85,7 @@
 
     /// Asks until a node answers. A call that may not be repeated goes on to the next node only while it is certain
     /// that no former one has taken it.
-    pub fn ask(
+    pub fn call(
         &self,
         method: &str,
         path: &str,
--- a/landingdrift/src/operator/commands.rs
+++ b/landingdrift/src/operator/commands.rs
@@ -1,4 +1,4 @@
-use super::ask::{ClientError, ControlClient};
+use super::client::{ClientError, ControlClient};
 use super::show::show;
 use crate::sans_io::roles::Role;
 use serde_json::{json, Value};
@@ -38,7 +38,7 @@
 }
 
 #[derive(Default)]
-struct Words {
+struct Arguments {
     at: Vec<String>,
     json: bool,
     within: u64,
@@ -55,15 +55,15 @@
     rest: Vec<String>,
 }
 
-fn read_words(words: Vec<OsString>) -> Result<Words, ClientError> {
+fn read_arguments(arguments: Vec<OsString>) -> Result<Arguments, ClientError> {
     let bad = |e: lexopt::Error| ClientError::Usage(e.to_string());
-    let mut w = Words {
+    let mut w = Arguments {
         at: vec!["127.0.0.1:8000".into()],
         within: 10,
         watch: 5,
-        ..Words::default()
+        ..Arguments::default()
     };
-    let mut p = lexopt::Parser::from_args(words);
+    let mut p = lexopt::Parser::from_args(arguments);
     while let Some(arg) = p.next().map_err(bad)? {
         let text = |p: &mut lexopt::Parser| {
             p.value().map_err(bad).and_then(|v| {
@@ -108,15 +108,15 @@
     Ok(w)
 }
 
-fn run(words: Vec<OsString>) -> i32 {
-    let done = read_words(words).and_then(|w| {
+fn run(arguments: Vec<OsString>) -> i32 {
+    let done = read_arguments(arguments).and_then(|w| {
         let command = w.rest.first().cloned().unwrap_or_default();
         if w.help || command.is_empty() {
             let one = COMMANDS
                 .iter()
                 .find(|(c, _)| *c == command)
                 .map(|(c, what)| format!("landingdrift operator {c} {what}"));
-            crate::say!("{}", one.unwrap_or_else(usage));
+            crate::outln!("{}", one.unwrap_or_else(usage));
             return if w.help {
                 Ok(())
             } else {
@@ -124,7 +124,7 @@
             };
         }
         let v = perform(&command, &w)?;
-        crate::say!(
+        crate::outln!(
             "{}",
             if w.json {
                 v.to_string()
@@ -152,8 +152,8 @@
         })
 }
 
-fn perform(command: &str, w: &Words) -> Result<Value, ClientError> {
-    let ask = ControlClient::new(w.at.clone(), Duration::from_secs(w.within))?;
+fn perform(command: &str, w: &Arguments) -> Result<Value, ClientError> {
+    let client = ControlClient::new(w.at.clone(), Duration::from_secs(w.within))?;
     let arg = |i: usize, what: &str| {
         w.rest
             .get(i)
@@ -161,20 +161,20 @@
             .ok_or_else(|| ClientError::Usage(format!("{command} needs {what}")))
     };
     match command {
-        "apply" => apply(&ask, w, &file(&arg(1, "a FILE")?)?, w.patch),
+        "apply" => apply(&client, w, &file(&arg(1, "a FILE")?)?, w.patch),
         "rollout" => super::rollout::rollout(
-            &ask,
+            &client,
             &w.stages,
             Duration::from_secs(w.watch),
             w.within,
             &file(&arg(1, "a FILE")?)?,
         ),
-        "get" => ask.ask("GET", "/v1/desired", None),
-        "change" => ask.ask("GET", &format!("/v1/changes/{}", arg(1, "an ID")?), None),
-        "status" => ask.ask("GET", "/v1/status", None),
-        "drain" | "evacuate" | "restore" => steer(&ask, w, command, &arg(1, "a ZONE")?),
-        "submit" => ask.ask("POST", "/v1/jobs", Some(&file(&arg(1, "a FILE")?)?)),
-        "job" => ask.ask("GET", &format!("/v1/jobs/{}", arg(1, "an ID")?), None),
+        "get" => client.call("GET", "/v1/desired", None),
+        "change" => client.call("GET", &format!("/v1/changes/{}", arg(1, "an ID")?), None),
+        "status" => client.call("GET", "/v1/status", None),
+        "drain" | "evacuate" | "restore" => steer(&client, w, command, &arg(1, "a ZONE")?),
+        "submit" => client.call("POST", "/v1/jobs", Some(&file(&arg(1, "a FILE")?)?)),
+        "job" => client.call("GET", &format!("/v1/jobs/{}", arg(1, "an ID")?), None),
         "jobs" => {
             let query: Vec<String> = [
                 ("queue", &w.queue),
@@ -185,10 +185,10 @@
             .filter(|(_, v)| !v.is_empty())
             .map(|(k, v)| format!("{k}={v}"))
             .collect();
-            ask.ask("GET", &format!("/v1/jobs?{}", query.join("&")), None)
+            client.call("GET", &format!("/v1/jobs?{}", query.join("&")), None)
         }
-        "cancel" => ask.ask("DELETE", &format!("/v1/jobs/{}", arg(1, "an ID")?), None),
-        "resolve" => ask.ask(
+        "cancel" => client.call("DELETE", &format!("/v1/jobs/{}", arg(1, "an ID")?), None),
+        "resolve" => client.call(
             "POST",
             &format!(
                 "/v1/jobs/{}/tasks/{}/resolve",
@@ -197,7 +197,7 @@
             ),
             Some(&json!({"outcome": arg(3, "'well' or 'defect'")?})),
         ),
-        "workers" => ask.ask("GET", "/v1/workers", None),
+        "workers" => client.call("GET", "/v1/workers", None),
         other => Err(ClientError::Usage(format!(
             "no command is called '{other}'"
         ))),
@@ -211,24 +211,31 @@
     format!("op-{t:x}-{}", std::process::id())
 }
 
-fn apply(ask: &ControlClient, w: &Words, value: &Value, patch: bool) -> Result<Value, ClientError> {
+fn apply(
+    client: &ControlClient,
+    w: &Arguments,
+    value: &Value,
+    patch: bool,
+) -> Result<Value, ClientError> {
     let base = w.base.map_or_else(
         || {
-            ask.ask("GET", "/v1/desired", None)
+            client
+                .call("GET", "/v1/desired", None)
                 .map(|v| v["version"].as_u64().unwrap_or(0))
         },
         Ok,
     )?;
     // One identity for all tries: a lost answer changes nothing twice.
     let change = change_id();
-    let done = ask.ask(
+    let done = client.call(
         if patch { "PATCH" } else { "PUT" },
         &format!("/v1/desired?base={base}&change={change}"),
         Some(value),
     )?;
     if w.wait {
         wait(w.within, || {
-            ask.ask("GET", &format!("/v1/changes/{change}"), None)
+            client
+                .call("GET", &format!("/v1/changes/{change}"), None)
                 .map(|v| (v["inForceEverywhere"] == json!(true), v))
         })
     } else {
@@ -237,10 +244,15 @@
 }
 
 /// Drains, evacuates and restores by a change of the zone alone; a rival change is taken in and the patch tried again.
-fn steer(ask: &ControlClient, w: &Words, command: &str, zone: &str) -> Result<Value, ClientError> {
+fn steer(
+    client: &ControlClient,
+    w: &Arguments,
+    command: &str,
+    zone: &str,
+) -> Result<Value, ClientError> {
     let mut max_attempts = 0;
     let done = loop {
-        let current = ask.ask("GET", "/v1/desired", None)?;
+        let current = client.call("GET", "/v1/desired", None)?;
         let patch = if w.worker.is_empty() {
             let state = match command {
                 "drain" => "draining",
@@ -259,7 +271,7 @@
             json!({"zones": {zone: {"drainedWorkers": of}}})
         };
         let base = current["version"].as_u64().unwrap_or(0);
-        match ask.ask(
+        match client.call(
             "PATCH",
             &format!("/v1/desired?base={base}&change={}", change_id()),
             Some(&patch),
@@ -270,7 +282,7 @@
     };
     if w.wait && command != "restore" {
         wait(w.within, || {
-            ask.ask("GET", "/v1/status", None).map(|v| {
+            client.call("GET", "/v1/status", None).map(|v| {
                 (
                     v["zones"][zone]["empty"] == json!(true),
                     json!({"zone": zone, "status": v["zones"][zone]}),
--- a/landingdrift/src/operator/mod.rs
+++ b/landingdrift/src/operator/mod.rs
@@ -1,9 +1,9 @@
 //! The operator's command line.
 
-mod ask;
+mod client;
 mod commands;
 mod rollout;
 mod show;
 mod verify;
 
-pub use ask::{ClientError, ControlClient};
+pub use client::{ClientError, ControlClient};
--- a/landingdrift/src/operator/rollout.rs
+++ b/landingdrift/src/operator/rollout.rs
@@ -1,4 +1,4 @@
-use super::ask::{ClientError, ControlClient};
+use super::client::{ClientError, ControlClient};
 use super::commands::{change_id, wait};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -7,7 +7,7 @@
 /// Puts a configuration into force queue by queue, the rest last. Each stage is watched; where a queue spends its
 /// allowance or a node stays behind, the former state comes back as a new version.
 pub fn rollout(
-    ask: &ControlClient,
+    client: &ControlClient,
     stages: &[String],
     watch: Duration,
     within: u64,
@@ -21,8 +21,8 @@
                 "--stages names queue '{s}', which the file does not have"
             )))
         })?;
-    let former = ask.ask("GET", "/v1/desired", None)?;
-    let spent = spent_queues(&ask.ask("GET", "/v1/status", None)?);
+    let former = client.call("GET", "/v1/desired", None)?;
+    let spent = spent_queues(&client.call("GET", "/v1/status", None)?);
     let mut version = former["version"].as_u64().unwrap_or(0);
     let steps = stages
         .iter()
@@ -36,14 +36,14 @@
         .chain([("the rest", "PUT", value.clone())]);
     for (stage, method, body) in steps {
         let change = change_id();
-        let done = ask.ask(
+        let done = client.call(
             method,
             &format!("/v1/desired?base={version}&change={change}"),
             Some(&body),
         )?;
         version = done["version"].as_u64().unwrap_or(version);
-        if let Err(why) = look(ask, &change, &spent, watch, within) {
-            let back = ask.ask(
+        if let Err(why) = look(client, &change, &spent, watch, within) {
+            let back = client.call(
                 "PUT",
                 &format!("/v1/desired?base={version}&change={}", change_id()),
                 Some(&former["desired"]),
@@ -70,21 +70,22 @@
 }
 
 fn look(
-    ask: &ControlClient,
+    client: &ControlClient,
     change: &str,
     spent: &BTreeSet<String>,
     watch: Duration,
     within: u64,
 ) -> Result<(), String> {
     let seen = wait(within, || {
-        ask.ask("GET", &format!("/v1/changes/{change}"), None)
+        client
+            .call("GET", &format!("/v1/changes/{change}"), None)
             .map(|v| (v["inForceEverywhere"] == json!(true), v))
     });
     seen.map_err(|e| format!("it is not in force everywhere: {e}"))?;
     let start = Instant::now();
     while start.elapsed() < watch {
-        let now = ask
-            .ask("GET", "/v1/status", None)
+        let now = client
+            .call("GET", "/v1/status", None)
             .map_err(|e| e.to_string())?;
         spent_queues(&now)
             .difference(spent)
--- a/landingdrift/src/operator/show.rs
+++ b/landingdrift/src/operator/show.rs
@@ -1,6 +1,6 @@
 use serde_json::Value;
 
-/// A verdict as text for a person.
+/// A response as text for a person.
 pub fn show(command: &str, v: &Value) -> String {
     match command {
         "workers" => table(
--- a/landingdrift/src/peer_sampler/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -15,7 +15,7 @@
     zone: String,
     seeds: Vec<String>,
     view: BTreeMap<String, (String, String, u32)>,
-    /// Cores heard of, by feed or by neighbours.
+    /// Cores heard of, by watch or by neighbours.
     pub replicas: BTreeSet<String>,
     next: u64,
 }
@@ -146,7 +146,7 @@
         back
     }
 
-    /// The cores by the record replace hearsay.
+    /// The replicas by the cluster state replace hearsay.
     pub fn set_replicas(&mut self, replicas: Vec<String>) {
         self.replicas = replicas.into_iter().collect();
     }
--- a/landingdrift/src/replay/command.rs
+++ b/landingdrift/src/replay/command.rs
@@ -1,4 +1,4 @@
-use super::{rerun, Day, Story};
+use super::{rerun, Day, Summary};
 use crate::config;
 use crate::sans_io::roles::Role;
 use crate::settings::Settings;
@@ -15,14 +15,14 @@
 
 Exit codes: 0 done, 1 verdicts differ (check), 2 wrong command line, recording or file.";
 
-fn run(words: Vec<OsString>) -> i32 {
-    perform(words).unwrap_or_else(|why| {
+fn run(arguments: Vec<OsString>) -> i32 {
+    perform(arguments).unwrap_or_else(|why| {
         eprintln!("landingdrift replay: {why}");
         2
     })
 }
 
-fn perform(words: Vec<OsString>) -> Result<i32, String> {
+fn perform(arguments: Vec<OsString>) -> Result<i32, String> {
     let bad = |e: lexopt::Error| format!("{e}\n\n{HELP}");
     let (mut rest, mut new_config, mut new_settings, mut as_json) = (Vec::new(), None, None, false);
     let text = |p: &mut lexopt::Parser| {
@@ -31,11 +31,11 @@
                 .map_err(|_| "flags take text in UTF-8".to_string())
         })
     };
-    let mut p = lexopt::Parser::from_args(words);
+    let mut p = lexopt::Parser::from_args(arguments);
     while let Some(arg) = p.next().map_err(bad)? {
         match arg {
             lexopt::Arg::Long("help") | lexopt::Arg::Short('h') => {
-                crate::say!("{HELP}");
+                crate::outln!("{HELP}");
                 return Ok(0);
             }
             lexopt::Arg::Long("desired") => new_config = Some(text(&mut p)?),
@@ -59,16 +59,16 @@
             let out = arg(2)?;
             std::fs::write(out, day.text())
                 .map_err(|e| format!("'{out}' can't be written ({e}): name another file"))?;
-            crate::say!("{} entries recorded", day.lines.len());
+            crate::outln!("{} entries recorded", day.lines.len());
             Ok(0)
         }
         "check" => {
             let day = Day::read(arg(1)?).map_err(|e| e.to_string())?;
             let of = day.differences();
             of.iter().take(20).for_each(|(log_index, then, now)| {
-                crate::say!("place {log_index}: recorded {then}, now {now}")
+                crate::outln!("place {log_index}: recorded {then}, now {now}")
             });
-            crate::say!("{} entries, {} verdicts differ", day.lines.len(), of.len());
+            crate::outln!("{} entries, {} verdicts differ", day.lines.len(), of.len());
             Ok(i32::from(!of.is_empty()))
         }
         "run" => {
@@ -98,7 +98,7 @@
                 .transpose()?
                 .unwrap_or_default();
             let (then, now) = (
-                Story::of(&day.end()),
+                Summary::of(&day.end()),
                 rerun(&day, config.as_ref(), &settings),
             );
             tell(&then, &now, as_json);
@@ -108,8 +108,8 @@
     }
 }
 
-fn tell(then: &Story, now: &Story, as_json: bool) {
-    let quantile = |s: &Story, q: f64| {
+fn tell(then: &Summary, now: &Summary, as_json: bool) {
+    let quantile = |s: &Summary, q: f64| {
         let mut of: Vec<u64> = s.took.values().copied().collect();
         of.sort_unstable();
         of.get(((of.len().saturating_sub(1)) as f64 * q) as usize)
@@ -127,19 +127,19 @@
         .iter()
         .filter(|(k, w)| now.placed.get(*k).is_some_and(|x| x != *w))
         .count();
-    let sum = |s: &Story| json!({"jobs": s.states.len(), "done": s.took.len(), "medianMs": quantile(s, 0.5), "p95Ms": quantile(s, 0.95), "kept": s.kept, "missed": s.missed, "copies": s.copies});
+    let sum = |s: &Summary| json!({"jobs": s.states.len(), "done": s.took.len(), "medianMs": quantile(s, 0.5), "p95Ms": quantile(s, 0.95), "kept": s.kept, "missed": s.missed, "copies": s.copies});
     if as_json {
-        crate::say!(
+        crate::outln!(
             "{}",
             json!({"recorded": sum(then), "now": sum(now), "otherEnds": ends, "otherWorkers": moved, "tasks": then.placed.len()})
         );
         return;
     }
-    crate::say!("recorded {}\nnow      {}", sum(then), sum(now));
-    crate::say!(
+    crate::outln!("recorded {}\nnow      {}", sum(then), sum(now));
+    crate::outln!(
         "{moved} of {} tasks ended on another worker",
         then.placed.len()
     );
-    crate::say!("{} jobs ended otherwise", ends.len());
-    ends.iter().take(20).for_each(|e| crate::say!("  {e}"));
+    crate::outln!("{} jobs ended otherwise", ends.len());
+    ends.iter().take(20).for_each(|e| crate::outln!("  {e}"));
 }
--- a/landingdrift/src/replay/day.rs
+++ b/landingdrift/src/replay/day.rs
@@ -47,17 +47,18 @@
     }
 }
 
-/// One entry of a day, with the verdict it got.
+/// One entry of a day, with the response it got.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     #[serde(rename = "place")]
     pub log_index: u64,
     pub at: u64,
     pub entry: Command,
-    pub ruled: Value,
+    #[serde(rename = "ruled")]
+    pub result: Value,
 }
 
-/// A recorded day: the record at its beginning, and every entry since.
+/// A recorded day: the cluster state at its beginning, and every entry since.
 #[derive(Clone, Debug)]
 pub struct Day {
     pub start: ClusterState,
@@ -65,7 +66,7 @@
 }
 
 impl Day {
-    /// Records what the data folder of a stopped core holds.
+    /// Records what the data folder of a stopped replica holds.
     pub fn state(folder: &Path) -> Result<Self, RecordingError> {
         let (cluster, loaded) = read_whole(folder).map_err(RecordingError::Disk)?;
         (!loaded.damaged)
@@ -86,12 +87,12 @@
                     line: e.index as usize,
                     why,
                 })?;
-            let ruled = ruled(&mut r, e.index, e.at, &entry);
+            let result = result(&mut r, e.index, e.at, &entry);
             lines.push(Line {
                 log_index: e.index,
                 at: e.at,
                 entry,
-                ruled,
+                result,
             });
         }
         Ok(Self { start, lines })
@@ -154,19 +155,19 @@
         })
     }
 
-    /// The entries whose verdict by this build is another than the recorded one.
+    /// The entries whose response by this build is another than the recorded one.
     pub fn differences(&self) -> Vec<(u64, Value, Value)> {
         let mut r = self.start.clone();
         self.lines
             .iter()
             .filter_map(|l| {
-                let now = ruled(&mut r, l.log_index, l.at, &l.entry);
-                (now != l.ruled).then(|| (l.log_index, l.ruled.clone(), now))
+                let now = result(&mut r, l.log_index, l.at, &l.entry);
+                (now != l.result).then(|| (l.log_index, l.result.clone(), now))
             })
             .collect()
     }
 
-    /// The record at the end of the day.
+    /// The cluster state at the end of the day.
     pub fn end(&self) -> ClusterState {
         let mut r = self.start.clone();
         self.lines.iter().for_each(|l| {
@@ -176,6 +177,6 @@
     }
 }
 
-fn ruled(r: &mut ClusterState, log_index: u64, at: u64, entry: &Command) -> Value {
+fn result(r: &mut ClusterState, log_index: u64, at: u64, entry: &Command) -> Value {
     serde_json::from_slice(&pack_apply_result(&r.apply(log_index, at, entry))).unwrap_or_default()
 }
--- a/landingdrift/src/replay/mod.rs
+++ b/landingdrift/src/replay/mod.rs
@@ -5,4 +5,4 @@
 mod rerun;
 
 pub use day::{Day, Line, RecordingError};
-pub use rerun::{rerun, Story};
+pub use rerun::{rerun, Summary};
--- a/landingdrift/src/replay/rerun.rs
+++ b/landingdrift/src/replay/rerun.rs
@@ -14,14 +14,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const STEP: u64 = 20;
-/// The only node and the only core of a rerun.
+/// The only node and the only replica of a rerun.
 const NODE: &str = "10.0.0.1:1";
 const CORE: &str = "10.0.0.2:1";
 
 /// What a day came to.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Story {
+pub struct Summary {
     /// Jobs by how they ended.
     pub states: BTreeMap<String, JobState>,
     /// Milliseconds from acceptance to the end, of jobs that were done.
@@ -33,8 +33,8 @@
     pub copies: u64,
 }
 
-impl Story {
-    /// The story that a record tells.
+impl Summary {
+    /// The story that a cluster state tells.
     pub fn of(r: &ClusterState) -> Self {
         let mut s = Self {
             kept: r.queues.values().map(|q| q.kept).sum(),
@@ -87,7 +87,7 @@
         .collect()
 }
 
-struct Hand {
+struct SimulatedWorker {
     info: WorkerInfo,
     running: BTreeMap<u64, (u64, u64, Outcome)>,
     ended: Vec<EndReport>,
@@ -102,7 +102,7 @@
     node: Node,
     t: u64,
     at0: u64,
-    hands: BTreeMap<String, Hand>,
+    hands: BTreeMap<String, SimulatedWorker>,
     runs: Runs,
     used: BTreeMap<(String, u32), usize>,
     calls: BTreeMap<u64, String>,
@@ -110,7 +110,7 @@
 }
 
 /// Decides a day anew, under another configuration or other settings where they are given.
-pub fn rerun(day: &Day, config: Option<&ClusterConfig>, settings: &Settings) -> Story {
+pub fn rerun(day: &Day, config: Option<&ClusterConfig>, settings: &Settings) -> Summary {
     let runs = runs(&day.end());
     // The first entries of a new cluster come before its clock is set.
     let at0 = day
@@ -186,7 +186,7 @@
             break;
         }
     }
-    Story::of(&s.replica)
+    Summary::of(&s.replica)
 }
 
 impl Stage {
@@ -227,7 +227,7 @@
         let h = self
             .hands
             .entry(info.worker.clone())
-            .or_insert_with(|| Hand {
+            .or_insert_with(|| SimulatedWorker {
                 info: info.clone(),
                 running: BTreeMap::new(),
                 ended: Vec::new(),
@@ -357,7 +357,7 @@
         }
     }
 
-    /// The workers' part: runs end as recorded, beats go out.
+    /// The workers' part: runs end as recorded, heartbeats go out.
     fn work(&mut self) {
         let t = self.t;
         let due: Vec<String> = self
--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -1,4 +1,4 @@
-//! The kernel: what every part of the system is, and what it may ask for.
+//! The sans-IO core: what every part of the system is, and what it may ask for.
 
 pub mod roles;
 
@@ -24,7 +24,7 @@
     pub body: Vec<u8>,
 }
 
-/// The verdict on a call.
+/// The response on a call.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
     pub status: u16,
@@ -36,7 +36,7 @@
 }
 
 impl Response {
-    /// A verdict with a body.
+    /// A response with a body.
     pub fn new(status: u16, body: Value) -> Self {
         Self {
             status,
@@ -44,14 +44,14 @@
             ..Self::default()
         }
     }
-    /// A refusal or defect whose message names the remedy.
+    /// A refusal or error whose message names the remedy.
     pub fn error(status: u16, kind: &str, message: impl Into<String>) -> Self {
         Self::new(
             status,
             serde_json::json!({"error": kind, "message": message.into()}),
         )
     }
-    /// The same verdict, telling the caller when to come back.
+    /// The same response, telling the caller when to come back.
     pub fn retry(mut self, ms: u64) -> Self {
         self.retry_ms = ms;
         self
@@ -102,7 +102,7 @@
     pub founders: Vec<String>,
 }
 
-/// The record as it was at an index.
+/// The cluster state as it was at an index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     pub index: u64,
@@ -117,7 +117,7 @@
     Send(String, Body),
     /// Write, and sync.
     Persist(WriteBatch),
-    /// Give a call its verdict.
+    /// Give a call its response.
     Answer(u64, Response),
     /// A change of state worth a line.
     Log(String),
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -2,7 +2,7 @@
 
 mod read;
 
-pub use read::{from_words, SettingsError, FLAGS};
+pub use read::{from_arguments, SettingsError, FLAGS};
 
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
     pub cancel_ms: u64,
     /// A leaving worker gets nothing new after this time.
     pub leave_ms: u64,
-    /// An emptied zone gets nothing new after this time.
+    /// An evacuated zone gets nothing new after this time.
     #[serde(rename = "empty_ms")]
     pub evacuate_ms: u64,
     /// A change of configuration takes hold within this time.
@@ -26,10 +26,10 @@
     pub outage_ms: u64,
     /// A standby that is silent for three times as long is dropped from the membership.
     pub replace_ms: u64,
-    /// What runs on a worker is held for this long after each beat, then its worker kills it; 0 holds for ever.
+    /// What runs on a worker is held for this long after each heartbeat, then its worker kills it; 0 holds for ever.
     #[serde(rename = "hold_ms")]
     pub lease_ms: u64,
-    /// How often workers beat; 0 for an eighth of `leave_ms`.
+    /// How often workers heartbeat; 0 for an eighth of `leave_ms`.
     #[serde(rename = "beat_ms")]
     pub heartbeat_ms: u64,
     /// How long a process that is told to end may take before it is killed.
@@ -62,7 +62,7 @@
     pub fn heartbeat(&self) -> u64 {
         self.config_ms / 20
     }
-    /// The shortest silence after which a core stands for election.
+    /// The shortest silence after which a replica stands for election.
     pub fn election(&self) -> u64 {
         self.config_ms / 4
     }
@@ -74,31 +74,31 @@
     pub fn leave(&self) -> u64 {
         self.grace_ms * 5 / 8
     }
-    /// How long a waking core waits for all others.
+    /// How long a recovering replica waits for all others.
     pub fn recovery_wait(&self) -> u64 {
         self.outage_ms / 8
     }
-    /// How old a node's feed may be while it answers callers from it.
+    /// How old a node's watch may be while it answers callers from it.
     pub fn fresh(&self) -> u64 {
         self.cancel_ms / 3
     }
-    /// How old the feed of a cell's holder may be while it gives orders and holds.
+    /// How old the watch of a zone scheduler's holder may be while it gives orders and holds.
     pub fn speaks(&self) -> u64 {
         self.cancel_ms / 6
     }
-    /// How old a beat's answer may be when its worker obeys a start order.
+    /// How old a heartbeat's answer may be when its worker obeys a start order.
     pub fn obey(&self) -> u64 {
         self.cancel_ms / 3
     }
-    /// The silence after which a node's cells pass to others; longer than `speaks` and `obey` together.
+    /// The silence after which a node's zone schedulers pass to others; longer than `speaks` and `obey` together.
     pub fn node_lost(&self) -> u64 {
         self.cancel_ms * 11 / 20
     }
-    /// The silence after which a node's queues pass to others: their starts are fenced by the record alone.
+    /// The silence after which a node's queues pass to others: their starts are fenced by the cluster state alone.
     pub fn queue_lost(&self) -> u64 {
         self.cancel_ms / 4
     }
-    /// How often workers beat.
+    /// How often workers heartbeat.
     pub fn worker_heartbeat(&self) -> u64 {
         if self.heartbeat_ms > 0 {
             self.heartbeat_ms
@@ -106,7 +106,7 @@
             self.leave_ms / 8
         }
     }
-    /// When a hold has surely passed, by any worker's clock: those may run 2 % slow.
+    /// When a lease has surely passed, by any worker's clock: those may run 2 % slow.
     pub fn lease_expired_after(&self) -> u64 {
         self.lease_ms + self.lease_ms * 3 / 100
     }
@@ -114,11 +114,11 @@
     pub fn worker_lost(&self) -> u64 {
         self.cancel_ms
     }
-    /// How long a call is worked on before its verdict is "unsure".
+    /// How long a call is worked on before its response is "unsure".
     pub fn call(&self) -> u64 {
         self.state_ms * 4 / 5
     }
-    /// How long an offer waits for its verdict.
+    /// How long an offer waits for its response.
     pub fn offer(&self) -> u64 {
         self.config_ms / 4
     }
@@ -173,10 +173,10 @@
     pub retain_ms: u64,
     /// How long a finished job's identity is kept after that.
     pub identity_ms: u64,
-    /// Entries between two captures.
+    /// Entries between two snapshots.
     #[serde(rename = "capture_every")]
     pub snapshot_every: u64,
-    /// Bytes of entries that a core keeps in memory; a snapshot is taken after half of it.
+    /// Bytes of entries that a replica keeps in memory; a snapshot is taken after half of it.
     pub log_bytes: u64,
     /// Size at which a log segment is closed.
     pub segment_bytes: u64,
@@ -210,7 +210,7 @@
     pub epsilon: f64,
     /// Share of the smallest jobs among which a local one may go first.
     pub locality: f64,
-    /// A running send is slow when it has run this many times the median of its queue.
+    /// A running attempt is slow when it has run this many times the median of its queue.
     pub slow_factor: f64,
 }
 
@@ -239,17 +239,17 @@
     pub zone: String,
     /// Addresses of other processes to start from.
     pub seeds: Vec<String>,
-    /// The first cores of a new cluster; the seeds when left empty.
+    /// The first replicas of a new cluster; the seeds when left empty.
     pub founders: Vec<String>,
-    /// This core founds nothing: it asks to be let in by cores that there are. An empty disk of a cluster that runs.
+    /// This replica founds nothing: it asks to be let in by replicas that there are. An empty disk of a cluster that runs.
     pub join_only: bool,
     /// How many replicas vote: 2f+1 where f machines may be lost at once. Further ones are standbys.
     pub voters: u32,
     /// This replica does not vote as long as others can: its loss is not counted on.
     pub standby_only: bool,
-    /// The share of a core that this process may use, in thousandths; duties go where there is more of it.
+    /// The share of a core that this process may use, in thousandths; leases go where there is more of it.
     pub share: u32,
-    /// A core stands on the same machine: duties rather go elsewhere, so that one loss does not hit both.
+    /// A replica stands on the same machine: leases rather go elsewhere, so that one loss does not hit both.
     pub beside_core: bool,
     /// The data folder of a core.
     pub data: String,
@@ -284,7 +284,7 @@
 }
 
 impl Settings {
-    /// The first cores of a new cluster.
+    /// The first replicas of a new cluster.
     pub fn founders(&self) -> Vec<String> {
         if self.join_only {
             Vec::new()
--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -57,9 +57,9 @@
 }
 
 /// Reads the words after a role's name; flags win over the file.
-pub fn from_words(words: Vec<OsString>, replica: bool) -> Result<Asked, SettingsError> {
+pub fn from_arguments(arguments: Vec<OsString>, replica: bool) -> Result<Asked, SettingsError> {
     let flag = |e: lexopt::Error| SettingsError::Flag(e.to_string());
-    let mut p = lexopt::Parser::from_args(words);
+    let mut p = lexopt::Parser::from_args(arguments);
     let (mut check_only, mut help, mut given) = (false, false, Vec::<(String, String)>::new());
     while let Some(arg) = p.next().map_err(flag)? {
         match arg {
--- a/landingdrift/src/snapshot_chunks/mod.rs
+++ b/landingdrift/src/snapshot_chunks/mod.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the record in chunks: sent one after another, put together and checked at the other end.
+//! Snapshots of the cluster state in chunks: sent one after another, put together and checked at the other end.
 
 use crate::sans_io::Snapshot;
 
@@ -9,7 +9,7 @@
 
 /// What tells one snapshot from another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Identity {
+pub struct SnapshotId {
     /// The place of the last entry in it, and that entry's term.
     pub index: u64,
     pub term: u64,
@@ -22,14 +22,14 @@
 /// A snapshot that is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChunkedSnapshot {
-    identity: Identity,
+    identity: SnapshotId,
     bytes: Vec<u8>,
 }
 
 impl ChunkedSnapshot {
-    /// A snapshot of the record as it was after the entry at an index.
+    /// A snapshot of the cluster state as it was after the entry at an index.
     pub fn new(index: u64, term: u64, bytes: Vec<u8>) -> Self {
-        let identity = Identity {
+        let identity = SnapshotId {
             index,
             term,
             total: bytes.len() as u64,
@@ -39,7 +39,7 @@
     }
 
     /// What tells it from others.
-    pub fn identity(&self) -> Identity {
+    pub fn identity(&self) -> SnapshotId {
         self.identity
     }
 
@@ -68,7 +68,7 @@
 
 /// What has become of a snapshot with a chunk taken.
 #[derive(Debug, PartialEq)]
-pub enum Taken {
+pub enum ChunkOutcome {
     /// More is to come.
     Part,
     /// It is whole, and its checksum is right.
@@ -79,14 +79,14 @@
 
 /// A snapshot that is being received; at most one at a time.
 #[derive(Clone, Debug, Default)]
-pub struct Assembly {
-    identity: Identity,
+pub struct SnapshotAssembly {
+    identity: SnapshotId,
     bytes: Vec<u8>,
 }
 
-impl Assembly {
+impl SnapshotAssembly {
     /// The snapshot that is being put together.
-    pub fn identity(&self) -> Identity {
+    pub fn identity(&self) -> SnapshotId {
         self.identity
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Takes a chunk. One of another snapshot starts over; one that does not follow what is there changes nothing.
-    pub fn take(&mut self, of: Identity, offset: u64, chunk: &[u8]) -> Taken {
+    pub fn take(&mut self, of: SnapshotId, offset: u64, chunk: &[u8]) -> ChunkOutcome {
         if of != self.identity {
             self.identity = of;
             self.bytes = Vec::new();
@@ -109,15 +109,15 @@
             return if of.total > most {
                 self.spoilt()
             } else {
-                Taken::Part
+                ChunkOutcome::Part
             };
         }
         if crc32fast::hash(&self.bytes) != of.checksum {
             return self.spoilt();
         }
         let whole = std::mem::take(&mut self.bytes);
-        self.identity = Identity::default();
-        Taken::Whole(whole)
+        self.identity = SnapshotId::default();
+        ChunkOutcome::Whole(whole)
     }
 
     /// Forgets what is there.
@@ -125,8 +125,8 @@
         *self = Self::default();
     }
 
-    fn spoilt(&mut self) -> Taken {
+    fn spoilt(&mut self) -> ChunkOutcome {
         self.clear();
-        Taken::Corrupt
+        ChunkOutcome::Corrupt
     }
 }
--- a/landingdrift/src/state/apply/config.rs
+++ b/landingdrift/src/state/apply/config.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Where a limit of tries was lowered: what has failed as often is not tried again, and does not wait for ever.
+    /// Where a limit of attempts was lowered: what has failed as often is not tried again, and does not wait for ever.
     fn fail_what_is_spent(&mut self) {
         let open: Vec<String> = self.open.iter().cloned().collect();
         for id in open {
--- a/landingdrift/src/state/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 
 impl ClusterState {
-    /// A job that is turned away leaves a mark, so that an older call of the same id can't bring it in afterwards.
+    /// A job that is rejected leaves a mark, so that an older call of the same id can't bring it in afterwards.
     pub(super) fn accept(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> ApplyResult {
         let result = self.admit(spec, hash, seen);
         let known = self.jobs.contains_key(&spec.id) || self.tombstones.contains_key(&spec.id);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Ends a live send, frees its resources and writes the task's ledger on.
+    /// Ends a live attempt, frees its resources and writes the task's history of attempts on.
     pub(super) fn close(&mut self, no: u64, state: AttemptState, ran_ms: u64, note: &str) {
         let Some((id, i)) = self.live.remove(&no) else {
             return;
--- a/landingdrift/src/state/apply/mod.rs
+++ b/landingdrift/src/state/apply/mod.rs
@@ -9,7 +9,7 @@
 use super::{ClusterState, Command, Rejection};
 use serde_json::{json, Value};
 
-/// The verdict on an entry.
+/// The response on an entry.
 pub type ApplyResult = Result<Value, Rejection>;
 
 impl ClusterState {
@@ -17,11 +17,11 @@
     pub fn apply(&mut self, index: u64, at: u64, command: &Command) -> ApplyResult {
         self.applied_index = index;
         self.at = self.at.max(at);
-        self.dispose(command)
+        self.dispatch(command)
     }
 
     /// Does what a command says.
-    fn dispose(&mut self, command: &Command) -> ApplyResult {
+    fn dispatch(&mut self, command: &Command) -> ApplyResult {
         match command {
             Command::TermStarted { .. } => Ok(Value::Null),
             Command::UpdateConfig {
@@ -98,7 +98,7 @@
     }
 }
 
-/// The verdict from its bytes.
+/// The response from its bytes.
 pub fn unpack_apply_result(bytes: &[u8]) -> Option<ApplyResult> {
     let v: Value = serde_json::from_slice(bytes).ok()?;
     v.get("done").cloned().map(Ok).or_else(|| {
@@ -108,7 +108,7 @@
     })
 }
 
-/// The verdict as bytes.
+/// The response as bytes.
 pub fn pack_apply_result(r: &ApplyResult) -> Vec<u8> {
     serde_json::to_vec(
         &r.as_ref()
--- a/landingdrift/src/state/apply/orders.rs
+++ b/landingdrift/src/state/apply/orders.rs
@@ -15,7 +15,7 @@
             .then_some(())
             .ok_or(Rejection::DeadlinePassed)?;
         let result = if order.action.is_order() {
-            self.dispose(&order.action)
+            self.dispatch(&order.action)
         } else {
             Err(Rejection::Invalid {
                 path: "action".into(),
--- a/landingdrift/src/state/apply/start.rs
+++ b/landingdrift/src/state/apply/start.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl ClusterState {
-    /// Places tasks on workers, all or none. Every rule that a record can check is checked here.
+    /// Places tasks on workers, all or none. Every rule that a cluster state can check is checked here.
     pub(super) fn start(
         &mut self,
         id: &str,
@@ -90,7 +90,7 @@
             // A first or next try, or one copy beside one run.
             sure != u32::from(copy) || (copy && job.in_gang(no as usize))
         } else {
-            // Never again while a send may be running, and no copies at all.
+            // Never again while a attempt may be running, and no copies at all.
             copy || sure + unsure > 0
         };
         (!repeat).then_some(()).ok_or(Rejection::AlreadyRunning)?;
--- a/landingdrift/src/state/apply/sweep.rs
+++ b/landingdrift/src/state/apply/sweep.rs
@@ -60,7 +60,7 @@
                 0,
                 "unsure for longer than its bound",
             );
-            // Without mayRepeat it is never sent again, whatever the tries.
+            // Without mayRepeat it is never sent again, whatever the attempts.
             let job = self.jobs.get_mut(&id);
             job.into_iter()
                 .filter(|j| !j.of(i as usize).may_repeat)
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Makes a send unsure.
+    /// Makes a attempt unsure.
     fn doubt(&mut self, no: u64) {
         let at = self.at;
         let Some((id, i)) = self.live.get(&no).cloned() else {
@@ -316,7 +316,7 @@
             return;
         }
         let bad = w.ends.iter().filter(|g| !**g).count();
-        // Much worse than the others: at least four defects, a third of its ends, three times the fleet's share.
+        // Much worse than the others: at least four failures, a third of its ends, three times the fleet's share.
         let worse = bad >= 4
             && bad * 3 >= w.ends.len()
             && bad * fleet.1.max(1) >= 3 * fleet.0 * w.ends.len();
--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -12,7 +12,7 @@
     pub service: String,
     pub labels: BTreeSet<String>,
     pub zone: String,
-    /// Processor room.
+    /// Processor capacity.
     #[serde(rename = "room")]
     pub cpu: u32,
     #[serde(default)]
@@ -28,7 +28,7 @@
 }
 
 impl WorkerInfo {
-    /// All its room.
+    /// All its capacity.
     pub fn total_resources(&self) -> Resources {
         Resources {
             cpu: self.cpu,
@@ -53,13 +53,13 @@
     pub task: u32,
     pub worker: String,
     pub incarnation: u64,
-    /// The epoch of the cell that offered the slot.
+    /// The epoch of the zone scheduler that offered the slot.
     #[serde(rename = "cell_epoch")]
     pub zone_epoch: u64,
     pub copy: bool,
 }
 
-/// How a send ended, by its worker.
+/// How a attempt ended, by its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Outcome {
@@ -72,7 +72,7 @@
     /// Never started, and never will be.
     #[serde(rename = "void")]
     NeverStarted,
-    /// Dead through no fault of its own: its hold passed, or its gang broke up.
+    /// Dead through no fault of its own: its lease passed, or its gang broke up.
     #[serde(rename = "lapsed")]
     Expired,
 }
@@ -86,7 +86,7 @@
     pub run: u32,
 }
 
-/// The end of a send.
+/// The end of a attempt.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndReport {
@@ -105,7 +105,7 @@
     pub checkpoint: String,
 }
 
-/// What can be entered into the record.
+/// What can be entered into the cluster state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// The first entry of a term.
@@ -149,7 +149,7 @@
         running: Vec<u64>,
         ends: Vec<EndReport>,
     },
-    /// A worker's beats are missing.
+    /// A worker's heartbeats are missing.
     #[serde(rename = "Lost")]
     WorkerLost {
         worker: String,
@@ -157,7 +157,7 @@
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
     },
-    /// A worker's hold has surely passed, or it is gone: these sends run there no more. Checkpoints that were heard go along.
+    /// A worker's lease has surely passed, or it is gone: these attempts run there no more. Checkpoints that were heard go along.
     #[serde(rename = "Lapse")]
     ExpireAttempts {
         worker: String,
@@ -169,7 +169,7 @@
         #[serde(default)]
         checkpoints: Vec<(u64, String)>,
     },
-    /// Sends that do no good where they are: told to stop, so that they run elsewhere. `blame` says that the worker is at fault.
+    /// Attempts that do no good where they are: told to stop, so that they run elsewhere. `blame` says that the worker is at fault.
     #[serde(rename = "Recall")]
     RescheduleAttempts {
         worker: String,
@@ -179,10 +179,10 @@
         attempts: Vec<u64>,
         blame: bool,
     },
-    /// A zone is emptied, or serves again; apart from the configuration, so that it races no change.
+    /// A zone is evacuated, or serves again; apart from the configuration, so that it races no change.
     #[serde(rename = "Empty")]
     SetEvacuation { zone: String, on: bool },
-    /// The operator says how an unsure send ended.
+    /// The operator says how an unsure attempt ended.
     #[serde(rename = "Resolve")]
     ResolveAttempt {
         job: String,
@@ -240,8 +240,8 @@
     pub fn pack(&self) -> Vec<u8> {
         super::pack::pack(self)
     }
-    /// Whether an entry says something of the system as a whole (configuration, duties, members) and not of one job or
-    /// worker: what a light copy of the record follows. Told by the number of its kind alone, or of what it orders.
+    /// Whether an entry says something of the system as a whole (configuration, leases, members) and not of one job or
+    /// worker: what a light copy of the cluster state follows. Told by the number of its kind alone, or of what it orders.
     pub fn concerns_all(bytes: &[u8]) -> bool {
         let take = |bytes| postcard::take_from_bytes::<u32>(bytes).unwrap_or((0, &[]));
         let (kind, rest) = take(bytes);
@@ -281,7 +281,7 @@
     }
 }
 
-/// Why the record refused an entry.
+/// Why the cluster state refused an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Rejection {
     /// The base version is no longer the current one.
@@ -302,7 +302,7 @@
     OverQuota {
         quota: u32,
     },
-    /// The same id was turned away after this call was made.
+    /// The same id was rejected after this call was made.
     #[serde(rename = "TurnedAway")]
     PreviouslyRejected,
     /// This copy of an order entered the log after its deadline; an earlier one may have taken effect.
@@ -310,7 +310,7 @@
     DeadlinePassed,
     /// No change of configuration can be remembered beside those of the last day.
     TooManyChanges,
-    /// The proposer's grant has passed to another.
+    /// The proposer's lease has passed to another.
     #[serde(rename = "StaleGrant")]
     StaleLease,
     Ended,
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -1,4 +1,4 @@
-//! What Hopper needs to know, derived from the record.
+//! What Hopper needs to know, derived from the cluster state.
 
 use super::{ClusterState, Job, QueueStats, Task, TaskState};
 
@@ -11,7 +11,7 @@
     pub size: f64,
     /// What the job is ranked by: the larger of V and V of the phases behind.
     pub rank: f64,
-    /// Sends that may be running.
+    /// Attempts that may be running.
     pub occupied: u32,
 }
 
--- a/landingdrift/src/state/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a job before it is accepted: its shape, and whether the desired state lets it run.
+//! Checks of a job before it is accepted: its shape, and whether the configuration lets it run.
 
 use super::{JobSpec, TaskSpec};
 use std::collections::BTreeMap;
@@ -22,8 +22,8 @@
     }
 }
 
-/// A defect at a field, and what to do about it.
-fn defect(path: String, remedy: impl Into<String>) -> SpecError {
+/// A error at a field, and what to do about it.
+fn error(path: String, remedy: impl Into<String>) -> SpecError {
     SpecError {
         path,
         remedy: remedy.into(),
@@ -43,7 +43,7 @@
     /// Checks the shape of the job: names, steps, cycles, gangs.
     pub fn check(&self) -> Result<Vec<Vec<u32>>, SpecError> {
         name_ok(&self.id).then_some(()).ok_or_else(|| {
-            defect(
+            error(
                 "id".into(),
                 "use 1 to 128 letters, digits, '-', '_', '.' or ':'",
             )
@@ -54,7 +54,7 @@
         (1..=TASKS_MOST)
             .contains(&self.tasks.len())
             .then_some(())
-            .ok_or_else(|| defect("tasks".into(), "give 1 to 2000 tasks; split a larger job"))?;
+            .ok_or_else(|| error("tasks".into(), "give 1 to 2000 tasks; split a larger job"))?;
         let by_name = self.check_tasks()?;
         let waits = self.dependencies(&by_name)?;
         self.check_cycle(&waits)?;
@@ -67,7 +67,7 @@
         let mut by_name = BTreeMap::new();
         for (i, t) in self.tasks.iter().enumerate() {
             name_ok(&t.name).then_some(()).ok_or_else(|| {
-                defect(
+                error(
                     format!("tasks[{i}].name"),
                     "use 1 to 128 letters, digits, '-', '_', '.' or ':'",
                 )
@@ -75,14 +75,14 @@
             by_name
                 .insert(t.name.as_str(), i as u32)
                 .map_or(Ok(()), |_| {
-                    Err(defect(
+                    Err(error(
                         format!("tasks[{i}].name"),
                         "give every task of a job a name of its own",
                     ))
                 })?;
             (t.cpu >= 1)
                 .then_some(())
-                .ok_or_else(|| defect(format!("tasks[{i}].room"), "give at least 1"))?;
+                .ok_or_else(|| error(format!("tasks[{i}].room"), "give at least 1"))?;
         }
         Ok(by_name)
     }
@@ -96,7 +96,7 @@
                 .iter()
                 .map(|d| {
                     by_name.get(d.as_str()).copied().ok_or_else(|| {
-                        defect(
+                        error(
                             format!("tasks[{i}].dependsOn"),
                             format!("'{d}' is no task of this job: correct the name"),
                         )
@@ -113,14 +113,14 @@
         self.tasks
             .is_empty()
             .then_some(())
-            .ok_or_else(|| defect("tasks".into(), "give single tasks or steps, not both"))?;
+            .ok_or_else(|| error("tasks".into(), "give single tasks or steps, not both"))?;
         let round: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         let all = round.saturating_mul(u64::from(self.times.max(1)));
         (1..=STEP_TASKS_MOST)
             .contains(&all)
             .then_some(())
             .ok_or_else(|| {
-                defect(
+                error(
                     "steps".into(),
                     "give 1 to 20000 tasks over all times; split a larger job",
                 )
@@ -128,20 +128,20 @@
         for (i, s) in self.steps.iter().enumerate() {
             (s.count >= 1)
                 .then_some(())
-                .ok_or_else(|| defect(format!("steps[{i}].count"), "give at least 1"))?;
+                .ok_or_else(|| error(format!("steps[{i}].count"), "give at least 1"))?;
             s.depends_on
                 .iter()
                 .all(|d| (*d as usize) < i)
                 .then_some(())
                 .ok_or_else(|| {
-                    defect(
+                    error(
                         format!("steps[{i}].dependsOn"),
                         "name earlier steps by their numbers, counted from 0",
                     )
                 })?;
             let own = s.task.gang.is_empty() && s.task.depends_on.is_empty();
             own.then_some(()).ok_or_else(|| {
-                defect(
+                error(
                     format!("steps[{i}].task"),
                     "give the step, not its task, 'gang' and 'dependsOn'",
                 )
@@ -213,10 +213,10 @@
         Ok(())
     }
 
-    /// Checks that the desired state lets the job run at all.
+    /// Checks that the configuration lets the job run at all.
     pub fn satisfiable(&self, config: &crate::config::ClusterConfig) -> Result<(), SpecError> {
         config.queues.get(&self.queue).map(|_| ()).ok_or_else(|| {
-            defect(
+            error(
                 "queue".into(),
                 format!(
                     "no queue is called '{}': create it or name another",
@@ -227,7 +227,7 @@
         let mut gangs: BTreeMap<(String, &str), u32> = BTreeMap::new();
         for (at, t, together) in self.kinds() {
             let s = config.services.get(&t.service).ok_or_else(|| {
-                defect(
+                error(
                     format!("{at}.service"),
                     format!(
                         "no service is called '{}': declare it or name another",
@@ -236,13 +236,13 @@
                 )
             })?;
             t.labels.iter().find(|l| !s.any_label && !s.labels.contains(l)).map_or(Ok(()), |l| {
-                Err(defect(
+                Err(error(
                     format!("{at}.labels"),
                     format!("service '{}' has no workers with label '{l}': declare it or leave it out", t.service),
                 ))
             })?;
             (t.cpu <= s.task_cpu).then_some(()).ok_or_else(|| {
-                defect(
+                error(
                     format!("{at}.room"),
                     format!(
                         "service '{}' gives a task at most {}: ask for less",
@@ -255,7 +255,7 @@
                 let sum = gangs.entry((name.clone(), &t.service)).or_default();
                 *sum = sum.saturating_add(t.cpu.saturating_mul(together));
                 (*sum <= s.gang_cpu).then_some(()).ok_or_else(|| {
-                    defect(
+                    error(
                         format!("{at}.gang"),
                         format!("gang '{name}' needs more than the {} that service '{}' gives a gang: make it smaller", s.gang_cpu, t.service),
                     )
--- a/landingdrift/src/state/job/ledger.rs
+++ b/landingdrift/src/state/job/ledger.rs
@@ -1,9 +1,9 @@
-//! Accepted jobs: their tasks, each with its ledger of sends.
+//! Accepted jobs: their tasks, each with its history of attempts of attempts.
 
 use super::{AttemptState, JobSpec, JobState, StepSpec, TaskSpec, TaskState};
 use serde::{Deserialize, Serialize};
 
-/// One send of a task to a worker.
+/// One attempt of a task to a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Send {
@@ -26,7 +26,7 @@
     pub checkpoint: String,
 }
 
-/// A task with its ledger of sends.
+/// A task with its history of attempts of attempts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Task {
@@ -46,7 +46,7 @@
 }
 
 impl Task {
-    /// Sends that may be running.
+    /// Attempts that may be running.
     pub fn live(&self) -> impl Iterator<Item = &Send> {
         self.attempts.iter().filter(|s| s.state.live())
     }
--- a/landingdrift/src/state/job/spec.rs
+++ b/landingdrift/src/state/job/spec.rs
@@ -51,7 +51,7 @@
     pub service: String,
     #[serde(default)]
     pub labels: Vec<String>,
-    /// Processor room.
+    /// Processor capacity.
     #[serde(rename = "room")]
     pub cpu: u32,
     #[serde(default)]
@@ -92,7 +92,7 @@
 }
 
 impl TaskSpec {
-    /// The room it needs.
+    /// The capacity it needs.
     pub fn needs(&self) -> Resources {
         Resources {
             cpu: self.cpu,
--- a/landingdrift/src/state/job/state.rs
+++ b/landingdrift/src/state/job/state.rs
@@ -33,11 +33,11 @@
     Cancelled,
 }
 
-/// What has become of a send.
+/// What has become of a attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum AttemptState {
-    /// In the record; the worker has not said that it started.
+    /// In the cluster state; the worker has not said that it started.
     #[default]
     Ordered,
     Running,
@@ -58,7 +58,7 @@
 }
 
 impl AttemptState {
-    /// Whether the send may be running.
+    /// Whether the attempt may be running.
     pub fn live(self) -> bool {
         matches!(self, Self::Ordered | Self::Running | Self::Unsure)
     }
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! The record: the one replicated state, and the rules that every entry is checked against.
+//! The cluster state: the one replicated state, and the rules that every entry is checked against.
 //!
-//! Admission proposes, the record disposes: [`ClusterState::apply`] is the only place
-//! where anything changes, and it is the same code on cores and nodes.
+//! Admission proposes, the cluster state disposes: [`ClusterState::apply`] is the only place
+//! where anything changes, and it is the same code on replicas and nodes.
 
 pub mod command;
 pub mod derive;
@@ -22,7 +22,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Version of the record's format; another one is refused.
+/// Version of the cluster state's format; another one is refused.
 pub const STATE_VERSION: u16 = 3;
 
 /// How long, by the agreed clock, a change of configuration is known by its identity; the newest one always is.
@@ -31,12 +31,12 @@
 /// More changes than this within that time are refused rather than forgotten.
 pub const CHANGES_MOST: usize = 50_000;
 
-/// A worker as the record knows it.
+/// A worker as the cluster state knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
     #[serde(rename = "facts")]
     pub info: WorkerInfo,
-    /// Its beats are missing.
+    /// Its heartbeats are missing.
     pub lost: bool,
     /// Good ends needed before it is trusted again; 0 when trusted.
     pub probation: u32,
@@ -45,19 +45,19 @@
     pub since: u64,
     /// Room taken by sends that may be running.
     pub used: Resources,
-    /// Sends that may be running.
+    /// Attempts that may be running.
     #[serde(rename = "sends")]
     pub attempts: BTreeSet<u64>,
 }
 
-/// A duty given to one node.
+/// A lease given to one node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
     pub holder: String,
     pub epoch: u64,
 }
 
-/// A node as the record knows it.
+/// A node as the cluster state knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeMember {
     pub zone: String,
@@ -106,7 +106,7 @@
     pub copies_won: u64,
 }
 
-/// The whole state that the cores agree on.
+/// The whole state that the replicas agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterState {
     pub format: u16,
@@ -126,16 +126,16 @@
     pub jobs: BTreeMap<String, Job>,
     #[serde(rename = "tombs")]
     pub tombstones: BTreeMap<String, Tombstone>,
-    /// Jobs and tombs to drop, by time.
+    /// Jobs and tombstones to drop, by time.
     pub expiry: BTreeSet<(u64, String)>,
-    /// Ids turned away: at which place, and when.
+    /// Ids rejected: at which place, and when.
     pub refusals: BTreeMap<String, (u64, u64)>,
     /// Unfinished jobs.
     pub open: BTreeSet<String>,
     pub workers: BTreeMap<String, Worker>,
     #[serde(rename = "grants")]
     pub leases: BTreeMap<String, Lease>,
-    /// Zones that are being emptied, whatever the configuration says.
+    /// Zones that are being evacuated, whatever the configuration says.
     #[serde(rename = "emptied")]
     pub evacuated_zones: BTreeSet<String>,
     /// Queues that were removed while they held unfinished jobs, until those end.
@@ -144,19 +144,19 @@
     #[serde(rename = "cores")]
     pub replicas: BTreeMap<String, ReplicaMember>,
     pub queues: BTreeMap<String, QueueStats>,
-    /// The sends that may be running, by number.
+    /// The attempts that may be running, by number.
     pub live: BTreeMap<u64, (String, u32)>,
     #[serde(rename = "next_send")]
     pub next_attempt: u64,
     pub next_epoch: u64,
 }
 
-/// The name of the duty of keeping a zone's cell.
+/// The name of the lease of keeping a zone's zone scheduler.
 pub fn zone_lease(zone: &str) -> String {
     format!("cell/{zone}")
 }
 
-/// The name of the duty of owning a queue.
+/// The name of the lease of owning a queue.
 pub fn queue_lease(queue: &str) -> String {
     format!("queue/{queue}")
 }
@@ -173,12 +173,12 @@
         }
     }
 
-    /// The record as bytes for a capture.
+    /// The cluster state as bytes for a snapshot.
     pub fn pack(&self) -> Vec<u8> {
         pack::pack(self)
     }
 
-    /// The record without jobs and workers: configuration, duties and members.
+    /// The cluster state without jobs and workers: configuration, leases and members.
     pub fn light(&self) -> Self {
         Self {
             format: self.format,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// The record from a capture.
+    /// The cluster state from a snapshot.
     pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
         // The format stands first, so that another one is told apart before the rest is read.
         let other = |f: u16| {
@@ -227,7 +227,7 @@
         !self.evacuated_zones.contains(zone) && self.config.open(zone, worker)
     }
 
-    /// The number of the live send that a worker calls by its names.
+    /// The number of the live attempt that a worker calls by its names.
     pub fn named(&self, worker: &str, name: &RunName) -> Option<u64> {
         let job = self.jobs.get(&name.job)?;
         let task = job.tasks.get(job.find(&name.task)?)?;
@@ -237,7 +237,7 @@
         Some(attempt.no)
     }
 
-    /// The holder of a duty.
+    /// The holder of a lease.
     pub fn holder(&self, lease: &str) -> Option<&Lease> {
         self.leases.get(lease)
     }
@@ -249,7 +249,7 @@
             .and_then(|j| j.tasks.get(no as usize).map(|t| (j, t)))
     }
 
-    /// A send by its number, while it may be running.
+    /// A attempt by its number, while it may be running.
     pub fn attempt(&self, no: u64) -> Option<(&Job, &Task, &Send)> {
         let (job, task) = self.live.get(&no)?;
         let (j, t) = self.task(job, *task)?;
--- a/landingdrift/src/state/order.rs
+++ b/landingdrift/src/state/order.rs
@@ -1,7 +1,7 @@
 //! Orders: commands of operators and callers that take effect at most once.
 //!
 //! A node sends a proposal again when its answer does not come, so several copies may reach the log. Every copy of
-//! an order carries the same identity and the same deadline; see `apply/orders.rs` for what the record makes of them.
+//! an order carries the same identity and the same deadline; see `apply/orders.rs` for what the cluster state makes of them.
 
 use super::Command;
 use serde::{Deserialize, Serialize};
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! A relay: stands beside a worker, keeps no state, and carries the worker's calls to the node that holds its cell.
+//! A worker proxy: stands beside a worker, keeps no state, and carries the worker's calls to the node that holds its zone scheduler.
 
 mod repeat;
 
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// The query of a beat whose worker says that it leaves.
+/// The query of a heartbeat whose worker says that it leaves.
 pub const LEAVING: &str = "leaving";
 
 struct Open {
@@ -24,7 +24,7 @@
     asked: Vec<Asked>,
 }
 
-/// One send of a call to a node.
+/// One attempt of a call to a node.
 struct Asked {
     node: String,
     /// The node has said that it took nothing.
@@ -63,12 +63,12 @@
     }
 }
 
-/// A relay.
+/// A worker proxy.
 pub struct WorkerProxy {
     settings: Settings,
     rng: Rng,
     peer_sampler: PeerSampler,
-    /// The node that answered last for the cell.
+    /// The node that answered last for the zone scheduler.
     holder: String,
     open: BTreeMap<u64, Open>,
     /// This life of the process: an answer to a former one is nobody's.
@@ -80,7 +80,7 @@
 }
 
 impl WorkerProxy {
-    /// A relay that knows the seeds.
+    /// A worker proxy that knows the seeds.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Rng::new(seed);
         Self {
@@ -149,7 +149,7 @@
             body: o.req.body.clone(),
         };
         self.open.insert(token, o);
-        self.count("passed");
+        self.count("forwarded");
         self.out
             .push(Effect::Send(to, Body::ForwardRequest(Box::new(m))));
     }
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Nobody speaks for the cell now. A worker that is told so by a refusal comes back after a growing pause, and what it
-    /// runs is not held meanwhile; so it is told that there are no orders and when to beat again. That acknowledges
+    /// Nobody speaks for the zone scheduler now. A worker that is told so by a refusal comes back after a growing pause, and what it
+    /// runs is not held meanwhile; so it is told that there are no orders and when to heartbeat again. That acknowledges
     /// nothing: one that says it leaves is refused. Any other call that a node may have taken is unsure.
     fn give_up(&mut self, token: u64) {
         let Some(o) = self.open.remove(&token) else {
@@ -249,7 +249,7 @@
             .and_then(|o| o.asked.get_mut(m.token.attempt as usize))
             .filter(|attempt| attempt.node == from);
         let Some(attempt) = attempt else {
-            return self.count("answers_unasked");
+            return self.count("responses_unexpected");
         };
         let body: Value = serde_json::from_slice(&m.body).unwrap_or_default();
         let refused = m.status == 503 && body["error"] != json!("unsure");
@@ -277,7 +277,7 @@
         self.out.push(Effect::Answer(o.call, v));
     }
 
-    /// A node is not the holder, which it may name, or can't speak for the cell now: another may be able to.
+    /// A node is not the holder, which it may name, or can't speak for the zone scheduler now: another may be able to.
     fn try_another(&mut self, now: Now, token: u64, from: &str, by: String) {
         let named = !by.is_empty() && by != from;
         self.holder = if named { by } else { String::new() };
--- a/landingdrift/tests/answers.rs
+++ b/landingdrift/tests/answers.rs
@@ -14,7 +14,7 @@
 const HOLDER: &str = "10.0.0.3:1";
 const STRANGER: &str = "10.0.0.9:1";
 
-/// A node that follows a record in which another one holds the cell of zone `z`.
+/// A node that follows a cluster state in which another one holds the zone scheduler of zone `z`.
 struct Desk {
     node: Node,
     elapsed: u64,
@@ -83,7 +83,7 @@
         self.step(Msg::Call(7, request))
     }
 
-    /// A beat for the cell of the other node; the token under which it was passed on.
+    /// A heartbeat for the zone scheduler of the other node; the token under which it was passed on.
     fn heartbeat(&mut self) -> RequestToken {
         let info = json!({"worker": "w", "incarnation": 1, "service": "s", "labels": [], "zone": "z", "room": 1, "leaving": false});
         let body = json!({"facts": info, "running": [], "ended": []}).to_string();
--- a/landingdrift/tests/record.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -1,4 +1,4 @@
-//! The record disposes: whatever a stale, frozen or confused node proposes, no rule is broken in `apply`.
+//! The cluster state disposes: whatever a stale, frozen or confused node proposes, no rule is broken in `apply`.
 
 use landingdrift::state::{
     ApplyResult, AttemptState, ClusterState, Command, EndReport, JobSpec, JobState, Outcome,
@@ -6,7 +6,7 @@
 };
 use serde_json::json;
 
-/// A record with a node, grants, a configuration and two workers.
+/// A cluster state with a node, leases, a configuration and two workers.
 struct Desk {
     r: ClusterState,
     n: u64,
@@ -396,7 +396,7 @@
         Err(Rejection::OverQuota { quota: 3 })
     );
     d.ok(Command::CancelJob { job: "k".into() });
-    // An older call of the same id, which was under way elsewhere, can't bring in what was turned away.
+    // An older call of the same id, which was under way elsewhere, can't bring in what was rejected.
     assert_eq!(
         d.apply(Command::AcceptJob {
             spec: spec("m", 3),
--- a/landingdrift/tests/command_line.rs
+++ b/landingdrift/tests/command_line.rs
@@ -2,13 +2,13 @@
 
 use std::process::{Command, Output};
 
-fn run(words: &[&str]) -> (i32, String) {
+fn run(arguments: &[&str]) -> (i32, String) {
     let Output {
         status,
         stdout,
         stderr,
     } = Command::new(env!("CARGO_BIN_EXE_landingdrift"))
-        .args(words)
+        .args(arguments)
         .output()
         .expect("the program runs");
     (
@@ -29,10 +29,10 @@
 ];
 
 fn with(role: &str, more: &[&str]) -> (i32, String) {
-    let mut words = vec![role];
-    words.extend(GOOD);
-    words.extend(more);
-    run(&words)
+    let mut arguments = vec![role];
+    arguments.extend(GOOD);
+    arguments.extend(more);
+    run(&arguments)
 }
 
 #[test]
@@ -51,9 +51,9 @@
         (vec!["--settings", "/no/such/file"], "--settings"),
         (vec!["--colour"], "--help"),
     ] {
-        let mut words = vec!["--check"];
-        words.extend(&more);
-        let (code, said) = with("node", &words);
+        let mut arguments = vec!["--check"];
+        arguments.extend(&more);
+        let (code, said) = with("node", &arguments);
         assert!(code == 2 && said.contains(named), "{more:?}: {code} {said}");
     }
     for (toml, named) in [
@@ -79,7 +79,7 @@
 
 #[test]
 fn help_is_to_be_had_everywhere_and_wrong_words_have_their_code() {
-    for words in [
+    for arguments in [
         &["--help"][..],
         &["core", "--help"],
         &["node", "--help"],
@@ -88,10 +88,10 @@
         &["verify", "--help"],
         &["replay", "--help"],
     ] {
-        let (code, said) = run(words);
-        assert!(code == 0 && said.len() > 20, "{words:?}: {code} {said}");
+        let (code, said) = run(arguments);
+        assert!(code == 0 && said.len() > 20, "{arguments:?}: {code} {said}");
     }
-    for words in [
+    for arguments in [
         &[][..],
         &["captain"],
         &["operator"],
@@ -104,10 +104,10 @@
         &["replay", "check", "/no/such"],
         &["replay", "record", "/no/such", "x"],
     ] {
-        let (code, said) = run(words);
+        let (code, said) = run(arguments);
         assert!(
             code == 2 && !said.contains("panicked"),
-            "{words:?}: {code} {said}"
+            "{arguments:?}: {code} {said}"
         );
     }
     let (code, said) = run(&["operator", "--at", "127.0.0.1:9", "--within", "0", "status"]);
--- a/landingdrift/tests/common/mod.rs
+++ b/landingdrift/tests/common/mod.rs
@@ -61,7 +61,7 @@
 }
 
 impl Cluster {
-    /// Nodes that follow a record with version 1 in force, one queue and one service.
+    /// Nodes that follow a cluster state with version 1 in force, one queue and one service.
     pub fn new(nodes: usize) -> Self {
         let settings = |n: usize| Settings {
             listen: format!("10.0.1.{n}:1"),
@@ -193,7 +193,7 @@
         self.reply(order)
     }
 
-    /// The core that the newest copy went to doesn't lead and has taken nothing: the node sends another copy.
+    /// The replica that the newest copy went to doesn't lead and has taken nothing: the node sends another copy.
     pub fn refuse_as_follower(&mut self, order: &mut Order) {
         if order.committed || self.reply(order).is_some() {
             return;
@@ -216,7 +216,7 @@
         order.propose = again.unwrap_or_else(|| order.propose.clone());
     }
 
-    /// Time passes at all nodes, and no core answers.
+    /// Time passes at all nodes, and no replica answers.
     pub fn silence(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
             self.pass(20);
--- a/landingdrift/tests/control.rs
+++ b/landingdrift/tests/control.rs
@@ -1,6 +1,6 @@
 //! The thread of control state steps its part no more often than it must.
 
-use landingdrift::daemon::{Calls, Clock, Control, Ending, Frames, Input, Traffic};
+use landingdrift::daemon::{Calls, Clock, Control, Frames, Input, ShutdownTimer, Traffic};
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
@@ -45,7 +45,7 @@
         disk: None,
         calls: Calls::default(),
         tick,
-        ending: Ending::default(),
+        shutdown_timer: ShutdownTimer::default(),
     };
     inputs.into_iter().for_each(|i| tx.send(i).expect("taken"));
     control.run(&rx);
--- a/landingdrift/tests/asker.rs
+++ b/landingdrift/tests/control_client.rs
@@ -88,9 +88,9 @@
 /// A GET, so that a connection could be kept, then the call; what came of it, and how often it arrived.
 fn call(broken: Break, method: &str, path: &str) -> (Result<Value, ClientError>, usize) {
     let s = stand_in(broken);
-    let asker = ControlClient::new(vec![s.at.clone()], Duration::from_secs(5)).expect("made");
-    asker.ask("GET", "/v1/status", None).expect("answered");
-    let done = asker.ask(method, path, None);
+    let client = ControlClient::new(vec![s.at.clone()], Duration::from_secs(5)).expect("made");
+    client.call("GET", "/v1/status", None).expect("answered");
+    let done = client.call(method, path, None);
     (done, s.requests.load(Ordering::SeqCst) - 1)
 }
 
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -1,6 +1,6 @@
 //! A disk that refuses writes for a while: nothing is confirmed meanwhile, nothing is lost, and it comes back by itself.
 
-use landingdrift::daemon::{Disk, Input, Pauses, Store};
+use landingdrift::daemon::{Backoff, Disk, Input, Store};
 use landingdrift::disk::{DataFolder, StorageError};
 use landingdrift::sans_io::{HardState, Msg, WriteBatch};
 use landingdrift::wire::{DurabilityWitness, Entry};
@@ -75,8 +75,8 @@
     }
 }
 
-fn pauses() -> Pauses {
-    Pauses {
+fn backoff() -> Backoff {
+    Backoff {
         next: Duration::from_millis(10),
         longest: Duration::from_millis(80),
     }
@@ -100,7 +100,7 @@
 
 #[test]
 fn pauses_grow_up_to_a_bound() {
-    let of: Vec<u128> = pauses().take(6).map(|p| p.as_millis()).collect();
+    let of: Vec<u128> = backoff().take(6).map(|p| p.as_millis()).collect();
     assert_eq!(of, [10, 20, 40, 80, 80, 80]);
 }
 
@@ -114,7 +114,7 @@
         recovered: recovered.clone(),
     };
     let (tx, rx) = channel();
-    let disk = Disk::start(store, tx, pauses()).expect("starts");
+    let disk = Disk::start(store, tx, backoff()).expect("starts");
     let since = Instant::now();
     (1..=4).for_each(|write_id| disk.save(save(write_id, write_id, write_id)));
     assert_eq!(refusals_until(&rx, 4), 5);
@@ -168,7 +168,7 @@
     };
     assert!(f.save(&[whole]).is_err());
     fs::rename(&away, &p).expect("moved back");
-    // The cut must not be seen without the capture that it relies on.
+    // The cut must not be seen without the snapshot that it relies on.
     f.recover().expect("usable again");
     drop(f);
     assert_eq!(indexes(&p), [1, 2, 3, 4, 5]);
@@ -193,7 +193,7 @@
         };
         f.save(&[whole]).expect("saved");
     }
-    // As a disk that was full in the middle of a capture leaves it.
+    // As a disk that was full in the middle of a snapshot leaves it.
     fs::write(p.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
     f.recover().expect("usable again");
     let left = fs::read_dir(&p).expect("a folder").filter_map(Result::ok);
--- a/landingdrift/tests/light.rs
+++ b/landingdrift/tests/light.rs
@@ -1,4 +1,4 @@
-//! Light copies of the record: configuration, duties and members, neither jobs nor workers.
+//! Light copies of the cluster state: configuration, leases and members, neither jobs nor workers.
 
 use landingdrift::node::Node;
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request};
--- a/landingdrift/tests/opening.rs
+++ b/landingdrift/tests/opening.rs
@@ -1,4 +1,4 @@
-//! A core whose data folder can't be opened yet: its process serves, and tries again.
+//! A replica whose data folder can't be opened yet: its process serves, and tries again.
 
 use landingdrift::daemon::{HttpAdapter, HttpLimits, Process};
 use landingdrift::settings::Settings;
--- a/landingdrift/tests/orderly_end.rs
+++ b/landingdrift/tests/orderly_end.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// Counts the calls that were read whole, and tells verdicts as they are.
+/// Counts the calls that were read whole, and tells responses as they are.
 fn counting(counts: &Arc<Counts>) -> HttpAdapter {
     let counts = counts.clone();
     HttpAdapter::new(Arc::new(move |asked: Asked| {
--- a/landingdrift/tests/pace.rs
+++ b/landingdrift/tests/pace.rs
@@ -1,6 +1,6 @@
 //! Which runs do better elsewhere, by the progress they tell.
 
-use landingdrift::node::{judge, Pace, Run, Why};
+use landingdrift::node::{judge, Pace, RescheduleReason, Run};
 
 const PATIENCE: u64 = 1000;
 /// Each run is of a step of its own unless a test says otherwise.
@@ -22,7 +22,7 @@
     }
 }
 
-fn why(r: &[Run], now: u64, leaves: Option<u64>) -> Vec<Option<Why>> {
+fn why(r: &[Run], now: u64, leaves: Option<u64>) -> Vec<Option<RescheduleReason>> {
     judge(r, now, leaves, PATIENCE)
 }
 
@@ -50,10 +50,13 @@
 fn all_standing_still_are_stuck_but_not_at_once() {
     let still = || run(&[(0, 0), (500, 120), (600, 150)]);
     assert_eq!(why(&[still(), still()], 1500, None), [None; 2]);
-    assert_eq!(why(&[still(), still()], 2200, None), [Some(Why::Stuck); 2]);
+    assert_eq!(
+        why(&[still(), still()], 2200, None),
+        [Some(RescheduleReason::Stuck); 2]
+    );
     // One alone must stand still for longer, and one of several says nothing.
     assert_eq!(why(&[still()], 2200, None), [None]);
-    assert_eq!(why(&[still()], 3700, None), [Some(Why::Stuck)]);
+    assert_eq!(why(&[still()], 3700, None), [Some(RescheduleReason::Stuck)]);
     let moves = run(&steps(25, 30));
     assert_eq!(why(&[still(), moves], 2900, None), [None; 2]);
 }
@@ -78,7 +81,7 @@
     let crawl = || run(&steps(4, 20));
     assert_eq!(
         why(&[crawl(), crawl(), crawl()], 1900, None),
-        [Some(Why::Slow); 3]
+        [Some(RescheduleReason::Slow); 3]
     );
     assert_eq!(why(&[crawl(), crawl()], 1900, None), [None; 2], "too few");
     // Near its end a run is left alone, and a copy may race one that repeats.
@@ -89,7 +92,7 @@
     };
     assert_eq!(
         why(&[run(&late), repeats, crawl()], 1900, None),
-        [None, None, Some(Why::Slow)]
+        [None, None, Some(RescheduleReason::Slow)]
     );
 }
 
@@ -105,7 +108,11 @@
     let mixed = [crawl(7, true), crawl(8, false), crawl(9, false)];
     assert_eq!(
         why(&mixed, 1900, None),
-        [None, Some(Why::Slow), Some(Why::Slow)]
+        [
+            None,
+            Some(RescheduleReason::Slow),
+            Some(RescheduleReason::Slow)
+        ]
     );
 }
 
@@ -113,12 +120,21 @@
 fn what_will_not_end_before_its_worker_leaves_is_called_back() {
     let half = || run(&steps(25, 21));
     assert_eq!(why(&[half()], 2000, Some(2500)), [None]);
-    assert_eq!(why(&[half()], 2000, Some(1500)), [Some(Why::Leaves)]);
+    assert_eq!(
+        why(&[half()], 2000, Some(1500)),
+        [Some(RescheduleReason::Leaves)]
+    );
     // By the guess, where nothing was told yet.
-    assert_eq!(why(&[run(&[(0, 0)])], 0, Some(2000)), [Some(Why::Leaves)]);
+    assert_eq!(
+        why(&[run(&[(0, 0)])], 0, Some(2000)),
+        [Some(RescheduleReason::Leaves)]
+    );
     let lasts = Run {
         lasts: true,
         ..run(&[(0, 0)])
     };
-    assert_eq!(why(&[lasts], 0, Some(60_000)), [Some(Why::Leaves)]);
+    assert_eq!(
+        why(&[lasts], 0, Some(60_000)),
+        [Some(RescheduleReason::Leaves)]
+    );
 }
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -1,4 +1,4 @@
-//! Three cores in one thread, with time, wires and disks that the tests rule over.
+//! Three replicas in one thread, with time, wires and disks that the tests rule over.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -27,7 +27,7 @@
     Hangs,
 }
 
-/// A core's disk: what is durable, and what was handed over and is not.
+/// A replica's disk: what is durable, and what was handed over and is not.
 pub struct TestDisk {
     pub durable: Loaded,
     pub pending: VecDeque<WriteBatch>,
@@ -82,7 +82,7 @@
     }
 }
 
-/// A message on its way, or arrived at somebody who is no core.
+/// A message on its way, or arrived at somebody who is no replica.
 #[derive(Clone, Debug)]
 pub struct Carried {
     pub from: String,
@@ -101,7 +101,7 @@
     pub loses: Box<dyn Fn(&Carried) -> bool>,
     /// All that was sent to nobody here.
     pub outside: Vec<Carried>,
-    /// All that was sent between cores, oldest first.
+    /// All that was sent between replicas, oldest first.
     pub sent: Vec<(u64, Carried)>,
     pub lines: Vec<String>,
     pub exits: usize,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Starts a core from what its disk holds.
+    /// Starts a replica from what its disk holds.
     pub fn boot(&mut self, i: usize) {
         let (settings, now) = (self.settings[i].clone(), self.now());
         let loaded = self.disks[i].durable.clone();
@@ -276,7 +276,7 @@
         }
     }
 
-    /// A message from somebody who is no core.
+    /// A message from somebody who is no replica.
     pub fn tell(&mut self, i: usize, from: &str, body: Body) {
         self.step(i, Msg::Wire(from.into(), body));
     }
@@ -290,7 +290,7 @@
             base: self.version(i),
             patch: true,
             number: 0,
-            value: json!({"witnesses": {(format!("n{token}")): noise(token, bytes)}}),
+            value: json!({"notes": {(format!("n{token}")): noise(token, bytes)}}),
         };
         let propose = ProposeRequest {
             token: request(token),
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -1,9 +1,9 @@
-//! Snapshots between cores and to nodes: in chunks, whole or not at all, and never less than was confirmed.
+//! Snapshots between replicas and to nodes: in chunks, whole or not at all, and never less than was confirmed.
 
 mod replicas;
 
 use landingdrift::settings::Limits;
-use landingdrift::snapshot_chunks::{Assembly, ChunkedSnapshot, Taken, CHUNK_BYTES};
+use landingdrift::snapshot_chunks::{ChunkOutcome, ChunkedSnapshot, SnapshotAssembly, CHUNK_BYTES};
 use landingdrift::wire::{
     AppendRequest, Body, InstallSnapshot, InstallSnapshotResponse, WatchRequest, WatchSnapshotChunk,
 };
@@ -24,7 +24,7 @@
     }
 }
 
-/// Three cores of which one missed so much that the log does not reach back to it; the one is down.
+/// Three replicas of which one missed so much that the log does not reach back to it; the one is down.
 fn one_behind() -> (Cores, usize, usize) {
     let mut all = Cores::start(limits());
     all.change(10);
@@ -54,7 +54,7 @@
 fn catches_up(all: &mut Cores, behind: usize) {
     let caught_up = all.until(10_000, Cores::all_alike);
     assert!(caught_up, "{:#?}", all.lines);
-    assert!(all.counter(behind, "captures_installed") >= 1);
+    assert!(all.counter(behind, "snapshots_installed") >= 1);
     all.run(200);
     let last = all.disks[behind].last();
     assert_eq!(
@@ -79,7 +79,7 @@
         .collect();
     assert_eq!(offsets, want);
     assert!(sent.iter().all(|(_, m)| m.snapshot.len() <= CHUNK_BYTES));
-    assert_eq!(all.counter(leader, "captures_sent"), 1);
+    assert_eq!(all.counter(leader, "snapshots_sent"), 1);
     assert_eq!(all.counter(leader, "snapshot_chunks_repeated"), 0);
     let first_beat = heartbeats(&all, behind)[0];
     assert!(first_beat <= since + 200, "its heartbeats go on");
@@ -117,8 +117,8 @@
     });
     all.boot(behind);
     catches_up(&mut all, behind);
-    assert_eq!(all.counter(behind, "captures_installed"), 1);
-    assert_eq!(all.counter(behind, "captures_refused"), 0);
+    assert_eq!(all.counter(behind, "snapshots_installed"), 1);
+    assert_eq!(all.counter(behind, "snapshots_refused"), 0);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let (mut all, leader, behind) = one_behind();
     all.boot(behind);
     assert!(all.until(5000, |c| installs(c, behind).len() >= 2));
-    assert_eq!(all.counter(behind, "captures_installed"), 0);
+    assert_eq!(all.counter(behind, "snapshots_installed"), 0);
     all.kill(leader);
     let led = all.until(10_000, |c| c.leader().is_some_and(|l| l != leader));
     assert!(led, "{:#?}", all.lines);
@@ -140,18 +140,18 @@
 fn the_next_leader_goes_on_where_the_same_snapshot_stopped() {
     let snapshot = ChunkedSnapshot::new(7, 2, vec![9; 3 * CHUNK_BYTES]);
     let of = snapshot.identity();
-    let mut assembly = Assembly::default();
-    assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), Taken::Part);
+    let mut assembly = SnapshotAssembly::default();
+    assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), ChunkOutcome::Part);
     // The next one begins at the beginning, and is told how much is there.
-    assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), Taken::Part);
+    assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), ChunkOutcome::Part);
     assert_eq!(assembly.received(), CHUNK_BYTES as u64);
     let rest = [1, 2].map(|n| n * CHUNK_BYTES as u64);
     assert_eq!(
         assembly.take(of, rest[0], snapshot.chunk(rest[0])),
-        Taken::Part
+        ChunkOutcome::Part
     );
     let whole = assembly.take(of, rest[1], snapshot.chunk(rest[1]));
-    assert_eq!(whole, Taken::Whole(vec![9; 3 * CHUNK_BYTES]));
+    assert_eq!(whole, ChunkOutcome::Whole(vec![9; 3 * CHUNK_BYTES]));
     assert_eq!(assembly.received(), 0);
 }
 
@@ -215,7 +215,7 @@
         assert_eq!(all.replica(to).state().applied_index, log_index);
     }
     assert_eq!(all.version(to), version);
-    assert_eq!(all.counter(to, "captures_installed"), 0);
+    assert_eq!(all.counter(to, "snapshots_installed"), 0);
     all.change(10);
     all.run(300);
     assert!(all.all_alike());
@@ -228,7 +228,7 @@
     all.run(300);
     let leader = all.leader().expect("somebody leads");
     let to = (leader + 1) % 3;
-    // Entries that this core has confirmed and does not know to be committed.
+    // Entries that this replica has confirmed and does not know to be committed.
     let last = all.disks[to].last();
     let tail: Vec<_> = all.disks[to].durable.entries.clone();
     let term = tail.last().expect("entries").term;
@@ -256,7 +256,7 @@
     all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(late)));
     all.run(3);
     assert_eq!(all.disks[to].last(), last + 2, "what it confirmed is gone");
-    assert_eq!(all.counter(to, "captures_installed"), 0);
+    assert_eq!(all.counter(to, "snapshots_installed"), 0);
 }
 
 #[test]
@@ -322,7 +322,7 @@
         most = most.max(held.max().unwrap_or(0));
     }
     assert!(most <= 330_000, "{most} bytes");
-    assert!(all.counter(0, "captures") > 3);
+    assert!(all.counter(0, "snapshots") > 3);
 }
 
 fn snapshot_chunks(all: &Cores) -> Vec<WatchSnapshotChunk> {
@@ -337,7 +337,7 @@
 #[test]
 fn a_node_fetches_a_snapshot_a_chunk_at_a_time() {
     let (mut all, leader, _) = one_behind();
-    let mut assembly = Assembly::default();
+    let mut assembly = SnapshotAssembly::default();
     let mut whole = None;
     for _ in 0..200 {
         let before = snapshot_chunks(&all).len();
@@ -358,24 +358,24 @@
         assert_eq!(got.len(), before + 1, "one chunk for each");
         let m = got.last().expect("a chunk");
         assert!(m.bytes.len() <= CHUNK_BYTES);
-        let of = landingdrift::snapshot_chunks::Identity {
+        let of = landingdrift::snapshot_chunks::SnapshotId {
             index: m.index,
             term: m.term,
             total: m.total,
             checksum: m.checksum,
         };
         match assembly.take(of, m.offset, &m.bytes) {
-            Taken::Part => {}
-            Taken::Whole(bytes) => {
+            ChunkOutcome::Part => {}
+            ChunkOutcome::Whole(bytes) => {
                 whole = Some((m.index, bytes));
                 break;
             }
-            Taken::Corrupt => panic!("a chunk was spoilt"),
+            ChunkOutcome::Corrupt => panic!("a chunk was spoilt"),
         }
     }
     let (index, bytes) = whole.expect("whole");
     landingdrift::state::ClusterState::unpack(&bytes).expect("a record");
-    assert_eq!(all.counter(leader, "feed_captures"), 1);
+    assert_eq!(all.counter(leader, "watch_snapshots"), 1);
     // It goes on with entries from there, and no further snapshot.
     let before = snapshot_chunks(&all).len();
     all.watch_request(NODE, index);
@@ -404,5 +404,5 @@
     assert!(sent.windows(2).all(|w| w[0] == w[1]), "{sent:?}");
     let bytes: usize = sent.iter().map(|s| s.2).sum();
     assert!(bytes <= 20 * CHUNK_BYTES);
-    assert_eq!(all.counter(leader, "feed_chunks"), 20);
+    assert_eq!(all.counter(leader, "watch_chunks"), 20);
 }
--- a/landingdrift/tests/relay.rs
+++ b/landingdrift/tests/worker_proxy.rs
@@ -1,4 +1,4 @@
-//! A relay carries a worker's calls; each test drives one by its messages.
+//! A worker proxy carries a worker's calls; each test drives one by its messages.
 
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::Settings;
@@ -91,7 +91,7 @@
     assert_eq!(passed(&step(&mut r, 14, m)), []);
 }
 
-/// The answers given while nobody speaks for the cell, over a second and a half.
+/// The answers given while nobody speaks for the zone scheduler, over a second and a half.
 fn in_vain(query: &str) -> Vec<(u64, Response)> {
     let mut r = worker_proxy();
     step(&mut r, 1, heartbeat(query));
@@ -133,7 +133,7 @@
     assert_eq!(answer(&step(&mut r, 12, back(&to, former, 200, ""))), None);
     assert!(answer(&step(&mut r, 13, back(&to, first, 200, &to))).is_some());
     let (_, second) = passed(&step(&mut r, 160, heartbeat("")))[0].clone();
-    // The answer to the former beat comes once more: it says nothing of the one under way.
+    // The answer to the former heartbeat comes once more: it says nothing of the one under way.
     assert_eq!(answer(&step(&mut r, 161, back(&to, first, 200, &to))), None);
     assert!(answer(&step(&mut r, 162, back(&to, second, 200, &to))).is_some());
     assert_eq!(
--- a/landingdrift/tests/cell.rs
+++ b/landingdrift/tests/zone_scheduler.rs
@@ -1,4 +1,4 @@
-//! What the holder of a cell makes of beats: each test drives one node by its messages.
+//! What the holder of a zone scheduler makes of heartbeats: each test drives one node by its messages.
 
 use landingdrift::node::{Heartbeat, Node, Running};
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
@@ -16,7 +16,7 @@
 const NODE: &str = "10.0.0.1:1";
 const CORE: &str = "10.0.0.2:1";
 
-/// A node that holds the cell of zone `z` and owns queue `q`, with one worker.
+/// A node that holds the zone scheduler of zone `z` and owns queue `q`, with one worker.
 struct Desk {
     r: ClusterState,
     n: Node,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The node follows to where the record is.
+    /// The node follows to where the cluster state is.
     fn follow(&mut self) -> Vec<Effect> {
         let batch = WatchBatch {
             replica: CORE.into(),
@@ -160,7 +160,7 @@
         self.follow();
     }
 
-    /// A beat of the worker; the answer, and what was proposed with it.
+    /// A heartbeat of the worker; the answer, and what was proposed with it.
     fn heartbeat(&mut self, call: u64, running: bool) -> (Option<Response>, Vec<Command>) {
         let name = RunName {
             job: "j".into(),
@@ -274,7 +274,7 @@
         d.follow();
         let now = d.now();
         let (_, proposed) = said(d.n.step(now, Msg::Tick));
-        // Until the core's word comes the proposal is sent again; the first one counts.
+        // Until the replica's word comes the proposal is sent again; the first one counts.
         let first = expired.is_empty();
         for c in proposed.into_iter().filter(|_| first) {
             if let Command::ExpireAttempts { worker, .. } = &c {
@@ -386,7 +386,7 @@
     d.started();
     d.heartbeat(1, true);
     let mut proposed = Vec::new();
-    // No core answers, and in the end the proposal is given up: it may still come through.
+    // No replica answers, and in the end the proposal is given up: it may still come through.
     for t in (20..12_000).step_by(20) {
         d.t = t;
         d.follow();
@@ -471,11 +471,11 @@
     let counted = d.n.counters();
     let count = |name: &str| counted.iter().find(|(k, _)| k == name).map(|(_, n)| *n);
     assert_eq!(count("offers_accepted"), Some(1));
-    assert_eq!(count("answers_unasked"), Some(2));
-    assert_eq!(count("answers_to_another_life"), Some(1));
+    assert_eq!(count("responses_unexpected"), Some(2));
+    assert_eq!(count("responses_to_another_incarnation"), Some(1));
 }
 
-/// The sends of starts, each to its core with its token.
+/// The attempts of starts, each to its replica with its token.
 fn start_proposals(effects: Vec<Effect>) -> Vec<(String, RequestToken)> {
     let sent = effects.into_iter().filter_map(|e| match e {
         Effect::Send(to, Body::ProposeRequest(p)) => Some((to, *p)),
@@ -492,7 +492,7 @@
 }
 
 impl Desk {
-    /// Time passes while the node hears the feed; the starts that it proposes.
+    /// Time passes while the node hears the watch; the starts that it proposes.
     fn starts_during(&mut self, ms: u64) -> Vec<(String, RequestToken)> {
         let mut all = Vec::new();
         for _ in 0..ms / 20 {
@@ -504,7 +504,7 @@
         all
     }
 
-    /// A core answers a proposal that it doesn't lead; the starts that are proposed thereupon.
+    /// A replica answers a proposal that it doesn't lead; the starts that are proposed thereupon.
     fn not_taken(&mut self, from: &str, token: RequestToken) -> Vec<(String, RequestToken)> {
         let answer = ProposeResponse {
             token,
--- a/rehearsal/src/checkers/conditions.rs
+++ b/testkit/src/checkers/conditions.rs
@@ -5,12 +5,12 @@
 pub struct Conditions<'a> {
     /// Times in which no service can be asked for, with the time promised to come back.
     excused: Vec<(u64, u64)>,
-    /// Times in which a node was up and could talk to the cores.
+    /// Times in which a node was up and could talk to the replicas.
     nodes: BTreeMap<&'a str, Vec<(u64, u64)>>,
 }
 
 impl<'a> Conditions<'a> {
-    /// Reads the conditions; after less than two cores service may take `recover`, after none `outage`.
+    /// Reads the conditions; after less than two replicas service may take `recover`, after none `outage`.
     pub fn of(h: &'a History, recover: u64, outage: u64) -> Self {
         let mut c = Self {
             excused: Vec::new(),
@@ -63,7 +63,7 @@
         sum + to.saturating_sub(at)
     }
 
-    /// Whether a node was up and connected, and the core whole, all the time.
+    /// Whether a node was up and connected, and the replica whole, all the time.
     pub fn node_able(&self, node: &str, from: u64, to: u64) -> bool {
         let up = self
             .nodes
--- a/rehearsal/src/checkers/jobs.rs
+++ b/testkit/src/checkers/jobs.rs
@@ -13,7 +13,7 @@
     let mut accepted: BTreeMap<&str, u64> = BTreeMap::new();
     let mut ends: BTreeMap<&str, &str> = BTreeMap::new();
     let mut out = Vec::new();
-    let mut say = |t, what| out.push(Broken::new("never forgotten", t, what));
+    let mut outln = |t, what| out.push(Broken::new("never forgotten", t, what));
     for a in &h.events {
         match &a.e {
             Event::Submitted {
@@ -30,7 +30,7 @@
                 .get(id.as_str())
                 .is_some_and(|t| a.t >= t + p.state) =>
             {
-                say(a.t, format!("job {id} was accepted and is unknown"))
+                outln(a.t, format!("job {id} was accepted and is unknown"))
             }
             Event::Polled {
                 id,
@@ -41,7 +41,7 @@
             } => {
                 accepted.entry(id).or_insert(a.t);
                 match ends.get(id.as_str()) {
-                    Some(before) if before != state && !stale => say(
+                    Some(before) if before != state && !stale => outln(
                         a.t,
                         format!("job {id} was told as {before} and is {state} now"),
                     ),
@@ -56,7 +56,7 @@
                     .keys()
                     .filter(|id| !jobs.contains_key(**id))
                     .for_each(|id| {
-                        say(
+                        outln(
                             a.t,
                             format!("job {id} was accepted and is gone at the end of the day"),
                         )
@@ -68,7 +68,7 @@
                             .map(|(s, _)| (id, before, s))
                     })
                     .for_each(|(id, before, s)| {
-                        say(
+                        outln(
                             a.t,
                             format!(
                                 "job {id} was told as {before} and is {s} at the end of the day"
--- a/rehearsal/src/checkers/mod.rs
+++ b/testkit/src/checkers/mod.rs
@@ -45,7 +45,7 @@
     /// How long a gang's member may be alone, when nothing strikes it and when a fault does.
     pub alone: u64,
     pub alone_struck: u64,
-    /// How long service may take to return after the core had no majority, short of a total outage.
+    /// How long service may take to return after the replica had no majority, short of a total outage.
     pub recover: u64,
     /// How long a node that is up and connected may take to be ready.
     pub ready: u64,
--- a/rehearsal/src/checkers/runs/gangs.rs
+++ b/testkit/src/checkers/runs/gangs.rs
@@ -83,7 +83,7 @@
                 out.push(Alone {
                     who: format!("{job}/{} on {}", r.task, r.worker),
                     t: r.from,
-                    // While the core has no majority nobody can be told to stop.
+                    // While the replica has no majority nobody can be told to stop.
                     ms: c.answerable(r.from, until.max(r.from)),
                     struck: struck.iter().any(|(a, b)| *a <= until && *b >= r.from),
                 });
--- a/rehearsal/src/checkers/runs/limits.rs
+++ b/testkit/src/checkers/runs/limits.rs
@@ -1,4 +1,4 @@
-//! Limits by queue, and the checker of tries, which are limited so.
+//! Limits by queue, and the checker of attempts, which are limited so.
 
 use super::specs;
 use crate::checkers::{Broken, Promised};
--- a/rehearsal/src/checkers/runs/placement.rs
+++ b/testkit/src/checkers/runs/placement.rs
@@ -1,11 +1,11 @@
-//! Checkers of where runs are placed: room, services and labels, leaving workers, emptied zones.
+//! Checkers of where runs are placed: capacity, services and labels, leaving workers, evacuated zones.
 
 use super::{specs, task};
 use crate::checkers::{Broken, Promised};
 use crate::history::{Event, History};
 use std::collections::BTreeMap;
 
-/// No worker holds more than its room.
+/// No worker holds more than its capacity.
 pub fn cpu(h: &History, _: &Promised) -> Vec<Broken> {
     let mut resources: BTreeMap<&str, u32> = BTreeMap::new();
     let mut held: BTreeMap<&str, BTreeMap<u64, u32>> = BTreeMap::new();
@@ -125,7 +125,7 @@
     out
 }
 
-/// An emptied zone gets nothing new soon after.
+/// An evacuated zone gets nothing new soon after.
 pub fn evacuated_zones(h: &History, p: &Promised) -> Vec<Broken> {
     let mut zone_of: BTreeMap<&str, &str> = BTreeMap::new();
     let mut closed: BTreeMap<&str, u64> = BTreeMap::new();
--- a/rehearsal/src/checkers/summary.rs
+++ b/testkit/src/checkers/summary.rs
@@ -16,7 +16,7 @@
     pub unsure: usize,
     pub starts: usize,
     pub copies: usize,
-    /// The longest that each bound took, where it was seen: cancel, leaving, emptied zone, outage.
+    /// The longest that each bound took, where it was seen: cancel, leaving, evacuated zone, outage.
     pub latest_start_after_cancel_ms: u64,
     pub latest_start_after_leaving_ms: u64,
     pub longest_outage_ms: u64,
--- a/rehearsal/src/checkers/system.rs
+++ b/testkit/src/checkers/system.rs
@@ -33,7 +33,7 @@
     let mut versions: BTreeMap<u64, &str> = BTreeMap::new();
     let (of, lost) = marks(h);
     let mut out = Vec::new();
-    let mut say = |t, what| out.push(Broken::new("one of two rivals", t, what));
+    let mut outln = |t, what| out.push(Broken::new("one of two rivals", t, what));
     for a in &h.events {
         match &a.e {
             Event::Configured {
@@ -48,7 +48,7 @@
                         .insert(*version, change)
                         .is_some_and(|c| c != change);
                 if twice {
-                    say(
+                    outln(
                         a.t,
                         format!("{change} was accepted on version {base}, and another was too"),
                     );
@@ -60,12 +60,12 @@
                 if !by.is_empty() =>
             {
                 if lost.contains(by.as_str()) {
-                    say(
+                    outln(
                         a.t,
                         format!("{by} was refused, and its content is in version {version}"),
                     );
                 } else if let Some(c) = of.get(version).filter(|c| **c != by) {
-                    say(
+                    outln(
                         a.t,
                         format!("version {version} was made by {c} and has the content of {by}"),
                     );
@@ -82,7 +82,7 @@
     let mut out = Vec::new();
     let mut acked: Vec<(u64, u64)> = Vec::new();
     let mut on_node: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut say = |t, what| out.push(Broken::new("configuration never slides back", t, what));
+    let mut outln = |t, what| out.push(Broken::new("configuration never slides back", t, what));
     for a in &h.events {
         match &a.e {
             Event::Configured {
@@ -98,7 +98,7 @@
                     .max()
                     .unwrap_or(0);
                 if *version < least {
-                    say(
+                    outln(
                         a.t,
                         format!("version {version} was read after {least} was accepted"),
                     );
@@ -118,12 +118,12 @@
                     .filter(|before| before > version);
                 before
                     .into_iter()
-                    .for_each(|_| say(a.t, format!("{node} slid back to version {version}")));
+                    .for_each(|_| outln(a.t, format!("{node} slid back to version {version}")));
             }
             Event::Closed { version, .. } => {
                 let newest = acked.iter().map(|(_, v)| *v).max().unwrap_or(0);
                 if *version < newest {
-                    say(
+                    outln(
                         a.t,
                         format!("version {version} at the end of the day, {newest} was accepted"),
                     );
@@ -141,7 +141,7 @@
     let mut acked: Vec<(u64, u64)> = Vec::new();
     let mut unready: BTreeMap<&str, u64> = BTreeMap::new();
     let mut out = Vec::new();
-    let mut say = |t, what| out.push(Broken::new("configuration takes hold", t, what));
+    let mut outln = |t, what| out.push(Broken::new("configuration takes hold", t, what));
     for a in &h.events {
         match &a.e {
             Event::Configured {
@@ -165,7 +165,7 @@
                     .max()
                     .unwrap_or(0);
                 if *ready && *version < due {
-                    say(a.t, format!("{node} says it is ready with version {version}, {due} was accepted long before"));
+                    outln(a.t, format!("{node} says it is ready with version {version}, {due} was accepted long before"));
                 }
                 // Nobody escapes by not being ready: a node that is up and connected has no excuse for long.
                 if *ready {
@@ -173,7 +173,7 @@
                 } else {
                     let since = *unready.entry(node).or_insert(a.t);
                     if a.t > since + p.ready && c.node_able(node, since, a.t) {
-                        say(
+                        outln(
                             a.t,
                             format!(
                                 "{node} was up and connected and not ready for {} ms",
