--- a/rehearsal/src/cli/capacity.rs
+++ b/testkit/src/cli/capacity.rs
@@ -1,32 +1,26 @@
-use super::Words;
+use super::Arguments;
 use crate::measure::capacity::{memory_of_a_byte, report, sizes, Clockwork, Run};
 use std::process::Command;
 
 /// The commit that the figures belong to, where git knows it.
 pub(super) fn commit() -> String {
-    let git = |words: &[&str]| {
+    let git = |arguments: &[&str]| {
         Command::new("git")
-            .args(words)
+            .args(arguments)
             .output()
             .ok()
             .filter(|o| o.status.success())
             .map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string())
     };
-    let changed = git(&[
-        "status",
-        "--porcelain",
-        "--",
-        "landingdrift",
-        "rehearsal/src",
-    ])
-    .is_some_and(|s| !s.is_empty());
+    let changed = git(&["status", "--porcelain", "--", "landingdrift", "testkit/src"])
+        .is_some_and(|s| !s.is_empty());
     git(&["rev-parse", "--short", "HEAD"]).map_or("unknown".into(), |c| {
         c + if changed { " with changes" } else { "" }
     })
 }
 
 /// Sizes from a list of numbers.
-pub(super) fn list(w: &Words, or: &str, most: usize) -> Result<Vec<usize>, String> {
+pub(super) fn list(w: &Arguments, or: &str, most: usize) -> Result<Vec<usize>, String> {
     w.text("sizes")
         .unwrap_or(or)
         .split(',')
@@ -41,7 +35,7 @@
         .collect()
 }
 
-/// Has a new process of this program unpack a record, and say what a packed byte takes in memory.
+/// Has a new process of this program unpack a cluster state, and say what a packed byte takes in memory.
 fn footprint(runs: &[Run]) -> Result<f64, String> {
     let file = std::env::temp_dir().join(format!("landingdrift-record-{}", std::process::id()));
     let defect = |e: std::io::Error| {
@@ -66,11 +60,11 @@
         .map_err(|_| "the record could not be unpacked: run the command again".into())
 }
 
-pub fn run(w: &Words) -> Result<bool, String> {
+pub fn run(w: &Arguments) -> Result<bool, String> {
     if let Some(file) = w.text("record") {
         let packed = std::fs::read(file)
             .map_err(|e| format!("'{file}' can't be read ({e}): name a packed record"))?;
-        landingdrift::say!("{}", memory_of_a_byte(&packed));
+        landingdrift::outln!("{}", memory_of_a_byte(&packed));
         return Ok(true);
     }
     let mut workers = list(w, "40,80,160", 200)?;
@@ -102,11 +96,11 @@
         })
         .collect();
     let named: Vec<String> = workers.iter().map(ToString::to_string).collect();
-    landingdrift::say!(
-        "    rehearsal capacity --sizes {} --warm {warm} --seconds {window} --seed {seed}\n\nCheckout at {}; virtual time, no faults.\n",
+    landingdrift::outln!(
+        "    testkit capacity --sizes {} --warm {warm} --seconds {window} --seed {seed}\n\nCheckout at {}; virtual time, no faults.\n",
         named.join(","),
         commit()
     );
-    landingdrift::say!("{}", report(&runs, footprint(&runs)?));
+    landingdrift::outln!("{}", report(&runs, footprint(&runs)?));
     Ok(true)
 }
--- a/rehearsal/src/cli/digest.rs
+++ b/testkit/src/cli/digest.rs
@@ -2,7 +2,7 @@
 //!
 //! Only values enter the fingerprints, no names of types or fields, so that they outlive a renaming.
 
-use super::Words;
+use super::Arguments;
 use crate::explorer::walk::{Outcome, Walk};
 use crate::simulator::World;
 use sha2::{Digest, Sha256};
@@ -69,19 +69,22 @@
     ]
 }
 
-pub fn run(words: &Words) -> Result<bool, String> {
-    let file = words.rest.get(1).ok_or("digest needs a scenario FILE")?;
-    let scenario = super::scenario(words, file)?;
-    let from = words.number("from", 1)?;
-    let seeds = from..from.saturating_add(words.number("seeds", DEFAULT_SEEDS)?);
-    let threads = words.number("threads", DEFAULT_THREADS)?.max(1);
+pub fn run(arguments: &Arguments) -> Result<bool, String> {
+    let file = arguments
+        .rest
+        .get(1)
+        .ok_or("digest needs a scenario FILE")?;
+    let scenario = super::scenario(arguments, file)?;
+    let from = arguments.number("from", 1)?;
+    let seeds = from..from.saturating_add(arguments.number("seeds", DEFAULT_SEEDS)?);
+    let threads = arguments.number("threads", DEFAULT_THREADS)?.max(1);
 
     let days = for_each_seed(seeds.clone(), threads, |seed| {
         let report = World::new(&scenario, seed).run();
         let seen = (&report.history, report.messages, report.copies_won);
         landingdrift::state::pack::pack(&seen)
     })?;
-    landingdrift::say!(
+    landingdrift::outln!(
         "{} days of {file}, shape {}: {} bytes, {}",
         days.len(),
         scenario.shape.name(),
@@ -93,6 +96,6 @@
         let walk = Walk::drawn(seed, WALK_VOTERS, WALK_STANDBYS, WALK_MS, WALK_FAULTS);
         landingdrift::state::pack::pack(&counts(&walk.take()))
     })?;
-    landingdrift::say!("{} walks: {}", walks.len(), fingerprint(&walks));
+    landingdrift::outln!("{} walks: {}", walks.len(), fingerprint(&walks));
     Ok(true)
 }
--- a/rehearsal/src/cli/explore.rs
+++ b/testkit/src/cli/explore.rs
@@ -1,6 +1,6 @@
-//! `rehearsal explore`: many random walks of the model checker.
+//! `simulation explore`: many random walks of the model checker.
 
-use super::Words;
+use super::Arguments;
 use crate::explorer::walk::Walk;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -16,14 +16,14 @@
 }
 
 /// Takes walks with seeds one after the other; true if no invariant was broken.
-pub fn run(words: &Words) -> Result<bool, String> {
-    let from = words.number("from", 1)?;
-    let seeds = words.number("seeds", 200)?;
-    let voters = words.number("voters", 3)? as u32;
-    let standbys = words.number("standbys", 0)? as usize;
-    let seconds = words.number("seconds", 60)?.max(10);
-    let troubles = words.number("random", 24)? as usize;
-    let threads = words.number("threads", 8)?.max(1);
+pub fn run(arguments: &Arguments) -> Result<bool, String> {
+    let from = arguments.number("from", 1)?;
+    let seeds = arguments.number("seeds", 200)?;
+    let voters = arguments.number("voters", 3)? as u32;
+    let standbys = arguments.number("standbys", 0)? as usize;
+    let seconds = arguments.number("seconds", 60)?.max(10);
+    let troubles = arguments.number("random", 24)? as usize;
+    let threads = arguments.number("threads", 8)?.max(1);
     let next = AtomicU64::new(from);
     let sums = Mutex::new(Sums::default());
     let take_walks = || loop {
@@ -39,7 +39,7 @@
         sums.reads += outcome.reads;
         sums.data_losses += outcome.data_losses as u64;
         if let Some(violation) = outcome.violations.first() {
-            landingdrift::say!("seed {seed}: {violation:?}");
+            landingdrift::outln!("seed {seed}: {violation:?}");
             sums.broken.push(seed);
         }
     };
@@ -53,14 +53,14 @@
         let walk = Walk::drawn(*seed, voters, standbys, seconds * 1000, troubles);
         if let Some(violation) = walk.take().violations.first() {
             let shrunk = walk.shrunk(violation.invariant);
-            landingdrift::say!("seed {seed}, shortest way found: {shrunk:#?}");
+            landingdrift::outln!("seed {seed}, shortest way found: {shrunk:#?}");
             for line in shrunk.take_logged().log {
-                landingdrift::say!("{line}");
+                landingdrift::outln!("{line}");
             }
-            landingdrift::say!("{:?}", shrunk.take().violations);
+            landingdrift::outln!("{:?}", shrunk.take().violations);
         }
     }
-    landingdrift::say!(
+    landingdrift::outln!(
         "{} walks of {seconds} s, {voters} voters, {standbys} standbys, {troubles} troubles each: {} broken; {} orders acknowledged, {} reads answered, {} disks or machines lost",
         sums.walks,
         sums.broken.len(),
--- a/rehearsal/src/cli/fleet.rs
+++ b/testkit/src/cli/fleet.rs
@@ -1,9 +1,9 @@
-use super::{quantiles, Words};
+use super::{quantiles, Arguments};
 use crate::fleet::{program, run as drive, Options};
 use crate::scenario::{Fault, Kind, Scenario, Shape};
 use std::path::PathBuf;
 
-pub fn run(w: &Words) -> Result<bool, String> {
+pub fn run(w: &Arguments) -> Result<bool, String> {
     let named = w.text("shape").unwrap_or("gunasekera");
     let mut shape = Shape::named(named)
         .ok_or_else(|| format!("no shape is called '{named}': give odvoza or gunasekera"))?;
@@ -42,24 +42,24 @@
         seed: w.number("seed", 1)?,
         talk: true,
     };
-    landingdrift::say!("folder {}", o.folder.display());
+    landingdrift::outln!("folder {}", o.folder.display());
     let outcome = drive(&o).map_err(|e| format!("the fleet could not be rehearsed: {e}"))?;
     if let Some(path) = w.text("history") {
         std::fs::write(path, outcome.history.text())
             .map_err(|e| format!("'{path}' can't be written ({e})"))?;
     }
-    landingdrift::say!(
+    landingdrift::outln!(
         "{}",
         serde_json::to_string(&outcome.summary).unwrap_or_default()
     );
-    landingdrift::say!("{}", quantiles(&outcome.latencies));
-    landingdrift::say!("promises kept {}, missed {}", outcome.kept, outcome.missed);
+    landingdrift::outln!("{}", quantiles(&outcome.latencies));
+    landingdrift::outln!("promises kept {}, missed {}", outcome.kept, outcome.missed);
     outcome
         .broken
         .iter()
         .take(20)
-        .for_each(|b| landingdrift::say!("BROKEN {b}"));
-    landingdrift::say!(
+        .for_each(|b| landingdrift::outln!("BROKEN {b}"));
+    landingdrift::outln!(
         "{}",
         if outcome.broken.is_empty() {
             "no rule was broken"
--- a/rehearsal/src/cli/measure.rs
+++ b/testkit/src/cli/measure.rs
@@ -1,4 +1,4 @@
-use super::Words;
+use super::Arguments;
 use crate::measure::{compare, order_delay, product, workload, Figures, Policy, SPECULATION};
 use crate::scenario::Shape;
 use landingdrift::settings::Hopper;
@@ -49,7 +49,7 @@
         .iter()
         .map(|x| 100.0 * x.copies_won as f64 / x.copies.max(1) as f64)
         .collect();
-    landingdrift::say!(
+    landingdrift::outln!(
         "  {name:<22} mean {}  median {}  p95 {}  p99 {}  small {}  large {}  copies% {}  won% {}  slowed% {}",
         spread(&q(0, &all)),
         spread(&q(1, &all)),
@@ -96,7 +96,7 @@
             .map(|(x, b)| 100.0 * slowed(x, b) as f64 / x.took.len().max(1) as f64)
             .collect()
     };
-    landingdrift::say!(
+    landingdrift::outln!(
         "  {name:<22} against srpt, paired: all {}  small {}  middle {}  large {}  slowed by 5 % {}, by 50 % {}",
         interval(&longer(&|_| true)),
         interval(&longer(&|k| size(k) <= 3)),
@@ -107,7 +107,7 @@
     );
 }
 
-pub fn run(w: &Words) -> Result<bool, String> {
+pub fn run(w: &Arguments) -> Result<bool, String> {
     let named = w.text("shape").unwrap_or("gunasekera");
     let shape = Shape::named(named)
         .ok_or_else(|| format!("no shape is called '{named}': give odvoza or gunasekera"))?;
@@ -124,7 +124,7 @@
     };
     let (loads, betas) = (list("load", "0.6,0.8,0.95")?, list("beta", "1.2,1.6")?);
     let delay = order_delay(shape);
-    landingdrift::say!("{named}: {seeds} seeds, {seconds} s of load, order delay of the comparators {delay} ms; milliseconds, mean [least..most] over seeds");
+    landingdrift::outln!("{named}: {seeds} seeds, {seconds} s of load, order delay of the comparators {delay} ms; milliseconds, mean [least..most] over seeds");
     let mut variants: Vec<(String, Hopper, u32)> =
         vec![("hopper".into(), Hopper::default(), SPECULATION)];
     // One free value at a time, as name=value.
@@ -152,7 +152,7 @@
     }
     for u in &loads {
         for b in &betas {
-            landingdrift::say!("utilisation {u}, beta {b}");
+            landingdrift::outln!("utilisation {u}, beta {b}");
             let sets: Vec<_> = (1..=seeds)
                 .map(|s| (s, workload(shape, *u, *b, seconds, s)))
                 .collect();
@@ -182,7 +182,7 @@
                 row(name, &figures, &srpt);
                 differences(name, &figures, &srpt);
                 let sum = |f: &dyn Fn(&Figures) -> u64| figures.iter().map(f).sum::<u64>() as f64;
-                landingdrift::say!(
+                landingdrift::outln!(
                     "  {:<22} {:.1} messages a start, {:.0} bytes of log a job",
                     "",
                     sum(&|f| f.messages) / sum(&|f| f.starts).max(1.0),
--- a/rehearsal/src/cli/mod.rs
+++ b/testkit/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of the rehearsal kit.
+//! The command line of the simulation kit.
 
 mod capacity;
 mod digest;
@@ -13,12 +13,12 @@
 use std::ffi::OsString;
 
 /// The words of a command: flags with their values, and the rest.
-pub(crate) struct Words {
+pub(crate) struct Arguments {
     flags: Vec<(String, String)>,
     pub rest: Vec<String>,
 }
 
-impl Words {
+impl Arguments {
     pub fn text(&self, name: &str) -> Option<&str> {
         self.flags
             .iter()
@@ -37,7 +37,7 @@
     }
 }
 
-const HELP: &str = "rehearsal COMMAND ...
+const HELP: &str = "testkit COMMAND ...
 
   run FILE [--seed N] [--random N] [--shape S] [--last] [--log] [--history FILE]
                                                  rehearse a scenario in virtual time
@@ -62,10 +62,10 @@
 
 Exit codes: 0 no rule was broken, 1 a rule was broken, 2 wrong command line.";
 
-fn read(words: Vec<OsString>) -> Result<Words, String> {
+fn read(arguments: Vec<OsString>) -> Result<Arguments, String> {
     let bad = |e: lexopt::Error| e.to_string();
-    let mut p = lexopt::Parser::from_args(words);
-    let mut w = Words {
+    let mut p = lexopt::Parser::from_args(arguments);
+    let mut w = Arguments {
         flags: Vec::new(),
         rest: Vec::new(),
     };
@@ -101,7 +101,7 @@
 }
 
 /// A scenario file, with what the command line says otherwise.
-pub(crate) fn scenario(w: &Words, file: &str) -> Result<Scenario, String> {
+pub(crate) fn scenario(w: &Arguments, file: &str) -> Result<Scenario, String> {
     let mut s = Scenario::load(file).map_err(|e| e.to_string())?;
     s.random = w.number("random", s.random as u64)? as usize;
     s.last |= w.has("last");
@@ -113,10 +113,10 @@
 }
 
 /// Runs a command; the result is the exit code.
-pub fn run(words: Vec<OsString>) -> i32 {
-    let done = read(words).and_then(|w| {
+pub fn run(arguments: Vec<OsString>) -> i32 {
+    let done = read(arguments).and_then(|w| {
         if w.has("help") {
-            landingdrift::say!("{HELP}");
+            landingdrift::outln!("{HELP}");
             return Ok(true);
         }
         match w.rest.first().map(String::as_str) {
@@ -136,7 +136,7 @@
         Ok(true) => 0,
         Ok(false) => 1,
         Err(why) => {
-            eprintln!("rehearsal: {why}\n\n{HELP}");
+            eprintln!("testkit: {why}\n\n{HELP}");
             2
         }
     }
--- a/rehearsal/src/cli/scale.rs
+++ b/testkit/src/cli/scale.rs
@@ -1,5 +1,5 @@
 use super::capacity::{commit, list};
-use super::Words;
+use super::Arguments;
 use crate::fleet::program;
 use crate::measure::capacity::TARGET;
 use crate::scale::{run as drive, Options, Outcome};
@@ -15,7 +15,7 @@
 }
 
 fn rows(o: &Options, out: &Outcome) {
-    landingdrift::say!(
+    landingdrift::outln!(
         "| {} | {} | {:.0} | {:.1} | {} | {} | {} | {} | {} / {} | {} |",
         o.workers,
         o.nodes,
@@ -31,7 +31,7 @@
     );
 }
 
-pub fn run(w: &Words) -> Result<bool, String> {
+pub fn run(w: &Arguments) -> Result<bool, String> {
     let sizes = list(w, "100,300,600", 1000)?;
     (sizes.len() <= 20)
         .then_some(())
@@ -52,8 +52,8 @@
         PathBuf::from,
     );
     let own = w.text("folder").is_none();
-    landingdrift::say!(
-        "    rehearsal scale --sizes {} --nodes {nodes} --starts {starts} --seconds {seconds} --seed {seed}\n\nCheckout at {}; wall clock of this machine, last two thirds of each run.\n",
+    landingdrift::outln!(
+        "    testkit scale --sizes {} --nodes {nodes} --starts {starts} --seconds {seconds} --seed {seed}\n\nCheckout at {}; wall clock of this machine, last two thirds of each run.\n",
         sizes.iter().map(ToString::to_string).collect::<Vec<_>>().join(","),
         commit()
     );
@@ -81,15 +81,15 @@
             out.map(|out| (o, out))
         })
         .collect::<Vec<_>>();
-    landingdrift::say!("| workers | hollow nodes | starts/s wanted | starts/s reached | running at the end | jobs accepted | hand-in to first start of a job, ms (p50 / p95 / p99 / most) | hand-in to each start, ms | round of the hollow process, ms (p50 / most) | frames it dropped |");
-    landingdrift::say!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    landingdrift::outln!("| workers | hollow nodes | starts/s wanted | starts/s reached | running at the end | jobs accepted | hand-in to first start of a job, ms (p50 / p95 / p99 / most) | hand-in to each start, ms | round of the hollow process, ms (p50 / most) | frames it dropped |");
+    landingdrift::outln!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let done = || runs.iter().filter_map(|r| r.as_ref().ok());
     done().for_each(|(o, out)| rows(o, out));
-    landingdrift::say!("\n| workers | process | resident, MB | at the most, MB | of a core, % |");
-    landingdrift::say!("| --- | --- | --- | --- | --- |");
+    landingdrift::outln!("\n| workers | process | resident, MB | at the most, MB | of a core, % |");
+    landingdrift::outln!("| --- | --- | --- | --- | --- |");
     done().for_each(|(o, out)| {
         out.taken.iter().for_each(|t| {
-            landingdrift::say!(
+            landingdrift::outln!(
                 "| {} | {} | {:.0} | {:.0} | {:.1} |",
                 o.workers,
                 t.name,
--- a/rehearsal/src/cli/sweep.rs
+++ b/testkit/src/cli/sweep.rs
@@ -1,6 +1,6 @@
-use super::Words;
+use super::Arguments;
 use crate::scenario::{Fault, Scenario};
-use crate::simulator::rehearse;
+use crate::simulator::simulate;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -14,7 +14,7 @@
             last: false,
             ..s.clone()
         };
-        rehearse(&t, seed).1.iter().any(|b| b.rule == rule)
+        simulate(&t, seed).1.iter().any(|b| b.rule == rule)
     };
     if !breaks(&all) {
         return all;
@@ -33,7 +33,7 @@
     kept
 }
 
-pub fn run(w: &Words) -> Result<bool, String> {
+pub fn run(w: &Arguments) -> Result<bool, String> {
     let file = w.rest.get(1).ok_or("sweep needs a scenario FILE")?;
     let s = super::scenario(w, file)?;
     let (from, number, threads) = (
@@ -51,7 +51,7 @@
                 if seed >= from.saturating_add(number) {
                     return;
                 }
-                let (report, broken) = rehearse(&s, seed);
+                let (report, broken) = simulate(&s, seed);
                 if let Ok(mut m) = margins.lock() {
                     let sum = &report.summary;
                     let seen = [
@@ -78,12 +78,12 @@
                     let last = if s.last { " --last" } else { "" };
                     let flags = format!(" --random {} --shape {}{last}", s.random, s.shape.name());
                     let text = format!(
-                        "seed {seed}: {b}\n  repeat: rehearsal run {file} --seed {seed}{flags} --log\n  shrunk to {} of {} faults:\n{}",
+                        "seed {seed}: {b}\n  repeat: testkit run {file} --seed {seed}{flags} --log\n  shrunk to {} of {} faults:\n{}",
                         kept.len(),
                         report.faults.len(),
                         faults.join("")
                     );
-                    landingdrift::say!("{text}");
+                    landingdrift::outln!("{text}");
                     bad.lock().iter_mut().for_each(|l| l.push(seed));
                 }
             });
@@ -91,12 +91,12 @@
     });
     let mut bad = bad.into_inner().unwrap_or_default();
     bad.sort();
-    landingdrift::say!(
+    landingdrift::outln!(
         "{number} seeds from {from}: {} broke a rule {:?}",
         bad.len(),
         bad.iter().take(40).collect::<Vec<_>>()
     );
-    landingdrift::say!(
+    landingdrift::outln!(
         "{}",
         serde_json::to_string(&margins.into_inner().unwrap_or_default()).unwrap_or_default()
     );
--- a/rehearsal/src/explorer/cluster.rs
+++ b/testkit/src/explorer/cluster.rs
@@ -1,7 +1,7 @@
 //! A few machines with their disks and the messages between them, under the checker's control.
 
-use super::defect::{distort, Defect};
 use super::ledger::{Invariant, Ledger};
+use super::planted_bug::{distort, PlantedBug};
 use crate::simulator::disk::SimDisk;
 use landingdrift::consensus::Replica;
 use landingdrift::sans_io::{Effect, Msg, Now, Part, WriteBatch};
@@ -56,7 +56,7 @@
     pub network: Vec<InFlight>,
     pub ledger: Ledger,
     pub settings: Settings,
-    pub defect: Option<Defect>,
+    pub planted_bug: Option<PlantedBug>,
     /// Saves are confirmed at once; else by [`Cluster::sync`].
     pub instant_disks: bool,
     /// What the machines write, where that is wanted.
@@ -85,7 +85,7 @@
             network: Vec::new(),
             ledger: Ledger::default(),
             settings,
-            defect: None,
+            planted_bug: None,
             instant_disks: true,
             log: None,
             next_token: 1,
@@ -184,7 +184,7 @@
         machine.replica = None;
         machine.inbox.clear();
         machine.disk.crash(arrived);
-        if self.defect == Some(Defect::ForgetsSilently) {
+        if self.planted_bug == Some(PlantedBug::ForgetsSilently) {
             machine.disk.forget_log();
         }
         let address = machine.address.clone();
@@ -254,7 +254,7 @@
 
     fn post(&mut self, i: usize, to: String, body: Body) {
         let from = self.machines[i].address.clone();
-        let body = self.defect.map_or(body.clone(), |d| distort(d, body));
+        let body = self.planted_bug.map_or(body.clone(), |d| distort(d, body));
         if to == CLIENT {
             self.answer(&body);
             return;
@@ -272,7 +272,7 @@
     fn save(&mut self, i: usize, save: WriteBatch) {
         let write_id = save.write_id;
         self.machines[i].disk.pending.push_back(save);
-        if self.defect == Some(Defect::ConfirmsUnsaved) {
+        if self.planted_bug == Some(PlantedBug::ConfirmsUnsaved) {
             self.step(i, Msg::Persisted(write_id));
         } else if self.instant_disks {
             self.machines[i].disk.done(write_id);
@@ -286,7 +286,7 @@
         let Some(write_id) = write_id.filter(|_| self.machines[i].replica.is_some()) else {
             return;
         };
-        if self.defect != Some(Defect::ConfirmsUnsaved) {
+        if self.planted_bug != Some(PlantedBug::ConfirmsUnsaved) {
             self.machines[i].disk.done(write_id);
             self.step(i, Msg::Persisted(write_id));
         }
--- a/rehearsal/src/explorer/mod.rs
+++ b/testkit/src/explorer/mod.rs
@@ -5,8 +5,8 @@
 
 mod client;
 pub mod cluster;
-pub mod defect;
 pub mod ledger;
+pub mod planted_bug;
 pub mod search;
 mod time;
 pub mod trouble;
--- a/rehearsal/src/explorer/defect.rs
+++ b/testkit/src/explorer/planted_bug.rs
@@ -1,11 +1,11 @@
-//! Planted defects: each shows that an invariant catches what it is meant for.
+//! Planted failures: each shows that an invariant catches what it is meant for.
 
 use landingdrift::wire::Body;
 use serde_json::json;
 
 /// How a machine misbehaves on purpose, to show that an invariant catches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Defect {
+pub enum PlantedBug {
     /// It gives its vote to everybody who asks.
     VotesForAll,
     /// It says that entries are on its disk which are not.
@@ -25,40 +25,40 @@
 }
 
 /// What a misbehaving machine sends in place of a message.
-pub(super) fn distort(defect: Defect, body: Body) -> Body {
-    match (defect, body) {
-        (Defect::VotesForAll, Body::VoteResponse(mut response)) => {
+pub(super) fn distort(planted_bug: PlantedBug, body: Body) -> Body {
+    match (planted_bug, body) {
+        (PlantedBug::VotesForAll, Body::VoteResponse(mut response)) => {
             response.granted = true;
             Body::VoteResponse(response)
         }
-        (Defect::AnswersOldReads, Body::ReadIndexResponse(mut answer)) => {
+        (PlantedBug::AnswersOldReads, Body::ReadIndexResponse(mut answer)) => {
             answer.ok = true;
             answer.log_index = 0;
             Body::ReadIndexResponse(answer)
         }
-        (Defect::AcknowledgesRivals, Body::ProposeResponse(mut answer)) => {
+        (PlantedBug::AcknowledgesRivals, Body::ProposeResponse(mut answer)) => {
             let won = json!({"done": {"version": 1, "place": answer.log_index}});
             answer.response = serde_json::to_vec(&won).unwrap_or_default();
             Body::ProposeResponse(answer)
         }
-        (Defect::VotesForNobody, Body::VoteResponse(mut response)) => {
+        (PlantedBug::VotesForNobody, Body::VoteResponse(mut response)) => {
             response.granted = false;
             Body::VoteResponse(response)
         }
-        (Defect::ForgetsSilently, Body::Hello(mut hello)) => {
+        (PlantedBug::ForgetsSilently, Body::Hello(mut hello)) => {
             hello.witnessed.index = 0;
             hello.witnesses.clear();
             Body::Hello(hello)
         }
-        (Defect::ForgetsSilently, Body::AppendRequest(mut append)) => {
+        (PlantedBug::ForgetsSilently, Body::AppendRequest(mut append)) => {
             append.witnesses.clear();
             Body::AppendRequest(append)
         }
-        (Defect::IgnoresNewcomers, Body::JoinCluster(mut join)) => {
+        (PlantedBug::IgnoresNewcomers, Body::JoinCluster(mut join)) => {
             join.standby_only = true;
             Body::JoinCluster(join)
         }
-        (Defect::AltersTimes, Body::AppendRequest(mut append)) => {
+        (PlantedBug::AltersTimes, Body::AppendRequest(mut append)) => {
             append.entries.iter_mut().for_each(|e| e.at += 1);
             Body::AppendRequest(append)
         }
--- a/rehearsal/src/explorer/trouble.rs
+++ b/testkit/src/explorer/trouble.rs
@@ -74,10 +74,10 @@
     }
 }
 
-/// A trouble at a time.
+/// A fault at a time.
 pub type Timed = (u64, Trouble);
 
-/// Any trouble, drawn by lot.
+/// Any fault, drawn by lot.
 pub(super) fn draw_trouble(rng: &mut Rng) -> Trouble {
     let who = rng.below(64) as usize;
     let down_ms = 200 + rng.below(4000);
--- a/rehearsal/src/explorer/walk.rs
+++ b/testkit/src/explorer/walk.rs
@@ -1,8 +1,8 @@
-//! Long random walks in virtual time: troubles drawn by a seed, several at once, then a calm end; and their shrinking.
+//! Long random walks in virtual time: faults drawn by a seed, several at once, then a calm end; and their shrinking.
 
 use super::cluster::{Cluster, InFlight};
-use super::defect::Defect;
 use super::ledger::{Invariant, Violation};
+use super::planted_bug::PlantedBug;
 use super::trouble::{draw_trouble, Timed, Trouble};
 use landingdrift::sans_io::{Msg, Rng};
 use std::collections::BTreeSet;
@@ -25,7 +25,7 @@
     pub standbys: usize,
     pub length_ms: u64,
     pub troubles: Vec<Timed>,
-    pub defect: Option<Defect>,
+    pub planted_bug: Option<PlantedBug>,
 }
 
 /// What a walk came to.
@@ -66,7 +66,7 @@
             standbys,
             length_ms,
             troubles: drawn,
-            defect: None,
+            planted_bug: None,
         }
     }
 
@@ -82,7 +82,7 @@
         walker.take()
     }
 
-    /// Leaves troubles out as long as the same invariant breaks.
+    /// Leaves faults out as long as the same invariant breaks.
     pub fn shrunk(&self, invariant: Invariant) -> Self {
         let breaks = |walk: &Walk| {
             let outcome = walk.take();
@@ -119,7 +119,7 @@
 impl<'a> Walker<'a> {
     fn new(walk: &'a Walk) -> Self {
         let mut cluster = Cluster::new(walk.founders, walk.voters, walk.seed);
-        cluster.defect = walk.defect;
+        cluster.planted_bug = walk.planted_bug;
         cluster.instant_disks = false;
         Self {
             walk,
--- a/rehearsal/src/fleet/drive.rs
+++ b/testkit/src/fleet/drive.rs
@@ -193,7 +193,7 @@
 
     fn talk(&self, text: &str) {
         if self.o.talk {
-            landingdrift::say!("{:>7} {text}", self.now());
+            landingdrift::outln!("{:>7} {text}", self.now());
         }
     }
 
@@ -576,7 +576,7 @@
                 )));
             }
         }
-        // Beats and calls of a real day wait for this machine as well.
+        // Heartbeats and calls of a real day wait for this machine as well.
         let promised = Promised {
             epoch,
             alone: Promised::default().alone_struck,
--- a/rehearsal/src/fleet/launch.rs
+++ b/testkit/src/fleet/launch.rs
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Loses a core for good; an empty one starts at a new address.
+    /// Loses a replica for good; an empty one starts at a new address.
     pub fn replace(&mut self, i: usize) -> Result<(), FleetError> {
         self.kill(i);
         self.procs[i].gone = true;
@@ -92,7 +92,7 @@
         self.up(self.procs.len() - 1)
     }
 
-    /// Takes the last bytes of a dead core's newest log segment away, as a disk that lost what it had confirmed.
+    /// Takes the last bytes of a dead replica's newest log segment away, as a disk that lost what it had confirmed.
     pub fn cut_back(&self, i: usize, bytes: u64) -> Result<u64, FleetError> {
         let Some(folder) = &self.procs[i].data else {
             return Ok(0);
--- a/rehearsal/src/fleet/mod.rs
+++ b/testkit/src/fleet/mod.rs
@@ -19,7 +19,7 @@
     /// How long to wait at the most for all jobs to end.
     pub settle: u64,
     pub rate: f64,
-    /// The program under rehearsal.
+    /// The program under simulation.
     pub program: PathBuf,
     /// Where data folders and logs go.
     pub folder: PathBuf,
--- a/rehearsal/src/history.rs
+++ b/testkit/src/history.rs
@@ -15,7 +15,7 @@
     Handed {
         id: String,
     },
-    /// A call to hand it in got its verdict.
+    /// A call to hand it in got its response.
     Submitted {
         id: String,
         status: u16,
@@ -52,7 +52,7 @@
         zone: String,
         cpu: u32,
     },
-    /// A worker has other room or labels from now on.
+    /// A worker has other capacity or labels from now on.
     WorkerChanged {
         worker: String,
         labels: Vec<String>,
@@ -84,7 +84,7 @@
         change: String,
         says: Says,
     },
-    /// An operator's change got its verdict.
+    /// An operator's change got its response.
     Configured {
         change: String,
         base: u64,
@@ -105,7 +105,7 @@
         by: String,
         ready: bool,
     },
-    /// From now on this many cores are up and can talk to each other, and these nodes to them.
+    /// From now on this many replicas are up and can talk to each other, and these nodes to them.
     Able {
         replicas: usize,
         nodes: Vec<String>,
--- a/rehearsal/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,4 +1,4 @@
-//! The rehearsal kit: a simulator, stand-in workers and clients, a fleet on one machine,
+//! The simulation kit: a simulator, stand-in workers and clients, a fleet on one machine,
 //! and checkers of what must never happen.
 
 pub mod checkers;
--- a/rehearsal/src/measure/capacity/clockwork.rs
+++ b/testkit/src/measure/capacity/clockwork.rs
@@ -146,7 +146,7 @@
     pub size: Size,
     /// Starts a second in the window.
     pub starts: f64,
-    /// By duty: how many processes, and the mean of their tallies a second.
+    /// By lease: how many processes, and the mean of their tallies a second.
     pub roles: BTreeMap<Duty, (usize, Tally)>,
     /// Mean processor time of the reference work, in nanoseconds.
     pub reference: f64,
@@ -343,7 +343,7 @@
             .collect()
     }
 
-    /// What each process does; a node with a cell and a queue counts as one with a cell.
+    /// What each process does; a node with a zone scheduler and a queue counts as one with a zone scheduler.
     fn duties(&self) -> Vec<Duty> {
         let leases = &self.leader().state().leases;
         let holds = |p: &Proc, of: &str| {
--- a/rehearsal/src/measure/capacity/footprint.rs
+++ b/testkit/src/measure/capacity/footprint.rs
@@ -1,7 +1,7 @@
 use super::meter::timed;
 use landingdrift::state::ClusterState;
 
-/// How long the packed record is, and what it is long for.
+/// How long the packed cluster state is, and what it is long for.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct State {
     pub jobs: f64,
@@ -49,7 +49,7 @@
         .map_or(0.0, |kb| kb * 1024.0)
 }
 
-/// Resident bytes that a record takes in memory for each byte that it is long when packed; right only in a process
+/// Resident bytes that a cluster state takes in memory for each byte that it is long when packed; right only in a process
 /// that has done nothing else, as memory that was given back is taken again.
 pub fn memory_of_a_byte(packed: &[u8]) -> f64 {
     let copies = (48 << 20) / packed.len().max(1) + 1;
--- a/rehearsal/src/measure/capacity/table.rs
+++ b/testkit/src/measure/capacity/table.rs
@@ -155,7 +155,7 @@
     out
 }
 
-/// The record at the target's peak.
+/// The cluster state at the target's peak.
 struct Peak {
     jobs: f64,
     bytes: f64,
--- a/rehearsal/src/measure/capacity/target.rs
+++ b/testkit/src/measure/capacity/target.rs
@@ -1,7 +1,7 @@
 /// What the users' system has to carry, and what control may cost.
 pub struct Target {
     pub workers: f64,
-    /// A node runs beside every worker, and two of the five machines set aside hold nodes (three hold cores).
+    /// A node runs beside every worker, and two of the five machines set aside hold nodes (three hold replicas).
     pub nodes: f64,
     /// Task starts a second at the peak.
     pub starts: f64,
--- a/rehearsal/src/measure/mod.rs
+++ b/testkit/src/measure/mod.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// The share of running sends that may be copies, where nothing else is said.
+/// The share of running attempts that may be copies, where nothing else is said.
 pub const SPECULATION: u32 = 40;
 
 fn world(shape: Shape, load: &Load, seed: u64, (hopper, speculation): (&Hopper, u32)) -> World {
--- a/rehearsal/src/scale/drive.rs
+++ b/testkit/src/scale/drive.rs
@@ -1,7 +1,7 @@
 use super::callers;
 use super::processes::{child_at, usage, Usage};
 use super::wires::{listen, Wires};
-use super::{Options, Outcome, ScaleError, Taken};
+use super::{ChunkOutcome, Options, Outcome, ScaleError};
 use crate::fleet::{Fleet, Options as FleetOptions};
 use crate::history::Event;
 use crate::measure::capacity::{config, info, job, TARGET, ZONES};
@@ -73,7 +73,7 @@
     Histogram::new_with_bounds(1, 3_600_000, 3).expect("the bounds are right")
 }
 
-/// Runs real cores and nodes beside hollow ones, and stops them all.
+/// Runs real replicas and nodes beside hollow ones, and stops them all.
 pub fn run(o: &Options) -> Result<Outcome, ScaleError> {
     let fleet = Fleet::start(&FleetOptions {
         shape: Shape::Gunasekera,
@@ -243,7 +243,7 @@
         let span = self.now().saturating_sub(self.from).max(1) as f64;
         let taken = names.iter().zip(&before).map(|((name, pid), b)| {
             let u = usage(*pid);
-            Taken {
+            ChunkOutcome {
                 name: name.clone(),
                 resident: u.resident,
                 most: u.most,
--- a/rehearsal/src/scale/mod.rs
+++ b/testkit/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! The project's own scale run: real cores and nodes on loopback addresses beside hollow workers and hollow nodes,
+//! The project's own scale run: real replicas and nodes on loopback addresses beside hollow workers and hollow nodes,
 //! which all share this process.
 
 mod callers;
@@ -33,7 +33,7 @@
 
 /// What a real process took in the time measured.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct ChunkOutcome {
     pub name: String,
     /// Resident bytes at the end, and at the most.
     pub resident: u64,
@@ -52,7 +52,7 @@
     /// Milliseconds from hand-in to a job's first start, and to each task's start.
     pub first: Histogram<u64>,
     pub each: Histogram<u64>,
-    pub taken: Vec<Taken>,
+    pub taken: Vec<ChunkOutcome>,
     /// The longest that this process's own loop took for a round, in milliseconds, and the middle one.
     pub lag: (u64, u64),
     /// Frames that this process dropped because a receiver was slow.
--- a/rehearsal/src/scale/processes.rs
+++ b/testkit/src/scale/processes.rs
@@ -3,7 +3,7 @@
 pub struct Usage {
     pub resident: u64,
     pub most: u64,
-    /// Processor time in milliseconds, of all threads, in the program and in the kernel.
+    /// Processor time in milliseconds, of all threads, in the program and in the sans-IO core.
     pub processor: u64,
 }
 
--- a/rehearsal/src/scenario/faults.rs
+++ b/testkit/src/scenario/faults.rs
@@ -13,22 +13,22 @@
     Cut,
     /// What a process sends is lost; what others send arrives.
     CutOneWay,
-    /// A core is cut off from the other cores alone.
+    /// A replica is cut off from the other replicas alone.
     SplitCore,
-    /// No node reaches any core.
+    /// No node reaches any replica.
     CutCores,
     /// All machines of a zone are killed.
     LoseZone,
     SlowLink,
-    /// The disks of `amount` cores, one where it is 0, take long.
+    /// The disks of `amount` replicas, one where it is 0, take long.
     SlowDisk,
-    /// A core is killed and its disk has lost what it had just confirmed.
+    /// A replica is killed and its disk has lost what it had just confirmed.
     LoseTail,
-    /// A core is lost for good; an empty one joins at a new address.
+    /// A replica is lost for good; an empty one joins at a new address.
     ReplaceCore,
     /// A node is lost for good; another joins at a new address.
     SwapNode,
-    /// Every process is killed; `amount` cores lose their confirmed tail.
+    /// Every process is killed; `amount` replicas lose their confirmed tail.
     Outage,
     /// The clocks of `amount` processes, one where it is 0, jump by `by`, an hour where it is 0.
     ClockJump,
@@ -54,7 +54,7 @@
     FlakyLink,
     /// Answers to callers, workers and operators are lost after the call was carried out.
     LostAnswers,
-    /// A worker announces less room and fewer labels; later its old ones again.
+    /// A worker announces less capacity and fewer labels; later its old ones again.
     WorkerChange,
     /// A crowd of short jobs in the most urgent queue.
     Urgent,
@@ -68,9 +68,9 @@
     HugeConfig,
     /// A process is stopped in order and comes back as a build that speaks the next wire version.
     Upgrade,
-    /// The disks of `amount` cores, one where it is 0, refuse every write.
+    /// The disks of `amount` replicas, one where it is 0, refuse every write.
     DiskFull,
-    /// The disks of `amount` cores, one where it is 0, confirm nothing.
+    /// The disks of `amount` replicas, one where it is 0, confirm nothing.
     DiskStall,
 }
 
@@ -143,7 +143,7 @@
     pub lasts: u64,
     #[serde(default)]
     pub amount: u64,
-    /// Milliseconds by which clocks jump; the cores' in turn to and fro where `amount` is more than 1 and this is odd.
+    /// Milliseconds by which clocks jump; the replicas' in turn to and fro where `amount` is more than 1 and this is odd.
     #[serde(default)]
     pub by: i64,
 }
@@ -199,7 +199,7 @@
     3000
 }
 
-/// Faults that take data or a machine from the core: three disks survive one at a time, with time to recover between.
+/// Faults that take data or a machine from the replica: three disks survive one at a time, with time to recover between.
 const DATA: [Kind; 3] = [Kind::LoseTail, Kind::ReplaceCore, Kind::Outage];
 
 /// How long after one of these the next may come.
--- a/rehearsal/src/scenario/mod.rs
+++ b/testkit/src/scenario/mod.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Shape {
-    /// 17 machines: three cores, three nodes, 11 workers of 64.
+    /// 17 machines: three replicas, three nodes, 11 workers of 64.
     Odvoza,
-    /// 18 machines: three cores, four nodes, 11 workers of 16.
+    /// 18 machines: three replicas, four nodes, 11 workers of 16.
     Gunasekera,
 }
 
--- a/rehearsal/src/simulator/disk.rs
+++ b/testkit/src/simulator/disk.rs
@@ -13,7 +13,7 @@
     Stalled,
 }
 
-/// A core's disk: what is durable, and what is on its way.
+/// A replica's disk: what is durable, and what is on its way.
 #[derive(Clone, Debug)]
 pub struct SimDisk {
     base: Loaded,
--- a/rehearsal/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -54,7 +54,7 @@
         }
         let x = self.target(&f);
         self.targets.insert(i, vec![x]);
-        self.say(format!(
+        self.outln(format!(
             "fault {:?} {} for {} ms, {} {}",
             f.kind, x, f.lasts, f.amount, f.by
         ));
@@ -263,7 +263,7 @@
         };
         let f = self.faults[i].clone();
         let x = of.first().copied().unwrap_or(0);
-        self.say(format!("healed {:?} {x}", f.kind));
+        self.outln(format!("healed {:?} {x}", f.kind));
         self.note(Event::Healed {
             what: format!("{:?} {x} {i}", f.kind),
         });
@@ -346,7 +346,7 @@
         );
     }
 
-    /// The process struck, and the next ones of the core where several are meant.
+    /// The process struck, and the next ones of the replica where several are meant.
     fn several(&self, x: usize, f: &Fault) -> Vec<usize> {
         let mut of = vec![x];
         of.extend(self.replicas().into_iter().filter(|c| *c != x));
@@ -467,7 +467,7 @@
         } else {
             0
         };
-        self.say(format!(
+        self.outln(format!(
             "the disk of {} lost {lost} confirmed entries",
             self.procs[x].addr
         ));
--- a/rehearsal/src/simulator/mod.rs
+++ b/testkit/src/simulator/mod.rs
@@ -12,8 +12,8 @@
 /// What the clocks of the system show at time 0.
 pub const EPOCH: u64 = 1_700_000_000_000;
 
-/// Rehearses a day with a seed and checks its history.
-pub fn rehearse(s: &Scenario, seed: u64) -> (Report, Vec<Broken>) {
+/// Simulates a day with a seed and checks its history.
+pub fn simulate(s: &Scenario, seed: u64) -> (Report, Vec<Broken>) {
     let report = World::new(s, seed).run();
     let mut broken = check(
         &report.history,
--- a/rehearsal/src/simulator/world/day.rs
+++ b/testkit/src/simulator/world/day.rs
@@ -96,9 +96,9 @@
         let (version, by, jobs) = best.map_or((0, String::new(), BTreeMap::new()), |c| {
             (c.state().version, mark(c.state()), states(c.state()))
         });
-        // Whatever has not ended is shown with its ledger, for whoever looks for the cause.
+        // Whatever has not ended is shown with its history of attempts, for whoever looks for the cause.
         let open = best.map_or(Vec::new(), |c| open_ledgers(c.state()));
-        open.into_iter().for_each(|l| self.say(l));
+        open.into_iter().for_each(|l| self.outln(l));
         let copies_won = best_copies;
         self.note(Event::Closed { version, by, jobs });
         let mut counters: BTreeMap<String, u64> = BTreeMap::new();
@@ -143,7 +143,7 @@
     }
 }
 
-/// Lines that show each job that is still open, with its ledger.
+/// Lines that show each job that is still open, with its history of attempts.
 fn open_ledgers(state: &ClusterState) -> Vec<String> {
     let jobs = state.open.iter().filter_map(|id| state.jobs.get(id));
     jobs.map(|j| {
--- a/rehearsal/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -57,7 +57,7 @@
     /// Of a hundred answers, so many are lost.
     pub(in crate::simulator) answers_lost: u64,
     able: (usize, Vec<String>),
-    /// The farthest place that any core has applied.
+    /// The farthest place that any replica has applied.
     committed: u64,
     closing: bool,
 }
@@ -67,7 +67,7 @@
         self.history.add(self.t, e);
     }
 
-    pub(in crate::simulator) fn say(&mut self, text: String) {
+    pub(in crate::simulator) fn outln(&mut self, text: String) {
         self.log.push(format!("{:>7} {text}", self.t));
     }
 }
--- a/rehearsal/src/simulator/world/observe.rs
+++ b/testkit/src/simulator/world/observe.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// How many cores form the largest group that could work now, and the nodes that reach all of it.
+    /// How many replicas form the largest group that could work now, and the nodes that reach all of it.
     fn able_parts(&mut self) -> (usize, Vec<String>) {
         let state = |p: &Proc| {
             if let Kind::Replica(Some(c), _) = &p.kind {
--- a/rehearsal/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the system: cores and nodes, how they start, are killed and take messages.
+//! The processes of the system: replicas and nodes, how they start, are killed and take messages.
 
 use super::observe::mark;
 use super::{Happening, World, TICK};
@@ -49,7 +49,7 @@
             Kind::Node(p) => p.is_some(),
         }
     }
-    /// Whether it is a core, and not a node.
+    /// Whether it is a replica, and not a node.
     pub fn is_core(&self) -> bool {
         matches!(self.kind, Kind::Replica(..))
     }
@@ -183,7 +183,7 @@
             .for_each(|(k, v)| *p.counters.entry(format!("{role}_{k}")).or_default() += v);
     }
 
-    /// A core's disk is not whole until it has come to what was confirmed.
+    /// A replica's disk is not whole until it has come to what was confirmed.
     pub(in crate::simulator) fn owe(&mut self, i: usize) {
         self.procs[i].owes = self.committed;
     }
@@ -271,7 +271,7 @@
             }
             Effect::Log(text) => {
                 let addr = self.procs[i].addr.clone();
-                self.say(format!("{addr} {text}"));
+                self.outln(format!("{addr} {text}"));
             }
             Effect::Exit => {
                 // An orderly end: what was on its way to the disk arrives.
--- a/rehearsal/src/standin/mod.rs
+++ b/testkit/src/standin/mod.rs
@@ -9,7 +9,7 @@
 
 /// What a stand-in asks of its surroundings.
 pub enum Ask {
-    /// Call the node at this HTTP address; the number comes back with the verdict.
+    /// Call the node at this HTTP address; the number comes back with the response.
     Call { to: String, call: u64, req: Request },
     /// Write down what happened.
     DurabilityWitness(Event),
--- a/rehearsal/src/standin/worker.rs
+++ b/testkit/src/standin/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker: it beats, runs what it is told to and says how it ended.
+//! A stand-in worker: it heartbeats, runs what it is told to and says how it ended.
 
 use super::{request, Ask};
 use crate::history::Event;
@@ -54,7 +54,7 @@
     pub paired: Option<u64>,
     running: BTreeMap<u64, Run>,
     ended: Vec<EndReport>,
-    /// Sends that ended or were called off before they came: never to be started.
+    /// Attempts that ended or were called off before they came: never to be started.
     over: BTreeSet<u64>,
     heartbeat_ms: u64,
     next_heartbeat: u64,
@@ -113,7 +113,7 @@
         out
     }
 
-    /// Has other room or labels from now on; verdicts on older beats are not obeyed any more.
+    /// Has other capacity or labels from now on; responses on older heartbeats are not obeyed any more.
     pub fn change(&mut self, now: u64, cpu: u32, labels: BTreeSet<String>) -> Vec<Ask> {
         self.info.cpu = cpu;
         self.info.labels = labels;
@@ -229,7 +229,7 @@
         let mut out = Vec::new();
         for no in numbers("stops") {
             if let Some(r) = self.running.get_mut(&no) {
-                // A run that is told to stop takes its time to let go of its room.
+                // A run that is told to stop takes its time to let go of its capacity.
                 let ends = now + self.rng.below(300);
                 if ends < r.until {
                     (r.until, r.outcome) = (ends, Outcome::Stopped);
@@ -317,7 +317,7 @@
         })]
     }
 
-    /// How many runs there are, and the room they take.
+    /// How many runs there are, and the capacity they take.
     pub fn load(&self) -> (usize, u32) {
         (
             self.running.len(),
--- a/rehearsal/tests/bad_input.rs
+++ b/testkit/tests/bad_input.rs
@@ -2,9 +2,9 @@
 
 use std::process::{Command, Output};
 
-fn rehearsal(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_rehearsal"))
-        .args(words)
+fn landingdrift_testkit(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_testkit"))
+        .args(arguments)
         .output()
         .expect("the program runs")
 }
@@ -31,12 +31,12 @@
         std::fs::write(&file, text).expect("written");
         for command in ["run", "sweep", "fleet"] {
             let path = file.to_string_lossy().into_owned();
-            let words = if command == "fleet" {
+            let arguments = if command == "fleet" {
                 vec![command, "--scenario", &path]
             } else {
                 vec![command, &path]
             };
-            let out = rehearsal(&words);
+            let out = landingdrift_testkit(&arguments);
             let told = String::from_utf8_lossy(&out.stderr).into_owned();
             assert_eq!(out.status.code(), Some(2), "{command} of {text:?}: {told}");
             assert!(
@@ -59,14 +59,14 @@
         &["sweep", file, "--random", "5000"],
         &["fleet", "--program", "no-such-program"],
     ];
-    for words in cases {
-        let out = rehearsal(words);
+    for arguments in cases {
+        let out = landingdrift_testkit(arguments);
         assert_eq!(
             out.status.code(),
             Some(2),
-            "{words:?}: {}",
+            "{arguments:?}: {}",
             String::from_utf8_lossy(&out.stderr)
         );
-        assert!(!out.stderr.is_empty(), "{words:?}");
+        assert!(!out.stderr.is_empty(), "{arguments:?}");
     }
 }
--- a/rehearsal/tests/capacity.rs
+++ b/testkit/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! The capacity run: slopes are found where they are known, figures follow from the seed, and bounds are told.
 
-use rehearsal::measure::capacity::{fit, report, sizes, Clockwork, Duty, Run, Size};
+use landingdrift_testkit::measure::capacity::{fit, report, sizes, Clockwork, Duty, Run, Size};
 
 fn run(workers: usize) -> Run {
     let size = Size {
--- a/rehearsal/tests/checkers.rs
+++ b/testkit/tests/checkers.rs
@@ -1,8 +1,8 @@
 //! Each checker is shown a history that breaks its rule, and one that doesn't.
 
 use landingdrift::state::{JobSpec, Outcome, TaskSpec};
-use rehearsal::checkers::{check, Promised, ALL};
-use rehearsal::history::{Event, History, Says};
+use landingdrift_testkit::checkers::{check, Promised, ALL};
+use landingdrift_testkit::history::{Event, History, Says};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn task(name: &str) -> TaskSpec {
@@ -244,7 +244,7 @@
                 (5000, polled(200, "done")),
             ],
         ),
-        // Silence and 503 count as much as a wrong word, but for the time in which the core had no majority, and its return.
+        // Silence and 503 count as much as a wrong word, but for the time in which the replica had no majority, and its return.
         (
             "state within its bound",
             vec![
--- a/rehearsal/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -15,11 +15,11 @@
     ("landingdrift/tests/record.rs", 825),
     ("landingdrift/tests/snapshots.rs", 401),
     ("landingdrift/tests/traffic.rs", 420),
-    ("rehearsal/src/fleet/drive.rs", 587),
-    ("rehearsal/src/measure/capacity/clockwork.rs", 488),
-    ("rehearsal/src/scale/drive.rs", 415),
-    ("rehearsal/src/simulator/faults.rs", 489),
-    ("rehearsal/tests/checkers.rs", 804),
+    ("testkit/src/fleet/drive.rs", 587),
+    ("testkit/src/measure/capacity/clockwork.rs", 488),
+    ("testkit/src/scale/drive.rs", 415),
+    ("testkit/src/simulator/faults.rs", 489),
+    ("testkit/tests/checkers.rs", 804),
 ];
 
 /// The root of the workspace.
@@ -75,7 +75,7 @@
 fn no_source_file_is_large_that_was_not_before() {
     let sources = sources();
     assert!(
-        sources.contains_key("rehearsal/tests/code_shape.rs"),
+        sources.contains_key("testkit/tests/code_shape.rs"),
         "this very file is found"
     );
     assert_eq!(failures(&sources, LARGE_FILES), Vec::<String>::new());
--- a/rehearsal/tests/explorer.rs
+++ b/testkit/tests/explorer.rs
@@ -1,12 +1,12 @@
-//! The machines under the model checker: random walks, every order of events to a depth, and planted defects.
+//! The machines under the model checker: random walks, every order of events to a depth, and planted failures.
 
 use landingdrift::state::Command;
-use rehearsal::explorer::cluster::Cluster;
-use rehearsal::explorer::defect::Defect;
-use rehearsal::explorer::ledger::Invariant;
-use rehearsal::explorer::search::{search, Budget, Found};
-use rehearsal::explorer::trouble::Trouble;
-use rehearsal::explorer::walk::Walk;
+use landingdrift_testkit::explorer::cluster::Cluster;
+use landingdrift_testkit::explorer::ledger::Invariant;
+use landingdrift_testkit::explorer::planted_bug::PlantedBug;
+use landingdrift_testkit::explorer::search::{search, Budget, Found};
+use landingdrift_testkit::explorer::trouble::Trouble;
+use landingdrift_testkit::explorer::walk::Walk;
 use std::collections::BTreeSet;
 
 fn must_hold(walk: &Walk) {
@@ -27,7 +27,7 @@
         standbys,
         length_ms: 40_000,
         troubles: troubles.to_vec(),
-        defect: None,
+        planted_bug: None,
     }
 }
 
@@ -168,11 +168,11 @@
     holds(&search(&cluster, budget), 500);
 }
 
-/// Whether a planted defect is caught in some walk, by the invariant that is meant for it.
-fn caught(defect: Defect, invariant: Invariant) -> bool {
+/// Whether a planted planted_bug is caught in some walk, by the invariant that is meant for it.
+fn caught(planted_bug: PlantedBug, invariant: Invariant) -> bool {
     (0..40).any(|seed| {
         let walk = Walk {
-            defect: Some(defect),
+            planted_bug: Some(planted_bug),
             ..Walk::drawn(seed, 3, 0, 30_000, 24)
         };
         let outcome = walk.take();
@@ -182,48 +182,51 @@
 
 #[test]
 fn votes_for_everybody_are_caught_as_two_leaders_in_a_term() {
-    assert!(caught(Defect::VotesForAll, Invariant::OneLeaderPerTerm));
+    assert!(caught(PlantedBug::VotesForAll, Invariant::OneLeaderPerTerm));
 }
 
 #[test]
 fn unsaved_confirmations_are_caught_as_acknowledged_on_too_few_disks() {
     assert!(caught(
-        Defect::ConfirmsUnsaved,
+        PlantedBug::ConfirmsUnsaved,
         Invariant::AcknowledgedOnEnoughDisks
     ));
 }
 
 #[test]
 fn old_answers_are_caught_as_stale_reads() {
-    assert!(caught(Defect::AnswersOldReads, Invariant::NoStaleRead));
+    assert!(caught(PlantedBug::AnswersOldReads, Invariant::NoStaleRead));
 }
 
 #[test]
 fn two_acknowledged_rivals_are_caught() {
     assert!(caught(
-        Defect::AcknowledgesRivals,
+        PlantedBug::AcknowledgesRivals,
         Invariant::OneWinnerPerVersion
     ));
 }
 
 #[test]
 fn disks_that_forget_silently_are_caught_as_committed_entries_replaced() {
-    assert!(caught(Defect::ForgetsSilently, Invariant::CommittedStays));
+    assert!(caught(
+        PlantedBug::ForgetsSilently,
+        Invariant::CommittedStays
+    ));
 }
 
 #[test]
 fn entries_passed_on_with_other_times_are_caught_as_different_states() {
-    assert!(caught(Defect::AltersTimes, Invariant::SameState));
+    assert!(caught(PlantedBug::AltersTimes, Invariant::SameState));
 }
 
 #[test]
 fn votes_for_nobody_are_caught_as_no_progress() {
-    assert!(caught(Defect::VotesForNobody, Invariant::Progress));
+    assert!(caught(PlantedBug::VotesForNobody, Invariant::Progress));
 }
 
 #[test]
 fn newcomers_that_never_vote_are_caught_as_not_repaired() {
-    assert!(caught(Defect::IgnoresNewcomers, Invariant::Repaired));
+    assert!(caught(PlantedBug::IgnoresNewcomers, Invariant::Repaired));
 }
 
 #[test]
--- a/rehearsal/tests/fleet.rs
+++ b/testkit/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Real processes on loopback, with real signals; the history is checked as in the simulator.
 
-use rehearsal::checkers::TIMED;
-use rehearsal::fleet::{program, run, Options};
-use rehearsal::scenario::{Fault, Kind, Shape};
+use landingdrift_testkit::checkers::TIMED;
+use landingdrift_testkit::fleet::{program, run, Options};
+use landingdrift_testkit::scenario::{Fault, Kind, Shape};
 
 fn fault(at: u64, kind: Kind, who: &str, lasts: u64) -> Fault {
     Fault {
@@ -15,7 +15,7 @@
     }
 }
 
-fn rehearse(name: &str, faults: Vec<Fault>) {
+fn simulate(name: &str, faults: Vec<Fault>) {
     let folder =
         std::env::temp_dir().join(format!("landingdrift-test-{name}-{}", std::process::id()));
     let o = Options {
@@ -53,7 +53,7 @@
 /// One after the other: fleets of one process share their addresses.
 #[test]
 fn a_fleet_survives_what_kills_freezes_cuts_and_empties_its_machines() {
-    rehearse(
+    simulate(
         "fleet",
         vec![
             fault(2500, Kind::Kill, "leader", 1000),
@@ -64,7 +64,7 @@
             fault(9000, Kind::Outage, "", 500),
         ],
     );
-    rehearse(
+    simulate(
         "fleet-disks",
         vec![
             fault(2500, Kind::LoseTail, "leader", 700),
--- a/rehearsal/tests/operator.rs
+++ b/testkit/tests/operator.rs
@@ -1,7 +1,7 @@
 //! Operators' work end to end: the program's own command line against a fleet of real processes.
 
-use rehearsal::fleet::{program, Fleet, Options};
-use rehearsal::scenario::Shape;
+use landingdrift_testkit::fleet::{program, Fleet, Options};
+use landingdrift_testkit::scenario::Shape;
 use serde_json::Value;
 use std::path::Path;
 use std::process::Command;
@@ -12,10 +12,10 @@
 }
 
 impl Desk {
-    fn ask(&self, words: &[&str]) -> (i32, String) {
+    fn ask(&self, arguments: &[&str]) -> (i32, String) {
         let out = Command::new(program())
             .args(["operator", "--json", "--within", "30", "--at", &self.at])
-            .args(words)
+            .args(arguments)
             .output()
             .expect("the program runs");
         (
@@ -24,10 +24,10 @@
                 + &String::from_utf8_lossy(&out.stderr),
         )
     }
-    fn ok(&self, words: &[&str]) -> Value {
-        let (code, said) = self.ask(words);
-        assert_eq!(code, 0, "{words:?}: {said}");
-        serde_json::from_str(&said).unwrap_or_else(|e| panic!("{words:?}: {e}: {said}"))
+    fn ok(&self, arguments: &[&str]) -> Value {
+        let (code, said) = self.ask(arguments);
+        assert_eq!(code, 0, "{arguments:?}: {said}");
+        serde_json::from_str(&said).unwrap_or_else(|e| panic!("{arguments:?}: {e}: {said}"))
     }
 }
 
--- a/rehearsal/tests/promises.rs
+++ b/testkit/tests/promises.rs
@@ -1,16 +1,16 @@
 //! The table of promises names what is there, and leaves nothing out.
 
-use rehearsal::checkers::ALL;
-use rehearsal::scenario::Kind;
+use landingdrift_testkit::checkers::ALL;
+use landingdrift_testkit::scenario::Kind;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-fn stems(folder: &str, ending: &str) -> BTreeSet<String> {
+fn stems(folder: &str, shutdown_timer: &str) -> BTreeSet<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     std::fs::read_dir(&path)
         .unwrap_or_else(|e| panic!("{}: {e}", path.display()))
         .filter_map(|f| f.ok().map(|f| f.file_name().to_string_lossy().into_owned()))
-        .filter(|f| f.ends_with(ending))
+        .filter(|f| f.ends_with(shutdown_timer))
         .collect()
 }
 
--- a/rehearsal/tests/scale.rs
+++ b/testkit/tests/scale.rs
@@ -1,7 +1,7 @@
 //! The scale run: it starts, stops by itself, tells what each process took; wrong words are refused with the remedy.
 
-use rehearsal::fleet::program;
-use rehearsal::scale::{run, usage, Options};
+use landingdrift_testkit::fleet::program;
+use landingdrift_testkit::scale::{run, usage, Options};
 use std::process::Command;
 
 #[test]
@@ -54,13 +54,13 @@
             "cargo build",
         ),
     ];
-    for (words, remedy) in cases {
-        let out = Command::new(env!("CARGO_BIN_EXE_rehearsal"))
-            .args(words)
+    for (arguments, remedy) in cases {
+        let out = Command::new(env!("CARGO_BIN_EXE_testkit"))
+            .args(arguments)
             .output()
             .expect("the program runs");
         let told = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(2), "{words:?}: {told}");
-        assert!(told.contains(remedy), "{words:?}: {told}");
+        assert_eq!(out.status.code(), Some(2), "{arguments:?}: {told}");
+        assert!(told.contains(remedy), "{arguments:?}: {told}");
     }
 }
--- a/rehearsal/tests/scenarios.rs
+++ b/testkit/tests/scenarios.rs
@@ -1,17 +1,17 @@
 //! Every scenario file is rehearsed with its seeds, and every history is checked.
 
-use rehearsal::scenario::Scenario;
-use rehearsal::simulator::rehearse;
+use landingdrift_testkit::scenario::Scenario;
+use landingdrift_testkit::simulator::simulate;
 use std::path::Path;
 
 fn scenario(path: &Path) -> datatest_stable::Result<()> {
     let s = Scenario::load(&path.to_string_lossy()).map_err(|e| e.to_string())?;
     for seed in &s.seeds {
-        let (report, broken) = rehearse(&s, *seed);
+        let (report, broken) = simulate(&s, *seed);
         let told: Vec<String> = broken.iter().take(5).map(ToString::to_string).collect();
         if !told.is_empty() {
             return Err(format!(
-                "seed {seed}; repeat it with: rehearsal run {} --seed {seed}\n{}",
+                "seed {seed}; repeat it with: testkit run {} --seed {seed}\n{}",
                 path.display(),
                 told.join("\n")
             )
--- a/rehearsal/tests/simulator.rs
+++ b/testkit/tests/simulator.rs
@@ -1,7 +1,7 @@
 //! The simulator itself: the same seed gives the same history, another one another.
 
-use rehearsal::scenario::Scenario;
-use rehearsal::simulator::rehearse;
+use landingdrift_testkit::scenario::Scenario;
+use landingdrift_testkit::simulator::simulate;
 
 fn storm() -> Scenario {
     let mut s = Scenario::load("scenarios/storm.toml").expect("the scenario is there");
@@ -11,10 +11,10 @@
 
 #[test]
 fn the_same_seed_gives_the_same_history_byte_for_byte() {
-    let (a, b) = (rehearse(&storm(), 11).0, rehearse(&storm(), 11).0);
+    let (a, b) = (simulate(&storm(), 11).0, simulate(&storm(), 11).0);
     assert_eq!(a.history.text(), b.history.text());
     assert_eq!(a.counters, b.counters);
-    let c = rehearse(&storm(), 12).0;
+    let c = simulate(&storm(), 12).0;
     assert_ne!(a.history.digest(), c.history.digest());
 }
 
@@ -23,7 +23,7 @@
     // What the scenarios rely on really happens: disks lose, workers are lost, leaders change.
     let seen = |file: &str, seed: u64, counter: &str| {
         let s = Scenario::load(&format!("scenarios/{file}.toml")).expect("the scenario is there");
-        rehearse(&s, seed)
+        simulate(&s, seed)
             .0
             .counters
             .get(counter)
