--- /dev/null
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -0,0 +1,159 @@
+//! Reservations: each task that waits asks several workers that fit for a slot, by the holders of their zone schedulers.
+
+use super::LastReserved;
+use crate::node::Node;
+use crate::sans_io::{Now, Rng};
+use crate::state::{zone_lease, Job, TaskSpec, TaskState, Worker};
+use crate::wire::{Body, Reservation, Reserve};
+use std::collections::BTreeMap;
+
+/// A worker that could run some task of a job.
+struct Candidate {
+    worker: String,
+    /// It is near the data of such a task.
+    local: bool,
+}
+
+impl Node {
+    /// Places reservations for what waits: the probe ratio's number for each task, on workers that fit.
+    pub(in crate::node) fn schedule(&mut self, now: Now) {
+        if !self.fresh(now) {
+            return;
+        }
+        let mut by_holder: BTreeMap<String, Vec<Reservation>> = BTreeMap::new();
+        for id in self.take_dirty() {
+            let Some(tasks) = self.tasks_to_reserve(now, &id) else {
+                continue;
+            };
+            for reservation in self.reservations(now, &id, tasks) {
+                if let Some(holder) = self.cell_holder(&reservation.worker) {
+                    by_holder.entry(holder).or_default().push(reservation);
+                }
+            }
+        }
+        for (to, reservations) in by_holder {
+            self.send(&to, Body::Reserve(Box::new(Reserve { reservations })));
+        }
+    }
+
+    /// The jobs to look at now; they are marked no more.
+    fn take_dirty(&mut self) -> Vec<String> {
+        let dirty = std::mem::take(&mut self.sched.dirty);
+        if std::mem::take(&mut self.sched.all_dirty) {
+            self.state.open.iter().cloned().collect()
+        } else {
+            dirty.into_iter().collect()
+        }
+    }
+
+    /// For how many tasks of a job reservations are due, if any are: for all that it wants when the last ones are old,
+    /// and before that for those that it wants in addition.
+    fn tasks_to_reserve(&mut self, now: Now, id: &str) -> Option<u32> {
+        let job = self.state.jobs.get(id)?;
+        self.epoch_for(job)?;
+        let wants = self.wants(now, id, job);
+        let wanted = wants.originals + wants.copies;
+        let last = self.sched.reserved.get(id).copied().unwrap_or_default();
+        let again = last.at == 0 || now.mono >= last.at + self.settings.bounds.reserve();
+        let due = wanted > 0 && (again || wanted > last.tasks);
+        if !due {
+            if wanted < last.tasks {
+                self.remember_reserved(id, last.at, wanted);
+            }
+            return None;
+        }
+        self.remember_reserved(id, now.mono, wanted);
+        let added = if again { wanted } else { wanted - last.tasks };
+        Some(added)
+    }
+
+    fn remember_reserved(&mut self, id: &str, at: u64, tasks: u32) {
+        let last = LastReserved { at, tasks };
+        self.sched.reserved.insert(id.to_string(), last);
+    }
+
+    /// Who holds the zone scheduler of a worker; a worker that is unknown has the zone scheduler of the zone without a name.
+    fn cell_holder(&self, worker: &str) -> Option<String> {
+        let known = self.state.workers.get(worker);
+        let zone = known.map_or("", |w| w.info.zone.as_str());
+        let grant = self.state.holder(&zone_lease(zone))?;
+        Some(grant.holder.clone())
+    }
+
+    /// Reservations for so many tasks of a job: workers near the data first, then drawn at random.
+    fn reservations(&mut self, now: Now, id: &str, tasks: u32) -> Vec<Reservation> {
+        let Some(job) = self.state.jobs.get(id) else {
+            return Vec::new();
+        };
+        let sizes = self.sizes(job, self.floor());
+        let mut candidates = self.candidates(&waiting_specs(job));
+        let probes = u64::from(tasks) * u64::from(self.settings.hopper.probe_ratio);
+        let number = probes.min(candidates.len() as u64) as usize;
+        draw_first(&mut self.rng, &mut candidates, number);
+        // The sort is stable: among the near ones and among the far ones the drawn stay in front.
+        candidates.sort_by_key(|candidate| !candidate.local);
+        candidates.truncate(number);
+        let reservation = |candidate: Candidate| Reservation {
+            job: id.into(),
+            worker: candidate.worker,
+            scheduler: self.name.clone(),
+            remaining: sizes.remaining.max(1),
+            size: sizes.size,
+            starved: sizes.starved,
+            local: candidate.local,
+            asked: now.mono,
+        };
+        candidates.into_iter().map(reservation).collect()
+    }
+
+    /// Workers that take new work and fit one of the tasks.
+    fn candidates(&self, specs: &[&TaskSpec]) -> Vec<Candidate> {
+        let mut candidates = Vec::new();
+        for (name, worker) in &self.state.workers {
+            let takes_work = !worker.lost && !worker.info.leaving;
+            if !takes_work || !self.state.open(&worker.info.zone, name) {
+                continue;
+            }
+            if let Some(local) = fits_any(worker, specs) {
+                let worker = name.clone();
+                candidates.push(Candidate { worker, local });
+            }
+        }
+        candidates
+    }
+}
+
+/// The specifications of a job's tasks that wait and whose step has been reached, each once where they follow each
+/// other.
+fn waiting_specs(job: &Job) -> Vec<&TaskSpec> {
+    let mut specs: Vec<&TaskSpec> = Vec::new();
+    for (i, task) in job.tasks.iter().enumerate() {
+        if task.state != TaskState::Waiting || !job.reached(i) {
+            continue;
+        }
+        let spec = job.of(i);
+        let repeated = specs.last().is_some_and(|last| std::ptr::eq(*last, spec));
+        if !repeated {
+            specs.push(spec);
+        }
+    }
+    specs
+}
+
+/// Whether an empty worker could run one of the tasks, and if so whether it is near the data of one that it could run.
+fn fits_any(worker: &Worker, specs: &[&TaskSpec]) -> Option<bool> {
+    let info = &worker.info;
+    let fits = |spec: &&&TaskSpec| info.serves(spec) && info.total_resources().holds(spec.needs());
+    let mut fitting = specs.iter().filter(fits).peekable();
+    fitting.peek()?;
+    Some(fitting.any(|spec| info.near(&spec.near)))
+}
+
+/// Brings so many candidates, drawn at random, to the front: the first steps of a Fisher-Yates shuffle.
+fn draw_first(rng: &mut Rng, candidates: &mut [Candidate], number: usize) {
+    for i in 0..number {
+        let left = candidates.len() - i;
+        let j = i + rng.below(left as u64) as usize;
+        candidates.swap(i, j);
+    }
+}
