--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -1,30 +1,16 @@
 use super::calls::Calls;
 use super::disks::Disk;
+use super::input::Input;
 use super::shutdown_timer::{GracePeriods, ShutdownTimer};
 use super::traffic::Transport;
-use crate::sans_io::{Effect, Msg, Now, Part, Request};
+use crate::sans_io::{Effect, Msg, Now, Part};
 use crate::settings::Settings;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Inputs taken in one round, so that effects don't wait for ever while inputs pour in.
+/// Inputs taken in one round, at the most, so that effects don't wait for ever while inputs pour in.
 const ROUND: usize = 256;
 
-/// What reaches the thread of control state.
-pub enum Input {
-    Msg(Msg),
-    Call(Request, u64),
-}
-
-impl From<Input> for Msg {
-    fn from(i: Input) -> Self {
-        match i {
-            Input::Msg(m) => m,
-            Input::Call(req, call) => Msg::Call(call, req),
-        }
-    }
-}
-
 /// The process's clocks.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
--- a/landingdrift/src/daemon/disks.rs
+++ b/landingdrift/src/daemon/disks.rs
@@ -1,4 +1,4 @@
-use super::control::Input;
+use super::input::Input;
 use super::threads;
 use crate::disk::{DataFolder, StorageError};
 use crate::sans_io::{Msg, WriteBatch};
--- a/landingdrift/src/daemon/opening.rs
+++ b/landingdrift/src/daemon/opening.rs
@@ -1,6 +1,6 @@
 use super::calls::Calls;
-use super::control::Input;
 use super::disks::Backoff;
+use super::input::Input;
 use crate::consensus::Loaded;
 use crate::disk::{DataFolder, StorageError};
 use crate::sans_io::{Msg, Request, Response};
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -1,30 +1,25 @@
+//! A process of one or more parts, from its start to its orderly end.
+
 use super::calls::Calls;
-use super::control::{Clock, Control, Input};
-use super::disks::{Backoff, Disk};
+use super::control::{Clock, Control};
+use super::core_start::CoreStart;
+use super::input::Input;
+use super::running_part::{Handle, RunningPart};
 use super::signals::Ended;
-use super::traffic::{Frames, HttpAdapter, HttpLimits, Traffic, Transport};
+use super::traffic::{Frames, HttpAdapter, HttpLimits, ServingState, Traffic, Transport};
 use super::{logs, opening, signals, threads};
-use crate::consensus::{Loaded, Replica};
-use crate::disk::{DataFolder, StorageError};
 use crate::sans_io::{fnv1a, Msg, Now, Part};
 use crate::settings::{Bounds, Settings};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver, Sender};
-use std::thread::{sleep, JoinHandle};
+use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 /// How often a process that ends looks whether it has done all it had to.
 const LOOK: Duration = Duration::from_millis(5);
 
-/// A way to a part of this process.
-#[derive(Clone)]
-pub struct Handle {
-    calls: Calls,
-    inputs: Sender<Input>,
-}
-
 /// A process of one or more parts: each has a control thread and an address of its own, all share the traffic thread.
 pub struct Process {
     clock: Clock,
@@ -34,11 +29,11 @@
     parts: Vec<RunningPart>,
 }
 
-/// A part with its control thread and the settings that it runs by.
-struct RunningPart {
-    handle: Handle,
-    thread: JoinHandle<()>,
-    current: Settings,
+/// What a part needs to be reached by others.
+struct Listening {
+    transport: Transport,
+    inputs: Sender<Input>,
+    received: Receiver<Input>,
 }
 
 impl Process {
@@ -68,24 +63,30 @@
 
     /// Starts a part.
     pub fn part(&mut self, part: Box<dyn Part>, s: &Settings) -> Result<Handle, String> {
-        let (transport, inputs, received) = self.listen(s)?;
-        let control = Control::new(part, self.clock, transport, None, Calls::default(), s);
-        self.begin(s, inputs, control.calls.clone(), move || {
-            control.run(&received)
-        })
+        let Listening {
+            transport,
+            inputs,
+            received,
+        } = self.listen(s)?;
+        let calls = Calls::default();
+        let control = Control::new(part, self.clock, transport, None, calls.clone(), s);
+        self.begin(s, inputs, calls, move || control.run(&received))
     }
 
     /// Starts a replica on its data folder. Where the disk refuses, the folder is tried again while the other parts serve.
     pub fn replica(&mut self, s: &Settings) -> Result<Handle, String> {
         let seed = self.seed(&s.listen);
         let term_start_index = opening::open(s, seed);
-        if let Err(why) = term_start_index
-            .as_ref()
-            .map_err(|why| (why.may_pass(), why.to_string()))
-        {
-            why.0.then_some(()).ok_or(why.1)?;
+        if let Err(why) = &term_start_index {
+            if !why.may_pass() {
+                return Err(why.to_string());
+            }
         }
-        let (transport, inputs, received) = self.listen(s)?;
+        let Listening {
+            transport,
+            inputs,
+            received,
+        } = self.listen(s)?;
         let calls = Calls::default();
         let start = CoreStart {
             settings: s.clone(),
@@ -104,16 +105,20 @@
         }
     }
 
-    fn listen(&self, s: &Settings) -> Result<(Transport, Sender<Input>, Receiver<Input>), String> {
-        let (tx, rx) = channel::<Input>();
+    fn listen(&self, s: &Settings) -> Result<Listening, String> {
+        let (inputs, received) = channel::<Input>();
         let frames = Frames {
             cluster: s.cluster.clone(),
             me: s.listen.clone(),
             patience: Duration::from_millis(s.bounds.election()),
             longest: Frames::longest(&s.limits),
         };
-        let transport = self.traffic.listen(frames, tx.clone())?;
-        Ok((transport, tx, rx))
+        let transport = self.traffic.listen(frames, inputs.clone())?;
+        Ok(Listening {
+            transport,
+            inputs,
+            received,
+        })
     }
 
     fn begin(
@@ -148,137 +153,89 @@
     ) -> Result<(), String> {
         let (calls, inputs) = (part.calls.clone(), part.inputs.clone());
         self.traffic
-            .http(addr, limits, http_adapter, calls, inputs)
-            .map(|_| ())
+            .http(addr, limits, http_adapter, calls, inputs)?;
+        Ok(())
     }
 
     /// Runs until it is told to stop, or a part ends by itself: then it ends in an orderly way.
     pub fn run(mut self, reread: &dyn Fn() -> Result<Vec<Settings>, String>) -> Result<(), String> {
         let asked = self.wait(reread);
-        let why = asked.map_or("a part has ended", |()| "asked to stop");
+        let why = if asked {
+            "asked to stop"
+        } else {
+            "a part has ended"
+        };
         log::info!("{why}");
         let panicked = self.stop();
         drop(self.logger);
         if panicked {
             return Err("a control thread panicked: start the process again".into());
         }
-        asked.ok_or_else(|| "a part ended by itself: start the process again".into())
+        if !asked {
+            return Err("a part ended by itself: start the process again".into());
+        }
+        Ok(())
     }
 
-    /// Waits for the signal to stop; `None` where a part ends before.
-    fn wait(&mut self, reread: &dyn Fn() -> Result<Vec<Settings>, String>) -> Option<()> {
-        let mut signals = self.signals.forever();
-        let parts = &mut self.parts;
+    /// Waits for the signal to stop; false where a part ends before. The signal to reread settings is seen to meanwhile.
+    fn wait(&mut self, reread: &dyn Fn() -> Result<Vec<Settings>, String>) -> bool {
         let logger = self.logger.as_ref();
-        signals
-            .find(|signal| {
-                if *signal == SIGHUP {
-                    reread().map_or_else(
-                        |e| log::error!("settings not reread: {e}"),
-                        |all| {
-                            let changed = parts.iter_mut().zip(&all);
-                            changed.for_each(|(part, new)| part.change(new, logger));
-                        },
-                    );
+        for signal in self.signals.forever() {
+            if signal != SIGHUP {
+                return true;
+            }
+            match reread() {
+                Ok(all) => {
+                    for (part, new) in self.parts.iter_mut().zip(&all) {
+                        part.change(new, logger);
+                    }
                 }
-                *signal != SIGHUP
-            })
-            .map(|_| ())
+                Err(e) => log::error!("settings not reread: {e}"),
+            }
+        }
+        false
     }
 
     /// Tells all parts to stop at once and goes on serving, so that callers find out that it is not ready; then takes
     /// no call any more and ends once what was read is answered. Says whether a control thread panicked.
     fn stop(&mut self) -> bool {
         let since = Instant::now();
-        let longest = |span: fn(&Bounds) -> u64| {
-            let spans = self.parts.iter().map(|p| span(&p.current.bounds));
-            Duration::from_millis(spans.max().unwrap_or(0))
-        };
-        let serve = longest(Bounds::serve_on);
-        let (most, flush) = (longest(Bounds::end_process), longest(Bounds::flush_answers));
+        let serve = self.longest(Bounds::serve_on);
+        let most = self.longest(Bounds::end_process);
+        let flush = self.longest(Bounds::flush_answers);
         let serving = self.traffic.serving().clone();
         serving.leave();
         self.parts.iter().for_each(|p| p.tell(Msg::Stop));
         sleep(serve.saturating_sub(since.elapsed()));
         serving.refuse();
-        let ended = |p: &RunningPart| p.thread.is_finished();
-        let busy = |parts: &[RunningPart]| serving.in_flight() > 0 || !parts.iter().all(ended);
-        while since.elapsed() + flush < most && busy(&self.parts) {
+        while since.elapsed() + flush < most && self.is_busy(&serving) {
             sleep(LOOK);
         }
-        if busy(&self.parts) {
+        if self.is_busy(&serving) {
             log::warn!("ends with {} calls in hand", serving.in_flight());
         }
         // What was written out last gets a moment to leave.
         sleep(flush);
-        let parts = self.parts.drain(..);
-        parts
-            .filter(|p| p.thread.is_finished())
-            .any(|p| p.thread.join().is_err())
-    }
-}
-
-/// All that a replica needs to start, but its data folder.
-struct CoreStart {
-    settings: Settings,
-    seed: u64,
-    clock: Clock,
-    transport: Transport,
-    inputs: Sender<Input>,
-    calls: Calls,
-}
-
-impl CoreStart {
-    /// Opens the folder at last, and runs the replica.
-    fn run(self, why: StorageError, received: &Receiver<Input>) {
-        let (calls, seed) = (self.calls.clone(), self.seed);
-        let term_start_index = opening::open_at_last(&self.settings, seed, why, &calls, received);
-        let control = term_start_index
-            .map_err(|why| why.to_string())
-            .and_then(|term_start_index| term_start_index.map(|o| self.control(o)).transpose());
-        match control {
-            Ok(Some(control)) => control.run(received),
-            Ok(None) => {}
-            Err(why) => log::error!("the core ends: {why}"),
-        }
-        calls.close();
+        self.join_ended()
     }
 
-    fn control(self, (folder, loaded): (DataFolder, Loaded)) -> Result<Control, String> {
-        let s = &self.settings;
-        let replica = Replica::new(s.clone(), loaded, self.clock.now(), self.seed)?;
-        let disk = Disk::start(folder, self.inputs, Backoff::of(&s.bounds))?;
-        let (part, disk) = (Box::new(replica), Some(disk));
-        Ok(Control::new(
-            part,
-            self.clock,
-            self.transport,
-            disk,
-            self.calls,
-            s,
-        ))
+    /// The longest of a span among the parts.
+    fn longest(&self, span: fn(&Bounds) -> u64) -> Duration {
+        let spans = self.parts.iter().map(|p| span(&p.current.bounds));
+        Duration::from_millis(spans.max().unwrap_or(0))
     }
-}
 
-impl RunningPart {
-    fn tell(&self, msg: Msg) {
-        let _ = self.handle.inputs.send(Input::Msg(msg));
+    /// Whether a call is in hand or a part runs.
+    fn is_busy(&self, serving: &ServingState) -> bool {
+        serving.in_flight() > 0 || !self.parts.iter().all(RunningPart::has_ended)
     }
 
-    /// Takes over the settings that can change while the process runs.
-    fn change(&mut self, new: &Settings, logger: Option<&flexi_logger::LoggerHandle>) {
-        let (live, fixed) = self.current.take_live(new);
-        fixed.iter().for_each(|f| {
-            log::warn!("setting '{f}' can't change while the process runs: restart it")
-        });
-        if live == self.current {
-            return;
-        }
-        log::info!("settings reread");
-        logger
-            .into_iter()
-            .for_each(|l| l.set_new_spec(logs::spec(&live.log)));
-        self.current = live.clone();
-        self.tell(Msg::SettingsChanged(Box::new(live)));
+    /// Joins the threads that have ended, up to the first that panicked; says whether one did. Those that run on end
+    /// with the process.
+    fn join_ended(&mut self) -> bool {
+        self.parts
+            .drain(..)
+            .filter(RunningPart::has_ended)
+            .any(|p| p.thread.join().is_err())
     }
 }
--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -5,7 +5,7 @@
 mod receive;
 mod socket;
 
-use crate::daemon::control::Input;
+use crate::daemon::input::Input;
 use crate::settings::Limits;
 use crate::wire::{pack, Body};
 use queue::{NotQueued, Queue};
--- a/landingdrift/src/daemon/traffic/frames/receive.rs
+++ b/landingdrift/src/daemon/traffic/frames/receive.rs
@@ -1,5 +1,5 @@
 use super::{socket, Frames};
-use crate::daemon::control::Input;
+use crate::daemon::input::Input;
 use crate::sans_io::Msg;
 use crate::wire::unpack;
 use rocket::tokio::io::{AsyncRead, AsyncReadExt, BufReader};
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -8,7 +8,7 @@
 pub use serving::ServingState;
 
 use crate::daemon::calls::Calls;
-use crate::daemon::control::Input;
+use crate::daemon::input::Input;
 use request_handler::RequestHandler;
 use rocket::config::{LogLevel, Shutdown};
 use rocket::fairing::AdHoc;
--- a/landingdrift/src/daemon/traffic/http/request_handler.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -2,7 +2,7 @@
 use super::serving::{Body, InFlight, ServingState};
 use super::{Asked, Handling, HttpAdapter, HttpLimits, Reply};
 use crate::daemon::calls::Calls;
-use crate::daemon::control::Input;
+use crate::daemon::input::Input;
 use crate::sans_io::Response;
 use rocket::catcher;
 use rocket::data::{Data, ToByteUnit};
--- a/landingdrift/src/daemon/traffic/mod.rs
+++ b/landingdrift/src/daemon/traffic/mod.rs
@@ -7,7 +7,7 @@
 pub use http::{Asked, Handling, HttpAdapter, HttpLimits, Reply, ServingState};
 
 use super::calls::Calls;
-use super::control::Input;
+use super::input::Input;
 use super::threads;
 use rocket::tokio::runtime::{Builder, Handle};
 use rocket::tokio::sync::oneshot;
