--- a/landingdrift/src/node/zone_scheduler/lease_expiry.rs
+++ b/landingdrift/src/node/zone_scheduler/lease_expiry.rs
@@ -146,27 +146,21 @@
 
     /// A proposal that a worker's runs are dead has been answered; `ruled` says that the cluster state took it.
     pub(in crate::node) fn expiry_done(&mut self, worker: &str, ruled: bool) {
-        self.zone_schedulers
-            .values_mut()
-            .filter_map(|c| c.workers.get_mut(worker))
-            .for_each(|w| {
-                w.expiry_proposed = false;
-                if ruled {
-                    w.expiring.clear();
-                }
-            });
+        for w in self.workers_named(worker) {
+            w.expiry_proposed = false;
+            if ruled {
+                w.expiring.clear();
+            }
+        }
     }
 
     /// A worker says that it has left: what ran there is dead in a moment.
     pub(in crate::node) fn left(&mut self, now: Now, worker: &str) {
         let at = now.mono + self.settings.bounds.obey() / 2;
-        self.zone_schedulers
-            .values_mut()
-            .filter_map(|c| c.workers.get_mut(worker))
-            .for_each(|w| {
-                w.left = Some(at);
-                w.leaving = true;
-            });
+        for w in self.workers_named(worker) {
+            w.left = Some(at);
+            w.leaving = true;
+        }
     }
 
     /// Calls sends back that do no good where they are.
@@ -179,16 +173,12 @@
         blame: bool,
     ) {
         let until = now.mono + self.settings.bounds.cancel_ms;
-        let held = self
-            .zone_schedulers
-            .values_mut()
-            .find_map(|c| c.workers.get_mut(worker));
-        held.into_iter().for_each(|w| {
+        if let Some(w) = self.workers_named(worker).next() {
             w.reschedule_proposed = true;
             if blame {
                 w.suspect_until = until;
             }
-        });
+        }
         self.count("attempts_rescheduled", attempts.len() as u64);
         if blame {
             self.line(format!(
@@ -211,9 +201,8 @@
 
     /// A proposal to call sends back has been answered.
     pub(in crate::node) fn reschedule_done(&mut self, worker: &str) {
-        self.zone_schedulers
-            .values_mut()
-            .filter_map(|c| c.workers.get_mut(worker))
-            .for_each(|w| w.reschedule_proposed = false);
+        for w in self.workers_named(worker) {
+            w.reschedule_proposed = false;
+        }
     }
 }
--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -6,6 +6,7 @@
 mod orders;
 mod pace;
 mod reservations;
+mod targets;
 
 pub use heartbeats::{Heartbeat, Running};
 pub use pace::{judge, Pace, RescheduleReason, Run};
@@ -70,52 +71,58 @@
         self.zone_schedulers
             .retain(|z, c| mine.get(z) == Some(&c.epoch));
         for (zone, epoch) in mine {
-            if !self.zone_schedulers.contains_key(&zone) {
-                self.line(format!("holds the lease of zone {zone}, epoch {epoch}"));
-                self.zone_schedulers.insert(
-                    zone.clone(),
-                    ZoneScheduler {
-                        epoch,
-                        ..ZoneScheduler::default()
-                    },
-                );
-            }
-            let known: Vec<(String, Resources)> = self
-                .state
-                .workers
-                .iter()
-                .filter(|(_, w)| w.info.zone == zone)
-                .map(|(k, w)| (k.clone(), w.info.total_resources()))
-                .collect();
-            let zone_scheduler = self.zone_schedulers.entry(zone.clone()).or_default();
-            zone_scheduler
-                .workers
-                .retain(|k, _| known.iter().any(|(n, _)| n == k));
-            for (k, resources) in known {
-                zone_scheduler
-                    .workers
-                    .entry(k)
-                    .or_insert_with(|| WorkerState {
-                        last_heartbeat: now.mono,
-                        renewed: now.mono,
-                        resources,
-                        ..WorkerState::default()
-                    });
-            }
+            self.hold_cell(now, &zone, epoch);
+        }
+    }
+
+    /// Holds a zone scheduler with the workers that the cluster state knows in its zone.
+    fn hold_cell(&mut self, now: Now, zone: &str, epoch: u64) {
+        if !self.zone_schedulers.contains_key(zone) {
+            self.line(format!("holds the lease of zone {zone}, epoch {epoch}"));
+        }
+        let known: BTreeMap<String, Resources> = self
+            .state
+            .workers
+            .iter()
+            .filter(|(_, w)| w.info.zone == zone)
+            .map(|(name, w)| (name.clone(), w.info.total_resources()))
+            .collect();
+        let zone_scheduler = self.zone_schedulers.entry(zone.to_string());
+        let zone_scheduler = zone_scheduler.or_insert_with(|| ZoneScheduler {
+            epoch,
+            ..ZoneScheduler::default()
+        });
+        zone_scheduler
+            .workers
+            .retain(|name, _| known.contains_key(name));
+        for (name, resources) in known {
+            let worker = zone_scheduler.workers.entry(name);
+            worker.or_insert_with(|| WorkerState {
+                last_heartbeat: now.mono,
+                renewed: now.mono,
+                resources,
+                ..WorkerState::default()
+            });
         }
     }
 
     /// A proposal about a worker has been answered: on its facts, or on its report.
     pub(in crate::node) fn proposal_over(&mut self, worker: &str, info: bool) {
-        self.zone_schedulers
-            .values_mut()
-            .filter_map(|c| c.workers.get_mut(worker))
-            .for_each(|w| {
-                *(if info {
-                    &mut w.info_proposed
-                } else {
-                    &mut w.report_proposed
-                }) = false
-            });
+        for w in self.workers_named(worker) {
+            if info {
+                w.info_proposed = false;
+            } else {
+                w.report_proposed = false;
+            }
+        }
+    }
+
+    /// A worker in all zone schedulers of this node that know it: while it moves, that may be two.
+    fn workers_named<'a>(
+        &'a mut self,
+        worker: &'a str,
+    ) -> impl Iterator<Item = &'a mut WorkerState> + 'a {
+        let zone_schedulers = self.zone_schedulers.values_mut();
+        zone_schedulers.filter_map(move |c| c.workers.get_mut(worker))
     }
 }
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -1,11 +1,11 @@
 //! Offers: each free slot is offered to the schedulers that have reserved it. Hopper's worker side.
 
-use super::{WorkerState, ZoneScheduler};
+use super::targets::{next_target, Target};
+use super::WorkerState;
 use crate::node::Node;
 use crate::sans_io::Now;
-use crate::settings::Hopper;
 use crate::state::Resources;
-use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken, Reservation, Sizes};
+use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken, Sizes};
 use std::collections::BTreeSet;
 
 /// Room promised to an accepted offer.
@@ -21,21 +21,63 @@
 pub(super) struct Episode {
     token: u64,
     pub(super) since: u64,
-    refusals: u32,
-    asked: BTreeSet<String>,
+    pub(super) refusals: u32,
+    /// The schedulers that it was offered to.
+    pub(super) asked: BTreeSet<String>,
     /// The offer that is under way, and to whom.
     offer: RequestToken,
     scheduler: String,
-    unsatisfied: Option<Sizes>,
+    /// The smallest unsatisfied job that a refusal named.
+    pub(super) unsatisfied: Option<Sizes>,
+    /// The last offer could not be refused: it was the last of this slot.
     forced: bool,
     job: String,
 }
 
-/// The job that a slot is offered for, and the scheduler that it is offered to.
-struct Target {
-    job: String,
-    scheduler: String,
-    refusable: bool,
+/// An accepted offer's resources is held for so many bounds of an offer: as long as its start may take.
+const PROMISE_OFFER_BOUNDS: u64 = 2;
+
+impl Episode {
+    fn new(token: u64, since: u64) -> Self {
+        Self {
+            token,
+            since,
+            refusals: 0,
+            asked: BTreeSet::new(),
+            offer: RequestToken::default(),
+            scheduler: String::new(),
+            unsatisfied: None,
+            forced: false,
+            job: String::new(),
+        }
+    }
+
+    /// Takes note of the offer that goes out now.
+    fn offered(&mut self, offer: RequestToken, target: &Target) {
+        self.offer = offer;
+        self.forced = !target.refusable;
+        self.job = target.job.clone();
+        self.scheduler = target.scheduler.clone();
+        self.asked.insert(target.scheduler.clone());
+    }
+
+    /// Keeps the smallest unsatisfied job of those that a refusal names, if it is smaller than what was kept.
+    fn take_named(&mut self, sizes: &[Sizes]) {
+        let unsatisfied = sizes.iter().filter(|s| s.unsatisfied);
+        let Some(named) = unsatisfied.min_by(|a, b| a.size.total_cmp(&b.size)) else {
+            return;
+        };
+        let kept = self.unsatisfied.as_ref();
+        if kept.is_none_or(|kept| named.size < kept.size) {
+            self.unsatisfied = Some(named.clone());
+        }
+    }
+}
+
+/// A worker of a zone scheduler of this node.
+struct WorkerPlace {
+    zone: String,
+    worker: String,
 }
 
 impl Node {
@@ -44,36 +86,44 @@
         if !self.speaks(now) || self.zone_schedulers.is_empty() {
             return;
         }
-        let idle: Vec<(String, String)> = self
-            .zone_schedulers
-            .iter()
-            .flat_map(|(z, c)| c.workers.iter().map(move |(k, w)| (z, k, w)))
-            .filter(|(_, _, w)| {
-                w.episode.is_none()
-                    && !w.queue.is_empty()
-                    && now.mono >= w.idle_until
-                    && now.mono >= w.suspect_until
-                    && !w.leaving
-            })
-            .filter(|(z, k, _)| self.free_resources(z, k).cpu > 0)
-            .map(|(z, k, _)| (z.clone(), k.clone()))
-            .collect();
+        let idle = self.idle_workers(now);
         // Only where there is resources to offer is the queue looked through.
-        let state = &self.state;
-        for (zone, worker) in &idle {
-            self.zone_schedulers
-                .get_mut(zone)
-                .and_then(|c| c.workers.get_mut(worker))
-                .into_iter()
-                .for_each(|w| w.queue.retain(|r| state.open.contains(&r.job)));
+        for log_index in &idle {
+            self.drop_ended_jobs(log_index);
         }
-        for (zone, worker) in idle {
+        for WorkerPlace { zone, worker } in idle {
             if self.free_resources(&zone, &worker).cpu > 0 {
                 self.begin(now, &zone, &worker);
             }
         }
     }
 
+    /// The workers with a free slot that may be offered now and is not yet.
+    fn idle_workers(&self, now: Now) -> Vec<WorkerPlace> {
+        let mut idle = Vec::new();
+        for (zone, zone_scheduler) in &self.zone_schedulers {
+            for (worker, state) in &zone_scheduler.workers {
+                if state.may_be_offered(now) && self.free_resources(zone, worker).cpu > 0 {
+                    idle.push(WorkerPlace {
+                        zone: zone.clone(),
+                        worker: worker.clone(),
+                    });
+                }
+            }
+        }
+        idle
+    }
+
+    /// Drops the reservations of jobs that are over.
+    fn drop_ended_jobs(&mut self, log_index: &WorkerPlace) {
+        let zone_scheduler = self.zone_schedulers.get_mut(&log_index.zone);
+        let worker = zone_scheduler.and_then(|c| c.workers.get_mut(&log_index.worker));
+        if let Some(worker) = worker {
+            let open = &self.state.open;
+            worker.queue.retain(|r| open.contains(&r.job));
+        }
+    }
+
     /// The resources of a worker that nothing runs in and that is not promised.
     fn free_resources(&self, zone: &str, worker: &str) -> Resources {
         let Some(r) = self
@@ -109,29 +159,17 @@
         else {
             return;
         };
-        w.episode = Some(Episode {
-            token,
-            since: now.mono,
-            refusals: 0,
-            asked: BTreeSet::new(),
-            offer: RequestToken::default(),
-            scheduler: String::new(),
-            unsatisfied: None,
-            forced: false,
-            job: String::new(),
-        });
+        w.episode = Some(Episode::new(token, now.mono));
         self.offer_next(now, zone, worker);
     }
 
-    /// The next scheduler to offer a slot to: the smallest job first, then what refusals named, then a draw by V.
+    /// Offers a slot to the next scheduler: the smallest job first, then what refusals named, then a draw by V.
     fn offer_next(&mut self, now: Now, zone: &str, worker: &str) {
+        // Drawn for every offer, whether or not it is needed: a draw fewer would change all that follow.
         let rng = self.rng.unit();
         let resources = self.free_resources(zone, worker);
-        let incarnation = self
-            .state
-            .workers
-            .get(worker)
-            .map_or(0, |w| w.info.incarnation);
+        let known = self.state.workers.get(worker);
+        let incarnation = known.map_or(0, |w| w.info.incarnation);
         let Some(c) = self.zone_schedulers.get_mut(zone) else {
             return;
         };
@@ -145,30 +183,21 @@
             w.idle_until = now.mono + self.settings.bounds.heartbeat();
             return;
         }
-        let Some(Target {
-            job,
-            scheduler,
-            refusable,
-        }) = next_target(&w.queue, e, &self.settings.hopper, rng)
-        else {
+        let Some(target) = next_target(&w.queue, e, &self.settings.hopper, rng) else {
             w.episode = None;
             return;
         };
-        e.forced = !refusable;
-        e.job = job.clone();
-        e.asked.insert(scheduler.clone());
         let token = RequestToken {
             incarnation: self.incarnation,
             number: e.token,
             attempt: e.refusals,
         };
-        e.offer = token;
-        e.scheduler = scheduler.clone();
+        e.offered(token, &target);
         self.count("offers", 1);
-        self.count("offers_not_refusable", u64::from(!refusable));
+        self.count("offers_not_refusable", u64::from(!target.refusable));
         let offer = Offer {
             token,
-            job,
+            job: target.job,
             worker: worker.into(),
             incarnation,
             zone_scheduler: zone.into(),
@@ -176,50 +205,27 @@
             cpu: resources.cpu,
             memory: resources.memory,
             accelerators: resources.accelerators,
-            refusable,
+            refusable: target.refusable,
         };
-        self.send(&scheduler, Body::Offer(Box::new(offer)));
+        self.send(&target.scheduler, Body::Offer(Box::new(offer)));
     }
 
     /// A scheduler has accepted or refused an offer.
     pub(in crate::node) fn on_offer_response(&mut self, now: Now, from: &str, m: OfferResponse) {
-        let until = now.mono + self.settings.bounds.offer() * 2;
-        let offered = |w: &WorkerState| {
-            let episode = w.episode.as_ref();
-            episode.is_some_and(|e| e.offer == m.token && e.scheduler == from)
-        };
-        let worker = |c: &ZoneScheduler| c.workers.get(&m.worker).is_some_and(offered);
-        let Some(zone) = self
-            .zone_schedulers
-            .iter()
-            .find(|(_, c)| worker(c))
-            .map(|(z, _)| z.clone())
-        else {
+        let Some(zone) = self.zone_of_offer(from, &m) else {
             return self.count("responses_unexpected", 1);
         };
         self.take_sizes(&m.sizes);
-        let Some(w) = self
-            .zone_schedulers
-            .get_mut(&zone)
-            .and_then(|c| c.workers.get_mut(&m.worker))
-        else {
+        let zone_scheduler = self.zone_schedulers.get_mut(&zone);
+        let Some(w) = zone_scheduler.and_then(|c| c.workers.get_mut(&m.worker)) else {
             return;
         };
         let Some(job) = w.episode.as_ref().map(|e| e.job.clone()) else {
             return;
         };
         if m.accepted {
-            w.promise(PromisedResources {
-                offer: m.token,
-                scheduler: from.into(),
-                job: job.clone(),
-                resources: Resources {
-                    cpu: m.cpu,
-                    memory: m.memory,
-                    accelerators: m.accelerators,
-                },
-                until,
-            });
+            let until = now.mono + self.settings.bounds.offer() * PROMISE_OFFER_BOUNDS;
+            w.promise(promised_room(from, &m, job, until));
             self.count("offers_accepted", 1);
             self.offer_all(now);
             return;
@@ -229,55 +235,82 @@
         self.offer_next(now, &zone, &m.worker);
     }
 
+    /// The zone of the worker whose slot a scheduler was offered, if this answers the offer that is under way.
+    fn zone_of_offer(&self, from: &str, m: &OfferResponse) -> Option<String> {
+        for (zone, zone_scheduler) in &self.zone_schedulers {
+            let worker = zone_scheduler.workers.get(&m.worker);
+            let episode = worker.and_then(|w| w.episode.as_ref());
+            if episode.is_some_and(|e| e.offer == m.token && e.scheduler == from) {
+                return Some(zone.clone());
+            }
+        }
+        None
+    }
+
     /// What was accepted came to nothing: the slot is free again.
     pub(in crate::node) fn on_offer_done(&mut self, now: Now, from: &str, m: OfferOutcome) {
+        if m.placed {
+            return;
+        }
         let promised = |p: &PromisedResources| p.offer == m.token && p.scheduler == from;
-        if !m.placed {
-            // The cluster state knew better: its news comes before the next offer.
-            let until = now.mono + self.settings.bounds.heartbeat();
-            self.zone_schedulers
-                .values_mut()
-                .filter_map(|c| c.workers.get_mut(&m.worker))
-                .filter(|w| w.pending.iter().any(promised))
-                .for_each(|w| {
-                    w.pending.retain(|p| !promised(p));
-                    w.idle_until = until;
-                });
+        // The cluster state knew better: its news comes before the next offer.
+        let until = now.mono + self.settings.bounds.heartbeat();
+        for w in self.workers_named(&m.worker) {
+            if w.pending.iter().any(promised) {
+                w.pending.retain(|p| !promised(p));
+                w.idle_until = until;
+            }
         }
     }
 
     /// A start entered the cluster state: the resources promised for it is now counted there.
     pub(in crate::node) fn unhold(&mut self, worker: &str, job: &str) {
-        self.zone_schedulers
-            .values_mut()
-            .filter_map(|c| c.workers.get_mut(worker))
-            .for_each(|w| {
-                w.pending
-                    .iter()
-                    .position(|p| p.job == job)
-                    .into_iter()
-                    .for_each(|i| {
-                        w.pending.remove(i);
-                    });
-            });
+        for w in self.workers_named(worker) {
+            if let Some(i) = w.pending.iter().position(|p| p.job == job) {
+                w.pending.remove(i);
+            }
+        }
+    }
+}
+
+fn promised_room(from: &str, m: &OfferResponse, job: String, until: u64) -> PromisedResources {
+    PromisedResources {
+        offer: m.token,
+        scheduler: from.into(),
+        job,
+        resources: Resources {
+            cpu: m.cpu,
+            memory: m.memory,
+            accelerators: m.accelerators,
+        },
+        until,
     }
 }
 
 impl WorkerState {
+    /// Whether the worker may be offered now, resources aside.
+    fn may_be_offered(&self, now: Now) -> bool {
+        let wanted = !self.queue.is_empty();
+        let in_good_order = !self.leaving && now.mono >= self.suspect_until;
+        self.episode.is_none() && wanted && in_good_order && now.mono >= self.idle_until
+    }
+
     /// Keeps the resources of an accepted offer, which takes the slot.
     fn promise(&mut self, promise: PromisedResources) {
         let job = promise.job.clone();
         self.episode = None;
         self.pending.push(promise);
-        let spent = self.queue.iter_mut().position(|q| {
-            if q.job == job {
-                q.remaining = q.remaining.saturating_sub(1);
+        for i in 0..self.queue.len() {
+            let reservation = &mut self.queue[i];
+            if reservation.job != job {
+                continue;
             }
-            q.job == job && q.remaining == 0
-        });
-        spent.into_iter().for_each(|i| {
-            self.queue.remove(i);
-        });
+            reservation.remaining = reservation.remaining.saturating_sub(1);
+            if reservation.remaining == 0 {
+                self.queue.remove(i);
+                return;
+            }
+        }
     }
 
     /// Keeps what a refusal told, for the next offer of the slot.
@@ -286,68 +319,13 @@
             return;
         };
         e.refusals += 1;
-        let better = m
-            .sizes
-            .iter()
-            .filter(|s| s.unsatisfied)
-            .min_by(|a, b| a.size.total_cmp(&b.size));
-        if let Some(s) = better.filter(|s| e.unsatisfied.as_ref().is_none_or(|u| s.size < u.size)) {
-            e.unsatisfied = Some(s.clone());
-        }
+        e.take_named(&m.sizes);
         if m.gone {
             self.queue.retain(|q| q.job != job);
         }
     }
 }
 
-/// Whom to offer a slot to: the smallest job first, then what refusals named, then a draw by V.
-fn next_target(
-    queue: &[Reservation],
-    episode: &Episode,
-    hopper: &Hopper,
-    rng: f64,
-) -> Option<Target> {
-    let mut open: Vec<&Reservation> = queue
-        .iter()
-        .filter(|r| !episode.asked.contains(&r.scheduler))
-        .collect();
-    open.sort_by(|a, b| {
-        b.starved
-            .cmp(&a.starved)
-            .then(a.size.total_cmp(&b.size))
-            .then(a.asked.cmp(&b.asked))
-            .then(a.job.cmp(&b.job))
-    });
-    let refusable = episode.refusals < hopper.refusals && !open.is_empty();
-    let (job, scheduler) = if refusable {
-        // Any of the smallest share may go first when its data is near.
-        let near = ((open.len() as f64 * hopper.locality).ceil() as usize).max(1);
-        let r = open[..near.min(open.len())]
-            .iter()
-            .find(|r| r.local)
-            .unwrap_or(&open[0]);
-        Some((r.job.clone(), r.scheduler.clone()))
-    } else if let Some(u) = &episode.unsatisfied {
-        Some((u.job.clone(), u.scheduler.clone()))
-    } else {
-        let sum: f64 = queue.iter().map(|r| r.size.max(0.01)).sum();
-        let mut mark = rng * sum;
-        queue
-            .iter()
-            .find(|r| {
-                mark -= r.size.max(0.01);
-                mark <= 0.0
-            })
-            .or(queue.last())
-            .map(|r| (r.job.clone(), r.scheduler.clone()))
-    }?;
-    Some(Target {
-        job,
-        scheduler,
-        refusable,
-    })
-}
-
 #[cfg(test)]
 mod tests {
     use super::*;
