--- a/landingdrift/src/node/calls/at.rs
+++ b/landingdrift/src/node/calls/at.rs
@@ -1,6 +1,7 @@
 //! Jobs handed in by host and path: the queue whose host and longest prefix fit takes them.
 
 use super::Origin;
+use crate::config::Queue;
 use crate::node::Node;
 use crate::sans_io::{Now, Request, Response};
 use crate::state::{JobSpec, JobState};
@@ -9,8 +10,8 @@
 const AT: &str = "/v1/at/";
 
 impl Node {
-    /// The queue that a host and path belong to.
-    fn routed(&self, host: &str, path: &str) -> Option<(&str, &crate::config::Queue)> {
+    /// The queue that a host and path belong to, with its name: the one of the longest prefix.
+    fn routed(&self, host: &str, path: &str) -> Option<(&str, &Queue)> {
         let host = host.split(':').next().unwrap_or_default();
         self.state
             .config
@@ -49,29 +50,16 @@
                 let waiting = self.waiting(&queue);
                 self.reply(&origin, Response::new(200, json!({"waiting": waiting})));
             }
-            ("POST", _) => match serde_json::from_slice::<JobSpec>(&req.body) {
-                Ok(mut spec) => {
-                    (spec.id, spec.queue) = (id, queue);
-                    spec.steps
-                        .iter_mut()
-                        .for_each(|s| s.task.service = service.clone());
-                    spec.tasks
-                        .iter_mut()
-                        .for_each(|t| t.service = service.clone());
-                    self.submit_spec(now, origin, spec);
-                }
-                Err(e) => self.reply(&origin, Response::error(400, "wrongJob", e.to_string())),
+            ("POST", _) => match routed_spec(&req.body, id, queue, &service) {
+                Ok(spec) => self.submit_spec(now, origin, spec),
+                Err(v) => self.reply(&origin, v),
             },
             ("GET", id) => self.poll(now, origin, id),
             ("DELETE", id) => self.cancel(now, origin, id),
-            _ => self.reply(
-                &origin,
-                Response::error(
-                    405,
-                    "wrongMethod",
-                    "POST hands a job in, GET tells its state, DELETE cancels it",
-                ),
-            ),
+            _ => {
+                let why = "POST hands a job in, GET tells its state, DELETE cancels it";
+                self.reply(&origin, Response::error(405, "wrongMethod", why));
+            }
         }
     }
 
@@ -83,3 +71,18 @@
             .count()
     }
 }
+
+/// The job that a body specifies; its id, queue and service come from the route.
+fn routed_spec(body: &[u8], id: String, queue: String, service: &str) -> Result<JobSpec, Response> {
+    let mut spec: JobSpec = serde_json::from_slice(body)
+        .map_err(|e| Response::error(400, "wrongJob", e.to_string()))?;
+    spec.id = id;
+    spec.queue = queue;
+    for step in &mut spec.steps {
+        step.task.service = service.to_string();
+    }
+    for task in &mut spec.tasks {
+        task.service = service.to_string();
+    }
+    Ok(spec)
+}
--- a/landingdrift/src/node/calls/heartbeats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -7,69 +7,49 @@
 use crate::state::zone_lease;
 use serde_json::json;
 
+/// Reads a heartbeat; what is wrong with it is told.
+fn read_heartbeat(body: &[u8]) -> Result<Heartbeat, Response> {
+    let wrong = |why: String| Response::error(400, "wrongBeat", why);
+    let de = &mut serde_json::Deserializer::from_slice(body);
+    let heartbeat: Heartbeat = serde_path_to_error::deserialize(de).map_err(|e| {
+        let (path, why) = (e.path(), e.inner());
+        wrong(format!(
+            "{path}: {why}; docs/operators/workers.md shows a beat"
+        ))
+    })?;
+    let info = &heartbeat.info;
+    if info.worker.is_empty() || info.zone.is_empty() || info.service.is_empty() {
+        let why = "facts.worker, facts.zone and facts.service need a value: name them";
+        return Err(wrong(why.into()));
+    }
+    Ok(heartbeat)
+}
+
 impl Node {
     pub(super) fn on_heartbeat(&mut self, now: Now, origin: Origin, req: Request) {
-        let de = &mut serde_json::Deserializer::from_slice(&req.body);
-        let heartbeat: Heartbeat = match serde_path_to_error::deserialize(de) {
-            Ok(b) => b,
-            Err(e) => {
-                return self.reply(
-                    &origin,
-                    Response::error(
-                        400,
-                        "wrongBeat",
-                        format!(
-                            "{}: {}; docs/operators/workers.md shows a beat",
-                            e.path(),
-                            e.inner()
-                        ),
-                    ),
-                )
-            }
+        let heartbeat = match read_heartbeat(&req.body) {
+            Ok(heartbeat) => heartbeat,
+            Err(v) => return self.reply(&origin, v),
         };
-        if heartbeat.info.worker.is_empty()
-            || heartbeat.info.zone.is_empty()
-            || heartbeat.info.service.is_empty()
-        {
-            return self.reply(
-                &origin,
-                Response::error(
-                    400,
-                    "wrongBeat",
-                    "facts.worker, facts.zone and facts.service need a value: name them",
-                ),
-            );
+        let Some(grant) = self.state.holder(&zone_lease(&heartbeat.info.zone)) else {
+            let v = self.found_zone(&heartbeat);
+            return self.reply(&origin, v);
+        };
+        let holder = grant.holder.clone();
+        if holder == self.name || holder.is_empty() {
+            let v = self.heartbeat(now, heartbeat);
+            return self.reply(&origin, v);
         }
-        let holder = self
-            .state
-            .holder(&zone_lease(&heartbeat.info.zone))
-            .map(|g| g.holder.clone());
-        let remote = matches!(origin, Origin::Remote(..));
-        match holder {
-            Some(h) if h != self.name && !h.is_empty() && !remote => {
-                self.forward_on(now, origin, &h, &req)
-            }
-            Some(h) if h != self.name && !h.is_empty() => {
-                // A heartbeat is passed on once; who is asked by another names the holder it knows.
-                let v = Response {
-                    by: h,
-                    ..Response::error(
-                        503,
-                        "notHolder",
-                        "another node holds the cell: ask that one",
-                    )
-                };
-                self.reply(&origin, v);
-            }
-            None => {
-                let v = self.found_zone(&heartbeat);
-                self.reply(&origin, v);
-            }
-            _ => {
-                let v = self.heartbeat(now, heartbeat);
-                self.reply(&origin, v);
-            }
+        if let Origin::Local(_) = origin {
+            return self.forward_on(now, origin, &holder, &req);
         }
+        // A heartbeat is passed on once; who is asked by another names the holder it knows.
+        let why = "another node holds the cell: ask that one";
+        let v = Response {
+            by: holder,
+            ..Response::error(503, "notHolder", why)
+        };
+        self.reply(&origin, v);
     }
 
     /// A worker has left: the holder of its zone scheduler takes note.
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -1,47 +1,46 @@
+//! Calls about jobs: to hand one in, to ask for it, to cancel it, and to settle what is unsure about it.
+
 use super::{param, Origin, ReadThen, State, Then};
-use crate::node::propose::Purpose;
 use crate::node::Node;
 use crate::sans_io::{fnv1a, Now, Response};
-use crate::state::{ApplyResult, AttemptState, Command, Job, JobSpec, JobState, Rejection};
+use crate::state::{ApplyResult, AttemptState, Command, Job, JobSpec, JobState, Rejection, Task};
 use serde_json::{json, Value};
+use std::ops::Bound;
 
 /// Jobs on one page, at the most.
 const PAGE: usize = 500;
+/// Jobs on a page when the caller names no number.
+const DEFAULT_PAGE: usize = 100;
+/// A caller who is told that the system is full comes back after so many of the usual pauses: jobs end more slowly than
+/// calls are answered.
+const FULL_PAUSES: u64 = 5;
+/// A caller whose queue is over its quota comes back after so many of the usual pauses.
+const OVER_QUOTA_PAUSES: u64 = 2;
 
 /// What is said of a job.
 fn describe(j: &Job) -> Value {
-    let tasks: Vec<Value> = j
-        .tasks
-        .iter()
-        .enumerate()
-        .map(|(i, t)| {
-            let unsure = t.attempts.iter().any(|x| x.state == AttemptState::Unsure);
-            let mut v = json!({"name": j.name(i), "state": t.state, "defects": t.failures, "sends": t.attempts});
-            if unsure {
-                v["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
-            }
-            v
-        })
-        .collect();
-    let unsure = j
-        .tasks
-        .iter()
-        .any(|t| t.live().any(|s| s.state == AttemptState::Unsure));
+    let tasks: Vec<Value> = (0..j.tasks.len()).map(|i| describe_task(j, i)).collect();
+    let is_unsure = |t: &Task| t.live().any(|s| s.state == AttemptState::Unsure);
+    let unsure = j.tasks.iter().any(is_unsure);
     json!({"id": j.spec.id, "queue": j.spec.queue, "state": j.state, "unsure": unsure, "accepted": j.accepted, "ended": j.ended, "cancelled": j.cancel, "reason": j.reason, "tasks": tasks})
 }
 
+fn describe_task(j: &Job, i: usize) -> Value {
+    let t = &j.tasks[i];
+    let mut v =
+        json!({"name": j.name(i), "state": t.state, "defects": t.failures, "sends": t.attempts});
+    if t.attempts.iter().any(|s| s.state == AttemptState::Unsure) {
+        v["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
+    }
+    v
+}
+
 impl Node {
     pub(super) fn submit(&mut self, now: Now, origin: Origin, body: &[u8]) {
         let most = self.settings.limits.job_bytes;
         if body.len() as u64 > most {
-            return self.reply(
-                &origin,
-                Response::error(
-                    413,
-                    "tooLarge",
-                    format!("a job may have {most} bytes: split it"),
-                ),
-            );
+            let why = format!("a job may have {most} bytes: split it");
+            return self.reply(&origin, Response::error(413, "tooLarge", why));
         }
         match JobSpec::read(body) {
             Ok(s) => self.submit_spec(now, origin, s),
@@ -53,104 +52,99 @@
         if let Err(e) = spec.check() {
             return self.reply(&origin, Response::error(400, "wrongJob", e.to_string()));
         }
-        if !self.state.open.contains(&spec.id)
-            && self.state.open.len() as u64 >= self.settings.limits.open_jobs
-        {
-            self.count("jobs_rejected", 1);
-            return self.reply(
-                &origin,
-                Response::error(503, "full", "the system holds as many unfinished jobs as it may and took nothing of this call: come back later").retry(5 * self.settings.bounds.back()),
-            );
+        let is_new = !self.state.open.contains(&spec.id);
+        if is_new && self.state.open.len() as u64 >= self.settings.limits.open_jobs {
+            return self.turn_job_away(&origin);
         }
         let hash = fnv1a(&serde_json::to_vec(&spec).unwrap_or_default());
-        let known = self
-            .state
-            .jobs
-            .get(&spec.id)
-            .map(|j| j.hash)
-            .or_else(|| self.state.tombstones.get(&spec.id).map(|t| t.hash));
         let id = spec.id.clone();
-        if let Some(h) = known {
-            let ruled = (h == hash)
-                .then(|| json!({"known": true}))
-                .ok_or(Rejection::BodyMismatch);
+        if let Some(known) = self.known_hash(&id) {
+            let ruled = if known == hash {
+                Ok(json!({"known": true}))
+            } else {
+                Err(Rejection::BodyMismatch)
+            };
             let v = self.accepted_response(&id, ruled);
             return self.reply(&origin, v);
         }
         let seen = self.state.applied_index;
-        let within = self.settings.bounds.call();
-        let call = self.open(now, origin, State::ProposalPending);
-        self.propose(
-            now,
-            &Command::AcceptJob { spec, hash, seen },
-            Purpose::Call(call, Then::Accepted { id }),
-            within,
-        );
+        let command = Command::AcceptJob { spec, hash, seen };
+        self.open_with_proposal(now, origin, &command, Then::Accepted { id });
+    }
+
+    fn turn_job_away(&mut self, origin: &Origin) {
+        self.count("jobs_rejected", 1);
+        let why = "the system holds as many unfinished jobs as it may and took nothing of this call: come back later";
+        let pause = FULL_PAUSES * self.settings.bounds.back();
+        self.reply(origin, Response::error(503, "full", why).retry(pause));
+    }
+
+    /// The hash of a job's specification, as long as the job or its identity is kept.
+    fn known_hash(&self, id: &str) -> Option<u64> {
+        let kept = self.state.jobs.get(id).map(|j| j.hash);
+        kept.or_else(|| self.state.tombstones.get(id).map(|t| t.hash))
+    }
+
+    /// The state of a job, as long as the job or its identity is kept.
+    fn known_state(&self, id: &str) -> Option<JobState> {
+        let kept = self.state.jobs.get(id).map(|j| j.state);
+        kept.or_else(|| self.state.tombstones.get(id).map(|t| t.state))
     }
 
     pub(super) fn accepted_response(&mut self, id: &str, ruled: ApplyResult) -> Response {
-        let back = self.settings.bounds.back();
         match ruled {
             Ok(v) => {
                 self.count("jobs_accepted", 1);
-                let state = self
-                    .state
-                    .jobs
-                    .get(id)
-                    .map(|j| j.state)
-                    .or_else(|| self.state.tombstones.get(id).map(|t| t.state))
-                    .unwrap_or(JobState::Waiting);
-                Response::new(
-                    if v["known"] == json!(true) { 200 } else { 202 },
-                    json!({"id": id, "state": state, "poll": format!("/v1/jobs/{id}")}),
-                )
+                let state = self.known_state(id).unwrap_or(JobState::Waiting);
+                let status = if v["known"] == json!(true) { 200 } else { 202 };
+                let body = json!({"id": id, "state": state, "poll": format!("/v1/jobs/{id}")});
+                Response::new(status, body)
             }
-            Err(r) => {
+            Err(refusal) => {
                 self.count("jobs_refused", 1);
-                match r {
-                    Rejection::BodyMismatch => Response::error(409, "otherBody", r.to_string()),
-                    Rejection::OverQuota { .. } | Rejection::PreviouslyRejected => {
-                        Response::error(429, "overQuota", r.to_string()).retry(2 * back)
-                    }
-                    Rejection::Invalid { ref path, .. } if path == "queue" => {
-                        Response::error(404, "noSuchQueue", r.to_string())
-                    }
-                    _ => Response::error(400, "wrongJob", r.to_string()),
-                }
+                self.refused_job_response(&refusal)
             }
         }
     }
 
+    fn refused_job_response(&self, refusal: &Rejection) -> Response {
+        let why = refusal.to_string();
+        match refusal {
+            Rejection::BodyMismatch => Response::error(409, "otherBody", why),
+            Rejection::OverQuota { .. } | Rejection::PreviouslyRejected => {
+                let pause = OVER_QUOTA_PAUSES * self.settings.bounds.back();
+                Response::error(429, "overQuota", why).retry(pause)
+            }
+            Rejection::Invalid { path, .. } if path == "queue" => {
+                Response::error(404, "noSuchQueue", why)
+            }
+            _ => Response::error(400, "wrongJob", why),
+        }
+    }
+
     /// What this node knows of a job; `stale` tells the caller that there may be news it has not heard.
     pub(super) fn job_response(&self, id: &str, stale: bool) -> Option<Response> {
-        let kept = self.state.jobs.get(id).map(describe);
-        kept.or_else(|| {
-            self.state
-                .tombstones
-                .get(id)
-                .map(|t| json!({"id": id, "state": t.state, "retained": false}))
-        })
-        .map(|mut v| {
-            v["asOf"] = json!(self.state.at);
-            v["stale"] = json!(stale);
-            Response::new(200, v)
-        })
+        let mut v = match self.state.jobs.get(id) {
+            Some(job) => describe(job),
+            None => {
+                let tombstone = self.state.tombstones.get(id)?;
+                json!({"id": id, "state": tombstone.state, "retained": false})
+            }
+        };
+        v["asOf"] = json!(self.state.at);
+        v["stale"] = json!(stale);
+        Some(Response::new(200, v))
     }
 
     /// An end is told at once; else the watch must be as new as the question, so that no state told elsewhere is taken back.
     /// For a job it doesn't know, or before it has caught up with the watch, the replica is asked.
     pub(super) fn poll(&mut self, now: Now, origin: Origin, id: &str) {
-        let kept = self
-            .state
-            .jobs
-            .get(id)
-            .map(|j| j.state)
-            .or_else(|| self.state.tombstones.get(id).map(|t| t.state));
-        match kept {
-            Some(state) if state.ended() => self
-                .job_response(id, false)
-                .into_iter()
-                .for_each(|v| self.reply(&origin, v)),
+        match self.known_state(id) {
+            Some(state) if state.ended() => {
+                if let Some(v) = self.job_response(id, false) {
+                    self.reply(&origin, v);
+                }
+            }
             Some(_) if self.watch.has_snapshot => {
                 let patience = now.mono + self.settings.bounds.fresh() / 2;
                 let state = State::Fresh {
@@ -165,19 +159,16 @@
     }
 
     pub(super) fn jobs_response(&self, query: &str) -> Response {
-        let limit = param(query, "limit").map_or(Ok(100), str::parse::<usize>);
+        let limit = param(query, "limit").map_or(Ok(DEFAULT_PAGE), str::parse::<usize>);
         let Some(limit) = limit.ok().filter(|l| (1..=PAGE).contains(l)) else {
-            return Response::error(
-                400,
-                "wrongQuery",
-                format!("limit: give a number from 1 to {PAGE}"),
-            );
+            let why = format!("limit: give a number from 1 to {PAGE}");
+            return Response::error(400, "wrongQuery", why);
         };
-        let (queue, after) = (param(query, "queue"), param(query, "after").unwrap_or(""));
-        let mut of = self
-            .state
-            .jobs
-            .range::<str, _>((std::ops::Bound::Excluded(after), std::ops::Bound::Unbounded))
+        let queue = param(query, "queue");
+        let after = param(query, "after").unwrap_or("");
+        let later_ids = (Bound::Excluded(after), Bound::Unbounded);
+        let later = self.state.jobs.range::<str, _>(later_ids);
+        let mut of = later
             .map(|(_, j)| j)
             .filter(|j| queue.is_none_or(|q| q == j.spec.queue));
         let page: Vec<Value> = of
@@ -190,46 +181,32 @@
     }
 
     pub(super) fn cancel(&mut self, now: Now, origin: Origin, id: &str) {
-        let within = self.settings.bounds.call();
-        let call = self.open(now, origin, State::ProposalPending);
-        self.propose(
-            now,
-            &Command::CancelJob { job: id.into() },
-            Purpose::Call(call, Then::Cancelled { id: id.into() }),
-            within,
-        );
+        let command = Command::CancelJob { job: id.into() };
+        self.open_with_proposal(now, origin, &command, Then::Cancelled { id: id.into() });
     }
 
     pub(super) fn cancelled_response(&mut self, id: &str, ruled: ApplyResult) -> Response {
-        ruled.map_or_else(
-            |r| Response::error(404, "unknownJob", r.to_string()),
-            |v| Response::new(200, json!({"id": id, "state": v["state"]})),
-        )
+        match ruled {
+            Ok(v) => Response::new(200, json!({"id": id, "state": v["state"]})),
+            Err(refusal) => Response::error(404, "unknownJob", refusal.to_string()),
+        }
     }
 
     pub(super) fn resolve(&mut self, now: Now, origin: Origin, id: &str, task: &str, body: &[u8]) {
-        let succeeded = serde_json::from_slice::<Value>(body).ok().and_then(|v| {
-            v["outcome"]
-                .as_str()
-                .and_then(|o| ["well", "defect"].contains(&o).then(|| o == "well"))
-        });
-        let Some(succeeded) = succeeded else {
-            return self.reply(
-                &origin,
-                Response::error(400, "wrongOutcome", "outcome: give 'well' or 'defect'"),
-            );
+        let told: Value = serde_json::from_slice(body).unwrap_or_default();
+        let succeeded = match told["outcome"].as_str() {
+            Some("well") => true,
+            Some("defect") => false,
+            _ => {
+                let why = "outcome: give 'well' or 'defect'";
+                return self.reply(&origin, Response::error(400, "wrongOutcome", why));
+            }
+        };
+        let command = Command::ResolveAttempt {
+            job: id.into(),
+            task: task.into(),
+            succeeded,
         };
-        let within = self.settings.bounds.call();
-        let call = self.open(now, origin, State::ProposalPending);
-        self.propose(
-            now,
-            &Command::ResolveAttempt {
-                job: id.into(),
-                task: task.into(),
-                succeeded,
-            },
-            Purpose::Call(call, Then::Resolved { id: id.into() }),
-            within,
-        );
+        self.open_with_proposal(now, origin, &command, Then::Resolved { id: id.into() });
     }
 }
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -17,6 +17,58 @@
     Workers,
 }
 
+/// A read that can be answered: the watch has come to the place that the replica named.
+struct ReadyRead {
+    call: u64,
+    then: ReadThen,
+    nodes: Vec<NodeProgress>,
+}
+
+/// A question after a job that is answered now; `stale` says that the watch may not have told all of it.
+struct DuePoll {
+    call: u64,
+    id: String,
+    stale: bool,
+}
+
+impl State {
+    fn ready_read(&self, call: u64, followed: u64) -> Option<ReadyRead> {
+        match self {
+            Self::Following {
+                then,
+                log_index,
+                nodes,
+            } if *log_index <= followed => Some(ReadyRead {
+                call,
+                then: then.clone(),
+                nodes: nodes.clone(),
+            }),
+            _ => None,
+        }
+    }
+
+    fn due_poll(&self, call: u64, fresh_at: u64, now: Now) -> Option<DuePoll> {
+        let Self::Fresh {
+            id,
+            asked,
+            patience,
+        } = self
+        else {
+            return None;
+        };
+        let stale = fresh_at < *asked;
+        let due = !stale || now.mono >= *patience;
+        due.then(|| DuePoll {
+            call,
+            id: id.clone(),
+            stale,
+        })
+    }
+}
+
+/// A replica that gives no answer is asked again, or another is, after so many heartbeats.
+const ASK_AGAIN_HEARTBEATS: u64 = 5;
+
 impl Node {
     /// Reads what is surely not old: the replica names the place to follow to.
     pub(super) fn read(&mut self, now: Now, origin: Origin, then: ReadThen) {
@@ -40,7 +92,7 @@
             .or(leader)
             .or_else(|| self.rng.pick(&replicas).cloned())
             .unwrap_or_default();
-        let again = 5 * self.settings.bounds.heartbeat();
+        let again = ASK_AGAIN_HEARTBEATS * self.settings.bounds.heartbeat();
         if let Some(Open {
             state: State::Asked { next, asked, .. },
             ..
@@ -70,42 +122,30 @@
             return self.count("responses_unexpected", 1);
         }
         if m.ok {
-            let then = then.clone();
             o.state = State::Following {
-                then,
+                then: then.clone(),
                 log_index: m.log_index,
                 nodes: m.nodes,
             };
-            self.calls_on_place();
-        } else {
-            *next = now.mono + self.settings.bounds.heartbeat() / 2;
-            if !m.leader.is_empty() && m.leader != self.watch.leader {
-                self.ask_place(now, call, Some(m.leader));
-            } else {
-                let replicas = self.replicas();
-                self.watch.leader = self.rng.pick(&replicas).cloned().unwrap_or_default();
-            }
+            return self.calls_on_place();
+        }
+        *next = now.mono + self.settings.bounds.heartbeat() / 2;
+        if !m.leader.is_empty() && m.leader != self.watch.leader {
+            return self.ask_place(now, call, Some(m.leader));
         }
+        let replicas = self.replicas();
+        self.watch.leader = self.rng.pick(&replicas).cloned().unwrap_or_default();
     }
 
     pub(in crate::node) fn calls_on_place(&mut self) {
         let log_index = self.state.applied_index;
-        let ready: Vec<(u64, ReadThen, Vec<NodeProgress>)> = self
-            .calls
-            .open
-            .iter()
-            .filter_map(|(k, o)| match &o.state {
-                State::Following {
-                    then,
-                    log_index: p,
-                    nodes,
-                } if *p <= log_index => Some((*k, then.clone(), nodes.clone())),
-                _ => None,
-            })
+        let open = self.calls.open.iter();
+        let ready: Vec<ReadyRead> = open
+            .filter_map(|(call, o)| o.state.ready_read(*call, log_index))
             .collect();
-        for (call, then, nodes) in ready {
-            let v = self.answer_read(&then, &nodes);
-            self.finish(call, v);
+        for read in ready {
+            let v = self.answer_read(&read.then, &read.nodes);
+            self.finish(read.call, v);
         }
     }
 
@@ -132,24 +172,14 @@
     /// Answers questions after jobs that the watch is now fresh enough for, or that have waited long enough.
     pub(in crate::node) fn answer_fresh(&mut self, now: Now) {
         let fresh_at = self.watch.fresh_at;
-        let due: Vec<(u64, String, bool)> = self
-            .calls
-            .open
-            .iter()
-            .filter_map(|(k, o)| match &o.state {
-                State::Fresh {
-                    id,
-                    asked,
-                    patience,
-                } if fresh_at >= *asked || now.mono >= *patience => {
-                    Some((*k, id.clone(), fresh_at < *asked))
-                }
-                _ => None,
-            })
+        let open = self.calls.open.iter();
+        let due: Vec<DuePoll> = open
+            .filter_map(|(call, o)| o.state.due_poll(*call, fresh_at, now))
             .collect();
-        for (call, id, stale) in due {
-            let response = self.job_response(&id, stale);
-            response.into_iter().for_each(|v| self.finish(call, v));
+        for poll in due {
+            if let Some(v) = self.job_response(&poll.id, poll.stale) {
+                self.finish(poll.call, v);
+            }
         }
     }
 }
