--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -1,5 +1,6 @@
 //! A worker proxy: stands beside a worker, keeps no state, and carries the worker's calls to the node that holds its zone scheduler.
 
+mod open;
 mod repeat;
 
 pub use repeat::may_repeat;
@@ -8,60 +9,21 @@
 use crate::sans_io::{Effect, Msg, Now, Part, Request, Response, Rng};
 use crate::settings::Settings;
 use crate::wire::{Body, ForwardRequest, ForwardResponse, RequestToken};
+use open::{Asked, Open};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
 /// The query of a heartbeat whose worker says that it leaves.
 pub const LEAVING: &str = "leaving";
 
-struct Open {
-    call: u64,
-    req: Request,
-    /// When it is given up.
-    until: u64,
-    /// When it is sent to another node; a call that may not be repeated waits while a node may have taken it.
-    again: Option<u64>,
-    asked: Vec<Asked>,
-}
-
-/// One attempt of a call to a node.
-struct Asked {
-    node: String,
-    /// The node has said that it took nothing.
-    refused: bool,
-}
-
-impl Open {
-    fn repeatable(&self) -> bool {
-        may_repeat(&self.req.method, &self.req.path, &self.req.query)
-    }
-
-    /// Whether a worker calls, and drops what comes late; others wait for as long as a node works on a call.
-    fn is_of_worker(&self) -> bool {
-        self.is_heartbeat() || self.req.path.starts_with("/v1/workers/")
-    }
-
-    fn is_heartbeat(&self) -> bool {
-        self.req.path == "/v1/beats"
-    }
-
-    fn was_asked(&self, node: &str) -> bool {
-        self.asked.iter().any(|a| a.node == node)
-    }
-
-    /// Whether some node may have done what the call asks for.
-    fn maybe_taken(&self) -> bool {
-        self.req.method != "GET" && self.asked.iter().any(|a| !a.refused)
-    }
-
-    /// Whether a node other than the one of this send may yet do what the call asks for, whatever that one says.
-    fn maybe_taken_elsewhere(&self, attempt: u32) -> bool {
-        let mut others = self.asked.iter().enumerate();
-        self.req.method != "GET"
-            && !self.is_of_worker()
-            && others.any(|(i, a)| i != attempt as usize && !a.refused)
-    }
-}
+/// A worker's call is sent to another node after this part of the time in which an answer is obeyed: several nodes can
+/// be tried before it is over.
+const WORKER_RETRY_PART: u64 = 5;
+/// Any other call that may be repeated is sent to another node after this part of the time that nodes work on a call.
+const RETRY_PART: u64 = 3;
+/// A worker proxy asks for news of the nodes this many times less often than nodes ask each other: there are as many worker proxies as
+/// workers.
+const SHUFFLE_FACTOR: u64 = 10;
 
 /// A worker proxy.
 pub struct WorkerProxy {
@@ -109,16 +71,18 @@
     /// Whom to ask: the holder first, then any node that was not asked for this call.
     fn pick(&mut self, asked: &[Asked]) -> String {
         let fresh = |a: &&String| !a.is_empty() && !asked.iter().any(|b| b.node == **a);
-        if let Some(h) = Some(&self.holder).filter(fresh) {
-            return h.clone();
+        if fresh(&&self.holder) {
+            return self.holder.clone();
         }
-        let known: Vec<String> = self.peer_sampler.of_role("node");
-        let nodes: Vec<String> = known.iter().filter(fresh).cloned().collect();
-        let seeds: Vec<String> = self.settings.seeds.iter().filter(fresh).cloned().collect();
-        let all = if nodes.is_empty() { seeds } else { nodes };
-        let any = self.rng.pick(&all).cloned();
-        any.or_else(|| self.rng.pick(&self.settings.seeds.clone()).cloned())
-            .unwrap_or_default()
+        let nodes = self.peer_sampler.of_role("node");
+        let mut candidates: Vec<String> = nodes.iter().filter(fresh).cloned().collect();
+        if candidates.is_empty() {
+            candidates = self.settings.seeds.iter().filter(fresh).cloned().collect();
+        }
+        // Where all were asked, the seeds are asked again.
+        let drawn = self.rng.pick(&candidates);
+        let drawn = drawn.or_else(|| self.rng.pick(&self.settings.seeds));
+        drawn.cloned().unwrap_or_default()
     }
 
     fn pass(&mut self, now: Now, token: u64) {
@@ -132,9 +96,9 @@
             refused: false,
         });
         let pause = if o.is_of_worker() {
-            self.settings.bounds.obey() / 5
+            self.settings.bounds.obey() / WORKER_RETRY_PART
         } else {
-            self.settings.bounds.call() / 3
+            self.settings.bounds.call() / RETRY_PART
         };
         o.again = o.repeatable().then(|| now.mono + pause);
         let m = ForwardRequest {
@@ -156,26 +120,16 @@
 
     fn on_tick(&mut self, now: Now) {
         // It asks for a part of a neighbour's view and gives none: workers' machines are not those to be known.
-        let every = 10 * self.settings.bounds.shuffle();
+        let every = SHUFFLE_FACTOR * self.settings.bounds.shuffle();
         if let Some((to, mut m)) = self.peer_sampler.tick(now, every, &mut self.rng) {
             m.view.clear();
             m.replicas.clear();
             self.out.push(Effect::Send(to, Body::Shuffle(Box::new(m))));
         }
-        let over: Vec<u64> = self
-            .open
-            .iter()
-            .filter(|(_, o)| now.mono >= o.until)
-            .map(|(k, _)| *k)
-            .collect();
-        over.into_iter().for_each(|token| self.give_up(token));
-        let again: Vec<u64> = self
-            .open
-            .iter()
-            .filter(|(_, o)| o.again.is_some_and(|at| now.mono >= at))
-            .map(|(k, _)| *k)
-            .collect();
-        for token in again {
+        for token in self.calls_that(|o| now.mono >= o.until) {
+            self.give_up(token);
+        }
+        for token in self.calls_that(|o| o.again.is_some_and(|at| now.mono >= at)) {
             self.holder.clear();
             self.pass(now, token);
         }
@@ -184,6 +138,12 @@
         }
     }
 
+    /// The open calls of which something is true.
+    fn calls_that(&self, is_meant: impl Fn(&Open) -> bool) -> Vec<u64> {
+        let meant = self.open.iter().filter(|(_, o)| is_meant(o));
+        meant.map(|(token, _)| *token).collect()
+    }
+
     /// Nobody speaks for the zone scheduler now. A worker that is told so by a refusal comes back after a growing pause, and what it
     /// runs is not held meanwhile; so it is told that there are no orders and when to heartbeat again. That acknowledges
     /// nothing: one that says it leaves is refused. Any other call that a node may have taken is unsure.
@@ -217,24 +177,26 @@
                 let v = self.metrics();
                 self.out.push(Effect::Answer(call, v));
             }
-            _ => {
-                self.next += 1;
-                let token = self.next;
-                let mut o = Open {
-                    call,
-                    req,
-                    until: now.mono + self.settings.bounds.call(),
-                    again: None,
-                    asked: Vec::new(),
-                };
-                if o.is_of_worker() {
-                    // An answer that takes longer is not obeyed.
-                    o.until = now.mono + self.settings.bounds.obey() * 4 / 5;
-                }
-                self.open.insert(token, o);
-                self.pass(now, token);
-            }
+            _ => self.open_call(now, call, req),
+        }
+    }
+
+    fn open_call(&mut self, now: Now, call: u64, req: Request) {
+        self.next += 1;
+        let token = self.next;
+        let mut o = Open {
+            call,
+            req,
+            until: now.mono + self.settings.bounds.call(),
+            again: None,
+            asked: Vec::new(),
+        };
+        if o.is_of_worker() {
+            // An answer that takes longer is not obeyed.
+            o.until = now.mono + self.settings.bounds.obey() * 4 / 5;
         }
+        self.open.insert(token, o);
+        self.pass(now, token);
     }
 }
 
