--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -1,7 +1,9 @@
+//! Settings as a process reads them: from a file and from flags, which win.
+
+use super::check::check;
 use super::Settings;
 use std::ffi::OsString;
 use std::fmt;
-use std::net::SocketAddr;
 
 /// Flags that override the settings file, with what they set.
 pub const FLAGS: &[(&str, &str)] = &[
@@ -56,232 +58,95 @@
     pub help: bool,
 }
 
+/// What the words say, before the file is read.
+#[derive(Default)]
+struct Flags {
+    check_only: bool,
+    help: bool,
+    given: Vec<GivenFlag>,
+}
+
+/// A flag that takes a value.
+struct GivenFlag {
+    name: String,
+    value: String,
+}
+
 /// Reads the words after a role's name; flags win over the file.
 pub fn from_arguments(arguments: Vec<OsString>, replica: bool) -> Result<Asked, SettingsError> {
-    let flag = |e: lexopt::Error| SettingsError::Flag(e.to_string());
-    let mut p = lexopt::Parser::from_args(arguments);
-    let (mut check_only, mut help, mut given) = (false, false, Vec::<(String, String)>::new());
-    while let Some(arg) = p.next().map_err(flag)? {
+    let flags = read_flags(arguments)?;
+    let mut last_first = flags.given.iter().rev();
+    let file = last_first.find(|flag| flag.name == "settings");
+    let mut settings = match file {
+        Some(flag) => read_file(&flag.value)?,
+        None => Settings::default(),
+    };
+    for flag in &flags.given {
+        override_by(&mut settings, flag);
+    }
+    if !flags.help {
+        check(&settings, replica)?;
+    }
+    Ok(Asked {
+        settings,
+        check_only: flags.check_only,
+        help: flags.help,
+    })
+}
+
+fn read_flags(arguments: Vec<OsString>) -> Result<Flags, SettingsError> {
+    let wrong = |e: lexopt::Error| SettingsError::Flag(e.to_string());
+    let is_known = |name: &str| FLAGS.iter().any(|(flag, _)| *flag == name);
+    let mut flags = Flags::default();
+    let mut parser = lexopt::Parser::from_args(arguments);
+    while let Some(arg) = parser.next().map_err(wrong)? {
         match arg {
-            lexopt::Arg::Long("check") => check_only = true,
-            lexopt::Arg::Long("help") | lexopt::Arg::Short('h') => help = true,
-            lexopt::Arg::Long(name) if FLAGS.iter().any(|(f, _)| *f == name) => {
+            lexopt::Arg::Long("check") => flags.check_only = true,
+            lexopt::Arg::Long("help") | lexopt::Arg::Short('h') => flags.help = true,
+            lexopt::Arg::Long(name) if is_known(name) => {
                 let name = name.to_string();
-                let value =
-                    p.value().map_err(flag)?.into_string().map_err(|_| {
-                        SettingsError::Flag(format!("--{name} takes text in UTF-8"))
-                    })?;
-                given.push((name, value));
+                let value = parser.value().map_err(wrong)?;
+                let value = value
+                    .into_string()
+                    .map_err(|_| SettingsError::Flag(format!("--{name} takes text in UTF-8")))?;
+                flags.given.push(GivenFlag { name, value });
             }
-            other => return Err(flag(other.unexpected())),
+            other => return Err(wrong(other.unexpected())),
         }
     }
-    let mut s = given
-        .iter()
-        .rev()
-        .find(|(n, _)| n == "settings")
-        .map(|(_, file)| {
-            std::fs::read_to_string(file)
-                .map_err(|e| SettingsError::File {
-                    file: file.clone(),
-                    why: e.to_string(),
-                })
-                .and_then(|text| {
-                    toml::from_str::<Settings>(&text).map_err(|e| SettingsError::Text {
-                        file: file.clone(),
-                        why: e.to_string().trim().replace('\n', " "),
-                    })
-                })
-        })
-        .unwrap_or_else(|| Ok(Settings::default()))?;
-    let list = |v: &str| {
-        v.split(',')
-            .filter(|x| !x.is_empty())
-            .map(str::to_string)
-            .collect::<Vec<_>>()
-    };
-    for (name, v) in &given {
-        match name.as_str() {
-            "cluster" => s.cluster = v.clone(),
-            "listen" => s.listen = v.clone(),
-            "http" => s.http = v.clone(),
-            "zone" => s.zone = v.clone(),
-            "seeds" => s.seeds = list(v),
-            "founders" => s.founders = list(v),
-            "data" => s.data = v.clone(),
-            "log" => s.log = v.clone(),
-            _ => {}
-        }
-    }
-    if !help {
-        check(&s, replica)?;
-    }
-    Ok(Asked {
-        settings: s,
-        check_only,
-        help,
+    Ok(flags)
+}
+
+fn read_file(file: &str) -> Result<Settings, SettingsError> {
+    let text = std::fs::read_to_string(file).map_err(|e| SettingsError::File {
+        file: file.to_string(),
+        why: e.to_string(),
+    })?;
+    toml::from_str(&text).map_err(|e| SettingsError::Text {
+        file: file.to_string(),
+        why: e.to_string().trim().replace('\n', " "),
     })
 }
 
-fn check(s: &Settings, replica: bool) -> Result<(), SettingsError> {
-    let ensure = |ok: bool, setting: &'static str, remedy: &str| {
-        ok.then_some(()).ok_or_else(|| SettingsError::Value {
-            setting,
-            remedy: remedy.into(),
-        })
-    };
-    let addr = |a: &str| {
-        a.parse::<SocketAddr>()
-            .is_ok_and(|x| x.port() != 0 && !x.ip().is_unspecified())
-    };
-    ensure(!s.cluster.is_empty(), "cluster", "give the cluster a name")?;
-    ensure(
-        addr(&s.listen),
-        "listen",
-        "give an IP number and port that other processes can reach, as in 10.0.0.1:7000",
-    )?;
-    ensure(
-        addr(&s.http),
-        "http",
-        "give an IP number and port that callers can reach, as in 10.0.0.1:8000",
-    )?;
-    ensure(
-        s.listen != s.http,
-        "http",
-        "give a port other than the one of 'listen'",
-    )?;
-    ensure(!s.zone.is_empty(), "zone", "name the zone of this machine")?;
-    ensure(
-        !s.seeds.is_empty() && s.seeds.iter().all(|a| addr(a)),
-        "seeds",
-        "give one to three IP:PORT addresses of other processes, separated by commas",
-    )?;
-    ensure(
-        s.founders.iter().all(|a| addr(a)),
-        "founders",
-        "give IP:PORT addresses of the first cores",
-    )?;
-    ensure(
-        !replica || !s.data.is_empty(),
-        "data",
-        "a core needs a data folder: give one",
-    )?;
-    ensure(
-        replica || s.data.is_empty(),
-        "data",
-        "a node keeps nothing on disk: leave this out",
-    )?;
-    ensure(
-        ["error", "warn", "info", "debug"].contains(&s.log.as_str()),
-        "log",
-        "give error, warn, info or debug",
-    )?;
-    ensure(
-        (1..=15).contains(&s.voters) && s.voters % 2 == 1,
-        "voters",
-        "give an odd number from 1 to 15: 2f+1 where f machines may be lost at once",
-    )?;
-    let b = &s.bounds;
-    ensure(b.config_ms >= 400, "bounds.desired_ms", "give at least 400")?;
-    ensure(
-        b.cancel_ms >= b.config_ms,
-        "bounds.cancel_ms",
-        "give at least bounds.desired_ms",
-    )?;
-    ensure(b.leave_ms >= 400, "bounds.leave_ms", "give at least 400")?;
-    ensure(
-        b.state_ms >= b.config_ms,
-        "bounds.state_ms",
-        "give at least bounds.desired_ms",
-    )?;
-    ensure(
-        b.evacuate_ms >= b.cancel_ms,
-        "bounds.empty_ms",
-        "give at least bounds.cancel_ms",
-    )?;
-    ensure(
-        b.outage_ms >= 2 * b.cancel_ms,
-        "bounds.outage_ms",
-        "give at least twice bounds.cancel_ms",
-    )?;
-    ensure(
-        b.replace_ms >= b.cancel_ms,
-        "bounds.replace_ms",
-        "give at least bounds.cancel_ms",
-    )?;
-    ensure(
-        b.grace_ms >= b.config_ms,
-        "bounds.grace_ms",
-        "give at least bounds.desired_ms",
-    )?;
-    ensure(
-        b.lease_ms == 0 || b.lease_ms >= b.cancel_ms,
-        "bounds.hold_ms",
-        "give 0, or at least bounds.cancel_ms",
-    )?;
-    ensure(
-        b.heartbeat_ms == 0 || (20..=b.cancel_ms / 3).contains(&b.heartbeat_ms),
-        "bounds.beat_ms",
-        "give 0, or 20 to a third of bounds.cancel_ms",
-    )?;
-    let l = &s.limits;
-    ensure(
-        (1024..=(32 << 20)).contains(&l.job_bytes),
-        "limits.job_bytes",
-        "give 1024 to 33554432",
-    )?;
-    ensure(
-        (1024..=(32 << 20)).contains(&l.config_bytes),
-        "limits.desired_bytes",
-        "give 1024 to 33554432",
-    )?;
-    ensure(l.open_jobs >= 1, "limits.open_jobs", "give at least 1")?;
-    ensure(l.calls >= 1, "limits.calls", "give at least 1")?;
-    ensure(
-        l.retain_ms >= b.state_ms,
-        "limits.retain_ms",
-        "give at least bounds.state_ms",
-    )?;
-    ensure(
-        l.identity_ms >= 60_000,
-        "limits.identity_ms",
-        "give at least 60000, longer than any client retries",
-    )?;
-    ensure(
-        l.snapshot_every >= 10,
-        "limits.capture_every",
-        "give at least 10",
-    )?;
-    ensure(
-        l.log_bytes >= 65_536,
-        "limits.log_bytes",
-        "give at least 65536",
-    )?;
-    ensure(
-        l.segment_bytes >= 4096,
-        "limits.segment_bytes",
-        "give at least 4096",
-    )?;
-    let h = &s.hopper;
-    ensure(
-        (1..=64).contains(&h.probe_ratio),
-        "hopper.probe_ratio",
-        "give 1 to 64",
-    )?;
-    ensure(h.refusals <= 16, "hopper.refusals", "give 0 to 16")?;
-    ensure(
-        (0.0..=1.0).contains(&h.epsilon),
-        "hopper.epsilon",
-        "give 0 to 1",
-    )?;
-    ensure(
-        (0.0..=1.0).contains(&h.locality),
-        "hopper.locality",
-        "give 0 to 1",
-    )?;
-    ensure(
-        h.slow_factor >= 1.0,
-        "hopper.slow_factor",
-        "give at least 1",
-    )
+/// Sets what a flag says.
+fn override_by(settings: &mut Settings, flag: &GivenFlag) {
+    let value = flag.value.clone();
+    match flag.name.as_str() {
+        "cluster" => settings.cluster = value,
+        "listen" => settings.listen = value,
+        "http" => settings.http = value,
+        "zone" => settings.zone = value,
+        "seeds" => settings.seeds = addresses(&value),
+        "founders" => settings.founders = addresses(&value),
+        "data" => settings.data = value,
+        "log" => settings.log = value,
+        _ => {}
+    }
+}
+
+fn addresses(list: &str) -> Vec<String> {
+    list.split(',')
+        .filter(|address| !address.is_empty())
+        .map(str::to_string)
+        .collect()
 }
