--- a/landingdrift/src/daemon/core_start.rs
+++ b/landingdrift/src/daemon/core_start.rs
@@ -3,6 +3,7 @@
 use super::calls::Calls;
 use super::control::{Clock, Control};
 use super::disks::{Backoff, Disk};
+use super::error::ProcessError;
 use super::input::Input;
 use super::opening;
 use super::traffic::Transport;
@@ -38,10 +39,9 @@
         self,
         why: StorageError,
         received: &Receiver<Input>,
-    ) -> Result<Option<Control>, String> {
+    ) -> Result<Option<Control>, ProcessError> {
         let term_start_index =
-            opening::open_at_last(&self.settings, self.seed, why, &self.calls, received)
-                .map_err(|why| why.to_string())?;
+            opening::open_at_last(&self.settings, self.seed, why, &self.calls, received)?;
         match term_start_index {
             Some(term_start_index) => self.control(term_start_index).map(Some),
             None => Ok(None),
@@ -49,9 +49,10 @@
     }
 
     /// The control thread's state, given what the folder holds.
-    pub fn control(self, (folder, loaded): (DataFolder, Loaded)) -> Result<Control, String> {
+    pub fn control(self, (folder, loaded): (DataFolder, Loaded)) -> Result<Control, ProcessError> {
         let s = &self.settings;
-        let replica = Replica::new(s.clone(), loaded, self.clock.now(), self.seed)?;
+        let replica = Replica::new(s.clone(), loaded, self.clock.now(), self.seed)
+            .map_err(ProcessError::Replica)?;
         let disk = Disk::start(folder, self.inputs, Backoff::of(&s.bounds))?;
         Ok(Control::new(
             Box::new(replica),
--- a/landingdrift/src/daemon/disks.rs
+++ b/landingdrift/src/daemon/disks.rs
@@ -1,3 +1,4 @@
+use super::error::ProcessError;
 use super::input::Input;
 use super::threads;
 use crate::disk::{DataFolder, StorageError};
@@ -59,7 +60,7 @@
         store: impl Store + 'static,
         inputs: Sender<Input>,
         backoff: Backoff,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, ProcessError> {
         let (tx, rx) = channel::<WriteBatch>();
         threads::spawn("disk", threads::SMALL, move || {
             write(store, &rx, &inputs, backoff);
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -3,6 +3,7 @@
 use super::calls::Calls;
 use super::control::{Clock, Control};
 use super::core_start::CoreStart;
+use super::error::ProcessError;
 use super::input::Input;
 use super::running_part::{Handle, RunningPart};
 use super::signals::Ended;
@@ -38,7 +39,7 @@
 
 impl Process {
     /// Starts logging and traffic, and takes the signals over.
-    pub fn start(level: &str) -> Result<Self, String> {
+    pub fn start(level: &str) -> Result<Self, ProcessError> {
         Ok(Self {
             clock: Clock::start(),
             logger: logs::start(level),
@@ -62,7 +63,7 @@
     }
 
     /// Starts a part.
-    pub fn part(&mut self, part: Box<dyn Part>, s: &Settings) -> Result<Handle, String> {
+    pub fn part(&mut self, part: Box<dyn Part>, s: &Settings) -> Result<Handle, ProcessError> {
         let Listening {
             transport,
             inputs,
@@ -74,14 +75,13 @@
     }
 
     /// Starts a replica on its data folder. Where the disk refuses, the folder is tried again while the other parts serve.
-    pub fn replica(&mut self, s: &Settings) -> Result<Handle, String> {
+    pub fn replica(&mut self, s: &Settings) -> Result<Handle, ProcessError> {
         let seed = self.seed(&s.listen);
         let term_start_index = opening::open(s, seed);
-        if let Err(why) = &term_start_index {
-            if !why.may_pass() {
-                return Err(why.to_string());
-            }
-        }
+        let term_start_index = match term_start_index {
+            Err(why) if !why.may_pass() => return Err(why.into()),
+            term_start_index => term_start_index,
+        };
         let Listening {
             transport,
             inputs,
@@ -105,7 +105,7 @@
         }
     }
 
-    fn listen(&self, s: &Settings) -> Result<Listening, String> {
+    fn listen(&self, s: &Settings) -> Result<Listening, ProcessError> {
         let (inputs, received) = channel::<Input>();
         let frames = Frames {
             cluster: s.cluster.clone(),
@@ -127,7 +127,7 @@
         inputs: Sender<Input>,
         calls: Calls,
         run: impl FnOnce() + Send + 'static,
-    ) -> Result<Handle, String> {
+    ) -> Result<Handle, ProcessError> {
         let ended = Ended(self.signals.handle());
         let thread = threads::spawn("control", threads::CONTROL, move || {
             let _ended = ended;
@@ -150,7 +150,7 @@
         limits: HttpLimits,
         http_adapter: HttpAdapter,
         part: &Handle,
-    ) -> Result<(), String> {
+    ) -> Result<(), ProcessError> {
         let (calls, inputs) = (part.calls.clone(), part.inputs.clone());
         self.traffic
             .http(addr, limits, http_adapter, calls, inputs)?;
@@ -158,7 +158,10 @@
     }
 
     /// Runs until it is told to stop, or a part ends by itself: then it ends in an orderly way.
-    pub fn run(mut self, reread: &dyn Fn() -> Result<Vec<Settings>, String>) -> Result<(), String> {
+    pub fn run(
+        mut self,
+        reread: &dyn Fn() -> Result<Vec<Settings>, String>,
+    ) -> Result<(), ProcessError> {
         let asked = self.wait(reread);
         let why = if asked {
             "asked to stop"
@@ -169,10 +172,10 @@
         let panicked = self.stop();
         drop(self.logger);
         if panicked {
-            return Err("a control thread panicked: start the process again".into());
+            return Err(ProcessError::Panicked);
         }
         if !asked {
-            return Err("a part ended by itself: start the process again".into());
+            return Err(ProcessError::PartEnded);
         }
         Ok(())
     }
--- a/landingdrift/src/daemon/roles.rs
+++ b/landingdrift/src/daemon/roles.rs
@@ -1,3 +1,4 @@
+use super::error::ProcessError;
 use super::process::Process;
 use super::traffic::{HttpAdapter, HttpLimits};
 use crate::node::Node;
@@ -49,7 +50,7 @@
     })
 }
 
-fn start(role: &'static str, s: Settings, arguments: Vec<OsString>) -> Result<i32, String> {
+fn start(role: &'static str, s: Settings, arguments: Vec<OsString>) -> Result<i32, ProcessError> {
     let replica = role == "core";
     let mut process = Process::start(&s.log)?;
     let part = if replica {
@@ -61,7 +62,7 @@
     let addr = s
         .http
         .parse()
-        .map_err(|_| format!("'{}' is no address: correct --http", s.http))?;
+        .map_err(|_| ProcessError::NoAddress(s.http.clone()))?;
     process.http(addr, limits(&s), HttpAdapter::default(), &part)?;
     log::info!("{role} {} serves HTTP at {}", s.listen, s.http);
     let reread = || {
--- a/landingdrift/src/daemon/signals.rs
+++ b/landingdrift/src/daemon/signals.rs
@@ -1,3 +1,4 @@
+use super::error::ProcessError;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::{Handle, Signals};
 
@@ -11,7 +12,6 @@
 }
 
 /// Takes the process's signals over.
-pub fn take() -> Result<Signals, String> {
-    Signals::new([SIGTERM, SIGINT, SIGHUP])
-        .map_err(|e| format!("can't listen for signals ({e}): raise the limit on open files"))
+pub fn take() -> Result<Signals, ProcessError> {
+    Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ProcessError::Signals)
 }
--- a/landingdrift/src/daemon/threads.rs
+++ b/landingdrift/src/daemon/threads.rs
@@ -1,3 +1,4 @@
+use super::error::ProcessError;
 use std::thread::{Builder, JoinHandle};
 
 /// Stack of the thread that steps a part.
@@ -10,12 +11,10 @@
     name: &str,
     stack: usize,
     run: impl FnOnce() -> T + Send + 'static,
-) -> Result<JoinHandle<T>, String> {
+) -> Result<JoinHandle<T>, ProcessError> {
     Builder::new()
         .name(name.into())
         .stack_size(stack)
         .spawn(run)
-        .map_err(|e| {
-            format!("no thread can be started ({e}): raise the limit on threads or on memory")
-        })
+        .map_err(ProcessError::Thread)
 }
--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -5,6 +5,7 @@
 mod receive;
 mod socket;
 
+use crate::daemon::error::ProcessError;
 use crate::daemon::input::Input;
 use crate::settings::Limits;
 use crate::wire::{pack, Body};
@@ -65,12 +66,11 @@
     handle: &Handle,
     mut frames: Frames,
     inputs: Sender<Input>,
-) -> Result<Transport, String> {
-    let cant = |e| {
-        format!(
-            "can't listen at {} ({e}): free the address or name another with --listen",
-            frames.me
-        )
+) -> Result<Transport, ProcessError> {
+    let at = frames.me.clone();
+    let cant = |why| ProcessError::Listen {
+        at: at.clone(),
+        why,
     };
     let listener = std::net::TcpListener::bind(&frames.me)
         .and_then(|l| l.set_nonblocking(true).map(|()| l))
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -8,6 +8,7 @@
 pub use serving::ServingState;
 
 use crate::daemon::calls::Calls;
+use crate::daemon::error::ProcessError;
 use crate::daemon::input::Input;
 use request_handler::RequestHandler;
 use rocket::config::{LogLevel, Shutdown};
@@ -54,7 +55,7 @@
     http_adapter: HttpAdapter,
     calls: Calls,
     inputs: Sender<Input>,
-) -> Result<SocketAddr, String> {
+) -> Result<SocketAddr, ProcessError> {
     let places = (limits.calls as usize).min(Semaphore::MAX_PERMITS);
     let request_handler = RequestHandler {
         limits,
@@ -65,15 +66,13 @@
         places: Arc::new(Semaphore::new(places)),
     };
     let (tx, rx) = sync_channel(2);
-    let cant = move |why: String| {
-        format!("can't serve HTTP at {addr} ({why}): free the address or name another with --http")
-    };
+    let cant = move |why: String| ProcessError::Http { at: addr, why };
     handle.spawn(launch(addr, request_handler, tx));
-    rx.recv()
-        .map_err(|e| cant(e.to_string()))
-        .and_then(|up| up.map_err(cant))
+    let up = rx.recv().map_err(|e| cant(e.to_string()))?;
+    up.map_err(cant)
 }
 
+/// The address that is served, or why none is.
 type Up = Result<SocketAddr, String>;
 
 async fn launch(addr: SocketAddr, request_handler: RequestHandler, up: SyncSender<Up>) {
--- a/landingdrift/src/daemon/traffic/mod.rs
+++ b/landingdrift/src/daemon/traffic/mod.rs
@@ -7,6 +7,7 @@
 pub use http::{Asked, Handling, HttpAdapter, HttpLimits, Reply, ServingState};
 
 use super::calls::Calls;
+use super::error::ProcessError;
 use super::input::Input;
 use super::threads;
 use rocket::tokio::runtime::{Builder, Handle};
@@ -25,13 +26,13 @@
 
 impl Traffic {
     /// Starts the thread.
-    pub fn start() -> Result<Self, String> {
+    pub fn start() -> Result<Self, ProcessError> {
         let runtime = Builder::new_current_thread()
             .enable_all()
             .max_blocking_threads(1)
             .thread_stack_size(threads::SMALL)
             .build()
-            .map_err(|e| format!("no sockets can be had ({e}): raise the limit on open files"))?;
+            .map_err(ProcessError::Sockets)?;
         let handle = runtime.handle().clone();
         let (stop, stopped) = oneshot::channel::<()>();
         let thread = threads::spawn("traffic", threads::SMALL, move || {
@@ -47,7 +48,7 @@
     }
 
     /// Listens for frames, hands what comes to `inputs`, and gives what sends frames in the same name.
-    pub fn listen(&self, frames: Frames, inputs: Sender<Input>) -> Result<Transport, String> {
+    pub fn listen(&self, frames: Frames, inputs: Sender<Input>) -> Result<Transport, ProcessError> {
         frames::listen(&self.handle, frames, inputs)
     }
 
@@ -64,7 +65,7 @@
         http_adapter: HttpAdapter,
         calls: Calls,
         inputs: Sender<Input>,
-    ) -> Result<SocketAddr, String> {
+    ) -> Result<SocketAddr, ProcessError> {
         http::serve(
             &self.handle,
             &self.serving,
--- a/landingdrift/tests/opening.rs
+++ b/landingdrift/tests/opening.rs
@@ -68,7 +68,10 @@
     }
     assert_eq!(role(at), "Leader");
     signal_hook::low_level::raise(SIGTERM).expect("raised");
-    assert_eq!(running.join().expect("no panic"), Ok(()));
+    assert_eq!(
+        running.join().expect("no panic").map_err(String::from),
+        Ok(())
+    );
 }
 
 #[test]
@@ -84,5 +87,5 @@
     };
     let mut process = Process::start("error").expect("starts");
     let why = process.replica(&settings).map(|_| ()).expect_err("refused");
-    assert!(why.contains("something else"), "{why}");
+    assert!(why.to_string().contains("something else"), "{why}");
 }
--- a/landingdrift/tests/orderly_end.rs
+++ b/landingdrift/tests/orderly_end.rs
@@ -214,7 +214,7 @@
         counts,
         took,
         asked_at,
-        result,
+        result: result.map_err(String::from),
     }
 }
 
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -241,7 +241,7 @@
         .listen(frames(a.me()), tx.clone())
         .map(|_| ())
         .expect_err("taken");
-    assert!(why.contains("--listen"), "{why}");
+    assert!(why.to_string().contains("--listen"), "{why}");
     let taken = a.me().parse().expect("an address");
     let why = traffic
         .http(
@@ -252,7 +252,7 @@
             tx,
         )
         .expect_err("taken");
-    assert!(why.contains("--http"), "{why}");
+    assert!(why.to_string().contains("--http"), "{why}");
 }
 
 #[test]
