--- /dev/null
+++ b/landingdrift/tests/stored/history.rs
@@ -0,0 +1,364 @@
+//! The entries of a small cluster's history, of every kind of command; they leave no collection of the cluster state empty.
+
+use landingdrift::state::{
+    ClusterState, Command, EndReport, JobSpec, Order, Outcome, Placement, ProposalId,
+    ReplicaMember, RunName, StepSpec, TaskSpec, WorkerInfo,
+};
+use serde_json::json;
+
+/// The agreed time of the first entry, in milliseconds since 1970.
+const START_MS: u64 = 1_700_000_000_000;
+/// The agreed time between two entries.
+const STEP_MS: u64 = 10;
+/// How long the answers to orders are kept: longer than the whole history.
+const DEADLINE_MS: u64 = START_MS + 3_600_000;
+
+/// An entry and the agreed time at which it entered the log.
+pub struct Stamped {
+    pub log_index: u64,
+    pub at: u64,
+    pub command: Command,
+}
+
+/// The entries, with the cluster state that follows from them.
+pub struct History {
+    pub entries: Vec<Stamped>,
+    pub state: ClusterState,
+}
+
+impl History {
+    /// All of it; every entry but those that are meant to be refused is accepted.
+    pub fn whole() -> Self {
+        let mut history = Self {
+            entries: Vec::new(),
+            state: ClusterState::new("stored"),
+        };
+        history.members();
+        history.grants_and_configuration();
+        history.workers();
+        history.job_that_leaves_a_tomb();
+        history.job_of_steps();
+        history.jobs_that_run();
+        history.worker_that_is_lost();
+        history.queue_that_is_retired();
+        history.orders();
+        history
+    }
+
+    fn enter(&mut self, command: Command) -> bool {
+        let log_index = self.state.applied_index + 1;
+        let at = START_MS + log_index * STEP_MS;
+        let accepted = self.state.apply(log_index, at, &command).is_ok();
+        self.entries.push(Stamped {
+            log_index,
+            at,
+            command,
+        });
+        accepted
+    }
+
+    fn accepted(&mut self, command: Command) {
+        let shown = format!("{command:?}");
+        assert!(self.enter(command), "refused: {shown}");
+    }
+
+    fn order(&mut self, number: u64, action: Command) {
+        let proposal = ProposalId {
+            proposer: "10.0.1.1:7000".into(),
+            incarnation: 5,
+            number,
+        };
+        self.accepted(Command::Order(Order {
+            action: Box::new(action),
+            proposal,
+            deadline: DEADLINE_MS,
+        }));
+    }
+
+    fn members(&mut self) {
+        let member = |disk: u64, voter: bool| ReplicaMember {
+            voter,
+            disk,
+            zone: format!("z{disk}"),
+            standby_only: !voter,
+        };
+        let replica = |disk: u64| format!("10.0.0.{disk}:7000");
+        self.accepted(Command::TermStarted { leader: replica(1) });
+        let replicas = (1..=3).map(|disk| (replica(disk), member(disk, true)));
+        self.accepted(Command::FoundCluster {
+            replicas: replicas.collect(),
+        });
+        for disk in [4, 5] {
+            self.accepted(Command::UpdateReplica {
+                replica: replica(disk),
+                member: member(disk, false),
+            });
+        }
+        self.accepted(Command::RemoveReplica {
+            replica: replica(5),
+            disk: 5,
+        });
+        for (node, zone) in [("10.0.1.1:7000", "z1"), ("10.0.1.2:7000", "z2")] {
+            self.accepted(Command::RegisterNode {
+                node: node.into(),
+                zone: zone.into(),
+                http: node.replace(":7000", ":8000"),
+            });
+        }
+        self.accepted(Command::RemoveNode {
+            node: "10.0.1.2:7000".into(),
+        });
+    }
+
+    /// Epoch 1 is the zone scheduler of z1, 2 that of z2, 3 the queue `fast`, 4 the queue `old`.
+    fn grants_and_configuration(&mut self) {
+        for lease in ["cell/z1", "cell/z2", "queue/fast", "queue/old"] {
+            self.accepted(Command::GrantLease {
+                lease: lease.into(),
+                holder: "10.0.1.1:7000".into(),
+                from_epoch: 0,
+            });
+        }
+        let value = json!({
+            "queues": {
+                "fast": {"finishWithinMs": 30_000, "defectAllowancePercent": 7, "tries": 3, "quota": 9, "priority": 2,
+                         "speculationPercent": 50, "windowMs": 60_000, "unsureBoundMs": 50_000, "service": "s",
+                         "host": "jobs.example", "prefix": "/fast", "stretch": 2.5, "note": "a queue"},
+                "old": {"tries": 1, "quota": 1, "windowMs": 60_000, "unsureBoundMs": 50_000},
+            },
+            "services": {"s": {"labels": ["l"], "taskRoom": 4, "gangRoom": 16, "note": "a service"},
+                         "t": {"taskRoom": 2, "gangRoom": 2, "anyLabel": true}},
+            "zones": {"z1": {"state": "serving"}, "z9": {"state": "draining", "drainedWorkers": ["w9"]}},
+            "notes": {"by": "the generator"},
+            "retireQueues": true,
+        });
+        self.order(
+            1,
+            Command::UpdateConfig {
+                change: "first".into(),
+                base: 0,
+                patch: false,
+                number: 7,
+                value,
+            },
+        );
+    }
+
+    fn workers(&mut self) {
+        for (worker, zone, zone_epoch) in [("w1", "z1", 1), ("w2", "z1", 1), ("w3", "z2", 2)] {
+            let info = WorkerInfo {
+                worker: worker.into(),
+                incarnation: 11,
+                service: "s".into(),
+                labels: ["l".to_string()].into(),
+                zone: zone.into(),
+                cpu: 8,
+                memory: 64,
+                accelerators: 2,
+                rack: format!("rack-{zone}"),
+                address: format!("{worker}.example:9000"),
+                leaving: false,
+            };
+            self.accepted(Command::UpdateWorker { info, zone_epoch });
+        }
+    }
+
+    fn accept(&mut self, spec: JobSpec, hash: u64) -> bool {
+        let seen = self.state.applied_index;
+        self.enter(Command::AcceptJob { spec, hash, seen })
+    }
+
+    fn start(&mut self, job: &str, owner_epoch: u64, tasks: &[u32], worker: &str) {
+        let placements = tasks.iter().map(|task| Placement {
+            task: *task,
+            worker: worker.into(),
+            incarnation: 11,
+            zone_epoch: if worker == "w3" { 2 } else { 1 },
+            copy: false,
+        });
+        self.accepted(Command::StartAttempts {
+            job: job.into(),
+            owner_epoch,
+            placements: placements.collect(),
+        });
+    }
+
+    fn report(&mut self, worker: &str, running: &[u64], ends: Vec<EndReport>) {
+        self.accepted(Command::ReportAttempts {
+            worker: worker.into(),
+            incarnation: 11,
+            running: running.to_vec(),
+            ends,
+        });
+    }
+
+    fn job_that_leaves_a_tomb(&mut self) {
+        assert!(self.accept(job("forgotten", "fast", vec![task("a")]), 101));
+        self.start("forgotten", 3, &[0], "w1");
+        self.report("w1", &[], vec![end(1, Outcome::Succeeded, 40)]);
+        self.accepted(Command::CollectGarbage {
+            retain_ms: 0,
+            identity_ms: 3_600_000,
+        });
+    }
+
+    fn job_of_steps(&mut self) {
+        let one = TaskSpec {
+            name: String::new(),
+            ..task("")
+        };
+        let step = |count: u32, depends_on: Vec<u32>, gang: bool| StepSpec {
+            count,
+            depends_on,
+            gang,
+            task: one.clone(),
+        };
+        let spec = JobSpec {
+            id: "steps".into(),
+            queue: "fast".into(),
+            steps: vec![step(1, vec![], false), step(2, vec![0], true)],
+            payload: "for all steps".into(),
+            times: 2,
+            first_due: START_MS,
+            period_ms: STEP_MS,
+            ..JobSpec::default()
+        };
+        assert!(self.accept(spec, 102));
+        self.start("steps", 3, &[0], "w2");
+        self.report("w2", &[2], vec![end(2, Outcome::Succeeded, 60)]);
+        self.start("steps", 3, &[1, 2], "w2");
+        self.report("w2", &[3, 4], Vec::new());
+    }
+
+    /// Sends 5 (ended well), 6 (recalled while it runs) and 7 (expired).
+    fn jobs_that_run(&mut self) {
+        assert!(self.accept(job("done", "fast", vec![task("a")]), 103));
+        self.start("done", 3, &[0], "w1");
+        self.report("w1", &[5], vec![end(5, Outcome::Succeeded, 80)]);
+        let after = TaskSpec {
+            depends_on: vec!["a".into()],
+            ..task("b")
+        };
+        let spec = job("running", "fast", vec![task("a"), after, task("c")]);
+        assert!(self.accept(spec, 104));
+        self.start("running", 3, &[0], "w1");
+        self.start("running", 3, &[2], "w1");
+        self.report("w1", &[6, 7], Vec::new());
+        self.accepted(Command::RescheduleAttempts {
+            worker: "w1".into(),
+            zone_epoch: 1,
+            attempts: vec![6],
+            blame: true,
+        });
+        self.accepted(Command::ExpireAttempts {
+            worker: "w1".into(),
+            incarnation: 11,
+            zone_epoch: 1,
+            attempts: vec![7],
+            checkpoints: vec![(7, "half".into())],
+        });
+        let named = EndReport {
+            name: Some(RunName {
+                job: "running".into(),
+                task: "a".into(),
+                run: 9,
+            }),
+            ..end(99, Outcome::NeverStarted, 0)
+        };
+        self.report("w1", &[], vec![named]);
+    }
+
+    /// Send 8 is unsure, send 9 was, until the operator said how it ended.
+    fn worker_that_is_lost(&mut self) {
+        assert!(self.accept(job("unsure", "fast", vec![task("a"), task("b")]), 105));
+        self.start("unsure", 3, &[0], "w3");
+        self.start("unsure", 3, &[1], "w3");
+        self.accepted(Command::WorkerLost {
+            worker: "w3".into(),
+            incarnation: 11,
+            zone_epoch: 2,
+        });
+        self.order(
+            2,
+            Command::ResolveAttempt {
+                job: "unsure".into(),
+                task: "b".into(),
+                succeeded: false,
+            },
+        );
+    }
+
+    fn queue_that_is_retired(&mut self) {
+        let plain = || TaskSpec {
+            service: "t".into(),
+            cpu: 1,
+            name: "a".into(),
+            ..TaskSpec::default()
+        };
+        assert!(self.accept(job("last", "old", vec![plain()]), 106));
+        let over_quota = self.accept(job("turned-away", "old", vec![plain()]), 107);
+        assert!(!over_quota, "the queue's quota is one job");
+        self.accepted(Command::UpdateConfig {
+            change: "second".into(),
+            base: 7,
+            patch: true,
+            number: 0,
+            value: json!({"queues": {"old": null}}),
+        });
+    }
+
+    fn orders(&mut self) {
+        self.order(
+            3,
+            Command::SetEvacuation {
+                zone: "z2".into(),
+                on: true,
+            },
+        );
+        self.order(
+            4,
+            Command::CancelJob {
+                job: "running".into(),
+            },
+        );
+    }
+}
+
+fn job(id: &str, queue: &str, tasks: Vec<TaskSpec>) -> JobSpec {
+    JobSpec {
+        id: id.into(),
+        queue: queue.into(),
+        tasks,
+        ..JobSpec::default()
+    }
+}
+
+fn task(name: &str) -> TaskSpec {
+    TaskSpec {
+        name: name.into(),
+        service: "s".into(),
+        labels: vec!["l".into()],
+        cpu: 2,
+        memory: 8,
+        may_repeat: true,
+        due: START_MS - STEP_MS,
+        near: "rack-z1".into(),
+        same_rack: true,
+        anti_affinity: 3,
+        checkpoints: true,
+        estimate_ms: 500,
+        payload: json!({"run": ["this", 1]}),
+        ..TaskSpec::default()
+    }
+}
+
+fn end(no: u64, outcome: Outcome, ran_ms: u64) -> EndReport {
+    EndReport {
+        no,
+        outcome,
+        ran_ms,
+        note: format!("send {no}"),
+        checkpoint: format!("checkpoint of {no}"),
+        ..EndReport::default()
+    }
+}
--- /dev/null
+++ b/landingdrift/tests/stored/mod.rs
@@ -0,0 +1,295 @@
+//! The fixtures of `stored_data.rs`: where they are, and how each form is written.
+
+pub mod history;
+pub mod messages;
+pub mod variants;
+
+use landingdrift::disk::DataFolder;
+use landingdrift::node::Node;
+use landingdrift::replay::{Day, Line};
+use landingdrift::sans_io::{Effect, HardState, Msg, Now, Part, Request, Snapshot, WriteBatch};
+use landingdrift::settings::{Bounds, Hopper, Limits, Settings};
+use landingdrift::state::{ClusterState, Command, ProposalId};
+use landingdrift::wire::{Body, DurabilityWitness, Entry, WatchBatch};
+use std::fs;
+use std::path::{Path, PathBuf};
+
+pub const CLUSTER: &str = "stored";
+pub const DISK: u64 = 77;
+/// Small, so that the folder has several segments.
+pub const SEGMENT_BYTES: u64 = 512;
+/// Entries that go to the disk in one batch.
+const BATCH: usize = 5;
+/// The last entry of the first term.
+const FIRST_TERM_LAST: u64 = 38;
+/// The snapshot is taken this many entries before the end of the log.
+const ENTRIES_AFTER_SNAPSHOT: usize = 14;
+const CORE: &str = "10.0.0.1:7000";
+
+/// The place of a fixture.
+pub fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures/stored")
+        .join(name)
+}
+
+pub fn bytes(name: &str) -> Vec<u8> {
+    fs::read(fixture(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
+}
+
+pub fn text(name: &str) -> String {
+    String::from_utf8(bytes(name)).expect("text")
+}
+
+/// The recording that is a fixture.
+pub fn recording(name: &str) -> Day {
+    let path = fixture(name);
+    Day::read(path.to_str().expect("a path in UTF-8")).expect("a recording that can be read")
+}
+
+/// A folder of the test's own, empty.
+pub fn scratch(name: &str) -> PathBuf {
+    let own = format!("landingdrift-stored-{}-{name}", std::process::id());
+    let path = std::env::temp_dir().join(own);
+    let _ = fs::remove_dir_all(&path);
+    path
+}
+
+/// What the log leases of a recorded line.
+pub fn entry(line: &Line) -> Entry {
+    Entry {
+        index: line.log_index,
+        term: term(line.log_index),
+        at: line.at,
+        command: line.entry.pack(),
+    }
+}
+
+pub fn term(index: u64) -> u64 {
+    if index <= FIRST_TERM_LAST {
+        1
+    } else {
+        2
+    }
+}
+
+pub fn hard_state() -> HardState {
+    HardState {
+        term: 2,
+        vote: CORE.into(),
+        no_vote_through: 1,
+        founders: vec![CORE.into(), "10.0.0.2:7000".into()],
+    }
+}
+
+pub fn notes() -> Vec<DurabilityWitness> {
+    let note = |replica: &str, disk: u64, index: u64| DurabilityWitness {
+        replica: replica.into(),
+        disk,
+        index,
+        term: term(index),
+    };
+    vec![note(CORE, 1, 40), note("10.0.0.2:7000", 2, 38)]
+}
+
+/// How many of the lines come before the snapshot.
+pub fn before_snapshot(day: &Day) -> usize {
+    day.lines.len() - ENTRIES_AFTER_SNAPSHOT
+}
+
+/// The snapshot in the folder.
+pub fn snapshot(day: &Day) -> Snapshot {
+    let mut state = day.start.clone();
+    for line in &day.lines[..before_snapshot(day)] {
+        let _ = state.apply(line.log_index, line.at, &line.entry);
+    }
+    Snapshot {
+        index: state.applied_index,
+        term: term(state.applied_index),
+        bytes: state.pack(),
+    }
+}
+
+/// Writes a log without a snapshot, and the entries of a day in it.
+pub fn write_log(path: &Path, lines: &[Line]) -> DataFolder {
+    let (mut folder, _) =
+        DataFolder::open(path, CLUSTER, SEGMENT_BYTES, DISK).expect("a new folder");
+    let first = WriteBatch {
+        hard_state: Some(hard_state()),
+        notes: notes(),
+        ..WriteBatch::default()
+    };
+    folder.save(&[first]).expect("saved");
+    save_entries(&mut folder, lines);
+    folder
+}
+
+/// Writes the whole folder: a log, a snapshot of it, and some entries after that.
+pub fn write_folder(path: &Path, day: &Day) {
+    let (before, after) = day.lines.split_at(before_snapshot(day));
+    let mut folder = write_log(path, before);
+    let save = WriteBatch {
+        snapshot: Some(snapshot(day)),
+        ..WriteBatch::default()
+    };
+    folder.save(&[save]).expect("saved");
+    save_entries(&mut folder, after);
+}
+
+fn save_entries(folder: &mut DataFolder, lines: &[Line]) {
+    for batch in lines.snapshot_chunks(BATCH) {
+        let save = WriteBatch {
+            entries: batch.iter().map(entry).collect(),
+            ..WriteBatch::default()
+        };
+        folder.save(&[save]).expect("saved");
+    }
+}
+
+/// The answers to orders as JSON, which has no other form for them.
+pub fn orders_json(state: &ClusterState) -> String {
+    let orders: Vec<(&(u64, ProposalId), &Vec<u8>)> = state.orders.iter().collect();
+    serde_json::to_string(&orders).expect("JSON")
+}
+
+/// A recording that begins with a cluster state and goes no further. JSON has no keys such as those of the orders.
+pub fn recording_of(state: &ClusterState) -> Day {
+    let mut start = state.clone();
+    start.orders.clear();
+    Day {
+        start,
+        lines: Vec::new(),
+    }
+}
+
+/// What a node that follows the cluster state answers to a question for a job.
+pub fn answer(state: &ClusterState, job: &str) -> String {
+    let now = Now { mono: 1, wall: 1 };
+    let settings = Settings {
+        listen: "10.0.1.1:7000".into(),
+        seeds: vec![CORE.into()],
+        cluster: CLUSTER.into(),
+        ..Settings::default()
+    };
+    let mut node = Node::new(settings, now, 1);
+    let call = Request {
+        method: "GET".into(),
+        path: format!("/v1/jobs/{job}"),
+        ..Request::default()
+    };
+    let watch = || Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(feed_batch(state))));
+    let mut effects = node.step(now, watch());
+    effects.extend(node.step(now, Msg::Call(1, call)));
+    effects.extend(node.step(now, watch()));
+    effects
+        .into_iter()
+        .find_map(|effect| match effect {
+            Effect::Answer(1, answer) => Some(answer.body.to_string()),
+            _ => None,
+        })
+        .expect("the call is answered")
+}
+
+fn feed_batch(state: &ClusterState) -> WatchBatch {
+    WatchBatch {
+        replica: CORE.into(),
+        leader: CORE.into(),
+        ok: true,
+        sent: 1,
+        quorum_age: 0,
+        clock: state.at,
+        commit: state.applied_index,
+        snapshot: state.pack(),
+        snapshot_index: state.applied_index,
+        entries: Vec::new(),
+        replicas: vec![CORE.into()],
+        light: false,
+        reached: state.applied_index,
+    }
+}
+
+/// Settings of which none has its default.
+pub fn settings() -> Settings {
+    Settings {
+        cluster: CLUSTER.into(),
+        listen: "10.0.0.1:7000".into(),
+        http: "10.0.0.1:8000".into(),
+        zone: "z1".into(),
+        seeds: vec!["10.0.0.2:7000".into()],
+        founders: vec!["10.0.0.3:7000".into()],
+        join_only: true,
+        voters: 5,
+        standby_only: true,
+        share: 501,
+        beside_core: true,
+        data: "/var/lib/stored".into(),
+        log: "debug".into(),
+        bounds: bounds(),
+        limits: limits(),
+        hopper: Hopper {
+            probe_ratio: 5,
+            refusals: 4,
+            epsilon: 0.25,
+            locality: 0.5,
+            slow_factor: 3.5,
+        },
+    }
+}
+
+fn bounds() -> Bounds {
+    Bounds {
+        state_ms: 3001,
+        cancel_ms: 3002,
+        leave_ms: 2003,
+        evacuate_ms: 5004,
+        config_ms: 2005,
+        outage_ms: 12_006,
+        replace_ms: 10_007,
+        lease_ms: 4008,
+        heartbeat_ms: 109,
+        grace_ms: 6010,
+    }
+}
+
+fn limits() -> Limits {
+    Limits {
+        job_bytes: 100_001,
+        config_bytes: 200_002,
+        open_jobs: 303,
+        calls: 404,
+        retain_ms: 500_005,
+        identity_ms: 600_006,
+        snapshot_every: 707,
+        log_bytes: 800_008,
+        segment_bytes: 9009,
+    }
+}
+
+/// Says what the number of a command's kind is. A kind that is added must be given an entry in the history.
+pub fn kind(command: &Command) -> usize {
+    match command {
+        Command::TermStarted { .. } => 0,
+        Command::UpdateConfig { .. } => 1,
+        Command::AcceptJob { .. } => 2,
+        Command::CancelJob { .. } => 3,
+        Command::StartAttempts { .. } => 4,
+        Command::UpdateWorker { .. } => 5,
+        Command::ReportAttempts { .. } => 6,
+        Command::WorkerLost { .. } => 7,
+        Command::ExpireAttempts { .. } => 8,
+        Command::RescheduleAttempts { .. } => 9,
+        Command::SetEvacuation { .. } => 10,
+        Command::ResolveAttempt { .. } => 11,
+        Command::GrantLease { .. } => 12,
+        Command::RegisterNode { .. } => 13,
+        Command::RemoveNode { .. } => 14,
+        Command::FoundCluster { .. } => 15,
+        Command::UpdateReplica { .. } => 16,
+        Command::RemoveReplica { .. } => 17,
+        Command::CollectGarbage { .. } => 18,
+        Command::Order(_) => 19,
+    }
+}
+
+/// How many kinds of commands there are.
+pub const KINDS: usize = 20;
--- /dev/null
+++ b/landingdrift/tests/stored/variants.rs
@@ -0,0 +1,159 @@
+//! Every variant of what is stored by its name in JSON and by its number where it is packed.
+
+use landingdrift::state::{AttemptState, JobState, Outcome, Rejection, TaskState};
+use serde::{Deserialize, Serialize};
+
+/// One value of every variant. The matches below keep the lists whole: a variant that is added must be given a place.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+pub struct Variants {
+    pub outcomes: Vec<Outcome>,
+    pub jobs: Vec<JobState>,
+    pub tasks: Vec<TaskState>,
+    #[serde(rename = "sends")]
+    pub attempts: Vec<AttemptState>,
+    pub refusals: Vec<Rejection>,
+}
+
+impl Variants {
+    pub fn all() -> Self {
+        Self {
+            outcomes: vec![
+                Outcome::Succeeded,
+                Outcome::Failed,
+                Outcome::Stopped,
+                Outcome::NeverStarted,
+                Outcome::Expired,
+            ],
+            jobs: vec![
+                JobState::Waiting,
+                JobState::Running,
+                JobState::Cancelling,
+                JobState::Done,
+                JobState::Failed,
+                JobState::Cancelled,
+            ],
+            tasks: vec![
+                TaskState::Waiting,
+                TaskState::Done,
+                TaskState::Failed,
+                TaskState::Cancelled,
+            ],
+            attempts: vec![
+                AttemptState::Ordered,
+                AttemptState::Running,
+                AttemptState::Unsure,
+                AttemptState::Succeeded,
+                AttemptState::Failed,
+                AttemptState::Stopped,
+                AttemptState::NeverStarted,
+                AttemptState::Expired,
+            ],
+            refusals: refusals(),
+        }
+    }
+
+    /// The variants' numbers in the order of the lists, by matches that leave none out.
+    pub fn numbers(&self) -> Vec<Vec<usize>> {
+        vec![
+            self.outcomes.iter().map(outcome).collect(),
+            self.jobs.iter().map(job).collect(),
+            self.tasks.iter().map(task).collect(),
+            self.attempts.iter().map(attempt).collect(),
+            self.refusals.iter().map(refusal).collect(),
+        ]
+    }
+}
+
+fn refusals() -> Vec<Rejection> {
+    vec![
+        Rejection::VersionConflict { current: 1 },
+        Rejection::BodyMismatch,
+        Rejection::Invalid {
+            path: "p".into(),
+            remedy: "r".into(),
+        },
+        Rejection::Unknown { what: "w".into() },
+        Rejection::OverQuota { quota: 2 },
+        Rejection::PreviouslyRejected,
+        Rejection::DeadlinePassed,
+        Rejection::TooManyChanges,
+        Rejection::StaleLease,
+        Rejection::Ended,
+        Rejection::Cancelled,
+        Rejection::NotDue,
+        Rejection::Waiting,
+        Rejection::InsufficientResources,
+        Rejection::AlreadyRunning,
+        Rejection::AttemptsExhausted,
+        Rejection::UnsuitableWorker { why: "y".into() },
+        Rejection::GangIncomplete,
+        Rejection::SpeculationBudgetExhausted,
+    ]
+}
+
+fn outcome(of: &Outcome) -> usize {
+    match of {
+        Outcome::Succeeded => 0,
+        Outcome::Failed => 1,
+        Outcome::Stopped => 2,
+        Outcome::NeverStarted => 3,
+        Outcome::Expired => 4,
+    }
+}
+
+fn job(of: &JobState) -> usize {
+    match of {
+        JobState::Waiting => 0,
+        JobState::Running => 1,
+        JobState::Cancelling => 2,
+        JobState::Done => 3,
+        JobState::Failed => 4,
+        JobState::Cancelled => 5,
+    }
+}
+
+fn task(of: &TaskState) -> usize {
+    match of {
+        TaskState::Waiting => 0,
+        TaskState::Done => 1,
+        TaskState::Failed => 2,
+        TaskState::Cancelled => 3,
+    }
+}
+
+fn send(of: &AttemptState) -> usize {
+    match of {
+        AttemptState::Ordered => 0,
+        AttemptState::Running => 1,
+        AttemptState::Unsure => 2,
+        AttemptState::Succeeded => 3,
+        AttemptState::Failed => 4,
+        AttemptState::Stopped => 5,
+        AttemptState::NeverStarted => 6,
+        AttemptState::Expired => 7,
+    }
+}
+
+fn refusal(of: &Rejection) -> usize {
+    match of {
+        Rejection::VersionConflict { .. } => 0,
+        Rejection::BodyMismatch => 1,
+        Rejection::Invalid { .. } => 2,
+        Rejection::Unknown { .. } => 3,
+        Rejection::OverQuota { .. } => 4,
+        Rejection::PreviouslyRejected => 5,
+        Rejection::DeadlinePassed => 6,
+        Rejection::TooManyChanges => 7,
+        Rejection::StaleLease => 8,
+        Rejection::Ended => 9,
+        Rejection::Cancelled => 10,
+        Rejection::NotDue => 11,
+        Rejection::Waiting => 12,
+        Rejection::InsufficientResources => 13,
+        Rejection::AlreadyRunning => 14,
+        Rejection::AttemptsExhausted => 15,
+        Rejection::UnsuitableWorker { .. } => 16,
+        Rejection::GangIncomplete => 17,
+        Rejection::SpeculationBudgetExhausted => 18,
+    }
+}
--- /dev/null
+++ b/landingdrift/tests/stored_data.rs
@@ -0,0 +1,325 @@
+//! What version 0.1.0 has stored can be read by this build, and is written as it was then.
+//!
+//! The fixtures under `fixtures/stored` were written by version 0.1.0 (record format 3, wire 4, data folder 1,
+//! recording 1), by [`write_the_fixtures`] with the product as of commit d2b54ab:
+//!
+//! `cargo test -p landingdrift --test stored_data -- --ignored write_the_fixtures`
+//!
+//! They are not to be written again unless a format gets a new version. Everything that has a name in JSON or TOML
+//! keeps that name whatever it is called in the code, and everything that is packed keeps its order.
+
+mod stored;
+
+use landingdrift::disk::{read_whole, verify, DataFolder};
+use landingdrift::replay::Day;
+use landingdrift::settings::Settings;
+use landingdrift::state::pack::{pack, unpack};
+use landingdrift::state::{AttemptState, ClusterState, Command, JobState, STATE_VERSION};
+use landingdrift::wire::{self, WIRE_VERSION};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs;
+use std::path::Path;
+use stored::history::History;
+use stored::variants::Variants;
+use stored::{fixture, messages};
+
+const LOG: &str = "recording-of-log.day";
+const STATE: &str = "recording-of-state.day";
+const RECORD: &str = "record.postcard";
+const ORDERS: &str = "orders.json";
+const SETTINGS: &str = "settings.toml";
+const FOLDER: &str = "folder";
+/// One value of every stored variant, as a list for each type.
+const VARIANTS_JSON: &str = "variants.json";
+const VARIANTS_PACKED: &str = "variants.postcard";
+/// Jobs as the API answers them.
+const JOBS: [&str; 4] = ["done", "forgotten", "steps", "unsure"];
+/// The sender in the wire's fixtures.
+const SENDER: &str = "10.0.0.1:7000";
+
+fn message_file(number: usize) -> String {
+    format!("wire/{number:02}.envelope")
+}
+
+fn job_file(job: &str) -> String {
+    format!("job-{job}.json")
+}
+
+/// The files of a data folder, without the lock, which is empty.
+fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    fs::read_dir(folder)
+        .expect("a folder")
+        .map(|entry| entry.expect("an entry of it").path())
+        .map(|path| {
+            let name = path.file_name().expect("a name").to_string_lossy();
+            (name.into_owned(), fs::read(&path).expect("a file"))
+        })
+        .filter(|(name, _)| name != "lock")
+        .collect()
+}
+
+#[test]
+#[ignore = "the fixtures were written once, by version 0.1.0"]
+fn write_the_fixtures() {
+    let history = History::whole();
+    let log = stored::scratch("log");
+    let lines: Vec<landingdrift::replay::Line> = history
+        .entries
+        .into_iter()
+        .map(|entry| landingdrift::replay::Line {
+            log_index: entry.log_index,
+            at: entry.at,
+            entry: entry.command,
+            ruled: serde_json::Value::Null,
+        })
+        .collect();
+    drop(stored::write_log(&log, &lines));
+    let day = Day::state(&log).expect("a sound folder");
+    assert_eq!(day.end(), history.state);
+    fs::create_dir_all(fixture("wire")).expect("made");
+    fs::write(fixture(LOG), day.text()).expect("written");
+    let state = stored::recording_of(&history.state);
+    fs::write(fixture(STATE), state.text()).expect("written");
+    fs::write(fixture(RECORD), history.state.pack()).expect("written");
+    fs::write(fixture(ORDERS), stored::orders_json(&history.state)).expect("written");
+    let variants = Variants::all();
+    let packed = pack(&variants);
+    fs::write(fixture(VARIANTS_PACKED), packed).expect("written");
+    let json = serde_json::to_string(&variants).expect("JSON");
+    fs::write(fixture(VARIANTS_JSON), json).expect("written");
+    let settings = toml::to_string(&stored::settings()).expect("TOML");
+    fs::write(fixture(SETTINGS), settings).expect("written");
+    for job in JOBS {
+        let answer = stored::answer(&history.state, job);
+        fs::write(fixture(&job_file(job)), answer).expect("written");
+    }
+    for body in messages::all() {
+        let file = message_file(messages::number(&body));
+        let envelope = wire::pack(stored::CLUSTER, SENDER, &body);
+        fs::write(fixture(&file), envelope).expect("written");
+    }
+    let folder = stored::scratch("folder");
+    stored::write_folder(&folder, &day);
+    fs::create_dir_all(fixture(FOLDER)).expect("made");
+    for (name, bytes) in files(&folder) {
+        fs::write(fixture(FOLDER).join(name), bytes).expect("written");
+    }
+}
+
+#[test]
+fn the_formats_have_the_versions_of_the_fixtures() {
+    assert_eq!((STATE_VERSION, WIRE_VERSION), (3, 4));
+    assert_eq!(landingdrift::disk::FOLDER_VERSION, 1);
+    let head = stored::text(LOG);
+    assert!(
+        head.starts_with(r#"{"landingdriftDay":1,"#),
+        "the recording's version"
+    );
+}
+
+#[test]
+fn a_record_is_read_and_packed_as_it_was() {
+    let bytes = stored::bytes(RECORD);
+    let state = ClusterState::unpack(&bytes).expect("a record");
+    assert_eq!(state.pack(), bytes);
+    let states = |state: JobState| state.jobs.values().filter(|j| j.state == state).count();
+    assert_eq!(state.jobs.len(), 5);
+    assert_eq!(states(JobState::Done), 1);
+    assert_eq!(states(JobState::Cancelling), 1);
+    assert_eq!(states(JobState::Running), 2);
+    assert_eq!(states(JobState::Waiting), 1);
+    assert_eq!(state.tombstones["forgotten"].state, JobState::Done);
+    assert_eq!(state.tombstones["forgotten"].hash, 101);
+    assert!(state.refusals.contains_key("turned-away"));
+    assert_eq!((state.workers.len(), state.nodes.len()), (3, 2));
+    assert_eq!(
+        (state.replicas.len(), state.replicas["10.0.0.4:7000"].disk),
+        (4, 4)
+    );
+    assert_eq!(state.leases["queue/old"].epoch, 4);
+    assert_eq!((state.version, state.changes.len()), (8, 2));
+    assert_eq!(state.retired["old"].quota, 1);
+    assert_eq!(state.config.queues["fast"].stretch, 2.5);
+    assert_eq!(state.evacuated_zones, BTreeSet::from(["z2".to_string()]));
+    assert_eq!(state.orders.len(), 4);
+    assert_eq!(state.live.len(), 4);
+}
+
+#[test]
+fn no_collection_of_the_record_is_empty_and_the_sends_are_of_many_states() {
+    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+    let sizes = [
+        state.changes.len(),
+        state.orders.len(),
+        state.jobs.len(),
+        state.tombstones.len(),
+        state.expiry.len(),
+        state.refusals.len(),
+        state.open.len(),
+        state.workers.len(),
+        state.leases.len(),
+        state.evacuated_zones.len(),
+        state.retired.len(),
+        state.nodes.len(),
+        state.replicas.len(),
+        state.queues.len(),
+        state.live.len(),
+        state.queues["fast"].durations.len(),
+        state.queues["fast"].promises.len(),
+        state.workers["w2"].ends.len(),
+        state.workers["w2"].attempts.len(),
+    ];
+    assert!(!sizes.contains(&0), "{sizes:?}");
+    let attempts = state
+        .jobs
+        .values()
+        .flat_map(|job| &job.tasks)
+        .flat_map(|task| &task.attempts);
+    let states: Vec<AttemptState> = attempts.map(|attempt| attempt.state).collect();
+    for state in [
+        AttemptState::Running,
+        AttemptState::Unsure,
+        AttemptState::Succeeded,
+        AttemptState::Failed,
+        AttemptState::Expired,
+    ] {
+        assert!(states.contains(&state), "{state:?} in {states:?}");
+    }
+}
+
+/// Packed bytes say nothing of names: two fields of one type that change places are told by the names in the JSON.
+#[test]
+fn every_field_of_the_packed_record_is_the_one_that_the_json_names() {
+    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+    let orders = state.orders.clone();
+    assert_eq!(stored::orders_json(&state), stored::text(ORDERS));
+    let state = stored::recording(STATE);
+    assert_eq!(stored::recording_of(&state).text(), stored::text(STATE));
+    assert_eq!(
+        ClusterState {
+            orders,
+            ..state.start
+        },
+        state
+    );
+}
+
+#[test]
+fn every_variant_has_the_name_and_the_number_that_it_had() {
+    let variants = Variants::all();
+    for numbers in variants.numbers() {
+        assert_eq!(numbers, (0..numbers.len()).collect::<Vec<_>>());
+    }
+    let packed = stored::bytes(VARIANTS_PACKED);
+    let read: Variants = unpack(&packed).expect("variants");
+    assert_eq!(read, variants);
+    assert_eq!(pack(&read), packed);
+    let json = stored::text(VARIANTS_JSON);
+    let read: Variants = serde_json::from_str(&json).expect("variants");
+    assert_eq!(read, variants);
+    assert_eq!(serde_json::to_string(&read).expect("JSON"), json);
+}
+
+#[test]
+fn a_recording_is_read_and_written_as_it_was_and_decided_alike() {
+    let day = stored::recording(LOG);
+    assert_eq!(day.text(), stored::text(LOG));
+    assert_eq!(day.differences(), Vec::new());
+    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+    assert_eq!(day.end(), state);
+    let kinds: BTreeSet<usize> = day
+        .lines
+        .iter()
+        .flat_map(|line| [stored::kind(&line.entry), stored::kind(line.entry.action())])
+        .collect();
+    assert_eq!(kinds, (0..stored::KINDS).collect());
+}
+
+#[test]
+fn the_entries_of_a_data_folder_are_those_of_the_recording() {
+    let day = stored::recording(LOG);
+    let (cluster, loaded) = read_whole(&fixture(FOLDER)).expect("a sound folder");
+    assert_eq!((cluster.as_str(), loaded.disk), (stored::CLUSTER, 77));
+    assert_eq!(
+        (loaded.hard_state.clone(), loaded.notes),
+        (stored::hard_state(), stored::notes())
+    );
+    assert_eq!(
+        (loaded.hard_state.term, loaded.hard_state.no_vote_through),
+        (2, 1)
+    );
+    assert!(!loaded.damaged);
+    let snapshot = loaded.snapshot.expect("a snapshot");
+    assert_eq!(snapshot, stored::snapshot(&day));
+    let after = loaded.entries.iter().filter(|e| e.index > snapshot.index);
+    let after: Vec<_> = after.cloned().collect();
+    let lines = &day.lines[stored::before_snapshot(&day)..];
+    assert_eq!(after, lines.iter().map(stored::entry).collect::<Vec<_>>());
+    for (entry, line) in after.iter().zip(lines) {
+        let command = Command::unpack(&entry.command).expect("a command");
+        assert_eq!(command, line.entry);
+        assert_eq!(command.pack(), entry.command);
+    }
+    let mut state = ClusterState::unpack(&snapshot.bytes).expect("a record");
+    assert!(state.jobs.contains_key("steps") && state.tombstones.contains_key("forgotten"));
+    assert_eq!((state.workers.len(), state.leases.len()), (3, 4));
+    assert_eq!(
+        state.orders.len(),
+        1,
+        "an answer to an order is in the snapshot"
+    );
+    for entry in after {
+        let _ = state.apply_bytes(entry.index, entry.at, &entry.command);
+    }
+    assert_eq!(state.pack(), stored::bytes(RECORD));
+}
+
+#[test]
+fn a_data_folder_is_written_as_it_was() {
+    let again = stored::scratch("again");
+    stored::write_folder(&again, &stored::recording(LOG));
+    assert_eq!(files(&again), files(&fixture(FOLDER)));
+    let findings = verify(&again).expect("looked");
+    assert!(!findings.damaged && !findings.torn_tail);
+    assert_eq!((findings.term, findings.disk), (2, 77));
+    let (_, loaded) =
+        DataFolder::open(&again, stored::CLUSTER, stored::SEGMENT_BYTES, 1).expect("opened");
+    assert_eq!(loaded.disk, 77);
+    assert_eq!(loaded.hard_state, stored::hard_state());
+    let _ = fs::remove_dir_all(&again);
+}
+
+#[test]
+fn a_message_of_every_kind_is_read_and_packed_as_it_was() {
+    let all = messages::all();
+    let numbers: BTreeSet<usize> = all.iter().map(messages::number).collect();
+    assert_eq!(numbers, (1..=messages::KINDS).collect());
+    for body in all {
+        let file = message_file(messages::number(&body));
+        let bytes = stored::bytes(&file);
+        let envelope = wire::unpack(stored::CLUSTER, &bytes).expect("an envelope");
+        assert_eq!(
+            (envelope.from.as_str(), &envelope.body),
+            (SENDER, &body),
+            "{file}"
+        );
+        assert_eq!(wire::pack(stored::CLUSTER, SENDER, &body), bytes, "{file}");
+    }
+}
+
+#[test]
+fn a_job_is_answered_as_it_was() {
+    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+    for job in JOBS {
+        let then = stored::text(&job_file(job));
+        assert_eq!(stored::answer(&state, job), then, "{job}");
+    }
+}
+
+#[test]
+fn settings_are_read_and_written_as_they_were() {
+    let text = stored::text(SETTINGS);
+    let settings: Settings = toml::from_str(&text).expect("settings");
+    assert_eq!(settings, stored::settings());
+    assert_eq!(toml::to_string(&settings).expect("TOML"), text);
+}
