--- /dev/null
+++ b/landingdrift/tests/record_desk/mod.rs
@@ -0,0 +1,154 @@
+//! A cluster state with a node, leases, a configuration and two workers, for tests that enter commands into it.
+
+#![allow(dead_code, reason = "each test file uses a part of it")]
+
+use landingdrift::state::{
+    ApplyResult, ClusterState, Command, EndReport, JobSpec, JobState, Outcome, Placement, TaskSpec,
+    WorkerInfo,
+};
+use serde_json::json;
+
+/// A cluster state with a node, leases, a configuration and two workers.
+pub struct Desk {
+    pub r: ClusterState,
+    pub n: u64,
+    pub at: u64,
+}
+
+impl Desk {
+    pub fn new() -> Self {
+        let mut d = Self {
+            r: ClusterState::new("c"),
+            n: 0,
+            at: 1_000_000,
+        };
+        d.ok(Command::RegisterNode {
+            node: "n".into(),
+            zone: "z".into(),
+            http: "h".into(),
+        });
+        d.ok(Command::GrantLease {
+            lease: "cell/z".into(),
+            holder: "n".into(),
+            from_epoch: 0,
+        });
+        d.ok(Command::GrantLease {
+            lease: "queue/q".into(),
+            holder: "n".into(),
+            from_epoch: 0,
+        });
+        d.ok(Command::UpdateConfig {
+            change: "first".into(),
+            base: 0,
+            patch: false,
+            number: 0,
+            value: config(2),
+        });
+        d.info("w", 1, false);
+        d.info("v", 1, false);
+        d
+    }
+    pub fn apply(&mut self, c: Command) -> ApplyResult {
+        self.n += 1;
+        self.at += 10;
+        self.r.apply(self.n, self.at, &c)
+    }
+    pub fn ok(&mut self, c: Command) -> serde_json::Value {
+        let told = format!("{c:?}");
+        self.apply(c).unwrap_or_else(|e| panic!("{told}: {e}"))
+    }
+    pub fn info(&mut self, worker: &str, incarnation: u64, leaving: bool) {
+        let info = WorkerInfo {
+            worker: worker.into(),
+            incarnation,
+            service: "s".into(),
+            labels: ["l".to_string()].into(),
+            zone: "z".into(),
+            cpu: 4,
+            leaving,
+            ..WorkerInfo::default()
+        };
+        self.ok(Command::UpdateWorker {
+            info,
+            zone_epoch: 1,
+        });
+    }
+    pub fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
+        let seen = self.r.applied_index;
+        self.apply(Command::AcceptJob {
+            spec: JobSpec {
+                id: id.into(),
+                queue: "q".into(),
+                tasks,
+                ..JobSpec::default()
+            },
+            hash: 1,
+            seen,
+        })
+    }
+    pub fn start(&mut self, job: &str, of: &[(u32, &str)]) -> ApplyResult {
+        self.start_as(job, of, 2, 1, false)
+    }
+    pub fn start_as(
+        &mut self,
+        job: &str,
+        of: &[(u32, &str)],
+        owner_epoch: u64,
+        zone_epoch: u64,
+        copy: bool,
+    ) -> ApplyResult {
+        let incarnation = |w: &str| self.r.workers.get(w).map_or(0, |w| w.info.incarnation);
+        let placements = of
+            .iter()
+            .map(|(task, w)| Placement {
+                task: *task,
+                worker: w.to_string(),
+                incarnation: incarnation(w),
+                zone_epoch,
+                copy,
+            })
+            .collect();
+        self.apply(Command::StartAttempts {
+            job: job.into(),
+            owner_epoch,
+            placements,
+        })
+    }
+    pub fn end(&mut self, worker: &str, no: u64, outcome: Outcome) {
+        self.ok(Command::ReportAttempts {
+            worker: worker.into(),
+            incarnation: 1,
+            running: vec![],
+            ends: vec![EndReport {
+                no,
+                outcome,
+                ran_ms: 5,
+                ..EndReport::default()
+            }],
+        });
+    }
+    pub fn state(&self, job: &str) -> JobState {
+        self.r.jobs[job].state
+    }
+}
+
+pub fn config(max_attempts: u32) -> serde_json::Value {
+    json!({"queues": {"q": {"tries": max_attempts, "quota": 3, "windowMs": 60_000, "unsureBoundMs": 5000, "speculationPercent": 50, "defectAllowancePercent": 100}},
+           "services": {"s": {"labels": ["l", "m"], "taskRoom": 4, "gangRoom": 8}}, "zones": {"z": {}}})
+}
+
+pub fn task(name: &str) -> TaskSpec {
+    TaskSpec {
+        name: name.into(),
+        service: "s".into(),
+        cpu: 3,
+        ..TaskSpec::default()
+    }
+}
+
+pub fn repeatable(name: &str) -> TaskSpec {
+    TaskSpec {
+        may_repeat: true,
+        ..task(name)
+    }
+}
--- /dev/null
+++ b/landingdrift/tests/replicas/disk.rs
@@ -0,0 +1,68 @@
+//! A disk whose behaviour the tests rule over.
+
+use landingdrift::consensus::Loaded;
+use landingdrift::sans_io::WriteBatch;
+use std::collections::VecDeque;
+
+/// How a disk behaves.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Behaviour {
+    Sound,
+    Refuses,
+    Hangs,
+}
+
+/// A replica's disk: what is durable, and what was handed over and is not.
+pub struct TestDisk {
+    pub durable: Loaded,
+    pub pending: VecDeque<WriteBatch>,
+    pub behaviour: Behaviour,
+    pub(super) next_retry: u64,
+}
+
+impl TestDisk {
+    pub(super) fn new(disk: u64) -> Self {
+        let durable = Loaded {
+            disk,
+            ..Loaded::default()
+        };
+        Self {
+            durable,
+            pending: VecDeque::new(),
+            behaviour: Behaviour::Sound,
+            next_retry: 0,
+        }
+    }
+
+    pub(super) fn write_all(&mut self) -> Option<u64> {
+        let last = self.pending.back().map(|s| s.write_id);
+        for s in std::mem::take(&mut self.pending) {
+            write(&mut self.durable, s);
+        }
+        last
+    }
+
+    /// The last index that a restart would find.
+    pub fn last(&self) -> u64 {
+        let snapshot = self.durable.snapshot.as_ref().map_or(0, |c| c.index);
+        self.durable.entries.last().map_or(snapshot, |e| e.index)
+    }
+}
+
+fn write(to: &mut Loaded, s: WriteBatch) {
+    s.hard_state.into_iter().for_each(|h| to.hard_state = h);
+    if let Some(cut) = s.cut {
+        to.entries.retain(|e| e.index < cut);
+    }
+    if let Some(snapshot) = s.snapshot {
+        to.entries.retain(|e| e.index > snapshot.index);
+        to.snapshot = Some(snapshot);
+    }
+    for e in s.entries {
+        to.entries.retain(|x| x.index < e.index);
+        to.entries.push(e);
+    }
+    if !s.witnesses.is_empty() {
+        to.witnesses = s.witnesses;
+    }
+}
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -2,8 +2,13 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use landingdrift::consensus::{Loaded, Replica};
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response, WriteBatch};
+pub mod behind;
+mod disk;
+
+pub use disk::{Behaviour, TestDisk};
+
+use landingdrift::consensus::Replica;
+use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::{Limits, Settings};
 use landingdrift::state::Command;
 use landingdrift::wire::{
@@ -19,69 +24,6 @@
 const CLIENT: &str = "10.9.9.9:1";
 pub const NODE: &str = "10.8.8.8:1";
 
-/// How a disk behaves.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Behaviour {
-    Sound,
-    Refuses,
-    Hangs,
-}
-
-/// A replica's disk: what is durable, and what was handed over and is not.
-pub struct TestDisk {
-    pub durable: Loaded,
-    pub pending: VecDeque<WriteBatch>,
-    pub behaviour: Behaviour,
-    next_retry: u64,
-}
-
-impl TestDisk {
-    fn new(disk: u64) -> Self {
-        let durable = Loaded {
-            disk,
-            ..Loaded::default()
-        };
-        Self {
-            durable,
-            pending: VecDeque::new(),
-            behaviour: Behaviour::Sound,
-            next_retry: 0,
-        }
-    }
-
-    fn write_all(&mut self) -> Option<u64> {
-        let last = self.pending.back().map(|s| s.write_id);
-        for s in std::mem::take(&mut self.pending) {
-            write(&mut self.durable, s);
-        }
-        last
-    }
-
-    /// The last index that a restart would find.
-    pub fn last(&self) -> u64 {
-        let snapshot = self.durable.snapshot.as_ref().map_or(0, |c| c.index);
-        self.durable.entries.last().map_or(snapshot, |e| e.index)
-    }
-}
-
-fn write(to: &mut Loaded, s: WriteBatch) {
-    s.hard_state.into_iter().for_each(|h| to.hard_state = h);
-    if let Some(cut) = s.cut {
-        to.entries.retain(|e| e.index < cut);
-    }
-    if let Some(snapshot) = s.snapshot {
-        to.entries.retain(|e| e.index > snapshot.index);
-        to.snapshot = Some(snapshot);
-    }
-    for e in s.entries {
-        to.entries.retain(|x| x.index < e.index);
-        to.entries.push(e);
-    }
-    if !s.witnesses.is_empty() {
-        to.witnesses = s.witnesses;
-    }
-}
-
 /// A message on its way, or arrived at somebody who is no replica.
 #[derive(Clone, Debug)]
 pub struct Carried {
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -1,41 +1,16 @@
-//! Snapshots between replicas and to nodes: in chunks, whole or not at all, and never less than was confirmed.
+//! Snapshots between replicas: in chunks, whole or not at all, and never less than was confirmed.
 
 mod replicas;
 
 use landingdrift::settings::Limits;
 use landingdrift::snapshot_chunks::{ChunkOutcome, ChunkedSnapshot, SnapshotAssembly, CHUNK_BYTES};
-use landingdrift::wire::{
-    AppendRequest, Body, InstallSnapshot, InstallSnapshotResponse, WatchRequest, WatchSnapshotChunk,
-};
-use replicas::{name, Carried, Cores, NODE};
+use landingdrift::wire::{AppendRequest, Body, InstallSnapshot, InstallSnapshotResponse};
+use replicas::behind::{limits, one_behind, EVERY};
+use replicas::{name, Carried, Cores};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-const EVERY: u64 = 40;
-/// So many changes of this size make a snapshot of several chunks.
-const CHANGES: usize = 60;
-const CHANGE_BYTES: usize = 40_000;
-
-fn limits() -> Limits {
-    Limits {
-        snapshot_every: EVERY,
-        ..Limits::default()
-    }
-}
-
-/// Three replicas of which one missed so much that the log does not reach back to it; the one is down.
-fn one_behind() -> (Cores, usize, usize) {
-    let mut all = Cores::start(limits());
-    all.change(10);
-    let leader = all.leader().expect("somebody leads");
-    let behind = (leader + 1) % 3;
-    all.kill(behind);
-    (0..CHANGES).for_each(|_| all.change(CHANGE_BYTES));
-    all.sent.clear();
-    (all, leader, behind)
-}
-
 fn installs(all: &Cores, to: usize) -> Vec<(u64, InstallSnapshot)> {
     let of = all.sent.iter().filter(|(_, c)| c.to == name(to));
     of.filter_map(|(t, c)| match &c.body {
@@ -324,85 +299,3 @@
     assert!(most <= 330_000, "{most} bytes");
     assert!(all.counter(0, "snapshots") > 3);
 }
-
-fn snapshot_chunks(all: &Cores) -> Vec<WatchSnapshotChunk> {
-    let of = all.outside.iter().filter(|c| c.to == NODE);
-    of.filter_map(|c| match &c.body {
-        Body::WatchSnapshotChunk(m) => Some((**m).clone()),
-        _ => None,
-    })
-    .collect()
-}
-
-#[test]
-fn a_node_fetches_a_snapshot_a_chunk_at_a_time() {
-    let (mut all, leader, _) = one_behind();
-    let mut assembly = SnapshotAssembly::default();
-    let mut whole = None;
-    for _ in 0..200 {
-        let before = snapshot_chunks(&all).len();
-        let part = assembly.identity();
-        let ask = |all: &mut Cores| {
-            all.pull_from(WatchRequest {
-                part_index: part.index,
-                part_checksum: part.checksum,
-                part_received: assembly.received(),
-                ..Cores::pull_of(NODE, 0)
-            });
-        };
-        // Asked again and again, a chunk is sent once while it may be on its way.
-        (0..3).for_each(|_| ask(&mut all));
-        all.change(100);
-        all.run(20);
-        let got = snapshot_chunks(&all);
-        assert_eq!(got.len(), before + 1, "one chunk for each");
-        let m = got.last().expect("a chunk");
-        assert!(m.bytes.len() <= CHUNK_BYTES);
-        let of = landingdrift::snapshot_chunks::SnapshotId {
-            index: m.index,
-            term: m.term,
-            total: m.total,
-            checksum: m.checksum,
-        };
-        match assembly.take(of, m.offset, &m.bytes) {
-            ChunkOutcome::Part => {}
-            ChunkOutcome::Whole(bytes) => {
-                whole = Some((m.index, bytes));
-                break;
-            }
-            ChunkOutcome::Corrupt => panic!("a chunk was spoilt"),
-        }
-    }
-    let (index, bytes) = whole.expect("whole");
-    landingdrift::state::ClusterState::unpack(&bytes).expect("a record");
-    assert_eq!(all.counter(leader, "watch_snapshots"), 1);
-    // It goes on with entries from there, and no further snapshot.
-    let before = snapshot_chunks(&all).len();
-    all.watch_request(NODE, index);
-    all.run(5);
-    assert_eq!(snapshot_chunks(&all).len(), before);
-    let batch = all.batches(NODE).pop().expect("a batch");
-    assert_eq!(batch.entries.first().map(|e| e.index), Some(index + 1));
-}
-
-#[test]
-fn nodes_that_fetch_at_once_share_one_snapshot() {
-    let (mut all, leader, _) = one_behind();
-    for n in 0..20 {
-        all.watch_request(&format!("10.8.8.{n}:1"), 0);
-    }
-    all.run(10);
-    let sent: Vec<(u64, u32, usize)> = all
-        .outside
-        .iter()
-        .filter_map(|c| match &c.body {
-            Body::WatchSnapshotChunk(m) => Some((m.index, m.checksum, m.bytes.len())),
-            _ => None,
-        })
-        .collect();
-    assert_eq!(sent.len(), 20);
-    assert!(sent.windows(2).all(|w| w[0] == w[1]), "{sent:?}");
-    let bytes: usize = sent.iter().map(|s| s.2).sum();
-    assert!(bytes <= 20 * CHUNK_BYTES);
-    assert_eq!(all.counter(leader, "watch_chunks"), 20);
-}
--- /dev/null
+++ b/landingdrift/tests/snapshots_to_nodes.rs
@@ -0,0 +1,90 @@
+//! Snapshots from a replica to nodes: a chunk at a time, and one for all that fetch at once.
+
+mod replicas;
+
+use landingdrift::snapshot_chunks::{ChunkOutcome, SnapshotAssembly, CHUNK_BYTES};
+use landingdrift::wire::{Body, WatchRequest, WatchSnapshotChunk};
+use replicas::behind::one_behind;
+use replicas::{Cores, NODE};
+
+fn snapshot_chunks(all: &Cores) -> Vec<WatchSnapshotChunk> {
+    let of = all.outside.iter().filter(|c| c.to == NODE);
+    of.filter_map(|c| match &c.body {
+        Body::WatchSnapshotChunk(m) => Some((**m).clone()),
+        _ => None,
+    })
+    .collect()
+}
+
+#[test]
+fn a_node_fetches_a_snapshot_a_chunk_at_a_time() {
+    let (mut all, leader, _) = one_behind();
+    let mut assembly = SnapshotAssembly::default();
+    let mut whole = None;
+    for _ in 0..200 {
+        let before = snapshot_chunks(&all).len();
+        let part = assembly.identity();
+        let ask = |all: &mut Cores| {
+            all.pull_from(WatchRequest {
+                part_index: part.index,
+                part_checksum: part.checksum,
+                part_received: assembly.received(),
+                ..Cores::pull_of(NODE, 0)
+            });
+        };
+        // Asked again and again, a chunk is sent once while it may be on its way.
+        (0..3).for_each(|_| ask(&mut all));
+        all.change(100);
+        all.run(20);
+        let got = snapshot_chunks(&all);
+        assert_eq!(got.len(), before + 1, "one chunk for each");
+        let m = got.last().expect("a chunk");
+        assert!(m.bytes.len() <= CHUNK_BYTES);
+        let of = landingdrift::snapshot_chunks::SnapshotId {
+            index: m.index,
+            term: m.term,
+            total: m.total,
+            checksum: m.checksum,
+        };
+        match assembly.take(of, m.offset, &m.bytes) {
+            ChunkOutcome::Part => {}
+            ChunkOutcome::Whole(bytes) => {
+                whole = Some((m.index, bytes));
+                break;
+            }
+            ChunkOutcome::Corrupt => panic!("a chunk was spoilt"),
+        }
+    }
+    let (index, bytes) = whole.expect("whole");
+    landingdrift::state::ClusterState::unpack(&bytes).expect("a record");
+    assert_eq!(all.counter(leader, "watch_snapshots"), 1);
+    // It goes on with entries from there, and no further snapshot.
+    let before = snapshot_chunks(&all).len();
+    all.watch_request(NODE, index);
+    all.run(5);
+    assert_eq!(snapshot_chunks(&all).len(), before);
+    let batch = all.batches(NODE).pop().expect("a batch");
+    assert_eq!(batch.entries.first().map(|e| e.index), Some(index + 1));
+}
+
+#[test]
+fn nodes_that_fetch_at_once_share_one_snapshot() {
+    let (mut all, leader, _) = one_behind();
+    for n in 0..20 {
+        all.watch_request(&format!("10.8.8.{n}:1"), 0);
+    }
+    all.run(10);
+    let sent: Vec<(u64, u32, usize)> = all
+        .outside
+        .iter()
+        .filter_map(|c| match &c.body {
+            Body::WatchSnapshotChunk(m) => Some((m.index, m.checksum, m.bytes.len())),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(sent.len(), 20);
+    assert!(sent.windows(2).all(|w| w[0] == w[1]), "{sent:?}");
+    let bytes: usize = sent.iter().map(|s| s.2).sum();
+    assert!(bytes <= 20 * CHUNK_BYTES);
+    assert_eq!(all.counter(leader, "watch_chunks"), 20);
+}
--- a/testkit/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -8,11 +8,6 @@
 
 /// Files that are larger, with the lines that they may have. Entries go or shrink; none is added and none grows.
 const LARGE_FILES: &[(&str, usize)] = &[
-    ("landingdrift/tests/cell.rs", 530),
-    ("landingdrift/tests/cores/mod.rs", 405),
-    ("landingdrift/tests/record.rs", 825),
-    ("landingdrift/tests/snapshots.rs", 401),
-    ("landingdrift/tests/traffic.rs", 420),
     ("testkit/src/fleet/drive.rs", 587),
     ("testkit/src/measure/capacity/clockwork.rs", 488),
     ("testkit/src/scale/drive.rs", 415),
