--- /dev/null
+++ b/testkit/tests/checkers_cases/mod.rs
@@ -0,0 +1,46 @@
+//! For each rule: histories that break it, and the same ones as they should have been.
+
+mod configuration;
+mod events;
+mod jobs;
+mod outage;
+mod runs;
+mod workers;
+
+use landingdrift_testkit::history::Event;
+
+/// Events with the moments at which they come, in milliseconds.
+pub type Day = Vec<(u64, Event)>;
+
+/// A rule, a history that breaks it and no other, and one that breaks none.
+pub struct Case {
+    pub rule: &'static str,
+    pub broken: Day,
+    pub sound: Day,
+}
+
+/// All cases.
+pub fn cases() -> Vec<Case> {
+    let all = [
+        jobs::never_forgotten(),
+        jobs::state_within_its_bound(),
+        jobs::turned_away_never_runs(),
+        runs::no_repeat_without_leave(),
+        runs::steps_in_order(),
+        runs::not_before_its_time(),
+        workers::cpu(),
+        workers::fitting_workers(),
+        runs::max_attempts(),
+        jobs::cancelled_stays_cancelled(),
+        workers::leaving_workers(),
+        workers::emptied_zones(),
+        runs::gangs_together(),
+        configuration::one_of_two_rivals(),
+        configuration::takes_effect(),
+        configuration::takes_hold_in_effect(),
+        configuration::never_slides_back(),
+        outage::back_after_an_outage(),
+        jobs::all_come_to_an_end(),
+    ];
+    all.into_iter().flatten().collect()
+}
--- a/testkit/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -12,7 +12,6 @@
     ("testkit/src/measure/capacity/clockwork.rs", 488),
     ("testkit/src/scale/drive.rs", 415),
     ("testkit/src/simulator/faults.rs", 489),
-    ("testkit/tests/checkers.rs", 804),
 ];
 
 /// The root of the workspace.
