--- a/testkit/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -10,7 +10,6 @@
 const LARGE_FILES: &[(&str, usize)] = &[
     ("testkit/src/measure/capacity/clockwork.rs", 488),
     ("testkit/src/scale/drive.rs", 415),
-    ("testkit/src/simulator/faults.rs", 489),
 ];
 
 /// The root of the workspace.
