--- a/testkit/src/measure/capacity/clockwork.rs
+++ b/testkit/src/measure/capacity/clockwork.rs
@@ -1,159 +1,39 @@
+//! The clockwork that meters processes: a day without faults in virtual time.
+
+mod happenings;
+mod process;
+mod run;
+
+pub use run::{Duty, Run, Size};
+
 use super::footprint::State;
 use super::load;
-use super::meter::{clock_cost, reference, timed, Tally};
+use super::meter::{clock_cost, reference, Tally};
 use super::target::ZONES;
-use crate::history::Event;
 use crate::simulator::EPOCH;
 use crate::standin::operator::Operator;
 use crate::standin::worker::Worker;
-use crate::standin::{request, Ask};
+use happenings::{Due, Ent, Happening};
 use landingdrift::consensus::{Loaded, Replica};
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response, Rng};
+use landingdrift::sans_io::{Now, Rng};
 use landingdrift::settings::Settings;
-use landingdrift::state::{ClusterState, JobSpec};
-use landingdrift::wire::{pack, unpack, Body};
-use serde_json::json;
+use landingdrift::state::JobSpec;
+use process::{Kind, Proc};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
+/// How often parts look at the time, in milliseconds.
 const TICK: u64 = 20;
-
-/// The part of a process, as far as the product's public surface shows it.
-enum Kind {
-    Replica(Box<Replica>),
-    Node(Box<Node>),
-}
-
-struct Proc {
-    addr: String,
-    kind: Kind,
-    tally: Tally,
-}
-
-impl Proc {
-    fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
-        match &mut self.kind {
-            Kind::Replica(c) => c.step(now, msg),
-            Kind::Node(n) => n.step(now, msg),
-        }
-    }
-    fn counter(&self, name: &str) -> f64 {
-        let all = match &self.kind {
-            Kind::Replica(c) => c.counters(),
-            Kind::Node(n) => n.counters(),
-        };
-        all.iter().find(|(k, _)| k == name).map_or(0, |(_, v)| *v) as f64
-    }
-    fn state(&self) -> &ClusterState {
-        match &self.kind {
-            Kind::Replica(c) => c.state(),
-            Kind::Node(n) => n.state(),
-        }
-    }
-    fn leads(&self) -> bool {
-        matches!(&self.kind, Kind::Replica(c) if c.leads())
-    }
-}
-
-#[derive(Clone, Copy)]
-enum Ent {
-    Worker(usize),
-    Client(u64),
-    Operator,
-}
-
-enum Happening {
-    Tick(usize),
-    Deliver(usize, Vec<u8>),
-    Saved(usize, u64),
-    Call(usize, Ent, u64, Request),
-    Answer(Ent, u64, Response),
-    HandTick(usize),
-    HandIn(u64),
-    OperatorTick,
-}
-
-struct Due(u64, u64, Happening);
-
-impl PartialEq for Due {
-    fn eq(&self, o: &Self) -> bool {
-        (self.0, self.1) == (o.0, o.1)
-    }
-}
-impl Eq for Due {}
-impl PartialOrd for Due {
-    fn partial_cmp(&self, o: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(o))
-    }
-}
-impl Ord for Due {
-    fn cmp(&self, o: &Self) -> std::cmp::Ordering {
-        (self.0, self.1).cmp(&(o.0, o.1))
-    }
-}
-
-/// What a process does in the system.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Duty {
-    Leader,
-    Follower,
-    Queue,
-    ZoneScheduler,
-    Plain,
-}
-
-impl Duty {
-    /// All of them, as the tables have them.
-    pub const ALL: [Duty; 5] = [
-        Duty::Leader,
-        Duty::Follower,
-        Duty::Queue,
-        Duty::ZoneScheduler,
-        Duty::Plain,
-    ];
-    /// What the tables call it.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Leader => "core leader",
-            Self::Follower => "core follower",
-            Self::Queue => "node with a queue",
-            Self::ZoneScheduler => "node with a cell",
-            Self::Plain => "plain node",
-        }
-    }
-}
-
-/// How large a run is.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Size {
-    pub workers: usize,
-    pub nodes: usize,
-    /// Task starts a second that the jobs handed in amount to.
-    pub starts: f64,
-}
-
-impl Size {
-    /// How long a task runs, so that every worker runs as many as at the target.
-    pub fn task_ms(&self) -> f64 {
-        let t = &super::target::TARGET;
-        1000.0 * (t.running / t.workers) * self.workers as f64 / self.starts
-    }
-}
-
-/// What a run came to.
-pub struct Run {
-    pub size: Size,
-    /// Starts a second in the window.
-    pub starts: f64,
-    /// By lease: how many processes, and the mean of their tallies a second.
-    pub roles: BTreeMap<Duty, (usize, Tally)>,
-    /// Mean processor time of the reference work, in nanoseconds.
-    pub reference: f64,
-    pub state: State,
-    /// The packed record at the end.
-    pub packed_state: Vec<u8>,
-}
+/// The replicas, which come before the nodes among the processes.
+const CORES: usize = 3;
+/// Workers begin once the replicas have a leader, within a quarter of a second of each other.
+const WORKERS_FROM_MS: u64 = 1000;
+const WORKER_JITTER_MS: u64 = 250;
+/// The operator sets the configuration once the workers have begun.
+const OPERATOR_FROM_MS: u64 = 2000;
+/// Jobs come once the configuration is in force.
+const JOBS_FROM_MS: f64 = 5000.0;
 
 /// A day without faults in virtual time, in which every process is metered.
 pub struct Clockwork {
@@ -174,6 +54,45 @@
     cluster: String,
 }
 
+/// The processes: replicas with empty disks, and nodes.
+fn processes(size: Size, rng: &mut Rng) -> Vec<Proc> {
+    let replicas: Vec<String> = (0..CORES).map(|i| name(true, i)).collect();
+    let set = |addr: &str, i: usize, data: &str| Settings {
+        listen: addr.into(),
+        http: addr.into(),
+        zone: format!("z{}", i % ZONES),
+        data: data.into(),
+        seeds: replicas.clone(),
+        ..Settings::default()
+    };
+    let at = Now {
+        mono: 1,
+        wall: EPOCH,
+    };
+    let proc = |addr: String, kind: Kind| Proc {
+        addr,
+        kind,
+        tally: Tally::default(),
+    };
+    let mut procs: Vec<Proc> = Vec::new();
+    for (i, addr) in replicas.iter().enumerate() {
+        let loaded = Loaded {
+            disk: rng.number() | 1,
+            ..Loaded::default()
+        };
+        let part = Replica::new(set(addr, i, "d"), loaded, at, rng.number());
+        let part = part.expect("an empty disk loads");
+        procs.push(proc(addr.clone(), Kind::Replica(Box::new(part))));
+    }
+    for i in 0..size.nodes {
+        let addr = name(false, i);
+        let part = Node::new(set(&addr, i, ""), at, rng.number());
+        procs.push(proc(addr, Kind::Node(Box::new(part))));
+    }
+    procs
+}
+
+/// The address of a core or node.
 fn name(replica: bool, i: usize) -> String {
     let z = i % ZONES;
     format!(
@@ -187,59 +106,20 @@
     /// A cluster of a size, before its first moment.
     pub fn new(size: Size, seed: u64) -> Self {
         let mut rng = Rng::new(seed);
-        let replicas: Vec<String> = (0..3).map(|i| name(true, i)).collect();
-        let common = Settings {
-            seeds: replicas.clone(),
-            ..Settings::default()
-        };
-        let set = |addr: &str, i: usize, data: &str| Settings {
-            listen: addr.into(),
-            http: addr.into(),
-            zone: format!("z{}", i % ZONES),
-            data: data.into(),
-            ..common.clone()
-        };
-        let at = Now {
-            mono: 1,
-            wall: EPOCH,
-        };
-        let mut procs: Vec<Proc> = Vec::new();
-        for (i, addr) in replicas.iter().enumerate() {
-            let loaded = Loaded {
-                disk: rng.number() | 1,
-                ..Loaded::default()
-            };
-            let part = Replica::new(set(addr, i, "d"), loaded, at, rng.number());
-            procs.push(Proc {
-                addr: addr.clone(),
-                kind: Kind::Replica(Box::new(part.expect("an empty disk loads"))),
-                tally: Tally::default(),
-            });
-        }
-        for i in 0..size.nodes {
-            let addr = name(false, i);
-            let part = Node::new(set(&addr, i, ""), at, rng.number());
-            procs.push(Proc {
-                addr,
-                kind: Kind::Node(Box::new(part)),
-                tally: Tally::default(),
-            });
-        }
-        let nodes: Vec<String> = procs.iter().skip(3).map(|p| p.addr.clone()).collect();
+        let cluster = Settings::default().cluster;
+        let procs = processes(size, &mut rng);
+        let nodes: Vec<String> = procs.iter().skip(CORES).map(|p| p.addr.clone()).collect();
         let hands = (0..size.workers)
             .map(|i| Worker::new(load::info(i), nodes.clone(), rng.number()))
             .collect();
         let mut operator = Operator::new("op", nodes, rng.number());
         operator.apply(false, load::config());
+        let numbered = procs.iter().enumerate();
         let mut w = Self {
             t: 0,
             seq: 0,
             queue: BinaryHeap::new(),
-            by_addr: procs
-                .iter()
-                .enumerate()
-                .map(|(i, p)| (p.addr.clone(), i))
-                .collect(),
+            by_addr: numbered.map(|(i, p)| (p.addr.clone(), i)).collect(),
             rng,
             procs,
             arrivals: BTreeMap::new(),
@@ -250,28 +130,37 @@
             size,
             started: 0.0,
             clock: clock_cost(),
-            cluster: common.cluster,
+            cluster,
         };
-        for i in 0..w.procs.len() {
-            let jitter = w.rng.below(TICK);
-            w.at(1 + jitter, Happening::Tick(i));
+        w.plan_ticks();
+        w
+    }
+
+    /// All look at the time from some moment on, each from its own.
+    fn plan_ticks(&mut self) {
+        for i in 0..self.procs.len() {
+            let jitter = self.rng.below(TICK);
+            self.at(1 + jitter, Happening::Tick(i));
         }
-        for i in 0..size.workers {
-            let jitter = w.rng.below(250);
-            w.at(1000 + jitter, Happening::HandTick(i));
+        for i in 0..self.size.workers {
+            let jitter = self.rng.below(WORKER_JITTER_MS);
+            self.at(WORKERS_FROM_MS + jitter, Happening::HandTick(i));
         }
-        w.at(2000, Happening::OperatorTick);
-        w
+        self.at(OPERATOR_FROM_MS, Happening::OperatorTick);
     }
 
     fn at(&mut self, t: u64, what: Happening) {
         self.seq += 1;
-        self.queue.push(Reverse(Due(t, self.seq, what)));
+        self.queue.push(Reverse(Due {
+            t,
+            seq: self.seq,
+            what,
+        }));
     }
 
     /// Plans jobs from the fifth second on: as many tasks a second as the size says.
     fn plan(&mut self, until: u64) {
-        let (mut t, mut n) = (5000.0, 0);
+        let (mut t, mut n) = (JOBS_FROM_MS, 0);
         while t < until as f64 {
             n += 1;
             let spec = load::job(&mut self.rng, n, self.size.task_ms());
@@ -317,12 +206,12 @@
 
     fn run_to(&mut self, end: u64) {
         while let Some(Reverse(due)) = self.queue.pop() {
-            if due.0 > end {
+            if due.t > end {
                 self.queue.push(Reverse(due));
                 return;
             }
-            self.t = due.0;
-            self.happen(due.2);
+            self.t = due.t;
+            self.happen(due.what);
         }
     }
 
@@ -362,127 +251,4 @@
             })
             .collect()
     }
-
-    fn happen(&mut self, what: Happening) {
-        let t = self.t;
-        match what {
-            Happening::Tick(i) => {
-                self.reach(i, Msg::Tick);
-                self.at(t + TICK, Happening::Tick(i));
-            }
-            Happening::Deliver(i, bytes) => {
-                let (env, spent) = timed(self.clock, || unpack(&self.cluster, &bytes));
-                let tally = &mut self.procs[i].tally;
-                tally.messages_in += 1.0;
-                tally.bytes_in += bytes.len() as f64;
-                tally.wire += spent;
-                if let Ok(env) = env {
-                    self.reach(i, Msg::Wire(env.from, env.body));
-                }
-            }
-            Happening::Saved(i, write_id) => self.reach(i, Msg::Persisted(write_id)),
-            Happening::Call(i, from, n, req) => {
-                self.seq += 1;
-                let call = self.seq;
-                self.calls.insert(call, (from, n));
-                self.procs[i].tally.calls += 1.0;
-                self.reach(i, Msg::Call(call, req));
-            }
-            Happening::Answer(Ent::Worker(i), n, v) => {
-                let asks = self.hands[i].answer(t, n, &v);
-                self.asked(Ent::Worker(i), asks);
-            }
-            Happening::Answer(Ent::Operator, n, v) => {
-                let asks = self.operator.answer(t, n, &v);
-                self.asked(Ent::Operator, asks);
-            }
-            // Whoever hands in comes back until the job is taken, and doesn't poll.
-            Happening::Answer(Ent::Client(job), _, v) => {
-                if matches!(v.status, 200 | 202) {
-                    self.jobs.remove(&job);
-                } else {
-                    self.at(t + v.retry_ms.max(200), Happening::HandIn(job));
-                }
-            }
-            Happening::HandTick(i) => {
-                let asks = self.hands[i].tick(t);
-                self.asked(Ent::Worker(i), asks);
-                self.at(t + TICK, Happening::HandTick(i));
-            }
-            Happening::HandIn(job) => {
-                let node = 3 + self.rng.below(self.size.nodes as u64) as usize;
-                let body = self.jobs.get(&job).map(|s| json!(s));
-                if let Some(body) = body {
-                    let req = request("POST", "/v1/jobs", "", Some(&body));
-                    self.at(t + 2, Happening::Call(node, Ent::Client(job), 0, req));
-                }
-            }
-            Happening::OperatorTick => {
-                let asks = self.operator.tick(t);
-                self.asked(Ent::Operator, asks);
-                if !self.operator.idle() {
-                    self.at(t + TICK, Happening::OperatorTick);
-                }
-            }
-        }
-    }
-
-    fn asked(&mut self, from: Ent, asks: Vec<Ask>) {
-        for a in asks {
-            match a {
-                Ask::DurabilityWitness(Event::Started { .. }) => self.started += 1.0,
-                Ask::DurabilityWitness(_) => {}
-                Ask::Call { to, call, req } => {
-                    let at = self.t + 1 + self.rng.below(4);
-                    if let Some(i) = self.by_addr.get(&to).copied() {
-                        self.at(at, Happening::Call(i, from, call, req));
-                    }
-                }
-            }
-        }
-    }
-
-    /// One step of a process, with its processor time and its effects.
-    fn reach(&mut self, i: usize, msg: Msg) {
-        let now = Now {
-            mono: self.t + 1,
-            wall: EPOCH + self.t,
-        };
-        let p = &mut self.procs[i];
-        let (effects, spent) = timed(self.clock, || p.step(now, msg));
-        p.tally.step += spent;
-        for e in effects {
-            match e {
-                Effect::Send(to, body) => self.carry(i, &to, &body),
-                Effect::Persist(save) => {
-                    let at = self.t + 2 + self.rng.below(3);
-                    self.at(at, Happening::Saved(i, save.write_id));
-                }
-                Effect::Answer(call, v) => {
-                    if let Some((to, n)) = self.calls.remove(&call) {
-                        let at = self.t + 1 + self.rng.below(3);
-                        self.at(at, Happening::Answer(to, n, v));
-                    }
-                }
-                Effect::Log(_) | Effect::Exit => {}
-            }
-        }
-    }
-
-    fn carry(&mut self, from: usize, to: &str, body: &Body) {
-        let Some(j) = self.by_addr.get(to).copied() else {
-            return;
-        };
-        let p = &mut self.procs[from];
-        let (bytes, spent) = timed(self.clock, || pack(&self.cluster, &p.addr, body));
-        p.tally.messages_out += 1.0;
-        p.tally.bytes_out += bytes.len() as f64;
-        p.tally.wire += spent;
-        // One connection keeps its order.
-        let at = self.t + 1 + self.rng.below(3);
-        let last = self.arrivals.entry((from, j)).or_default();
-        *last = at.max(*last);
-        let at = *last;
-        self.at(at, Happening::Deliver(j, bytes));
-    }
 }
--- a/testkit/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -8,7 +8,6 @@
 
 /// Files that are larger, with the lines that they may have. Entries go or shrink; none is added and none grows.
 const LARGE_FILES: &[(&str, usize)] = &[
-    ("testkit/src/measure/capacity/clockwork.rs", 488),
     ("testkit/src/scale/drive.rs", 415),
 ];
 
