--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -49,6 +49,12 @@
             Kind::Node(p) => p.is_some(),
         }
     }
+    /// Begins a new life, of a process that runs or of one that is dead: nothing that was on its way to the last one counts.
+    fn begin_life(&mut self) {
+        self.life += 1;
+        self.frozen = false;
+        self.inbox.clear();
+    }
     /// Whether it is a replica, and not a node.
     pub fn is_core(&self) -> bool {
         matches!(self.kind, Kind::Replica(..))
@@ -132,9 +138,7 @@
             self.procs[i].is_core(),
         );
         let p = &mut self.procs[i];
-        p.life += 1;
-        p.frozen = false;
-        p.inbox.clear();
+        p.begin_life();
         match &mut p.kind {
             Kind::Replica(part, disk) => {
                 *part = Some(Box::new(
@@ -155,9 +159,7 @@
         let arrived = self.rng.below(3) as usize;
         self.keep_counters(i);
         let p = &mut self.procs[i];
-        p.life += 1;
-        p.frozen = false;
-        p.inbox.clear();
+        p.begin_life();
         match &mut p.kind {
             Kind::Replica(part, disk) => {
                 *part = None;
