--- a/landingdrift/tests/stored/messages.rs
+++ b/landingdrift/tests/stored/messages.rs
@@ -88,7 +88,7 @@
         knows: false,
         witnessed: Box::new(note(5)),
         members: vec!["a".into(), "b".into()],
-        notes: vec![note(6)],
+        witnesses: vec![note(6)],
         zone: "z".into(),
     };
     let vote = VoteRequest {
@@ -127,7 +127,7 @@
         commit: 4,
         round: 5,
         entries: vec![entry()],
-        notes: vec![note(6)],
+        witnesses: vec![note(6)],
         clock: 7,
         may_leave: true,
     };
--- a/landingdrift/tests/stored/mod.rs
+++ b/landingdrift/tests/stored/mod.rs
@@ -116,7 +116,7 @@
         DataFolder::open(path, CLUSTER, SEGMENT_BYTES, DISK).expect("a new folder");
     let first = WriteBatch {
         hard_state: Some(hard_state()),
-        notes: notes(),
+        witnesses: notes(),
         ..WriteBatch::default()
     };
     folder.save(&[first]).expect("saved");
@@ -137,7 +137,7 @@
 }
 
 fn save_entries(folder: &mut DataFolder, lines: &[Line]) {
-    for batch in lines.snapshot_chunks(BATCH) {
+    for batch in lines.chunks(BATCH) {
         let save = WriteBatch {
             entries: batch.iter().map(entry).collect(),
             ..WriteBatch::default()
--- a/landingdrift/tests/stored/variants.rs
+++ b/landingdrift/tests/stored/variants.rs
@@ -121,7 +121,7 @@
     }
 }
 
-fn send(of: &AttemptState) -> usize {
+fn attempt(of: &AttemptState) -> usize {
     match of {
         AttemptState::Ordered => 0,
         AttemptState::Running => 1,
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -70,7 +70,7 @@
             log_index: entry.log_index,
             at: entry.at,
             entry: entry.command,
-            ruled: serde_json::Value::Null,
+            result: serde_json::Value::Null,
         })
         .collect();
     drop(stored::write_log(&log, &lines));
@@ -120,29 +120,32 @@
 #[test]
 fn a_record_is_read_and_packed_as_it_was() {
     let bytes = stored::bytes(RECORD);
-    let state = ClusterState::unpack(&bytes).expect("a record");
-    assert_eq!(state.pack(), bytes);
-    let states = |state: JobState| state.jobs.values().filter(|j| j.state == state).count();
-    assert_eq!(state.jobs.len(), 5);
+    let cluster = ClusterState::unpack(&bytes).expect("a record");
+    assert_eq!(cluster.pack(), bytes);
+    let states = |state: JobState| cluster.jobs.values().filter(|j| j.state == state).count();
+    assert_eq!(cluster.jobs.len(), 5);
     assert_eq!(states(JobState::Done), 1);
     assert_eq!(states(JobState::Cancelling), 1);
     assert_eq!(states(JobState::Running), 2);
     assert_eq!(states(JobState::Waiting), 1);
-    assert_eq!(state.tombstones["forgotten"].state, JobState::Done);
-    assert_eq!(state.tombstones["forgotten"].hash, 101);
-    assert!(state.refusals.contains_key("turned-away"));
-    assert_eq!((state.workers.len(), state.nodes.len()), (3, 2));
+    assert_eq!(cluster.tombstones["forgotten"].state, JobState::Done);
+    assert_eq!(cluster.tombstones["forgotten"].hash, 101);
+    assert!(cluster.refusals.contains_key("turned-away"));
+    assert_eq!((cluster.workers.len(), cluster.nodes.len()), (3, 2));
     assert_eq!(
-        (state.replicas.len(), state.replicas["10.0.0.4:7000"].disk),
+        (
+            cluster.replicas.len(),
+            cluster.replicas["10.0.0.4:7000"].disk
+        ),
         (4, 4)
     );
-    assert_eq!(state.leases["queue/old"].epoch, 4);
-    assert_eq!((state.version, state.changes.len()), (8, 2));
-    assert_eq!(state.retired["old"].quota, 1);
-    assert_eq!(state.config.queues["fast"].stretch, 2.5);
-    assert_eq!(state.evacuated_zones, BTreeSet::from(["z2".to_string()]));
-    assert_eq!(state.orders.len(), 4);
-    assert_eq!(state.live.len(), 4);
+    assert_eq!(cluster.leases["queue/old"].epoch, 4);
+    assert_eq!((cluster.version, cluster.changes.len()), (8, 2));
+    assert_eq!(cluster.retired["old"].quota, 1);
+    assert_eq!(cluster.config.queues["fast"].stretch, 2.5);
+    assert_eq!(cluster.evacuated_zones, BTreeSet::from(["z2".to_string()]));
+    assert_eq!(cluster.orders.len(), 4);
+    assert_eq!(cluster.live.len(), 4);
 }
 
 #[test]
@@ -190,17 +193,17 @@
 /// Packed bytes say nothing of names: two fields of one type that change places are told by the names in the JSON.
 #[test]
 fn every_field_of_the_packed_record_is_the_one_that_the_json_names() {
-    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
-    let orders = state.orders.clone();
-    assert_eq!(stored::orders_json(&state), stored::text(ORDERS));
-    let state = stored::recording(STATE);
-    assert_eq!(stored::recording_of(&state).text(), stored::text(STATE));
+    let unpacked = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+    let orders = unpacked.orders.clone();
+    assert_eq!(stored::orders_json(&unpacked), stored::text(ORDERS));
+    let recorded = stored::recording(STATE);
+    assert_eq!(stored::recording_of(&unpacked).text(), stored::text(STATE));
     assert_eq!(
         ClusterState {
             orders,
-            ..state.start
+            ..recorded.start
         },
-        state
+        unpacked
     );
 }
 
@@ -241,7 +244,7 @@
     let (cluster, loaded) = read_whole(&fixture(FOLDER)).expect("a sound folder");
     assert_eq!((cluster.as_str(), loaded.disk), (stored::CLUSTER, 77));
     assert_eq!(
-        (loaded.hard_state.clone(), loaded.notes),
+        (loaded.hard_state.clone(), loaded.witnesses),
         (stored::hard_state(), stored::notes())
     );
     assert_eq!(
