--- /dev/null
+++ b/landingdrift/src/consensus/append.rs
@@ -0,0 +1,134 @@
+//! Appending by a follower: entries that the leader sends, and the acknowledgement of those that are durable.
+
+use super::clock::ClockReading;
+use super::Replica;
+use crate::sans_io::Now;
+use crate::wire::{AppendRequest, AppendResponse, Body, Entry};
+
+/// Whom to tell which entries have become durable, and the round that it asked in.
+#[derive(Clone, Debug)]
+pub(super) struct PendingAcknowledgement {
+    pub leader: String,
+    pub round: u64,
+}
+
+impl Replica {
+    /// A leader sends entries, or a heartbeat.
+    pub(super) fn on_append_request(&mut self, now: Now, from: &str, request: AppendRequest) {
+        if request.term < self.hard_state.term {
+            self.reject_stale_leader(now, from);
+            return;
+        }
+        self.become_follower(now, request.term, from);
+        self.election.last_leader_contact = now.mono;
+        self.reset_election_timer(now);
+        self.clock.follow_leader(now, request.clock);
+        self.shutdown.leave_permitted = request.may_leave;
+        self.remember_witnesses(request.witnesses);
+
+        let takes_writes = self.disk_health.takes_writes();
+        let previous_matches = request.prev_index < self.log.base().index
+            || self.log.term_at(request.prev_index) == Some(request.prev_term);
+        // Where the logs do not agree, the answer names the index at which they do not.
+        let mut matched = request.prev_index;
+        if previous_matches {
+            if takes_writes {
+                matched = self.append_entries(request.entries).unwrap_or(matched);
+            }
+            self.log.verified_index = self.log.verified_index.max(matched);
+            let committed = request.commit.min(matched);
+            self.log.commit_index = self.log.commit_index.max(committed);
+            self.apply_committed();
+            self.try_leave_recovery_floor();
+        }
+        self.flush();
+        if previous_matches {
+            matched = matched.min(self.persistence.durable_index);
+        }
+        self.pending_acknowledgement = Some(PendingAcknowledgement {
+            leader: from.to_string(),
+            round: request.round,
+        });
+        let response = AppendResponse {
+            ok: previous_matches,
+            matched,
+            round: request.round,
+            ..self.append_response(self.clock.reading(now))
+        };
+        self.send_when_term_durable(from, Body::AppendResponse(Box::new(response)));
+    }
+
+    /// Appends the entries that are missing, in place of those that conflict; returns the index of the last one sent.
+    fn append_entries(&mut self, entries: Vec<Entry>) -> Option<u64> {
+        let last_sent = entries.last().map(|entry| entry.index);
+        for entry in entries {
+            let is_covered = entry.index <= self.log.base().index;
+            if is_covered || self.log.term_at(entry.index) == Some(entry.term) {
+                continue;
+            }
+            if entry.index <= self.log.last().index {
+                self.truncate_log(entry.index);
+            }
+            if entry.index == self.log.last().index + 1 {
+                self.log.append(entry.clone());
+                self.persistence.write_entry(entry);
+                self.membership.invalidate();
+            }
+        }
+        last_sent
+    }
+
+    /// Removes the entries from `index` on, which conflict with the leader's.
+    fn truncate_log(&mut self, index: u64) {
+        self.log.truncate_from(index);
+        self.persistence.truncate_from(index);
+        self.membership.invalidate();
+        self.count("entries_truncated", 1);
+    }
+
+    fn reject_stale_leader(&mut self, now: Now, from: &str) {
+        let response = AppendResponse {
+            ok: false,
+            refuses: false,
+            ..self.append_response(self.clock.reading(now))
+        };
+        self.send(from, Body::AppendResponse(Box::new(response)));
+    }
+
+    /// Tells the leader which entries have become durable since its last request.
+    pub(super) fn acknowledge_durable(&mut self) {
+        let Some(pending) = self.pending_acknowledgement.clone() else {
+            return;
+        };
+        if pending.leader != self.leader || pending.leader.is_empty() {
+            return;
+        }
+        let no_reading = ClockReading {
+            time: 0,
+            is_agreed: false,
+        };
+        let response = AppendResponse {
+            ok: true,
+            matched: self.persistence.durable_index.min(self.log.verified_index),
+            round: pending.round,
+            ..self.append_response(no_reading)
+        };
+        self.send_when_term_durable(&pending.leader, Body::AppendResponse(Box::new(response)));
+    }
+
+    /// What every answer to a request to append says of this replica.
+    fn append_response(&self, reading: ClockReading) -> AppendResponse {
+        AppendResponse {
+            term: self.hard_state.term,
+            ok: false,
+            matched: 0,
+            last_index: self.log.last().index,
+            round: 0,
+            clock: reading.time,
+            carried: reading.is_agreed,
+            disk: self.disk,
+            leaving: self.shutdown.is_requested(),
+            refuses: !self.disk_health.takes_writes(),
+        }
+    }
+}
--- /dev/null
+++ b/landingdrift/src/consensus/client_requests.rs
@@ -0,0 +1,163 @@
+//! What nodes ask of the leader: to propose a command, and for the index to read at.
+
+use super::{Replica, Role};
+use crate::sans_io::Now;
+use crate::state::Command;
+use crate::wire::{
+    Body, NodeProgress, ProposeRequest, ProposeResponse, ReadIndexResponse, RequestToken,
+};
+
+/// The outcome of a proposal on the wire: it was applied, and `response` says with which result.
+const OUTCOME_APPLIED: u8 = 0;
+/// The outcome of a proposal on the wire: it was not taken and never will be.
+const OUTCOME_NOT_TAKEN: u8 = 1;
+
+/// Who is to be answered once a proposal is applied.
+#[derive(Clone, Debug)]
+pub(super) struct PendingProposal {
+    pub from: String,
+    pub token: RequestToken,
+}
+
+/// A request for an index to read at, to be answered once this replica surely led after it came.
+#[derive(Clone, Debug)]
+pub(super) struct PendingRead {
+    from: String,
+    token: RequestToken,
+    /// When it came, in monotonic milliseconds.
+    received_at: u64,
+    index: u64,
+}
+
+impl Replica {
+    /// Where a node should ask instead; empty where this replica leads but can't answer yet.
+    fn leader_hint(&self) -> String {
+        if self.role == Role::Leader {
+            String::new()
+        } else {
+            self.leader.clone()
+        }
+    }
+
+    /// A node proposes a command.
+    pub(super) fn on_propose_request(&mut self, now: Now, from: &str, request: ProposeRequest) {
+        if !Command::may_be_proposed(&request.command) {
+            self.count("proposals_unexpected", 1);
+            return;
+        }
+        let accepts = self.is_ready_to_lead()
+            && !self.is_transferring_leadership(now)
+            && self.accepts_proposals(now);
+        if !accepts {
+            let response = ProposeResponse {
+                token: request.token,
+                outcome: OUTCOME_NOT_TAKEN,
+                log_index: 0,
+                leader: self.leader_hint(),
+                response: Vec::new(),
+            };
+            self.send(from, Body::ProposeResponse(Box::new(response)));
+            return;
+        }
+        self.count("proposals", 1);
+        let index = self.append_bytes(now, request.command);
+        let pending = PendingProposal {
+            from: from.into(),
+            token: request.token,
+        };
+        self.leadership.pending_proposals.insert(index, pending);
+        self.leadership.round_requested = true;
+    }
+
+    /// Applies what is committed, and answers the proposals among it.
+    pub(super) fn apply_committed(&mut self) {
+        while self.state.applied_index < self.log.commit_index {
+            let index = self.state.applied_index + 1;
+            let Some(entry) = self.log.entry(index).cloned() else {
+                break;
+            };
+            let result = self
+                .state
+                .apply_bytes(entry.index, entry.at, &entry.command);
+            self.snapshots.bytes_since_latest += entry.command.len() as u64;
+            self.count("entries_applied", 1);
+            self.count("entries_rejected", u64::from(result.is_err()));
+            if let Some(pending) = self.leadership.pending_proposals.remove(&index) {
+                let response = ProposeResponse {
+                    token: pending.token,
+                    outcome: OUTCOME_APPLIED,
+                    log_index: index,
+                    leader: self.name.clone(),
+                    response: crate::state::pack_apply_result(&result),
+                };
+                self.send(&pending.from, Body::ProposeResponse(Box::new(response)));
+            }
+        }
+        self.take_snapshot_when_due();
+    }
+
+    /// A node asks for an index such that a state that has applied it shows all that was acknowledged before.
+    pub(super) fn on_read_index_request(&mut self, now: Now, from: &str, token: RequestToken) {
+        if !self.is_ready_to_lead() {
+            let response = ReadIndexResponse {
+                token,
+                ok: false,
+                log_index: 0,
+                leader: self.leader_hint(),
+                nodes: Vec::new(),
+            };
+            self.send(from, Body::ReadIndexResponse(Box::new(response)));
+            return;
+        }
+        self.leadership.pending_reads.push(PendingRead {
+            from: from.into(),
+            token,
+            received_at: now.mono,
+            index: self.log.commit_index,
+        });
+        self.leadership.round_requested = true;
+    }
+
+    /// Answers the reads that came before a moment at which this replica surely led.
+    pub(super) fn answer_reads(&mut self, now: Now) {
+        if self.leadership.pending_reads.is_empty() {
+            return;
+        }
+        let last_contact = self.last_quorum_contact(now);
+        let reads = std::mem::take(&mut self.leadership.pending_reads);
+        let (ready, waiting): (Vec<PendingRead>, Vec<PendingRead>) = reads
+            .into_iter()
+            .partition(|read| read.received_at <= last_contact);
+        self.leadership.pending_reads = waiting;
+        let nodes = self.node_progress(now);
+        for read in ready {
+            let response = ReadIndexResponse {
+                token: read.token,
+                ok: true,
+                log_index: read.index,
+                leader: self.name.clone(),
+                nodes: nodes.clone(),
+            };
+            self.send(&read.from, Body::ReadIndexResponse(Box::new(response)));
+        }
+    }
+
+    /// How far each live node has come. Nodes that are gone hold up no change.
+    fn node_progress(&self, now: Now) -> Vec<NodeProgress> {
+        let mut all = Vec::new();
+        for (node, watcher) in &self.watch.watchers {
+            if !self.state.nodes.get(node).is_some_and(|n| n.alive) {
+                continue;
+            }
+            let mut changes = self.state.changes.iter().rev();
+            let newest_applied = changes.find(|c| c.log_index <= watcher.applied_index);
+            all.push(NodeProgress {
+                node: node.clone(),
+                log_index: watcher.applied_index,
+                version: newest_applied.map_or(0, |change| change.version),
+                age: now.mono.saturating_sub(watcher.last_heard_at),
+            });
+        }
+        all
+    }
+}
--- a/landingdrift/src/consensus/clock.rs
+++ b/landingdrift/src/consensus/clock.rs
@@ -1,12 +1,41 @@
+//! The cluster clock: a time that the replicas agree on.
+
 use crate::sans_io::Now;
 use std::collections::BTreeMap;
 
+/// So many clocks are enough to agree on a time at once.
+const ENOUGH_READINGS: usize = 5;
+/// So many are enough after the wait for more.
+const ENOUGH_READINGS_AFTER_WAIT: usize = 2;
+
 /// What a process says of the time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
-    pub at: u64,
-    /// It heard the agreed time since it started and carries it on by durations; else it is its machine's clock.
-    pub carried: bool,
+    /// Milliseconds since 1970.
+    pub time: u64,
+    /// The process has heard the agreed time since it started and carries it on by durations. Otherwise `time` is that
+    /// of its machine.
+    pub is_agreed: bool,
+}
+
+/// A time, and when it was right.
+#[derive(Clone, Copy, Debug)]
+struct TimeBase {
+    mono: u64,
+    time: u64,
+}
+
+impl TimeBase {
+    fn carried_on(&self, now: Now) -> u64 {
+        self.time + now.mono.saturating_sub(self.mono)
+    }
+}
+
+/// A reading of another process, and when it was received.
+#[derive(Clone, Copy, Debug)]
+struct ReceivedReading {
+    received_at: u64,
+    reading: ClockReading,
 }
 
 /// The clock that the replicas agree on: agreed once, carried on by durations, never back.
@@ -15,160 +44,94 @@
 /// outage. A clock that jumps while its process runs moves nothing.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterClock {
-    base: Option<(u64, u64)>,
-    seen: BTreeMap<String, (u64, ClockReading)>,
-    since: u64,
-    last: u64,
+    base: Option<TimeBase>,
+    /// The latest readings of other processes, by address.
+    readings: BTreeMap<String, ReceivedReading>,
+    /// Since when this replica has led, in monotonic milliseconds.
+    leading_since: u64,
+    /// The latest time that was read, in milliseconds since 1970.
+    last_read: u64,
 }
 
-/// So many clocks are enough for a first reading at once.
-const MANY: usize = 5;
-
 impl ClusterClock {
-    /// Begins to lead: what was carried goes on; no entry so far is later than `last`.
-    pub fn lead(&mut self, now: Now, last: u64) {
-        self.seen.clear();
-        self.since = now.mono;
-        self.last = self.last.max(last);
+    /// Begins to lead. A time that was agreed goes on; no entry so far is later than `last_entry_time`.
+    pub fn start_leading(&mut self, now: Now, last_entry_time: u64) {
+        self.readings.clear();
+        self.leading_since = now.mono;
+        self.last_read = self.last_read.max(last_entry_time);
     }
 
-    /// The leader has reading the agreed time.
-    pub fn hear(&mut self, now: Now, at: u64) {
-        self.base = Some((now.mono, at)).filter(|_| at > 0).or(self.base);
+    /// Takes over the leader's time; 0 where the leader knows none.
+    pub fn follow_leader(&mut self, now: Now, time: u64) {
+        if time > 0 {
+            let mono = now.mono;
+            self.base = Some(TimeBase { mono, time });
+        }
     }
 
-    /// Takes witness of what another process says of the time.
-    pub fn sample(&mut self, now: Now, who: &str, reading: ClockReading) {
-        self.seen.insert(who.into(), (now.mono, reading));
+    /// Keeps what another process says of the time.
+    pub fn observe(&mut self, now: Now, process: &str, reading: ClockReading) {
+        let received = ReceivedReading {
+            received_at: now.mono,
+            reading,
+        };
+        self.readings.insert(process.into(), received);
     }
 
     /// Whether there is an agreed time.
-    pub fn set(&self) -> bool {
+    pub fn is_set(&self) -> bool {
         self.base.is_some()
     }
 
     /// What this process says of the time.
-    pub fn tell(&self, now: Now) -> ClockReading {
+    pub fn reading(&self, now: Now) -> ClockReading {
         ClockReading {
-            at: self.carried(now).unwrap_or(now.wall),
-            carried: self.base.is_some(),
+            time: self.base.map_or(now.wall, |base| base.carried_on(now)),
+            is_agreed: self.base.is_some(),
         }
     }
 
-    fn carried(&self, now: Now) -> Option<u64> {
-        self.base.map(|(m, at)| at + now.mono.saturating_sub(m))
-    }
-
-    /// Where nothing is carried yet: the time that another process carries, else the lower median of the clocks of
-    /// many, or of those heard within `patience`.
-    pub fn steer(&mut self, now: Now, patience: u64) {
+    /// Agrees on a time where there is none: the one that another process carries, else the lower median of the
+    /// machines' clocks, once there are enough of them or a few after `wait_ms`.
+    pub fn agree_if_possible(&mut self, now: Now, wait_ms: u64) {
         if self.base.is_some() {
             return;
         }
         let own = ClockReading {
-            at: now.wall,
-            carried: false,
+            time: now.wall,
+            is_agreed: false,
         };
-        let all: Vec<ClockReading> = self
-            .seen
-            .values()
-            .map(|(m, t)| ClockReading {
-                at: t.at + now.mono.saturating_sub(*m),
-                ..*t
-            })
-            .chain([own])
-            .collect();
-        let waited = now.mono.saturating_sub(self.since) >= patience;
-        let carried: Vec<u64> = all.iter().filter(|t| t.carried).map(|t| t.at).collect();
-        let mut of = if carried.is_empty() {
-            all.iter().map(|t| t.at).collect()
-        } else {
-            carried.clone()
-        };
-        of.sort_unstable();
-        let enough = !carried.is_empty() || of.len() >= MANY || (waited && of.len() >= 2);
-        self.base = enough.then(|| (now.mono, of[(of.len() - 1) / 2].max(self.last)));
+        let mut readings = vec![own];
+        for received in self.readings.values() {
+            let age = now.mono.saturating_sub(received.received_at);
+            readings.push(ClockReading {
+                time: received.reading.time + age,
+                ..received.reading
+            });
+        }
+        let waited = now.mono.saturating_sub(self.leading_since) >= wait_ms;
+        let some_agreed = readings.iter().any(|reading| reading.is_agreed);
+        let enough = some_agreed
+            || readings.len() >= ENOUGH_READINGS
+            || (waited && readings.len() >= ENOUGH_READINGS_AFTER_WAIT);
+        if !enough {
+            return;
+        }
+        let considered = readings.iter().filter(|r| r.is_agreed || !some_agreed);
+        let mut times: Vec<u64> = considered.map(|reading| reading.time).collect();
+        times.sort_unstable();
+        let lower_median = times[(times.len() - 1) / 2];
+        self.base = Some(TimeBase {
+            mono: now.mono,
+            time: lower_median.max(self.last_read),
+        });
     }
 
-    /// The agreed time.
+    /// The agreed time in milliseconds since 1970; never earlier than the last one that was read.
     pub fn read(&mut self, now: Now) -> u64 {
-        self.last = self.last.max(self.carried(now).unwrap_or(self.last));
-        self.last
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const HOUR: u64 = 3_600_000;
-
-    fn reading(at: u64, carried: bool) -> ClockReading {
-        ClockReading { at, carried }
-    }
-
-    #[test]
-    fn clocks_that_jump_together_move_nothing_once_the_time_is_agreed() {
-        let mut c = ClusterClock::default();
-        let mut before = 0;
-        for t in 0..200u64 {
-            let mono = t * 100;
-            let jump = if t > 50 { HOUR } else { 0 };
-            let now = Now {
-                mono,
-                wall: 1_000_000 + mono + jump,
-            };
-            c.sample(now, "b", reading(1_000_000 + mono + jump, false));
-            c.sample(now, "c", reading(1_000_005 + mono + jump, false));
-            c.steer(now, 100);
-            let read = c.read(now);
-            assert!(read >= before);
-            assert!(
-                t < 2 || read.abs_diff(1_000_000 + mono) < 50,
-                "drifted to {read} at {mono}"
-            );
-            before = read;
+        if let Some(base) = self.base {
+            self.last_read = self.last_read.max(base.carried_on(now));
         }
-    }
-
-    #[test]
-    fn a_process_that_starts_anew_takes_the_time_that_others_carry() {
-        let mut c = ClusterClock::default();
-        let now = Now {
-            mono: 5,
-            wall: 9 * HOUR,
-        };
-        c.lead(now, HOUR);
-        c.sample(now, "b", reading(9 * HOUR, false));
-        c.sample(now, "n", reading(2 * HOUR, true));
-        c.steer(now, 1000);
-        assert_eq!(c.read(now), 2 * HOUR);
-    }
-
-    #[test]
-    fn after_a_total_outage_many_clocks_outvote_the_cores_and_time_never_goes_back() {
-        let mut c = ClusterClock::default();
-        let now = Now {
-            mono: 5,
-            wall: 9 * HOUR,
-        };
-        c.lead(now, 3 * HOUR);
-        c.sample(now, "b", reading(9 * HOUR, false));
-        c.steer(now, 1000);
-        assert!(!c.set(), "two clocks are few while more may be heard");
-        ["c", "n", "m"]
-            .iter()
-            .for_each(|p| c.sample(now, p, reading(4 * HOUR, false)));
-        c.steer(now, 1000);
-        assert_eq!(c.read(now), 4 * HOUR);
-        let mut d = ClusterClock::default();
-        d.lead(now, 10 * HOUR);
-        d.sample(now, "b", reading(HOUR, false));
-        let later = Now {
-            mono: 2000,
-            wall: HOUR,
-        };
-        d.steer(later, 1000);
-        assert_eq!(d.read(later), 10 * HOUR);
+        self.last_read
     }
 }
--- a/landingdrift/src/consensus/election.rs
+++ b/landingdrift/src/consensus/election.rs
@@ -1,32 +1,79 @@
-use super::{Peer, Replica, Role};
+//! Elections: pre-vote, vote, and transfer of leadership.
+
+use super::position::LogPosition;
+use super::progress::Progress;
+use super::{Replica, Role};
 use crate::sans_io::Now;
 use crate::state::Command;
 use crate::wire::{Body, TransferLeadership, VoteRequest, VoteResponse};
+use std::collections::BTreeMap;
+
+/// Shortly after a start, with no leader heard of, the election time-out is shorter by this factor: there is most likely
+/// no leader at all, as after a total outage.
+const FAST_ELECTION_DIVISOR: u64 = 4;
+
+/// The election timer and the votes that were received. Times are monotonic milliseconds.
+#[derive(Clone, Debug)]
+pub(super) struct Election {
+    /// When this replica stands for election unless it hears a leader first.
+    pub deadline: u64,
+    pub last_leader_contact: u64,
+    /// Until when the election time-out is short.
+    pub fast_until: u64,
+    /// The disks of the replicas that gave their vote, by address.
+    pub votes: BTreeMap<String, u64>,
+}
+
+impl Election {
+    /// An election timer that has just been started.
+    pub fn new(now: Now, timeout_ms: u64) -> Self {
+        Self {
+            deadline: now.mono + timeout_ms,
+            last_leader_contact: now.mono,
+            fast_until: 0,
+            votes: BTreeMap::new(),
+        }
+    }
+}
 
 impl Replica {
+    /// Starts the election timer anew, with a random share so that replicas rarely stand at once.
     pub(super) fn reset_election_timer(&mut self, now: Now) {
-        let span = self.settings.bounds.election();
-        // Just awake and with no leader heard of, there is most likely none: a total outage.
-        let eager = now.mono < self.fast_election_until && self.leader.is_empty();
-        let span = if eager { span / 4 } else { span };
-        // Whoever is being shut down leaves the lead to others, as long as there are any.
-        let reserve = if self.stopping.is_some() { span } else { 0 };
-        self.election_at = now.mono + reserve + span + self.rng.below(span);
+        let mut timeout = self.settings.bounds.election();
+        let is_fast = now.mono < self.election.fast_until && self.leader.is_empty();
+        if is_fast {
+            timeout /= FAST_ELECTION_DIVISOR;
+        }
+        // A replica that is being shut down lets the others stand first.
+        let reserve = if self.shutdown.is_requested() {
+            timeout
+        } else {
+            0
+        };
+        self.election.deadline = now.mono + reserve + timeout + self.rng.below(timeout);
+    }
+
+    /// Whether a leader was heard within the election time-out, or this replica leads.
+    fn has_live_leader(&self, now: Now) -> bool {
+        let silence = now.mono.saturating_sub(self.election.last_leader_contact);
+        self.role == Role::Leader
+            || (!self.leader.is_empty() && silence < self.settings.bounds.election())
     }
 
-    /// Falls back to following, in a term not older than its own.
-    pub(super) fn follow(&mut self, now: Now, term: u64, leader: &str) {
+    /// Enters a term that is not older than the current one, as a follower. `leader` is empty where it isn't known.
+    pub(super) fn become_follower(&mut self, now: Now, term: u64, leader: &str) {
         if term > self.hard_state.term {
             self.hard_state.term = term;
             self.hard_state.vote.clear();
-            self.verified = 0;
-            self.pending_batch.hard_state = Some(self.hard_state.clone());
+            self.log.verified_index = 0;
+            self.persistence.write_hard_state(&self.hard_state);
         }
         if self.role == Role::Leader {
-            self.line(format!("no longer leader, term {}", self.hard_state.term));
-            // What was proposed may still come through under another leader: nobody is reading "refused".
-            self.asked.clear();
-            self.reads.clear();
+            self.outbox
+                .log(format!("no longer leader, term {}", self.hard_state.term));
+            // A pending proposal may still commit under another leader, so nobody is told that it was rejected.
+            self.leadership.pending_proposals.clear();
+            self.leadership.pending_reads.clear();
             self.count("leaderships_lost", 1);
         }
         if self.role != Role::Follower {
@@ -41,237 +88,207 @@
     /// Asks first whether an election would be won, so that a replica that was cut off disturbs nobody.
     pub(super) fn start_pre_vote(&mut self, now: Now) {
         self.reset_election_timer(now);
-        let own = {
-            let (i, t) = self.last();
-            (t, i)
-        };
-        if self.recovery.is_some()
-            || !self.is_voter()
-            || self.answerable(now) > own
-            || !self.storage.takes_writes()
-        {
+        let may_lead = !self.is_recovering()
+            && self.is_voter()
+            && self.required_position(now) <= self.log.last()
+            && self.disk_health.takes_writes();
+        if !may_lead {
             return;
         }
         self.role = Role::PreCandidate;
         self.leader.clear();
-        self.request_votes(now, true, false);
-    }
-
-    fn request_votes(&mut self, now: Now, pre: bool, leadership_transfer: bool) {
-        let me = self.name.clone();
-        self.votes = [(me.clone(), self.disk)].into();
-        let (last_index, last_term) = self.last();
-        let term = self.hard_state.term + u64::from(pre);
-        let body = Body::VoteRequest(Box::new(VoteRequest {
-            pre,
-            leadership_transfer,
-            term,
-            last_index,
-            last_term,
-            disk: self.disk,
-        }));
-        for v in self.voters().into_iter().filter(|v| *v != me) {
-            if pre {
-                self.send(&v, body.clone());
-            } else {
-                self.send_durable(&v, body.clone());
-            }
-        }
-        self.count_votes(now);
+        self.request_votes(now, false);
     }
 
+    /// Stands for election in the next term.
     fn campaign(&mut self, now: Now, leadership_transfer: bool) {
         self.role = Role::Candidate;
         self.hard_state.term += 1;
         self.hard_state.vote = self.name.clone();
-        self.pending_batch.hard_state = Some(self.hard_state.clone());
+        self.persistence.write_hard_state(&self.hard_state);
         self.count("elections", 1);
         self.reset_election_timer(now);
-        self.request_votes(now, false, leadership_transfer);
+        self.request_votes(now, leadership_transfer);
     }
 
-    pub(super) fn on_vote(&mut self, now: Now, from: &str, m: &VoteRequest) {
-        let led = self.role == Role::Leader
-            || (!self.leader.is_empty()
-                && now.mono.saturating_sub(self.heard_leader) < self.settings.bounds.election());
-        if self.recovery.is_some()
-            || (led && !m.leadership_transfer)
-            || !self.storage.takes_writes()
-        {
+    /// Asks all other voters for their vote, or their pre-vote.
+    fn request_votes(&mut self, now: Now, leadership_transfer: bool) {
+        let own_name = self.name.clone();
+        let pre_vote = self.role == Role::PreCandidate;
+        self.election.votes = BTreeMap::from([(own_name.clone(), self.disk)]);
+        let last = self.log.last();
+        let request = VoteRequest {
+            pre: pre_vote,
+            leadership_transfer,
+            term: self.hard_state.term + u64::from(pre_vote),
+            last_index: last.index,
+            last_term: last.term,
+            disk: self.disk,
+        };
+        let body = Body::VoteRequest(Box::new(request));
+        for voter in self.voters().into_iter().filter(|v| *v != own_name) {
+            if pre_vote {
+                self.send(&voter, body.clone());
+            } else {
+                self.send_when_durable(&voter, body.clone());
+            }
+        }
+        self.count_votes(now);
+    }
+
+    /// Another replica asks for this one's vote.
+    pub(super) fn on_vote_request(&mut self, now: Now, from: &str, request: &VoteRequest) {
+        let stays_with_leader = self.has_live_leader(now) && !request.leadership_transfer;
+        if self.is_recovering() || stays_with_leader || !self.disk_health.takes_writes() {
             return;
         }
         // A candidate that is not known yet may be one promoted in entries that are missing here.
-        let known = !self.members().contains_key(from) || self.is_identity(from, m.disk);
-        let reaches = (m.last_term, m.last_index) >= self.answerable(now);
-        if m.pre {
-            let granted = known
-                && reaches
-                && m.term > self.hard_state.term
-                && m.term > self.hard_state.no_vote_through;
-            self.send(
-                from,
-                Body::VoteResponse(Box::new(VoteResponse {
-                    pre: true,
-                    term: if granted {
-                        m.term
-                    } else {
-                        self.hard_state.term.max(self.hard_state.no_vote_through)
-                    },
-                    granted,
-                    disk: self.disk,
-                })),
-            );
-            return;
+        let is_eligible =
+            !self.members().contains_key(from) || self.is_identity(from, request.disk);
+        let candidate_last = LogPosition::new(request.last_term, request.last_index);
+        let is_up_to_date = candidate_last >= self.required_position(now);
+        let may_vote = is_eligible && is_up_to_date;
+        if request.pre {
+            self.answer_pre_vote(from, request.term, may_vote);
+        } else {
+            self.answer_vote(now, from, request.term, may_vote);
         }
-        if m.term > self.hard_state.term {
-            self.follow(now, m.term, "");
+    }
+
+    fn answer_pre_vote(&mut self, from: &str, term: u64, may_vote: bool) {
+        let newest_voted = self.hard_state.term.max(self.hard_state.no_vote_through);
+        let granted = may_vote && term > newest_voted;
+        let response = VoteResponse {
+            pre: true,
+            term: if granted { term } else { newest_voted },
+            granted,
+            disk: self.disk,
+        };
+        self.send(from, Body::VoteResponse(Box::new(response)));
+    }
+
+    fn answer_vote(&mut self, now: Now, from: &str, term: u64, may_vote: bool) {
+        if term > self.hard_state.term {
+            self.become_follower(now, term, "");
         }
-        let free = self.hard_state.vote.is_empty() || self.hard_state.vote == from;
-        let granted = known
-            && reaches
-            && m.term == self.hard_state.term
-            && m.term > self.hard_state.no_vote_through
-            && free;
+        let is_free = self.hard_state.vote.is_empty() || self.hard_state.vote == from;
+        let granted = may_vote
+            && is_free
+            && term == self.hard_state.term
+            && term > self.hard_state.no_vote_through;
         if granted {
             self.hard_state.vote = from.into();
-            self.pending_batch.hard_state = Some(self.hard_state.clone());
+            self.persistence.write_hard_state(&self.hard_state);
             self.reset_election_timer(now);
         }
-        let term = self.hard_state.term;
-        self.send_durable(
-            from,
-            Body::VoteResponse(Box::new(VoteResponse {
-                pre: false,
-                term,
-                granted,
-                disk: self.disk,
-            })),
-        );
+        let response = VoteResponse {
+            pre: false,
+            term: self.hard_state.term,
+            granted,
+            disk: self.disk,
+        };
+        self.send_when_durable(from, Body::VoteResponse(Box::new(response)));
     }
 
-    pub(super) fn on_vote_response(&mut self, now: Now, from: &str, m: &VoteResponse) {
-        if m.term > self.hard_state.term && !m.granted {
-            self.follow(now, m.term, "");
+    /// Another replica has answered a request for its vote.
+    pub(super) fn on_vote_response(&mut self, now: Now, from: &str, response: &VoteResponse) {
+        if response.term > self.hard_state.term && !response.granted {
+            self.become_follower(now, response.term, "");
             return;
         }
-        let fits = match self.role {
-            Role::PreCandidate => m.pre && m.term == self.hard_state.term + 1,
-            Role::Candidate => !m.pre && m.term == self.hard_state.term,
-            _ => false,
+        let is_current = match self.role {
+            Role::PreCandidate => response.pre && response.term == self.hard_state.term + 1,
+            Role::Candidate => !response.pre && response.term == self.hard_state.term,
+            Role::Follower | Role::Leader => false,
         };
-        if fits && m.granted {
-            self.votes.insert(from.into(), m.disk);
+        if is_current && response.granted {
+            self.election.votes.insert(from.into(), response.disk);
             self.count_votes(now);
         }
     }
 
+    /// Goes on to the election, or to lead, once a majority of the voters has given its vote.
     pub(super) fn count_votes(&mut self, now: Now) {
         let voters = self.voters();
-        let given = self.votes.clone();
-        let got = given
-            .iter()
-            .filter(|(address, disk)| voters.contains(address) && self.is_identity(address, **disk))
-            .count();
-        if got < self.majority() {
+        let mut counted = 0;
+        for (address, disk) in self.election.votes.clone() {
+            if voters.contains(&address) && self.is_identity(&address, disk) {
+                counted += 1;
+            }
+        }
+        if counted < self.majority() {
             return;
         }
         match self.role {
             Role::PreCandidate => self.campaign(now, false),
-            // Its own vote counts once it is durable.
-            Role::Candidate
-                if self.pending_batch.hard_state.is_none() && self.saved >= self.write_id =>
-            {
-                self.lead(now)
-            }
+            Role::Candidate if self.persistence.is_hard_state_durable() => self.become_leader(now),
             _ => {}
         }
     }
 
-    fn lead(&mut self, now: Now) {
+    fn become_leader(&mut self, now: Now) {
         self.role = Role::Leader;
         self.leader = self.name.clone();
-        self.leader_since = now.mono;
-        self.command_index = 0;
-        let next = self.last().0 + 1;
-        let me = self.name.clone();
-        let last_at = self
-            .log
-            .back()
-            .map_or(self.state.at, |e| e.at)
-            .max(self.state.at);
-        self.peers = self
-            .members()
-            .into_keys()
-            .filter(|m| *m != me)
-            .map(|m| {
-                (
-                    m,
-                    Peer {
-                        next,
-                        heard: now.mono,
-                        ..Peer::default()
-                    },
-                )
-            })
-            .collect();
-        self.rounds.clear();
-        self.last_round = 0;
-        self.watchers.clear();
-        self.clock.lead(now, last_at);
+        let next_index = self.log.last().index + 1;
+        let own_name = self.name.clone();
+        let others = self.members().into_keys().filter(|name| *name != own_name);
+        let progress = others.map(|name| (name, Progress::new(next_index, now)));
+        self.leadership.start(now, progress.collect());
+        self.watch.watchers.clear();
+        let last_entry_time = self.last_entry_time();
+        self.clock.start_leading(now, last_entry_time);
         self.count("leaderships", 1);
-        self.line(format!("leader of term {}", self.hard_state.term));
+        self.outbox
+            .log(format!("leader of term {}", self.hard_state.term));
         let leader = self.name.clone();
-        self.term_start_index = self.push(now, &Command::TermStarted { leader });
+        let first_index = self.append_command(now, &Command::TermStarted { leader });
+        self.leadership.term_start_index = first_index;
         self.send_round(now, true);
     }
 
-    /// The voter that should lead next: it answers, does not leave itself, has a working disk, and is farthest.
+    /// The voter that should lead next: it answers, stays, has a working disk, and has the most entries.
     fn successor(&mut self, now: Now) -> Option<String> {
         let voters = self.voters();
-        let silence_allowed = self.settings.bounds.election();
-        let fit = |address: &String, peer: &Peer| {
+        let timeout = self.settings.bounds.election();
+        let is_fit = |address: &String, progress: &Progress| {
             voters.contains(address)
-                && !peer.leaving
-                && !peer.refuses
-                && now.mono.saturating_sub(peer.heard) < silence_allowed
+                && !progress.leaving
+                && !progress.disk_refuses_writes
+                && now.mono.saturating_sub(progress.last_heard_at) < timeout
         };
-        self.peers
+        self.leadership
+            .progress
             .iter()
-            .filter(|(address, peer)| fit(address, peer))
-            .max_by_key(|(_, peer)| (peer.matched, peer.heard))
+            .filter(|(address, progress)| is_fit(address, progress))
+            .max_by_key(|(_, progress)| (progress.match_index, progress.last_heard_at))
             .map(|(address, _)| address.clone())
     }
 
     /// Whether this leader is being shut down and another can lead in its place.
     pub(super) fn is_transferring_leadership(&mut self, now: Now) -> bool {
-        self.stopping.is_some() && self.successor(now).is_some()
+        self.shutdown.is_requested() && self.successor(now).is_some()
     }
 
-    /// Offers the lead to a successor, if there is one.
+    /// Asks the best successor to lead, if there is one.
     pub(super) fn transfer_leadership(&mut self, now: Now) {
-        self.transfer_offered_at = now.mono;
+        self.shutdown.transfer_offered_at = now.mono;
         let term = self.hard_state.term;
         if let Some(successor) = self.successor(now) {
-            self.send(
-                &successor,
-                Body::TransferLeadership(Box::new(TransferLeadership { term })),
-            );
+            let body = Body::TransferLeadership(Box::new(TransferLeadership { term }));
+            self.send(&successor, body);
         }
     }
 
+    /// The leader of `term` asks this replica to lead in its place.
     pub(super) fn on_transfer_leadership(&mut self, now: Now, term: u64) {
-        let own = {
-            let (i, t) = self.last();
-            (t, i)
-        };
-        if term == self.hard_state.term
+        let may_lead = term == self.hard_state.term
             && self.role == Role::Follower
-            && self.recovery.is_none()
-            && self.stopping.is_none()
-            && self.storage.takes_writes()
+            && !self.is_recovering()
+            && !self.shutdown.is_requested()
+            && self.disk_health.takes_writes()
             && self.is_voter()
-            && self.recovery_floor <= own
-        {
+            && self.recovery.floor <= self.log.last();
+        if may_lead {
             self.campaign(now, true);
         }
     }
--- a/landingdrift/src/consensus/inspect.rs
+++ b/landingdrift/src/consensus/inspect.rs
@@ -17,7 +17,7 @@
 
     /// Whether this replica still finds out what it had confirmed before it started.
     pub fn recovers(&self) -> bool {
-        self.recovery.is_some()
+        self.is_recovering()
     }
 
     /// The term this replica is in.
@@ -27,45 +27,42 @@
 
     /// The index up to which this replica knows entries to be committed.
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.log.commit_index
     }
 
     /// The index of the last entry of the log.
     pub fn last_index(&self) -> u64 {
-        self.last().0
+        self.log.last().index
     }
 
     /// The committed entries that are still in memory.
     pub fn committed_entries(&self) -> impl Iterator<Item = &Entry> {
-        let commit = self.commit;
-        self.log.iter().take_while(move |e| e.index <= commit)
+        let commit_index = self.log.commit_index;
+        self.log
+            .iter()
+            .take_while(move |entry| entry.index <= commit_index)
     }
 
-    /// A number that tells states apart which differ in what the protocol depends on, timers left out.
+    /// A number that differs for states which differ in what the protocol depends on. Timers are left out.
     pub fn fingerprint(&self) -> u64 {
         use std::hash::{DefaultHasher, Hash, Hasher};
         let mut hasher = DefaultHasher::new();
-        (self.role as u8, self.hard_state.term, &self.hard_state.vote).hash(&mut hasher);
-        (
-            self.hard_state.no_vote_through,
-            self.recovery_floor,
-            self.commit,
-            self.base,
-        )
-            .hash(&mut hasher);
-        (&self.leader, self.durable, self.verified).hash(&mut hasher);
-        (
-            self.recovery.is_some(),
-            self.stopping.is_some(),
-            self.joining,
-        )
-            .hash(&mut hasher);
-        self.votes.hash(&mut hasher);
-        for entry in &self.log {
+        let hard_state = &self.hard_state;
+        (self.role as u8, hard_state.term, &hard_state.vote).hash(&mut hasher);
+        hard_state.no_vote_through.hash(&mut hasher);
+        self.recovery.floor.hash(&mut hasher);
+        (self.log.commit_index, self.log.base()).hash(&mut hasher);
+        (&self.leader, self.persistence.durable_index).hash(&mut hasher);
+        self.log.verified_index.hash(&mut hasher);
+        (self.is_recovering(), self.shutdown.is_requested()).hash(&mut hasher);
+        self.membership.joining.hash(&mut hasher);
+        self.election.votes.hash(&mut hasher);
+        for entry in self.log.iter() {
             (entry.index, entry.term, &entry.command).hash(&mut hasher);
         }
-        for (address, peer) in &self.peers {
-            (address, peer.next, peer.matched, peer.disk, peer.leaving).hash(&mut hasher);
+        for (address, progress) in &self.leadership.progress {
+            (address, progress.next_index, progress.match_index).hash(&mut hasher);
+            (progress.disk, progress.leaving).hash(&mut hasher);
         }
         hasher.finish()
     }
--- /dev/null
+++ b/landingdrift/src/consensus/leadership.rs
@@ -0,0 +1,126 @@
+//! What a replica keeps for the time that it leads, and the leader's periodic work.
+
+use super::client_requests::{PendingProposal, PendingRead};
+use super::progress::{Progress, Rounds};
+use super::Replica;
+use crate::sans_io::Now;
+use crate::state::Command;
+use std::collections::BTreeMap;
+
+/// A leader that no majority has answered for so many election time-outs steps down.
+const STEP_DOWN_ELECTION_TIMEOUTS: u64 = 2;
+/// For so many election time-outs a leader waits for more readings of clocks.
+const CLOCK_WAIT_ELECTION_TIMEOUTS: u64 = 2;
+
+/// The state of a leader. Times are monotonic milliseconds.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Leadership {
+    /// When this replica last became leader.
+    pub since: u64,
+    /// The first entry of its term. Once it is committed, all earlier ones are known to be.
+    pub term_start_index: u64,
+    /// The entry of the leader's last command of its own; the next one is derived from what that one made.
+    pub last_command_index: u64,
+    /// When a lease was last moved to a better holder.
+    pub last_lease_move_at: u64,
+    /// The other replicas, by address.
+    pub progress: BTreeMap<String, Progress>,
+    pub rounds: Rounds,
+    /// Proposals to be answered once they are applied, by index.
+    pub pending_proposals: BTreeMap<u64, PendingProposal>,
+    pub pending_reads: Vec<PendingRead>,
+    /// Entries are to be sent at the end of this step.
+    pub round_requested: bool,
+    /// All others are to hear from the leader, whether there are entries for them or not.
+    pub heartbeat_requested: bool,
+}
+
+impl Leadership {
+    /// Begins to lead replicas of which nothing is known yet.
+    pub fn start(&mut self, now: Now, progress: BTreeMap<String, Progress>) {
+        self.since = now.mono;
+        self.last_command_index = 0;
+        self.progress = progress;
+        self.rounds.forget();
+    }
+}
+
+impl Replica {
+    /// The leader's periodic work: keeps its majority, sends heartbeats, and reconciles the cluster state.
+    pub(super) fn leader_tick(&mut self, now: Now) {
+        let election_timeout = self.settings.bounds.election();
+        let last_contact = self.last_quorum_contact(now).max(self.leadership.since);
+        let silence = now.mono.saturating_sub(last_contact);
+        if silence > STEP_DOWN_ELECTION_TIMEOUTS * election_timeout {
+            self.outbox.log("no majority answers: steps down".into());
+            self.become_follower(now, self.hard_state.term, "");
+            return;
+        }
+        self.track_members(now);
+        self.clock
+            .agree_if_possible(now, CLOCK_WAIT_ELECTION_TIMEOUTS * election_timeout);
+        let next_heartbeat_at =
+            self.leadership.rounds.last_heartbeat_at + self.settings.bounds.heartbeat();
+        let is_due = now.mono >= next_heartbeat_at;
+        if is_due || std::mem::take(&mut self.leadership.heartbeat_requested) {
+            self.send_round(now, true);
+        }
+        self.report_resilience(now);
+        if self.voters().len() == 1 {
+            // Nobody else answers, and its own disk is enough.
+            self.advance_commit(now);
+            self.answer_reads(now);
+        }
+        self.reconcile(now);
+    }
+
+    /// Follows the progress of the members, and of no others.
+    fn track_members(&mut self, now: Now) {
+        let members = self.members();
+        let next_index = self.log.last().index + 1;
+        let progress = &mut self.leadership.progress;
+        progress.retain(|name, _| members.contains_key(name));
+        for name in members.into_keys().filter(|name| *name != self.name) {
+            progress
+                .entry(name)
+                .or_insert_with(|| Progress::new(next_index, now));
+        }
+    }
+
+    /// Proposes the next change that brings the cluster state closer to what it should be. One at a time, since the
+    /// next one is derived from what the last one made.
+    fn reconcile(&mut self, now: Now) {
+        let is_term_committed = self.log.commit_index >= self.leadership.term_start_index;
+        let is_last_applied = self.state.applied_index >= self.leadership.last_command_index;
+        let may_propose = is_term_committed
+            && is_last_applied
+            && self.clock.is_set()
+            && !self.is_transferring_leadership(now);
+        if !may_propose {
+            return;
+        }
+        if let Some(command) = self.next_command(now) {
+            self.leadership.last_command_index = self.append_command(now, &command);
+            self.leadership.round_requested = true;
+        }
+    }
+
+    fn next_command(&mut self, now: Now) -> Option<Command> {
+        self.next_membership_command(now)
+            .or_else(|| self.next_node_command(now))
+            .or_else(|| self.next_lease_command(now))
+            .or_else(|| self.next_garbage_collection(now))
+    }
+
+    /// Removes what was retained for its time.
+    fn next_garbage_collection(&mut self, now: Now) -> Option<Command> {
+        let retain_ms = self.settings.limits.retain_ms;
+        let identity_ms = self.settings.limits.identity_ms;
+        let time = self.clock.read(now);
+        let due_at = self.state.sweep_due(retain_ms, identity_ms)?;
+        (due_at <= time).then_some(Command::CollectGarbage {
+            retain_ms,
+            identity_ms,
+        })
+    }
+}
--- /dev/null
+++ b/landingdrift/src/consensus/lease_assignment.rs
@@ -0,0 +1,230 @@
+//! Which node holds which lease: every zone with workers or nodes has a node that schedules for it, every queue with
+//! unfinished jobs an owner, spread over the nodes by their share of a processor.
+
+use super::Replica;
+use crate::sans_io::{fnv1a, Now};
+use crate::state::{queue_lease, zone_lease, Command};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Nodes with less than so many thousandths of a core hold leases only where there is nobody else.
+pub(super) const SMALL_NODE_SHARE: u64 = 100;
+/// The share of a node that has not said its own, in thousandths of a core.
+const DEFAULT_SHARE: u64 = 1000;
+/// A node beside a replica counts for its share divided by this: one loss should not hit both.
+const BESIDE_REPLICA_DIVISOR: u64 = 4;
+/// The load of one lease at a share of one thousandth of a core.
+const LEASE_WEIGHT: u64 = 1_000_000;
+/// A lease moves within a class of nodes only to one whose weight is under 2/3 of the holder's.
+const MOVE_WEIGHT_NUMERATOR: u64 = 2;
+const MOVE_WEIGHT_DENOMINATOR: u64 = 3;
+/// Leases are not moved to better holders for so many time-outs of a node after a change.
+const SETTLE_NODE_TIMEOUTS: u64 = 2;
+
+/// How badly a node suits a lease; the least is the best.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PlacementCost {
+    /// 0 for a node in the zone that is large enough, 1 for a small one, 2 and 3 for those of other zones.
+    class: u32,
+    /// The load of its leases relative to its share.
+    weight: u64,
+    /// The same on every replica, and different for each node.
+    tie_break: u64,
+}
+
+impl PlacementCost {
+    /// Whether it is worth it to move a lease from a holder with another cost.
+    fn is_much_less_than(&self, other: &Self) -> bool {
+        let is_lighter =
+            self.weight * MOVE_WEIGHT_DENOMINATOR < other.weight * MOVE_WEIGHT_NUMERATOR;
+        self.class < other.class || (self.class == other.class && is_lighter)
+    }
+}
+
+/// A lease that some node should hold.
+struct WantedLease {
+    name: String,
+    /// The zone whose nodes should hold it; none for a queue.
+    zone: Option<String>,
+}
+
+/// What should become of a lease.
+enum Assessment {
+    Keep,
+    /// It has a live holder, and a much better one is there.
+    Move(Command),
+    /// It has no holder that keeps it.
+    Assign {
+        command: Command,
+        had_holder: bool,
+    },
+}
+
+/// The leases that each node holds, for the nodes that may be given more.
+type Loads = BTreeMap<String, usize>;
+
+impl Replica {
+    /// Assigns the next lease that needs a holder; where none does, moves one to a much better holder.
+    pub(super) fn next_lease_command(&mut self, now: Now) -> Option<Command> {
+        let loads = self.node_loads(now);
+        if loads.is_empty() {
+            return None;
+        }
+        let mut best_move = None;
+        for wanted in self.wanted_leases() {
+            match self.assess_lease(now, &wanted, &loads) {
+                Assessment::Keep => {}
+                Assessment::Move(command) => best_move = best_move.or(Some(command)),
+                Assessment::Assign {
+                    command,
+                    had_holder,
+                } => {
+                    if had_holder {
+                        self.leadership.last_lease_move_at = now.mono;
+                    }
+                    return Some(command);
+                }
+            }
+        }
+        let settle_ms = SETTLE_NODE_TIMEOUTS * self.settings.bounds.node_lost();
+        let last_change = self
+            .leadership
+            .since
+            .max(self.leadership.last_lease_move_at);
+        let is_settled = now.mono > last_change + settle_ms;
+        let command = best_move.filter(|_| is_settled)?;
+        self.leadership.last_lease_move_at = now.mono;
+        self.count("leases_moved", 1);
+        Some(command)
+    }
+
+    /// Whether a node may be given leases: it is alive, stays, and follows the whole state.
+    fn may_hold_leases(&self, now: Now, node: &str) -> bool {
+        let timeout = self.settings.bounds.queue_lost();
+        let is_registered = self.state.nodes.get(node).is_some_and(|n| n.alive);
+        is_registered
+            && self.watch.watchers.get(node).is_some_and(|watcher| {
+                !watcher.leaving
+                    && !watcher.light
+                    && now.mono.saturating_sub(watcher.last_heard_at) < timeout
+            })
+    }
+
+    fn node_loads(&self, now: Now) -> Loads {
+        let nodes = self.state.nodes.keys();
+        let eligible = nodes.filter(|node| self.may_hold_leases(now, node));
+        let mut loads: Loads = eligible.map(|node| (node.clone(), 0)).collect();
+        for lease in self.state.leases.values() {
+            if let Some(load) = loads.get_mut(&lease.holder) {
+                *load += 1;
+            }
+        }
+        loads
+    }
+
+    /// The zones that are configured or have workers or nodes, then the queues with unfinished jobs.
+    fn wanted_leases(&self) -> Vec<WantedLease> {
+        let state = &self.state;
+        let mut zones: BTreeSet<&str> = state.config.zones.keys().map(String::as_str).collect();
+        zones.extend(state.workers.values().map(|w| w.info.zone.as_str()));
+        zones.extend(state.nodes.values().map(|n| n.zone.as_str()));
+        let mut wanted = Vec::new();
+        for zone in zones {
+            wanted.push(WantedLease {
+                name: zone_lease(zone),
+                zone: Some(zone.into()),
+            });
+        }
+        for (queue, stats) in &state.queues {
+            if stats.unfinished > 0 {
+                wanted.push(WantedLease {
+                    name: queue_lease(queue),
+                    zone: None,
+                });
+            }
+        }
+        wanted
+    }
+
+    fn assess_lease(&self, now: Now, wanted: &WantedLease, loads: &Loads) -> Assessment {
+        let current = self.state.leases.get(&wanted.name);
+        let holder = current.map_or("", |lease| lease.holder.as_str());
+        let Some((best_cost, best)) = self.best_holder(wanted, holder, loads) else {
+            return Assessment::Keep;
+        };
+        let grant_to = |node: String| Command::GrantLease {
+            lease: wanted.name.clone(),
+            holder: node,
+            from_epoch: current.map_or(0, |lease| lease.epoch),
+        };
+        if !self.keeps_lease(now, wanted, holder) {
+            let successor = self.named_successor(now, holder);
+            return Assessment::Assign {
+                command: grant_to(successor.unwrap_or(best)),
+                had_holder: current.is_some(),
+            };
+        }
+        let holder_cost = loads
+            .get(holder)
+            .map(|load| self.placement_cost(holder, wanted, *load));
+        if holder_cost.is_some_and(|cost| best_cost.is_much_less_than(&cost)) {
+            Assessment::Move(grant_to(best))
+        } else {
+            Assessment::Keep
+        }
+    }
+
+    /// Whether the holder of a lease is alive and stays. The owner of a queue is given up sooner than that of a zone:
+    /// what it proposes is checked against its epoch where it is applied, while a zone's holder gives orders by itself.
+    fn keeps_lease(&self, now: Now, wanted: &WantedLease, holder: &str) -> bool {
+        let is_alive = self.state.nodes.get(holder).is_some_and(|n| n.alive);
+        let watcher = self.watch.watchers.get(holder);
+        let is_leaving = watcher.is_some_and(|w| w.leaving);
+        let last_heard_at = watcher.map_or(self.leadership.since, |w| w.last_heard_at);
+        let is_queue = wanted.zone.is_none();
+        let is_silent = last_heard_at + self.settings.bounds.queue_lost() < now.mono;
+        is_alive && !is_leaving && !(is_queue && is_silent)
+    }
+
+    /// The node that would be the best holder, with its cost once it holds the lease.
+    fn best_holder(
+        &self,
+        wanted: &WantedLease,
+        holder: &str,
+        loads: &Loads,
+    ) -> Option<(PlacementCost, String)> {
+        let costs = loads.iter().map(|(node, load)| {
+            let load_with_lease = *load + usize::from(node != holder);
+            let cost = self.placement_cost(node, wanted, load_with_lease);
+            (cost, node.clone())
+        });
+        costs.min()
+    }
+
+    /// The successor that a leaving holder has named, if it may hold leases.
+    fn named_successor(&self, now: Now, holder: &str) -> Option<String> {
+        let watcher = self.watch.watchers.get(holder)?;
+        let may_succeed = watcher.leaving && self.may_hold_leases(now, &watcher.successor);
+        may_succeed.then(|| watcher.successor.clone())
+    }
+
+    fn placement_cost(&self, node: &str, wanted: &WantedLease, load: usize) -> PlacementCost {
+        let is_in_zone = |zone: &String| {
+            let registered = self.state.nodes.get(node);
+            registered.is_some_and(|n| n.zone == *zone)
+        };
+        let is_away = wanted.zone.as_ref().is_some_and(|zone| !is_in_zone(zone));
+        let watcher = self.watch.watchers.get(node);
+        let share = watcher.map_or(DEFAULT_SHARE, |w| u64::from(w.share.max(1)));
+        let is_beside_replica = watcher.is_some_and(|w| w.beside_replica);
+        let usable_share = if is_beside_replica {
+            share / BESIDE_REPLICA_DIVISOR
+        } else {
+            share
+        };
+        PlacementCost {
+            class: 2 * u32::from(is_away) + u32::from(share < SMALL_NODE_SHARE),
+            weight: (load as u64 * LEASE_WEIGHT) / usable_share.max(1),
+            tie_break: fnv1a(node.as_bytes()),
+        }
+    }
+}
--- a/landingdrift/src/consensus/log.rs
+++ b/landingdrift/src/consensus/log.rs
@@ -1,101 +1,127 @@
-//! The log in memory, and what of it is on the disk.
+//! The entries of the replicated log that are kept in memory.
 
-use super::{Replica, Role};
-use crate::sans_io::{Effect, Now};
-use crate::wire::{Body, Entry};
+use super::position::LogPosition;
+use crate::wire::Entry;
+use std::collections::VecDeque;
 
-/// The bytes of entries in one message, unless a single entry is larger.
-const BATCH_BYTES: usize = 1 << 20;
+/// Bytes of commands in one message. A single entry that is larger goes out by itself.
+const MAX_BATCH_BYTES: usize = 1 << 20;
 
-impl Replica {
-    /// The index and term of the last entry.
-    pub(super) fn last(&self) -> (u64, u64) {
-        self.log.back().map_or(self.base, |e| (e.index, e.term))
+/// The tail of the replicated log: the entries after `base`, without gaps.
+#[derive(Clone, Debug)]
+pub(super) struct ReplicatedLog {
+    /// The entry before the first one in memory; everything up to it is covered by a snapshot.
+    base: LogPosition,
+    entries: VecDeque<Entry>,
+    /// Entries up to this index are known to be committed.
+    pub commit_index: u64,
+    /// Entries up to this index are known to equal those of the current leader.
+    pub verified_index: u64,
+}
+
+impl ReplicatedLog {
+    /// The log as it was loaded from disk; entries that the snapshot at `base` covers are dropped.
+    pub fn new(base: LogPosition, loaded: Vec<Entry>) -> Self {
+        let not_covered = |entry: &Entry| entry.index > base.index;
+        Self {
+            base,
+            entries: loaded.into_iter().filter(not_covered).collect(),
+            commit_index: base.index,
+            verified_index: 0,
+        }
     }
 
-    /// The term of an entry that is still in memory, or of the one before them.
-    pub(super) fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.base.0 {
-            return Some(self.base.1);
+    /// The position before the first entry in memory.
+    pub fn base(&self) -> LogPosition {
+        self.base
+    }
+
+    /// The position of the last entry.
+    pub fn last(&self) -> LogPosition {
+        match self.entries.back() {
+            Some(entry) => LogPosition::new(entry.term, entry.index),
+            None => self.base,
         }
-        self.entry(index).map(|e| e.term)
     }
 
-    /// An entry that is still in memory.
-    pub(super) fn entry(&self, index: u64) -> Option<&Entry> {
-        index
-            .checked_sub(self.base.0 + 1)
-            .and_then(|i| self.log.get(i as usize))
+    /// Whether nothing was ever appended.
+    pub fn is_empty(&self) -> bool {
+        self.last().index == 0
     }
 
-    /// Entries from an index on, as many as fit into one message.
-    pub(super) fn entries(&self, from: u64, most: usize) -> Vec<Entry> {
-        let skip = from.saturating_sub(self.base.0 + 1) as usize;
-        let mut bytes = 0usize;
-        self.log
-            .iter()
-            .skip(skip)
-            .take(most)
-            .take_while(|e| {
-                bytes += e.command.len();
-                bytes <= BATCH_BYTES || bytes == e.command.len()
-            })
-            .cloned()
-            .collect()
+    /// The time of the last entry in memory, in milliseconds since 1970 by the cluster clock.
+    pub fn last_entry_time(&self) -> Option<u64> {
+        self.entries.back().map(|entry| entry.at)
     }
 
-    /// Hands what has changed to the disk; returns the ticket that confirms it.
-    pub(super) fn flush(&mut self) -> u64 {
-        let s = &self.pending_batch;
-        if s.hard_state.is_none() && s.cut.is_none() && s.entries.is_empty() && s.snapshot.is_none()
-        {
-            return self.write_id;
-        }
-        self.write_id += 1;
-        let mut save = std::mem::take(&mut self.pending_batch);
-        save.write_id = self.write_id;
-        if save.hard_state.is_some() {
-            self.hard_state_write = self.write_id;
+    /// The term of an entry in memory, or of the base.
+    pub fn term_at(&self, index: u64) -> Option<u64> {
+        if index == self.base.index {
+            return Some(self.base.term);
         }
-        save.witnesses = self.witnesses.values().cloned().collect();
-        if let Some(cut) = save.cut {
-            self.durable = self.durable.min(cut.saturating_sub(1));
-            self.saving
-                .iter_mut()
-                .for_each(|(_, last)| *last = (*last).min(cut.saturating_sub(1)));
-        }
-        let last = self.last().0;
-        self.saving.push_back((self.write_id, last));
-        self.storage.handed_over(self.last_tick, self.write_id);
-        self.count("disk_saves", 1);
-        self.out.push(Effect::Persist(save));
-        self.write_id
+        self.entry(index).map(|entry| entry.term)
     }
 
-    /// Sends once everything changed so far is durable.
-    pub(super) fn send_durable(&mut self, to: &str, body: Body) {
-        let write_id = self.flush();
-        if write_id <= self.saved {
-            self.send(to, body);
-        } else {
-            self.held
-                .push_back((write_id, Effect::Send(to.into(), body)));
-        }
+    /// An entry in memory.
+    pub fn entry(&self, index: u64) -> Option<&Entry> {
+        let offset = index.checked_sub(self.base.index + 1)?;
+        self.entries.get(offset as usize)
     }
 
-    pub(super) fn on_saved(&mut self, now: Now, write_id: u64) {
-        self.saved = self.saved.max(write_id);
-        self.storage_confirmed(now, write_id);
-        while let Some((_, last)) = self.saving.pop_front_if(|(t, _)| *t <= write_id) {
-            self.durable = self.durable.max(last);
-        }
-        while let Some((_, effect)) = self.held.pop_front_if(|(t, _)| *t <= write_id) {
-            self.out.push(effect);
+    /// The entries from `first` on, at most `max_entries` and as many as fit into one message.
+    pub fn batch(&self, first: u64, max_entries: usize) -> Vec<Entry> {
+        let skipped = first.saturating_sub(self.base.index + 1) as usize;
+        let mut batch = Vec::new();
+        let mut bytes = 0;
+        for entry in self.entries.iter().skip(skipped).take(max_entries) {
+            bytes += entry.command.len();
+            if bytes > MAX_BATCH_BYTES && !batch.is_empty() {
+                break;
+            }
+            batch.push(entry.clone());
         }
-        match self.role {
-            Role::Leader => self.advance(now),
-            Role::Candidate => self.count_votes(now),
-            _ => self.confirm(),
+        batch
+    }
+
+    /// All entries in memory, the oldest first.
+    pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Entry> {
+        self.entries.iter()
+    }
+
+    /// The number of entries in memory.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// The bytes of commands in memory.
+    pub fn bytes(&self) -> u64 {
+        self.entries.iter().map(|e| e.command.len() as u64).sum()
+    }
+
+    /// Appends the entry that follows the last one.
+    pub fn append(&mut self, entry: Entry) {
+        self.entries.push_back(entry);
+    }
+
+    /// Drops the entries from `index` on: they conflict with those of the leader.
+    pub fn truncate_from(&mut self, index: u64) {
+        self.entries
+            .truncate((index - self.base.index - 1) as usize);
+        self.verified_index = self.verified_index.min(index - 1);
+    }
+
+    /// Starts over after a snapshot that was installed.
+    pub fn reset(&mut self, snapshot: LogPosition) {
+        self.entries.clear();
+        self.base = snapshot;
+        self.commit_index = snapshot.index;
+        self.verified_index = snapshot.index;
+    }
+
+    /// Drops the entries up to `index`, which a snapshot covers.
+    pub fn compact_to(&mut self, index: u64) {
+        while let Some(entry) = self.entries.pop_front_if(|entry| entry.index <= index) {
+            self.base = LogPosition::new(entry.term, entry.index);
         }
     }
 }
--- /dev/null
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -0,0 +1,382 @@
+//! The membership as one replica knows it, and the leader's work of keeping it as wanted.
+
+use super::membership::{
+    majority, Health, JoinRequest, MembershipChange, MembershipView, Observed, Resilience,
+};
+use super::progress::Progress;
+use super::{Replica, Role};
+use crate::sans_io::Now;
+use crate::state::{Command, ReplicaMember};
+use crate::wire::{Body, JoinCluster};
+use std::collections::BTreeMap;
+
+/// A standby this many entries behind the commit index still counts as caught up.
+const CAUGHT_UP_WITHIN: u64 = 64;
+/// A standby that is silent for this many replacement spans is dropped from the membership.
+const STANDBY_SILENT_SPANS: u64 = 3;
+/// A replica repeats its request to be admitted after this many heartbeats.
+const JOIN_EVERY_HEARTBEATS: u64 = 4;
+
+/// Members by address.
+pub(super) type Members = BTreeMap<String, ReplicaMember>;
+
+/// A request to be admitted, and when it came, in monotonic milliseconds.
+#[derive(Clone, Debug)]
+struct ReceivedJoinRequest {
+    received_at: u64,
+    request: JoinRequest,
+}
+
+/// What this replica knows of the membership beside the log.
+#[derive(Clone, Debug, Default)]
+pub(super) struct MembershipState {
+    /// The members by the latest entries of the log, until one of those may have changed them.
+    cache: Option<Members>,
+    join_requests: BTreeMap<String, ReceivedJoinRequest>,
+    /// Zones of other replicas, as they said when they or this one started.
+    pub zones: BTreeMap<String, String>,
+    /// When this replica last asked to be admitted, in monotonic milliseconds.
+    last_join_request_at: Option<u64>,
+    /// This replica's disk is empty while others have a log: it is a newcomer, whatever the settings say of founders.
+    pub joining: bool,
+    /// What may still be lost, as last reported.
+    pub resilience: Resilience,
+}
+
+impl MembershipState {
+    /// The state after a start. Where the disk names no founders, this replica joins a cluster that there is.
+    pub fn new(joining: bool) -> Self {
+        Self {
+            joining,
+            ..Self::default()
+        }
+    }
+
+    /// Forgets the members: an entry of the log may have changed them.
+    pub fn invalidate(&mut self) {
+        self.cache = None;
+    }
+}
+
+impl Replica {
+    /// The members by the latest entries of the log, committed or not; before there are any, the founders.
+    pub(super) fn members(&mut self) -> Members {
+        if let Some(members) = &self.membership.cache {
+            return members.clone();
+        }
+        let mut members = self.state.replicas.clone();
+        let applied = self.state.applied_index;
+        for entry in self.log.iter().filter(|entry| entry.index > applied) {
+            if let Ok(command) = Command::unpack(&entry.command) {
+                apply_to_members(&mut members, command);
+            }
+        }
+        if members.is_empty() && !self.membership.joining {
+            members = self.founding_members();
+        }
+        self.membership.cache = Some(members.clone());
+        members
+    }
+
+    /// The founders, whose disks are not known yet.
+    fn founding_members(&self) -> Members {
+        let founder = |address: &String| {
+            let member = ReplicaMember {
+                voter: true,
+                ..ReplicaMember::default()
+            };
+            (address.clone(), member)
+        };
+        self.hard_state.founders.iter().map(founder).collect()
+    }
+
+    /// The addresses of the voters.
+    pub(super) fn voters(&mut self) -> Vec<String> {
+        let members = self.members().into_iter();
+        members
+            .filter(|(_, member)| member.voter)
+            .map(|(address, _)| address)
+            .collect()
+    }
+
+    /// How many voters are a majority.
+    pub(super) fn majority(&mut self) -> usize {
+        majority(self.voters().len())
+    }
+
+    /// Whether this replica, with the disk that it has, is a voter.
+    pub(super) fn is_voter(&mut self) -> bool {
+        let (name, disk) = (self.name.clone(), self.disk);
+        self.is_identity(&name, disk) && self.members().get(&name).is_some_and(|m| m.voter)
+    }
+
+    /// Whether an address is a member with this very disk (or with one not known yet, before the first members are
+    /// agreed on). What another disk at the same address says counts for nothing.
+    pub(super) fn is_identity(&mut self, address: &str, disk: u64) -> bool {
+        self.members()
+            .get(address)
+            .is_some_and(|member| member.disk == disk || member.disk == 0)
+    }
+
+    /// `own` for this replica and `value` for each other voter; 0 for one whose disk is not the member's.
+    pub(super) fn for_each_voter(
+        &mut self,
+        own: u64,
+        value: impl Fn(&Progress) -> u64,
+    ) -> Vec<u64> {
+        let mut values = Vec::new();
+        for (address, member) in self.members() {
+            if !member.voter {
+                continue;
+            }
+            if address == self.name {
+                values.push(own);
+                continue;
+            }
+            let progress = self.leadership.progress.get(&address);
+            let identified = progress.filter(|p| member.disk == 0 || p.disk == member.disk);
+            values.push(identified.map_or(0, &value));
+        }
+        values
+    }
+
+    /// The largest value that a majority of the voters has reached.
+    pub(super) fn reached_by_majority(mut values: Vec<u64>) -> u64 {
+        values.sort_unstable();
+        let needed = majority(values.len());
+        values
+            .len()
+            .checked_sub(needed)
+            .map_or(0, |index| values[index])
+    }
+
+    /// The next change of the membership, as a command.
+    pub(super) fn next_membership_command(&mut self, now: Now) -> Option<Command> {
+        if self.state.replicas.is_empty() {
+            return self.found_cluster(now);
+        }
+        let expiry_ms = self.settings.bounds.replace_ms;
+        self.membership
+            .join_requests
+            .retain(|_, join| now.mono.saturating_sub(join.received_at) < expiry_ms);
+        let members = self.members();
+        let change = self.with_view(now, |view| view.next_change())?;
+        self.outbox.log(format!("membership: {change:?}"));
+        self.count("membership_changes", 1);
+        Some(command_for(&members, change))
+    }
+
+    /// The first members: the founders that were heard, with their disks. All are waited for during one election
+    /// time-out; one may then be left out, since any majority with it and any without it still meet.
+    fn found_cluster(&mut self, now: Now) -> Option<Command> {
+        let founders = &self.hard_state.founders;
+        let mut replicas = Members::new();
+        for address in founders {
+            let (disk, zone) = self.founder_identity(address);
+            if disk != 0 {
+                let member = ReplicaMember {
+                    voter: true,
+                    disk,
+                    zone,
+                    standby_only: false,
+                };
+                replicas.insert(address.clone(), member);
+            }
+        }
+        let led_ms = now.mono.saturating_sub(self.leadership.since);
+        let waited = led_ms >= self.settings.bounds.election();
+        let all_heard = replicas.len() == founders.len();
+        let all_but_one_heard = replicas.len() + 1 == founders.len();
+        (all_heard || (waited && all_but_one_heard)).then_some(Command::FoundCluster { replicas })
+    }
+
+    /// The disk and the zone of a founder; 0 and empty where they aren't known.
+    fn founder_identity(&self, address: &str) -> (u64, String) {
+        if address == self.name {
+            return (self.disk, self.settings.zone.clone());
+        }
+        let progress = self.leadership.progress.get(address);
+        let zone = self.membership.zones.get(address).cloned();
+        (progress.map_or(0, |p| p.disk), zone.unwrap_or_default())
+    }
+
+    /// Calls `use_view` with what the leader knows of the members.
+    fn with_view<T>(&mut self, now: Now, use_view: impl FnOnce(&MembershipView) -> T) -> T {
+        let members = self.members();
+        let observed = self.observe(now, &members);
+        let received = self.membership.join_requests.iter();
+        let requests: BTreeMap<String, JoinRequest> = received
+            .map(|(address, join)| (address.clone(), join.request.clone()))
+            .collect();
+        use_view(&MembershipView {
+            leader: &self.name,
+            target_voters: self.settings.voters as usize,
+            members: &members,
+            observed: &observed,
+            requests: &requests,
+        })
+    }
+
+    fn observe(&self, now: Now, members: &Members) -> BTreeMap<String, Observed> {
+        let others = members.iter().filter(|(address, _)| **address != self.name);
+        others
+            .map(|(address, member)| (address.clone(), self.observe_member(now, address, member)))
+            .collect()
+    }
+
+    fn observe_member(&self, now: Now, address: &str, member: &ReplicaMember) -> Observed {
+        let progress = self
+            .leadership
+            .progress
+            .get(address)
+            .cloned()
+            .unwrap_or_default();
+        let silence = now.mono.saturating_sub(progress.last_heard_at);
+        let join = self.membership.join_requests.get(address);
+        let requested_disk = join.map_or(0, |join| join.request.disk);
+        let is_other_disk = |disk: u64| disk != 0 && disk != member.disk;
+        let health = if is_other_disk(progress.disk) || is_other_disk(requested_disk) {
+            Health::Replaced
+        } else if silence > self.settings.bounds.exchange() {
+            Health::Silent
+        } else if progress.leaving {
+            Health::Leaving
+        } else if progress.disk_refuses_writes {
+            Health::Impaired
+        } else {
+            Health::Reachable
+        };
+        let answers = silence < self.settings.bounds.election() && progress.disk == member.disk;
+        let has_most_entries = progress.match_index > 0
+            && progress.match_index + CAUGHT_UP_WITHIN >= self.log.commit_index;
+        Observed {
+            health,
+            caught_up: answers && has_most_entries,
+            long_silent: silence > STANDBY_SILENT_SPANS * self.settings.bounds.replace_ms,
+        }
+    }
+
+    /// Whether a replica that is leaving may end: no standby can take its place, or it is no voter any more.
+    pub(super) fn may_leave(&mut self, now: Now, address: &str) -> bool {
+        let progress = self.leadership.progress.get(address);
+        let is_leaving = progress.is_some_and(|p| p.leaving);
+        is_leaving && !self.with_view(now, |view| view.has_standby())
+    }
+
+    /// Whether proposals of nodes are accepted: before the first configuration is taken, not until a majority of the
+    /// voters holds as many disks as may be lost at once and one more. Where the machines do not give that, the leader
+    /// goes on with what there is once it has waited for long.
+    pub(super) fn accepts_proposals(&mut self, now: Now) -> bool {
+        if self.state.version > 0 {
+            return true;
+        }
+        let disks_needed = majority(self.settings.voters as usize);
+        let led_ms = now.mono.saturating_sub(self.leadership.since);
+        self.majority() >= disks_needed || led_ms > self.settings.bounds.outage_ms
+    }
+
+    /// Says in the log how much may still be lost, when that changes.
+    pub(super) fn report_resilience(&mut self, now: Now) {
+        let resilience = self.with_view(now, |view| view.resilience());
+        if resilience == self.membership.resilience {
+            return;
+        }
+        self.membership.resilience = resilience;
+        let Resilience {
+            voters,
+            standbys,
+            machine_losses_left,
+            zone_loss_survivable,
+        } = resilience;
+        self.outbox.log(format!(
+            "{voters} voters, {standbys} standbys: {machine_losses_left} more machines may be lost, any one zone {}",
+            if zone_loss_survivable { "too" } else { "not" }
+        ));
+    }
+
+    /// A replica asks to be admitted.
+    pub(super) fn on_join_request(&mut self, now: Now, from: &str, join: JoinCluster) {
+        let received = ReceivedJoinRequest {
+            received_at: now.mono,
+            request: JoinRequest {
+                disk: join.disk,
+                zone: join.zone,
+                standby_only: join.standby_only,
+            },
+        };
+        self.membership.join_requests.insert(from.into(), received);
+    }
+
+    /// A replica that is no member, or hears no leader, asks to be admitted: it may have been removed meanwhile.
+    pub(super) fn join_tick(&mut self, now: Now) {
+        let name = self.name.clone();
+        let silence = now.mono.saturating_sub(self.election.last_leader_contact);
+        let is_admitted = self.is_identity(&name, self.disk);
+        let is_abandoned = silence > self.settings.bounds.exchange();
+        let interval = JOIN_EVERY_HEARTBEATS * self.settings.bounds.heartbeat();
+        let last_request_at = self.membership.last_join_request_at;
+        let is_due = last_request_at.is_none_or(|at| now.mono >= at + interval);
+        let needs_to_ask = !is_admitted || is_abandoned;
+        if self.is_recovering() || self.role == Role::Leader || !is_due || !needs_to_ask {
+            return;
+        }
+        self.membership.last_join_request_at = Some(now.mono);
+        let mut targets = self.known_replicas();
+        if !self.leader.is_empty() && self.leader != name {
+            targets.insert(self.leader.clone());
+        }
+        let join = JoinCluster {
+            disk: self.disk,
+            zone: self.settings.zone.clone(),
+            standby_only: self.settings.standby_only,
+        };
+        for target in targets {
+            self.send(&target, Body::JoinCluster(Box::new(join.clone())));
+        }
+    }
+}
+
+/// Applies a command to the members, if it changes them.
+fn apply_to_members(members: &mut Members, command: Command) {
+    match command {
+        Command::FoundCluster { replicas } if members.is_empty() => *members = replicas,
+        Command::UpdateReplica { replica, member } => {
+            members.insert(replica, member);
+        }
+        Command::RemoveReplica { replica, disk }
+            if members.get(&replica).is_some_and(|m| m.disk == disk) =>
+        {
+            members.remove(&replica);
+        }
+        _ => {}
+    }
+}
+
+/// The command that makes a change of the membership.
+fn command_for(members: &Members, change: MembershipChange) -> Command {
+    let with_vote = |replica: String, voter: bool| {
+        let known = members.get(&replica).cloned();
+        let member = ReplicaMember {
+            voter,
+            ..known.unwrap_or_default()
+        };
+        Command::UpdateReplica { replica, member }
+    };
+    match change {
+        MembershipChange::Promote(replica) => with_vote(replica, true),
+        MembershipChange::Demote(replica) => with_vote(replica, false),
+        MembershipChange::Remove(replica) => {
+            let disk = members.get(&replica).map_or(0, |m| m.disk);
+            Command::RemoveReplica { replica, disk }
+        }
+        MembershipChange::Admit(replica, request) => Command::UpdateReplica {
+            replica,
+            member: ReplicaMember {
+                voter: false,
+                disk: request.disk,
+                zone: request.zone,
+                standby_only: request.standby_only,
+            },
+        },
+    }
+}
--- /dev/null
+++ b/landingdrift/src/consensus/node_registry.rs
@@ -0,0 +1,58 @@
+//! The leader's view of nodes: which are alive, and the commands that register and remove them.
+
+use super::Replica;
+use crate::sans_io::Now;
+use crate::state::Command;
+
+impl Replica {
+    /// Registers a node that watches the log, or removes one that does so no longer.
+    pub(super) fn next_node_command(&mut self, now: Now) -> Option<Command> {
+        self.node_to_register(now)
+            .or_else(|| self.node_to_remove(now))
+    }
+
+    fn node_to_register(&self, now: Now) -> Option<Command> {
+        let timeout = self.settings.bounds.node_lost();
+        for (name, watcher) in &self.watch.watchers {
+            let is_silent = now.mono.saturating_sub(watcher.last_heard_at) >= timeout;
+            if is_silent || watcher.leaving {
+                continue;
+            }
+            let known = self.state.nodes.get(name);
+            let is_registered = known.is_some_and(|node| {
+                node.alive && node.zone == watcher.zone && node.http == watcher.http
+            });
+            if !is_registered {
+                return Some(Command::RegisterNode {
+                    node: name.clone(),
+                    zone: watcher.zone.clone(),
+                    http: watcher.http.clone(),
+                });
+            }
+        }
+        None
+    }
+
+    fn node_to_remove(&self, now: Now) -> Option<Command> {
+        let timeout = self.settings.bounds.node_lost();
+        let has_led_long = now.mono.saturating_sub(self.leadership.since) > timeout;
+        for (name, node) in &self.state.nodes {
+            let is_gone = match self.watch.watchers.get(name) {
+                Some(watcher) => {
+                    let is_silent = now.mono.saturating_sub(watcher.last_heard_at) > timeout;
+                    is_silent || (watcher.leaving && !self.holds_lease(name))
+                }
+                None => has_led_long,
+            };
+            if node.alive && is_gone {
+                return Some(Command::RemoveNode { node: name.clone() });
+            }
+        }
+        None
+    }
+
+    fn holds_lease(&self, node: &str) -> bool {
+        let mut leases = self.state.leases.values();
+        leases.any(|lease| lease.holder == node)
+    }
+}
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -1,225 +1,338 @@
-//! What a replica does before it counts: it asks the others what it had confirmed.
+//! What a replica does after a start, before it takes part: it asks the others what its disk had acknowledged.
+//!
+//! A disk may lose writes that it confirmed. The other replicas remember how far each disk has acknowledged the log
+//! (see [`DurabilityWitness`]), so a replica that asks them learns whether its own disk has lost anything. Until it has
+//! caught up with what it had acknowledged (its *recovery floor*), it neither votes nor leads.
 
+use super::position::LogPosition;
 use super::Replica;
 use crate::sans_io::Now;
 use crate::wire::{Body, DurabilityWitness, Hello};
 use std::collections::{BTreeMap, BTreeSet};
 
-#[derive(Clone)]
-pub(crate) struct Recovery {
-    until: u64,
-    next_hello: u64,
-    /// Those that answered, with their disks.
-    heard: BTreeMap<String, u64>,
-    knowing: bool,
-    farthest: (u64, u64),
+/// The share of the bound on an outage for which a recovered replica leaves the lead to one with a longer log.
+const DEFERRAL_OUTAGE_DIVISOR: u64 = 6;
+/// Election time-outs after a recovery during which a replica that hears no leader stands for election sooner.
+const FAST_ELECTION_TIMEOUTS: u64 = 4;
+
+/// What the other replicas have answered so far.
+#[derive(Clone, Debug)]
+pub(super) struct RecoveryQuery {
+    /// When a majority of answers is enough, in monotonic milliseconds.
+    deadline: u64,
+    /// When the others are asked again.
+    next_request_at: u64,
+    /// The disks of those that answered, by address.
+    answered: BTreeMap<String, u64>,
+    /// Whether any of them has a log at all.
+    anyone_has_log: bool,
+    /// The longest log among them, and the highest term.
+    longest_log: LogPosition,
     highest_term: u64,
-    witnessed: Option<(u64, u64)>,
+    /// How far this replica's disk had acknowledged the log, as far as anyone remembers.
+    witnessed: Option<LogPosition>,
 }
 
-impl Recovery {
-    pub fn new(now: Now, wait: u64) -> Self {
+impl RecoveryQuery {
+    /// A query that waits for all others, but not longer than `wait_ms`.
+    pub fn new(now: Now, wait_ms: u64) -> Self {
         Self {
-            until: now.mono + wait,
-            next_hello: 0,
-            heard: BTreeMap::new(),
-            knowing: false,
-            farthest: (0, 0),
+            deadline: now.mono + wait_ms,
+            next_request_at: 0,
+            answered: BTreeMap::new(),
+            anyone_has_log: false,
+            longest_log: LogPosition::ORIGIN,
             highest_term: 0,
             witnessed: None,
         }
     }
+
+    fn take_answer(&mut self, from: &str, answer: &Hello, own_disk: u64) {
+        self.answered.insert(from.into(), answer.disk);
+        self.highest_term = self.highest_term.max(answer.term);
+        if answer.knows {
+            self.anyone_has_log = true;
+            let log = LogPosition::new(answer.last_term, answer.last_index);
+            self.longest_log = self.longest_log.max(log);
+        }
+        let witness = &answer.witnessed;
+        if witness.index > 0 && witness.disk == own_disk {
+            let position = LogPosition::new(witness.term, witness.index);
+            self.witnessed = self.witnessed.max(Some(position));
+        }
+    }
+}
+
+/// A longer log that was heard of during recovery, and until when its owner is given the chance to lead.
+#[derive(Clone, Copy, Debug, Default)]
+struct Deferral {
+    position: LogPosition,
+    until: u64,
+}
+
+/// What this replica has to make up for before it counts.
+#[derive(Clone, Debug)]
+pub(super) struct RecoveryState {
+    /// The query after a start, while it goes on.
+    query: Option<RecoveryQuery>,
+    /// The last position that this replica has acknowledged and lost; [`LogPosition::ORIGIN`] if it lost nothing.
+    pub floor: LogPosition,
+    deferral: Deferral,
+    /// Part of what was on the disk could not be read.
+    disk_damaged: bool,
+}
+
+impl RecoveryState {
+    /// The state after a start.
+    pub fn new(query: RecoveryQuery, disk_damaged: bool) -> Self {
+        Self {
+            query: Some(query),
+            floor: LogPosition::ORIGIN,
+            deferral: Deferral::default(),
+            disk_damaged,
+        }
+    }
 }
 
 impl Replica {
-    fn empty(&self) -> bool {
-        self.last().0 == 0
-    }
-
-    /// Asks what this replica had confirmed, or answers that question of the disk at the address.
-    fn hello(&mut self, to: &str, reply: Option<u64>) {
-        let (last_index, last_term) = self.last();
-        let asked = (to.to_string(), reply.unwrap_or(0));
-        let witnessed = self
-            .witnesses
-            .get(&asked)
-            .cloned()
-            .unwrap_or(DurabilityWitness {
-                replica: to.into(),
-                disk: 0,
-                index: 0,
-                term: 0,
-            });
-        let members: Vec<String> = if self.empty() {
-            Vec::new()
-        } else {
+    /// Whether this replica still finds out what it had acknowledged before it started.
+    pub(super) fn is_recovering(&self) -> bool {
+        self.recovery.query.is_some()
+    }
+
+    /// Asks another replica what this one's disk had acknowledged.
+    fn send_recovery_request(&mut self, to: &str) {
+        self.send_hello(to, None);
+    }
+
+    /// Sends what this replica has; in an answer also what it remembers of the asking replica's disk.
+    fn send_hello(&mut self, to: &str, answer_to_disk: Option<u64>) {
+        let asking = (to.to_string(), answer_to_disk.unwrap_or(0));
+        let nothing_known = DurabilityWitness {
+            replica: to.into(),
+            disk: 0,
+            index: 0,
+            term: 0,
+        };
+        let witnessed = self.witnesses.get(&asking).cloned();
+        let has_log = !self.log.is_empty();
+        let members = if has_log {
             self.members().into_keys().collect()
+        } else {
+            Vec::new()
         };
-        let body = Hello {
+        let last = self.log.last();
+        let hello = Hello {
             disk: self.disk,
             term: self.hard_state.term,
-            last_index,
-            last_term,
-            reply: reply.is_some(),
+            last_index: last.index,
+            last_term: last.term,
+            reply: answer_to_disk.is_some(),
             zone: self.settings.zone.clone(),
-            knows: !self.empty(),
-            witnessed: Box::new(witnessed),
+            knows: has_log,
+            witnessed: Box::new(witnessed.unwrap_or(nothing_known)),
             members,
             witnesses: self.witnesses.values().cloned().collect(),
         };
-        self.send(to, Body::Hello(Box::new(body)));
-    }
-
-    pub(super) fn on_hello(&mut self, now: Now, from: &str, mut m: Hello) {
-        // What others confirmed is passed on: whoever remembers may be out of reach when it counts.
-        let me = self.name.clone();
-        let witnesses = std::mem::take(&mut m.witnesses);
-        witnesses
-            .into_iter()
-            .filter(|n| n.replica != me)
-            .for_each(|n| self.remember(n));
-        self.zones.insert(from.into(), m.zone.clone());
-        if !m.reply {
-            // A replica that starts anew: what it confirmed before may be gone.
-            self.peers.get_mut(from).iter_mut().for_each(|p| {
-                p.take_disk(m.disk);
-                p.next = m.last_index + 1;
-                p.matched = p.matched.min(m.last_index);
-                p.outgoing = None;
-                p.pending = 0;
-            });
-            self.hello(from, Some(m.disk));
-            return;
+        self.send(to, Body::Hello(Box::new(hello)));
+    }
+
+    /// Another replica has started and asks, or answers this one's question.
+    pub(super) fn on_hello(&mut self, now: Now, from: &str, mut hello: Hello) {
+        // Passed on, since whoever remembers may be out of reach when it counts.
+        self.remember_witnesses(std::mem::take(&mut hello.witnesses));
+        self.membership
+            .zones
+            .insert(from.into(), hello.zone.clone());
+        if hello.reply {
+            self.on_recovery_answer(now, from, hello);
+        } else {
+            self.on_recovery_request(from, &hello);
         }
-        let mut fresh = Vec::new();
-        if let Some(w) = self.recovery.as_mut() {
-            w.heard.insert(from.into(), m.disk);
-            w.highest_term = w.highest_term.max(m.term);
-            if m.knows {
-                w.knowing = true;
-                w.farthest = w.farthest.max((m.last_term, m.last_index));
-            }
-            if m.witnessed.index > 0 && m.witnessed.disk == self.disk {
-                w.witnessed = w.witnessed.max(Some((m.witnessed.term, m.witnessed.index)));
+    }
+
+    /// A replica has started anew: what it acknowledged before may be lost.
+    fn on_recovery_request(&mut self, from: &str, request: &Hello) {
+        if let Some(progress) = self.leadership.progress.get_mut(from) {
+            progress.observe_disk(request.disk);
+            progress.next_index = request.last_index + 1;
+            progress.match_index = progress.match_index.min(request.last_index);
+            progress.snapshot = None;
+            progress.in_flight_round = 0;
+        }
+        self.send_hello(from, Some(request.disk));
+    }
+
+    fn on_recovery_answer(&mut self, now: Now, from: &str, answer: Hello) {
+        if let Some(query) = self.recovery.query.as_mut() {
+            query.take_answer(from, &answer, self.disk);
+            let own_name = self.name.clone();
+            let not_asked =
+                |member: &String| *member != own_name && !query.answered.contains_key(member);
+            let others: Vec<String> = answer.members.into_iter().filter(not_asked).collect();
+            if self.log.is_empty() {
+                for other in others {
+                    self.send_recovery_request(&other);
+                }
             }
-            fresh = m.members;
-        }
-        let others: Vec<String> = fresh
-            .into_iter()
-            .filter(|a| {
-                *a != me
-                    && self
-                        .recovery
-                        .as_ref()
-                        .is_some_and(|w| !w.heard.contains_key(a))
-            })
-            .collect();
-        if self.empty() {
-            others.iter().for_each(|a| self.hello(a, None));
         }
         self.try_finish_recovery(now);
     }
 
+    /// Asks all other replicas again when it is time, and ends the recovery when it can.
     pub(super) fn recovery_tick(&mut self, now: Now) {
-        let me = self.name.clone();
-        let due = self
-            .recovery
-            .as_ref()
-            .is_some_and(|w| now.mono >= w.next_hello);
-        if due {
-            let mut targets: BTreeSet<String> = self.members().into_keys().collect();
-            targets.extend(self.settings.seeds.iter().cloned());
-            targets.extend(self.peer_sampler.replicas.iter().cloned());
-            targets.remove(&me);
-            targets.iter().for_each(|a| self.hello(a, None));
-            let heartbeat = self.settings.bounds.heartbeat();
-            self.recovery
-                .iter_mut()
-                .for_each(|w| w.next_hello = now.mono + heartbeat);
+        let next_request_at = self.recovery.query.as_ref().map(|q| q.next_request_at);
+        if next_request_at.is_some_and(|at| now.mono >= at) {
+            for replica in self.known_replicas() {
+                self.send_recovery_request(&replica);
+            }
+            let interval = self.settings.bounds.heartbeat();
+            if let Some(query) = self.recovery.query.as_mut() {
+                query.next_request_at = now.mono + interval;
+            }
         }
         self.try_finish_recovery(now);
     }
 
-    /// Ends the recovering once all voters were heard, or the wait is over and a majority was.
+    /// All other replicas that this one has heard of, as members, seeds or from other processes.
+    pub(super) fn known_replicas(&mut self) -> BTreeSet<String> {
+        let mut known: BTreeSet<String> = self.members().into_keys().collect();
+        known.extend(self.settings.seeds.iter().cloned());
+        known.extend(self.peer_sampler.replicas.iter().cloned());
+        known.remove(&self.name);
+        known
+    }
+
+    /// Ends the recovery once enough replicas have answered.
     fn try_finish_recovery(&mut self, now: Now) {
-        let Some(w) = self.recovery.as_ref() else {
+        let Some(query) = self.recovery.query.as_ref() else {
             return;
         };
-        if w.knowing && self.empty() && !self.joining {
-            self.line("the disk is empty while others have a log: joins as a newcomer".into());
-            self.joining = true;
-            self.members_cache = None;
+        if query.anyone_has_log && self.log.is_empty() && !self.membership.joining {
+            self.outbox
+                .log("the disk is empty while others have a log: joins as a newcomer".into());
+            self.membership.joining = true;
+            self.membership.invalidate();
         }
-        if self.is_voter() && !self.enough_heard(now) {
+        if self.is_voter() && !self.has_enough_answers(now) {
             return;
         }
-        let Some(w) = self.recovery.take() else {
-            return;
-        };
-        let (index, term) = self.last();
-        // What others remember of this disk; where nobody does and it is damaged, the farthest that anybody has.
-        let recovery_floor = w
-            .witnessed
-            .filter(|n| *n > (term, index))
-            .or((w.knowing && self.damaged).then_some(w.farthest));
-        if let Some(f) = recovery_floor.filter(|f| *f > (term, index)) {
-            self.recovery_floor = f;
-            self.hard_state.no_vote_through = self
-                .hard_state
-                .no_vote_through
-                .max(w.highest_term)
-                .max(self.hard_state.term);
-            self.hard_state.term = self.hard_state.term.max(w.highest_term);
-            self.pending_batch.hard_state = Some(self.hard_state.clone());
-            self.count("disk_losses_seen", 1);
-            self.line(format!(
-                "the disk has lost what it confirmed (has {index}, had confirmed {} of term {}): no vote until caught up",
-                f.1, f.0
-            ));
+        if let Some(query) = self.recovery.query.take() {
+            self.finish_recovery(now, &query);
+        }
+    }
+
+    fn finish_recovery(&mut self, now: Now, query: &RecoveryQuery) {
+        let last = self.log.last();
+        // What others remember of this disk; where nobody does and it is damaged, the longest log that anyone has.
+        let damaged_floor =
+            (query.anyone_has_log && self.recovery.disk_damaged).then_some(query.longest_log);
+        let witnessed = query.witnessed.filter(|position| *position > last);
+        let floor = witnessed.or(damaged_floor);
+        if let Some(floor) = floor.filter(|floor| *floor > last) {
+            self.enter_recovery_floor(floor, query.highest_term);
         }
-        // Another one's log is longer: it may hold what was confirmed and is lost here, with nobody to remember it.
-        if w.farthest > (term, index) {
-            self.deferral = (w.farthest, now.mono + self.settings.bounds.outage_ms / 6);
+        // A longer log may hold entries that were acknowledged here and lost, with nobody to remember it.
+        if query.longest_log > last {
+            self.recovery.deferral = Deferral {
+                position: query.longest_log,
+                until: now.mono + self.settings.bounds.outage_ms / DEFERRAL_OUTAGE_DIVISOR,
+            };
         }
-        self.damaged = false;
-        self.heard_leader = self.heard_leader.min(now.mono);
-        self.fast_election_until = now.mono + 4 * self.settings.bounds.election();
+        self.recovery.disk_damaged = false;
+        self.election.last_leader_contact = self.election.last_leader_contact.min(now.mono);
+        self.election.fast_until =
+            now.mono + FAST_ELECTION_TIMEOUTS * self.settings.bounds.election();
         self.reset_election_timer(now);
-        self.line(format!(
-            "recovered at index {index} of term {term}, {} other replicas heard",
-            w.heard.len()
+        self.outbox.log(format!(
+            "recovered at index {} of term {}, {} other replicas heard",
+            last.index,
+            last.term,
+            query.answered.len()
         ));
     }
 
-    /// Whether a majority of the voters answered, and either all others are accounted for or the wait is over. Who
-    /// answers with another disk than the one that is a member knows nothing of what that one confirmed, and does not
-    /// count; but that disk is gone for good, so nobody waits for it.
-    fn enough_heard(&mut self, now: Now) -> bool {
-        let name = self.name.clone();
-        let voters = self.voters();
-        let Some(recovery) = self.recovery.as_ref() else {
+    /// The disk has lost entries that it acknowledged, and perhaps votes: neither votes nor leads until caught up.
+    fn enter_recovery_floor(&mut self, floor: LogPosition, highest_term: u64) {
+        self.recovery.floor = floor;
+        let hard_state = &mut self.hard_state;
+        hard_state.no_vote_through = hard_state
+            .no_vote_through
+            .max(highest_term)
+            .max(hard_state.term);
+        hard_state.term = hard_state.term.max(highest_term);
+        self.persistence.write_hard_state(&self.hard_state);
+        self.count("disk_losses_seen", 1);
+        self.outbox.log(format!(
+            "the disk has lost what it confirmed (has {}, had confirmed {} of term {}): no vote until caught up",
+            self.log.last().index,
+            floor.index,
+            floor.term
+        ));
+    }
+
+    /// Whether a majority of the voters has answered, and either all others are accounted for or the wait is over. A
+    /// voter that answers with another disk than the member's knows nothing of what that disk acknowledged and does not
+    /// count; but that disk is lost for good, so nobody waits for it.
+    fn has_enough_answers(&mut self, now: Now) -> bool {
+        let Some(query) = self.recovery.query.as_ref() else {
             return false;
         };
-        let waited = now.mono >= recovery.until;
-        let answers: BTreeMap<String, u64> = recovery.heard.clone();
-        let others: Vec<&String> = voters.iter().filter(|v| **v != name).collect();
-        let accounted_for = others.iter().all(|v| answers.contains_key(*v));
-        let heard = others
-            .iter()
-            .filter(|v| {
-                answers
-                    .get(**v)
-                    .is_some_and(|disk| self.is_identity(v, *disk))
-            })
-            .count();
-        1 + heard >= self.majority() && (accounted_for || waited)
-    }
-
-    /// The place this replica must answer for when it votes or stands: as (term, index).
-    pub(super) fn answerable(&self, now: Now) -> (u64, u64) {
-        let (index, term) = self.last();
-        let (farthest, until) = self.deferral;
-        let deferral = if now.mono < until { farthest } else { (0, 0) };
-        self.recovery_floor.max((term, index)).max(deferral)
+        let answered = query.answered.clone();
+        let waited = now.mono >= query.deadline;
+        let own_name = self.name.clone();
+        let mut all_accounted_for = true;
+        let mut votes = 1;
+        for voter in self.voters().into_iter().filter(|v| *v != own_name) {
+            match answered.get(&voter) {
+                None => all_accounted_for = false,
+                Some(disk) if self.is_identity(&voter, *disk) => votes += 1,
+                Some(_) => {}
+            }
+        }
+        votes >= self.majority() && (all_accounted_for || waited)
+    }
+
+    /// Ends the restriction to the recovery floor once the log has caught up with it.
+    pub(super) fn try_leave_recovery_floor(&mut self) {
+        let last = self.log.last();
+        if self.recovery.floor > LogPosition::ORIGIN && last >= self.recovery.floor {
+            self.recovery.floor = LogPosition::ORIGIN;
+            self.outbox.log(format!(
+                "caught up at {} of term {}: votes again",
+                last.index, last.term
+            ));
+        }
+    }
+
+    /// The position that a log must have reached to get this replica's vote: its own, what it has acknowledged and
+    /// lost, and for a while the longest log that it heard of when it recovered.
+    pub(super) fn required_position(&self, now: Now) -> LogPosition {
+        let deferral = &self.recovery.deferral;
+        let deferred_to = if now.mono < deferral.until {
+            deferral.position
+        } else {
+            LogPosition::ORIGIN
+        };
+        self.recovery.floor.max(self.log.last()).max(deferred_to)
+    }
+
+    /// Keeps, for each disk of another replica, the farthest position that it may have acknowledged.
+    pub(super) fn remember_witnesses(&mut self, witnesses: Vec<DurabilityWitness>) {
+        for witness in witnesses {
+            if witness.replica != self.name {
+                self.remember_witness(witness);
+            }
+        }
+    }
+
+    /// Keeps a position that a disk has acknowledged, if it is farther than the one known.
+    pub(super) fn remember_witness(&mut self, witness: DurabilityWitness) {
+        let identity = (witness.replica.clone(), witness.disk);
+        let position = LogPosition::new(witness.term, witness.index);
+        let known = self.witnesses.get(&identity);
+        if known.is_none_or(|known| LogPosition::new(known.term, known.index) < position) {
+            self.witnesses.insert(identity, witness);
+        }
     }
 }
--- /dev/null
+++ b/landingdrift/src/consensus/shutdown.rs
@@ -0,0 +1,55 @@
+//! Orderly shutdown of a replica: it transfers the lead, lets a standby vote in its place, and answers meanwhile.
+
+use super::{Replica, Role};
+use crate::sans_io::Now;
+
+/// The state of an orderly shutdown. Times are monotonic milliseconds.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Shutdown {
+    /// When the replica ends in any case; none before it is asked to stop.
+    deadline: Option<u64>,
+    /// The leader lets it end.
+    pub leave_permitted: bool,
+    /// When the lead was last offered to another.
+    pub transfer_offered_at: u64,
+}
+
+impl Shutdown {
+    /// Whether the replica was asked to stop.
+    pub fn is_requested(&self) -> bool {
+        self.deadline.is_some()
+    }
+}
+
+impl Replica {
+    /// The process is asked to stop.
+    pub(super) fn on_stop(&mut self, now: Now) {
+        if self.shutdown.is_requested() {
+            return;
+        }
+        self.shutdown.deadline = Some(now.mono + self.settings.bounds.leave());
+        self.shutdown.leave_permitted = false;
+        if self.role == Role::Leader {
+            self.transfer_leadership(now);
+        }
+    }
+
+    /// Ends once a standby votes in this replica's place, or the leader says that none can, or the time is over. Until
+    /// then a leader offers the lead to others.
+    pub(super) fn shutdown_tick(&mut self, now: Now) {
+        let Some(deadline) = self.shutdown.deadline else {
+            return;
+        };
+        let member = self.state.replicas.get(&self.name);
+        let is_voter = member.is_some_and(|m| m.voter);
+        let may_end = self.role != Role::Leader && (!is_voter || self.shutdown.leave_permitted);
+        if now.mono >= deadline || may_end {
+            self.outbox.exit();
+            return;
+        }
+        let next_offer_at = self.shutdown.transfer_offered_at + self.settings.bounds.heartbeat();
+        if self.role == Role::Leader && now.mono >= next_offer_at {
+            self.transfer_leadership(now);
+        }
+    }
+}
--- /dev/null
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -0,0 +1,336 @@
+//! Snapshots: taking them, and transferring one to a replica that is behind the leader's log, a chunk at a time.
+//!
+//! The next chunk goes out when the last one is acknowledged; a chunk without an answer is repeated after a silence.
+//! The receiver answers with how much it has, so that either side may start anew and go on from there. It installs the
+//! snapshot only once it is whole and its checksum is right.
+
+use super::append::PendingAcknowledgement;
+use super::position::LogPosition;
+use super::{Replica, Role};
+use crate::sans_io::{Now, Snapshot};
+use crate::snapshot_chunks::{ChunkOutcome, ChunkedSnapshot, SnapshotAssembly, SnapshotId};
+use crate::state::ClusterState;
+use crate::wire::{Body, InstallSnapshot, InstallSnapshotResponse};
+use std::sync::Arc;
+
+/// A chunk without an answer is repeated after so many heartbeats.
+pub(super) const REPEAT_AFTER_HEARTBEATS: u64 = 5;
+/// The log is kept for receivers of a snapshot over at most so many times the entries between two snapshots.
+const RETAINED_SNAPSHOT_INTERVALS: u64 = 4;
+/// A snapshot is due when the entries since the last one fill this share of the log's limit in bytes.
+const DUE_LOG_BYTES_DIVISOR: u64 = 2;
+/// The share of the entries between two snapshots that the log keeps for replicas that are a little behind.
+const KEPT_TAIL_DIVISOR: u64 = 2;
+
+/// A snapshot that is being sent to another replica.
+#[derive(Clone, Debug)]
+pub(super) struct OutgoingSnapshot {
+    snapshot: Arc<ChunkedSnapshot>,
+    /// The bytes that the receiver has acknowledged.
+    acked_bytes: u64,
+    /// When the chunk after those was sent, in monotonic milliseconds.
+    sent_at: u64,
+}
+
+impl OutgoingSnapshot {
+    fn new(snapshot: Arc<ChunkedSnapshot>) -> Self {
+        Self {
+            snapshot,
+            acked_bytes: 0,
+            sent_at: 0,
+        }
+    }
+
+    fn id(&self) -> SnapshotId {
+        self.snapshot.identity()
+    }
+}
+
+/// The newest snapshot of this replica, and the one that it receives.
+#[derive(Clone, Debug)]
+pub(super) struct Snapshots {
+    pub latest: Arc<ChunkedSnapshot>,
+    /// The last entry that a snapshot covers, and the bytes of the entries applied since.
+    pub latest_index: u64,
+    pub bytes_since_latest: u64,
+    incoming: SnapshotAssembly,
+}
+
+impl Snapshots {
+    /// The snapshot that was loaded from disk, if there is one.
+    pub fn new(loaded: Option<Snapshot>) -> Self {
+        let latest_index = loaded.as_ref().map_or(0, |snapshot| snapshot.index);
+        let latest = loaded.map_or_else(ChunkedSnapshot::default, ChunkedSnapshot::from);
+        Self {
+            latest: Arc::new(latest),
+            latest_index,
+            bytes_since_latest: 0,
+            incoming: SnapshotAssembly::default(),
+        }
+    }
+}
+
+impl Replica {
+    /// Starts to send a snapshot, or repeats a chunk that got no answer.
+    pub(super) fn send_snapshot(&mut self, now: Now, to: &str) {
+        let latest = self.snapshots.latest.clone();
+        let log_base = self.log.base().index;
+        let repeat_after = REPEAT_AFTER_HEARTBEATS * self.settings.bounds.heartbeat();
+        let Some(progress) = self.leadership.progress.get_mut(to) else {
+            return;
+        };
+        if progress.disk_refuses_writes {
+            return;
+        }
+        let is_silent = now.mono.saturating_sub(progress.last_heard_at) > repeat_after;
+        let counter = match &progress.snapshot {
+            Some(outgoing) if now.mono < outgoing.sent_at + repeat_after => return,
+            // The log still follows on this snapshot.
+            Some(outgoing) if outgoing.id().index >= log_base && !is_silent => {
+                "snapshot_chunks_repeated"
+            }
+            _ => {
+                progress.snapshot = Some(OutgoingSnapshot::new(latest));
+                "snapshots_sent"
+            }
+        };
+        self.count(counter, 1);
+        self.send_snapshot_chunk(now, to);
+    }
+
+    fn send_snapshot_chunk(&mut self, now: Now, to: &str) {
+        let term = self.hard_state.term;
+        let round = self.leadership.rounds.current();
+        let progress = self.leadership.progress.get_mut(to);
+        let Some(outgoing) = progress.and_then(|p| p.snapshot.as_mut()) else {
+            return;
+        };
+        outgoing.sent_at = now.mono;
+        let id = outgoing.id();
+        let chunk = InstallSnapshot {
+            term,
+            round,
+            index: id.index,
+            index_term: id.term,
+            snapshot: outgoing.snapshot.chunk(outgoing.acked_bytes).to_vec(),
+            offset: outgoing.acked_bytes,
+            total: id.total,
+            checksum: id.checksum,
+        };
+        self.count("snapshot_chunks_sent", 1);
+        self.send(to, Body::InstallSnapshot(Box::new(chunk)));
+    }
+
+    /// A replica has answered a chunk.
+    pub(super) fn on_install_snapshot_response(
+        &mut self,
+        now: Now,
+        from: &str,
+        response: &InstallSnapshotResponse,
+    ) {
+        if response.term > self.hard_state.term {
+            self.become_follower(now, response.term, "");
+            return;
+        }
+        if self.role != Role::Leader || response.term < self.hard_state.term {
+            return;
+        }
+        let Some(progress) = self.leadership.progress.get_mut(from) else {
+            return;
+        };
+        progress.last_heard_at = now.mono;
+        let Some(outgoing) = progress.snapshot.as_mut() else {
+            return;
+        };
+        let id = outgoing.id();
+        let answers_this = response.index == id.index
+            && response.index_term == id.term
+            && response.checksum == id.checksum;
+        if !answers_this {
+            return;
+        }
+        if response.refused {
+            // It starts over after a silence, so that a lasting error does not fill the link.
+            outgoing.acked_bytes = 0;
+        } else if response.received >= id.total {
+            progress.snapshot = None;
+            progress.next_index = id.index + 1;
+            progress.in_flight_round = 0;
+            self.replicate(now, from, false);
+        } else if response.received != outgoing.acked_bytes {
+            outgoing.acked_bytes = response.received;
+            self.send_snapshot_chunk(now, from);
+        }
+    }
+
+    /// A leader sends a chunk of a snapshot.
+    pub(super) fn on_install_snapshot(&mut self, now: Now, from: &str, chunk: InstallSnapshot) {
+        let id = snapshot_id(&chunk);
+        if chunk.term < self.hard_state.term {
+            self.answer_chunk(from, id, 0, true);
+            return;
+        }
+        self.become_follower(now, chunk.term, from);
+        self.election.last_leader_contact = now.mono;
+        self.reset_election_timer(now);
+        if !self.disk_health.takes_writes() {
+            return;
+        }
+        if !self.is_covered(id) {
+            match self
+                .snapshots
+                .incoming
+                .take(id, chunk.offset, &chunk.snapshot)
+            {
+                ChunkOutcome::Part => {
+                    let received = self.snapshots.incoming.received();
+                    return self.answer_chunk(from, id, received, false);
+                }
+                ChunkOutcome::Corrupt => {
+                    return self.refuse_snapshot(from, id, "its checksum is wrong");
+                }
+                ChunkOutcome::Whole(bytes) => {
+                    if let Err(reason) = self.install_snapshot(id, bytes) {
+                        return self.refuse_snapshot(from, id, &reason);
+                    }
+                }
+            }
+        }
+        self.answer_chunk(from, id, id.total, false);
+        self.pending_acknowledgement = Some(PendingAcknowledgement {
+            leader: from.to_string(),
+            round: chunk.round,
+        });
+        if self.flush() <= self.persistence.durable_write() {
+            self.acknowledge_durable();
+        }
+    }
+
+    /// Whether the log already holds all that a snapshot does. What was acknowledged after it must not be thrown away.
+    fn is_covered(&mut self, id: SnapshotId) -> bool {
+        if id.index <= self.log.commit_index {
+            return true;
+        }
+        let is_in_log = self.log.term_at(id.index) == Some(id.term);
+        if is_in_log {
+            self.log.verified_index = self.log.verified_index.max(id.index);
+            self.log.commit_index = id.index;
+            self.apply_committed();
+            self.try_leave_recovery_floor();
+        }
+        is_in_log
+    }
+
+    /// Replaces the state and the log by a snapshot.
+    fn install_snapshot(&mut self, id: SnapshotId, bytes: Vec<u8>) -> Result<(), String> {
+        self.state = ClusterState::unpack(&bytes)?;
+        self.log.reset(LogPosition::new(id.term, id.index));
+        self.snapshots.latest = Arc::new(ChunkedSnapshot::new(id.index, id.term, bytes));
+        self.snapshots.latest_index = id.index;
+        self.persistence
+            .replace_log(self.snapshots.latest.to_snapshot());
+        self.membership.invalidate();
+        self.count("snapshots_installed", 1);
+        self.try_leave_recovery_floor();
+        Ok(())
+    }
+
+    fn refuse_snapshot(&mut self, from: &str, id: SnapshotId, reason: &str) {
+        self.count("snapshots_refused", 1);
+        self.outbox.log(format!(
+            "a snapshot at index {} refused: {reason}",
+            id.index
+        ));
+        self.answer_chunk(from, id, 0, true);
+    }
+
+    fn answer_chunk(&mut self, to: &str, id: SnapshotId, received: u64, refused: bool) {
+        let response = InstallSnapshotResponse {
+            term: self.hard_state.term,
+            index: id.index,
+            index_term: id.term,
+            checksum: id.checksum,
+            received,
+            refused,
+        };
+        self.send(to, Body::InstallSnapshotResponse(Box::new(response)));
+    }
+
+    /// Takes a snapshot of the state once enough was applied since the last one, and compacts the log.
+    pub(super) fn take_snapshot_when_due(&mut self) {
+        let limits = &self.settings.limits;
+        let applied = self.state.applied_index;
+        let snapshots = &self.snapshots;
+        let enough_entries = applied >= snapshots.latest_index + limits.snapshot_every;
+        let enough_bytes = snapshots.bytes_since_latest >= limits.log_bytes / DUE_LOG_BYTES_DIVISOR;
+        let is_due = (enough_entries || enough_bytes) && applied != snapshots.latest_index;
+        if !is_due || self.persistence.has_pending_snapshot() || !self.disk_health.takes_writes() {
+            return;
+        }
+        let Some(term) = self.log.term_at(applied) else {
+            return;
+        };
+        let snapshot = ChunkedSnapshot::new(applied, term, self.state.pack());
+        self.snapshots.latest = Arc::new(snapshot);
+        self.snapshots.latest_index = applied;
+        self.snapshots.bytes_since_latest = 0;
+        self.persistence
+            .write_snapshot(self.snapshots.latest.to_snapshot());
+        self.count("snapshots", 1);
+        self.compact_log();
+        self.flush();
+    }
+
+    /// Drops entries that the latest snapshot covers, but for a tail for replicas that are a little behind and the
+    /// entries after snapshots that are being sent; both within the limit in bytes.
+    fn compact_log(&mut self) {
+        let interval = self.settings.limits.snapshot_every;
+        let latest_index = self.snapshots.latest_index;
+        let mut last_unneeded = latest_index.saturating_sub(interval / KEPT_TAIL_DIVISOR);
+        let progress = self.leadership.progress.values();
+        for outgoing in progress.filter_map(|p| p.snapshot.as_ref()) {
+            last_unneeded = last_unneeded.min(outgoing.id().index);
+        }
+        for index in self.watch.snapshots.indexes() {
+            last_unneeded = last_unneeded.min(index);
+        }
+        let oldest_kept = latest_index.saturating_sub(RETAINED_SNAPSHOT_INTERVALS * interval);
+        let beyond_limit = self.log.last().index - self.newest_entries_within_limit();
+        let drop_to = last_unneeded
+            .max(oldest_kept)
+            .max(beyond_limit)
+            .min(latest_index);
+        self.log.compact_to(drop_to);
+    }
+
+    /// How many of the newest entries fit into the limit on the log's bytes.
+    fn newest_entries_within_limit(&self) -> u64 {
+        let mut bytes = 0;
+        let mut entries = 0;
+        for entry in self.log.iter().rev() {
+            bytes += entry.command.len() as u64;
+            if bytes > self.settings.limits.log_bytes {
+                break;
+            }
+            entries += 1;
+        }
+        entries
+    }
+}
+
+/// Which snapshot a chunk belongs to. An older build sends a snapshot whole, without its length and checksum.
+fn snapshot_id(chunk: &InstallSnapshot) -> SnapshotId {
+    let is_whole = chunk.total == 0;
+    let (total, checksum) = if is_whole {
+        let length = chunk.snapshot.len() as u64;
+        (length, crc32fast::hash(&chunk.snapshot))
+    } else {
+        (chunk.total, chunk.checksum)
+    };
+    SnapshotId {
+        index: chunk.index,
+        term: chunk.index_term,
+        total,
+        checksum,
+    }
+}
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -1,76 +1,96 @@
 //! What a replica says of itself: over HTTP, and in counters.
 
 use super::{Replica, Role};
-use crate::sans_io::{Effect, Now, Part, Request, Response};
+use crate::sans_io::{Now, Part, Request, Response};
 use serde_json::json;
 
+/// A replica that has heard no leader for so many election time-outs is not ready.
+const READY_ELECTION_TIMEOUTS: u64 = 2;
+
 impl Replica {
-    /// What the replica says of itself over HTTP.
-    pub(super) fn on_call(&mut self, now: Now, call: u64, req: &Request) {
-        let ready = self.storage.takes_writes()
-            && self.recovery.is_none()
-            && (self.role == Role::Leader
-                || now.mono.saturating_sub(self.heard_leader)
-                    < 2 * self.settings.bounds.election());
-        let response = match (req.method.as_str(), req.path.as_str()) {
+    /// Answers an HTTP request.
+    pub(super) fn on_call(&mut self, now: Now, call: u64, request: &Request) {
+        let response = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/live") => Response::new(200, json!({"live": true})),
-            ("GET", "/ready") => Response::new(
-                if ready && self.stopping.is_none() {
-                    200
-                } else {
-                    503
-                },
-                json!({"ready": ready && self.stopping.is_none()}),
-            ),
+            ("GET", "/ready") => self.ready_response(now),
             ("GET", "/metrics") => self.metrics(),
-            ("GET", "/v1/status") => {
-                let members = self.members();
-                let left = &self.resilience;
-                Response::new(
-                    200,
-                    json!({"core": self.name, "role": format!("{:?}", self.role), "leader": self.leader, "term": self.hard_state.term, "commit": self.commit,
-                           "last": self.last().0, "members": members, "version": self.state.version,
-                           "machineLossesLeft": left.machine_losses_left, "zoneLossSurvivable": left.zone_loss_survivable,
-                           "disk": self.storage.report(now.mono)}),
-                )
-            }
+            ("GET", "/v1/status") => self.status_response(now),
             _ => Response::error(
                 404,
                 "noSuchRoute",
                 "a core serves /live, /ready, /metrics and /v1/status: send all else to a node",
             ),
         };
-        self.out.push(Effect::Answer(call, response));
+        self.outbox.respond(call, response);
+    }
+
+    fn ready_response(&self, now: Now) -> Response {
+        let ready = self.is_ready(now);
+        let status = if ready { 200 } else { 503 };
+        Response::new(status, json!({ "ready": ready }))
+    }
+
+    fn is_ready(&self, now: Now) -> bool {
+        let silence = now.mono.saturating_sub(self.election.last_leader_contact);
+        let hears_leader = silence < READY_ELECTION_TIMEOUTS * self.settings.bounds.election();
+        self.disk_health.takes_writes()
+            && !self.is_recovering()
+            && !self.shutdown.is_requested()
+            && (self.role == Role::Leader || hears_leader)
+    }
+
+    fn status_response(&mut self, now: Now) -> Response {
+        let members = self.members();
+        let resilience = &self.membership.resilience;
+        Response::new(
+            200,
+            json!({
+                "core": self.name,
+                "role": self.role.name(),
+                "leader": self.leader,
+                "term": self.hard_state.term,
+                "commit": self.log.commit_index,
+                "last": self.log.last().index,
+                "members": members,
+                "version": self.state.version,
+                "machineLossesLeft": resilience.machine_losses_left,
+                "zoneLossSurvivable": resilience.zone_loss_survivable,
+                "disk": self.disk_health.report(now.mono),
+            }),
+        )
     }
 
     /// All counters, by name.
     pub(super) fn all_counters(&self) -> Vec<(String, u64)> {
-        let mut all: Vec<(String, u64)> = self
-            .counters
-            .iter()
-            .map(|(k, v)| (k.to_string(), *v))
-            .collect();
-        all.push(("term".into(), self.hard_state.term));
-        let takes_writes = self.storage.takes_writes();
-        all.push(("disk_takes_writes".into(), u64::from(takes_writes)));
-        all.push(("commit".into(), self.commit));
-        all.push(("leads".into(), u64::from(self.role == Role::Leader)));
-        all.push(("jobs_open".into(), self.state.open.len() as u64));
-        all.push(("jobs_kept".into(), self.state.jobs.len() as u64));
-        all.push(("log_entries_in_memory".into(), self.log.len() as u64));
+        let mut all = self.outbox.counters();
+        let mut add = |name: &str, value: u64| all.push((name.into(), value));
+        add("term", self.hard_state.term);
+        add(
+            "disk_takes_writes",
+            u64::from(self.disk_health.takes_writes()),
+        );
+        add("commit", self.log.commit_index);
+        add("leads", u64::from(self.role == Role::Leader));
+        add("jobs_open", self.state.open.len() as u64);
+        add("jobs_kept", self.state.jobs.len() as u64);
+        add("log_entries_in_memory", self.log.len() as u64);
         if self.role == Role::Leader {
-            let left = &self.resilience;
-            all.push(("voters".into(), left.voters as u64));
-            all.push(("standbys".into(), left.standbys as u64));
-            let losses = left.machine_losses_left.max(0) as u64;
-            all.push(("machine_losses_left".into(), losses));
-            let zone = u64::from(left.zone_loss_survivable);
-            all.push(("zone_loss_survivable".into(), zone));
+            let resilience = &self.membership.resilience;
+            add("voters", resilience.voters as u64);
+            add("standbys", resilience.standbys as u64);
+            add(
+                "machine_losses_left",
+                resilience.machine_losses_left.max(0) as u64,
+            );
+            add(
+                "zone_loss_survivable",
+                u64::from(resilience.zone_loss_survivable),
+            );
         }
-        let log_bytes = self.log.iter().map(|e| e.command.len() as u64).sum();
-        all.push(("log_bytes_in_memory".into(), log_bytes));
-        let outgoing = self.peers.values().filter(|p| p.outgoing.is_some()).count();
-        all.push(("snapshots_on_their_way".into(), outgoing as u64));
+        add("log_bytes_in_memory", self.log.bytes());
+        let progress = self.leadership.progress.values();
+        let outgoing = progress.filter(|p| p.snapshot.is_some()).count();
+        add("snapshots_on_their_way", outgoing as u64);
         all
     }
 }
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -1,293 +1,222 @@
-//! The numbered watch: nodes follow the cluster state from a place on, and start from a snapshot.
+//! The watch: nodes follow the committed log from an index on, and start from a snapshot.
+//!
+//! A node asks at intervals and says how far it has come; the leader answers with what follows. Nodes that hold leases
+//! are sent new entries as soon as they are committed, without asking.
 
 use super::clock::ClockReading;
-use super::{Replica, Role, Watcher};
+use super::lease_assignment::SMALL_NODE_SHARE;
+use super::watch_snapshots::{SentChunk, WatchSnapshots};
+use super::{Replica, Role};
 use crate::sans_io::Now;
 use crate::state::Command;
-use crate::wire::{
-    Body, NodeProgress, ProposeResponse, ReadIndexResponse, RequestToken, WatchBatch, WatchRequest,
-};
-use std::collections::BTreeSet;
+use crate::wire::{Body, WatchBatch, WatchRequest};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// So many entries are taken in by a snapshot rather than one by one.
-const FAR: u64 = 1024;
-/// Entries in one batch to a node.
-const WATCH_ENTRIES: u64 = 512;
+/// A node that lacks more entries than this starts over from a snapshot, which is smaller than all that made it.
+const MAX_ENTRIES_BEHIND: u64 = 1024;
+/// Entries in one message to a node.
+const MAX_BATCH_ENTRIES: u64 = 512;
+/// Snapshots that no node has fetched for so many time-outs of a node are dropped.
+const UNUSED_SNAPSHOT_NODE_TIMEOUTS: u64 = 2;
+/// For so many time-outs of a node a new leader assumes that nodes with enough of a processor will yet be heard.
+const NODES_EXPECTED_NODE_TIMEOUTS: u64 = 2;
 
-#[derive(Clone)]
-pub(crate) struct Read {
-    to: String,
-    token: RequestToken,
-    asked: u64,
-    log_index: u64,
+/// A leader's view of a node that follows the log. Times are monotonic milliseconds.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Watcher {
+    /// The last entry that the node has applied.
+    pub applied_index: u64,
+    /// The last entry that was sent to it.
+    pub sent_index: u64,
+    pub last_heard_at: u64,
+    /// When the node sent its last request, by its own clock; sent back so that it knows how fresh an answer is.
+    pub request_sent_at: u64,
+    pub zone: String,
+    pub http: String,
+    pub leaving: bool,
+    /// The node that should get its leases when it leaves; empty for any.
+    pub successor: String,
+    /// Its share of a processor, in thousandths of a core.
+    pub share: u32,
+    pub beside_replica: bool,
+    /// It follows a light copy of the state, without jobs and workers.
+    pub light: bool,
+    /// The last chunk of a snapshot that it was sent.
+    pub last_chunk: SentChunk,
+    /// The index of the snapshot that it fetches or has fetched; 0 for none.
+    pub fetched_index: u64,
+}
+
+/// The nodes that follow this leader's log, and the snapshots that they fetch.
+#[derive(Clone, Default)]
+pub(super) struct Watch {
+    /// The nodes by name.
+    pub watchers: BTreeMap<String, Watcher>,
+    pub snapshots: WatchSnapshots,
 }
 
 impl Replica {
-    /// Until when this leader surely led: a majority answered a round sent then.
-    pub(super) fn quorum_at(&mut self, now: Now) -> u64 {
-        let sent = self.by_voter(now.mono, |p| p.round_sent);
-        Self::reached_by_majority(sent)
+    /// The latest time at which this leader surely led, in monotonic milliseconds: a majority has answered a round that
+    /// was sent then.
+    pub(super) fn last_quorum_contact(&mut self, now: Now) -> u64 {
+        let contacts = self.for_each_voter(now.mono, |progress| progress.acked_round_sent_at);
+        Self::reached_by_majority(contacts)
     }
 
-    fn settled(&self) -> bool {
+    /// Whether this replica leads and has applied all that was committed before its term.
+    pub(super) fn is_ready_to_lead(&self) -> bool {
+        let first_index = self.leadership.term_start_index;
         self.role == Role::Leader
-            && self.term_start_index > 0
-            && self.commit >= self.term_start_index
-            && self.state.applied_index >= self.term_start_index
+            && first_index > 0
+            && self.log.commit_index >= first_index
+            && self.state.applied_index >= first_index
     }
 
-    pub(super) fn on_watch_request(&mut self, now: Now, from: &str, m: WatchRequest) {
-        if !self.settled() {
-            self.watch_snapshots.clear();
-            self.send_batch(now, from, m.sent, false, None);
+    /// A node asks for what follows the entries that it has applied.
+    pub(super) fn on_watch_request(&mut self, now: Now, from: &str, request: WatchRequest) {
+        if !self.is_ready_to_lead() {
+            self.watch.snapshots.clear();
+            self.send_watch_batch(now, from, request.sent, None);
             return;
         }
-        let unused = 2 * self.settings.bounds.node_lost();
-        self.watch_snapshots.expire(now, unused);
+        let unused_after = UNUSED_SNAPSHOT_NODE_TIMEOUTS * self.settings.bounds.node_lost();
+        self.watch.snapshots.expire(now, unused_after);
         let reading = ClockReading {
-            at: m.clock,
-            carried: m.carried,
+            time: request.clock,
+            is_agreed: request.carried,
         };
-        self.clock.sample(now, &m.node, reading);
-        let light = self.wants_light(now, &m);
-        let (chunk, fetched) = self
-            .watchers
-            .get(&m.node)
-            .map_or_else(Default::default, |f| (f.chunk, f.fetched));
-        // Another kind of copy than it has starts over.
-        let log_index = if light == m.light {
-            m.log_index
+        self.clock.observe(now, &request.node, reading);
+        let light = self.should_follow_light_copy(now, &request);
+        self.note_watcher(now, &request, light);
+        // A node with a copy of the other kind starts over.
+        let from_index = if light == request.light {
+            request.log_index
         } else {
             u64::MAX
         };
-        let f = Watcher {
-            log_index: m.log_index,
-            sent: m.log_index,
-            heard: now.mono,
-            echo: m.sent,
-            zone: m.zone.clone(),
-            http: m.http.clone(),
-            leaving: m.leaving,
-            successor: m.successor.clone(),
-            share: m.share,
-            beside_core: m.beside_core,
+        if self.needs_snapshot(&request.node, from_index) {
+            self.send_watch_chunk(now, from, &request);
+        }
+        let reached = self.send_watch_batch(now, from, request.sent, Some(from_index));
+        self.note_sent(&request.node, reached);
+    }
+
+    fn note_watcher(&mut self, now: Now, request: &WatchRequest, light: bool) {
+        let known = self.watch.watchers.get(&request.node);
+        let watcher = Watcher {
+            applied_index: request.log_index,
+            sent_index: request.log_index,
+            last_heard_at: now.mono,
+            request_sent_at: request.sent,
+            zone: request.zone.clone(),
+            http: request.http.clone(),
+            leaving: request.leaving,
+            successor: request.successor.clone(),
+            share: request.share,
+            beside_replica: request.beside_core,
             light,
-            chunk,
-            fetched,
+            last_chunk: known.map_or_else(SentChunk::default, |w| w.last_chunk),
+            fetched_index: known.map_or(0, |w| w.fetched_index),
         };
-        self.watchers.insert(m.node.clone(), f);
-        if self.needs_snapshot(&m.node, log_index) {
-            self.send_watch_chunk(now, from, &m);
+        self.watch.watchers.insert(request.node.clone(), watcher);
+    }
+
+    fn note_sent(&mut self, node: &str, reached: u64) {
+        if let Some(watcher) = self.watch.watchers.get_mut(node) {
+            watcher.sent_index = watcher.sent_index.max(reached);
         }
-        let reached = self.send_batch(now, from, m.sent, true, Some(log_index));
-        self.watchers
-            .get_mut(&m.node)
-            .iter_mut()
-            .for_each(|f| f.sent = reached.max(f.sent));
     }
 
     /// Whether a node is to follow a light copy: it has too little of a processor for leases, and others have enough.
-    fn wants_light(&self, now: Now, m: &WatchRequest) -> bool {
-        let able = |f: &Watcher| u64::from(f.share) >= super::leases::TINY;
-        u64::from(m.share) < super::leases::TINY
-            && (now.mono < self.leader_since + 2 * self.settings.bounds.node_lost()
-                || self.watchers.values().any(able))
+    fn should_follow_light_copy(&self, now: Now, request: &WatchRequest) -> bool {
+        let is_small = |share: u32| u64::from(share) < SMALL_NODE_SHARE;
+        let expected_until =
+            self.leadership.since + NODES_EXPECTED_NODE_TIMEOUTS * self.settings.bounds.node_lost();
+        let mut watchers = self.watch.watchers.values();
+        is_small(request.share)
+            && (now.mono < expected_until || watchers.any(|w| !is_small(w.share)))
     }
 
-    /// New entries go out as soon as they are committed to those who hold leases; the others hear them when they pull.
+    /// Sends new entries to the nodes that hold leases as soon as they are committed; the others get them when they ask.
     pub(super) fn push_to_watchers(&mut self, now: Now) {
-        let holders: BTreeSet<String> = self
-            .state
-            .leases
-            .values()
-            .map(|g| g.holder.clone())
-            .collect();
-        let commit = self.commit;
-        let span = self.settings.bounds.fresh();
-        let due: Vec<(String, u64, u64)> = self
-            .watchers
-            .iter()
-            .filter(|(k, f)| {
-                holders.contains(*k)
-                    && f.sent < commit
-                    && now.mono.saturating_sub(f.heard) < span
-                    && !self.needs_snapshot(k, f.sent)
-            })
-            .map(|(k, f)| (k.clone(), f.echo, f.sent))
-            .collect();
-        for (to, echo, log_index) in due {
-            let reached = self.send_batch(now, &to, echo, true, Some(log_index));
-            self.watchers
-                .get_mut(&to)
-                .iter_mut()
-                .for_each(|f| f.sent = reached.max(f.sent));
+        let leases = self.state.leases.values();
+        let holders: BTreeSet<String> = leases.map(|lease| lease.holder.clone()).collect();
+        let fresh_ms = self.settings.bounds.fresh();
+        let mut due = Vec::new();
+        for (node, watcher) in &self.watch.watchers {
+            let is_fresh = now.mono.saturating_sub(watcher.last_heard_at) < fresh_ms;
+            let lacks_entries = watcher.sent_index < self.log.commit_index;
+            let may_be_sent = holders.contains(node) && lacks_entries && is_fresh;
+            if may_be_sent && !self.needs_snapshot(node, watcher.sent_index) {
+                due.push((node.clone(), watcher.request_sent_at, watcher.sent_index));
+            }
+        }
+        for (node, request_sent_at, sent_index) in due {
+            let reached = self.send_watch_batch(now, &node, request_sent_at, Some(sent_index));
+            self.note_sent(&node, reached);
         }
     }
 
-    /// Whether a node at a place is to start over from a snapshot: a place behind the log, or ahead of it (of a cluster
-    /// that was), or one far behind, since the cluster state is smaller than all that made it. One that has just fetched a
-    /// snapshot goes on with the log, however much was added meanwhile.
-    fn needs_snapshot(&self, node: &str, log_index: u64) -> bool {
-        let (light, fetched) = self
-            .watchers
-            .get(node)
-            .map_or((false, 0), |f| (f.light, f.fetched));
-        let goes_on = fetched > 0 && log_index >= fetched;
-        let far = self.commit.saturating_sub(log_index) > FAR && !light && !goes_on;
-        log_index < self.base.0 || log_index > self.commit || far
+    /// Whether a node that has applied entries up to an index starts over from a snapshot: the log does not reach back
+    /// to it, or not that far (as after a total loss), or it lacks too many. One that has just fetched a snapshot goes
+    /// on with the log, however much was added meanwhile.
+    fn needs_snapshot(&self, node: &str, index: u64) -> bool {
+        let watcher = self.watch.watchers.get(node);
+        let light = watcher.is_some_and(|w| w.light);
+        let fetched_index = watcher.map_or(0, |w| w.fetched_index);
+        let has_fetched = fetched_index > 0 && index >= fetched_index;
+        let commit_index = self.log.commit_index;
+        let entries_behind = commit_index.saturating_sub(index);
+        let is_far_behind = entries_behind > MAX_ENTRIES_BEHIND && !light && !has_fetched;
+        index < self.log.base().index || index > commit_index || is_far_behind
     }
 
-    /// Sends what follows a place; says how far that reaches.
-    fn send_batch(
+    /// Sends the entries that follow `from_index`, as far as the log has them; returns the index that they reach.
+    /// Without an index, the message says that this replica does not lead, and who does.
+    fn send_watch_batch(
         &mut self,
         now: Now,
         to: &str,
-        sent: u64,
-        ok: bool,
-        log_index: Option<u64>,
+        request_sent_at: u64,
+        from_index: Option<u64>,
     ) -> u64 {
-        let age = if ok {
-            now.mono.saturating_sub(self.quorum_at(now))
+        let leads = from_index.is_some();
+        let quorum_age = if leads {
+            now.mono.saturating_sub(self.last_quorum_contact(now))
         } else {
             0
         };
-        let light = self.watchers.get(to).is_some_and(|f| f.light);
-        let from = log_index.filter(|p| !self.needs_snapshot(to, *p));
-        let mut entries = from.map_or_else(Vec::new, |p| {
-            let most = (self.commit - p).min(WATCH_ENTRIES) as usize;
-            self.entries(p + 1, most)
-        });
-        let reached = entries.last().map_or(from.unwrap_or(0), |e| e.index);
+        let watcher = self.watch.watchers.get(to);
+        let light = watcher.is_some_and(|w| w.light);
+        let from_index = from_index.filter(|index| !self.needs_snapshot(to, *index));
+        let mut entries = Vec::new();
+        if let Some(index) = from_index {
+            let wanted = (self.log.commit_index - index).min(MAX_BATCH_ENTRIES);
+            entries = self.log.batch(index + 1, wanted as usize);
+        }
+        let last_sent = entries.last().map(|entry| entry.index);
+        let reached = last_sent.or(from_index).unwrap_or(0);
         if light {
-            entries.retain(|e| Command::concerns_all(&e.command));
+            entries.retain(|entry| Command::concerns_all(&entry.command));
         }
         self.count("watch_entries", entries.len() as u64);
-        let replicas = self.members().into_keys().collect();
-        let clock = self.clock.read(now);
         let batch = WatchBatch {
             replica: self.name.clone(),
             leader: self.leader.clone(),
-            ok,
-            sent,
-            quorum_age: age,
-            clock,
-            commit: self.commit,
-            // An older build's way: snapshots go in chunks.
+            ok: leads,
+            sent: request_sent_at,
+            quorum_age,
+            clock: self.clock.read(now),
+            commit: self.log.commit_index,
+            // Older builds sent snapshots here, whole.
             snapshot: Vec::new(),
             snapshot_index: 0,
             entries,
-            replicas,
+            replicas: self.members().into_keys().collect(),
             light,
             reached,
         };
         self.send(to, Body::WatchBatch(Box::new(batch)));
         reached
     }
-
-    pub(super) fn on_propose(
-        &mut self,
-        now: Now,
-        from: &str,
-        token: RequestToken,
-        command: Vec<u8>,
-    ) {
-        if !Command::may_be_proposed(&command) {
-            self.count("proposals_unexpected", 1);
-            return;
-        }
-        if !self.settled() || self.is_transferring_leadership(now) || !self.accepts_orders(now) {
-            let leader = if self.role == Role::Leader {
-                String::new()
-            } else {
-                self.leader.clone()
-            };
-            self.send(
-                from,
-                Body::ProposeResponse(Box::new(ProposeResponse {
-                    token,
-                    outcome: 1,
-                    log_index: 0,
-                    leader,
-                    response: Vec::new(),
-                })),
-            );
-            return;
-        }
-        self.count("proposals", 1);
-        let index = self.push_bytes(now, command);
-        self.asked.insert(index, (from.into(), token));
-        self.needs_round = true;
-    }
-
-    pub(super) fn on_read(&mut self, now: Now, from: &str, token: RequestToken) {
-        if !self.settled() {
-            let leader = if self.role == Role::Leader {
-                String::new()
-            } else {
-                self.leader.clone()
-            };
-            self.send(
-                from,
-                Body::ReadIndexResponse(Box::new(ReadIndexResponse {
-                    token,
-                    ok: false,
-                    log_index: 0,
-                    leader,
-                    nodes: Vec::new(),
-                })),
-            );
-            return;
-        }
-        let log_index = self.commit;
-        self.reads.push(Read {
-            to: from.into(),
-            token,
-            asked: now.mono,
-            log_index,
-        });
-        self.needs_round = true;
-    }
-
-    /// Reads are answered once a majority has confirmed, after they were asked, that this replica still leads.
-    pub(super) fn answer_reads(&mut self, now: Now) {
-        if self.reads.is_empty() {
-            return;
-        }
-        let quorum = self.quorum_at(now);
-        let (ready, rest): (Vec<Read>, Vec<Read>) = std::mem::take(&mut self.reads)
-            .into_iter()
-            .partition(|r| r.asked <= quorum);
-        self.reads = rest;
-        let nodes: Vec<NodeProgress> = self
-            .watchers
-            .iter()
-            // Those that are gone hold no change up.
-            .filter(|(k, _)| self.state.nodes.get(*k).is_some_and(|n| n.alive))
-            .map(|(k, f)| NodeProgress {
-                node: k.clone(),
-                log_index: f.log_index,
-                version: self
-                    .state
-                    .changes
-                    .iter()
-                    .rev()
-                    .find(|c| c.log_index <= f.log_index)
-                    .map_or(0, |c| c.version),
-                age: now.mono.saturating_sub(f.heard),
-            })
-            .collect();
-        for r in ready {
-            let leader = self.name.clone();
-            self.send(
-                &r.to,
-                Body::ReadIndexResponse(Box::new(ReadIndexResponse {
-                    token: r.token,
-                    ok: true,
-                    log_index: r.log_index,
-                    leader,
-                    nodes: nodes.clone(),
-                })),
-            );
-        }
-    }
 }
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -48,7 +48,7 @@
             self.hard_state = h.clone();
             Frame::HardState(h.clone()).write(bytes);
         });
-        s.cut.iter().for_each(|c| {
+        s.truncate_from.iter().for_each(|c| {
             self.last = self.last.min(c.saturating_sub(1));
             Frame::Cut(*c).write(bytes);
         });
@@ -168,11 +168,11 @@
         let mut first = WriteBatch {
             hard_state: Some(loaded.hard_state.clone()),
             witnesses: loaded.witnesses.clone(),
-            cut: Some(last + 1),
+            truncate_from: Some(last + 1),
             ..WriteBatch::default()
         };
         if loaded.damaged {
-            first.cut = Some(1);
+            first.truncate_from = Some(1);
             first.entries = loaded.entries.clone();
         }
         folder.save(&[first])?;
@@ -214,7 +214,7 @@
         let first = WriteBatch {
             hard_state: Some(self.head.hard_state.clone()),
             witnesses: self.head.witnesses.clone(),
-            cut: Some(self.head.last + 1),
+            truncate_from: Some(self.head.last + 1),
             ..WriteBatch::default()
         };
         self.save(&[first])
--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -1,7 +1,10 @@
 //! The sans-IO core: what every part of the system is, and what it may ask for.
 
+mod outbox;
 pub mod roles;
 
+pub use outbox::Outbox;
+
 use crate::settings::Settings;
 use crate::wire::{Body, DurabilityWitness, Entry};
 use serde_json::Value;
@@ -83,7 +86,7 @@
     pub write_id: u64,
     pub hard_state: Option<HardState>,
     /// Entries from this index on are void.
-    pub cut: Option<u64>,
+    pub truncate_from: Option<u64>,
     pub entries: Vec<Entry>,
     pub witnesses: Vec<DurabilityWitness>,
     pub snapshot: Option<Snapshot>,
--- a/landingdrift/tests/disk.rs
+++ b/landingdrift/tests/disk.rs
@@ -62,7 +62,7 @@
     f.save(&[WriteBatch {
         hard_state: Some(hard_state.clone()),
         witnesses: witnesses.clone(),
-        cut: Some(5),
+        truncate_from: Some(5),
         entries: vec![entry(5, 2), entry(6, 2)],
         ..WriteBatch::default()
     }])
--- a/landingdrift/tests/disk_power.rs
+++ b/landingdrift/tests/disk_power.rs
@@ -218,7 +218,7 @@
         let c = &mut self.confirmed;
         c.term = save.hard_state.map_or(c.term, |h| h.term);
         c.captured = save.snapshot.map_or(c.captured, |x| x.index);
-        c.last = save.cut.map_or(c.last, |cut| c.last.min(cut - 1));
+        c.last = save.truncate_from.map_or(c.last, |cut| c.last.min(cut - 1));
         c.last = save
             .entries
             .last()
@@ -329,7 +329,7 @@
     m.confirmed.last = 0;
     m.save(WriteBatch {
         hard_state: hard_state(5),
-        cut: Some(1),
+        truncate_from: Some(1),
         snapshot: snapshot(40, 4),
         ..WriteBatch::default()
     });
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -158,7 +158,7 @@
     f.save(&[voted]).expect("saved");
     fs::rename(&p, &away).expect("moved");
     let whole = WriteBatch {
-        cut: Some(1),
+        truncate_from: Some(1),
         snapshot: Some(landingdrift::sans_io::Snapshot {
             index: 9,
             term: 4,
--- a/landingdrift/tests/replicas/disk.rs
+++ b/landingdrift/tests/replicas/disk.rs
@@ -51,7 +51,7 @@
 
 fn write(to: &mut Loaded, s: WriteBatch) {
     s.hard_state.into_iter().for_each(|h| to.hard_state = h);
-    if let Some(cut) = s.cut {
+    if let Some(cut) = s.truncate_from {
         to.entries.retain(|e| e.index < cut);
     }
     if let Some(snapshot) = s.snapshot {
--- a/testkit/src/simulator/disk.rs
+++ b/testkit/src/simulator/disk.rs
@@ -25,7 +25,7 @@
 
 fn fold(l: &mut Loaded, s: &WriteBatch) {
     s.hard_state.iter().for_each(|h| l.hard_state = h.clone());
-    if let Some(c) = s.cut {
+    if let Some(c) = s.truncate_from {
         l.entries.retain(|e| e.index < c);
     }
     if let Some(c) = &s.snapshot {
