--- a/landingdrift/src/node/calls/status.rs
+++ b/landingdrift/src/node/calls/status.rs
@@ -40,17 +40,14 @@
 }
 
 fn queue_status(r: &ClusterState, name: &str, queue: &Queue) -> Value {
-    let count_votes = r.queues.get(name).cloned().unwrap_or_default();
+    let stats = r.queues.get(name).cloned().unwrap_or_default();
     let is_in_window = |at: u64| at + queue.window_ms >= r.at;
-    let within = count_votes
-        .promises
-        .iter()
-        .filter(|(at, _)| is_in_window(*at));
+    let within = stats.promises.iter().filter(|(at, _)| is_in_window(*at));
     let ended = within.clone().count();
     let missed = within.filter(|(_, kept)| !kept).count();
     let window = json!({"ended": ended, "missed": missed, "allowancePercent": queue.failure_allowance_percent, "spent": r.allowance_spent(name)});
-    json!({"unfinished": count_votes.unfinished, "running": count_votes.running, "copies": count_votes.copies, "kept": count_votes.kept, "missed": count_votes.missed,
-           "beta": r.beta(name), "window": window, "copiesEver": count_votes.copies_ever, "copiesWon": count_votes.copies_won})
+    json!({"unfinished": stats.unfinished, "running": stats.running, "copies": stats.copies, "kept": stats.kept, "missed": stats.missed,
+           "beta": r.beta(name), "window": window, "copiesEver": stats.copies_ever, "copiesWon": stats.copies_won})
 }
 
 fn zone_status(r: &ClusterState, name: &str, zone: &Zone) -> Value {
--- a/landingdrift/src/node/zone_scheduler/orders.rs
+++ b/landingdrift/src/node/zone_scheduler/orders.rs
@@ -3,7 +3,7 @@
 use super::Heartbeat;
 use crate::node::Node;
 use crate::sans_io::Response;
-use crate::state::{AttemptState, Job, Resources, Send, TaskState};
+use crate::state::{Attempt, AttemptState, Job, Resources, TaskState};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
@@ -171,7 +171,7 @@
 }
 
 /// The order to start a run of a task.
-fn start_order(job: &Job, i: usize, attempt: &Send) -> Value {
+fn start_order(job: &Job, i: usize, attempt: &Attempt) -> Value {
     let spec = job.of(i);
     let payload = if job.spec.steps.is_empty() {
         spec.payload.clone()
--- a/landingdrift/src/node/zone_scheduler/pace.rs
+++ b/landingdrift/src/node/zone_scheduler/pace.rs
@@ -3,7 +3,7 @@
 
 use crate::node::Node;
 use crate::sans_io::{fnv1a, Now};
-use crate::state::{AttemptState, ClusterState, Job, Send};
+use crate::state::{Attempt, AttemptState, ClusterState, Job};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Progress is told in parts of this.
@@ -164,7 +164,7 @@
     let step = job.tasks[*i as usize].step;
     let mut name = job.spec.id.as_bytes().to_vec();
     name.extend(step.to_le_bytes());
-    let stopped = |s: &Send| s.state == AttemptState::Stopped;
+    let stopped = |s: &Attempt| s.state == AttemptState::Stopped;
     Some(Run {
         group: fnv1a(&name),
         moved: job.tasks[*i as usize].attempts.iter().any(stopped),
--- a/landingdrift/src/replay/rerun/runs.rs
+++ b/landingdrift/src/replay/rerun/runs.rs
@@ -1,6 +1,6 @@
 //! How the runs of each task went on the recorded day.
 
-use crate::state::{AttemptState, ClusterState, Job, Outcome, Send};
+use crate::state::{Attempt, AttemptState, ClusterState, Job, Outcome};
 use std::collections::BTreeMap;
 
 /// Milliseconds that a run takes whose task never ended well on the recorded day: nothing is known of it, so it is short.
@@ -62,7 +62,7 @@
 }
 
 /// The run of a attempt, if it is known how it went.
-fn recorded_run(attempt: &Send) -> Option<RecordedRun> {
+fn recorded_run(attempt: &Attempt) -> Option<RecordedRun> {
     match attempt.state {
         AttemptState::Succeeded => Some(RecordedRun {
             outcome: Outcome::Succeeded,
--- /dev/null
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -0,0 +1,168 @@
+//! What happens to attempts: requests to stop, ends, doubt about their outcome.
+
+use crate::state::{Attempt, AttemptState, ClusterState, Job, Task, TaskState};
+
+impl ClusterState {
+    /// The live attempt with a number, to change it.
+    pub(super) fn attempt_mut(&mut self, attempt_no: u64) -> Option<&mut Attempt> {
+        let (job, task) = self.live.get(&attempt_no)?;
+        let job = self.jobs.get_mut(job)?;
+        let task = job.tasks.get_mut(*task as usize)?;
+        let mut attempts = task.attempts.iter_mut();
+        attempts.find(|attempt| attempt.no == attempt_no)
+    }
+
+    /// Asks the worker of a live attempt to stop it.
+    pub(super) fn request_stop(&mut self, attempt_no: u64) {
+        if let Some(attempt) = self.attempt_mut(attempt_no) {
+            attempt.stop = true;
+        }
+    }
+
+    /// Asks the workers of live attempts to stop them.
+    pub(super) fn request_stops(&mut self, attempts: Vec<u64>) {
+        for attempt_no in attempts {
+            self.request_stop(attempt_no);
+        }
+    }
+
+    /// Ends a live attempt: frees its resources, and derives the state of its task.
+    pub(super) fn end_attempt(
+        &mut self,
+        attempt_no: u64,
+        state: AttemptState,
+        ran_ms: u64,
+        note: &str,
+    ) {
+        let Some((id, task_no)) = self.live.remove(&attempt_no) else {
+            return;
+        };
+        let task = task_no as usize;
+        let max_attempts = self.max_attempts_of(&id);
+        let ended_at = self.at;
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let resources = job.of(task).needs();
+        let queue = job.spec.queue.clone();
+        let mut attempts = job.tasks[task].attempts.iter_mut();
+        let Some(attempt) = attempts.find(|attempt| attempt.no == attempt_no) else {
+            return;
+        };
+        attempt.state = state;
+        attempt.ended = ended_at;
+        attempt.ran_ms = ran_ms;
+        attempt.note = note.into();
+        let (worker, is_copy) = (attempt.worker.clone(), attempt.copy);
+        let has_succeeded = state == AttemptState::Succeeded;
+        let is_first_success =
+            has_succeeded && job.tasks[task].state != TaskState::Done && !job.of(task).long_running;
+        job.tasks[task].failures += u32::from(state == AttemptState::Failed);
+        end_task(job, task, is_first_success, max_attempts);
+        let to_stop = superseded_attempts(job, task, is_first_success);
+
+        if let Some(worker) = self.workers.get_mut(&worker) {
+            if worker.attempts.remove(&attempt_no) {
+                worker.used = worker.used.less(resources);
+            }
+        }
+        let stats = self.queues.entry(queue).or_default();
+        stats.running = stats.running.saturating_sub(1);
+        stats.copies -= u32::from(is_copy).min(stats.copies);
+        stats.copies_won += u64::from(is_copy && is_first_success);
+        if is_first_success && ran_ms > 0 {
+            stats.add_duration(u32::try_from(ran_ms).unwrap_or(u32::MAX));
+        }
+        self.request_stops(to_stop);
+        if !has_succeeded {
+            self.reschedule_gang(&id, task_no);
+        }
+    }
+
+    /// When a member of a gang has to start again, the rest of the gang is stopped, so that it starts whole.
+    pub(super) fn reschedule_gang(&mut self, id: &str, task_no: u32) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let mut to_stop = Vec::new();
+        for member in job.gang(task_no as usize) {
+            let task = &job.tasks[member];
+            if task.state != TaskState::Done {
+                to_stop.extend(task.live().map(|attempt| attempt.no));
+            }
+        }
+        self.request_stops(to_stop);
+    }
+
+    /// Marks the outcome of a live attempt as unknown.
+    pub(super) fn mark_unsure(&mut self, attempt_no: u64) {
+        let at = self.at;
+        let Some((id, task_no)) = self.live.get(&attempt_no).cloned() else {
+            return;
+        };
+        let Some(attempt) = self.attempt_mut(attempt_no) else {
+            return;
+        };
+        if attempt.state != AttemptState::Unsure {
+            attempt.state = AttemptState::Unsure;
+            // While the outcome is unknown, `ended` is the moment since when.
+            attempt.ended = at;
+        }
+        // The others of a gang don't wait for one that may never come.
+        self.reschedule_gang(&id, task_no);
+    }
+
+    /// Keeps the newest checkpoint of an attempt; in a gang it is good for every member.
+    pub(super) fn keep_checkpoint(&mut self, attempt_no: u64, checkpoint: &str) {
+        if checkpoint.is_empty() {
+            return;
+        }
+        let Some((id, task_no)) = self.live.get(&attempt_no) else {
+            return;
+        };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let task = *task_no as usize;
+        job.tasks[task].checkpoint = checkpoint.into();
+        for member in job.gang(task) {
+            job.tasks[member].checkpoint = checkpoint.into();
+        }
+    }
+}
+
+/// Derives the state of a task one of whose attempts has ended.
+fn end_task(job: &mut Job, task: usize, is_first_success: bool, max_attempts: u32) {
+    if is_first_success {
+        if job.ends_as_one(task) {
+            // The members end together: this end counts for all of them.
+            for member in job.gang(task) {
+                job.put(member, TaskState::Done);
+            }
+        } else {
+            job.put(task, TaskState::Done);
+        }
+        return;
+    }
+    // As long as another attempt may still succeed, the task has not failed.
+    let is_exhausted = job.tasks[task].state == TaskState::Waiting
+        && !job.of(task).long_running
+        && job.tasks[task].failures >= max_attempts
+        && job.tasks[task].live().next().is_none();
+    if is_exhausted {
+        let state = if job.cancel {
+            TaskState::Cancelled
+        } else {
+            TaskState::Failed
+        };
+        job.put(task, state);
+    }
+}
+
+/// The attempts of a task that are of no use any more. Members of a gang that ends as one end by themselves.
+fn superseded_attempts(job: &Job, task_no: usize, is_first_success: bool) -> Vec<u64> {
+    let task: &Task = &job.tasks[task_no];
+    let ends_by_itself = is_first_success && job.ends_as_one(task_no);
+    if task.state == TaskState::Waiting || ends_by_itself {
+        return Vec::new();
+    }
+    task.live().map(|attempt| attempt.no).collect()
+}
--- /dev/null
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -0,0 +1,196 @@
+//! Changes of the configuration, and evacuations of zones.
+
+use super::{ensure, ApplyResult};
+use crate::config::{merge, read, ClusterConfig, Queue};
+use crate::state::{
+    AttemptState, Change, ClusterState, Rejection, TaskState, CHANGES_KEPT_MS, CHANGES_MOST,
+};
+use serde_json::{json, Value};
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+
+/// A change of the configuration.
+pub(super) struct ConfigUpdate<'a> {
+    /// The identity of the change; copies of it carry the same one.
+    pub change: &'a str,
+    /// The version that it builds on.
+    pub base_version: u64,
+    /// The version that it becomes; 0 for the next.
+    pub version: u64,
+    /// It changes parts of the current configuration, and does not replace it.
+    pub is_patch: bool,
+    pub value: &'a Value,
+}
+
+impl ConfigUpdate<'_> {
+    /// The SHA-256 of all that is asked for.
+    fn digest(&self) -> [u8; 32] {
+        let Self {
+            base_version,
+            version,
+            is_patch,
+            value,
+            ..
+        } = self;
+        let text = format!("{base_version}/{version}/{is_patch}/{value}");
+        Sha256::digest(text.as_bytes()).into()
+    }
+}
+
+impl ClusterState {
+    /// Puts a change of the configuration into force. Only one change is taken on top of a version; a copy of one that
+    /// was taken gets the same answer again.
+    pub(super) fn update_config(&mut self, update: &ConfigUpdate) -> ApplyResult {
+        let digest = update.digest();
+        let mut known = self.changes.iter();
+        if let Some(known) = known.find(|known| known.change == update.change) {
+            ensure(known.digest == digest, Rejection::BodyMismatch)?;
+            return Ok(json!({"version": known.version, "place": known.log_index}));
+        }
+        let current = self.version;
+        ensure(
+            update.base_version == current,
+            Rejection::VersionConflict { current },
+        )?;
+        self.forget_old_changes();
+        ensure(self.changes.len() < CHANGES_MOST, Rejection::TooManyChanges)?;
+        let is_higher = update.version == 0 || update.version > current;
+        ensure(
+            is_higher,
+            Rejection::Invalid {
+                path: "version".into(),
+                remedy: format!("give a number above the current one, {current}"),
+            },
+        )?;
+        let config = self.read_update(update)?;
+        self.retire_queues(&config)?;
+        self.config = config;
+        self.version = update.version.max(current + 1);
+        self.changes.push_back(Change {
+            change: update.change.into(),
+            digest,
+            version: self.version,
+            log_index: self.applied_index,
+            at: self.at,
+        });
+        self.stop_where_closed();
+        self.fail_exhausted_tasks();
+        Ok(json!({"version": self.version, "place": self.applied_index}))
+    }
+
+    /// The configuration that an update leads to.
+    fn read_update(&self, update: &ConfigUpdate) -> Result<ClusterConfig, Rejection> {
+        let mut value = update.value.clone();
+        if update.is_patch {
+            value = serde_json::to_value(&self.config).unwrap_or_default();
+            merge(&mut value, update.value);
+        }
+        read(&value).map_err(|e| Rejection::Invalid {
+            path: e.path().to_string(),
+            remedy: e.to_string(),
+        })
+    }
+
+    /// Keeps the queues that a new configuration drops while they hold unfinished jobs, if it allows that.
+    fn retire_queues(&mut self, config: &ClusterConfig) -> Result<(), Rejection> {
+        let has_unfinished = |queue: &String| {
+            let stats = self.queues.get(queue);
+            stats.is_some_and(|stats| stats.unfinished > 0)
+        };
+        let mut dropped: BTreeMap<String, Queue> = BTreeMap::new();
+        for (name, queue) in &self.config.queues {
+            if !config.queues.contains_key(name) && has_unfinished(name) {
+                dropped.insert(name.clone(), queue.clone());
+            }
+        }
+        if let (Some(queue), false) = (dropped.keys().next(), config.retire_queues) {
+            return Err(Rejection::Invalid {
+                path: format!("queues.{queue}"),
+                remedy: format!("queues.{queue}: it holds unfinished jobs: let them end or cancel them, then remove it"),
+            });
+        }
+        self.retired.extend(dropped);
+        self.retired
+            .retain(|queue, _| !config.queues.contains_key(queue));
+        Ok(())
+    }
+
+    /// Drops the identities of changes made long ago, but never the newest: it is acknowledged again however late.
+    fn forget_old_changes(&mut self) {
+        let kept_from = self.at.saturating_sub(CHANGES_KEPT_MS);
+        while self.changes.len() > 1 && self.changes[0].at < kept_from {
+            self.changes.pop_front();
+        }
+    }
+
+    /// Where a limit of attempts was lowered: what has failed as often is not tried again, and does not wait for ever.
+    fn fail_exhausted_tasks(&mut self) {
+        let open: Vec<String> = self.open.iter().cloned().collect();
+        for id in open {
+            let max_attempts = self.max_attempts_of(&id);
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
+            let mut to_stop = Vec::new();
+            let mut any_failed = false;
+            for i in 0..job.tasks.len() {
+                let task = &job.tasks[i];
+                let is_exhausted =
+                    task.state == TaskState::Waiting && task.failures >= max_attempts;
+                if !is_exhausted || job.of(i).long_running {
+                    continue;
+                }
+                let unstarted = task.live().filter(|a| a.state == AttemptState::Ordered);
+                to_stop.extend(unstarted.map(|a| a.no));
+                if task.live().next().is_none() {
+                    job.put(i, TaskState::Failed);
+                    any_failed = true;
+                }
+            }
+            self.request_stops(to_stop);
+            if any_failed {
+                self.update_job_state(&id);
+            }
+        }
+    }
+
+    /// How often a task of a job may fail.
+    pub(super) fn max_attempts_of(&self, job: &str) -> u32 {
+        let queue = self.jobs.get(job).and_then(|j| self.queue(&j.spec.queue));
+        queue.map_or(1, |queue| queue.max_attempts)
+    }
+
+    /// Begins or ends the evacuation of a zone; asked twice it does no harm.
+    pub(super) fn set_evacuation(&mut self, zone: &str, on: bool) -> ApplyResult {
+        if on {
+            self.evacuated_zones.insert(zone.into());
+        } else {
+            self.evacuated_zones.remove(zone);
+        }
+        self.stop_where_closed();
+        Ok(json!({"zone": zone, "emptied": on}))
+    }
+
+    /// Stops attempts that have not started in zones and on workers that get nothing new, and repeatable ones in
+    /// evacuated zones whether they have started or not.
+    fn stop_where_closed(&mut self) {
+        let attempts = self.live.keys().copied();
+        let to_stop = attempts.filter(|no| self.must_stop_where_closed(*no));
+        self.request_stops(to_stop.collect());
+    }
+
+    fn must_stop_where_closed(&self, attempt_no: u64) -> bool {
+        let Some((_, task)) = self.live.get(&attempt_no) else {
+            return false;
+        };
+        let Some((job, _, attempt)) = self.attempt(attempt_no) else {
+            return false;
+        };
+        let worker = self.workers.get(&attempt.worker);
+        let zone = worker.map_or("", |worker| worker.info.zone.as_str());
+        let has_started = attempt.state != AttemptState::Ordered;
+        let is_closed = !self.open(zone, &attempt.worker);
+        let may_repeat = job.of(*task as usize).may_repeat;
+        (!has_started && is_closed) || (may_repeat && self.config.evacuated(zone))
+    }
+}
--- /dev/null
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -0,0 +1,111 @@
+//! The state of a job, derived from its tasks.
+
+use crate::state::{ClusterState, Job, JobState, Task, TaskState};
+
+/// Ends of jobs that are kept for the promise of a queue.
+const MAX_PROMISES: usize = 4096;
+
+impl ClusterState {
+    /// Derives a job's state from its tasks, and closes the job when it has ended.
+    pub(super) fn update_job_state(&mut self, id: &str) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if job.state.ended() {
+            return;
+        }
+        let any_failed = job.tasks.iter().any(|t| t.state == TaskState::Failed);
+        if job.cancel || any_failed {
+            cancel_idle_tasks(job);
+        }
+        let live = job.tasks.iter().flat_map(Task::live);
+        let live: Vec<u64> = live.map(|attempt| attempt.no).collect();
+        job.state = derived_state(job, !live.is_empty(), any_failed);
+        if any_failed && !job.cancel {
+            job.reason = failure_reason(job);
+        }
+        if job.state.ended() {
+            self.close_job(id);
+        } else if any_failed {
+            self.request_stops(live);
+        }
+    }
+
+    /// Closes a job that has ended: it is retained for its time, and counts for the promise of its queue.
+    fn close_job(&mut self, id: &str) {
+        let at = self.at;
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.ended = at;
+        let state = job.state;
+        let queue = job.spec.queue.clone();
+        let last_due = (0..job.tasks.len()).map(|i| job.due(i)).max();
+        let could_start_at = job.accepted.max(last_due.unwrap_or(0));
+        let took_ms = at.saturating_sub(could_start_at);
+        self.open.remove(id);
+        self.expiry.insert((at, id.to_string()));
+        let promised_ms = self.queue(&queue).map_or(0, |q| q.finish_within_ms);
+        let stats = self.queues.entry(queue.clone()).or_default();
+        stats.unfinished = stats.unfinished.saturating_sub(1);
+        if stats.unfinished == 0 {
+            self.retired.remove(&queue);
+        }
+        if state == JobState::Cancelled {
+            return;
+        }
+        let in_time = promised_ms == 0 || took_ms <= promised_ms;
+        let is_kept = state == JobState::Done && in_time;
+        stats.promises.push_back((at, is_kept));
+        stats.kept += u64::from(is_kept);
+        stats.missed += u64::from(!is_kept);
+        if stats.promises.len() > MAX_PROMISES {
+            stats.promises.pop_front();
+        }
+    }
+}
+
+/// Cancels the tasks that wait and have no live attempt.
+fn cancel_idle_tasks(job: &mut Job) {
+    for i in 0..job.tasks.len() {
+        let task = &job.tasks[i];
+        if task.state == TaskState::Waiting && task.live().next().is_none() {
+            job.put(i, TaskState::Cancelled);
+        }
+    }
+}
+
+fn derived_state(job: &Job, any_live: bool, any_failed: bool) -> JobState {
+    let all_done = job.tasks.iter().all(|t| t.state == TaskState::Done);
+    let any_attempted = job.tasks.iter().any(|t| !t.attempts.is_empty());
+    if any_live && job.cancel {
+        JobState::Cancelling
+    } else if any_live {
+        JobState::Running
+    } else if all_done {
+        JobState::Done
+    } else if any_failed {
+        JobState::Failed
+    } else if job.cancel {
+        JobState::Cancelled
+    } else if any_attempted {
+        JobState::Running
+    } else {
+        JobState::Waiting
+    }
+}
+
+/// Why a job has failed: its first failed task, with the note of its last attempt.
+fn failure_reason(job: &Job) -> String {
+    let mut tasks = job.tasks.iter();
+    let Some(i) = tasks.position(|t| t.state == TaskState::Failed) else {
+        return String::new();
+    };
+    let task = &job.tasks[i];
+    let last_note = task.attempts.last().map_or("", |a| a.note.as_str());
+    format!(
+        "task '{}' failed {} times: {last_note}",
+        job.name(i),
+        task.failures
+    )
+}
--- a/landingdrift/src/state/apply/mod.rs
+++ b/landingdrift/src/state/apply/mod.rs
@@ -1,26 +1,56 @@
-mod config;
+//! Applying committed entries to the cluster state: the only place where it changes.
+//!
+//! Every rule that the state alone can check is checked here, whoever proposed the entry. An entry that breaks one is
+//! rejected and changes nothing but what its rejection must leave behind. The same entries give the same state on every
+//! replica and node.
+
+mod attempts;
+mod config_update;
+mod garbage_collection;
+mod job_state;
 mod jobs;
-mod members;
+mod membership;
 mod orders;
-mod start;
-mod sweep;
+mod placement_rules;
+mod start_attempts;
+mod worker_trust;
 mod workers;
 
 use super::{ClusterState, Command, Rejection};
+use config_update::ConfigUpdate;
 use serde_json::{json, Value};
+use workers::ReportingWorker;
 
-/// The response on an entry.
+/// The result of an entry: what its proposer is told, or why the entry was rejected.
 pub type ApplyResult = Result<Value, Rejection>;
 
+/// Rejects an entry unless a condition holds.
+fn ensure(condition: bool, rejection: Rejection) -> Result<(), Rejection> {
+    if condition {
+        Ok(())
+    } else {
+        Err(rejection)
+    }
+}
+
 impl ClusterState {
-    /// Applies one committed entry. The same entries give the same record everywhere.
+    /// Applies the committed entry at an index; `at` is its time by the cluster clock, in milliseconds since 1970.
     pub fn apply(&mut self, index: u64, at: u64, command: &Command) -> ApplyResult {
         self.applied_index = index;
         self.at = self.at.max(at);
         self.dispatch(command)
     }
 
-    /// Does what a command says.
+    /// Applies a committed entry from its bytes.
+    pub fn apply_bytes(&mut self, index: u64, at: u64, command: &[u8]) -> ApplyResult {
+        self.applied_index = index;
+        let command = Command::unpack(command).map_err(|e| Rejection::Invalid {
+            path: "entry".into(),
+            remedy: format!("{e}: upgrade this process, a newer one wrote the entry"),
+        })?;
+        self.apply(index, at, &command)
+    }
+
     fn dispatch(&mut self, command: &Command) -> ApplyResult {
         match command {
             Command::TermStarted { .. } => Ok(Value::Null),
@@ -30,89 +60,103 @@
                 patch,
                 number,
                 value,
-            } => self.configure(change, (*base, *number), *patch, value),
-            Command::AcceptJob { spec, hash, seen } => self.accept(spec, *hash, *seen),
-            Command::CancelJob { job } => self.cancel(job),
+            } => self.update_config(&ConfigUpdate {
+                change,
+                base_version: *base,
+                version: *number,
+                is_patch: *patch,
+                value,
+            }),
+            Command::AcceptJob { spec, hash, seen } => self.accept_job(spec, *hash, *seen),
+            Command::CancelJob { job } => self.cancel_job(job),
             Command::StartAttempts {
                 job,
                 owner_epoch,
                 placements,
-            } => self.start(job, *owner_epoch, placements),
-            Command::UpdateWorker { info, zone_epoch } => self.info(info, *zone_epoch),
+            } => self.start_attempts(job, *owner_epoch, placements),
+            Command::UpdateWorker { info, zone_epoch } => self.update_worker(info, *zone_epoch),
             Command::ReportAttempts {
                 worker,
                 incarnation,
                 running,
                 ends,
-            } => self.report(worker, *incarnation, running, ends),
+            } => {
+                let worker = ReportingWorker {
+                    name: worker,
+                    incarnation: *incarnation,
+                };
+                self.report_attempts(worker, running, ends)
+            }
             Command::WorkerLost {
                 worker,
                 incarnation,
                 zone_epoch,
-            } => self.lost(worker, *incarnation, *zone_epoch),
+            } => {
+                let worker = ReportingWorker {
+                    name: worker,
+                    incarnation: *incarnation,
+                };
+                self.worker_lost(worker, *zone_epoch)
+            }
             Command::ExpireAttempts {
                 worker,
                 incarnation,
                 zone_epoch,
                 attempts,
                 checkpoints,
-            } => self.expire_attempts((worker, *incarnation), *zone_epoch, attempts, checkpoints),
+            } => {
+                let worker = ReportingWorker {
+                    name: worker,
+                    incarnation: *incarnation,
+                };
+                self.expire_attempts(worker, *zone_epoch, attempts, checkpoints)
+            }
             Command::RescheduleAttempts {
                 worker,
                 zone_epoch,
                 attempts,
                 blame,
             } => self.reschedule_attempts(worker, *zone_epoch, attempts, *blame),
-            Command::SetEvacuation { zone, on } => self.empty(zone, *on),
+            Command::SetEvacuation { zone, on } => self.set_evacuation(zone, *on),
             Command::ResolveAttempt {
                 job,
                 task,
                 succeeded,
-            } => self.resolve(job, task, *succeeded),
+            } => self.resolve_attempt(job, task, *succeeded),
             Command::GrantLease {
                 lease,
                 holder,
                 from_epoch,
-            } => self.grant(lease, holder, *from_epoch),
-            Command::RegisterNode { node, zone, http } => self.node(node, zone, http),
+            } => self.grant_lease(lease, holder, *from_epoch),
+            Command::RegisterNode { node, zone, http } => self.register_node(node, zone, http),
             Command::RemoveNode { node } => self.remove_node(node),
-            Command::FoundCluster { replicas } => self.found(replicas),
-            Command::UpdateReplica { replica, member } => self.replica(replica, member),
+            Command::FoundCluster { replicas } => self.found_cluster(replicas),
+            Command::UpdateReplica { replica, member } => self.update_replica(replica, member),
             Command::RemoveReplica { replica, disk } => self.remove_replica(replica, *disk),
             Command::CollectGarbage {
                 retain_ms,
                 identity_ms,
-            } => self.sweep(*retain_ms, *identity_ms),
-            Command::Order(order) => self.order(order),
+            } => self.collect_garbage(*retain_ms, *identity_ms),
+            Command::Order(order) => self.apply_order(order),
         }
     }
-
-    /// Applies an entry from its bytes.
-    pub fn apply_bytes(&mut self, index: u64, at: u64, command: &[u8]) -> ApplyResult {
-        self.applied_index = index;
-        let command = Command::unpack(command).map_err(|e| Rejection::Invalid {
-            path: "entry".into(),
-            remedy: format!("{e}: upgrade this process, a newer one wrote the entry"),
-        })?;
-        self.apply(index, at, &command)
-    }
 }
 
-/// The response from its bytes.
+/// A result from its bytes; none where they are of another form.
 pub fn unpack_apply_result(bytes: &[u8]) -> Option<ApplyResult> {
-    let v: Value = serde_json::from_slice(bytes).ok()?;
-    v.get("done").cloned().map(Ok).or_else(|| {
-        v.get("refused")
-            .and_then(|r| serde_json::from_value(r.clone()).ok())
-            .map(Err)
-    })
+    let value: Value = serde_json::from_slice(bytes).ok()?;
+    if let Some(done) = value.get("done") {
+        return Some(Ok(done.clone()));
+    }
+    let refused = value.get("refused")?.clone();
+    serde_json::from_value(refused).ok().map(Err)
 }
 
-/// The response as bytes.
-pub fn pack_apply_result(r: &ApplyResult) -> Vec<u8> {
-    serde_json::to_vec(
-        &r.as_ref()
-            .map_or_else(|e| json!({"refused": e}), |v| json!({"done": v})),
-    )
-    .unwrap_or_default()
+/// A result as bytes.
+pub fn pack_apply_result(result: &ApplyResult) -> Vec<u8> {
+    let value = match result {
+        Ok(done) => json!({ "done": done }),
+        Err(rejection) => json!({ "refused": rejection }),
+    };
+    serde_json::to_vec(&value).unwrap_or_default()
 }
--- a/landingdrift/src/state/apply/orders.rs
+++ b/landingdrift/src/state/apply/orders.rs
@@ -1,19 +1,18 @@
-//! Orders take effect once: the first copy that enters the log in time is obeyed, the others get its answer.
+//! Orders take effect once: the first copy that enters the log in time does, the others get its answer.
 
-use super::{pack_apply_result, unpack_apply_result, ApplyResult};
+use super::{ensure, pack_apply_result, unpack_apply_result, ApplyResult};
 use crate::state::{ClusterState, Order, Rejection};
 
 impl ClusterState {
-    /// Judges one copy of an order. Its answer is kept until the deadline; copies after that commit as nothing.
-    pub(super) fn order(&mut self, order: &Order) -> ApplyResult {
-        self.forget_answers();
+    /// Applies one copy of an order. Its answer is kept until the deadline; copies after that have no effect.
+    pub(super) fn apply_order(&mut self, order: &Order) -> ApplyResult {
+        self.forget_expired_answers();
         let key = (order.deadline, order.proposal.clone());
-        if let Some(answer) = self.orders.get(&key).and_then(|a| unpack_apply_result(a)) {
+        let known = self.orders.get(&key);
+        if let Some(answer) = known.and_then(|answer| unpack_apply_result(answer)) {
             return answer;
         }
-        (self.at <= order.deadline)
-            .then_some(())
-            .ok_or(Rejection::DeadlinePassed)?;
+        ensure(self.at <= order.deadline, Rejection::DeadlinePassed)?;
         let result = if order.action.is_order() {
             self.dispatch(&order.action)
         } else {
@@ -26,10 +25,13 @@
         result
     }
 
-    /// Drops answers whose deadline has passed: no copy that comes now is obeyed any more.
-    fn forget_answers(&mut self) {
-        let at = self.at;
-        while let Some(first) = self.orders.first_entry().filter(|e| e.key().0 < at) {
+    /// Drops answers whose deadline has passed: no copy that comes now takes effect any more.
+    fn forget_expired_answers(&mut self) {
+        while let Some(first) = self.orders.first_entry() {
+            let (deadline, _) = first.key();
+            if *deadline >= self.at {
+                break;
+            }
             first.remove();
         }
     }
--- /dev/null
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -0,0 +1,139 @@
+//! The rules that a placement is checked against: when a task may start, and on which workers.
+
+use super::ensure;
+use crate::config::Queue;
+use crate::state::{
+    zone_lease, AttemptState, ClusterState, Job, Placement, Rejection, Task, TaskSpec, TaskState,
+    Worker,
+};
+
+/// How many attempts of a task may be running.
+struct LiveAttempts {
+    /// Those that are surely ordered or running.
+    sure: u32,
+    /// Those whose outcome is unknown.
+    unsure: u32,
+}
+
+impl LiveAttempts {
+    fn of(task: &Task) -> Self {
+        let mut counted = Self { sure: 0, unsure: 0 };
+        for attempt in task.live() {
+            if attempt.state == AttemptState::Unsure {
+                counted.unsure += 1;
+            } else {
+                counted.sure += 1;
+            }
+        }
+        counted
+    }
+
+    fn all(&self) -> u32 {
+        self.sure + self.unsure
+    }
+}
+
+impl ClusterState {
+    /// Whether a task may get an attempt at a time by the cluster clock, leaving the worker aside.
+    pub fn may_start(&self, id: &str, task_no: u32, copy: bool, at: u64) -> Result<(), Rejection> {
+        let unknown = |what: String| Rejection::Unknown { what };
+        let found = self.task(id, task_no);
+        let (job, task) = found.ok_or_else(|| unknown(format!("task {task_no}")))?;
+        let task_no = task_no as usize;
+        ensure(task.state == TaskState::Waiting, Rejection::Ended)?;
+        let spec = job.of(task_no);
+        let queue_name = &job.spec.queue;
+        let queue = self.queue(queue_name);
+        let queue = queue.ok_or_else(|| unknown(format!("queue '{queue_name}'")))?;
+        ensure(at >= job.due(task_no), Rejection::NotDue)?;
+        ensure(job.reached(task_no), Rejection::Waiting)?;
+        let live = LiveAttempts::of(task);
+        let is_repeat = if spec.may_repeat {
+            // A first or next attempt, or one copy beside one that runs.
+            live.sure != u32::from(copy) || (copy && job.in_gang(task_no))
+        } else {
+            // Never again while an attempt may be running, and no copies at all.
+            copy || live.all() > 0
+        };
+        ensure(!is_repeat, Rejection::AlreadyRunning)?;
+        // What may be running may fail, or has failed where nobody saw it: it counts as an attempt.
+        let attempts = task.failures + live.all();
+        let may_try_again = spec.long_running || attempts < queue.max_attempts;
+        ensure(may_try_again, Rejection::AttemptsExhausted)?;
+        if copy {
+            self.ensure_speculation_budget(queue_name, queue)?;
+        }
+        Ok(())
+    }
+
+    /// Whether a queue may have one more speculative copy.
+    fn ensure_speculation_budget(&self, name: &str, queue: &Queue) -> Result<(), Rejection> {
+        let stats = self.queues.get(name);
+        let running = stats.map_or(0, |stats| stats.running);
+        let copies = stats.map_or(0, |stats| stats.copies);
+        let budget = (running * queue.speculation_percent).div_ceil(100);
+        let has_budget = copies < budget && !self.allowance_spent(name);
+        ensure(has_budget, Rejection::SpeculationBudgetExhausted)
+    }
+
+    /// Whether a worker may get a task of a job.
+    pub fn fits(&self, id: &str, placement: &Placement) -> Result<(), Rejection> {
+        let unknown = |what: String| Rejection::Unknown { what };
+        let job = self.jobs.get(id);
+        let job = job.ok_or_else(|| unknown(format!("job '{id}'")))?;
+        let task = job.tasks.get(placement.task as usize);
+        let task = task.ok_or_else(|| unknown(format!("task {}", placement.task)))?;
+        let worker = self.workers.get(&placement.worker);
+        let worker = worker.ok_or_else(|| unknown(format!("worker '{}'", placement.worker)))?;
+        let lease = self.holder(&zone_lease(&worker.info.zone));
+        let is_current = lease.is_some_and(|lease| lease.epoch == placement.zone_epoch);
+        ensure(is_current, Rejection::StaleLease)?;
+        self.ensure_usable(worker, placement)?;
+        let spec = job.of(placement.task as usize);
+        ensure_served(worker, spec)?;
+        let is_on_trial = worker.probation > 0 && !worker.attempts.is_empty();
+        ensure(!is_on_trial, unsuitable("on probation, one at a time"))?;
+        let mut live = task.live();
+        let is_there = live.any(|attempt| attempt.worker == placement.worker);
+        ensure(!is_there, Rejection::AlreadyRunning)?;
+        ensure_apart(job, placement, 0)
+    }
+
+    /// Whether a worker gets anything new at all.
+    fn ensure_usable(&self, worker: &Worker, placement: &Placement) -> Result<(), Rejection> {
+        let info = &worker.info;
+        let is_same_process = info.incarnation == placement.incarnation;
+        ensure(is_same_process, unsuitable("it has started anew"))?;
+        ensure(!worker.lost, unsuitable("it is lost"))?;
+        ensure(!info.leaving, unsuitable("it is leaving"))?;
+        let is_open = self.open(&info.zone, &placement.worker);
+        ensure(is_open, unsuitable("its zone or itself is drained"))
+    }
+}
+
+fn unsuitable(why: &str) -> Rejection {
+    Rejection::UnsuitableWorker { why: why.into() }
+}
+
+/// Whether a worker is of the task's service and carries its labels.
+fn ensure_served(worker: &Worker, spec: &TaskSpec) -> Result<(), Rejection> {
+    let info = &worker.info;
+    ensure(info.service == spec.service, unsuitable("another service"))?;
+    let has_labels = spec.labels.iter().all(|label| info.labels.contains(label));
+    ensure(has_labels, unsuitable("a label is missing"))
+}
+
+/// Whether a worker gets no more tasks of a step than the step allows, with `placed_beside` of the same entry.
+pub(super) fn ensure_apart(
+    job: &Job,
+    placement: &Placement,
+    placed_beside: u32,
+) -> Result<(), Rejection> {
+    let task = placement.task as usize;
+    let allowed = job.of(task).anti_affinity;
+    let has_space = allowed == 0 || job.beside(task, &placement.worker) + placed_beside < allowed;
+    ensure(
+        has_space,
+        unsuitable("as many tasks of the step are there as it allows"),
+    )
+}
--- /dev/null
+++ b/landingdrift/src/state/apply/start_attempts.rs
@@ -0,0 +1,149 @@
+//! Starting attempts: tasks of a job are placed on workers, all or none.
+
+use super::placement_rules::ensure_apart;
+use super::{ensure, ApplyResult};
+use crate::state::{
+    queue_lease, Attempt, ClusterState, Job, Placement, Rejection, Resources, TaskState,
+};
+use serde_json::json;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The run that an attempt belongs to. Members of a gang share both.
+struct Run {
+    number: u32,
+    /// The checkpoint it goes on from; empty for none.
+    checkpoint: String,
+}
+
+impl ClusterState {
+    /// Starts attempts of a job's tasks, all or none. Every rule that the state can check is checked here.
+    pub(super) fn start_attempts(
+        &mut self,
+        id: &str,
+        owner_epoch: u64,
+        placements: &[Placement],
+    ) -> ApplyResult {
+        self.check_placements(id, owner_epoch, placements)?;
+        let job = &self.jobs[id];
+        let runs: Vec<Run> = placements.iter().map(|p| next_run(job, p)).collect();
+        let mut numbers = Vec::new();
+        for (placement, run) in placements.iter().zip(runs) {
+            numbers.push(self.start_attempt(id, placement, run));
+        }
+        self.update_job_state(id);
+        Ok(json!({"sends": numbers}))
+    }
+
+    fn check_placements(
+        &self,
+        id: &str,
+        owner_epoch: u64,
+        placements: &[Placement],
+    ) -> Result<(), Rejection> {
+        let job = self.jobs.get(id).ok_or_else(|| Rejection::Unknown {
+            what: format!("job '{id}'"),
+        })?;
+        let lease = self.holder(&queue_lease(&job.spec.queue));
+        let is_owner = lease.is_some_and(|lease| lease.epoch == owner_epoch);
+        ensure(is_owner, Rejection::StaleLease)?;
+        ensure(!job.state.ended(), Rejection::Ended)?;
+        ensure(!job.cancel, Rejection::Cancelled)?;
+        let mut needed: BTreeMap<&str, Resources> = BTreeMap::new();
+        for (i, placement) in placements.iter().enumerate() {
+            let before = &placements[..i];
+            let is_double = before.iter().any(|other| other.task == placement.task);
+            ensure(!is_double, Rejection::AlreadyRunning)?;
+            self.may_start(id, placement.task, placement.copy, self.at)?;
+            self.fits(id, placement)?;
+            let sum = needed.entry(placement.worker.as_str()).or_default();
+            *sum = sum.plus(job.of(placement.task as usize).needs());
+            let free = self.unused_resources(&placement.worker);
+            ensure(free.holds(*sum), Rejection::InsufficientResources)?;
+            ensure_apart(job, placement, placed_beside(job, placement, before))?;
+        }
+        ensure(
+            are_gangs_complete(job, placements),
+            Rejection::GangIncomplete,
+        )
+    }
+
+    /// The resources of a worker that no live attempt uses.
+    fn unused_resources(&self, worker: &str) -> Resources {
+        let worker = self.workers.get(worker);
+        worker.map_or(Resources::default(), |worker| {
+            worker.info.total_resources().less(worker.used)
+        })
+    }
+
+    /// Adds an attempt whose placement was checked; returns its number.
+    fn start_attempt(&mut self, id: &str, placement: &Placement, run: Run) -> u64 {
+        let attempt_no = self.next_attempt;
+        self.next_attempt += 1;
+        let ordered_at = self.at;
+        let job = self.jobs.get_mut(id).expect("checked before");
+        let task = placement.task as usize;
+        let resources = job.of(task).needs();
+        let attempt = Attempt {
+            no: attempt_no,
+            run: run.number,
+            checkpoint: run.checkpoint,
+            worker: placement.worker.clone(),
+            incarnation: placement.incarnation,
+            copy: placement.copy,
+            ordered: ordered_at,
+            ..Attempt::default()
+        };
+        job.tasks[task].attempts.push(attempt);
+        let queue = job.spec.queue.clone();
+        self.live
+            .insert(attempt_no, (id.to_string(), placement.task));
+        let stats = self.queues.entry(queue).or_default();
+        stats.running += 1;
+        stats.copies += u32::from(placement.copy);
+        stats.copies_ever += u64::from(placement.copy);
+        if let Some(worker) = self.workers.get_mut(&placement.worker) {
+            worker.used = worker.used.plus(resources);
+            worker.attempts.insert(attempt_no);
+        }
+        attempt_no
+    }
+}
+
+/// Whether all members of each gang that are not done start in one entry.
+fn are_gangs_complete(job: &Job, placements: &[Placement]) -> bool {
+    let placed: BTreeSet<usize> = placements.iter().map(|p| p.task as usize).collect();
+    let mut checked = BTreeSet::new();
+    for placement in placements {
+        let members = job.gang(placement.task as usize);
+        let Some(first) = members.first() else {
+            continue;
+        };
+        if !checked.insert(*first) {
+            continue;
+        }
+        let starts_or_done =
+            |member: &usize| placed.contains(member) || job.tasks[*member].state == TaskState::Done;
+        if !members.iter().all(starts_or_done) {
+            return false;
+        }
+    }
+    true
+}
+
+/// How many tasks of the same step the same entry has placed on the same worker before.
+fn placed_beside(job: &Job, placement: &Placement, before: &[Placement]) -> u32 {
+    let step_of = |p: &Placement| job.tasks[p.task as usize].step;
+    let is_beside =
+        |p: &&Placement| p.worker == placement.worker && step_of(p) == step_of(placement);
+    before.iter().filter(is_beside).count() as u32
+}
+
+fn next_run(job: &Job, placement: &Placement) -> Run {
+    let task = placement.task as usize;
+    let last_run = |i: usize| job.tasks[i].attempts.last().map_or(0, |a| a.run);
+    let gang_run = job.gang(task).into_iter().map(last_run).max();
+    Run {
+        number: gang_run.unwrap_or_else(|| last_run(task)) + 1,
+        checkpoint: job.tasks[task].checkpoint.clone(),
+    }
+}
--- /dev/null
+++ b/landingdrift/src/state/apply/worker_trust.rs
@@ -0,0 +1,90 @@
+//! Probation: a worker that fails far more often than the others gets one attempt at a time until it has done well.
+
+use crate::state::{AttemptState, ClusterState, Worker};
+
+/// Ends that are looked at when a worker is judged.
+const ENDS_JUDGED: usize = 12;
+/// Successes in a row that end a probation.
+const PROBATION_SUCCESSES: u32 = 3;
+/// A worker with fewer failures than this among the ends that are looked at is trusted.
+const MIN_FAILURES: usize = 4;
+/// A worker is trusted while under one in so many of its ends is a failure.
+const FAILURE_RATE_DIVISOR: usize = 3;
+/// A worker is trusted while its rate of failures is under so many times that of all others.
+const FLEET_RATE_FACTOR: usize = 3;
+
+/// How many ends were looked at, and how many of them were failures.
+#[derive(Clone, Copy, Default)]
+struct FailureRate {
+    failures: usize,
+    ends: usize,
+}
+
+impl FailureRate {
+    fn of(worker: &Worker) -> Self {
+        Self {
+            failures: worker.ends.iter().filter(|succeeded| !**succeeded).count(),
+            ends: worker.ends.len(),
+        }
+    }
+
+    fn plus(self, other: Self) -> Self {
+        Self {
+            failures: self.failures + other.failures,
+            ends: self.ends + other.ends,
+        }
+    }
+
+    fn is_much_worse_than(self, fleet: Self) -> bool {
+        let fleet_share = FLEET_RATE_FACTOR * fleet.failures * self.ends;
+        self.failures >= MIN_FAILURES
+            && self.failures * FAILURE_RATE_DIVISOR >= self.ends
+            && self.failures * fleet.ends.max(1) >= fleet_share
+    }
+}
+
+impl ClusterState {
+    /// Puts a worker on probation.
+    pub(super) fn start_probation(&mut self, worker: &str) {
+        if let Some(worker) = self.workers.get_mut(worker) {
+            worker.probation = PROBATION_SUCCESSES;
+            worker.ends.clear();
+        }
+    }
+
+    /// Takes an end into account that shows whether a worker can be trusted.
+    pub(super) fn judge_worker(&mut self, name: &str, state: AttemptState) {
+        let has_succeeded = match state {
+            AttemptState::Succeeded => true,
+            AttemptState::Failed => false,
+            _ => return,
+        };
+        let others = self.workers.iter().filter(|(other, _)| *other != name);
+        let fleet = others.fold(FailureRate::default(), |sum, (_, worker)| {
+            sum.plus(FailureRate::of(worker))
+        });
+        let Some(worker) = self.workers.get_mut(name) else {
+            return;
+        };
+        worker.ends.push_back(has_succeeded);
+        if worker.ends.len() > ENDS_JUDGED {
+            worker.ends.pop_front();
+        }
+        if worker.probation > 0 {
+            continue_probation(worker, has_succeeded);
+        } else if FailureRate::of(worker).is_much_worse_than(fleet) {
+            worker.probation = PROBATION_SUCCESSES;
+        }
+    }
+}
+
+fn continue_probation(worker: &mut Worker, has_succeeded: bool) {
+    worker.probation = if has_succeeded {
+        worker.probation - 1
+    } else {
+        PROBATION_SUCCESSES
+    };
+    if worker.probation == 0 {
+        worker.ends.clear();
+    }
+}
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -1,127 +1,154 @@
-use super::ApplyResult;
+//! What workers say of themselves, and what becomes of their attempts when they fall silent.
+
+use super::{ensure, ApplyResult};
 use crate::state::{
     zone_lease, AttemptState, ClusterState, EndReport, Outcome, Rejection, Worker, WorkerInfo,
 };
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Ends looked at when a worker is judged.
-const JUDGED: usize = 12;
-/// Good ends in a row that end a probation.
-const REDEEMED: u32 = 3;
+/// A worker's process: its name with the incarnation that an entry is about.
+#[derive(Clone, Copy)]
+pub(super) struct ReportingWorker<'a> {
+    pub name: &'a str,
+    pub incarnation: u64,
+}
 
 impl ClusterState {
-    pub(super) fn info(&mut self, info: &WorkerInfo, zone_epoch: u64) -> ApplyResult {
-        let cell_ok = self
-            .holder(&zone_lease(&info.zone))
-            .is_some_and(|g| g.epoch == zone_epoch);
-        cell_ok.then_some(()).ok_or(Rejection::StaleLease)?;
-        let at = self.at;
+    /// Rejects what another node than the holder of a zone's lease says of the zone's workers.
+    fn ensure_zone_epoch(&self, zone: &str, zone_epoch: u64) -> Result<(), Rejection> {
+        let lease = self.holder(&zone_lease(zone));
+        let is_current = lease.is_some_and(|lease| lease.epoch == zone_epoch);
+        ensure(is_current, Rejection::StaleLease)
+    }
+
+    fn known_worker(&self, name: &str) -> Result<&Worker, Rejection> {
+        self.workers.get(name).ok_or_else(|| Rejection::Unknown {
+            what: format!("worker '{name}'"),
+        })
+    }
+
+    /// The worker that an entry is about, if the entry comes from the holder of its zone and is not of an earlier or
+    /// later incarnation.
+    fn current_worker(
+        &self,
+        worker: ReportingWorker,
+        zone_epoch: u64,
+    ) -> Result<&Worker, Rejection> {
+        let known = self.known_worker(worker.name)?;
+        self.ensure_zone_epoch(&known.info.zone, zone_epoch)?;
+        let is_current = known.info.incarnation == worker.incarnation;
+        ensure(is_current, Rejection::StaleLease)?;
+        Ok(known)
+    }
+
+    /// A worker is new, or what it says of itself has changed.
+    pub(super) fn update_worker(&mut self, info: &WorkerInfo, zone_epoch: u64) -> ApplyResult {
+        self.ensure_zone_epoch(&info.zone, zone_epoch)?;
         self.displace(info);
-        let w = self
-            .workers
-            .entry(info.worker.clone())
-            .or_insert_with(|| Worker {
-                since: at,
-                ..Worker::default()
-            });
-        (info.incarnation >= w.info.incarnation)
-            .then_some(())
-            .ok_or(Rejection::UnsuitableWorker {
+        let new_worker = Worker {
+            since: self.at,
+            ..Worker::default()
+        };
+        let worker = self.workers.entry(info.worker.clone());
+        let worker = worker.or_insert(new_worker);
+        ensure(
+            info.incarnation >= worker.info.incarnation,
+            Rejection::UnsuitableWorker {
                 why: "a newer incarnation is known".into(),
-            })?;
-        let anew = info.incarnation > w.info.incarnation && !w.attempts.is_empty();
-        w.info = info.clone();
-        w.lost = false;
-        let attempts: Vec<u64> = w.attempts.iter().copied().collect();
-        if anew {
-            attempts
-                .iter()
-                .for_each(|no| self.restarted(*no, info.incarnation));
+            },
+        )?;
+        let has_restarted = info.incarnation > worker.info.incarnation;
+        worker.info = info.clone();
+        worker.lost = false;
+        let attempts: Vec<u64> = worker.attempts.iter().copied().collect();
+        if has_restarted {
+            for attempt_no in &attempts {
+                self.end_after_restart(*attempt_no, info.incarnation);
+            }
         }
-        // What has not started is called back from a worker that may not have it any more.
-        let closed = info.leaving || !self.open(&info.zone, &info.worker);
-        let over = self
-            .workers
-            .get(&info.worker)
-            .is_some_and(|w| !info.total_resources().holds(w.used));
-        let fits = |(job, i): &(String, u32)| {
-            self.jobs
-                .get(job)
-                .is_some_and(|j| info.serves(j.of(*i as usize)))
-        };
-        let back: Vec<u64> = attempts
-            .into_iter()
-            .filter(|no| {
-                self.attempt(*no)
-                    .is_some_and(|(_, _, s)| s.state == AttemptState::Ordered)
-            })
-            .filter(|no| closed || over || !self.live.get(no).is_some_and(fits))
-            .collect();
-        back.into_iter().for_each(|no| self.want_stop(no));
+        self.stop_unstarted_where_unfit(info, attempts);
         Ok(Value::Null)
     }
 
+    /// Stops attempts that have not started on a worker that should not have them any more.
+    fn stop_unstarted_where_unfit(&mut self, info: &WorkerInfo, attempts: Vec<u64>) {
+        let is_closed = info.leaving || !self.open(&info.zone, &info.worker);
+        let worker = self.workers.get(&info.worker);
+        let is_overcommitted = worker.is_some_and(|w| !info.total_resources().holds(w.used));
+        let must_stop = |attempt_no: &u64| {
+            let Some((job, _, attempt)) = self.attempt(*attempt_no) else {
+                return false;
+            };
+            let task = self.live.get(attempt_no).map(|(_, task)| *task as usize);
+            let is_served = task.is_some_and(|task| info.serves(job.of(task)));
+            let has_started = attempt.state != AttemptState::Ordered;
+            !has_started && (is_closed || is_overcommitted || !is_served)
+        };
+        let to_stop = attempts.into_iter().filter(must_stop).collect();
+        self.request_stops(to_stop);
+    }
+
     /// Whatever stood at the worker's address before it is gone, and all that ran there.
     fn displace(&mut self, info: &WorkerInfo) {
         if info.address.is_empty() || self.workers.contains_key(&info.worker) {
             return;
         }
-        let old: Vec<String> = self
-            .workers
-            .iter()
-            .filter(|(k, w)| w.info.address == info.address && **k != info.worker)
-            .map(|(k, _)| k.clone())
-            .collect();
-        old.iter().for_each(|k| self.bury(k));
+        let others = self.workers.iter();
+        let displaced = others.filter(|(_, worker)| worker.info.address == info.address);
+        let displaced: Vec<String> = displaced.map(|(name, _)| name.clone()).collect();
+        for name in displaced {
+            self.remove_displaced(&name);
+        }
     }
 
     /// Nothing of what a worker ran runs any more, and it gets nothing new until it is heard again.
-    fn bury(&mut self, worker: &str) {
+    fn remove_displaced(&mut self, name: &str) {
+        if let Some(worker) = self.workers.get(name) {
+            self.expire_all(worker.attempts.clone());
+        }
+        self.mark_lost(name);
+    }
+
+    fn mark_lost(&mut self, name: &str) {
         let at = self.at;
-        let attempts = self.workers.get(worker).map(|w| w.attempts.clone());
-        self.end_expired(attempts.unwrap_or_default());
-        self.workers.get_mut(worker).iter_mut().for_each(|w| {
-            w.lost = true;
-            w.since = at;
-        });
+        if let Some(worker) = self.workers.get_mut(name) {
+            worker.lost = true;
+            worker.since = at;
+        }
     }
 
-    fn end_expired(&mut self, attempts: BTreeSet<u64>) {
-        for no in attempts {
-            let job = self.live.get(&no).map(|(id, _)| id.clone());
-            self.close(no, AttemptState::Expired, 0, "its worker is gone");
-            job.iter().for_each(|id| self.settle(id));
+    fn expire_all(&mut self, attempts: BTreeSet<u64>) {
+        for attempt_no in attempts {
+            let job = self.live.get(&attempt_no).map(|(job, _)| job.clone());
+            self.end_attempt(attempt_no, AttemptState::Expired, 0, "its worker is gone");
+            if let Some(job) = job {
+                self.update_job_state(&job);
+            }
         }
     }
 
+    /// The worker's lease on its attempts has surely run out, or the worker is gone: they run no more.
     pub(super) fn expire_attempts(
         &mut self,
-        (worker, incarnation): (&str, u64),
+        worker: ReportingWorker,
         zone_epoch: u64,
         attempts: &[u64],
         checkpoints: &[(u64, String)],
     ) -> ApplyResult {
-        let w = self.workers.get(worker).ok_or(Rejection::Unknown {
-            what: format!("worker '{worker}'"),
-        })?;
-        let cell_ok = self
-            .holder(&zone_lease(&w.info.zone))
-            .is_some_and(|g| g.epoch == zone_epoch);
-        (cell_ok && w.info.incarnation == incarnation)
-            .then_some(())
-            .ok_or(Rejection::StaleLease)?;
-        checkpoints
-            .iter()
-            .for_each(|(no, text)| self.keep_checkpoint(*no, text));
-        // A copy that comes late ends none but those that it names.
-        let here = &self.workers[worker].attempts;
-        let own = attempts.iter().copied().filter(|no| here.contains(no));
-        let own: BTreeSet<u64> = own.collect();
-        self.end_expired(own);
+        self.current_worker(worker, zone_epoch)?;
+        for (attempt_no, checkpoint) in checkpoints {
+            self.keep_checkpoint(*attempt_no, checkpoint);
+        }
+        // A copy of the entry that comes late ends none but those that it names.
+        let running = &self.workers[worker.name].attempts;
+        let named = attempts.iter().copied();
+        let own: BTreeSet<u64> = named.filter(|no| running.contains(no)).collect();
+        self.expire_all(own);
         Ok(Value::Null)
     }
 
+    /// Stops attempts that do no good where they are, so that they run elsewhere. With `blame`, the worker is at fault.
     pub(super) fn reschedule_attempts(
         &mut self,
         worker: &str,
@@ -129,197 +156,114 @@
         attempts: &[u64],
         blame: bool,
     ) -> ApplyResult {
-        let w = self.workers.get_mut(worker).ok_or(Rejection::Unknown {
-            what: format!("worker '{worker}'"),
-        })?;
-        let lease = zone_lease(&w.info.zone);
-        let cell_ok = self
-            .leases
-            .get(&lease)
-            .is_some_and(|g| g.epoch == zone_epoch);
-        cell_ok.then_some(()).ok_or(Rejection::StaleLease)?;
+        let zone = self.known_worker(worker)?.info.zone.clone();
+        self.ensure_zone_epoch(&zone, zone_epoch)?;
         if blame {
-            w.probation = REDEEMED;
-            w.ends.clear();
+            self.start_probation(worker);
         }
-        let own: Vec<u64> = attempts
-            .iter()
-            .copied()
-            .filter(|no| w.attempts.contains(no))
-            .collect();
-        own.into_iter().for_each(|no| self.want_stop(no));
+        let running = &self.workers[worker].attempts;
+        let named = attempts.iter().copied();
+        let own = named.filter(|no| running.contains(no)).collect();
+        self.request_stops(own);
         Ok(Value::Null)
     }
 
-    /// Keeps the newest checkpoint of a run; in a gang that ends as one it is good for every member.
-    fn keep_checkpoint(&mut self, no: u64, text: &str) {
-        let Some((id, i)) = self.live.get(&no).filter(|_| !text.is_empty()) else {
+    /// The worker's process is a new one: what ran in the old one runs no more, but may have succeeded.
+    fn end_after_restart(&mut self, attempt_no: u64, incarnation: u64) {
+        let Some((id, task)) = self.live.get(&attempt_no).cloned() else {
             return;
         };
-        self.jobs.get_mut(id).into_iter().for_each(|job| {
-            let mut of = job.gang(*i as usize);
-            of.push(*i as usize);
-            of.into_iter()
-                .for_each(|m| job.tasks[m].checkpoint = text.into());
-        });
-    }
-
-    /// The worker's process is a new one: what ran in the old one runs no more, but may have finished well.
-    fn restarted(&mut self, no: u64, incarnation: u64) {
-        let Some((id, i)) = self.live.get(&no).cloned() else {
+        let attempt = self.attempt(attempt_no);
+        let is_of_old_process =
+            attempt.is_some_and(|(_, _, attempt)| attempt.incarnation < incarnation);
+        if !is_of_old_process {
             return;
-        };
-        let old = self
-            .attempt(no)
-            .is_some_and(|(_, _, s)| s.incarnation < incarnation);
-        let may_repeat = self
-            .jobs
-            .get(&id)
-            .is_some_and(|j| j.of(i as usize).may_repeat);
-        if old && may_repeat {
-            self.close(
-                no,
-                AttemptState::Failed,
-                0,
-                "the worker started anew while it ran",
-            );
-            self.settle(&id);
-        } else if old {
-            self.doubt(no);
+        }
+        let job = self.jobs.get(&id);
+        if job.is_some_and(|job| job.of(task as usize).may_repeat) {
+            let note = "the worker started anew while it ran";
+            self.end_attempt(attempt_no, AttemptState::Failed, 0, note);
+            self.update_job_state(&id);
+        } else {
+            self.mark_unsure(attempt_no);
         }
     }
 
-    /// Makes a attempt unsure.
-    fn doubt(&mut self, no: u64) {
-        let at = self.at;
-        let Some((id, i)) = self.live.get(&no).cloned() else {
-            return;
-        };
-        let Some(job) = self.jobs.get_mut(&id) else {
-            return;
-        };
-        job.tasks[i as usize]
-            .attempts
-            .iter_mut()
-            .filter(|s| s.no == no && s.state != AttemptState::Unsure)
-            .for_each(|s| {
-                s.state = AttemptState::Unsure;
-                // While unsure, `ended` is the moment the doubt began.
-                s.ended = at;
-            });
-        // The others of a gang don't wait for one that may never come.
-        self.reschedule_gang(&id, i);
-    }
-
-    pub(super) fn lost(&mut self, worker: &str, incarnation: u64, zone_epoch: u64) -> ApplyResult {
-        let w = self.workers.get(worker).ok_or(Rejection::Unknown {
-            what: format!("worker '{worker}'"),
-        })?;
-        let cell_ok = self
-            .holder(&zone_lease(&w.info.zone))
-            .is_some_and(|g| g.epoch == zone_epoch);
-        (cell_ok && w.info.incarnation == incarnation)
-            .then_some(())
-            .ok_or(Rejection::StaleLease)?;
-        let attempts: BTreeSet<u64> = w.attempts.clone();
-        attempts.into_iter().for_each(|no| self.doubt(no));
-        let at = self.at;
-        self.workers.get_mut(worker).iter_mut().for_each(|w| {
-            w.lost = true;
-            w.since = at;
-        });
+    /// A worker's heartbeats are missing: what it runs may end unseen.
+    pub(super) fn worker_lost(&mut self, worker: ReportingWorker, zone_epoch: u64) -> ApplyResult {
+        let known = self.current_worker(worker, zone_epoch)?;
+        let attempts: BTreeSet<u64> = known.attempts.clone();
+        for attempt_no in attempts {
+            self.mark_unsure(attempt_no);
+        }
+        self.mark_lost(worker.name);
         Ok(Value::Null)
     }
 
-    pub(super) fn report(
+    /// What a worker has started and ended.
+    pub(super) fn report_attempts(
         &mut self,
-        worker: &str,
-        incarnation: u64,
+        worker: ReportingWorker,
         running: &[u64],
         ends: &[EndReport],
     ) -> ApplyResult {
-        let at = self.at;
-        // A word that something runs may come late: after its worker was lost or started anew it says nothing.
-        let known = self.workers.get(worker);
-        let heard = known.is_some_and(|w| !w.lost && w.info.incarnation == incarnation);
-        for no in running.iter().filter(|_| heard) {
-            let ours = self
-                .attempt(*no)
-                .is_some_and(|(_, _, s)| s.worker == worker && s.incarnation == incarnation);
-            if let Some((id, i)) = self.live.get(no).cloned().filter(|_| ours) {
-                self.jobs
-                    .get_mut(&id)
-                    .iter_mut()
-                    .flat_map(|j| j.tasks[i as usize].attempts.iter_mut())
-                    .filter(|s| s.no == *no)
-                    .for_each(|s| {
-                        s.state = AttemptState::Running;
-                        s.ended = 0;
-                        s.started = if s.started == 0 { at } else { s.started };
-                    });
-                self.settle(&id);
+        // That something runs may be told late: after its worker was lost or started anew it says nothing.
+        let known = self.workers.get(worker.name);
+        let is_current = known.is_some_and(|w| !w.lost && w.info.incarnation == worker.incarnation);
+        if is_current {
+            for attempt_no in running {
+                self.mark_running(worker, *attempt_no);
             }
         }
-        for e in ends {
-            let ours = self
-                .attempt(e.no)
-                .is_some_and(|(_, _, s)| s.worker == worker);
-            let Some((id, _)) = self.live.get(&e.no).cloned().filter(|_| ours) else {
-                continue;
-            };
-            self.keep_checkpoint(e.no, &e.checkpoint);
-            // What is unsure was told to stop without an entry.
-            let asked = self
-                .attempt(e.no)
-                .is_some_and(|(_, _, s)| s.stop || s.state == AttemptState::Unsure);
-            let state = match e.outcome {
-                Outcome::Succeeded => AttemptState::Succeeded,
-                Outcome::Stopped if asked => AttemptState::Stopped,
-                // Stopped without our order is the worker's own doing.
-                Outcome::Failed | Outcome::Stopped => AttemptState::Failed,
-                Outcome::NeverStarted => AttemptState::NeverStarted,
-                Outcome::Expired => AttemptState::Expired,
-            };
-            self.close(e.no, state, e.ran_ms, &e.note);
-            self.judge(worker, state);
-            self.settle(&id);
+        for end in ends {
+            self.take_end(worker.name, end);
         }
         Ok(Value::Null)
     }
 
-    /// Evidence puts a worker on probation and takes it off.
-    fn judge(&mut self, worker: &str, state: AttemptState) {
-        let good = match state {
-            AttemptState::Succeeded => true,
-            AttemptState::Failed => false,
-            _ => return,
+    fn mark_running(&mut self, worker: ReportingWorker, attempt_no: u64) {
+        let at = self.at;
+        let Some((id, _)) = self.live.get(&attempt_no).cloned() else {
+            return;
         };
-        let fleet: (usize, usize) = self
-            .workers
-            .iter()
-            .filter(|(k, _)| k.as_str() != worker)
-            .fold((0, 0), |(b, n), (_, w)| {
-                (b + w.ends.iter().filter(|g| !**g).count(), n + w.ends.len())
-            });
-        let Some(w) = self.workers.get_mut(worker) else {
+        let Some(attempt) = self.attempt_mut(attempt_no) else {
             return;
         };
-        w.ends.push_back(good);
-        if w.ends.len() > JUDGED {
-            w.ends.pop_front();
+        let is_own = attempt.worker == worker.name && attempt.incarnation == worker.incarnation;
+        if !is_own {
+            return;
         }
-        if w.probation > 0 {
-            w.probation = if good { w.probation - 1 } else { REDEEMED };
-            if w.probation == 0 {
-                w.ends.clear();
-            }
+        attempt.state = AttemptState::Running;
+        attempt.ended = 0;
+        if attempt.started == 0 {
+            attempt.started = at;
+        }
+        self.update_job_state(&id);
+    }
+
+    fn take_end(&mut self, worker: &str, end: &EndReport) {
+        let Some((id, _)) = self.live.get(&end.no).cloned() else {
+            return;
+        };
+        let Some((_, _, attempt)) = self.attempt(end.no) else {
+            return;
+        };
+        if attempt.worker != worker {
             return;
         }
-        let bad = w.ends.iter().filter(|g| !**g).count();
-        // Much worse than the others: at least four failures, a third of its ends, three times the fleet's share.
-        let worse = bad >= 4
-            && bad * 3 >= w.ends.len()
-            && bad * fleet.1.max(1) >= 3 * fleet.0 * w.ends.len();
-        w.probation = if worse { REDEEMED } else { 0 };
+        // What is unsure was told to stop without an entry.
+        let was_asked_to_stop = attempt.stop || attempt.state == AttemptState::Unsure;
+        self.keep_checkpoint(end.no, &end.checkpoint);
+        let state = match end.outcome {
+            Outcome::Succeeded => AttemptState::Succeeded,
+            Outcome::Stopped if was_asked_to_stop => AttemptState::Stopped,
+            // Stopped without our order is the worker's own doing.
+            Outcome::Failed | Outcome::Stopped => AttemptState::Failed,
+            Outcome::NeverStarted => AttemptState::NeverStarted,
+            Outcome::Expired => AttemptState::Expired,
+        };
+        self.end_attempt(end.no, state, end.ran_ms, &end.note);
+        self.judge_worker(worker, state);
+        self.update_job_state(&id);
     }
 }
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -1,131 +1,159 @@
-//! What Hopper needs to know, derived from the cluster state.
+//! What the scheduling policy (Hopper) needs to know, derived from the cluster state.
 
 use super::{ClusterState, Job, QueueStats, Task, TaskState};
 
-/// What admission knows of a job.
+/// So many durations give a median.
+const MIN_DURATIONS_FOR_MEDIAN: usize = 5;
+/// So many durations give a tail index.
+const MIN_DURATIONS_FOR_BETA: usize = 20;
+/// Durations that are kept, the latest.
+const MAX_DURATIONS: usize = 256;
+/// Once there are enough, the estimates are refreshed after so many new durations.
+const REFRESH_INTERVAL: usize = 8;
+/// The shortest durations, one in so many, are left out of the fit of the tail.
+const TAIL_DIVISOR: usize = 20;
+/// The tail index β of a queue before there are enough durations, and its bounds afterwards.
+const DEFAULT_BETA: f64 = 1.5;
+const MIN_BETA: f64 = 1.05;
+const MAX_BETA: f64 = 2.0;
+/// The bounds of α, the ratio of the work in later phases to that at hand.
+const MIN_ALPHA: f64 = 0.25;
+const MAX_ALPHA: f64 = 4.0;
+/// A task counts as ready this long before it is due, in milliseconds.
+const DUE_SOON_MS: u64 = 1000;
+/// A queue's allowance is not judged before so many jobs have ended within its window.
+const MIN_JOBS_JUDGED: u32 = 20;
+
+/// What the policy knows of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sizing {
     /// Tasks that are not done.
     pub remaining: u32,
     /// The virtual size V.
     pub size: f64,
-    /// What the job is ranked by: the larger of V and V of the phases behind.
+    /// What the job is ranked by: the larger of V and V of the later phases.
     pub rank: f64,
     /// Attempts that may be running.
     pub occupied: u32,
 }
 
-/// So many good runs give a median, and so many a shape.
-const FEW: usize = 5;
-const ENOUGH: usize = 20;
-/// Durations that are looked at, and how many new ones make it worth while to look again.
-const KEPT: usize = 256;
-const EVERY: usize = 8;
-
 impl QueueStats {
-    /// Takes note of how long a good run took.
-    pub fn ran(&mut self, ms: u32) {
-        self.durations.push_back(ms);
-        if self.durations.len() > KEPT {
+    /// Adds the duration of a successful attempt, in milliseconds, and refreshes the estimates when it is time.
+    pub fn add_duration(&mut self, duration_ms: u32) {
+        self.durations.push_back(duration_ms);
+        if self.durations.len() > MAX_DURATIONS {
             self.durations.pop_front();
         }
         self.seen = self.seen.wrapping_add(1);
-        if self.durations.len() > ENOUGH && !(self.seen as usize).is_multiple_of(EVERY) {
-            return;
+        let is_due = (self.seen as usize).is_multiple_of(REFRESH_INTERVAL);
+        if self.durations.len() <= MIN_DURATIONS_FOR_BETA || is_due {
+            self.refresh_estimates();
         }
+    }
+
+    fn refresh_estimates(&mut self) {
         let mut sorted: Vec<u32> = self.durations.iter().copied().collect();
         sorted.sort_unstable();
         self.median = sorted[(sorted.len() - 1) / 2];
-        if sorted.len() >= ENOUGH {
-            let tail = &sorted[sorted.len() / 20..];
-            let low = f64::from(tail[0].max(1));
-            let logs: f64 = tail
-                .iter()
-                .map(|d| (f64::from((*d).max(1)) / low).ln())
-                .sum();
-            self.beta = (tail.len() as f64 / logs.max(1e-9)).clamp(1.05, 2.0);
+        if sorted.len() >= MIN_DURATIONS_FOR_BETA {
+            self.beta = tail_index(&sorted[sorted.len() / TAIL_DIVISOR..]);
         }
     }
 }
 
+/// The maximum-likelihood estimate of the tail index β of a Pareto distribution.
+fn tail_index(sorted_durations: &[u32]) -> f64 {
+    let shortest = f64::from(sorted_durations[0].max(1));
+    let log_ratio = |duration: &u32| (f64::from((*duration).max(1)) / shortest).ln();
+    let log_sum: f64 = sorted_durations.iter().map(log_ratio).sum();
+    let beta = sorted_durations.len() as f64 / log_sum.max(1e-9);
+    beta.clamp(MIN_BETA, MAX_BETA)
+}
+
 impl ClusterState {
-    /// The shape of a queue's task durations, by the likelihood of its latest good runs.
+    /// The tail index β of a queue's task durations.
     pub fn beta(&self, queue: &str) -> f64 {
-        self.queues
-            .get(queue)
-            .map(|t| t.beta)
-            .filter(|b| *b > 0.0)
-            .unwrap_or(1.5)
+        match self.queues.get(queue) {
+            Some(stats) if stats.beta > 0.0 => stats.beta,
+            _ => DEFAULT_BETA,
+        }
     }
 
-    /// The median of a queue's good runs, once there are enough.
+    /// The median duration of a queue's successful attempts in milliseconds, once there are enough.
     pub fn median(&self, queue: &str) -> Option<f64> {
-        let t = self.queues.get(queue)?;
-        (t.durations.len() >= FEW).then(|| f64::from(t.median))
+        let stats = self.queues.get(queue)?;
+        let is_known = stats.durations.len() >= MIN_DURATIONS_FOR_MEDIAN;
+        is_known.then(|| f64::from(stats.median))
     }
 
     /// The sizes of a job: V = (2/β)·T·√α over the phase at hand.
     pub fn sizing(&self, job: &Job) -> Sizing {
-        let (mut ready, mut behind, mut occupied) = (0u32, 0u32, 0u32);
-        for (i, t) in job.tasks.iter().enumerate() {
-            occupied += t.live().count() as u32;
+        let (mut ready, mut later, mut occupied) = (0u32, 0u32, 0u32);
+        for (i, task) in job.tasks.iter().enumerate() {
+            occupied += task.live().count() as u32;
             // What is not due yet asks for nothing.
-            if t.state == TaskState::Waiting && job.due(i) <= self.at + 1000 {
-                *(if job.reached(i) {
-                    &mut ready
-                } else {
-                    &mut behind
-                }) += 1;
+            let is_due = job.due(i) <= self.at + DUE_SOON_MS;
+            if task.state != TaskState::Waiting || !is_due {
+                continue;
+            }
+            if job.reached(i) {
+                ready += 1;
+            } else {
+                later += 1;
             }
         }
         let factor = (2.0 / self.beta(&job.spec.queue)).max(1.0);
-        let alpha = if behind == 0 || ready == 0 {
+        let alpha = if later == 0 || ready == 0 {
             1.0
         } else {
-            (f64::from(behind) / f64::from(ready)).clamp(0.25, 4.0)
+            (f64::from(later) / f64::from(ready)).clamp(MIN_ALPHA, MAX_ALPHA)
         };
         let size = factor * f64::from(ready) * alpha.sqrt();
         Sizing {
-            remaining: ready + behind,
+            remaining: ready + later,
             size,
-            rank: size.max(factor * f64::from(behind)),
+            rank: size.max(factor * f64::from(later)),
             occupied,
         }
     }
 
-    /// Unfinished jobs that could use a slot now, or hold one; those whose tasks all wait for their time share nothing.
+    /// How many unfinished jobs could use a slot at a time, or hold one. Jobs whose tasks all wait for their time share
+    /// nothing.
     pub fn runnable(&self, at: u64) -> usize {
-        let ready = |job: &Job, i: usize, t: &Task| {
-            t.live().next().is_some()
-                || (t.state == TaskState::Waiting && job.due(i) <= at && job.reached(i))
+        let can_run = |job: &Job, i: usize, task: &Task| {
+            let is_ready = task.state == TaskState::Waiting && job.due(i) <= at && job.reached(i);
+            is_ready || task.live().next().is_some()
+        };
+        let is_runnable = |job: &&Job| {
+            let mut tasks = job.tasks.iter().enumerate();
+            tasks.any(|(i, task)| can_run(job, i, task))
         };
-        let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
-        jobs.filter(|j| j.tasks.iter().enumerate().any(|(i, t)| ready(j, i, t)))
-            .count()
+        let open = self.open.iter().filter_map(|id| self.jobs.get(id));
+        open.filter(is_runnable).count()
     }
 
-    /// Room of all workers that take work.
+    /// The processors of all workers that take new work, in the workers' own units.
     pub fn total_cpu(&self) -> u32 {
-        self.workers
-            .values()
-            .filter(|w| !w.lost && !w.info.leaving && self.open(&w.info.zone, &w.info.worker))
-            .map(|w| w.info.cpu)
-            .sum()
+        let workers = self.workers.values();
+        let usable = workers.filter(|worker| {
+            let info = &worker.info;
+            !worker.lost && !info.leaving && self.open(&info.zone, &info.worker)
+        });
+        usable.map(|worker| worker.info.cpu).sum()
     }
 
-    /// Whether a queue has used up what it may miss within its window.
-    pub fn allowance_spent(&self, queue: &str) -> bool {
-        self.queue(queue)
-            .zip(self.queues.get(queue))
-            .is_some_and(|(q, t)| {
-                let within = t
-                    .promises
-                    .iter()
-                    .filter(|(p, _)| p + q.window_ms >= self.at);
-                let (missed, all) = within.fold((0u32, 0u32), |(m, n), (_, kept)| {
-                    (m + u32::from(!kept), n + 1)
-                });
-                all >= 20 && missed * 100 > all * q.failure_allowance_percent
-            })
+    /// Whether a queue has used up what it may miss of its promise within its window.
+    pub fn allowance_spent(&self, name: &str) -> bool {
+        let (Some(queue), Some(stats)) = (self.queue(name), self.queues.get(name)) else {
+            return false;
+        };
+        let (mut ended, mut missed) = (0u32, 0u32);
+        for (ended_at, is_kept) in &stats.promises {
+            if ended_at + queue.window_ms >= self.at {
+                ended += 1;
+                missed += u32::from(!is_kept);
+            }
+        }
+        ended >= MIN_JOBS_JUDGED && missed * 100 > ended * queue.failure_allowance_percent
     }
 }
--- a/landingdrift/src/state/job/ledger.rs
+++ b/landingdrift/src/state/job/job.rs
@@ -6,7 +6,7 @@
 /// One attempt of a task to a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Send {
+pub struct Attempt {
     pub no: u64,
     /// Numbers the starts of the task from 1; the members of a gang share it.
     pub run: u32,
@@ -34,7 +34,7 @@
     #[serde(rename = "defects")]
     pub failures: u32,
     #[serde(rename = "sends")]
-    pub attempts: Vec<Send>,
+    pub attempts: Vec<Attempt>,
     /// Numbers of the single tasks it waits for.
     pub waits: Vec<u32>,
     /// The newest checkpoint known of it.
@@ -47,7 +47,7 @@
 
 impl Task {
     /// Attempts that may be running.
-    pub fn live(&self) -> impl Iterator<Item = &Send> {
+    pub fn live(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|s| s.state.live())
     }
 }
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -14,7 +14,7 @@
 pub use apply::{pack_apply_result, unpack_apply_result, ApplyResult};
 pub use command::{Change, Command, EndReport, Outcome, Placement, Rejection, RunName, WorkerInfo};
 pub use job::{
-    AttemptState, Job, JobSpec, JobState, Resources, Send, StepSpec, Task, TaskSpec, TaskState,
+    Attempt, AttemptState, Job, JobSpec, JobState, Resources, StepSpec, Task, TaskSpec, TaskState,
 };
 pub use order::{Order, ProposalId};
 
@@ -250,7 +250,7 @@
     }
 
     /// A attempt by its number, while it may be running.
-    pub fn attempt(&self, no: u64) -> Option<(&Job, &Task, &Send)> {
+    pub fn attempt(&self, no: u64) -> Option<(&Job, &Task, &Attempt)> {
         let (job, task) = self.live.get(&no)?;
         let (j, t) = self.task(job, *task)?;
         t.attempts.iter().find(|s| s.no == no).map(|s| (j, t, s))
