--- a/landingdrift/tests/record_attempts.rs
+++ b/landingdrift/tests/attempts.rs
@@ -1,9 +1,9 @@
 //! Attempts in the cluster state: none is repeated that may not be, and none revives that is over.
 
-mod record_desk;
+mod cluster_state_fixture;
 
 use landingdrift::state::{AttemptState, Command, JobState, Outcome, Rejection, TaskSpec};
-use record_desk::{repeatable, task, Desk};
+use cluster_state_fixture::{repeatable, task, Desk};
 use serde_json::json;
 
 #[test]
--- a/landingdrift/tests/cluster_state.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -1,11 +1,11 @@
 //! The cluster state disposes: whatever a stale, frozen or confused node proposes, no rule is broken in `apply`.
 
-mod record_desk;
+mod cluster_state_fixture;
 
 use landingdrift::state::{
     AttemptState, Command, JobSpec, Outcome, Rejection, TaskSpec, WorkerInfo,
 };
-use record_desk::{task, Desk};
+use cluster_state_fixture::{task, Desk};
 use serde_json::json;
 
 #[test]
--- a/landingdrift/tests/record_configuration.rs
+++ b/landingdrift/tests/config_updates.rs
@@ -1,9 +1,9 @@
 //! Identities, quotas and changes of configuration in the cluster state.
 
-mod record_desk;
+mod cluster_state_fixture;
 
 use landingdrift::state::{ClusterState, Command, JobSpec, JobState, Outcome, Rejection, TaskSpec};
-use record_desk::{task, Desk};
+use cluster_state_fixture::{task, Desk};
 use serde_json::json;
 
 #[test]
--- a/landingdrift/tests/docs.rs
+++ b/landingdrift/tests/docs.rs
@@ -68,7 +68,7 @@
 fn the_examples_are_right() {
     let jobs = examples(&page("api"), "json job");
     let heartbeats = examples(&page("workers"), "json beat");
-    let configurations = examples(&page("desired-state"), "json desired");
+    let configurations = examples(&page("configuration"), "json desired");
     assert!(!jobs.is_empty() && !heartbeats.is_empty() && !configurations.is_empty());
     for j in jobs {
         JobSpec::read(j.as_bytes())
--- a/landingdrift/tests/cell_offers.rs
+++ b/landingdrift/tests/slot_offers.rs
@@ -1,8 +1,8 @@
 //! How a zone scheduler offers slots and its schedulers place tasks: each test drives one node by its messages.
 
-mod cell_desk;
+mod zone_scheduler_fixture;
 
-use cell_desk::{Desk, CORE};
+use zone_scheduler_fixture::{Desk, CORE};
 use landingdrift::sans_io::{Effect, Msg, Part};
 use landingdrift::state::Command;
 use landingdrift::wire::{
--- a/landingdrift/tests/zone_scheduler.rs
+++ b/landingdrift/tests/zone_scheduler.rs
@@ -1,8 +1,8 @@
 //! What the holder of a zone scheduler makes of heartbeats: each test drives one node by its messages.
 
-mod cell_desk;
+mod zone_scheduler_fixture;
 
-use cell_desk::{info, said, voids, Desk};
+use zone_scheduler_fixture::{info, said, voids, Desk};
 use landingdrift::node::Heartbeat;
 use landingdrift::sans_io::{Effect, Msg, Part};
 use landingdrift::state::Command;
