--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -1,264 +1,262 @@
-use super::{JobSpec, Order, ReplicaMember, Resources, TaskSpec};
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
-
-/// What a worker says of itself.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, rename_all = "camelCase")]
-pub struct WorkerInfo {
-    pub worker: String,
-    /// Grows with each start of the worker's process.
-    pub incarnation: u64,
-    pub service: String,
-    pub labels: BTreeSet<String>,
-    pub zone: String,
-    /// Processor capacity.
-    #[serde(rename = "room")]
-    pub cpu: u32,
-    #[serde(default)]
-    pub memory: u32,
-    #[serde(default)]
-    pub accelerators: u32,
-    #[serde(default)]
-    pub rack: String,
-    /// Where the worker stands; a newer worker there proves that this one is gone.
-    #[serde(default)]
-    pub address: String,
-    pub leaving: bool,
-}
-
-impl WorkerInfo {
-    /// All its capacity.
-    pub fn total_resources(&self) -> Resources {
-        Resources {
-            cpu: self.cpu,
-            memory: self.memory,
-            accelerators: self.accelerators,
-        }
-    }
-    /// Whether data that is near the place named is near this worker.
-    pub fn near(&self, location: &str) -> bool {
-        !location.is_empty()
-            && (location == self.worker || location == self.zone || location == self.rack)
-    }
-    /// Whether a worker with these facts is of the task's service and carries its labels.
-    pub fn serves(&self, task: &TaskSpec) -> bool {
-        self.service == task.service && task.labels.iter().all(|l| self.labels.contains(l))
-    }
-}
-
-/// A task placed on a worker.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Placement {
-    pub task: u32,
-    pub worker: String,
-    pub incarnation: u64,
-    /// The epoch of the zone scheduler that offered the slot.
-    #[serde(rename = "cell_epoch")]
-    pub zone_epoch: u64,
-    pub copy: bool,
-}
-
-/// How a attempt ended, by its worker.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub enum Outcome {
-    #[serde(rename = "well")]
-    Succeeded,
-    #[default]
-    #[serde(rename = "defect")]
-    Failed,
-    Stopped,
-    /// Never started, and never will be.
-    #[serde(rename = "void")]
-    NeverStarted,
-    /// Dead through no fault of its own: its lease passed, or its gang broke up.
-    #[serde(rename = "lapsed")]
-    Expired,
-}
-
-/// A run by its names, for workers that do not keep our numbers.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, rename_all = "camelCase")]
-pub struct RunName {
-    pub job: String,
-    pub task: String,
-    pub run: u32,
-}
+//! The entries of the replicated log.
 
-/// The end of a attempt.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct EndReport {
-    #[serde(default)]
-    pub no: u64,
-    /// In place of `no`.
-    #[serde(default)]
-    pub name: Option<RunName>,
-    pub outcome: Outcome,
-    #[serde(default)]
-    pub ran_ms: u64,
-    #[serde(default)]
-    pub note: String,
-    /// The newest checkpoint of the run.
-    #[serde(default)]
-    pub checkpoint: String,
-}
+use super::{EndReport, JobSpec, Order, Placement, ReplicaMember, WorkerInfo};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 
-/// What can be entered into the cluster state.
+/// A command that an entry of the log carries. Variants are packed by their position: new ones go to the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// The first entry of a term.
     #[serde(rename = "Opened")]
-    TermStarted { leader: String },
+    TermStarted {
+        /// The leader of the term.
+        leader: String,
+    },
+    /// The configuration changes.
     #[serde(rename = "Configure")]
     UpdateConfig {
+        /// The identity of the change; copies of it carry the same one.
         change: String,
+        /// The version that it builds on.
         base: u64,
+        /// It changes parts of the current configuration, and does not replace it.
         patch: bool,
         /// The version it becomes; 0 for the next.
         #[serde(default)]
         number: u64,
+        /// The configuration, or the patch.
         #[serde(with = "super::pack::json")]
         value: serde_json::Value,
     },
-    /// `seen` is the place that the admitting node had followed to when the call came.
+    /// A client submits a job.
     #[serde(rename = "Accept")]
-    AcceptJob { spec: JobSpec, hash: u64, seen: u64 },
+    AcceptJob {
+        /// The job.
+        spec: JobSpec,
+        /// A hash of what the client sent.
+        hash: u64,
+        /// The index that the admitting node had applied when the request came.
+        seen: u64,
+    },
+    /// A client cancels a job.
     #[serde(rename = "Cancel")]
-    CancelJob { job: String },
+    CancelJob {
+        /// The id of the job.
+        job: String,
+    },
+    /// The owner of a queue starts attempts of a job, all or none.
     #[serde(rename = "Start")]
     StartAttempts {
+        /// The id of the job.
         job: String,
+        /// The epoch of the queue's owner.
         owner_epoch: u64,
+        /// What is placed where.
         placements: Vec<Placement>,
     },
-    /// A worker's facts have changed.
+    /// A worker is new, or what it says of itself has changed.
     #[serde(rename = "Facts")]
     UpdateWorker {
+        /// What it says of itself.
         #[serde(rename = "facts")]
         info: WorkerInfo,
+        /// The epoch of the zone's holder.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
     },
     /// What a worker has started and ended.
     #[serde(rename = "Report")]
     ReportAttempts {
+        /// The worker's name.
         worker: String,
+        /// The incarnation of the worker that says so.
         incarnation: u64,
+        /// The attempts that run.
         running: Vec<u64>,
+        /// The attempts that have ended.
         ends: Vec<EndReport>,
     },
     /// A worker's heartbeats are missing.
     #[serde(rename = "Lost")]
     WorkerLost {
+        /// The worker's name.
         worker: String,
+        /// The incarnation that is lost.
         incarnation: u64,
+        /// The epoch of the zone's holder.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
     },
-    /// A worker's lease has surely passed, or it is gone: these attempts run there no more. Checkpoints that were heard go along.
+    /// A worker's lease on these attempts has surely run out, or it is gone: they run no more.
     #[serde(rename = "Lapse")]
     ExpireAttempts {
+        /// The worker's name.
         worker: String,
+        /// The incarnation that ran them.
         incarnation: u64,
+        /// The epoch of the zone's holder.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
+        /// The attempts.
         #[serde(rename = "sends")]
         attempts: Vec<u64>,
+        /// The newest checkpoints that were heard, by attempt.
         #[serde(default)]
         checkpoints: Vec<(u64, String)>,
     },
-    /// Attempts that do no good where they are: told to stop, so that they run elsewhere. `blame` says that the worker is at fault.
+    /// Attempts that do no good where they are are told to stop, so that they run elsewhere.
     #[serde(rename = "Recall")]
     RescheduleAttempts {
+        /// The worker's name.
         worker: String,
+        /// The epoch of the zone's holder.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
+        /// The attempts.
         #[serde(rename = "sends")]
         attempts: Vec<u64>,
+        /// The worker is at fault, and goes on probation.
         blame: bool,
     },
-    /// A zone is evacuated, or serves again; apart from the configuration, so that it races no change.
+    /// A zone is evacuated, or serves again; apart from the configuration, so that it races no change of that.
     #[serde(rename = "Empty")]
-    SetEvacuation { zone: String, on: bool },
-    /// The operator says how an unsure attempt ended.
+    SetEvacuation {
+        /// The zone.
+        zone: String,
+        /// Whether it is evacuated.
+        on: bool,
+    },
+    /// The operator says how an attempt ended whose outcome is unknown.
     #[serde(rename = "Resolve")]
     ResolveAttempt {
+        /// The id of the job.
         job: String,
+        /// The name of the task.
         task: String,
+        /// Whether it succeeded.
         #[serde(rename = "well")]
         succeeded: bool,
     },
+    /// The leader grants a lease to a node.
     #[serde(rename = "Grant")]
     GrantLease {
+        /// The name of the lease, see [`super::zone_lease`] and [`super::queue_lease`].
         #[serde(rename = "duty")]
         lease: String,
+        /// The node that gets it; empty for nobody.
         holder: String,
+        /// The epoch that it follows on; 0 for none.
         from_epoch: u64,
     },
+    /// A node is there.
     #[serde(rename = "Node")]
     RegisterNode {
+        /// The node's name.
         node: String,
+        /// Its zone.
         zone: String,
+        /// Its address for HTTP.
         http: String,
     },
+    /// A node is gone.
     #[serde(rename = "NodeGone")]
-    RemoveNode { node: String },
-    /// The first replicas, all at once; refused where there are some already.
+    RemoveNode {
+        /// The node's name.
+        node: String,
+    },
+    /// The first replicas, all at once; rejected where there are some already.
     #[serde(rename = "Found")]
     FoundCluster {
+        /// The replicas by address.
         #[serde(rename = "cores")]
         replicas: BTreeMap<String, ReplicaMember>,
     },
     /// A replica is admitted, promoted or demoted.
     #[serde(rename = "Core")]
     UpdateReplica {
+        /// Its address.
         #[serde(rename = "core")]
         replica: String,
+        /// What it is from now on.
         member: ReplicaMember,
     },
     /// An identity (an address with its disk) leaves the membership.
     #[serde(rename = "CoreGone")]
     RemoveReplica {
+        /// Its address.
         #[serde(rename = "core")]
         replica: String,
+        /// Its disk.
         disk: u64,
     },
-    /// Lets bounds that have passed take effect.
+    /// Lets bounds that have passed take effect, and drops what was retained for its time.
     #[serde(rename = "Sweep")]
-    CollectGarbage { retain_ms: u64, identity_ms: u64 },
+    CollectGarbage {
+        /// How long ended jobs are retained, in milliseconds.
+        retain_ms: u64,
+        /// How long their identities are kept after that, in milliseconds.
+        identity_ms: u64,
+    },
     /// An order of an operator or caller, which takes effect at most once and not after its deadline.
     Order(Order),
 }
 
-/// The number of [`Command::Order`] in a packed entry.
-const ORDER_KIND: u32 = 19;
+/// The numbers of commands in packed entries: the positions of the variants of [`Command`].
+mod kind {
+    pub const TERM_STARTED: u32 = 0;
+    pub const UPDATE_CONFIG: u32 = 1;
+    pub const SET_EVACUATION: u32 = 10;
+    pub const GRANT_LEASE: u32 = 12;
+    pub const REMOVE_REPLICA: u32 = 17;
+    pub const COLLECT_GARBAGE: u32 = 18;
+    pub const ORDER: u32 = 19;
+}
+
+/// Reads the number of a command, and what follows it.
+fn take_kind(bytes: &[u8]) -> Option<(u32, &[u8])> {
+    postcard::take_from_bytes::<u32>(bytes).ok()
+}
 
 impl Command {
     /// The command as an entry of the log.
     pub fn pack(&self) -> Vec<u8> {
         super::pack::pack(self)
     }
+
+    /// The command of an entry. Fails where a newer build has written it.
+    pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
+        super::pack::unpack(bytes)
+    }
+
     /// Whether an entry says something of the system as a whole (configuration, leases, members) and not of one job or
-    /// worker: what a light copy of the cluster state follows. Told by the number of its kind alone, or of what it orders.
+    /// worker. This is what a light copy of the state follows. The entry is not read beyond its kind, or that of what it
+    /// orders.
     pub fn concerns_all(bytes: &[u8]) -> bool {
-        let take = |bytes| postcard::take_from_bytes::<u32>(bytes).unwrap_or((0, &[]));
-        let (kind, rest) = take(bytes);
-        let kind = if kind == ORDER_KIND {
-            take(rest).0
-        } else {
-            kind
-        };
-        matches!(kind, 0 | 1 | 10 | 12..=17)
+        let (mut number, rest) = take_kind(bytes).unwrap_or((kind::TERM_STARTED, &[]));
+        if number == kind::ORDER {
+            number = take_kind(rest).map_or(kind::TERM_STARTED, |(number, _)| number);
+        }
+        let of_the_whole = [
+            kind::TERM_STARTED,
+            kind::UPDATE_CONFIG,
+            kind::SET_EVACUATION,
+        ];
+        let of_members = kind::GRANT_LEASE..=kind::REMOVE_REPLICA;
+        of_the_whole.contains(&number) || of_members.contains(&number)
     }
-    /// Whether a command may come from outside the leader. Terms, assignments and members are the leader's alone.
-    /// Told by the number of its kind alone.
+
+    /// Whether a command may come from outside the leader. Terms, leases and members are the leader's alone. The entry
+    /// is not read beyond its kind.
     pub fn may_be_proposed(bytes: &[u8]) -> bool {
-        let kind = postcard::take_from_bytes::<u32>(bytes).map(|(kind, _)| kind);
-        kind.is_ok_and(|kind| !matches!(kind, 0 | 12..=18))
+        match take_kind(bytes) {
+            None | Some((kind::TERM_STARTED, _)) => false,
+            Some((kind::GRANT_LEASE..=kind::COLLECT_GARBAGE, _)) => false,
+            Some(_) => true,
+        }
     }
-    /// Whether copies of this command must take effect once at the most.
+
+    /// Whether copies of this command must take effect at most once.
     pub fn is_order(&self) -> bool {
         matches!(
             self,
@@ -268,6 +266,7 @@
                 | Self::ResolveAttempt { .. }
         )
     }
+
     /// What the command does: of an order, what is ordered.
     pub fn action(&self) -> &Self {
         match self {
@@ -275,98 +274,4 @@
             other => other,
         }
     }
-    /// The command of an entry.
-    pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
-        super::pack::unpack(bytes)
-    }
-}
-
-/// Why the cluster state refused an entry.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Rejection {
-    /// The base version is no longer the current one.
-    #[serde(rename = "Rival")]
-    VersionConflict {
-        current: u64,
-    },
-    /// The same identity came with another body.
-    #[serde(rename = "OtherBody")]
-    BodyMismatch,
-    Invalid {
-        path: String,
-        remedy: String,
-    },
-    Unknown {
-        what: String,
-    },
-    OverQuota {
-        quota: u32,
-    },
-    /// The same id was rejected after this call was made.
-    #[serde(rename = "TurnedAway")]
-    PreviouslyRejected,
-    /// This copy of an order entered the log after its deadline; an earlier one may have taken effect.
-    #[serde(rename = "Late")]
-    DeadlinePassed,
-    /// No change of configuration can be remembered beside those of the last day.
-    TooManyChanges,
-    /// The proposer's lease has passed to another.
-    #[serde(rename = "StaleGrant")]
-    StaleLease,
-    Ended,
-    Cancelled,
-    NotDue,
-    Waiting,
-    #[serde(rename = "NoRoom")]
-    InsufficientResources,
-    #[serde(rename = "Repeat")]
-    AlreadyRunning,
-    #[serde(rename = "Spent")]
-    AttemptsExhausted,
-    #[serde(rename = "Unfit")]
-    UnsuitableWorker {
-        why: String,
-    },
-    #[serde(rename = "GangSplit")]
-    GangIncomplete,
-    #[serde(rename = "Budget")]
-    SpeculationBudgetExhausted,
-}
-
-impl std::fmt::Display for Rejection {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        match self {
-            Self::VersionConflict { current } => write!(f, "another change came first: read version {current} and send the change again on top of it"),
-            Self::BodyMismatch => write!(f, "this id was used with another body: give the new request an id of its own"),
-            Self::Invalid { path, remedy } => write!(f, "{path}: {remedy}"),
-            Self::Unknown { what } => write!(f, "{what} is not known: check the name"),
-            Self::OverQuota { quota } => write!(f, "the queue holds its quota of {quota} unfinished jobs: come back later"),
-            Self::PreviouslyRejected => write!(f, "the same id was turned away while this call was under way: hand it in again"),
-            Self::DeadlinePassed => write!(f, "the order came after its deadline: look whether it has taken effect, then give it again"),
-            Self::TooManyChanges => write!(f, "too many changes of configuration were made within a day: come back later"),
-            Self::StaleLease => write!(f, "the duty has passed to another node: propose again through its holder"),
-            Self::Ended => write!(f, "it has ended already: nothing more can be done to it"),
-            Self::Cancelled => write!(f, "the job is cancelled: hand in a new one"),
-            Self::NotDue => write!(f, "its appointed time has not come: wait"),
-            Self::Waiting => write!(f, "a step it depends on is not done: wait"),
-            Self::InsufficientResources => write!(f, "the worker has no room left: offer another"),
-            Self::AlreadyRunning => write!(f, "it may be running already and may not be repeated: wait for its end"),
-            Self::AttemptsExhausted => write!(f, "it has failed as often as its queue permits: look at the defects"),
-            Self::UnsuitableWorker { why } => write!(f, "the worker does not fit ({why}): offer another"),
-            Self::GangIncomplete => write!(f, "the gang must be placed whole: propose all its members"),
-            Self::SpeculationBudgetExhausted => write!(f, "the queue's speculation budget is in use: wait"),
-        }
-    }
-}
-
-/// One change of configuration and what came of it.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Change {
-    pub change: String,
-    /// The SHA-256 of what was asked for.
-    pub digest: [u8; 32],
-    pub version: u64,
-    #[serde(rename = "place")]
-    pub log_index: u64,
-    pub at: u64,
 }
--- a/landingdrift/src/state/job/resources.rs
+++ b/landingdrift/src/state/job/resources.rs
@@ -1,12 +1,15 @@
-//! Room of workers and tasks: processors, memory, accelerators.
+//! Resources of workers and tasks: processors, memory, accelerators.
 
 use serde::{Deserialize, Serialize};
 
-/// Room of a worker, or what a task needs of it.
+/// Resources of a worker, or what a task needs of them; the units are the operator's choice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
+    /// Processors.
     pub cpu: u32,
+    /// Memory.
     pub memory: u32,
+    /// Accelerators.
     pub accelerators: u32,
 }
 
@@ -17,6 +20,7 @@
             && other.memory <= self.memory
             && other.accelerators <= self.accelerators
     }
+
     /// What is left of it without `other`.
     pub fn less(self, other: Self) -> Self {
         Self {
@@ -25,6 +29,7 @@
             accelerators: self.accelerators.saturating_sub(other.accelerators),
         }
     }
+
     /// Both together.
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -33,6 +38,7 @@
             accelerators: self.accelerators.saturating_add(other.accelerators),
         }
     }
+
     /// The smaller of each.
     pub fn least(self, other: Self) -> Self {
         Self {
--- a/landingdrift/src/state/job/spec.rs
+++ b/landingdrift/src/state/job/spec.rs
@@ -1,29 +1,32 @@
-//! Jobs as clients hand them in.
+//! Jobs as clients submit them.
 
 use super::Resources;
 use serde::{Deserialize, Serialize};
 
-/// A job as a client hands it in: single tasks, or steps of alike ones.
+/// A job as a client submits it: single tasks, or steps of alike ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct JobSpec {
     /// Made by the client; retries carry the same one.
     pub id: String,
+    /// The queue it is submitted to.
     pub queue: String,
+    /// Single tasks; empty in a job of steps.
     #[serde(default)]
     pub tasks: Vec<TaskSpec>,
     /// Steps of alike tasks, kept once and not task by task.
     #[serde(default)]
     pub steps: Vec<StepSpec>,
-    /// Handed to the workers of all steps as it is.
+    /// Passed to the workers of all steps as it is.
     #[serde(default)]
     pub payload: String,
     /// The steps run so many times (0 and 1: once), each time with a due time of its own.
     #[serde(default)]
     pub times: u32,
-    /// When the first time is due, in milliseconds since 1970, and the period after it.
+    /// When the first time is due, in milliseconds since 1970.
     #[serde(default)]
     pub first_due: u64,
+    /// The period between two times, in milliseconds.
     #[serde(default)]
     pub period_ms: u64,
 }
@@ -32,6 +35,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct StepSpec {
+    /// How many tasks.
     pub count: u32,
     /// Numbers of earlier steps whose tasks must all be done before.
     #[serde(default)]
@@ -39,6 +43,7 @@
     /// The tasks run as one group: they start together, and one good end counts for all.
     #[serde(default)]
     pub gang: bool,
+    /// What each task asks for; its name is not used.
     pub task: TaskSpec,
 }
 
@@ -46,20 +51,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct TaskSpec {
+    /// Its name, which no other task of the job has.
     #[serde(default)]
     pub name: String,
+    /// The service whose workers run it.
     pub service: String,
+    /// Labels that the worker must have.
     #[serde(default)]
     pub labels: Vec<String>,
-    /// Processor capacity.
+    /// The processors it needs, in the units of the workers.
     #[serde(rename = "room")]
     pub cpu: u32,
+    /// The memory it needs, in the units of the workers.
     #[serde(default)]
     pub memory: u32,
+    /// The accelerators it needs.
     #[serde(default)]
     pub accelerators: u32,
+    /// Names of tasks that must be done before.
     #[serde(default)]
     pub depends_on: Vec<String>,
+    /// Running it twice does no harm: speculative copies are allowed, and new attempts while one is unsure.
     #[serde(default)]
     pub may_repeat: bool,
     /// Not before this moment, in milliseconds since 1970.
@@ -83,16 +95,16 @@
     /// It keeps its progress, and goes on from there when it is started again.
     #[serde(default)]
     pub checkpoints: bool,
-    /// A rough guess of how long it runs.
+    /// A rough guess of how long it runs, in milliseconds.
     #[serde(default)]
     pub estimate_ms: u32,
-    /// Handed to the worker as it is.
+    /// Passed to the worker as it is.
     #[serde(default, with = "crate::state::pack::json")]
     pub payload: serde_json::Value,
 }
 
 impl TaskSpec {
-    /// The capacity it needs.
+    /// The resources it needs.
     pub fn needs(&self) -> Resources {
         Resources {
             cpu: self.cpu,
--- a/landingdrift/src/state/job/state.rs
+++ b/landingdrift/src/state/job/state.rs
@@ -1,4 +1,4 @@
-//! States of jobs, tasks and sends.
+//! States of jobs, tasks and attempts.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,12 +6,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum JobState {
+    /// Nothing of it has started.
     #[default]
     Waiting,
+    /// Something of it has started.
     Running,
+    /// It is cancelled, and something of it may still run.
     Cancelling,
+    /// All tasks are done.
     Done,
+    /// A task has failed for good.
     Failed,
+    /// It is cancelled, and nothing of it runs.
     Cancelled,
 }
 
@@ -26,25 +32,32 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum TaskState {
+    /// It is not done; an attempt may be running.
     #[default]
     Waiting,
+    /// It is done.
     Done,
+    /// It has failed as often as it may.
     Failed,
+    /// Its job was cancelled, or has failed elsewhere.
     Cancelled,
 }
 
-/// What has become of a attempt.
+/// What has become of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum AttemptState {
-    /// In the cluster state; the worker has not said that it started.
+    /// Placed; the worker has not said that it started.
     #[default]
     Ordered,
+    /// The worker has said that it started.
     Running,
-    /// Its start may have been delivered and its end is unknown.
+    /// Its start may have been delivered, and its outcome is unknown.
     Unsure,
+    /// It has done its work.
     #[serde(rename = "well")]
     Succeeded,
+    /// It failed.
     #[serde(rename = "defect")]
     Failed,
     /// Killed on our order; it is not running any more.
@@ -52,7 +65,7 @@
     /// The worker says it never started it and never will.
     #[serde(rename = "void")]
     NeverStarted,
-    /// Its hold passed, its worker is gone or its gang broke up: dead, through no fault of its own.
+    /// Its lease ran out, its worker is gone or its gang broke up: dead, through no fault of its own.
     #[serde(rename = "lapsed")]
     Expired,
 }
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -1,7 +1,8 @@
 //! The cluster state: the one replicated state, and the rules that every entry is checked against.
 //!
-//! Admission proposes, the cluster state disposes: [`ClusterState::apply`] is the only place
-//! where anything changes, and it is the same code on replicas and nodes.
+//! Nodes propose, and the state decides: [`ClusterState::apply`] is the only place where anything changes, and it is the
+//! same code on replicas and nodes. Names on disk, over HTTP and in recordings are older than those of the code; `serde`
+//! attributes carry them.
 
 pub mod command;
 pub mod derive;
@@ -10,159 +11,108 @@
 pub mod pack;
 
 mod apply;
+mod members;
+mod rejection;
+mod report;
+mod retained;
+mod worker_info;
 
 pub use apply::{pack_apply_result, unpack_apply_result, ApplyResult};
-pub use command::{Change, Command, EndReport, Outcome, Placement, Rejection, RunName, WorkerInfo};
+pub use command::Command;
 pub use job::{
     Attempt, AttemptState, Job, JobSpec, JobState, Resources, StepSpec, Task, TaskSpec, TaskState,
 };
+pub use members::{Lease, NodeMember, ReplicaMember, Worker};
 pub use order::{Order, ProposalId};
+pub use rejection::Rejection;
+pub use report::{EndReport, Outcome, Placement, RunName};
+pub use retained::{Change, QueueStats, Tombstone};
+pub use worker_info::WorkerInfo;
 
-use crate::config::ClusterConfig;
+use crate::config::{ClusterConfig, Queue};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Version of the cluster state's format; another one is refused.
+/// Version of the format of the cluster state; another one is refused.
 pub const STATE_VERSION: u16 = 3;
 
-/// How long, by the agreed clock, a change of configuration is known by its identity; the newest one always is.
+/// How long, by the cluster clock, a change of configuration is known by its identity, in milliseconds; the newest one
+/// always is.
 pub const CHANGES_KEPT_MS: u64 = 86_400_000;
 
-/// More changes than this within that time are refused rather than forgotten.
+/// More changes than this within that time are rejected rather than forgotten.
 pub const CHANGES_MOST: usize = 50_000;
 
-/// A worker as the cluster state knows it.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Worker {
-    #[serde(rename = "facts")]
-    pub info: WorkerInfo,
-    /// Its heartbeats are missing.
-    pub lost: bool,
-    /// Good ends needed before it is trusted again; 0 when trusted.
-    pub probation: u32,
-    /// Its last ends, true for good ones.
-    pub ends: VecDeque<bool>,
-    pub since: u64,
-    /// Room taken by sends that may be running.
-    pub used: Resources,
-    /// Attempts that may be running.
-    #[serde(rename = "sends")]
-    pub attempts: BTreeSet<u64>,
-}
-
-/// A lease given to one node.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Lease {
-    pub holder: String,
-    pub epoch: u64,
-}
-
-/// A node as the cluster state knows it.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct NodeMember {
-    pub zone: String,
-    pub http: String,
-    pub alive: bool,
-}
-
-/// A replica of the log as the cluster state lists it. Its identity is its address together with its disk.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ReplicaMember {
-    pub voter: bool,
-    /// Drawn when the data folder was made; 0 only before the first members are agreed on.
-    pub disk: u64,
-    pub zone: String,
-    /// It does not vote as long as others can.
-    #[serde(default)]
-    pub standby_only: bool,
-}
-
-/// What is left of a job after it was retained for its time.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tombstone {
-    pub hash: u64,
-    pub state: JobState,
-    pub until: u64,
-}
-
-/// What a queue has lived through.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct QueueStats {
-    /// How long good runs took, the latest last.
-    pub durations: VecDeque<u32>,
-    /// The shape of their tail, and their median; worked out anew when some have come.
-    pub beta: f64,
-    pub median: u32,
-    /// Good runs so far.
-    pub seen: u32,
-    /// Ends of jobs within the window: when, and whether the promise was kept.
-    pub promises: VecDeque<(u64, bool)>,
-    pub unfinished: u32,
-    pub kept: u64,
-    pub missed: u64,
-    pub running: u32,
-    pub copies: u32,
-    pub copies_ever: u64,
-    pub copies_won: u64,
-}
-
-/// The whole state that the replicas agree on.
+/// The state that the replicas agree on. Times are milliseconds since 1970 by the cluster clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterState {
+    /// The version of the format; it stands first, so that another one is told apart before the rest is read.
     pub format: u16,
+    /// The name of the cluster.
     pub cluster: String,
     /// The index of the last entry applied.
     #[serde(rename = "place")]
     pub applied_index: u64,
-    /// The agreed clock, in milliseconds since 1970; it never goes back.
+    /// The time of the last entry applied; it never goes back.
     pub at: u64,
+    /// The version of the configuration in force; 0 before the first.
     pub version: u64,
+    /// The configuration in force.
     #[serde(rename = "desired")]
     pub config: ClusterConfig,
     /// The changes of configuration that are known by their identity, the newest last.
     pub changes: VecDeque<Change>,
     /// The answers to orders whose deadline has not passed, by deadline and proposal, as they go over the wire.
     pub orders: BTreeMap<(u64, ProposalId), Vec<u8>>,
+    /// Jobs by id, unfinished or retained.
     pub jobs: BTreeMap<String, Job>,
+    /// What is left of jobs that are retained no more, by id.
     #[serde(rename = "tombs")]
     pub tombstones: BTreeMap<String, Tombstone>,
-    /// Jobs and tombstones to drop, by time.
+    /// Ended jobs and tombstones by the time they ended or were made.
     pub expiry: BTreeSet<(u64, String)>,
-    /// Ids rejected: at which place, and when.
+    /// Ids of rejected jobs: the index of the entry, and its time.
     pub refusals: BTreeMap<String, (u64, u64)>,
-    /// Unfinished jobs.
+    /// Ids of unfinished jobs.
     pub open: BTreeSet<String>,
+    /// Workers by name.
     pub workers: BTreeMap<String, Worker>,
+    /// Leases by name, see [`zone_lease`] and [`queue_lease`].
     #[serde(rename = "grants")]
     pub leases: BTreeMap<String, Lease>,
-    /// Zones that are being evacuated, whatever the configuration says.
+    /// Zones that are evacuated, whatever the configuration says.
     #[serde(rename = "emptied")]
     pub evacuated_zones: BTreeSet<String>,
     /// Queues that were removed while they held unfinished jobs, until those end.
-    pub retired: BTreeMap<String, crate::config::Queue>,
+    pub retired: BTreeMap<String, Queue>,
+    /// Nodes by name, alive or remembered.
     pub nodes: BTreeMap<String, NodeMember>,
+    /// Replicas by address.
     #[serde(rename = "cores")]
     pub replicas: BTreeMap<String, ReplicaMember>,
+    /// The history of each queue, by name.
     pub queues: BTreeMap<String, QueueStats>,
-    /// The attempts that may be running, by number.
+    /// The attempts that may be running, by number: the id of the job, and the number of the task in it.
     pub live: BTreeMap<u64, (String, u32)>,
+    /// The number of the next attempt.
     #[serde(rename = "next_send")]
     pub next_attempt: u64,
+    /// The epoch of the next lease.
     pub next_epoch: u64,
 }
 
-/// The name of the lease of keeping a zone's zone scheduler.
+/// The name of the lease on scheduling for a zone.
 pub fn zone_lease(zone: &str) -> String {
     format!("cell/{zone}")
 }
 
-/// The name of the lease of owning a queue.
+/// The name of the lease on owning a queue.
 pub fn queue_lease(queue: &str) -> String {
     format!("queue/{queue}")
 }
 
 impl ClusterState {
-    /// An empty record.
+    /// An empty state.
     pub fn new(cluster: &str) -> Self {
         Self {
             format: STATE_VERSION,
@@ -173,12 +123,25 @@
         }
     }
 
-    /// The cluster state as bytes for a snapshot.
+    /// The state as bytes for a snapshot.
     pub fn pack(&self) -> Vec<u8> {
         pack::pack(self)
     }
 
-    /// The cluster state without jobs and workers: configuration, leases and members.
+    /// The state from a snapshot. Fails where another build has written it.
+    pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
+        let format = postcard::take_from_bytes::<u16>(bytes).map_or(0, |(format, _)| format);
+        if format != STATE_VERSION {
+            return Err(format!(
+                "the capture has format {format}, this build reads {STATE_VERSION}: run the build that wrote it"
+            ));
+        }
+        pack::unpack(bytes).map_err(|e| {
+            format!("the capture can't be read ({e}): fetch it again from another core")
+        })
+    }
+
+    /// The state without jobs and workers: configuration, leases and members.
     pub fn light(&self) -> Self {
         Self {
             format: self.format,
@@ -199,27 +162,10 @@
         }
     }
 
-    /// The cluster state from a snapshot.
-    pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
-        // The format stands first, so that another one is told apart before the rest is read.
-        let other = |f: u16| {
-            format!("the capture has format {f}, this build reads {STATE_VERSION}: run the build that wrote it")
-        };
-        let format = postcard::take_from_bytes::<u16>(bytes).map_or(0, |(f, _)| f);
-        (format == STATE_VERSION)
-            .then_some(())
-            .ok_or_else(|| other(format))?;
-        pack::unpack(bytes).map_err(|e| {
-            format!("the capture can't be read ({e}): fetch it again from another core")
-        })
-    }
-
     /// A queue by the configuration, or as it was when it was removed with jobs in it.
-    pub fn queue(&self, name: &str) -> Option<&crate::config::Queue> {
-        self.config
-            .queues
-            .get(name)
-            .or_else(|| self.retired.get(name))
+    pub fn queue(&self, name: &str) -> Option<&Queue> {
+        let configured = self.config.queues.get(name);
+        configured.or_else(|| self.retired.get(name))
     }
 
     /// Whether a worker of a zone may get new work.
@@ -227,32 +173,33 @@
         !self.evacuated_zones.contains(zone) && self.config.open(zone, worker)
     }
 
-    /// The number of the live attempt that a worker calls by its names.
-    pub fn named(&self, worker: &str, name: &RunName) -> Option<u64> {
-        let job = self.jobs.get(&name.job)?;
-        let task = job.tasks.get(job.find(&name.task)?)?;
-        let attempt = task
-            .live()
-            .find(|s| s.run == name.run && s.worker == worker)?;
-        Some(attempt.no)
-    }
-
     /// The holder of a lease.
     pub fn holder(&self, lease: &str) -> Option<&Lease> {
         self.leases.get(lease)
     }
 
     /// A task by its job and number.
-    pub fn task(&self, job: &str, no: u32) -> Option<(&Job, &Task)> {
-        self.jobs
-            .get(job)
-            .and_then(|j| j.tasks.get(no as usize).map(|t| (j, t)))
+    pub fn task(&self, job: &str, task_no: u32) -> Option<(&Job, &Task)> {
+        let job = self.jobs.get(job)?;
+        let task = job.tasks.get(task_no as usize)?;
+        Some((job, task))
+    }
+
+    /// An attempt by its number, while it may be running.
+    pub fn attempt(&self, attempt_no: u64) -> Option<(&Job, &Task, &Attempt)> {
+        let (job, task_no) = self.live.get(&attempt_no)?;
+        let (job, task) = self.task(job, *task_no)?;
+        let mut attempts = task.attempts.iter();
+        let attempt = attempts.find(|attempt| attempt.no == attempt_no)?;
+        Some((job, task, attempt))
     }
 
-    /// A attempt by its number, while it may be running.
-    pub fn attempt(&self, no: u64) -> Option<(&Job, &Task, &Attempt)> {
-        let (job, task) = self.live.get(&no)?;
-        let (j, t) = self.task(job, *task)?;
-        t.attempts.iter().find(|s| s.no == no).map(|s| (j, t, s))
+    /// The number of the live attempt that a worker calls by its names.
+    pub fn named(&self, worker: &str, name: &RunName) -> Option<u64> {
+        let job = self.jobs.get(&name.job)?;
+        let task = job.tasks.get(job.find(&name.task)?)?;
+        let mut live = task.live();
+        let attempt = live.find(|a| a.run == name.run && a.worker == worker)?;
+        Some(attempt.no)
     }
 }
--- a/landingdrift/src/state/order.rs
+++ b/landingdrift/src/state/order.rs
@@ -1,7 +1,7 @@
 //! Orders: commands of operators and callers that take effect at most once.
 //!
 //! A node sends a proposal again when its answer does not come, so several copies may reach the log. Every copy of
-//! an order carries the same identity and the same deadline; see `apply/orders.rs` for what the cluster state makes of them.
+//! an order carries the same identity and the same deadline; see `apply/orders.rs` for what becomes of them.
 
 use super::Command;
 use serde::{Deserialize, Serialize};
@@ -12,9 +12,9 @@
 pub struct ProposalId {
     /// The address of the node that proposes.
     pub proposer: String,
-    /// The life of that node's process.
+    /// The incarnation of that node's process.
     pub incarnation: u64,
-    /// The number of the proposal in that life.
+    /// The number of the proposal in that incarnation.
     pub number: u64,
 }
 
@@ -24,7 +24,8 @@
 pub struct Order {
     /// What is ordered; it stands first, so that its kind can be told without reading all of it.
     pub action: Box<Command>,
+    /// The identity of the proposal.
     pub proposal: ProposalId,
-    /// In agreed time: a copy that enters the log later commits as nothing.
+    /// By the cluster clock, in milliseconds since 1970: a copy that enters the log later has no effect.
     pub deadline: u64,
 }
--- a/landingdrift/tests/attempts.rs
+++ b/landingdrift/tests/attempts.rs
@@ -2,8 +2,8 @@
 
 mod cluster_state_fixture;
 
-use landingdrift::state::{AttemptState, Command, JobState, Outcome, Rejection, TaskSpec};
 use cluster_state_fixture::{repeatable, task, Desk};
+use landingdrift::state::{AttemptState, Command, JobState, Outcome, Rejection, TaskSpec};
 use serde_json::json;
 
 #[test]
--- a/landingdrift/tests/cluster_state.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -2,10 +2,10 @@
 
 mod cluster_state_fixture;
 
+use cluster_state_fixture::{task, Desk};
 use landingdrift::state::{
     AttemptState, Command, JobSpec, Outcome, Rejection, TaskSpec, WorkerInfo,
 };
-use cluster_state_fixture::{task, Desk};
 use serde_json::json;
 
 #[test]
--- a/landingdrift/tests/config_updates.rs
+++ b/landingdrift/tests/config_updates.rs
@@ -2,8 +2,8 @@
 
 mod cluster_state_fixture;
 
-use landingdrift::state::{ClusterState, Command, JobSpec, JobState, Outcome, Rejection, TaskSpec};
 use cluster_state_fixture::{task, Desk};
+use landingdrift::state::{ClusterState, Command, JobSpec, JobState, Outcome, Rejection, TaskSpec};
 use serde_json::json;
 
 #[test]
--- a/landingdrift/tests/slot_offers.rs
+++ b/landingdrift/tests/slot_offers.rs
@@ -2,13 +2,13 @@
 
 mod zone_scheduler_fixture;
 
-use zone_scheduler_fixture::{Desk, CORE};
 use landingdrift::sans_io::{Effect, Msg, Part};
 use landingdrift::state::Command;
 use landingdrift::wire::{
     Body, Entry, Offer, OfferResponse, ProposeResponse, RequestToken, Reservation, Reserve,
     WatchBatch,
 };
+use zone_scheduler_fixture::{Desk, CORE};
 
 #[test]
 fn when_a_cell_changes_hands_reservations_are_placed_anew_at_once() {
--- a/landingdrift/tests/zone_scheduler.rs
+++ b/landingdrift/tests/zone_scheduler.rs
@@ -2,12 +2,12 @@
 
 mod zone_scheduler_fixture;
 
-use zone_scheduler_fixture::{info, said, voids, Desk};
 use landingdrift::node::Heartbeat;
 use landingdrift::sans_io::{Effect, Msg, Part};
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, ForwardRequest, RequestToken};
 use serde_json::json;
+use zone_scheduler_fixture::{info, said, voids, Desk};
 
 #[test]
 fn a_stopped_order_that_no_later_beat_shows_was_never_started() {
