--- a/testkit/src/cli/digest.rs
+++ b/testkit/src/cli/digest.rs
@@ -93,8 +93,8 @@
     );
 
     let walks = for_each_seed(seeds, threads, |seed| {
-        let walk = Walk::drawn(seed, WALK_VOTERS, WALK_STANDBYS, WALK_MS, WALK_FAULTS);
-        landingdrift::state::pack::pack(&counts(&walk.take()))
+        let walk = Walk::random(seed, WALK_VOTERS, WALK_STANDBYS, WALK_MS, WALK_FAULTS);
+        landingdrift::state::pack::pack(&counts(&walk.run()))
     })?;
     landingdrift::outln!("{} walks: {}", walks.len(), fingerprint(&walks));
     Ok(true)
--- a/testkit/src/explorer/client.rs
+++ b/testkit/src/explorer/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the machines: they propose changes and ask how far the log goes.
+//! Clients of the replicas: they propose changes and ask for the index of the last committed entry.
 
 use super::cluster::{Cluster, CLIENT};
 use landingdrift::sans_io::Msg;
@@ -7,11 +7,11 @@
 use serde_json::json;
 
 impl Cluster {
-    /// A client proposes a configuration on top of a version at a machine.
-    pub fn propose(&mut self, i: usize, base: u64) {
-        let token = self.token();
-        let change = format!("change-{token}");
-        self.ledger.proposes(token, change.clone());
+    /// A client proposes a configuration on top of a version (`base`) at a machine.
+    pub fn propose(&mut self, machine_index: usize, base: u64) {
+        let number = self.next_request_number();
+        let change = format!("change-{number}");
+        self.observations.observe_proposal(number, change.clone());
         let value = json!({"queues": {}, "notes": {"by": change}});
         let command = Command::UpdateConfig {
             change,
@@ -20,49 +20,49 @@
             number: 0,
             value,
         };
-        self.propose_command(i, token, &command);
+        self.propose_command(machine_index, number, &command);
     }
 
-    /// Somebody proposes a command, whatever it is.
-    pub fn propose_command(&mut self, i: usize, token: u64, command: &Command) {
+    /// A client proposes any command; `number` is that of its request.
+    pub fn propose_command(&mut self, machine_index: usize, number: u64, command: &Command) {
         let propose = ProposeRequest {
-            token: request(token),
+            token: request_token(number),
             command: command.pack(),
         };
         let body = Body::ProposeRequest(Box::new(propose));
-        self.step(i, Msg::Wire(CLIENT.into(), body));
+        self.step(machine_index, Msg::Wire(CLIENT.into(), body));
     }
 
-    /// A client asks a machine how far the log goes.
-    pub fn read(&mut self, i: usize) {
-        let token = self.token();
-        self.ledger.reads(token);
-        let ask = Body::ReadIndexRequest(Box::new(ReadIndexRequest {
-            token: request(token),
+    /// A client asks a machine for the index of the last committed entry.
+    pub fn read(&mut self, machine_index: usize) {
+        let number = self.next_request_number();
+        self.observations.observe_read(number);
+        let body = Body::ReadIndexRequest(Box::new(ReadIndexRequest {
+            token: request_token(number),
         }));
-        self.step(i, Msg::Wire(CLIENT.into(), ask));
+        self.step(machine_index, Msg::Wire(CLIENT.into(), body));
     }
 
-    fn token(&mut self) -> u64 {
-        self.next_token += 1;
-        self.next_token
+    fn next_request_number(&mut self) -> u64 {
+        self.last_request += 1;
+        self.last_request
     }
 
-    pub(super) fn answer(&mut self, body: &Body) {
+    pub(super) fn observe_response(&mut self, body: &Body) {
         match body {
-            Body::ProposeResponse(answer) if answer.outcome == 0 => {
-                if let Some(index) = self.ledger.proposed(answer) {
+            Body::ProposeResponse(response) if response.outcome == 0 => {
+                if let Some(index) = self.observations.observe_propose_response(response) {
                     self.check_durable(index);
                 }
             }
-            Body::ReadIndexResponse(answer) => self.ledger.read(answer),
+            Body::ReadIndexResponse(response) => self.observations.observe_read_response(response),
             _ => {}
         }
     }
 }
 
 /// The token of the client's request with a number.
-fn request(number: u64) -> RequestToken {
+fn request_token(number: u64) -> RequestToken {
     RequestToken {
         incarnation: 1,
         number,
--- a/testkit/src/explorer/planted_bug.rs
+++ b/testkit/src/explorer/planted_bug.rs
@@ -1,4 +1,4 @@
-//! Planted failures: each shows that an invariant catches what it is meant for.
+//! Planted bugs: each shows that an invariant catches what it is meant for.
 
 use landingdrift::wire::Body;
 use serde_json::json;
@@ -6,9 +6,9 @@
 /// How a machine misbehaves on purpose, to show that an invariant catches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedBug {
-    /// It gives its vote to everybody who asks.
+    /// It gives its vote to everybody target asks.
     VotesForAll,
-    /// It says that entries are on its disk which are not.
+    /// Its disk confirms writes before they are durable.
     ConfirmsUnsaved,
     /// It answers reads at once with an old index.
     AnswersOldReads,
@@ -16,7 +16,7 @@
     AcknowledgesRivals,
     /// Its disk forgets the log when it ends, keeps its number, and nobody remembers what it confirmed.
     ForgetsSilently,
-    /// It passes entries on with another time than it has itself.
+    /// It replicates entries with another time than in its own log.
     AltersTimes,
     /// It gives its vote to nobody.
     VotesForNobody,
@@ -24,22 +24,22 @@
     IgnoresNewcomers,
 }
 
-/// What a misbehaving machine sends in place of a message.
+/// The message that a misbehaving machine sends in place of the right one.
 pub(super) fn distort(planted_bug: PlantedBug, body: Body) -> Body {
     match (planted_bug, body) {
         (PlantedBug::VotesForAll, Body::VoteResponse(mut response)) => {
             response.granted = true;
             Body::VoteResponse(response)
         }
-        (PlantedBug::AnswersOldReads, Body::ReadIndexResponse(mut answer)) => {
-            answer.ok = true;
-            answer.log_index = 0;
-            Body::ReadIndexResponse(answer)
+        (PlantedBug::AnswersOldReads, Body::ReadIndexResponse(mut response)) => {
+            response.ok = true;
+            response.log_index = 0;
+            Body::ReadIndexResponse(response)
         }
-        (PlantedBug::AcknowledgesRivals, Body::ProposeResponse(mut answer)) => {
-            let won = json!({"done": {"version": 1, "place": answer.log_index}});
-            answer.response = serde_json::to_vec(&won).unwrap_or_default();
-            Body::ProposeResponse(answer)
+        (PlantedBug::AcknowledgesRivals, Body::ProposeResponse(mut response)) => {
+            let won = json!({"done": {"version": 1, "place": response.log_index}});
+            response.response = serde_json::to_vec(&won).unwrap_or_default();
+            Body::ProposeResponse(response)
         }
         (PlantedBug::VotesForNobody, Body::VoteResponse(mut response)) => {
             response.granted = false;
--- a/testkit/tests/explorer.rs
+++ b/testkit/tests/explorer.rs
@@ -1,61 +1,67 @@
-//! The machines under the model checker: random walks, every order of events to a depth, and planted failures.
+//! The replicas under the model checker: random walks, every order of events up to a depth, and planted bugs.
 
 use landingdrift::state::Command;
 use landingdrift_testkit::explorer::cluster::Cluster;
-use landingdrift_testkit::explorer::ledger::Invariant;
+use landingdrift_testkit::explorer::fault::{Fault, TimedFault};
+use landingdrift_testkit::explorer::observations::Invariant;
 use landingdrift_testkit::explorer::planted_bug::PlantedBug;
-use landingdrift_testkit::explorer::search::{search, Budget, Found};
-use landingdrift_testkit::explorer::trouble::Trouble;
+use landingdrift_testkit::explorer::search::{search, Budget, SearchResult};
 use landingdrift_testkit::explorer::walk::Walk;
 use std::collections::BTreeSet;
 
-fn must_hold(walk: &Walk) {
-    let outcome = walk.take();
+fn assert_holds(walk: &Walk) {
+    let outcome = walk.run();
     if let Some(violation) = outcome.violations.first() {
         let shrunk = walk.shrunk(violation.invariant);
-        panic!("{violation:?}\n  shortest way found: {shrunk:#?}");
+        panic!("{violation:?}\n  fewest faults found: {shrunk:#?}");
     }
     assert!(outcome.acknowledgements > 20, "hardly anything was served");
     assert!(outcome.reads > 20, "hardly any read was answered");
 }
 
-fn planned(troubles: &[(u64, Trouble)], standbys: usize, voters: u32) -> Walk {
+fn walk_with(faults: &[(u64, Fault)], standbys: usize, voters: u32) -> Walk {
     Walk {
         seed: 7,
         founders: 3,
         voters,
         standbys,
         length_ms: 40_000,
-        troubles: troubles.to_vec(),
+        faults: faults
+            .iter()
+            .map(|(at_ms, fault)| TimedFault {
+                at_ms: *at_ms,
+                fault: *fault,
+            })
+            .collect(),
         planted_bug: None,
     }
 }
 
-const PLANNED: Trouble = Trouble::ReplacePlanned {
-    who: 0,
+const PLANNED: Fault = Fault::ReplacePlanned {
+    target: 0,
     overlap_ms: 4000,
 };
-const REPLACE: Trouble = Trouble::Replace {
-    who: 0,
+const REPLACE: Fault = Fault::Replace {
+    target: 0,
     newcomer_ms: 1000,
 };
-const WIPE: Trouble = Trouble::Wipe {
-    who: 0,
+const WIPE: Fault = Fault::Wipe {
+    target: 0,
     down_ms: 1000,
 };
-const ALL_POWER: Trouble = Trouble::PowerLossOfAll {
-    arrived: 0,
+const ALL_POWER: Fault = Fault::PowerLossOfAll {
+    persisted_writes: 0,
     down_ms: 1000,
 };
 
 #[test]
 fn a_loss_after_a_planned_replacement_leaves_a_majority() {
-    must_hold(&planned(&[(6000, PLANNED), (20_000, REPLACE)], 0, 3));
+    assert_holds(&walk_with(&[(6000, PLANNED), (20_000, REPLACE)], 0, 3));
 }
 
 #[test]
 fn a_loss_after_a_wipe_and_a_wipe_after_a_loss_leave_a_majority() {
-    must_hold(&planned(
+    assert_holds(&walk_with(
         &[(6000, WIPE), (14_000, REPLACE), (24_000, WIPE)],
         0,
         3,
@@ -65,25 +71,25 @@
 #[test]
 fn power_lost_in_the_middle_of_each_step_of_a_replacement_loses_nothing() {
     for after in (0..8000).step_by(400) {
-        let troubles = [
+        let faults = [
             (6000, PLANNED),
             (6000 + after, ALL_POWER),
             (28_000, REPLACE),
         ];
-        must_hold(&planned(&troubles, 0, 3));
-        let troubles = [(6000, WIPE), (6000 + after, ALL_POWER), (28_000, REPLACE)];
-        must_hold(&planned(&troubles, 0, 3));
+        assert_holds(&walk_with(&faults, 0, 3));
+        let faults = [(6000, WIPE), (6000 + after, ALL_POWER), (28_000, REPLACE)];
+        assert_holds(&walk_with(&faults, 0, 3));
     }
 }
 
 #[test]
 fn random_walks_of_three_voters_break_nothing() {
-    (0..24).for_each(|seed| must_hold(&Walk::drawn(seed, 3, 0, 40_000, 16)));
+    (0..24).for_each(|seed| assert_holds(&Walk::random(seed, 3, 0, 40_000, 16)));
 }
 
 #[test]
 fn random_walks_of_five_voters_with_standbys_break_nothing() {
-    (0..10).for_each(|seed| must_hold(&Walk::drawn(1000 + seed, 5, 3, 40_000, 16)));
+    (0..10).for_each(|seed| assert_holds(&Walk::random(1000 + seed, 5, 3, 40_000, 16)));
 }
 
 /// A cluster of three with a leader and a first configuration.
@@ -110,10 +116,10 @@
     proposals: 0,
 };
 
-fn holds(found: &Found, states: usize) {
-    println!("{} states, {} events deep", found.states, found.deepest);
-    assert_eq!(found.broken, None);
-    assert!(found.states > states, "only {} states", found.states);
+fn assert_no_counterexample(result: &SearchResult, min_states: usize) {
+    println!("{} states, {} events deep", result.states, result.deepest);
+    assert_eq!(result.counterexample, None);
+    assert!(result.states > min_states, "only {} states", result.states);
 }
 
 #[test]
@@ -125,7 +131,7 @@
         proposals: 1,
         ..CALM
     };
-    holds(&search(&settled(3), budget), 500);
+    assert_no_counterexample(&search(&settled(3), budget), 500);
 }
 
 #[test]
@@ -137,7 +143,7 @@
         proposals: 1,
         ..CALM
     };
-    holds(&search(&settled(3), budget), 500);
+    assert_no_counterexample(&search(&settled(3), budget), 500);
 }
 
 #[test]
@@ -149,7 +155,7 @@
         proposals: 1,
         ..CALM
     };
-    holds(&search(&settled(3), budget), 500);
+    assert_no_counterexample(&search(&settled(3), budget), 500);
 }
 
 #[test]
@@ -165,17 +171,17 @@
         crashes: 1,
         ..CALM
     };
-    holds(&search(&cluster, budget), 500);
+    assert_no_counterexample(&search(&cluster, budget), 500);
 }
 
-/// Whether a planted planted_bug is caught in some walk, by the invariant that is meant for it.
+/// Whether a planted bug is caught in some walk, by the invariant that is meant for it.
 fn caught(planted_bug: PlantedBug, invariant: Invariant) -> bool {
     (0..40).any(|seed| {
         let walk = Walk {
             planted_bug: Some(planted_bug),
-            ..Walk::drawn(seed, 3, 0, 30_000, 24)
+            ..Walk::random(seed, 3, 0, 30_000, 24)
         };
-        let outcome = walk.take();
+        let outcome = walk.run();
         outcome.violations.iter().any(|v| v.invariant == invariant)
     })
 }
