--- a/testkit/src/measure/capacity/clockwork/happenings.rs
+++ b/testkit/src/measure/capacity/clockwork/happenings.rs
@@ -1,10 +1,10 @@
 //! What happens in the day: ticks, messages, calls and answers, each with what it costs its process.
 
 use super::{Clockwork, CORES, TICK};
+use crate::fakes::{request, Output};
 use crate::history::Event;
 use crate::measure::capacity::meter::timed;
 use crate::simulator::EPOCH;
-use crate::standin::{request, Ask};
 use landingdrift::sans_io::{Effect, Msg, Now, Request, Response};
 use landingdrift::wire::{pack, unpack, Body};
 use serde_json::json;
@@ -16,20 +16,20 @@
 
 /// Who makes a call.
 #[derive(Clone, Copy)]
-pub(super) enum Ent {
+pub(super) enum Caller {
     Worker(usize),
     Client(u64),
     Operator,
 }
 
 /// What happens at a moment.
-pub(super) enum Happening {
+pub(super) enum Action {
     Tick(usize),
     Deliver(usize, Vec<u8>),
     Saved(usize, u64),
-    Call(usize, Ent, u64, Request),
-    Answer(Ent, u64, Response),
-    HandTick(usize),
+    Call(usize, Caller, u64, Request),
+    Answer(Caller, u64, Response),
+    WorkerTick(usize),
     HandIn(u64),
     OperatorTick,
 }
@@ -38,7 +38,7 @@
 pub(super) struct Due {
     pub t: u64,
     pub seq: u64,
-    pub what: Happening,
+    pub what: Action,
 }
 
 impl Due {
@@ -65,34 +65,34 @@
 }
 
 impl Clockwork {
-    pub(super) fn happen(&mut self, what: Happening) {
+    pub(super) fn happen(&mut self, what: Action) {
         let t = self.t;
         match what {
-            Happening::Tick(i) => {
+            Action::Tick(i) => {
                 self.reach(i, Msg::Tick);
-                self.at(t + TICK, Happening::Tick(i));
+                self.at(t + TICK, Action::Tick(i));
             }
-            Happening::Deliver(i, bytes) => self.deliver(i, &bytes),
-            Happening::Saved(i, write_id) => self.reach(i, Msg::Persisted(write_id)),
-            Happening::Call(i, from, n, req) => {
+            Action::Deliver(i, bytes) => self.deliver(i, &bytes),
+            Action::Saved(i, write_id) => self.reach(i, Msg::Persisted(write_id)),
+            Action::Call(i, from, n, req) => {
                 self.seq += 1;
                 let call = self.seq;
                 self.calls.insert(call, (from, n));
-                self.procs[i].tally.calls += 1.0;
+                self.processes[i].tally.calls += 1.0;
                 self.reach(i, Msg::Call(call, req));
             }
-            Happening::Answer(to, n, v) => self.answered(to, n, &v),
-            Happening::HandTick(i) => {
-                let asks = self.hands[i].tick(t);
-                self.asked(Ent::Worker(i), asks);
-                self.at(t + TICK, Happening::HandTick(i));
+            Action::Answer(to, n, v) => self.answered(to, n, &v),
+            Action::WorkerTick(i) => {
+                let outputs = self.workers[i].tick(t);
+                self.asked(Caller::Worker(i), outputs);
+                self.at(t + TICK, Action::WorkerTick(i));
             }
-            Happening::HandIn(job) => self.hand_in(job),
-            Happening::OperatorTick => {
-                let asks = self.operator.tick(t);
-                self.asked(Ent::Operator, asks);
-                if !self.operator.idle() {
-                    self.at(t + TICK, Happening::OperatorTick);
+            Action::HandIn(job) => self.hand_in(job),
+            Action::OperatorTick => {
+                let outputs = self.operator.tick(t);
+                self.asked(Caller::Operator, outputs);
+                if !self.operator.is_idle() {
+                    self.at(t + TICK, Action::OperatorTick);
                 }
             }
         }
@@ -100,7 +100,7 @@
 
     fn deliver(&mut self, i: usize, bytes: &[u8]) {
         let (env, spent) = timed(self.clock, || unpack(&self.cluster, bytes));
-        let tally = &mut self.procs[i].tally;
+        let tally = &mut self.processes[i].tally;
         tally.messages_in += 1.0;
         tally.bytes_in += bytes.len() as f64;
         tally.wire += spent;
@@ -109,24 +109,24 @@
         }
     }
 
-    fn answered(&mut self, to: Ent, n: u64, v: &Response) {
+    fn answered(&mut self, to: Caller, n: u64, v: &Response) {
         let t = self.t;
         match to {
-            Ent::Worker(i) => {
-                let asks = self.hands[i].answer(t, n, v);
-                self.asked(to, asks);
+            Caller::Worker(i) => {
+                let outputs = self.workers[i].answer(t, n, v);
+                self.asked(to, outputs);
             }
-            Ent::Operator => {
-                let asks = self.operator.answer(t, n, v);
-                self.asked(to, asks);
+            Caller::Operator => {
+                let outputs = self.operator.answer(t, n, v);
+                self.asked(to, outputs);
             }
             // Whoever hands in comes back until the job is taken, and doesn't poll.
-            Ent::Client(job) if matches!(v.status, 200 | 202) => {
+            Caller::Client(job) if matches!(v.status, 200 | 202) => {
                 self.jobs.remove(&job);
             }
-            Ent::Client(job) => {
+            Caller::Client(job) => {
                 let at = t + v.retry_ms.max(RETRY_LEAST_MS);
-                self.at(at, Happening::HandIn(job));
+                self.at(at, Action::HandIn(job));
             }
         }
     }
@@ -138,18 +138,22 @@
         };
         let req = request("POST", "/v1/jobs", "", Some(&body));
         let at = self.t + HAND_IN_MS;
-        self.at(at, Happening::Call(node, Ent::Client(job), 0, req));
+        self.at(at, Action::Call(node, Caller::Client(job), 0, req));
     }
 
-    fn asked(&mut self, from: Ent, asks: Vec<Ask>) {
-        for a in asks {
+    fn asked(&mut self, from: Caller, outputs: Vec<Output>) {
+        for a in outputs {
             match a {
-                Ask::DurabilityWitness(Event::Started { .. }) => self.started += 1.0,
-                Ask::DurabilityWitness(_) => {}
-                Ask::Call { to, call, req } => {
+                Output::Event(Event::RunStarted { .. }) => self.started += 1.0,
+                Output::Event(_) => {}
+                Output::Call {
+                    to,
+                    call,
+                    request: req,
+                } => {
                     let at = self.t + 1 + self.rng.below(4);
                     if let Some(i) = self.by_addr.get(&to).copied() {
-                        self.at(at, Happening::Call(i, from, call, req));
+                        self.at(at, Action::Call(i, from, call, req));
                     }
                 }
             }
@@ -162,7 +166,7 @@
             mono: self.t + 1,
             wall: EPOCH + self.t,
         };
-        let p = &mut self.procs[i];
+        let p = &mut self.processes[i];
         let (effects, spent) = timed(self.clock, || p.step(now, msg));
         p.tally.step += spent;
         for e in effects {
@@ -170,12 +174,12 @@
                 Effect::Send(to, body) => self.carry(i, &to, &body),
                 Effect::Persist(save) => {
                     let at = self.t + 2 + self.rng.below(3);
-                    self.at(at, Happening::Saved(i, save.write_id));
+                    self.at(at, Action::Saved(i, save.write_id));
                 }
                 Effect::Answer(call, v) => {
                     if let Some((to, n)) = self.calls.remove(&call) {
                         let at = self.t + 1 + self.rng.below(3);
-                        self.at(at, Happening::Answer(to, n, v));
+                        self.at(at, Action::Answer(to, n, v));
                     }
                 }
                 Effect::Log(_) | Effect::Exit => {}
@@ -187,7 +191,7 @@
         let Some(j) = self.by_addr.get(to).copied() else {
             return;
         };
-        let p = &mut self.procs[from];
+        let p = &mut self.processes[from];
         let (bytes, spent) = timed(self.clock, || pack(&self.cluster, &p.addr, body));
         p.tally.messages_out += 1.0;
         p.tally.bytes_out += bytes.len() as f64;
@@ -197,6 +201,6 @@
         let last = self.arrivals.entry((from, j)).or_default();
         *last = at.max(*last);
         let at = *last;
-        self.at(at, Happening::Deliver(j, bytes));
+        self.at(at, Action::Deliver(j, bytes));
     }
 }
--- a/testkit/src/measure/capacity/clockwork/process.rs
+++ b/testkit/src/measure/capacity/clockwork/process.rs
@@ -13,13 +13,13 @@
 }
 
 /// A process with what its work has cost so far.
-pub(super) struct Proc {
+pub(super) struct Process {
     pub addr: String,
     pub kind: Kind,
     pub tally: Tally,
 }
 
-impl Proc {
+impl Process {
     pub fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match &mut self.kind {
             Kind::Replica(c) => c.step(now, msg),
--- a/testkit/src/measure/comparators.rs
+++ b/testkit/src/measure/comparators.rs
@@ -2,8 +2,8 @@
 
 use super::workload::Load;
 use super::Figures;
+use crate::fakes::worker::paired_rng;
 use crate::scenario::Shape;
-use crate::standin::worker::paired;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -47,7 +47,8 @@
     let (mut t, mut run) = (0u64, 0u64);
     while coming.peek().is_some() || !jobs.is_empty() {
         t += 20;
-        while let Some((i, (at, spec))) = coming.next_if(|(_, (at, _))| *at <= t) {
+        while let Some((i, planned)) = coming.next_if(|(_, planned)| planned.at_ms <= t) {
+            let spec = &planned.spec;
             let p = &spec.tasks[0].payload;
             let n = spec.tasks.len() as u64;
             let service = services
@@ -59,7 +60,7 @@
                 Job {
                     id: spec.id.clone(),
                     service,
-                    arrived: *at,
+                    arrived: planned.at_ms,
                     waiting: n,
                     remaining: n,
                     ms: p["ms"].as_f64().unwrap_or(1.0),
@@ -105,7 +106,7 @@
             let Some(j) = jobs.get_mut(&i) else { continue };
             let mut go = |j: &mut Job, task: u64, copy: bool| {
                 run += 1;
-                let luck = paired(seed, &j.id, &format!("t{task}"), copy).unit();
+                let luck = paired_rng(seed, &j.id, &format!("t{task}"), copy).unit();
                 let long = (1.0 - luck).powf(-1.0 / j.tail).min(20.0);
                 ends.push(Reverse((t + delay + (j.ms * long) as u64, i, task, run)));
                 j.running.entry(task).or_default().push((run, t + delay));
--- a/testkit/src/measure/mod.rs
+++ b/testkit/src/measure/mod.rs
@@ -53,15 +53,15 @@
 
 fn world(shape: Shape, load: &Load, seed: u64, (hopper, speculation): (&Hopper, u32)) -> World {
     let s = Scenario {
-        last: false,
+        has_last_fault: false,
         shape,
         seconds: load.seconds + 3,
-        settle: 300,
+        settle_seconds: 300,
         nodes: 0,
         workers: 0,
-        rate: 0.0,
+        jobs_per_second: 0.0,
         faults: Vec::new(),
-        random: 0,
+        random_faults: 0,
         seeds: Vec::new(),
     };
     let mut w = World::new(&s, seed);
@@ -74,7 +74,7 @@
     let r = world(shape, load, seed, values).run();
     let count = |k: &str| r.counters.get(k).copied().unwrap_or(0);
     Figures {
-        took: r.took,
+        took: r.latency_of_job_ms,
         copies: r.summary.copies as u64,
         copies_won: r.copies_won,
         starts: r.summary.starts as u64,
@@ -91,14 +91,18 @@
         .history;
     let mut offered: BTreeMap<&str, u64> = BTreeMap::new();
     let mut ways: Vec<u64> = Vec::new();
-    for a in &h.events {
-        match &a.e {
+    for timed in &h.events {
+        match &timed.event {
             Event::Offered { spec } if spec.tasks.len() == 1 => {
-                offered.insert(&spec.id, a.t);
+                offered.insert(&spec.id, timed.at_ms);
             }
-            Event::Started {
+            Event::RunStarted {
                 job, copy: false, ..
-            } => ways.extend(offered.remove(job.as_str()).map(|t| a.t - t)),
+            } => ways.extend(
+                offered
+                    .remove(job.as_str())
+                    .map(|offered_ms| timed.at_ms - offered_ms),
+            ),
             _ => {}
         }
     }
--- a/testkit/src/measure/workload.rs
+++ b/testkit/src/measure/workload.rs
@@ -1,4 +1,5 @@
 use crate::scenario::Shape;
+use crate::simulator::PlannedJob;
 use landingdrift::sans_io::Rng;
 use landingdrift::state::{JobSpec, TaskSpec};
 use serde_json::json;
@@ -7,7 +8,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Load {
     pub seconds: u64,
-    pub jobs: Vec<(u64, JobSpec)>,
+    pub jobs: Vec<PlannedJob>,
 }
 
 /// The longest run, as a multiple of the shortest.
@@ -47,15 +48,15 @@
                 ..TaskSpec::default()
             })
             .collect();
-        jobs.push((
-            t as u64,
-            JobSpec {
+        jobs.push(PlannedJob {
+            at_ms: t as u64,
+            spec: JobSpec {
                 id: format!("m-{}-{}", jobs.len(), n),
                 queue,
                 tasks,
                 ..JobSpec::default()
             },
-        ));
+        });
         t += -(1.0 - rng.unit()).ln() * gap;
     }
     Load { seconds, jobs }
--- a/testkit/src/scale/drive.rs
+++ b/testkit/src/scale/drive.rs
@@ -1,415 +1,310 @@
-use super::callers;
-use super::processes::{child_at, usage, Usage};
-use super::wires::{listen, Wires};
-use super::{ChunkOutcome, Options, Outcome, ScaleError};
+//! The loop of a scale run: submits jobs, lets fake workers run them, and measures.
+
+use super::connections::Connections;
+use super::figures::Meter;
+use super::hollow::{HollowNode, LocalMessage};
+use super::setup::measured_processes;
+use super::{Options, Outcome, ScaleError};
+use crate::calls::OutgoingCall;
+use crate::fakes::operator::Operator;
+use crate::fakes::worker::Worker;
+use crate::fakes::{request, Output};
 use crate::fleet::{Fleet, Options as FleetOptions};
 use crate::history::Event;
-use crate::measure::capacity::{config, info, job, TARGET, ZONES};
+use crate::measure::capacity::{job, TARGET};
 use crate::scenario::Shape;
-use crate::standin::operator::Operator;
-use crate::standin::worker::Worker;
-use crate::standin::{request, Ask};
 use hdrhistogram::Histogram;
-use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response, Rng};
-use landingdrift::settings::Settings;
+use landingdrift::sans_io::{Msg, Response, Rng};
 use landingdrift::state::JobSpec;
-use landingdrift::wire::{pack, unpack, Body};
+use landingdrift::wire::unpack;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::mpsc::{channel, Receiver, Sender};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
-const TICK: u64 = 20;
-/// Half of the machine's 24 GB, with something to spare.
-const MEMORY: u64 = 11 << 30;
+/// How often everything in this process gets its tick, in milliseconds.
+const TICK_MS: u64 = 20;
+/// How long the first configuration may take to be in force, in milliseconds.
+const READY_WITHIN_MS: u64 = 60_000;
+/// The first job is submitted this long after the beginning, in milliseconds.
+const FIRST_JOB_MS: f64 = 2000.0;
+/// A job that was refused is submitted again after this time at the earliest, in milliseconds.
+const MIN_RETRY_MS: u64 = 200;
 
+/// Who makes a call.
 #[derive(Clone, Copy)]
-enum Ent {
+pub(super) enum Caller {
+    /// A worker by its index.
     Worker(usize),
+    /// Whoever submits the job of this number.
     Client(u64),
     Operator,
 }
 
-enum Input {
-    Frame(usize, Vec<u8>),
-    Answer((Ent, u64), Response),
+/// A call and its number among those of its caller.
+#[derive(Clone, Copy)]
+pub(super) struct CallKey {
+    pub caller: Caller,
+    pub call: u64,
 }
 
-struct Hollow {
-    addr: String,
-    part: Node,
+/// What arrives from real processes.
+pub(super) enum Input {
+    /// A frame for the hollow node of this index.
+    Frame(usize, Vec<u8>),
+    Answer(CallKey, Response),
 }
 
-struct Scale<'a> {
-    o: &'a Options,
-    start: Instant,
-    cluster: String,
-    nodes: Vec<Hollow>,
-    by_listen: BTreeMap<String, usize>,
-    by_http: BTreeMap<String, usize>,
-    local: VecDeque<(usize, Msg)>,
-    wires: Wires,
-    real: Sender<((Ent, u64), String, Request)>,
-    calls: BTreeMap<u64, (Ent, u64)>,
-    next_call: u64,
-    workers: Vec<Worker>,
-    operator: Operator,
-    all_http: Vec<String>,
-    rng: Rng,
-    /// Jobs that wait to be handed in, with when; and jobs not acknowledged yet.
-    due: BTreeSet<(u64, u64)>,
-    open: BTreeMap<u64, JobSpec>,
-    handed: BTreeMap<String, u64>,
-    begun: BTreeSet<String>,
-    accepted: u64,
-    started: u64,
-    from: u64,
-    first: Histogram<u64>,
-    each: Histogram<u64>,
+/// A job that waits to be submitted; the earliest is the smallest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct DueJob {
+    pub at_ms: u64,
+    pub number: u64,
 }
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000, 3).expect("the bounds are right")
+/// A scale run under way.
+pub(super) struct ScaleRun<'a> {
+    pub options: &'a Options,
+    pub start: Instant,
+    pub cluster: String,
+    pub nodes: Vec<HollowNode>,
+    /// The hollow nodes' indices by their addresses for frames.
+    pub by_listen: BTreeMap<String, usize>,
+    /// The hollow nodes' indices by their addresses for HTTP.
+    pub by_http: BTreeMap<String, usize>,
+    pub local_messages: VecDeque<LocalMessage>,
+    pub connections: Connections,
+    pub real_calls: Sender<OutgoingCall<CallKey>>,
+    /// The open calls to hollow nodes.
+    pub calls: BTreeMap<u64, CallKey>,
+    pub last_call: u64,
+    pub workers: Vec<Worker>,
+    pub operator: Operator,
+    /// The addresses for HTTP of all nodes.
+    pub all_http: Vec<String>,
+    pub rng: Rng,
+    pub due_jobs: BTreeSet<DueJob>,
+    /// Jobs that are not acknowledged yet, by their numbers.
+    pub open_jobs: BTreeMap<u64, JobSpec>,
+    /// When each job was submitted first, by its id.
+    pub submitted_ms: BTreeMap<String, u64>,
+    /// The ids of the jobs of which a task has started.
+    pub started_jobs: BTreeSet<String>,
+    pub accepted: u64,
+    pub starts: u64,
+    /// When the measured time began, in milliseconds.
+    pub measured_from: u64,
+    pub first_start_ms: Histogram<u64>,
+    pub each_start_ms: Histogram<u64>,
 }
 
-/// Runs real replicas and nodes beside hollow ones, and stops them all.
-pub fn run(o: &Options) -> Result<Outcome, ScaleError> {
+/// Runs real replicas and nodes beside hollow nodes, and stops them all.
+pub fn run(options: &Options) -> Result<Outcome, ScaleError> {
     let fleet = Fleet::start(&FleetOptions {
         shape: Shape::Gunasekera,
-        seconds: o.seconds,
-        settle: 0,
-        rate: 0.0,
-        program: o.program.clone(),
-        folder: o.folder.clone(),
+        seconds: options.seconds,
+        settle_seconds: 0,
+        jobs_per_second: 0.0,
+        program: options.program.clone(),
+        folder: options.folder.clone(),
         faults: Vec::new(),
-        seed: o.seed,
-        talk: false,
+        seed: options.seed,
+        verbose: false,
     })?;
-    let (tx, rx) = channel();
-    let mut s = Scale::new(o, &fleet, &tx)?;
-    s.ready(&rx)?;
-    let names: Vec<(String, u32)> = fleet
-        .procs
-        .iter()
-        .filter_map(|p| {
-            let role = crate::fleet::call(
-                &callers::http(1000),
-                &p.http,
-                &request("GET", "/v1/status", "", None),
-            );
-            let kind = match (p.replica, role.body["role"] == "Leader") {
-                (true, true) => "core leader",
-                (true, false) => "core follower",
-                _ => "node",
-            };
-            child_at(&p.listen).map(|pid| (format!("{kind} {}", p.listen), pid))
-        })
-        .chain([("this process (hollow)".into(), std::process::id())])
-        .collect();
-    s.live(&rx, &names)
+    let (sender, inputs) = channel();
+    let mut run = ScaleRun::new(options, &fleet, &sender)?;
+    run.await_configuration(&inputs)?;
+    let meter = Meter::new(measured_processes(&fleet), run.now());
+    run.measure(&inputs, meter)
 }
 
-impl<'a> Scale<'a> {
-    fn new(o: &'a Options, fleet: &Fleet, tx: &Sender<Input>) -> Result<Self, ScaleError> {
-        let mut rng = Rng::new(o.seed);
-        let seeds: Vec<String> = fleet
-            .procs
-            .iter()
-            .filter(|p| p.replica)
-            .map(|p| p.listen.clone())
-            .collect();
-        // The fleet's own net of the loopback range, behind its processes.
-        let net = seeds
-            .first()
-            .and_then(|s| s.split('.').nth(1))
-            .unwrap_or("9")
-            .to_string();
-        let cluster = format!("fleet-{net}");
-        let now = clock(Instant::now());
-        let nodes: Vec<Hollow> = (0..o.nodes)
-            .map(|i| {
-                let ip = format!("127.{net}.{}.{}", 100 + o.log_index, 1 + i);
-                let set = Settings {
-                    cluster: cluster.clone(),
-                    listen: format!("{ip}:7000"),
-                    http: format!("{ip}:8000"),
-                    zone: format!("z{}", i % ZONES),
-                    seeds: seeds.clone(),
-                    ..Settings::default()
-                };
-                Hollow {
-                    addr: set.listen.clone(),
-                    part: Node::new(set, now, rng.number()),
-                }
-            })
-            .collect();
-        for (i, n) in nodes.iter().enumerate() {
-            listen(&n.addr, tx, move |bytes| Input::Frame(i, bytes)).map_err(|why| {
-                ScaleError::Address {
-                    what: n.addr.clone(),
-                    why,
-                }
-            })?;
-        }
-        let at = |n: &Hollow| n.addr.replace(":7000", ":8000");
-        let all_http: Vec<String> = fleet
-            .nodes()
-            .into_iter()
-            .chain(nodes.iter().map(at))
-            .collect();
-        let workers = (0..o.workers)
-            .map(|i| Worker::new(info(i), all_http.clone(), rng.number()))
-            .collect();
-        let mut operator = Operator::new("op", fleet.nodes(), rng.number());
-        operator.apply(false, config());
-        Ok(Self {
-            o,
-            start: Instant::now(),
-            cluster,
-            by_listen: nodes
-                .iter()
-                .enumerate()
-                .map(|(i, n)| (n.addr.clone(), i))
-                .collect(),
-            by_http: nodes.iter().enumerate().map(|(i, n)| (at(n), i)).collect(),
-            nodes,
-            local: VecDeque::new(),
-            wires: Wires::default(),
-            real: callers::start(tx, Input::Answer),
-            calls: BTreeMap::new(),
-            next_call: 0,
-            workers,
-            operator,
-            all_http,
-            rng,
-            due: BTreeSet::new(),
-            open: BTreeMap::new(),
-            handed: BTreeMap::new(),
-            begun: BTreeSet::new(),
-            accepted: 0,
-            started: 0,
-            from: u64::MAX,
-            first: histogram(),
-            each: histogram(),
-        })
-    }
-
+impl ScaleRun<'_> {
+    /// Milliseconds since the beginning.
     fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Waits until the configuration is in force, at the most a minute.
-    fn ready(&mut self, rx: &Receiver<Input>) -> Result<(), ScaleError> {
-        while !self.operator.idle() {
-            (self.now() < 60_000)
-                .then_some(())
-                .ok_or(ScaleError::NotReady)?;
-            self.round(rx);
+    fn await_configuration(&mut self, inputs: &Receiver<Input>) -> Result<(), ScaleError> {
+        while !self.operator.is_idle() {
+            if self.now() >= READY_WITHIN_MS {
+                return Err(ScaleError::NotReady);
+            }
+            self.run_round(inputs);
         }
         Ok(())
     }
 
-    fn live(
+    /// Submits jobs for the whole time and measures the last two thirds of it.
+    fn measure(
         mut self,
-        rx: &Receiver<Input>,
-        names: &[(String, u32)],
+        inputs: &Receiver<Input>,
+        mut meter: Meter,
     ) -> Result<Outcome, ScaleError> {
-        let zero = self.now();
-        let length = self.o.seconds * 1000;
-        self.plan(zero);
-        let (end, from) = (zero + length, zero + length / 3);
-        let mut lags = histogram();
-        let mut before: Vec<Usage> = Vec::new();
-        let mut looked = zero;
+        let begin = self.now();
+        let length_ms = self.options.seconds * 1000;
+        self.plan_jobs(begin);
+        let end = begin + length_ms;
+        let measured_from = begin + length_ms / 3;
         while self.now() < end {
-            let t = self.now();
-            if before.is_empty() && t >= from {
-                before = names.iter().map(|(_, p)| usage(*p)).collect();
-                (self.from, self.started) = (t, 0);
-            }
-            if t >= looked + 1000 {
-                looked = t;
-                let taken: u64 = names.iter().map(|(_, p)| usage(*p).resident).sum();
-                (taken < MEMORY)
-                    .then_some(())
-                    .ok_or(ScaleError::Memory(taken >> 20))?;
+            let now = self.now();
+            if !meter.has_begun() && now >= measured_from {
+                meter.begin();
+                self.measured_from = now;
+                self.starts = 0;
             }
-            self.round(rx);
-            if t >= from {
-                lags.saturating_record((self.now() - t).max(1));
+            meter.check_memory(now)?;
+            self.run_round(inputs);
+            if now >= measured_from {
+                meter.note_lag(self.now() - now);
             }
         }
-        let span = self.now().saturating_sub(self.from).max(1) as f64;
-        let taken = names.iter().zip(&before).map(|((name, pid), b)| {
-            let u = usage(*pid);
-            ChunkOutcome {
-                name: name.clone(),
-                resident: u.resident,
-                most: u.most,
-                core_percent: 100.0 * (u.processor - b.processor) as f64 / span,
-            }
-        });
+        let measured_ms = self.now().saturating_sub(self.measured_from).max(1) as f64;
         Ok(Outcome {
-            starts: 1000.0 * self.started as f64 / span,
+            starts: 1000.0 * self.starts as f64 / measured_ms,
             jobs: self.accepted,
-            running: self.workers.iter().map(|w| w.load().0).sum(),
-            taken: taken.collect(),
-            lag: (lags.max(), lags.value_at_quantile(0.5)),
-            dropped: self.wires.dropped,
-            first: self.first,
-            each: self.each,
+            running: self.workers.iter().map(Worker::running).sum(),
+            usage: meter.usage(measured_ms),
+            lag: meter.lag(),
+            dropped: self.connections.dropped,
+            first_start_ms: self.first_start_ms,
+            each_start_ms: self.each_start_ms,
         })
     }
 
-    /// As many tasks a second as wanted, from the second second on.
-    fn plan(&mut self, zero: u64) {
-        let mean = 1000.0 * TARGET.running / TARGET.workers * self.o.workers as f64 / self.o.starts;
-        let (mut t, mut n) = (zero as f64 + 2000.0, 0);
-        let end = (zero + self.o.seconds * 1000) as f64;
-        while t < end {
-            n += 1;
-            let spec = job(&mut self.rng, n, mean);
-            self.due.insert((t as u64, n));
-            t += spec.tasks.len() as f64 * 1000.0 / self.o.starts;
-            self.open.insert(n, spec);
+    /// Plans as many jobs as make the wanted number of starts a second.
+    fn plan_jobs(&mut self, begin: u64) {
+        let starts = self.options.starts;
+        let running_per_worker = TARGET.running / TARGET.workers;
+        let task_ms = 1000.0 * running_per_worker * self.options.workers as f64 / starts;
+        let end = (begin + self.options.seconds * 1000) as f64;
+        let mut at_ms = begin as f64 + FIRST_JOB_MS;
+        let mut number = 0;
+        while at_ms < end {
+            number += 1;
+            let spec = job(&mut self.rng, number, task_ms);
+            self.due_jobs.insert(DueJob {
+                at_ms: at_ms as u64,
+                number,
+            });
+            at_ms += spec.tasks.len() as f64 * 1000.0 / starts;
+            self.open_jobs.insert(number, spec);
         }
     }
 
-    /// One round: what has come, and once a tick all that looks at the time.
-    fn round(&mut self, rx: &Receiver<Input>) {
-        let t = self.now();
-        let next = (t / TICK + 1) * TICK;
-        (0..self.nodes.len()).for_each(|i| self.step(i, Msg::Tick));
-        let handing: Vec<(u64, u64)> = self.due.range(..(t + 1, 0)).copied().collect();
-        for key in handing {
-            self.due.remove(&key);
-            self.hand_in(key.1);
+    /// One round: everything gets its tick, then what arrives is handled until the next one.
+    fn run_round(&mut self, inputs: &Receiver<Input>) {
+        let now = self.now();
+        let next_tick = (now / TICK_MS + 1) * TICK_MS;
+        self.tick(now);
+        loop {
+            self.step_local_messages();
+            let left_ms = next_tick.saturating_sub(self.now());
+            match inputs.recv_timeout(Duration::from_millis(left_ms)) {
+                Ok(input) => self.handle(input),
+                Err(_) => return,
+            }
+            if left_ms == 0 {
+                return;
+            }
         }
-        let asks = self.operator.tick(t);
-        self.asked(Ent::Operator, asks);
-        for i in 0..self.workers.len() {
-            let asks = self.workers[i].tick(t);
-            self.asked(Ent::Worker(i), asks);
+    }
+
+    fn tick(&mut self, now: u64) {
+        for index in 0..self.nodes.len() {
+            self.step(index, Msg::Tick);
         }
-        loop {
-            while let Some((i, msg)) = self.local.pop_front() {
-                self.step(i, msg);
+        while let Some(due) = self.due_jobs.first().copied() {
+            if due.at_ms > now {
+                break;
             }
-            let left = next.saturating_sub(self.now());
-            match rx.recv_timeout(Duration::from_millis(left)) {
-                Ok(Input::Frame(i, bytes)) => {
-                    if let Ok(env) = unpack(&self.cluster, &bytes) {
-                        self.step(i, Msg::Wire(env.from, env.body));
-                    }
-                }
-                Ok(Input::Answer((ent, n), v)) if v.status > 0 || matches!(ent, Ent::Client(_)) => {
-                    self.answered(ent, n, &v)
+            self.due_jobs.pop_first();
+            self.submit(due.number);
+        }
+        let outputs = self.operator.tick(now);
+        self.handle_outputs(Caller::Operator, outputs);
+        for index in 0..self.workers.len() {
+            let outputs = self.workers[index].tick(now);
+            self.handle_outputs(Caller::Worker(index), outputs);
+        }
+    }
+
+    fn handle(&mut self, input: Input) {
+        match input {
+            Input::Frame(node_index, frame) => {
+                if let Ok(envelope) = unpack(&self.cluster, &frame) {
+                    self.step(node_index, Msg::Wire(envelope.from, envelope.body));
                 }
-                Ok(_) => {}
-                Err(_) => return,
             }
-            if left == 0 {
-                return;
+            Input::Answer(key, response) => {
+                // Workers and the operator have timeouts of their own for calls without an answer.
+                let is_client = matches!(key.caller, Caller::Client(_));
+                if response.status > 0 || is_client {
+                    self.answered(key, &response);
+                }
             }
         }
     }
 
-    fn hand_in(&mut self, n: u64) {
-        let Some(spec) = self.open.get(&n) else {
+    fn submit(&mut self, number: u64) {
+        let Some(spec) = self.open_jobs.get(&number) else {
             return;
         };
-        let (id, body) = (spec.id.clone(), json!(spec));
+        let id = spec.id.clone();
+        let body = json!(spec);
         let now = self.now();
-        self.handed.entry(id).or_insert(now);
-        let to = self.rng.pick(&self.all_http).cloned().unwrap_or_default();
-        let req = request("POST", "/v1/jobs", "", Some(&body));
-        self.call(Ent::Client(n), 0, &to, req);
+        self.submitted_ms.entry(id).or_insert(now);
+        let node = self.rng.pick(&self.all_http).cloned().unwrap_or_default();
+        let request = request("POST", "/v1/jobs", "", Some(&body));
+        self.call(Caller::Client(number), 0, &node, request);
     }
 
-    fn call(&mut self, from: Ent, n: u64, to: &str, req: Request) {
-        if let Some(i) = self.by_http.get(to).copied() {
-            self.next_call += 1;
-            self.calls.insert(self.next_call, (from, n));
-            self.local.push_back((i, Msg::Call(self.next_call, req)));
-        } else {
-            let _ = self.real.send(((from, n), to.into(), req));
-        }
-    }
-
-    fn asked(&mut self, from: Ent, asks: Vec<Ask>) {
-        for a in asks {
-            match a {
-                Ask::DurabilityWitness(Event::Started {
+    fn handle_outputs(&mut self, caller: Caller, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::Event(Event::RunStarted {
                     job, copy: false, ..
-                }) => self.begins(&job),
-                Ask::DurabilityWitness(_) => {}
-                Ask::Call { to, call, req } => self.call(from, call, &to, req),
+                }) => self.run_started(&job),
+                Output::Event(_) => {}
+                Output::Call { to, call, request } => self.call(caller, call, &to, request),
             }
         }
     }
 
-    fn begins(&mut self, job: &str) {
-        self.started += 1;
+    fn run_started(&mut self, job: &str) {
+        self.starts += 1;
         let now = self.now();
-        let waited = now
-            .saturating_sub(self.handed.get(job).copied().unwrap_or(now))
-            .max(1);
-        let fresh = self.begun.insert(job.into());
-        if now >= self.from {
-            self.each.saturating_record(waited);
-            if fresh {
-                self.first.saturating_record(waited);
-            }
+        let submitted_ms = self.submitted_ms.get(job).copied().unwrap_or(now);
+        let waited_ms = now.saturating_sub(submitted_ms).max(1);
+        let is_first = self.started_jobs.insert(job.into());
+        if now < self.measured_from {
+            return;
+        }
+        self.each_start_ms.saturating_record(waited_ms);
+        if is_first {
+            self.first_start_ms.saturating_record(waited_ms);
         }
     }
 
-    fn answered(&mut self, from: Ent, n: u64, v: &Response) {
-        let t = self.now();
-        let asks = match from {
-            Ent::Worker(i) => self.workers[i].answer(t, n, v),
-            Ent::Operator => self.operator.answer(t, n, v),
-            Ent::Client(job) if matches!(v.status, 200 | 202) => {
-                self.accepted += u64::from(self.open.remove(&job).is_some());
-                Vec::new()
-            }
-            Ent::Client(job) => {
-                self.due.insert((t + v.retry_ms.max(200), job));
+    /// Hands a response to whoever called.
+    pub(super) fn answered(&mut self, key: CallKey, response: &Response) {
+        let now = self.now();
+        let outputs = match key.caller {
+            Caller::Worker(index) => self.workers[index].answer(now, key.call, response),
+            Caller::Operator => self.operator.answer(now, key.call, response),
+            Caller::Client(number) => {
+                self.job_answered(number, response, now);
                 Vec::new()
             }
         };
-        self.asked(from, asks);
-    }
-
-    fn step(&mut self, i: usize, msg: Msg) {
-        for e in self.nodes[i].part.step(clock(self.start), msg) {
-            match e {
-                Effect::Send(to, body) => self.carry(i, &to, body),
-                Effect::Answer(call, v) => {
-                    if let Some((from, n)) = self.calls.remove(&call) {
-                        self.answered(from, n, &v);
-                    }
-                }
-                Effect::Persist(_) | Effect::Log(_) | Effect::Exit => {}
-            }
-        }
+        self.handle_outputs(key.caller, outputs);
     }
 
-    fn carry(&mut self, from: usize, to: &str, body: Body) {
-        let me = &self.nodes[from].addr;
-        if let Some(j) = self.by_listen.get(to).copied() {
-            self.local.push_back((j, Msg::Wire(me.clone(), body)));
+    fn job_answered(&mut self, number: u64, response: &Response, now: u64) {
+        if matches!(response.status, 200 | 202) {
+            self.accepted += u64::from(self.open_jobs.remove(&number).is_some());
         } else {
-            self.wires.send(to, pack(&self.cluster, me, &body));
+            let at_ms = now + response.retry_ms.max(MIN_RETRY_MS);
+            self.due_jobs.insert(DueJob { at_ms, number });
         }
     }
 }
-
-fn clock(start: Instant) -> Now {
-    Now {
-        mono: 1 + start.elapsed().as_millis() as u64,
-        wall: SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .map_or(0, |d| d.as_millis() as u64),
-    }
-}
--- a/testkit/src/scenario/mod.rs
+++ b/testkit/src/scenario/mod.rs
@@ -1,201 +1,176 @@
-//! Days to rehearse: shapes of deployments, mixes of jobs, faults.
+//! Scenarios of simulated days: shapes of deployments, mixes of jobs, and faults.
 
-mod faults;
-mod mixes;
+mod fault;
+mod mix;
+mod shape;
 
-pub use faults::{last_fault, random_faults, Fault, Kind};
-pub use mixes::{job, Mix};
+pub use fault::{last_fault, random_faults, Fault, FaultKind};
+pub use mix::{random_job, Mix};
+pub use shape::Shape;
 
 use serde::{Deserialize, Serialize};
-use serde_json::{json, Value};
-use std::fmt;
 
-/// A deployment's shape.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub enum Shape {
-    /// 17 machines: three replicas, three nodes, 11 workers of 64.
-    Odvoza,
-    /// 18 machines: three replicas, four nodes, 11 workers of 16.
-    Gunasekera,
-}
+/// The longest day, in seconds.
+const MAX_SECONDS: u64 = 86_400;
+/// The highest rate of jobs, in jobs a second.
+const MAX_JOBS_PER_SECOND: f64 = 10_000.0;
+/// The most nodes, workers and random faults of a scenario.
+const MAX_NODES: usize = 1000;
+const MAX_WORKERS: usize = 10_000;
+const MAX_RANDOM_FAULTS: usize = 1000;
+/// Random faults strike from this moment on, in milliseconds; before that the first leader is elected.
+pub const FIRST_RANDOM_FAULT_MS: u64 = 3000;
+/// The shortest day with random faults, in seconds.
+const MIN_SECONDS_WITH_FAULTS: u64 = 4;
 
-impl Shape {
-    /// A shape by its name.
-    pub fn named(name: &str) -> Option<Self> {
-        match name {
-            "odvoza" => Some(Self::Odvoza),
-            "gunasekera" => Some(Self::Gunasekera),
-            _ => None,
-        }
-    }
-    /// Its name.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Odvoza => "odvoza",
-            Self::Gunasekera => "gunasekera",
-        }
-    }
-    pub fn nodes(self) -> usize {
-        match self {
-            Self::Odvoza => 3,
-            Self::Gunasekera => 4,
-        }
-    }
-    pub fn workers(self) -> usize {
-        11
-    }
-    pub fn cpu(self) -> u32 {
-        match self {
-            Self::Odvoza => 64,
-            Self::Gunasekera => 16,
-        }
-    }
-    /// The mix of jobs that the deployment sees, at its rate.
-    pub fn mix(self) -> Mix {
-        match self {
-            Self::Odvoza => Mix {
-                rate: 11.0,
-                queues: vec!["calendars".into(), "reminders".into(), "residents".into()],
-                services: vec!["municipal".into(), "notices".into()],
-                ..Mix::default()
-            },
-            Self::Gunasekera => Mix {
-                rate: 9.0,
-                queues: vec!["quotations".into(), "recounts".into(), "pickups".into()],
-                services: vec!["trade".into(), "stock".into()],
-                ..Mix::default()
-            },
-        }
-    }
-    /// The deployment's configuration.
-    pub fn config(self) -> Value {
-        let mix = self.mix();
-        let queue = |within: u64, priority: u32| json!({"finishWithinMs": within, "defectAllowancePercent": 10, "tries": 3, "quota": 2000, "priority": priority, "speculationPercent": 40, "windowMs": 600_000, "unsureBoundMs": 15_000});
-        let service = json!({"labels": ["ssd", "printer"], "taskRoom": self.cpu() / 2, "gangRoom": self.cpu()});
-        json!({
-            "queues": {(mix.queues[0].as_str()): queue(60_000, 0), (mix.queues[1].as_str()): queue(30_000, 1), (mix.queues[2].as_str()): queue(5_000, 4)},
-            "services": {(mix.services[0].as_str()): service, (mix.services[1].as_str()): service},
-            "zones": {"z0": {"state": "serving"}, "z1": {"state": "serving"}, "z2": {"state": "serving"}},
-        })
-    }
-}
-
-/// A day to rehearse.
+/// A day to simulate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub shape: Shape,
-    /// How long jobs are offered.
+    /// How many seconds jobs are offered.
     pub seconds: u64,
-    /// How long the day goes on after that, with all faults healed.
-    #[serde(default = "settle")]
-    pub settle: u64,
-    /// Nodes and workers; the shape's own where 0.
+    /// How many seconds the day goes on after that, with all faults healed.
+    #[serde(default = "default_settle", rename = "settle")]
+    pub settle_seconds: u64,
+    /// Nodes; the shape's own number where 0.
     #[serde(default)]
     pub nodes: usize,
+    /// Workers; the shape's own number where 0.
     #[serde(default)]
     pub workers: usize,
-    /// Jobs a second; the shape's own where 0.
-    #[serde(default)]
-    pub rate: f64,
+    /// Jobs a second; the shape's own rate where 0.
+    #[serde(default, rename = "rate")]
+    pub jobs_per_second: f64,
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// Further faults, drawn by the seed.
-    #[serde(default)]
-    pub random: usize,
-    /// One last fault, drawn by the seed, straight before the closing reads.
-    #[serde(default)]
-    pub last: bool,
+    /// Further faults, drawn from the seed.
+    #[serde(default, rename = "random")]
+    pub random_faults: usize,
+    /// One last fault, drawn from the seed, straight before the closing reads.
+    #[serde(default, rename = "last")]
+    pub has_last_fault: bool,
     /// Seeds to run in tests.
-    #[serde(default = "seeds")]
+    #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
 }
 
-fn settle() -> u64 {
+fn default_settle() -> u64 {
     40
 }
 
-fn seeds() -> Vec<u64> {
+fn default_seeds() -> Vec<u64> {
     vec![1, 2]
 }
 
-/// Why a scenario can't be rehearsed.
-#[derive(Debug)]
+/// Why a scenario can't be simulated.
+#[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    File { path: String, why: String },
-    Text { path: String, why: String },
+    #[error("'{path}' can't be read ({source}): name a scenario file")]
+    File {
+        path: String,
+        source: std::io::Error,
+    },
+    #[error("'{path}' is no scenario: {source}")]
+    Syntax {
+        path: String,
+        source: toml::de::Error,
+    },
+    #[error("'{path}' is no scenario: {source}")]
+    Invalid { path: String, source: InvalidValue },
 }
 
-impl fmt::Display for ScenarioError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Self::File { path, why } => {
-                write!(f, "'{path}' can't be read ({why}): name a scenario file")
-            }
-            Self::Text { path, why } => write!(f, "'{path}' is no scenario: {why}"),
-        }
+/// A value that a scenario can't have, and its remedy.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct InvalidValue(String);
+
+/// An error unless a condition holds.
+fn ensure(condition: bool, remedy: &str) -> Result<(), InvalidValue> {
+    if condition {
+        Ok(())
+    } else {
+        Err(InvalidValue(remedy.into()))
     }
 }
 
 impl Scenario {
-    /// Reads a scenario file.
+    /// Reads and checks a scenario file.
     pub fn load(path: &str) -> Result<Self, ScenarioError> {
-        std::fs::read_to_string(path)
-            .map_err(|e| ScenarioError::File {
-                path: path.into(),
-                why: e.to_string(),
-            })
-            .and_then(|t| {
-                toml::from_str(&t).map_err(|e| ScenarioError::Text {
-                    path: path.into(),
-                    why: e.to_string(),
-                })
-            })
-            .and_then(|s: Self| {
-                s.check().map(|()| s).map_err(|why| ScenarioError::Text {
-                    path: path.into(),
-                    why,
-                })
-            })
+        let text = std::fs::read_to_string(path).map_err(|source| ScenarioError::File {
+            path: path.into(),
+            source,
+        })?;
+        let scenario: Self = toml::from_str(&text).map_err(|source| ScenarioError::Syntax {
+            path: path.into(),
+            source,
+        })?;
+        scenario.check().map_err(|source| ScenarioError::Invalid {
+            path: path.into(),
+            source,
+        })?;
+        Ok(scenario)
+    }
+
+    /// The number of nodes, with the shape's own for 0.
+    pub fn node_count(&self) -> usize {
+        match self.nodes {
+            0 => self.shape.nodes(),
+            nodes => nodes,
+        }
+    }
+
+    /// The number of workers, with the shape's own for 0.
+    pub fn worker_count(&self) -> usize {
+        match self.workers {
+            0 => self.shape.workers(),
+            workers => workers,
+        }
     }
 
-    /// Checks that the day can be rehearsed; what is wrong is named with its remedy.
-    pub fn check(&self) -> Result<(), String> {
-        let ensure = |ok: bool, why: &str| ok.then_some(()).ok_or_else(|| why.to_string());
+    /// The mix of jobs, at the scenario's rate.
+    pub fn mix(&self) -> Mix {
+        let mut mix = self.shape.mix();
+        if self.jobs_per_second > 0.0 {
+            mix.jobs_per_second = self.jobs_per_second;
+        }
+        mix
+    }
+
+    /// Checks that the day can be simulated; what is wrong is named with its remedy.
+    pub fn check(&self) -> Result<(), InvalidValue> {
         ensure(
-            (1..=86_400).contains(&self.seconds),
+            (1..=MAX_SECONDS).contains(&self.seconds),
             "seconds: give 1 to 86400",
         )?;
-        ensure(self.settle <= 86_400, "settle: give at most 86400")?;
         ensure(
-            self.rate.is_finite() && (0.0..=10_000.0).contains(&self.rate),
+            self.settle_seconds <= MAX_SECONDS,
+            "settle: give at most 86400",
+        )?;
+        let rate = self.jobs_per_second;
+        ensure(
+            rate.is_finite() && (0.0..=MAX_JOBS_PER_SECOND).contains(&rate),
             "rate: give 0 (the shape's own) to 10000 jobs a second",
         )?;
         ensure(
-            self.nodes <= 1000 && self.workers <= 10_000,
+            self.nodes <= MAX_NODES && self.workers <= MAX_WORKERS,
             "nodes, workers: give at most 1000 and 10000",
         )?;
-        ensure(self.random <= 1000, "random: give at most 1000")?;
         ensure(
-            self.random == 0 || self.seconds >= 4,
+            self.random_faults <= MAX_RANDOM_FAULTS,
+            "random: give at most 1000",
+        )?;
+        ensure(
+            self.random_faults == 0 || self.seconds >= MIN_SECONDS_WITH_FAULTS,
             "random: faults are drawn from the third second on: give at least 4 seconds",
         )?;
-        let (nodes, workers) = (
-            if self.nodes > 0 {
-                self.nodes
-            } else {
-                self.shape.nodes()
-            },
-            if self.workers > 0 {
-                self.workers
-            } else {
-                self.shape.workers()
-            },
-        );
-        self.faults.iter().enumerate().try_for_each(|(i, f)| {
-            f.check(nodes, workers)
-                .map_err(|why| format!("faults[{i}].{why}"))
-        })
+        for (index, fault) in self.faults.iter().enumerate() {
+            fault
+                .check(self.node_count(), self.worker_count())
+                .map_err(|InvalidValue(remedy)| {
+                    InvalidValue(format!("faults[{index}].{remedy}"))
+                })?;
+        }
+        Ok(())
     }
 }
--- a/testkit/src/simulator/disk.rs
+++ b/testkit/src/simulator/disk.rs
@@ -1,7 +1,15 @@
+//! The disk of a simulated replica, which can lose what it has confirmed.
+
 use landingdrift::consensus::Loaded;
 use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
+/// Confirmed batches that a disk can still lose; older ones are safe.
+const LOSABLE_BATCHES: usize = 64;
+
+/// How long a sound disk takes to write, in milliseconds.
+pub const SOUND_DELAY_MS: u64 = 2;
+
 /// Whether a disk takes what it is given.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Condition {
@@ -16,75 +24,86 @@
 /// A replica's disk: what is durable, and what is on its way.
 #[derive(Clone, Debug)]
 pub struct SimDisk {
+    /// What can't be lost any more.
     base: Loaded,
-    saves: VecDeque<WriteBatch>,
+    /// Confirmed batches since then.
+    confirmed: VecDeque<WriteBatch>,
+    /// Batches that are not confirmed.
     pub pending: VecDeque<WriteBatch>,
-    pub delay: u64,
+    /// How long a write takes, in milliseconds.
+    pub delay_ms: u64,
     pub condition: Condition,
 }
 
-fn fold(l: &mut Loaded, s: &WriteBatch) {
-    s.hard_state.iter().for_each(|h| l.hard_state = h.clone());
-    if let Some(c) = s.cut {
-        l.entries.retain(|e| e.index < c);
+/// Applies a batch to what a replica would load.
+fn apply(loaded: &mut Loaded, batch: &WriteBatch) {
+    if let Some(hard_state) = &batch.hard_state {
+        loaded.hard_state = hard_state.clone();
     }
-    if let Some(c) = &s.snapshot {
-        l.entries.retain(|e| e.index > c.index);
-        l.snapshot = Some(c.clone());
+    if let Some(cut) = batch.cut {
+        loaded.entries.retain(|entry| entry.index < cut);
     }
-    for e in &s.entries {
-        l.entries.retain(|x| x.index < e.index);
-        l.entries.push(e.clone());
+    if let Some(snapshot) = &batch.snapshot {
+        loaded.entries.retain(|entry| entry.index > snapshot.index);
+        loaded.snapshot = Some(snapshot.clone());
     }
-    if !s.witnesses.is_empty() {
-        l.witnesses = s.witnesses.clone();
+    for entry in &batch.entries {
+        loaded.entries.retain(|older| older.index < entry.index);
+        loaded.entries.push(entry.clone());
+    }
+    if !batch.witnesses.is_empty() {
+        loaded.witnesses = batch.witnesses.clone();
     }
 }
 
 impl SimDisk {
+    /// An empty disk with a number of its own.
     pub fn new(disk: u64) -> Self {
         Self {
             base: Loaded {
                 disk,
                 ..Loaded::default()
             },
-            saves: VecDeque::new(),
+            confirmed: VecDeque::new(),
             pending: VecDeque::new(),
-            delay: 2,
+            delay_ms: SOUND_DELAY_MS,
             condition: Condition::Sound,
         }
     }
 
-    /// All up to this ticket is durable now.
-    pub fn done(&mut self, write_id: u64) {
-        while let Some(s) = self.pending.pop_front_if(|s| s.write_id <= write_id) {
-            self.saves.push_back(s);
+    /// Confirms all batches up to this one.
+    pub fn confirm(&mut self, write_id: u64) {
+        while let Some(batch) = self
+            .pending
+            .pop_front_if(|batch| batch.write_id <= write_id)
+        {
+            self.confirmed.push_back(batch);
         }
-        while self.saves.len() > 64 {
-            if let Some(s) = self.saves.pop_front() {
-                fold(&mut self.base, &s);
+        while self.confirmed.len() > LOSABLE_BATCHES {
+            if let Some(batch) = self.confirmed.pop_front() {
+                apply(&mut self.base, &batch);
             }
         }
     }
 
-    /// The power goes: of what was on its way, the first few may have arrived.
-    pub fn crash(&mut self, arrived: usize) {
-        let n = arrived.min(self.pending.len());
-        self.saves.extend(self.pending.drain(..n));
+    /// Loses power: only the first `persisted` of the batches under way are there afterwards.
+    pub fn crash(&mut self, persisted: usize) {
+        let persisted = persisted.min(self.pending.len());
+        self.confirmed.extend(self.pending.drain(..persisted));
         self.pending.clear();
     }
 
-    /// The disk loses the last saves it had confirmed; how many entries went.
-    pub fn lose(&mut self, saves: usize) -> usize {
-        let n = saves.min(self.saves.len());
-        let keep = self.saves.len() - n;
-        self.saves.drain(keep..).map(|s| s.entries.len()).sum()
+    /// Loses the last batches that it had confirmed; returns the number of entries in them.
+    pub fn lose_confirmed(&mut self, batches: usize) -> usize {
+        let kept = self.confirmed.len().saturating_sub(batches);
+        let lost = self.confirmed.drain(kept..);
+        lost.map(|batch| batch.entries.len()).sum()
     }
 
-    /// Everything but the term, the vote and the founders is gone.
+    /// Loses everything but its number, the term, the vote and the founders.
     pub fn forget_log(&mut self) {
         let kept = self.load();
-        self.saves.clear();
+        self.confirmed.clear();
         self.pending.clear();
         self.base = Loaded {
             disk: kept.disk,
@@ -93,9 +112,12 @@
         };
     }
 
+    /// What a replica finds on it when it starts.
     pub fn load(&self) -> Loaded {
-        let mut l = self.base.clone();
-        self.saves.iter().for_each(|s| fold(&mut l, s));
-        l
+        let mut loaded = self.base.clone();
+        for batch in &self.confirmed {
+            apply(&mut loaded, batch);
+        }
+        loaded
     }
 }
--- a/testkit/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -5,22 +5,27 @@
 mod machines;
 mod workers;
 
-use super::disk::Condition;
-use super::world::{Ent, Happening, Kind as Part, World};
+use super::disk::{Condition, SOUND_DELAY_MS};
+use super::world::{Action, World};
 use crate::history::Event;
-use crate::scenario::{Fault, Kind};
+use crate::scenario::{Fault, FaultKind};
 use landingdrift::sans_io::{Msg, Rng};
-use machines::{SLOW_DISK_MS, SOUND_DISK_MS};
 use serde_json::json;
-use workers::SLOW_FACTOR;
 
+/// How long a slow disk takes to write, in milliseconds.
+const SLOW_DISK_MS: u64 = 120;
 /// How many times longer messages take over a slow link.
 const SLOW_LINK_FACTOR: u64 = 8;
+/// How many times longer a slow worker takes.
+const SLOW_WORKER_FACTOR: f64 = 6.0;
 /// How many answers in a hundred are lost while answers get lost.
-const ANSWERS_LOST_PERCENT: u64 = 50;
-/// Tries and quota of a queue as the shapes have them.
-const USUAL_TRIES: u32 = 3;
+const LOST_ANSWERS_PERCENT: u64 = 50;
+/// The attempts that a queue permits, as the shapes have them.
+const USUAL_ATTEMPTS: u32 = 3;
+/// The quota of a queue, as the shapes have it.
 const USUAL_QUOTA: u32 = 2000;
+/// Every deployment has so many zones, and as many queues.
+const ZONES: usize = 3;
 
 /// What a fault strikes.
 enum Area {
@@ -32,9 +37,9 @@
     Load,
 }
 
-/// What faults of a kind strike. A kind that is added must be given its place.
-fn area(kind: Kind) -> Area {
-    use Kind::*;
+/// What faults of a kind strike.
+fn area(kind: FaultKind) -> Area {
+    use FaultKind::*;
     match kind {
         Kill | Freeze | LoseZone | SlowDisk | DiskFull | DiskStall | LoseTail | ReplaceCore
         | SwapNode | Outage | ClockJump | Restart | Upgrade => Area::Machines,
@@ -46,238 +51,257 @@
     }
 }
 
+/// The role and the number that a fault names as its target, such as `core:1`.
+fn named_target(fault: &Fault) -> Option<(&str, usize)> {
+    let (role, number) = fault.target.split_once(':')?;
+    Some((role, number.parse().ok()?))
+}
+
 impl World {
+    fn all_processes(&self) -> Vec<usize> {
+        (0..self.processes.len()).collect()
+    }
+
+    /// The replicas that are not lost for good.
     fn replicas(&self) -> Vec<usize> {
-        (0..self.procs.len())
-            .filter(|i| self.procs[*i].is_core() && !self.procs[*i].gone)
+        let processes = 0..self.processes.len();
+        processes
+            .filter(|number| self.processes[*number].is_replica())
+            .filter(|number| !self.processes[*number].is_gone)
             .collect()
     }
 
+    /// The nodes that are not lost for good.
     fn nodes(&self) -> Vec<usize> {
-        (0..self.procs.len())
-            .filter(|i| !self.procs[*i].is_core() && !self.procs[*i].gone)
+        let processes = 0..self.processes.len();
+        processes
+            .filter(|number| !self.processes[*number].is_replica())
+            .filter(|number| !self.processes[*number].is_gone)
             .collect()
     }
 
-    /// Which process, worker or zone a fault strikes.
-    fn target(&mut self, f: &Fault) -> usize {
-        use Kind::*;
-        let (replicas, nodes) = (self.replicas(), self.nodes());
-        if f.who == "leader" {
+    /// The number of the process, worker, zone or queue that a fault strikes.
+    fn target(&self, fault: &Fault) -> usize {
+        let replicas = self.replicas();
+        if fault.target == "leader" {
             return self.leader().unwrap_or(replicas[0]);
         }
-        if let Some(n) = number(&f.who) {
-            return match f.who.split(':').next() {
-                Some("core") => replicas[n % replicas.len()],
-                Some("node") => nodes[n % nodes.len()],
-                _ => n,
+        if let Some((role, number)) = named_target(fault) {
+            let nodes = self.nodes();
+            return match role {
+                "core" => replicas[number % replicas.len()],
+                "node" => nodes[number % nodes.len()],
+                _ => number,
             };
         }
-        let of: Vec<usize> = match f.kind {
-            SplitCore | SlowDisk | LoseTail | ReplaceCore | DiskFull | DiskStall => replicas,
-            Tries | Quota => vec![0, 1, 2],
-            SwapNode => nodes,
-            LoseZone | Drain | Evacuate => vec![0, 1, 2],
-            WorkerCrash | WorkerGone | WorkerFreeze | WorkerSlow | WorkerFailing | WorkerCut
-            | WorkerLeaves | WorkerChange => (0..self.hands.len()).collect(),
-            _ => replicas.into_iter().chain(nodes).collect(),
-        };
+        let candidates = self.candidates(fault.kind);
         // Each fault draws for itself, so that leaving one out moves no other.
-        *Rng::new(self.seed ^ f.at).pick(&of).unwrap_or(&0)
+        let mut rng = Rng::new(self.seed ^ fault.at_ms);
+        rng.pick(&candidates).copied().unwrap_or(0)
     }
 
-    pub(super) fn strike(&mut self, i: usize) {
-        let f = self.faults[i].clone();
-        if self.calm && f.at < self.t {
+    /// What a fault of a kind may strike where it names no target.
+    fn candidates(&self, kind: FaultKind) -> Vec<usize> {
+        use FaultKind::*;
+        match kind {
+            SplitCore | SlowDisk | LoseTail | ReplaceCore | DiskFull | DiskStall => self.replicas(),
+            SwapNode => self.nodes(),
+            Tries | Quota | LoseZone | Drain | Evacuate => (0..ZONES).collect(),
+            WorkerCrash | WorkerGone | WorkerFreeze | WorkerSlow | WorkerFailing | WorkerCut
+            | WorkerLeaves | WorkerChange => (0..self.workers.len()).collect(),
+            _ => [self.replicas(), self.nodes()].concat(),
+        }
+    }
+
+    /// Has the fault of a number strike.
+    pub(super) fn strike(&mut self, number: usize) {
+        let fault = self.faults[number].clone();
+        if self.is_calm && fault.at_ms < self.now {
             return;
         }
-        let x = self.target(&f);
-        self.targets.insert(i, vec![x]);
-        self.outln(format!(
-            "fault {:?} {} for {} ms, {} {}",
-            f.kind, x, f.lasts, f.amount, f.by
+        let target = self.target(&fault);
+        self.struck.insert(number, vec![target]);
+        self.log_line(&format!(
+            "fault {:?} {target} for {} ms, {} {}",
+            fault.kind, fault.duration_ms, fault.amount, fault.clock_jump_ms
         ));
-        self.note(Event::Fault {
-            what: format!("{:?} {x} {i}", f.kind),
+        self.record(Event::FaultBegan {
+            description: format!("{:?} {target} {number}", fault.kind),
         });
-        match area(f.kind) {
+        match area(fault.kind) {
             Area::Machines => {
-                if let Some(struck) = self.strike_machines(&f, x) {
-                    self.targets.insert(i, struck);
-                }
+                let struck = self.strike_machines(&fault, target);
+                self.struck.insert(number, struck);
             }
-            Area::Links => self.strike_links(&f, x),
-            Area::Workers => self.strike_workers(&f, x),
-            Area::Load => self.strike_load(&f, x),
+            Area::Links => self.strike_links(fault.kind, target),
+            Area::Workers => self.strike_workers(&fault, target),
+            Area::Load => self.strike_load(&fault, target),
         }
-        self.look();
-        let at = self.t + f.lasts;
-        self.at(at, Happening::Heal(i));
+        self.observe_availability();
+        self.schedule_in(fault.duration_ms, Action::Heal(number));
     }
 
-    /// Strikes processes, disks and clocks; gives those that were struck, where they are others than `x` alone.
-    fn strike_machines(&mut self, f: &Fault, x: usize) -> Option<Vec<usize>> {
-        use Kind::*;
-        match f.kind {
-            Kill => self.kill(x),
-            Freeze => self.procs[x].frozen = true,
-            LoseZone => return Some(self.lose_zone(x)),
-            SlowDisk => self.set_delays(x, f, SLOW_DISK_MS),
-            DiskFull => self.set_conditions(x, f, Condition::Full),
-            DiskStall => self.set_conditions(x, f, Condition::Stalled),
+    /// Strikes processes, disks and clocks; returns those that were struck.
+    fn strike_machines(&mut self, fault: &Fault, target: usize) -> Vec<usize> {
+        use FaultKind::*;
+        match fault.kind {
+            Kill => self.kill(target),
+            Freeze => self.processes[target].is_frozen = true,
+            LoseZone => return self.lose_zone(target),
+            SlowDisk => self.set_disk_delays(target, fault, SLOW_DISK_MS),
+            DiskFull => self.set_disk_conditions(target, fault, Condition::Full),
+            DiskStall => self.set_disk_conditions(target, fault, Condition::Stalled),
             LoseTail => {
-                self.look();
-                self.kill(x);
-                self.lose_tail(x);
+                self.observe_availability();
+                self.kill(target);
+                self.lose_confirmed(target);
             }
-            ReplaceCore => self.replace_core(x),
-            SwapNode => self.swap_node(x),
-            Outage => self.outage(x, f.amount),
-            ClockJump => return Some(self.jump_clocks(x, f)),
-            Restart | Upgrade => self.reach(x, Msg::Stop),
+            ReplaceCore => self.replace_replica(target),
+            SwapNode => self.replace_node(target),
+            Outage => self.begin_outage(target, fault.amount as usize),
+            ClockJump => return self.jump_clocks(target, fault),
+            Restart | Upgrade => self.step(target, Msg::Stop),
             _ => {}
         }
-        None
+        vec![target]
     }
 
-    fn strike_links(&mut self, f: &Fault, x: usize) {
-        use Kind::*;
-        let all: Vec<usize> = (0..self.procs.len()).collect();
-        match f.kind {
-            Cut => self.cut_off(x, &all, true),
-            CutOneWay => self.cut_off(x, &all, false),
-            SplitCore => self.cut_off(x, &self.replicas(), true),
-            CutCores => self.cut_cores(),
-            SlowLink => self.procs[x].slow = SLOW_LINK_FACTOR,
-            FlakyLink => self.procs[x].flaky = true,
-            LostAnswers => self.answers_lost = ANSWERS_LOST_PERCENT,
+    fn strike_links(&mut self, kind: FaultKind, target: usize) {
+        use FaultKind::*;
+        match kind {
+            Cut => self.cut_off(target, &self.all_processes()),
+            CutOneWay => self.cut_off_outgoing(target, &self.all_processes()),
+            SplitCore => self.cut_off(target, &self.replicas()),
+            CutCores => self.cut_replicas_from_nodes(),
+            SlowLink => self.processes[target].slowness = SLOW_LINK_FACTOR,
+            FlakyLink => self.processes[target].is_flaky = true,
+            LostAnswers => self.lost_answers_percent = LOST_ANSWERS_PERCENT,
             _ => {}
         }
     }
 
-    fn strike_workers(&mut self, f: &Fault, x: usize) {
-        use Kind::*;
-        match f.kind {
-            WorkerCrash | WorkerGone => self.crash_worker(x),
-            WorkerFreeze => self.freeze_worker(x),
-            WorkerSlow => self.http_adapter(x, |m| m.slow = SLOW_FACTOR),
-            WorkerFailing => self.fail_runs(x, f.amount),
-            WorkerCut => self.cut_worker(x, true),
-            WorkerLeaves => self.worker_leaves(x),
+    fn strike_workers(&mut self, fault: &Fault, target: usize) {
+        use FaultKind::*;
+        match fault.kind {
+            WorkerCrash | WorkerGone => self.crash_worker(target),
+            WorkerFreeze => self.freeze_worker(target),
+            WorkerSlow => self.set_slowdown(target, SLOW_WORKER_FACTOR),
+            WorkerFailing => self.fail_runs(target, fault.amount),
+            WorkerCut => self.cut_worker(target, true),
+            WorkerLeaves => self.with_worker(target, |worker, now| worker.leave(now)),
             WorkerChange => {
-                let cpu = self.hands[x].info.cpu / 4;
-                self.change_worker(x, cpu, Default::default());
+                let cpu = self.workers[target].info.cpu / 4;
+                self.with_worker(target, |worker, now| {
+                    worker.change(now, cpu, Default::default())
+                });
             }
             _ => {}
         }
     }
 
     /// Strikes by jobs and changes of configuration.
-    fn strike_load(&mut self, f: &Fault, x: usize) {
-        use Kind::*;
-        match f.kind {
-            Crowd => self.crowd_of(f.amount, &self.shape.mix()),
-            Huge => self.huge_job(),
-            Doomed => self.doomed_jobs(),
-            Urgent => self.urgent_jobs(f.amount),
-            Wrong => self.wrong_jobs(),
-            Storm => self.storm(),
-            Rivals => self.rivals(),
-            LargeConfig => self.large_configuration(),
-            HugeConfig => self.huge_configuration(),
-            Drain => self.operators[0].zone(&format!("z{x}"), "draining"),
-            Evacuate => self.operators[0].zone(&format!("z{x}"), "evacuated"),
-            Tries => self.set_queue(x, json!({"tries": 1})),
-            Quota => self.set_queue(x, json!({"quota": 1})),
+    fn strike_load(&mut self, fault: &Fault, target: usize) {
+        use FaultKind::*;
+        match fault.kind {
+            Crowd => self.offer_crowd(fault.amount, &self.shape.mix()),
+            Huge => self.offer_huge_job(),
+            Doomed => self.offer_doomed_jobs(),
+            Urgent => self.offer_urgent_jobs(fault.amount),
+            Wrong => self.offer_invalid_jobs(),
+            Storm => self.change_often(),
+            Rivals => self.change_as_rivals(),
+            LargeConfig => self.apply_large_configuration(),
+            HugeConfig => self.apply_huge_configuration(),
+            Drain => self.set_zone(target, "draining"),
+            Evacuate => self.set_zone(target, "evacuated"),
+            Tries => self.set_queue(target, json!({"tries": 1})),
+            Quota => self.set_queue(target, json!({"quota": 1})),
             _ => {}
         }
     }
 
-    pub(super) fn heal(&mut self, i: usize) {
-        let Some(of) = self.targets.remove(&i) else {
+    /// Heals the fault of a number, if it is open.
+    pub(super) fn heal(&mut self, number: usize) {
+        let Some(struck) = self.struck.remove(&number) else {
             return;
         };
-        let f = self.faults[i].clone();
-        let x = of.first().copied().unwrap_or(0);
-        self.outln(format!("healed {:?} {x}", f.kind));
-        self.note(Event::Healed {
-            what: format!("{:?} {x} {i}", f.kind),
+        let fault = self.faults[number].clone();
+        let target = struck.first().copied().unwrap_or(0);
+        self.log_line(&format!("healed {:?} {target}", fault.kind));
+        self.record(Event::FaultEnded {
+            description: format!("{:?} {target} {number}", fault.kind),
         });
-        match area(f.kind) {
-            Area::Machines => self.heal_machines(&f, &of, x),
-            Area::Links => self.heal_links(&f, x),
-            Area::Workers => self.heal_workers(&f, x),
-            Area::Load => self.heal_load(&f, x),
+        match area(fault.kind) {
+            Area::Machines => self.heal_machines(&fault, &struck, target),
+            Area::Links => self.heal_links(fault.kind, target),
+            Area::Workers => self.heal_workers(fault.kind, target),
+            Area::Load => self.heal_load(&fault, target),
         }
-        self.look();
+        self.observe_availability();
     }
 
-    fn heal_machines(&mut self, f: &Fault, of: &[usize], x: usize) {
-        use Kind::*;
-        match f.kind {
-            Kill | LoseTail | Restart => self.start(x),
-            Upgrade => self.upgrade(x),
-            Freeze => self.wake(x),
-            LoseZone => self.regain_zone(of),
-            SlowDisk => self.set_delays(x, f, SOUND_DISK_MS),
-            DiskFull | DiskStall => self.set_conditions(x, f, Condition::Sound),
+    fn heal_machines(&mut self, fault: &Fault, struck: &[usize], target: usize) {
+        use FaultKind::*;
+        match fault.kind {
+            Kill | LoseTail | Restart => self.start(target),
+            Upgrade => self.upgrade(target),
+            Freeze => self.thaw(target),
+            LoseZone => self.regain_zone(struck),
+            SlowDisk => self.set_disk_delays(target, fault, SOUND_DELAY_MS),
+            DiskFull | DiskStall => self.set_disk_conditions(target, fault, Condition::Sound),
             Outage => self.end_outage(),
             ClockJump => {
-                for c in of {
-                    self.procs[*c].wall_off = 0;
+                for process in struck {
+                    self.processes[*process].wall_offset_ms = 0;
                 }
             }
             _ => {}
         }
     }
 
-    fn heal_links(&mut self, f: &Fault, x: usize) {
-        use Kind::*;
-        let all: Vec<usize> = (0..self.procs.len()).collect();
-        match f.kind {
-            Cut | CutOneWay => self.join_again(x, &all),
-            SplitCore => self.join_again(x, &self.replicas()),
-            CutCores => self.join_cores(),
-            SlowLink => self.procs[x].slow = 1,
-            FlakyLink => self.procs[x].flaky = false,
-            LostAnswers => self.answers_lost = 0,
+    fn heal_links(&mut self, kind: FaultKind, target: usize) {
+        use FaultKind::*;
+        match kind {
+            Cut | CutOneWay => self.reconnect(target, &self.all_processes()),
+            SplitCore => self.reconnect(target, &self.replicas()),
+            CutCores => self.reconnect_replicas_to_nodes(),
+            SlowLink => self.processes[target].slowness = 1,
+            FlakyLink => self.processes[target].is_flaky = false,
+            LostAnswers => self.lost_answers_percent = 0,
             _ => {}
         }
     }
 
-    fn heal_workers(&mut self, f: &Fault, x: usize) {
-        use Kind::*;
-        match f.kind {
-            WorkerCrash if self.hands[x].worker.is_none() => self.start_worker(x),
-            WorkerFreeze => self.wake_worker(x),
-            WorkerSlow => self.http_adapter(x, |m| m.slow = 1.0),
-            WorkerFailing => self.http_adapter(x, |m| m.failing = 0.0),
-            WorkerCut => self.cut_worker(x, false),
+    fn heal_workers(&mut self, kind: FaultKind, target: usize) {
+        use FaultKind::*;
+        match kind {
+            WorkerCrash if self.workers[target].worker.is_none() => self.start_worker(target),
+            WorkerFreeze => self.thaw_worker(target),
+            WorkerSlow => self.set_slowdown(target, 1.0),
+            WorkerFailing => self.set_failing_share(target, 0.0),
+            WorkerCut => self.cut_worker(target, false),
             WorkerLeaves => {
-                self.crash_worker(x);
-                self.start_worker(x);
+                self.crash_worker(target);
+                self.start_worker(target);
             }
             WorkerChange => {
-                let f = self.hands[x].info.clone();
-                self.change_worker(x, f.cpu, f.labels);
+                let info = self.workers[target].info.clone();
+                self.with_worker(target, |worker, now| {
+                    worker.change(now, info.cpu, info.labels)
+                });
             }
             _ => {}
         }
     }
 
-    fn heal_load(&mut self, f: &Fault, x: usize) {
-        use Kind::*;
-        match f.kind {
-            Tries if f.amount == 0 => self.set_queue(x, json!({"tries": USUAL_TRIES})),
-            Quota => self.set_queue(x, json!({"quota": USUAL_QUOTA})),
-            HugeConfig => self.drop_huge_configuration(),
-            Drain | Evacuate => self.operators[0].zone(&format!("z{x}"), "serving"),
+    fn heal_load(&mut self, fault: &Fault, target: usize) {
+        use FaultKind::*;
+        match fault.kind {
+            Tries if fault.amount == 0 => self.set_queue(target, json!({"tries": USUAL_ATTEMPTS})),
+            Quota => self.set_queue(target, json!({"quota": USUAL_QUOTA})),
+            HugeConfig => self.remove_huge_configuration(),
+            Drain | Evacuate => self.set_zone(target, "serving"),
             _ => {}
         }
     }
 }
-
-/// The number at the end of a target such as `replica:1`.
-fn number(who: &str) -> Option<usize> {
-    who.rsplit(':').next().and_then(|n| n.parse().ok())
-}
--- a/testkit/src/simulator/faults/links.rs
+++ b/testkit/src/simulator/faults/links.rs
@@ -3,45 +3,52 @@
 use super::World;
 
 impl World {
-    /// Cuts a process off from others, in both directions or only towards them.
-    pub(super) fn cut_off(&mut self, x: usize, others: &[usize], both: bool) {
-        for j in others.iter().filter(|j| **j != x) {
-            self.block(x, *j, both);
+    /// Cuts a process off from others, in both directions.
+    pub(super) fn cut_off(&mut self, process: usize, others: &[usize]) {
+        for other in others {
+            self.block(process, *other);
         }
     }
 
-    pub(super) fn join_again(&mut self, x: usize, others: &[usize]) {
-        for j in others {
-            self.unblock(x, *j);
+    /// Cuts off what a process sends to others; what they send arrives.
+    pub(super) fn cut_off_outgoing(&mut self, process: usize, others: &[usize]) {
+        for other in others.iter().filter(|other| **other != process) {
+            self.blocked.insert((process, *other));
         }
     }
 
-    /// Cuts all replicas off from all nodes.
-    pub(super) fn cut_cores(&mut self) {
-        for c in self.replicas() {
-            for n in self.nodes() {
-                self.block(c, n, true);
+    /// Ends any cut between a process and others.
+    pub(super) fn reconnect(&mut self, process: usize, others: &[usize]) {
+        for other in others {
+            self.unblock(process, *other);
+        }
+    }
+
+    pub(super) fn cut_replicas_from_nodes(&mut self) {
+        for replica in self.replicas() {
+            for node in self.nodes() {
+                self.block(replica, node);
             }
         }
     }
 
-    pub(super) fn join_cores(&mut self) {
-        for c in self.replicas() {
-            for n in self.nodes() {
-                self.unblock(c, n);
+    pub(super) fn reconnect_replicas_to_nodes(&mut self) {
+        for replica in self.replicas() {
+            for node in self.nodes() {
+                self.unblock(replica, node);
             }
         }
     }
 
-    fn block(&mut self, a: usize, b: usize, both: bool) {
-        self.blocked.insert((a, b));
-        if both {
-            self.blocked.insert((b, a));
+    fn block(&mut self, one: usize, other: usize) {
+        if one != other {
+            self.blocked.insert((one, other));
+            self.blocked.insert((other, one));
         }
     }
 
-    fn unblock(&mut self, a: usize, b: usize) {
-        self.blocked.remove(&(a, b));
-        self.blocked.remove(&(b, a));
+    fn unblock(&mut self, one: usize, other: usize) {
+        self.blocked.remove(&(one, other));
+        self.blocked.remove(&(other, one));
     }
 }
--- a/testkit/src/simulator/faults/machines.rs
+++ b/testkit/src/simulator/faults/machines.rs
@@ -1,173 +1,179 @@
 //! Faults of processes, their disks and their clocks.
 
-use super::{Condition, Part, World};
+use super::{Condition, World};
 use crate::history::Event;
 use crate::scenario::Fault;
+use crate::simulator::world::Process;
 use landingdrift::sans_io::Msg;
 
-/// How long a slow disk takes to write, and a sound one, in milliseconds.
-pub(super) const SLOW_DISK_MS: u64 = 120;
-pub(super) const SOUND_DISK_MS: u64 = 2;
-/// How far a clock jumps where the fault doesn't say: an hour.
+/// How far a clock jumps where the fault doesn't say, in milliseconds: an hour.
 const CLOCK_JUMP_MS: i64 = 3_600_000;
-/// New processes have addresses above those that a day starts with.
-const NEW_ADDRESSES: usize = 50;
-/// The most confirmed entries that a disk loses at once.
-const LOST_ENTRIES_MOST: u64 = 4;
+/// The last part of the address of a new process, above those that a day starts with.
+const FIRST_NEW_ADDRESS: usize = 50;
+/// The most confirmed batches that a disk loses at once.
+const MAX_LOST_BATCHES: u64 = 4;
 
 impl World {
-    /// Kills all that runs in a zone, and its workers; gives the processes.
+    /// Kills all that runs in a zone, and its workers; returns the processes.
     pub(super) fn lose_zone(&mut self, zone: usize) -> Vec<usize> {
-        let in_zone = |j: &usize| {
-            let p = &self.procs[*j];
-            p.zone == zone && !p.gone && p.up()
-        };
-        let lost: Vec<usize> = (0..self.procs.len()).filter(in_zone).collect();
-        for j in &lost {
-            self.kill(*j);
+        let runs_there =
+            |process: &Process| process.zone == zone && !process.is_gone && process.is_up();
+        let mut lost = self.all_processes();
+        lost.retain(|number| runs_there(&self.processes[*number]));
+        for process in &lost {
+            self.kill(*process);
         }
-        for h in 0..self.hands.len() {
-            if self.hands[h].zone == zone {
-                self.crash_worker(h);
+        for worker in 0..self.workers.len() {
+            if self.workers[worker].zone == zone {
+                self.crash_worker(worker);
             }
         }
         lost
     }
 
-    /// A replica ends for good, and another one with nothing on its disk comes in its zone.
-    pub(super) fn replace_core(&mut self, x: usize) {
-        self.look();
-        self.kill(x);
-        self.procs[x].gone = true;
-        let n = self.procs.len();
-        let zone = self.procs[x].zone;
-        self.add_core(zone, new_address(zone, n));
-        self.owe(n);
+    /// Loses a replica for good; another one with an empty disk joins in its zone.
+    pub(super) fn replace_replica(&mut self, replaced: usize) {
+        self.observe_availability();
+        self.kill(replaced);
+        self.processes[replaced].is_gone = true;
+        let newcomer = self.processes.len();
+        let zone = self.processes[replaced].zone;
+        self.add_replica(zone, new_address(zone, newcomer));
+        self.note_loss(newcomer);
     }
 
-    pub(super) fn swap_node(&mut self, x: usize) {
-        self.kill(x);
-        self.procs[x].gone = true;
-        let n = self.procs.len();
-        let zone = self.procs[x].zone;
-        self.add_node(zone, new_address(zone, n));
-        // The platform names the new one to all who call.
-        let nodes = self.node_http();
+    /// Loses a node for good; another one joins in its zone, and the platform names it to all who call.
+    pub(super) fn replace_node(&mut self, replaced: usize) {
+        self.kill(replaced);
+        self.processes[replaced].is_gone = true;
+        let newcomer = self.processes.len();
+        let zone = self.processes[replaced].zone;
+        self.add_node(zone, new_address(zone, newcomer));
+        let nodes = self.node_addresses();
         self.client.nodes = nodes.clone();
         for operator in &mut self.operators {
             operator.nodes = nodes.clone();
         }
-        for worker in self.hands.iter_mut().filter_map(|h| h.worker.as_mut()) {
+        let machines = self.workers.iter_mut();
+        for worker in machines.filter_map(|machine| machine.worker.as_mut()) {
             worker.nodes = nodes.clone();
         }
     }
 
-    /// Kills all processes at once; some disks, from a replica's on, lose what they had confirmed last.
-    pub(super) fn outage(&mut self, x: usize, tails_lost: u64) {
-        self.look();
-        for j in 0..self.procs.len() {
-            self.kill(j);
+    /// Kills all processes at once; so many disks, from a replica's on, lose what they had confirmed last.
+    pub(super) fn begin_outage(&mut self, first_lost: usize, disks_lost: usize) {
+        self.observe_availability();
+        for process in self.all_processes() {
+            self.kill(process);
         }
         let replicas = self.replicas();
-        for k in 0..tails_lost as usize {
-            self.lose_tail(replicas[(x + k) % replicas.len()]);
+        for index in 0..disks_lost {
+            self.lose_confirmed(replicas[(first_lost + index) % replicas.len()]);
         }
     }
 
-    pub(super) fn lose_tail(&mut self, x: usize) {
-        self.owe(x);
-        let n = 1 + self.rng.below(LOST_ENTRIES_MOST) as usize;
-        let lost = if let Part::Replica(_, disk) = &mut self.procs[x].kind {
-            disk.lose(n)
-        } else {
-            0
-        };
-        let addr = &self.procs[x].addr;
-        self.outln(format!("the disk of {addr} lost {lost} confirmed entries"));
+    /// A replica's disk loses what it had confirmed last.
+    pub(super) fn lose_confirmed(&mut self, replica: usize) {
+        self.note_loss(replica);
+        let batches = 1 + self.rng.below(MAX_LOST_BATCHES) as usize;
+        let process = &mut self.processes[replica];
+        let lost = process
+            .disk_mut()
+            .map_or(0, |disk| disk.lose_confirmed(batches));
+        let address = &process.address;
+        let line = format!("the disk of {address} lost {lost} confirmed entries");
+        self.log_line(&line);
     }
 
-    /// Clocks jump; gives the processes whose clocks do.
-    pub(super) fn jump_clocks(&mut self, x: usize, f: &Fault) -> Vec<usize> {
-        let by = match f.by {
-            0 if f.lasts.is_multiple_of(2) => CLOCK_JUMP_MS,
+    /// Clocks jump; returns the processes whose clocks do.
+    pub(super) fn jump_clocks(&mut self, target: usize, fault: &Fault) -> Vec<usize> {
+        let jump_ms = match fault.clock_jump_ms {
+            0 if fault.duration_ms.is_multiple_of(2) => CLOCK_JUMP_MS,
             0 => -CLOCK_JUMP_MS,
-            by => by,
+            jump_ms => jump_ms,
         };
-        let struck = self.several(x, f);
-        for (n, c) in struck.iter().enumerate() {
+        let struck = self.struck_replicas(target, fault);
+        for (index, process) in struck.iter().enumerate() {
             // An odd jump goes back at every second one, so that their clocks come apart.
-            let back = n % 2 == 1 && by % 2 != 0;
-            self.procs[*c].wall_off = if back { -by } else { by };
+            let is_opposite = index % 2 == 1 && jump_ms % 2 != 0;
+            self.processes[*process].wall_offset_ms = if is_opposite { -jump_ms } else { jump_ms };
         }
         struck
     }
 
-    /// The process struck, and the next ones of the replica where several are meant.
-    fn several(&self, x: usize, f: &Fault) -> Vec<usize> {
-        let mut of = vec![x];
-        of.extend(self.replicas().into_iter().filter(|c| *c != x));
-        of.truncate(f.amount.max(1) as usize);
-        of
+    /// The target, and the next replicas where several are meant.
+    fn struck_replicas(&self, target: usize, fault: &Fault) -> Vec<usize> {
+        let others = self.replicas().into_iter();
+        let others = others.filter(|replica| *replica != target);
+        let count = fault.amount.max(1) as usize;
+        std::iter::once(target).chain(others).take(count).collect()
     }
 
-    pub(super) fn set_delays(&mut self, x: usize, f: &Fault, ms: u64) {
-        for c in self.several(x, f) {
-            if let Part::Replica(_, disk) = &mut self.procs[c].kind {
-                disk.delay = ms;
+    pub(super) fn set_disk_delays(&mut self, target: usize, fault: &Fault, delay_ms: u64) {
+        for replica in self.struck_replicas(target, fault) {
+            if let Some(disk) = self.processes[replica].disk_mut() {
+                disk.delay_ms = delay_ms;
             }
         }
     }
 
-    pub(super) fn set_conditions(&mut self, x: usize, f: &Fault, to: Condition) {
-        for c in self.several(x, f) {
-            if let Part::Replica(_, disk) = &mut self.procs[c].kind {
-                disk.condition = to;
+    pub(super) fn set_disk_conditions(
+        &mut self,
+        target: usize,
+        fault: &Fault,
+        condition: Condition,
+    ) {
+        for replica in self.struck_replicas(target, fault) {
+            if let Some(disk) = self.processes[replica].disk_mut() {
+                disk.condition = condition;
             }
         }
     }
 
-    /// A process that was killed to be upgraded comes back with the next version of the wire.
-    pub(super) fn upgrade(&mut self, x: usize) {
-        self.kill(x);
-        self.procs[x].wire += 1;
-        self.start(x);
+    /// A process that was stopped comes back with the next version of the wire.
+    pub(super) fn upgrade(&mut self, process: usize) {
+        self.kill(process);
+        self.processes[process].wire_version += 1;
+        self.start(process);
     }
 
     pub(super) fn end_outage(&mut self) {
-        for j in 0..self.procs.len() {
-            self.start(j);
+        for process in self.all_processes() {
+            self.start(process);
         }
-        self.note(Event::OutageOver);
-        self.muster();
+        self.record(Event::OutageEnded);
+        self.offer_recovery_jobs();
     }
 
+    /// Starts the processes of a zone that was lost, and all workers that are down.
     pub(super) fn regain_zone(&mut self, lost: &[usize]) {
-        for j in lost {
-            self.start(*j);
+        for process in lost {
+            self.start(*process);
         }
-        for h in 0..self.hands.len() {
-            if self.hands[h].worker.is_none() {
-                self.start_worker(h);
+        for worker in 0..self.workers.len() {
+            if self.workers[worker].worker.is_none() {
+                self.start_worker(worker);
             }
         }
     }
 
-    /// A process that stood still goes on.
-    pub(super) fn wake(&mut self, x: usize) {
-        if !std::mem::replace(&mut self.procs[x].frozen, false) {
+    /// A process that stood still goes on, with all that reached it meanwhile.
+    pub(super) fn thaw(&mut self, number: usize) {
+        let process = &mut self.processes[number];
+        if !std::mem::replace(&mut process.is_frozen, false) {
             return;
         }
-        let inbox = std::mem::take(&mut self.procs[x].inbox);
+        let inbox = std::mem::take(&mut process.inbox);
         // What waited may come before the process has looked at the time, or after.
         if self.rng.below(2) == 0 {
-            self.reach(x, Msg::Tick);
+            self.step(number, Msg::Tick);
         }
-        for msg in inbox {
-            self.reach(x, msg);
+        for message in inbox {
+            self.step(number, message);
         }
     }
 }
 
-fn new_address(zone: usize, n: usize) -> String {
-    format!("10.0.{zone}.{}:7000", NEW_ADDRESSES + n)
+fn new_address(zone: usize, process: usize) -> String {
+    format!("10.0.{zone}.{}:7000", FIRST_NEW_ADDRESS + process)
 }
--- a/testkit/src/simulator/mod.rs
+++ b/testkit/src/simulator/mod.rs
@@ -1,33 +1,35 @@
-//! The same parts as the daemons run, in virtual time; one seed decides all.
+//! The simulator: the same parts as the real processes run, in virtual time; one seed decides all.
 
 pub(crate) mod disk;
 mod faults;
 mod world;
 
-pub use world::{Report, World};
+pub use world::{PlannedJob, Report, World};
 
-use crate::checkers::{check, Broken, Promised};
+use crate::checkers::{check, PromisedBounds, Violation};
 use crate::scenario::Scenario;
 
-/// What the clocks of the system show at time 0.
+/// What the clocks of the system show at time 0, in milliseconds since 1970.
 pub const EPOCH: u64 = 1_700_000_000_000;
 
+/// The promised bounds, for histories of the simulator.
+fn bounds() -> PromisedBounds {
+    PromisedBounds {
+        epoch_ms: EPOCH,
+        ..PromisedBounds::default()
+    }
+}
+
 /// Simulates a day with a seed and checks its history.
-pub fn simulate(s: &Scenario, seed: u64) -> (Report, Vec<Broken>) {
-    let report = World::new(s, seed).run();
-    let mut broken = check(
-        &report.history,
-        &Promised {
-            epoch: EPOCH,
-            ..Promised::default()
-        },
-    );
-    if report.circling {
-        broken.push(Broken {
-            rule: "nothing goes round in circles",
-            t: report.history.events.last().map_or(0, |a| a.t),
-            what: "more happened than a day can hold".into(),
-        });
+pub fn simulate(scenario: &Scenario, seed: u64) -> (Report, Vec<Violation>) {
+    let report = World::new(scenario, seed).run();
+    let mut violations = check(&report.history, &bounds());
+    if report.is_livelocked {
+        violations.push(Violation::new(
+            "no livelock",
+            report.history.end_ms(),
+            "more happened than a day can hold".into(),
+        ));
     }
-    (report, broken)
+    (report, violations)
 }
--- a/testkit/src/simulator/world/callers.rs
+++ b/testkit/src/simulator/world/callers.rs
@@ -1,151 +1,208 @@
 //! Those who call the system from outside: workers, the client and the operators.
 
-use super::{Happening, World, TICK};
-use crate::scenario::{job, Mix};
+use super::{Action, PlannedJob, World, TICK_MS};
+use crate::fakes::worker::Worker;
+use crate::fakes::Output;
+use crate::history::RECOVERY_JOB_PREFIX;
+use crate::scenario::{random_job, Mix};
 use crate::simulator::EPOCH;
-use crate::standin::worker::Worker;
-use crate::standin::Ask;
 use landingdrift::sans_io::Response;
-use landingdrift::state::WorkerInfo;
+use landingdrift::state::{JobSpec, TaskSpec, WorkerInfo};
+
+/// Calls take less than this many milliseconds more than one.
+const CALL_LATENCY_SPREAD_MS: u64 = 4;
+/// Tasks of a job that shows whether a queue is served: enough for every zone to get some.
+const RECOVERY_JOB_TASKS: usize = 24;
+
+/// An answer that reached a worker while it was frozen.
+pub(in crate::simulator) struct WaitingAnswer {
+    pub call: u64,
+    pub response: Response,
+}
 
 /// A worker's machine: the worker, if it runs, and what keeps it from working.
 pub(in crate::simulator) struct WorkerMachine {
     pub worker: Option<Worker>,
+    /// What the worker is started with.
     pub info: WorkerInfo,
     pub zone: usize,
-    pub frozen: bool,
-    pub cut: bool,
-    pub inbox: Vec<(u64, Response)>,
-    pub life: u64,
+    pub is_frozen: bool,
+    /// Nothing passes from or to it.
+    pub is_cut: bool,
+    pub inbox: Vec<WaitingAnswer>,
+    /// Counts its starts and ends.
+    pub incarnation: u64,
 }
 
-/// Who made a call; a worker with its life, so that answers to an earlier one are dropped.
+/// Who makes a call; a worker with its incarnation, so that answers to an earlier one are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(in crate::simulator) enum Ent {
-    Worker(usize, u64),
+pub(in crate::simulator) enum Caller {
+    Worker { worker: usize, incarnation: u64 },
     Client,
     Operator(usize),
 }
 
 impl World {
-    pub(in crate::simulator) fn start_worker(&mut self, i: usize) {
-        let nodes = self.node_http();
+    pub(in crate::simulator) fn start_worker(&mut self, number: usize) {
+        let nodes = self.node_addresses();
         let seed = self.rng.number();
-        let h = &mut self.hands[i];
-        h.life += 1;
-        h.frozen = false;
-        h.info.incarnation = h.life;
-        h.info.leaving = false;
-        let w = Worker::new(h.info.clone(), nodes, seed);
-        let up = w.up();
-        h.worker = Some(w);
-        let life = h.life;
-        self.note(up);
-        let jitter = self.rng.below(TICK);
-        self.at(self.t + 1 + jitter, Happening::HandTick(i, life));
+        let machine = &mut self.workers[number];
+        machine.incarnation += 1;
+        machine.is_frozen = false;
+        machine.info.incarnation = machine.incarnation;
+        machine.info.leaving = false;
+        let worker = Worker::new(machine.info.clone(), nodes, seed);
+        let up = worker.up_event();
+        machine.worker = Some(worker);
+        let tick = Action::TickWorker {
+            worker: number,
+            incarnation: machine.incarnation,
+        };
+        self.record(up);
+        let jitter_ms = self.rng.below(TICK_MS);
+        self.schedule_in(1 + jitter_ms, tick);
+    }
+
+    /// Has a worker act, if it runs.
+    pub(in crate::simulator) fn with_worker(
+        &mut self,
+        number: usize,
+        act: impl FnOnce(&mut Worker, u64) -> Vec<Output>,
+    ) {
+        let now = self.now;
+        let machine = &mut self.workers[number];
+        let caller = Caller::Worker {
+            worker: number,
+            incarnation: machine.incarnation,
+        };
+        if let Some(worker) = &mut machine.worker {
+            let outputs = act(worker, now);
+            self.handle_outputs(caller, outputs);
+        }
+    }
+
+    pub(super) fn tick_worker(&mut self, number: usize, incarnation: u64) {
+        if self.workers[number].incarnation != incarnation {
+            return;
+        }
+        if !self.workers[number].is_frozen {
+            self.with_worker(number, Worker::tick);
+        }
+        let next = Action::TickWorker {
+            worker: number,
+            incarnation,
+        };
+        self.schedule_in(TICK_MS, next);
     }
 
-    /// Lets the client and the operators look at the time.
-    pub(super) fn tick_client(&mut self) {
-        let t = self.t;
-        while let Some((_, spec)) = self.planned.pop_front_if(|(at, _)| *at <= t) {
-            let asks = self.client.offer(t, spec);
-            self.asked(Ent::Client, asks);
+    /// The client and the operators get their tick.
+    pub(super) fn tick_callers(&mut self) {
+        let now = self.now;
+        let is_due = |planned: &mut PlannedJob| planned.at_ms <= now;
+        while let Some(planned) = self.planned_jobs.pop_front_if(is_due) {
+            self.offer(planned.spec);
         }
-        let asks = self.client.tick(t);
-        self.asked(Ent::Client, asks);
-        for i in 0..self.operators.len() {
-            let asks = self.operators[i].tick(t);
-            self.asked(Ent::Operator(i), asks);
+        let outputs = self.client.tick(now);
+        self.handle_outputs(Caller::Client, outputs);
+        for number in 0..self.operators.len() {
+            let outputs = self.operators[number].tick(now);
+            self.handle_outputs(Caller::Operator(number), outputs);
         }
-        self.at(self.t + TICK, Happening::ClientTick);
+        self.schedule_in(TICK_MS, Action::TickCallers);
+    }
+
+    /// Has the client offer a job.
+    pub(in crate::simulator) fn offer(&mut self, spec: JobSpec) {
+        let outputs = self.client.offer(self.now, spec);
+        self.handle_outputs(Caller::Client, outputs);
     }
 
-    pub(in crate::simulator) fn asked(&mut self, from: Ent, asks: Vec<Ask>) {
-        for a in asks {
-            match a {
-                Ask::DurabilityWitness(e) => self.note(e),
-                Ask::Call { to, call, req } => {
-                    if !self.dark(from) {
-                        let at = self.t + 1 + self.rng.below(4);
-                        self.at(
-                            at,
-                            Happening::Call {
-                                to,
-                                from,
-                                call,
-                                req,
-                            },
-                        );
-                    }
+    fn handle_outputs(&mut self, caller: Caller, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::Event(event) => self.record(event),
+                Output::Call { to, call, request } if !self.is_cut(caller) => {
+                    let latency_ms = 1 + self.rng.below(CALL_LATENCY_SPREAD_MS);
+                    let arrival = Action::Call {
+                        to,
+                        caller,
+                        call,
+                        request,
+                    };
+                    self.schedule_in(latency_ms, arrival);
                 }
+                Output::Call { .. } => {}
             }
         }
     }
 
-    fn dark(&self, e: Ent) -> bool {
-        matches!(e, Ent::Worker(i, _) if self.hands[i].cut)
+    fn is_cut(&self, caller: Caller) -> bool {
+        matches!(caller, Caller::Worker { worker, .. } if self.workers[worker].is_cut)
     }
 
-    pub(super) fn answer(&mut self, to: Ent, call: u64, v: Response) {
-        let t = self.t;
-        match to {
-            Ent::Worker(i, life) => {
-                let h = &mut self.hands[i];
-                if h.life != life || h.cut {
+    /// Hands an answer to whoever called.
+    pub(super) fn deliver_answer(&mut self, caller: Caller, call: u64, response: Response) {
+        let now = self.now;
+        match caller {
+            Caller::Worker {
+                worker,
+                incarnation,
+            } => {
+                let machine = &mut self.workers[worker];
+                if machine.incarnation != incarnation || machine.is_cut {
                     return;
                 }
-                if h.frozen {
-                    h.inbox.push((call, v));
+                if machine.is_frozen {
+                    machine.inbox.push(WaitingAnswer { call, response });
                     return;
                 }
-                let asks = h
-                    .worker
-                    .as_mut()
-                    .map_or(Vec::new(), |w| w.answer(t, call, &v));
-                self.asked(to, asks);
+                self.with_worker(worker, |worker, now| worker.answer(now, call, &response));
             }
-            Ent::Client => {
-                let asks = self.client.answer(t, call, &v);
-                self.asked(to, asks);
+            Caller::Client => {
+                let outputs = self.client.answer(now, call, &response);
+                self.handle_outputs(caller, outputs);
             }
-            Ent::Operator(i) => {
-                let asks = self.operators[i].answer(t, call, &v);
-                self.asked(to, asks);
+            Caller::Operator(number) => {
+                let outputs = self.operators[number].answer(now, call, &response);
+                self.handle_outputs(caller, outputs);
             }
         }
     }
 
     /// After an outage: jobs for every queue and service, so that it shows whether all are served.
-    pub(in crate::simulator) fn muster(&mut self) {
-        let t = self.t;
-        let all = self.shape.mix();
-        for queue in &all.queues {
-            for service in &all.services {
-                let mix = Mix {
-                    queues: vec![queue.clone()],
-                    services: vec![service.clone()],
-                    plain: true,
-                    tail: 0.0,
-                    repeatable: 1.0,
-                    ..all.clone()
-                };
-                let mut spec = job(
-                    &mut self.rng,
-                    &mix,
-                    &format!("muster-{t}-{queue}-{service}"),
-                    EPOCH + t,
-                );
-                let one = spec.tasks[0].clone();
-                spec.tasks = (0..24)
-                    .map(|n| landingdrift::state::TaskSpec {
-                        name: format!("t{n}"),
-                        ..one.clone()
-                    })
-                    .collect();
-                let asks = self.client.offer_surely(t, spec);
-                self.asked(Ent::Client, asks);
+    pub(in crate::simulator) fn offer_recovery_jobs(&mut self) {
+        let mix = self.shape.mix();
+        for queue in &mix.queues {
+            for service in &mix.services {
+                let spec = self.recovery_job(&mix, queue, service);
+                let outputs = self.client.offer_surely(self.now, spec);
+                self.handle_outputs(Caller::Client, outputs);
             }
         }
     }
+
+    fn recovery_job(&mut self, mix: &Mix, queue: &str, service: &str) -> JobSpec {
+        let mix = Mix {
+            queues: vec![queue.into()],
+            services: vec![service.into()],
+            is_plain: true,
+            tail: 0.0,
+            repeatable_share: 1.0,
+            ..mix.clone()
+        };
+        let id = format!("{RECOVERY_JOB_PREFIX}{}-{queue}-{service}", self.now);
+        let spec = random_job(&mut self.rng, &mix, &id, EPOCH + self.now);
+        repeat_first_task(spec, RECOVERY_JOB_TASKS)
+    }
+}
+
+/// The job with its first task as often as wanted, in place of its own tasks.
+pub(in crate::simulator) fn repeat_first_task(mut spec: JobSpec, count: usize) -> JobSpec {
+    let first = spec.tasks[0].clone();
+    let task = |index: usize| TaskSpec {
+        name: format!("t{index}"),
+        ..first.clone()
+    };
+    spec.tasks = (0..count).map(task).collect();
+    spec
 }
--- a/testkit/src/simulator/world/links.rs
+++ b/testkit/src/simulator/world/links.rs
@@ -1,94 +1,145 @@
-//! The links between processes: latency, loss, doubling and order of messages.
+//! The links between processes: latency, loss, duplication and order of messages.
 
-use super::{Ent, Happening, World};
-use landingdrift::sans_io::{Msg, Request};
+use super::{Action, Caller, OpenCall, World};
+use landingdrift::sans_io::{Msg, Request, Response};
 use landingdrift::wire::{pack_as, unpack_as, Body, WireError};
 
+/// Messages take 1 ms to this many, times the slowness of the sender.
+const LATENCY_SPREAD_MS: u64 = 3;
+/// What each degree of slowness beyond the usual one adds, in milliseconds.
+const SLOW_LINK_MS: u64 = 20;
+/// Of a hundred messages of a flaky link, so many are lost.
+const FLAKY_LOSS_PERCENT: u64 = 15;
+/// Of a hundred messages of a flaky link, so many are late.
+const FLAKY_LATE_PERCENT: u64 = 40;
+/// Late messages come so much later at the most, in milliseconds.
+const FLAKY_LATE_MS: u64 = 400;
+/// Of a hundred messages of a flaky link, so many arrive twice.
+const FLAKY_DUPLICATE_PERCENT: u64 = 10;
+/// The second copy comes so much later at the most, in milliseconds.
+const FLAKY_DUPLICATE_MS: u64 = 500;
+
 impl World {
-    pub(super) fn lag(&mut self, i: usize) -> u64 {
-        1 + self.rng.below(3) * self.procs[i].slow + (self.procs[i].slow - 1) * 20
+    /// A random latency of what a process sends, in milliseconds.
+    fn latency_ms(&mut self, process: usize) -> u64 {
+        let slowness = self.processes[process].slowness;
+        1 + self.rng.below(LATENCY_SPREAD_MS) * slowness + (slowness - 1) * SLOW_LINK_MS
     }
 
-    pub(super) fn carry(&mut self, from: usize, to: &str, body: &Body) {
-        let Some(j) = self
-            .by_addr
-            .get(to)
-            .copied()
-            .filter(|j| self.procs[*j].up() && !self.blocked.contains(&(from, *j)))
-        else {
+    /// Sends a message from a process to the one at an address, if it reaches it.
+    pub(super) fn send(&mut self, from: usize, to_address: &str, body: &Body) {
+        let Some(to) = self.process_up_at(to_address) else {
             return;
         };
-        let at = self.t + self.lag(from) + (self.procs[j].slow - 1) * 20;
-        let at = if self.procs[from].flaky || self.procs[j].flaky {
-            // Connections break and come back: nothing keeps its order, some comes twice or never.
-            if self.rng.below(100) < 15 {
-                return;
-            }
-            at + if self.rng.below(100) < 40 {
-                self.rng.below(400)
-            } else {
-                0
-            }
+        if self.blocked.contains(&(from, to)) {
+            return;
+        }
+        let receiver_slowness = self.processes[to].slowness;
+        let latency_ms = self.latency_ms(from) + (receiver_slowness - 1) * SLOW_LINK_MS;
+        let is_flaky = self.processes[from].is_flaky || self.processes[to].is_flaky;
+        let arrival = if is_flaky {
+            self.flaky_arrival(latency_ms)
         } else {
-            // One connection keeps its order, however slow the link is.
-            let last = self.arrivals.entry((from, j)).or_default();
-            *last = at.max(*last);
-            *last
+            Some(self.arrival_in_order(from, to, latency_ms))
         };
+        let Some(at_ms) = arrival else { return };
         self.messages += 1;
-        let life = self.procs[j].life;
-        let addr = self.procs[from].addr.clone();
-        let bytes = pack_as(self.procs[from].wire, &self.settings.cluster, &addr, body);
-        if (self.procs[from].flaky || self.procs[j].flaky) && self.rng.below(100) < 10 {
-            let (from, bytes, again) = (addr.clone(), bytes.clone(), at + self.rng.below(500));
-            self.at(
-                again,
-                Happening::Deliver {
-                    to: j,
-                    life,
-                    from,
-                    bytes,
-                },
-            );
-        }
-        self.at(
-            at,
-            Happening::Deliver {
-                to: j,
-                life,
-                from: addr,
-                bytes,
-            },
+        let sender = &self.processes[from];
+        let frame = pack_as(
+            sender.wire_version,
+            &self.settings.cluster,
+            &sender.address,
+            body,
         );
+        if is_flaky && self.rng.below(100) < FLAKY_DUPLICATE_PERCENT {
+            let again_ms = at_ms + self.rng.below(FLAKY_DUPLICATE_MS);
+            self.schedule_delivery(again_ms, from, to, frame.clone());
+        }
+        self.schedule_delivery(at_ms, from, to, frame);
+    }
+
+    /// Connections break and come back: nothing keeps its order, and some messages never arrive.
+    fn flaky_arrival(&mut self, latency_ms: u64) -> Option<u64> {
+        if self.rng.below(100) < FLAKY_LOSS_PERCENT {
+            return None;
+        }
+        let late_ms = if self.rng.below(100) < FLAKY_LATE_PERCENT {
+            self.rng.below(FLAKY_LATE_MS)
+        } else {
+            0
+        };
+        Some(self.now + latency_ms + late_ms)
+    }
+
+    /// One connection keeps its order, however slow the link is.
+    fn arrival_in_order(&mut self, from: usize, to: usize, latency_ms: u64) -> u64 {
+        let last = self.arrivals.entry((from, to)).or_default();
+        *last = (self.now + latency_ms).max(*last);
+        *last
+    }
+
+    fn schedule_delivery(&mut self, at_ms: u64, from: usize, to: usize, frame: Vec<u8>) {
+        let delivery = Action::Deliver {
+            to,
+            incarnation: self.processes[to].incarnation,
+            from: self.processes[from].address.clone(),
+            frame,
+        };
+        self.schedule(at_ms, delivery);
     }
 
     /// Hands a frame to the process that it was sent to.
-    pub(super) fn deliver(&mut self, to: usize, from: String, bytes: Vec<u8>) {
-        match unpack_as(self.procs[to].wire, &self.settings.cluster, &bytes) {
+    pub(super) fn deliver(&mut self, to: usize, from: String, frame: &[u8]) {
+        let wire_version = self.processes[to].wire_version;
+        match unpack_as(wire_version, &self.settings.cluster, frame) {
+            Ok(envelope) => self.step(to, Msg::Wire(from, envelope.body)),
             Err(WireError::Version(_)) => {
-                *self.procs[to]
-                    .counters
+                let counters = &mut self.processes[to].counters;
+                *counters
                     .entry("frames_of_another_version".into())
-                    .or_default() += 1
+                    .or_default() += 1;
             }
-            Ok(env) => self.reach(to, Msg::Wire(from, env.body)),
-            Err(e) => panic!("a frame of our own can't be read: {e}"),
+            Err(error) => panic!("a frame of our own can't be read: {error}"),
         }
     }
 
     /// Hands a call to the process at an address, if one is up there.
-    pub(super) fn call(&mut self, to: &str, from: Ent, call: u64, req: Request) {
-        let Some(i) = self
-            .by_addr
-            .get(to)
-            .copied()
-            .filter(|i| self.procs[*i].up())
-        else {
+    pub(super) fn deliver_call(
+        &mut self,
+        to_address: &str,
+        caller: Caller,
+        call: u64,
+        request: Request,
+    ) {
+        let Some(to) = self.process_up_at(to_address) else {
             return;
         };
-        self.next_call += 1;
-        self.calls.insert(self.next_call, (from, call));
-        let n = self.next_call;
-        self.reach(i, Msg::Call(n, req));
+        self.last_call += 1;
+        let open = OpenCall { caller, call };
+        self.open_calls.insert(self.last_call, open);
+        self.step(to, Msg::Call(self.last_call, request));
+    }
+
+    /// Sends the answer of a process to whoever called it, unless it gets lost.
+    pub(super) fn send_answer(&mut self, from: usize, call: u64, response: Response) {
+        let Some(open) = self.open_calls.remove(&call) else {
+            return;
+        };
+        let lost_percent = self.lost_answers_percent;
+        if lost_percent > 0 && self.rng.below(100) < lost_percent {
+            return;
+        }
+        let latency_ms = self.latency_ms(from);
+        let answer = Action::Answer {
+            caller: open.caller,
+            call: open.call,
+            response,
+        };
+        self.schedule_in(latency_ms, answer);
+    }
+
+    fn process_up_at(&self, address: &str) -> Option<usize> {
+        let process = self.by_address.get(address).copied();
+        process.filter(|process| self.processes[*process].is_up())
     }
 }
--- a/testkit/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -5,69 +5,104 @@
 mod links;
 mod observe;
 mod processes;
+mod report;
 mod schedule;
 mod setup;
 
-pub use day::Report;
+pub use report::Report;
 
-pub(in crate::simulator) use callers::{Ent, WorkerMachine};
-pub(in crate::simulator) use processes::{Kind, Proc};
-pub(in crate::simulator) use schedule::Happening;
+pub(in crate::simulator) use callers::{repeat_first_task, Caller, WorkerMachine};
+pub(in crate::simulator) use processes::{Part, Process};
+pub(in crate::simulator) use schedule::Action;
 
+use crate::fakes::client::Client;
+use crate::fakes::operator::Operator;
 use crate::history::{Event, History};
 use crate::scenario::{Fault, Scenario, Shape};
-use crate::standin::client::Client;
-use crate::standin::operator::Operator;
 use landingdrift::sans_io::Rng;
 use landingdrift::settings::Settings;
 use landingdrift::state::JobSpec;
-use schedule::ScheduledEvent;
+use schedule::ScheduledAction;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-/// How often everything looks at the time.
-const TICK: u64 = 20;
+/// How often every part gets its tick, in milliseconds.
+const TICK_MS: u64 = 20;
 
-/// The world that the parts live in.
+/// A call that waits for its answer.
+struct OpenCall {
+    caller: Caller,
+    /// Its number among the calls of its caller.
+    call: u64,
+}
+
+/// A job that is offered at a time.
+#[derive(Clone, Debug)]
+pub struct PlannedJob {
+    /// Milliseconds since the beginning of the day.
+    pub at_ms: u64,
+    pub spec: JobSpec,
+}
+
+/// What could work at a moment.
+#[derive(Clone, Debug, Default, PartialEq)]
+struct Availability {
+    /// The size of the largest group of replicas that are up and can talk to each other.
+    replicas: usize,
+    /// The nodes that reach all of that group.
+    nodes: Vec<String>,
+}
+
+/// A simulated day: all parts, all that is under way between them, and the history so far. Numbers of processes,
+/// workers and operators are their positions in the lists here.
 pub struct World {
-    pub(in crate::simulator) t: u64,
-    seq: u64,
-    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Milliseconds since the beginning of the day.
+    pub(in crate::simulator) now: u64,
+    /// The actions scheduled so far.
+    scheduled: u64,
+    queue: BinaryHeap<Reverse<ScheduledAction>>,
     pub(in crate::simulator) rng: Rng,
     pub(in crate::simulator) shape: Shape,
     scenario: Scenario,
     pub(in crate::simulator) faults: Vec<Fault>,
-    pub(in crate::simulator) targets: BTreeMap<usize, Vec<usize>>,
-    pub(in crate::simulator) procs: Vec<Proc>,
-    pub(in crate::simulator) by_addr: BTreeMap<String, usize>,
-    pub(in crate::simulator) hands: Vec<WorkerMachine>,
+    /// The processes, workers or zones that each fault has struck and that are not healed, by the fault's number.
+    pub(in crate::simulator) struck: BTreeMap<usize, Vec<usize>>,
+    pub(in crate::simulator) processes: Vec<Process>,
+    /// The processes by their addresses.
+    pub(in crate::simulator) by_address: BTreeMap<String, usize>,
+    pub(in crate::simulator) workers: Vec<WorkerMachine>,
     pub(in crate::simulator) client: Client,
     pub(in crate::simulator) operators: Vec<Operator>,
+    /// Pairs of processes of which the first doesn't reach the second.
     pub(in crate::simulator) blocked: BTreeSet<(usize, usize)>,
-    pub(in crate::simulator) history: History,
-    pub(in crate::simulator) log: Vec<String>,
-    calls: BTreeMap<u64, (Ent, u64)>,
-    next_call: u64,
+    history: History,
+    log: Vec<String>,
+    open_calls: BTreeMap<u64, OpenCall>,
+    last_call: u64,
     pub(in crate::simulator) settings: Settings,
-    pub(in crate::simulator) calm: bool,
+    /// The load has ended, and the faults with it.
+    pub(in crate::simulator) is_calm: bool,
     pub(in crate::simulator) seed: u64,
-    planned: VecDeque<(u64, JobSpec)>,
+    planned_jobs: VecDeque<PlannedJob>,
+    /// Messages that were sent between processes.
     messages: u64,
+    /// When the last message from one process to another arrives.
     arrivals: BTreeMap<(usize, usize), u64>,
-    /// Of a hundred answers, so many are lost.
-    pub(in crate::simulator) answers_lost: u64,
-    able: (usize, Vec<String>),
-    /// The farthest place that any replica has applied.
+    /// Of a hundred answers to calls, so many are lost.
+    pub(in crate::simulator) lost_answers_percent: u64,
+    availability: Availability,
+    /// The highest log index that any replica has applied.
     committed: u64,
-    closing: bool,
+    /// The closing reads have begun.
+    is_closing: bool,
 }
 
 impl World {
-    pub(in crate::simulator) fn note(&mut self, e: Event) {
-        self.history.add(self.t, e);
+    pub(in crate::simulator) fn record(&mut self, event: Event) {
+        self.history.add(self.now, event);
     }
 
-    pub(in crate::simulator) fn outln(&mut self, text: String) {
-        self.log.push(format!("{:>7} {text}", self.t));
+    pub(in crate::simulator) fn log_line(&mut self, text: &str) {
+        self.log.push(format!("{:>7} {text}", self.now));
     }
 }
--- a/testkit/src/simulator/world/observe.rs
+++ b/testkit/src/simulator/world/observe.rs
@@ -1,122 +1,121 @@
-//! What is seen of the system while it runs: which parts could work, which are ready, what is in force.
+//! What is observed of the system while it runs: which parts could work, which are ready, what is in force.
 
-use super::{Kind, Proc, World};
+use super::schedule::PROBE_EVERY_MS;
+use super::{Availability, Process, World};
 use crate::history::Event;
+use landingdrift::consensus::Replica;
 use landingdrift::state::ClusterState;
-use std::collections::BTreeMap;
+
+/// How often the platform finds out which nodes are ready, in milliseconds.
+const READY_EVERY_MS: u64 = PROBE_EVERY_MS;
+/// How often an operator reads the configuration, in milliseconds.
+const READ_EVERY_MS: u64 = 3000;
 
 impl World {
-    /// What could work now, for the history; and whom the platform finds ready.
-    pub(in crate::simulator) fn look(&mut self) {
-        let able = self.able_parts();
-        if able != self.able {
-            self.able = able.clone();
-            self.note(Event::Able {
-                replicas: able.0,
-                nodes: able.1,
+    /// Records what could work now, if that has changed; now and then tells the client which nodes are ready.
+    pub(in crate::simulator) fn observe_availability(&mut self) {
+        let availability = self.current_availability();
+        if availability != self.availability {
+            self.availability = availability.clone();
+            self.record(Event::Availability {
+                replicas: availability.replicas,
+                nodes: availability.nodes,
             });
         }
-        if self.t.is_multiple_of(500) {
-            let ready = (0..self.procs.len())
-                .filter(|i| self.says_ready(*i))
-                .map(|i| self.procs[i].addr.clone())
-                .collect();
-            self.client.ready = ready;
+        if self.now.is_multiple_of(READY_EVERY_MS) {
+            let processes = 0..self.processes.len();
+            let ready = processes.filter(|number| self.is_ready_node(*number));
+            let ready = ready.map(|number| self.processes[number].address.clone());
+            self.client.ready_nodes = ready.collect();
         }
     }
 
-    /// How many replicas form the largest group that could work now, and the nodes that reach all of it.
-    fn able_parts(&mut self) -> (usize, Vec<String>) {
-        let state = |p: &Proc| {
-            if let Kind::Replica(Some(c), _) = &p.kind {
-                Some((c.state().applied_index, c.state().replicas.clone()))
-            } else {
-                None
-            }
-        };
-        let newest = self
-            .procs
-            .iter()
-            .filter_map(state)
-            .max_by_key(|(log_index, _)| *log_index);
-        self.committed = self.committed.max(newest.as_ref().map_or(0, |(p, _)| *p));
-        let voters = newest.map_or(BTreeMap::new(), |(_, c)| c);
-        let whole = |p: &Proc| {
-            p.is_core()
-                && p.up()
-                && !p.frozen
-                && !p.gone
-                && (voters.is_empty() || voters.get(&p.addr).is_some_and(|c| c.voter))
-                && state(p).is_some_and(|(at, _)| at >= p.owes)
+    fn current_availability(&mut self) -> Availability {
+        let replicas = self.processes.iter().filter_map(Process::replica);
+        let states = replicas.map(Replica::state);
+        let newest = states.max_by_key(|state| state.applied_index);
+        let applied_index = newest.map_or(0, |state| state.applied_index);
+        let group = self.largest_group(newest);
+        let reaches_group = |number: usize| {
+            let process = &self.processes[number];
+            let is_awake_node = !process.is_replica() && process.is_awake();
+            is_awake_node && group.iter().all(|replica| self.is_linked(number, *replica))
         };
-        let linked = |a: usize, b: usize| {
-            self.procs[a].wire == self.procs[b].wire
-                && !self.blocked.contains(&(a, b))
-                && !self.blocked.contains(&(b, a))
+        let nodes = (0..self.processes.len()).filter(|number| reaches_group(*number));
+        let nodes = nodes.map(|number| self.processes[number].address.clone());
+        let availability = Availability {
+            replicas: group.len(),
+            nodes: nodes.collect(),
         };
-        let replicas: Vec<usize> = (0..self.procs.len())
-            .filter(|i| whole(&self.procs[*i]))
-            .collect();
-        let group: Vec<usize> = replicas
-            .iter()
-            .map(|c| {
-                replicas
-                    .iter()
-                    .copied()
-                    .filter(|d| d == c || linked(*c, *d))
-                    .collect::<Vec<_>>()
-            })
-            .max_by_key(Vec::len)
-            .unwrap_or_default();
-        let nodes: Vec<String> = (0..self.procs.len())
-            .filter(|i| {
-                let p = &self.procs[*i];
-                !p.is_core()
-                    && p.up()
-                    && !p.frozen
-                    && !p.gone
-                    && group.iter().all(|c| linked(*i, *c))
-            })
-            .map(|i| self.procs[i].addr.clone())
+        self.committed = self.committed.max(applied_index);
+        availability
+    }
+
+    /// The largest group of a replica that could work and those that it is linked to.
+    fn largest_group(&self, newest: Option<&ClusterState>) -> Vec<usize> {
+        let processes = 0..self.processes.len();
+        let replicas: Vec<usize> = processes
+            .filter(|number| can_work(&self.processes[*number], newest))
             .collect();
-        (group.len(), nodes)
+        let group_of = |replica: &usize| -> Vec<usize> {
+            let others = replicas.iter().copied();
+            others
+                .filter(|other| other == replica || self.is_linked(*replica, *other))
+                .collect()
+        };
+        let groups = replicas.iter().map(group_of);
+        groups.max_by_key(Vec::len).unwrap_or_default()
+    }
+
+    /// Whether two processes reach each other and speak the same version.
+    fn is_linked(&self, one: usize, other: usize) -> bool {
+        self.processes[one].wire_version == self.processes[other].wire_version
+            && !self.blocked.contains(&(one, other))
+            && !self.blocked.contains(&(other, one))
     }
 
-    fn says_ready(&self, i: usize) -> bool {
-        let now = self.now(i);
-        let p = &self.procs[i];
-        matches!(&p.kind, Kind::Node(Some(n)) if !p.frozen && n.is_ready(now))
+    fn is_ready_node(&self, number: usize) -> bool {
+        let process = &self.processes[number];
+        let node = process.node().filter(|_| !process.is_frozen);
+        node.is_some_and(|node| node.is_ready(self.clocks(number)))
     }
 
-    /// Every now and then: what nodes that say they are ready have in force, and what the operator reads.
+    /// Records what the nodes have in force; now and then has an operator read the configuration.
     pub(super) fn probe(&mut self) {
-        for i in 0..self.procs.len() {
-            let now = self.now(i);
-            let p = &self.procs[i];
-            if let Kind::Node(Some(n)) = &p.kind {
-                if !p.frozen {
-                    let (node, version, by, ready) = (
-                        p.addr.clone(),
-                        n.state().version,
-                        mark(n.state()),
-                        n.is_ready(now),
-                    );
-                    self.note(Event::NodeVersion {
-                        node,
-                        version,
-                        by,
-                        ready,
-                    });
-                }
-            }
+        for number in 0..self.processes.len() {
+            let process = &self.processes[number];
+            let Some(node) = process.node().filter(|_| !process.is_frozen) else {
+                continue;
+            };
+            let event = Event::NodeVersion {
+                node: process.address.clone(),
+                version: node.state().version,
+                change: change_mark(node.state()),
+                ready: node.is_ready(self.clocks(number)),
+            };
+            self.record(event);
         }
-        if self.t.is_multiple_of(3000) {
+        if self.now.is_multiple_of(READ_EVERY_MS) {
             self.operators[1].read();
         }
     }
 }
 
+/// Whether a process is a voter whose disk has what was committed; before there are members, every replica counts.
+fn can_work(process: &Process, newest: Option<&ClusterState>) -> bool {
+    let Some(replica) = process.replica() else {
+        return false;
+    };
+    let is_voter = newest.is_none_or(|newest| {
+        let members = &newest.replicas;
+        let member = members.get(&process.address);
+        members.is_empty() || member.is_some_and(|member| member.voter)
+    });
+    let is_whole = replica.state().applied_index >= process.has_lost_up_to;
+    process.is_awake() && is_voter && is_whole
+}
+
 /// The mark that the change in force has left in the configuration.
-pub(super) fn mark(r: &ClusterState) -> String {
-    r.config.notes.get("by").cloned().unwrap_or_default()
+pub(super) fn change_mark(state: &ClusterState) -> String {
+    state.config.notes.get("by").cloned().unwrap_or_default()
 }
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -1,288 +1,357 @@
-//! The processes of the system: replicas and nodes, how they start, are killed and take messages.
+//! The processes of the system: replicas and nodes, how they start, are killed and handle messages.
 
-use super::observe::mark;
-use super::{Happening, World, TICK};
+use super::observe::change_mark;
+use super::{Action, World, TICK_MS};
 use crate::history::Event;
-use crate::simulator::disk::Condition;
-use crate::simulator::disk::SimDisk;
+use crate::simulator::disk::{Condition, SimDisk};
 use crate::simulator::EPOCH;
 use landingdrift::consensus::Replica;
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part};
+use landingdrift::sans_io::{Effect, Msg, Now, Part as _, WriteBatch};
 use landingdrift::settings::Settings;
 use landingdrift::wire::WIRE_VERSION;
 use std::collections::BTreeMap;
 
+/// How often a write that a disk did not take is tried again, in milliseconds.
+const WRITE_RETRY_MS: u64 = 200;
+/// Writes take so much longer than the disk's own time at random, below this many milliseconds.
+const WRITE_JITTER_MS: u64 = 3;
+/// When a process is killed, fewer writes under way than this are on its disk afterwards.
+const PERSISTED_WRITES: u64 = 3;
+/// Steady clocks start below this many milliseconds, each anywhere.
+const CLOCK_START_MS: u64 = 1 << 40;
+
 /// The part that a process runs; none while it is down.
-pub(in crate::simulator) enum Kind {
-    Replica(Option<Box<Replica>>, Box<SimDisk>),
+pub(in crate::simulator) enum Part {
+    Replica {
+        replica: Option<Box<Replica>>,
+        disk: Box<SimDisk>,
+    },
     Node(Option<Box<Node>>),
 }
 
 /// A simulated process, with its clocks and its disk.
-pub(in crate::simulator) struct Proc {
-    pub kind: Kind,
-    pub addr: String,
+pub(in crate::simulator) struct Process {
+    pub part: Part,
+    pub address: String,
     pub zone: usize,
-    pub life: u64,
-    pub frozen: bool,
-    pub gone: bool,
+    /// Counts its starts and ends: nothing that was on its way to an earlier incarnation counts.
+    pub incarnation: u64,
+    pub is_frozen: bool,
+    /// It never starts again.
+    pub is_gone: bool,
+    /// What reached it while it was frozen.
     pub inbox: Vec<Msg>,
-    pub wall_off: i64,
-    pub slow: u64,
-    pub mono_off: u64,
-    pub version: u64,
+    /// How far its clock of the day is off, in milliseconds.
+    pub wall_offset_ms: i64,
+    /// How many times longer its messages take.
+    pub slowness: u64,
+    /// What its steady clock showed at the beginning of the day, in milliseconds.
+    pub steady_offset_ms: u64,
+    /// The version of the configuration that it had in force when it was last ready.
+    pub config_version: u64,
     /// What it sends may be late, doubled, out of order or lost.
-    pub flaky: bool,
+    pub is_flaky: bool,
     /// The wire version that its build speaks.
-    pub wire: u16,
-    /// Its disk has to come to this place again before it counts as whole.
-    pub owes: u64,
+    pub wire_version: u16,
+    /// Its disk has to get to this log index again before it counts as whole.
+    pub has_lost_up_to: u64,
+    /// The counters of all its incarnations that have ended.
     pub counters: BTreeMap<String, u64>,
 }
 
-impl Proc {
-    /// Whether it runs.
-    pub fn up(&self) -> bool {
-        match &self.kind {
-            Kind::Replica(p, _) => p.is_some(),
-            Kind::Node(p) => p.is_some(),
+impl Process {
+    pub fn is_up(&self) -> bool {
+        match &self.part {
+            Part::Replica { replica, .. } => replica.is_some(),
+            Part::Node(node) => node.is_some(),
+        }
+    }
+
+    /// Whether it runs and is neither frozen nor gone.
+    pub fn is_awake(&self) -> bool {
+        self.is_up() && !self.is_frozen && !self.is_gone
+    }
+
+    /// The replica that runs in it.
+    pub fn replica(&self) -> Option<&Replica> {
+        match &self.part {
+            Part::Replica { replica, .. } => replica.as_deref(),
+            Part::Node(_) => None,
+        }
+    }
+
+    /// The node that runs in it.
+    pub fn node(&self) -> Option<&Node> {
+        match &self.part {
+            Part::Node(node) => node.as_deref(),
+            Part::Replica { .. } => None,
+        }
+    }
+
+    /// The disk of a replica.
+    pub fn disk_mut(&mut self) -> Option<&mut SimDisk> {
+        match &mut self.part {
+            Part::Replica { disk, .. } => Some(disk),
+            Part::Node(_) => None,
         }
     }
-    /// Begins a new life, of a process that runs or of one that is dead: nothing that was on its way to the last one counts.
-    fn begin_life(&mut self) {
-        self.life += 1;
-        self.frozen = false;
+
+    /// Whether it is for a replica, and not for a node.
+    pub fn is_replica(&self) -> bool {
+        matches!(self.part, Part::Replica { .. })
+    }
+
+    fn begin_incarnation(&mut self) {
+        self.incarnation += 1;
+        self.is_frozen = false;
         self.inbox.clear();
     }
-    /// Whether it is a replica, and not a node.
-    pub fn is_core(&self) -> bool {
-        matches!(self.kind, Kind::Replica(..))
+
+    /// Adds the counters of the part that runs to those of earlier incarnations.
+    pub fn keep_counters(&mut self) {
+        let (role, counters) = match &self.part {
+            Part::Replica { replica, .. } => {
+                ("core", replica.as_ref().map(|replica| replica.counters()))
+            }
+            Part::Node(node) => ("node", node.as_ref().map(|node| node.counters())),
+        };
+        for (name, value) in counters.unwrap_or_default() {
+            let key = format!("{role}_{name}");
+            *self.counters.entry(key).or_default() += value;
+        }
     }
 }
 
-/// How often a write that a disk did not take is tried again, in milliseconds.
-const DISK_RETRY: u64 = 200;
-
 impl World {
-    pub(in crate::simulator) fn node_http(&self) -> Vec<String> {
-        self.procs
-            .iter()
-            .filter(|p| !p.is_core() && !p.gone)
-            .map(|p| p.addr.clone())
+    /// The addresses of the nodes that the platform names.
+    pub(in crate::simulator) fn node_addresses(&self) -> Vec<String> {
+        let processes = self.processes.iter();
+        processes
+            .filter(|process| !process.is_replica() && !process.is_gone)
+            .map(|process| process.address.clone())
             .collect()
     }
 
-    pub(super) fn settings_of(&self, addr: &str, zone: usize, replica: bool) -> Settings {
+    /// The settings that a process starts with.
+    pub(super) fn settings_for(&self, process: usize) -> Settings {
+        let process = &self.processes[process];
+        let data = if process.is_replica() { "d" } else { "" };
         Settings {
-            listen: addr.into(),
-            http: addr.into(),
-            zone: format!("z{zone}"),
-            data: if replica { "d".into() } else { String::new() },
+            listen: process.address.clone(),
+            http: process.address.clone(),
+            zone: format!("z{}", process.zone),
+            data: data.into(),
             ..self.settings.clone()
         }
     }
 
-    pub(in crate::simulator) fn add_core(&mut self, zone: usize, addr: String) {
+    /// Adds a replica with an empty disk, and starts it.
+    pub(in crate::simulator) fn add_replica(&mut self, zone: usize, address: String) {
+        // Odd, as no disk has the number 0.
         let disk = SimDisk::new(self.rng.number() | 1);
-        self.add(Kind::Replica(None, Box::new(disk)), zone, addr);
+        let part = Part::Replica {
+            replica: None,
+            disk: Box::new(disk),
+        };
+        self.add(part, zone, address);
     }
 
-    pub(in crate::simulator) fn add_node(&mut self, zone: usize, addr: String) {
-        self.add(Kind::Node(None), zone, addr);
+    /// Adds a node, and starts it.
+    pub(in crate::simulator) fn add_node(&mut self, zone: usize, address: String) {
+        self.add(Part::Node(None), zone, address);
     }
 
-    fn add(&mut self, kind: Kind, zone: usize, addr: String) {
-        let i = self.procs.len();
-        self.by_addr.insert(addr.clone(), i);
-        let mono_off = self.rng.below(1 << 40);
-        self.procs.push(Proc {
-            kind,
-            addr,
+    fn add(&mut self, part: Part, zone: usize, address: String) {
+        let number = self.processes.len();
+        self.by_address.insert(address.clone(), number);
+        let steady_offset_ms = self.rng.below(CLOCK_START_MS);
+        self.processes.push(Process {
+            part,
+            address,
             zone,
-            life: 0,
-            frozen: false,
-            gone: false,
+            incarnation: 0,
+            is_frozen: false,
+            is_gone: false,
             inbox: Vec::new(),
-            wall_off: 0,
-            slow: 1,
-            mono_off,
-            version: 0,
-            flaky: false,
-            wire: WIRE_VERSION,
-            owes: 0,
+            wall_offset_ms: 0,
+            slowness: 1,
+            steady_offset_ms,
+            config_version: 0,
+            is_flaky: false,
+            wire_version: WIRE_VERSION,
+            has_lost_up_to: 0,
             counters: BTreeMap::new(),
         });
-        self.start(i);
+        self.start(number);
     }
 
-    pub(super) fn now(&self, i: usize) -> Now {
-        let p = &self.procs[i];
+    /// What the clocks of a process show.
+    pub(super) fn clocks(&self, process: usize) -> Now {
+        let process = &self.processes[process];
         Now {
-            mono: p.mono_off + self.t + 1,
-            wall: (EPOCH + self.t).saturating_add_signed(p.wall_off),
+            mono: process.steady_offset_ms + self.now + 1,
+            wall: (EPOCH + self.now).saturating_add_signed(process.wall_offset_ms),
         }
     }
 
     /// Starts a process that is down.
-    pub(in crate::simulator) fn start(&mut self, i: usize) {
-        if self.procs[i].up() || self.procs[i].gone {
+    pub(in crate::simulator) fn start(&mut self, number: usize) {
+        if self.processes[number].is_up() || self.processes[number].is_gone {
             return;
         }
-        self.procs[i].mono_off = self.rng.below(1 << 40);
+        self.processes[number].steady_offset_ms = self.rng.below(CLOCK_START_MS);
         let seed = self.rng.number();
-        let now = self.now(i);
-        let settings = self.settings_of(
-            &self.procs[i].addr.clone(),
-            self.procs[i].zone,
-            self.procs[i].is_core(),
-        );
-        let p = &mut self.procs[i];
-        p.begin_life();
-        match &mut p.kind {
-            Kind::Replica(part, disk) => {
-                *part = Some(Box::new(
-                    Replica::new(settings, disk.load(), now, seed).expect("a sound disk loads"),
-                ))
+        let now = self.clocks(number);
+        let settings = self.settings_for(number);
+        let process = &mut self.processes[number];
+        process.begin_incarnation();
+        match &mut process.part {
+            Part::Replica { replica, disk } => {
+                let started = Replica::new(settings, disk.load(), now, seed);
+                *replica = Some(Box::new(started.expect("a sound disk loads")));
             }
-            Kind::Node(part) => *part = Some(Box::new(Node::new(settings, now, seed))),
+            Part::Node(node) => *node = Some(Box::new(Node::new(settings, now, seed))),
         }
-        let (life, jitter) = (p.life, self.rng.below(TICK));
-        self.at(self.t + 1 + jitter, Happening::Tick(i, life));
+        let tick = Action::TickProcess {
+            process: number,
+            incarnation: process.incarnation,
+        };
+        let jitter_ms = self.rng.below(TICK_MS);
+        self.schedule_in(1 + jitter_ms, tick);
     }
 
     /// Kills a process where it stands.
-    pub(in crate::simulator) fn kill(&mut self, i: usize) {
-        if !self.procs[i].up() {
+    pub(in crate::simulator) fn kill(&mut self, number: usize) {
+        if !self.processes[number].is_up() {
             return;
         }
-        let arrived = self.rng.below(3) as usize;
-        self.keep_counters(i);
-        let p = &mut self.procs[i];
-        p.begin_life();
-        match &mut p.kind {
-            Kind::Replica(part, disk) => {
-                *part = None;
-                disk.crash(arrived);
+        let persisted = self.rng.below(PERSISTED_WRITES) as usize;
+        let process = &mut self.processes[number];
+        process.keep_counters();
+        process.begin_incarnation();
+        match &mut process.part {
+            Part::Replica { replica, disk } => {
+                *replica = None;
+                disk.crash(persisted);
             }
-            Kind::Node(part) => {
-                *part = None;
-                let node = p.addr.clone();
-                self.note(Event::NodeDown { node });
+            Part::Node(node) => {
+                *node = None;
+                let node = process.address.clone();
+                self.record(Event::NodeDown { node });
             }
         }
     }
 
-    pub(super) fn keep_counters(&mut self, i: usize) {
-        let p = &mut self.procs[i];
-        let now = match &p.kind {
-            Kind::Replica(Some(c), _) => c.counters(),
-            Kind::Node(Some(n)) => n.counters(),
-            _ => Vec::new(),
-        };
-        let role = if p.is_core() { "core" } else { "node" };
-        now.into_iter()
-            .for_each(|(k, v)| *p.counters.entry(format!("{role}_{k}")).or_default() += v);
-    }
-
-    /// A replica's disk is not whole until it has come to what was confirmed.
-    pub(in crate::simulator) fn owe(&mut self, i: usize) {
-        self.procs[i].owes = self.committed;
+    /// A replica's disk is not whole until it has got again to what was committed.
+    pub(in crate::simulator) fn note_loss(&mut self, process: usize) {
+        self.processes[process].has_lost_up_to = self.committed;
     }
 
+    /// The replica that leads in the highest term.
     pub(in crate::simulator) fn leader(&self) -> Option<usize> {
-        let leads = |p: &Proc| {
-            if let Kind::Replica(Some(c), _) = &p.kind {
-                c.leads().then(|| c.term())
-            } else {
-                None
-            }
+        let leading_term = |process: &Process| {
+            let replica = process.replica().filter(|replica| replica.leads())?;
+            Some(replica.term())
         };
-        (0..self.procs.len())
-            .filter(|i| !self.procs[*i].frozen)
-            .filter_map(|i| leads(&self.procs[i]).map(|t| (t, i)))
-            .max()
-            .map(|(_, i)| i)
+        let awake = self.processes.iter().enumerate();
+        let awake = awake.filter(|(_, process)| !process.is_frozen);
+        let leaders = awake.filter_map(|(number, process)| Some((leading_term(process)?, number)));
+        leaders.max().map(|(_, number)| number)
     }
 
-    /// A message reaches a process, or waits while it stands still.
-    pub(in crate::simulator) fn reach(&mut self, i: usize, msg: Msg) {
-        let p = &mut self.procs[i];
-        if p.frozen {
-            if !matches!(msg, Msg::Tick) {
-                p.inbox.push(msg);
+    /// A message reaches a process, or waits while that stands still.
+    pub(in crate::simulator) fn step(&mut self, number: usize, message: Msg) {
+        let now = self.clocks(number);
+        let process = &mut self.processes[number];
+        if process.is_frozen {
+            if !matches!(message, Msg::Tick) {
+                process.inbox.push(message);
             }
             return;
         }
-        let now = self.now(i);
-        let p = &mut self.procs[i];
-        let effects = match &mut p.kind {
-            Kind::Replica(Some(c), _) => c.step(now, msg),
-            Kind::Node(Some(n)) => n.step(now, msg),
-            _ => Vec::new(),
+        let effects = match &mut process.part {
+            Part::Replica {
+                replica: Some(replica),
+                ..
+            } => replica.step(now, message),
+            Part::Node(Some(node)) => node.step(now, message),
+            Part::Replica { replica: None, .. } | Part::Node(None) => Vec::new(),
         };
-        for e in effects {
-            self.effect(i, e);
+        for effect in effects {
+            self.apply(number, effect);
         }
-        let p = &mut self.procs[i];
-        if let Kind::Node(Some(n)) = &p.kind {
-            let version = n.state().version;
-            if version != p.version && n.is_ready(now) {
-                p.version = version;
-                let (node, by) = (p.addr.clone(), mark(n.state()));
-                self.note(Event::NodeVersion {
-                    node,
-                    version,
-                    by,
-                    ready: true,
-                });
-            }
+        self.observe_version(number, now);
+    }
+
+    /// Records when a node that is ready has another version in force than before.
+    fn observe_version(&mut self, number: usize, now: Now) {
+        let process = &mut self.processes[number];
+        let Some(node) = process.node() else { return };
+        let version = node.state().version;
+        if version == process.config_version || !node.is_ready(now) {
+            return;
         }
+        let change = change_mark(node.state());
+        process.config_version = version;
+        let node = process.address.clone();
+        self.record(Event::NodeVersion {
+            node,
+            version,
+            change,
+            ready: true,
+        });
     }
 
     /// A disk that takes nothing is tried again.
-    pub(super) fn not_saved(&mut self, i: usize, life: u64, write_id: u64) {
-        if let Kind::Replica(_, disk) = &self.procs[i].kind {
-            if disk.condition == Condition::Full {
-                self.reach(i, Msg::DiskFailed("no space left".into()));
-            }
+    pub(super) fn retry_write(&mut self, process: usize, incarnation: u64, write_id: u64) {
+        let disk = self.processes[process].disk_mut();
+        if disk.is_some_and(|disk| disk.condition == Condition::Full) {
+            self.step(process, Msg::DiskFailed("no space left".into()));
         }
-        self.at(self.t + DISK_RETRY, Happening::Saved(i, life, write_id));
+        let again = Action::CompleteWrite {
+            process,
+            incarnation,
+            write_id,
+        };
+        self.schedule_in(WRITE_RETRY_MS, again);
     }
 
-    fn effect(&mut self, i: usize, e: Effect) {
-        match e {
-            Effect::Send(to, body) => self.carry(i, &to, &body),
-            Effect::Persist(save) => {
-                let (t, life, jitter) = (self.t, self.procs[i].life, self.rng.below(3));
-                if let Kind::Replica(_, disk) = &mut self.procs[i].kind {
-                    let write_id = save.write_id;
-                    disk.pending.push_back(save);
-                    let at = t + disk.delay + jitter;
-                    self.at(at, Happening::Saved(i, life, write_id));
-                }
-            }
-            Effect::Answer(call, v) => {
-                if let Some((to, n)) = self.calls.remove(&call) {
-                    if self.answers_lost > 0 && self.rng.below(100) < self.answers_lost {
-                        return;
-                    }
-                    let at = self.t + self.lag(i);
-                    self.at(at, Happening::Answer { to, call: n, v });
-                }
-            }
+    fn apply(&mut self, number: usize, effect: Effect) {
+        match effect {
+            Effect::Send(to, body) => self.send(number, &to, &body),
+            Effect::Persist(batch) => self.write(number, batch),
+            Effect::Answer(call, response) => self.send_answer(number, call, response),
             Effect::Log(text) => {
-                let addr = self.procs[i].addr.clone();
-                self.outln(format!("{addr} {text}"));
+                let address = &self.processes[number].address;
+                let line = format!("{address} {text}");
+                self.log_line(&line);
             }
             Effect::Exit => {
-                // An orderly end: what was on its way to the disk arrives.
-                let p = &mut self.procs[i];
-                if let Kind::Replica(_, disk) = &mut p.kind {
+                // A graceful end: what was on its way to the disk arrives.
+                if let Some(disk) = self.processes[number].disk_mut() {
                     disk.crash(usize::MAX);
                 }
-                self.kill(i);
+                self.kill(number);
             }
         }
     }
+
+    fn write(&mut self, number: usize, batch: WriteBatch) {
+        let jitter_ms = self.rng.below(WRITE_JITTER_MS);
+        let process = &mut self.processes[number];
+        let incarnation = process.incarnation;
+        let write_id = batch.write_id;
+        let Some(disk) = process.disk_mut() else {
+            return;
+        };
+        disk.pending.push_back(batch);
+        let delay_ms = disk.delay_ms + jitter_ms;
+        let complete = Action::CompleteWrite {
+            process: number,
+            incarnation,
+            write_id,
+        };
+        self.schedule_in(delay_ms, complete);
+    }
 }
--- a/testkit/src/simulator/world/schedule.rs
+++ b/testkit/src/simulator/world/schedule.rs
@@ -1,133 +1,185 @@
 //! The schedule of what is still to happen, and what each entry does when its time has come.
 
-use super::{Ent, Kind, World, TICK};
+use super::{Caller, Part, World, TICK_MS};
 use crate::simulator::disk::Condition;
 use landingdrift::sans_io::{Msg, Request, Response};
-use std::cmp::Reverse;
+use std::cmp::{Ordering, Reverse};
 
-/// What can happen at a moment of the day.
-pub(in crate::simulator) enum Happening {
-    Tick(usize, u64),
+/// How often the nodes are asked what they have in force, in milliseconds.
+pub(super) const PROBE_EVERY_MS: u64 = 500;
+/// How often it is looked which parts could work, in milliseconds.
+const OBSERVE_EVERY_MS: u64 = 100;
+
+/// What can happen at a moment of the day. Actions of a process or worker name its incarnation: those of an earlier
+/// one are dropped.
+pub(in crate::simulator) enum Action {
+    TickProcess {
+        process: usize,
+        incarnation: u64,
+    },
+    /// A frame arrives.
     Deliver {
         to: usize,
-        life: u64,
+        incarnation: u64,
         from: String,
-        bytes: Vec<u8>,
+        frame: Vec<u8>,
     },
-    Saved(usize, u64, u64),
+    /// A disk has had the time to write.
+    CompleteWrite {
+        process: usize,
+        incarnation: u64,
+        write_id: u64,
+    },
+    /// A call arrives at the process of an address.
     Call {
         to: String,
-        from: Ent,
+        caller: Caller,
         call: u64,
-        req: Request,
+        request: Request,
     },
+    /// The answer to a call arrives.
     Answer {
-        to: Ent,
+        caller: Caller,
         call: u64,
-        v: Response,
+        response: Response,
+    },
+    TickWorker {
+        worker: usize,
+        incarnation: u64,
     },
-    HandTick(usize, u64),
-    ClientTick,
-    Fault(usize),
+    /// The client and the operators get their tick.
+    TickCallers,
+    /// The fault of this number strikes.
+    Strike(usize),
+    /// The fault of this number is over.
     Heal(usize),
-    Calm,
+    /// The load ends.
+    EndLoad,
+    /// The nodes are asked what they have in force.
     Probe,
-    Look,
+    /// It is looked which parts could work.
+    ObserveAvailability,
 }
 
-/// An entry of the schedule: by its time, then in the order of entering.
-pub(super) struct ScheduledEvent {
-    pub(super) t: u64,
-    seq: u64,
-    pub(super) what: Happening,
+/// An entry of the schedule, ordered by its time, then by when it was entered.
+pub(super) struct ScheduledAction {
+    pub(super) at_ms: u64,
+    sequence: u64,
+    pub(super) action: Action,
 }
 
-impl PartialEq for ScheduledEvent {
-    fn eq(&self, o: &Self) -> bool {
-        (self.t, self.seq) == (o.t, o.seq)
+impl PartialEq for ScheduledAction {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for ScheduledEvent {}
-impl PartialOrd for ScheduledEvent {
-    fn partial_cmp(&self, o: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(o))
+
+impl Eq for ScheduledAction {}
+
+impl PartialOrd for ScheduledAction {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
-impl Ord for ScheduledEvent {
-    fn cmp(&self, o: &Self) -> std::cmp::Ordering {
-        (self.t, self.seq).cmp(&(o.t, o.seq))
+
+impl Ord for ScheduledAction {
+    fn cmp(&self, other: &Self) -> Ordering {
+        let key = |scheduled: &Self| (scheduled.at_ms, scheduled.sequence);
+        key(self).cmp(&key(other))
     }
 }
 
 impl World {
-    pub(in crate::simulator) fn at(&mut self, t: u64, what: Happening) {
-        self.seq += 1;
-        self.queue.push(Reverse(ScheduledEvent {
-            t,
-            seq: self.seq,
-            what,
+    /// Schedules an action at a time in milliseconds.
+    pub(in crate::simulator) fn schedule(&mut self, at_ms: u64, action: Action) {
+        self.scheduled += 1;
+        self.queue.push(Reverse(ScheduledAction {
+            at_ms,
+            sequence: self.scheduled,
+            action,
         }));
     }
 
-    pub(super) fn happen(&mut self, what: Happening) {
-        match what {
-            Happening::Tick(i, life) if self.procs[i].life == life => {
-                self.reach(i, Msg::Tick);
-                self.at(self.t + TICK, Happening::Tick(i, life));
-            }
-            Happening::Deliver {
+    /// Schedules an action after a time in milliseconds.
+    pub(in crate::simulator) fn schedule_in(&mut self, delay_ms: u64, action: Action) {
+        self.schedule(self.now + delay_ms, action);
+    }
+
+    pub(super) fn perform(&mut self, action: Action) {
+        match action {
+            Action::TickProcess {
+                process,
+                incarnation,
+            } => self.tick_process(process, incarnation),
+            Action::Deliver {
                 to,
-                life,
+                incarnation,
                 from,
-                bytes,
-            } if self.procs[to].life == life => {
-                self.deliver(to, from, bytes);
-            }
-            Happening::Saved(i, life, write_id) if self.procs[i].life == life => {
-                let Kind::Replica(_, disk) = &mut self.procs[i].kind else {
-                    return;
-                };
-                if disk.condition != Condition::Sound {
-                    return self.not_saved(i, life, write_id);
+                frame,
+            } => {
+                if self.processes[to].incarnation == incarnation {
+                    self.deliver(to, from, &frame);
                 }
-                disk.done(write_id);
-                self.reach(i, Msg::Persisted(write_id));
             }
-            Happening::Call {
+            Action::CompleteWrite {
+                process,
+                incarnation,
+                write_id,
+            } => self.complete_write(process, incarnation, write_id),
+            Action::Call {
                 to,
-                from,
+                caller,
                 call,
-                req,
-            } => {
-                self.call(&to, from, call, req);
-            }
-            Happening::Answer { to, call, v } => self.answer(to, call, v),
-            Happening::HandTick(i, life) if self.hands[i].life == life => {
-                if !self.hands[i].frozen {
-                    let t = self.t;
-                    let asks = self.hands[i]
-                        .worker
-                        .as_mut()
-                        .map_or(Vec::new(), |w| w.tick(t));
-                    self.asked(Ent::Worker(i, life), asks);
-                }
-                self.at(self.t + TICK, Happening::HandTick(i, life));
-            }
-            Happening::ClientTick => {
-                self.tick_client();
-            }
-            Happening::Fault(i) => self.strike(i),
-            Happening::Heal(i) => self.heal(i),
-            Happening::Calm => self.come_to_rest(),
-            Happening::Probe => {
+                request,
+            } => self.deliver_call(&to, caller, call, request),
+            Action::Answer {
+                caller,
+                call,
+                response,
+            } => self.deliver_answer(caller, call, response),
+            Action::TickWorker {
+                worker,
+                incarnation,
+            } => self.tick_worker(worker, incarnation),
+            Action::TickCallers => self.tick_callers(),
+            Action::Strike(fault) => self.strike(fault),
+            Action::Heal(fault) => self.heal(fault),
+            Action::EndLoad => self.end_load(),
+            Action::Probe => {
                 self.probe();
-                self.at(self.t + 500, Happening::Probe);
+                self.schedule_in(PROBE_EVERY_MS, Action::Probe);
             }
-            Happening::Look => {
-                self.look();
-                self.at(self.t + 100, Happening::Look);
+            Action::ObserveAvailability => {
+                self.observe_availability();
+                self.schedule_in(OBSERVE_EVERY_MS, Action::ObserveAvailability);
             }
-            _ => {}
+        }
+    }
+
+    fn tick_process(&mut self, process: usize, incarnation: u64) {
+        if self.processes[process].incarnation != incarnation {
+            return;
+        }
+        self.step(process, Msg::Tick);
+        let next = Action::TickProcess {
+            process,
+            incarnation,
+        };
+        self.schedule_in(TICK_MS, next);
+    }
+
+    fn complete_write(&mut self, process: usize, incarnation: u64, write_id: u64) {
+        if self.processes[process].incarnation != incarnation {
+            return;
+        }
+        let Part::Replica { disk, .. } = &mut self.processes[process].part else {
+            return;
+        };
+        if disk.condition == Condition::Sound {
+            disk.confirm(write_id);
+            self.step(process, Msg::Persisted(write_id));
+        } else {
+            self.retry_write(process, incarnation, write_id);
         }
     }
 }
--- a/testkit/src/simulator/world/setup.rs
+++ b/testkit/src/simulator/world/setup.rs
@@ -1,199 +1,181 @@
 //! Setting a world up at the beginning of a day.
 
-use super::{Happening, WorkerMachine, World};
+use super::schedule::PROBE_EVERY_MS;
+use super::{Action, Availability, PlannedJob, WorkerMachine, World};
+use crate::fakes::client::Client;
+use crate::fakes::operator::Operator;
 use crate::history::History;
-use crate::scenario::{random_faults, Fault, Scenario};
+use crate::scenario::{random_faults, Fault, Scenario, FIRST_RANDOM_FAULT_MS};
 use crate::simulator::EPOCH;
-use crate::standin::client::Client;
-use crate::standin::operator::Operator;
 use landingdrift::sans_io::{Msg, Rng};
-use landingdrift::settings::Settings;
-use landingdrift::state::{JobSpec, WorkerInfo};
+use landingdrift::settings::{Hopper, Settings};
+use landingdrift::state::WorkerInfo;
+use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
+/// Every deployment has so many zones, and a replica in each.
+const ZONES: usize = 3;
+/// The last part of the address of the first node; replicas have 1.
+const FIRST_NODE_ADDRESS: usize = 10;
+/// Mixed into the seed for random faults, so that they depend on no other draw.
+const FAULTS_SEED: u64 = 0xfa17;
+/// The quota of queues when policies are compared: no job is turned away.
+const MEASURED_QUOTA: u64 = 20_000;
+
 impl World {
     /// A world at the beginning of a day.
-    pub fn new(s: &Scenario, seed: u64) -> Self {
+    pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut rng = Rng::new(seed);
-        let faults = planned_faults(s, seed);
-        let mut mix = s.shape.mix();
-        if s.rate > 0.0 {
-            mix.rate = s.rate;
-        }
-        let replicas: Vec<String> = (0..3).map(|i| format!("10.0.{i}.1:7000")).collect();
+        let replica_address = |zone: usize| format!("10.0.{zone}.1:7000");
         let settings = Settings {
-            seeds: replicas.clone(),
+            seeds: (0..ZONES).map(replica_address).collect(),
             ..Settings::default()
         };
-        let mut w = Self {
-            t: 0,
-            seq: 0,
+        let mut world = Self {
+            now: 0,
+            scheduled: 0,
             queue: BinaryHeap::new(),
-            client: Client::new("j", Vec::new(), mix, rng.number(), EPOCH),
+            client: Client::new("j", Vec::new(), scenario.mix(), rng.number(), EPOCH),
             operators: Vec::new(),
             rng,
-            shape: s.shape,
-            scenario: s.clone(),
-            faults,
-            targets: BTreeMap::new(),
-            procs: Vec::new(),
-            by_addr: BTreeMap::new(),
-            hands: Vec::new(),
+            shape: scenario.shape,
+            scenario: scenario.clone(),
+            faults: planned_faults(scenario, seed),
+            struck: BTreeMap::new(),
+            processes: Vec::new(),
+            by_address: BTreeMap::new(),
+            workers: Vec::new(),
             blocked: BTreeSet::new(),
             history: History::default(),
             log: Vec::new(),
-            calls: BTreeMap::new(),
-            next_call: 0,
+            open_calls: BTreeMap::new(),
+            last_call: 0,
             settings,
-            calm: false,
+            is_calm: false,
             seed,
-            planned: VecDeque::new(),
+            planned_jobs: VecDeque::new(),
             messages: 0,
             arrivals: BTreeMap::new(),
-            answers_lost: 0,
-            able: (0, Vec::new()),
+            lost_answers_percent: 0,
+            availability: Availability::default(),
             committed: 0,
-            closing: false,
+            is_closing: false,
         };
-        (0..3).for_each(|i| w.add_core(i, replicas[i].clone()));
-        (0..if s.nodes > 0 {
-            s.nodes
-        } else {
-            s.shape.nodes()
-        })
-            .for_each(|i| w.add_node(i % 3, format!("10.0.{}.{}:7000", i % 3, 10 + i)));
-        let nodes = w.node_http();
-        w.add_workers(s);
-        w.add_callers(s, nodes);
-        w.schedule_initial_events(s);
-        w
+        for zone in 0..ZONES {
+            world.add_replica(zone, replica_address(zone));
+        }
+        for index in 0..scenario.node_count() {
+            let zone = index % ZONES;
+            let address = format!("10.0.{zone}.{}:7000", FIRST_NODE_ADDRESS + index);
+            world.add_node(zone, address);
+        }
+        let nodes = world.node_addresses();
+        world.add_workers(scenario);
+        world.add_callers(scenario, nodes);
+        world.schedule_first_actions(scenario);
+        world
     }
 
-    /// Starts the workers of the scenario, over three zones and two services.
-    fn add_workers(&mut self, s: &Scenario) {
-        let services = s.shape.mix().services;
-        for i in 0..if s.workers > 0 {
-            s.workers
-        } else {
-            s.shape.workers()
-        } {
-            let labels = [
-                (i % 3 != 0).then(|| "ssd".to_string()),
-                (i % 4 == 0).then(|| "printer".to_string()),
-            ]
-            .into_iter()
-            .flatten()
-            .collect();
+    /// Starts the workers of the scenario. Services, labels and zones go round at different periods, so that most
+    /// combinations occur.
+    fn add_workers(&mut self, scenario: &Scenario) {
+        let services = scenario.shape.mix().services;
+        for index in 0..scenario.worker_count() {
+            let mut labels = BTreeSet::new();
+            if index % 3 != 0 {
+                labels.insert("ssd".to_string());
+            }
+            if index % 4 == 0 {
+                labels.insert("printer".to_string());
+            }
+            let zone = index % ZONES;
             let info = WorkerInfo {
-                worker: format!("w{i}"),
+                worker: format!("w{index}"),
                 incarnation: 1,
-                service: services[i % 2].clone(),
+                service: services[index % services.len()].clone(),
                 labels,
-                zone: format!("z{}", i % 3),
-                cpu: s.shape.cpu(),
+                zone: format!("z{zone}"),
+                cpu: scenario.shape.cpu(),
                 ..WorkerInfo::default()
             };
-            self.hands.push(WorkerMachine {
+            self.workers.push(WorkerMachine {
                 worker: None,
                 info,
-                zone: i % 3,
-                frozen: false,
-                cut: false,
+                zone,
+                is_frozen: false,
+                is_cut: false,
                 inbox: Vec::new(),
-                life: 0,
+                incarnation: 0,
             });
-            self.start_worker(i);
+            self.start_worker(index);
         }
     }
 
     /// Puts the client and the two operators in place of the ones that the world began with.
-    fn add_callers(&mut self, s: &Scenario, nodes: Vec<String>) {
-        let (seed_a, seed_b, seed_c) = (self.rng.number(), self.rng.number(), self.rng.number());
-        self.client = Client::new(
-            "j",
-            nodes.clone(),
-            {
-                let mut m = s.shape.mix();
-                if s.rate > 0.0 {
-                    m.rate = s.rate
-                }
-                m
-            },
-            seed_a,
-            EPOCH,
-        );
+    fn add_callers(&mut self, scenario: &Scenario, nodes: Vec<String>) {
+        let client_seed = self.rng.number();
+        let operator_seeds = [self.rng.number(), self.rng.number()];
+        self.client = Client::new("j", nodes.clone(), scenario.mix(), client_seed, EPOCH);
         self.operators = vec![
-            Operator::new("op0", nodes.clone(), seed_b),
-            Operator::new("op1", nodes, seed_c),
+            Operator::new("op0", nodes.clone(), operator_seeds[0]),
+            Operator::new("op1", nodes, operator_seeds[1]),
         ];
-        self.operators[0].apply(false, s.shape.config());
+        self.operators[0].apply(false, scenario.shape.config());
     }
 
-    /// Schedules the faults, the first ticks and probes, and the end of the disturbances.
-    fn schedule_initial_events(&mut self, s: &Scenario) {
-        for i in 0..self.faults.len() {
-            let at = self.faults[i].at;
-            self.at(at, Happening::Fault(i));
+    /// Schedules the faults, the first ticks and probes, and the end of the load.
+    fn schedule_first_actions(&mut self, scenario: &Scenario) {
+        for fault in 0..self.faults.len() {
+            self.schedule(self.faults[fault].at_ms, Action::Strike(fault));
         }
-        self.at(1, Happening::ClientTick);
-        self.at(500, Happening::Probe);
-        self.at(0, Happening::Look);
-        self.at(s.seconds * 1000, Happening::Calm);
+        self.schedule(1, Action::TickCallers);
+        self.schedule(PROBE_EVERY_MS, Action::Probe);
+        self.schedule(0, Action::ObserveAvailability);
+        self.schedule(scenario.seconds * 1000, Action::EndLoad);
     }
 
-    /// Makes this a day of planned jobs alone, with free values of admission to be measured.
-    pub fn measure(
-        &mut self,
-        jobs: Vec<(u64, JobSpec)>,
-        hopper: landingdrift::settings::Hopper,
-        speculation_percent: u32,
-    ) {
-        // Promises that such a load can't keep would spend the queues' allowances, and with them all copies.
+    /// Makes this a day of planned jobs alone, each with its time in milliseconds, with free values of admission to be
+    /// measured.
+    pub fn measure(&mut self, jobs: Vec<PlannedJob>, hopper: Hopper, speculation_percent: u32) {
         let mut config = self.shape.config();
-        config["queues"]
-            .as_object_mut()
-            .into_iter()
-            .flatten()
-            .for_each(|(_, q)| q["finishWithinMs"] = 0.into());
-        config["queues"]
-            .as_object_mut()
-            .into_iter()
-            .flatten()
-            .for_each(|(_, q)| q["quota"] = 20_000.into());
-        config["queues"]
-            .as_object_mut()
-            .into_iter()
-            .flatten()
-            .for_each(|(_, q)| q["speculationPercent"] = speculation_percent.into());
-        let (nodes, seed) = (self.node_http(), self.rng.number());
-        self.operators[0] = Operator::new("op0", nodes, seed);
+        let queues = config["queues"].as_object_mut().into_iter().flatten();
+        for (_, queue) in queues {
+            // Promises that such a load can't keep would spend the queues' allowances, and with them all copies.
+            queue["finishWithinMs"] = json!(0);
+            queue["quota"] = json!(MEASURED_QUOTA);
+            queue["speculationPercent"] = json!(speculation_percent);
+        }
+        let nodes = self.node_addresses();
+        let operator_seed = self.rng.number();
+        self.operators[0] = Operator::new("op0", nodes, operator_seed);
         self.operators[0].apply(false, config);
-        self.planned = jobs.into();
-        self.client.offering = false;
-        self.client.cancels = 0.0;
+        self.planned_jobs = jobs.into();
+        self.client.is_offering = false;
+        self.client.cancelled_share = 0.0;
         self.settings.hopper = hopper;
-        let seed = self.seed;
-        self.hands
-            .iter_mut()
-            .filter_map(|h| h.worker.as_mut())
-            .for_each(|w| w.paired = Some(seed));
-        for i in 0..self.procs.len() {
-            let p = &self.procs[i];
-            let settings = self.settings_of(&p.addr.clone(), p.zone, p.is_core());
-            self.reach(i, Msg::SettingsChanged(Box::new(settings)));
+        let machines = self.workers.iter_mut();
+        for worker in machines.filter_map(|machine| machine.worker.as_mut()) {
+            worker.paired_seed = Some(self.seed);
+        }
+        for process in 0..self.processes.len() {
+            let settings = self.settings_for(process);
+            self.step(process, Msg::SettingsChanged(Box::new(settings)));
         }
     }
 }
 
-/// The faults of the scenario and the drawn ones, in the order of their times.
-fn planned_faults(s: &Scenario, seed: u64) -> Vec<Fault> {
-    let mut faults = s.faults.clone();
+/// The faults of the scenario and the random ones, in the order of their times.
+fn planned_faults(scenario: &Scenario, seed: u64) -> Vec<Fault> {
+    let mut rng = Rng::new(seed ^ FAULTS_SEED);
+    let end_ms = scenario.seconds * 1000;
+    let count = scenario.random_faults;
+    let mut faults = scenario.faults.clone();
     faults.extend(random_faults(
-        &mut Rng::new(seed ^ 0xfa17),
-        s.random,
-        3000,
-        s.seconds * 1000,
+        &mut rng,
+        count,
+        FIRST_RANDOM_FAULT_MS,
+        end_ms,
     ));
-    faults.sort_by_key(|f| f.at);
+    faults.sort_by_key(|fault| fault.at_ms);
     faults
 }
--- a/testkit/tests/bad_input.rs
+++ b/testkit/tests/bad_input.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-fn landingdrift_testkit(arguments: &[&str]) -> Output {
+fn testkit(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_testkit"))
         .args(arguments)
         .output()
@@ -36,7 +36,7 @@
             } else {
                 vec![command, &path]
             };
-            let out = landingdrift_testkit(&arguments);
+            let out = testkit(&arguments);
             let told = String::from_utf8_lossy(&out.stderr).into_owned();
             assert_eq!(out.status.code(), Some(2), "{command} of {text:?}: {told}");
             assert!(
@@ -60,7 +60,7 @@
         &["fleet", "--program", "no-such-program"],
     ];
     for arguments in cases {
-        let out = landingdrift_testkit(arguments);
+        let out = testkit(arguments);
         assert_eq!(
             out.status.code(),
             Some(2),
--- a/testkit/tests/capacity.rs
+++ b/testkit/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity run: slopes are found where they are known, figures follow from the seed, and bounds are told.
+//! The capacity run: slopes are found where they are known, figures follow from the seed, and bounds are observations.
 
 use landingdrift_testkit::measure::capacity::{fit, report, sizes, Clockwork, Duty, Run, Size};
 
--- a/testkit/tests/checkers.rs
+++ b/testkit/tests/checkers.rs
@@ -3,14 +3,16 @@
 mod checkers_cases;
 
 use checkers_cases::{cases, Case, Day};
-use landingdrift_testkit::checkers::{check, Promised, ALL};
+use landingdrift_testkit::checkers::{check, PromisedBounds, ALL};
 use landingdrift_testkit::history::{Event, History};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn history(events: Day) -> History {
-    let mut h = History::default();
-    events.into_iter().for_each(|(t, e)| h.add(t, e));
-    h
+    let mut history = History::default();
+    for (at_ms, event) in events {
+        history.add(at_ms, event);
+    }
+    history
 }
 
 #[test]
@@ -21,33 +23,33 @@
         sound,
     } in cases()
     {
-        let rules: BTreeSet<&str> = check(&history(broken), &Promised::default())
+        let rules: BTreeSet<&str> = check(&history(broken), &PromisedBounds::default())
             .iter()
-            .map(|b| b.rule)
+            .map(|violation| violation.rule)
             .collect();
         assert_eq!(rules, [rule].into(), "the broken history of '{rule}'");
-        let none = check(&history(sound), &Promised::default());
+        let none = check(&history(sound), &PromisedBounds::default());
         assert!(none.is_empty(), "the sound history of '{rule}': {none:?}");
     }
 }
 
 #[test]
 fn no_checker_is_left_without_a_case() {
-    let shown: BTreeSet<&str> = cases().iter().map(|c| c.rule).collect();
-    let all: BTreeSet<&str> = ALL.iter().map(|(rule, _)| *rule).collect();
+    let shown: BTreeSet<&str> = cases().iter().map(|case| case.rule).collect();
+    let all: BTreeSet<&str> = ALL.iter().map(|checker| checker.rule).collect();
     assert_eq!(shown, all);
     // The end of a day without jobs breaks nothing.
-    let empty: BTreeMap<String, (String, bool)> = BTreeMap::new();
+    let empty = BTreeMap::new();
     assert!(check(
         &history(vec![(
             0,
-            Event::Closed {
+            Event::DayEnded {
                 version: 0,
-                by: String::new(),
+                change: String::new(),
                 jobs: empty
             }
         )]),
-        &Promised::default()
+        &PromisedBounds::default()
     )
     .is_empty());
 }
--- a/testkit/tests/checkers_cases/configuration.rs
+++ b/testkit/tests/checkers_cases/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::events::{
     able, accepted, acked, asked, closed, closed_by, configured, handed, node, one, polled, read,
-    refused, says, submitted, task,
+    refused, rule_settings, submitted, task,
 };
 use super::Case;
 use landingdrift::state::JobSpec;
@@ -97,8 +97,8 @@
                 ),
                 (1, handed("j")),
                 (2, accepted()),
-                (3, asked("c", says("", 2, 1))),
-                (4, acked("c", 0, 1, says("", 2, 1))),
+                (3, asked("c", rule_settings("", 2, 1))),
+                (4, acked("c", 0, 1, rule_settings("", 2, 1))),
                 (3000, handed("k")),
                 (3001, submitted("k", 202, "")),
                 (3500, polled(200, "running")),
@@ -118,8 +118,8 @@
                 ),
                 (1, handed("j")),
                 (2, accepted()),
-                (3, asked("c", says("", 2, 1))),
-                (4, acked("c", 0, 1, says("", 2, 1))),
+                (3, asked("c", rule_settings("", 2, 1))),
+                (4, acked("c", 0, 1, rule_settings("", 2, 1))),
                 (3000, handed("k")),
                 (3001, submitted("k", 429, "overQuota")),
                 (3500, polled(200, "running")),
--- a/testkit/tests/checkers_cases/events.rs
+++ b/testkit/tests/checkers_cases/events.rs
@@ -1,7 +1,7 @@
 //! Events of small histories.
 
 use landingdrift::state::{JobSpec, Outcome, TaskSpec};
-use landingdrift_testkit::history::{Event, Says};
+use landingdrift_testkit::history::{Event, FinalState, RuleSettings};
 
 pub fn task(name: &str) -> TaskSpec {
     TaskSpec {
@@ -35,9 +35,9 @@
 }
 
 pub fn started(worker: &str, no: u64, task: &str) -> Event {
-    Event::Started {
+    Event::RunStarted {
         worker: worker.into(),
-        no,
+        attempt: no,
         job: "j".into(),
         task: task.into(),
         cpu: 2,
@@ -46,51 +46,51 @@
 }
 
 pub fn ended(worker: &str, no: u64, task: &str, outcome: Outcome) -> Event {
-    Event::Ended {
+    Event::RunEnded {
         worker: worker.into(),
-        no,
+        attempt: no,
         job: "j".into(),
         task: task.into(),
         outcome,
     }
 }
 
-pub fn says(state: &str, max_attempts: u32, quota: u32) -> Says {
-    Says {
+pub fn rule_settings(state: &str, max_attempts: u32, quota: u32) -> RuleSettings {
+    RuleSettings {
         zones: [("z".to_string(), state.to_string())].into(),
         max_attempts: [("q".to_string(), max_attempts)].into(),
         quotas: [("q".to_string(), quota)].into(),
     }
 }
 
-pub fn asked(change: &str, says: Says) -> Event {
-    Event::ConfigAsked {
+pub fn asked(change: &str, settings: RuleSettings) -> Event {
+    Event::ConfigRequested {
         change: change.into(),
-        says,
+        settings,
     }
 }
 
-pub fn acked(change: &str, base: u64, version: u64, says: Says) -> Event {
-    Event::Configured {
+pub fn acked(change: &str, base: u64, version: u64, settings: RuleSettings) -> Event {
+    Event::ConfigAnswered {
         change: change.into(),
         base,
         status: 200,
         version,
-        says,
+        settings,
     }
 }
 
 pub fn configured(change: &str, base: u64, version: u64, state: &str) -> Event {
-    acked(change, base, version, says(state, 2, 100))
+    acked(change, base, version, rule_settings(state, 2, 100))
 }
 
 pub fn refused(change: &str, base: u64) -> Event {
-    Event::Configured {
+    Event::ConfigAnswered {
         change: change.into(),
         base,
         status: 409,
         version: base + 1,
-        says: Says::default(),
+        settings: RuleSettings::default(),
     }
 }
 
@@ -98,7 +98,7 @@
     Event::NodeVersion {
         node: "n".into(),
         version,
-        by: by.into(),
+        change: by.into(),
         ready,
     }
 }
@@ -106,16 +106,23 @@
 pub fn read(version: u64, by: &str) -> Event {
     Event::ConfigRead {
         version,
-        by: by.into(),
-        asked: 5,
+        change: by.into(),
+        requested_ms: 5,
     }
 }
 
 pub fn closed_by(state: &str, version: u64, by: &str) -> Event {
-    Event::Closed {
+    Event::DayEnded {
         version,
-        by: by.into(),
-        jobs: [("j".to_string(), (state.to_string(), false))].into(),
+        change: by.into(),
+        jobs: [(
+            "j".to_string(),
+            FinalState {
+                state: state.into(),
+                unsure: false,
+            },
+        )]
+        .into(),
     }
 }
 
@@ -124,11 +131,11 @@
 }
 
 pub fn handed(id: &str) -> Event {
-    Event::Handed { id: id.into() }
+    Event::SubmitRequested { id: id.into() }
 }
 
 pub fn submitted(id: &str, status: u16, code: &str) -> Event {
-    Event::Submitted {
+    Event::SubmitAnswered {
         id: id.into(),
         status,
         code: code.into(),
@@ -140,7 +147,7 @@
 }
 
 pub fn polled(status: u16, state: &str) -> Event {
-    Event::Polled {
+    Event::StateAnswered {
         id: "j".into(),
         status,
         state: state.into(),
@@ -150,14 +157,14 @@
 }
 
 pub fn able(replicas: usize) -> Event {
-    Event::Able {
+    Event::Availability {
         replicas,
         nodes: vec!["n".into()],
     }
 }
 
 pub fn ask() -> Event {
-    Event::Asked { id: "j".into() }
+    Event::StateRequested { id: "j".into() }
 }
 
 pub fn changed(cpu: u32, labels: &[&str]) -> Event {
--- a/testkit/tests/checkers_cases/jobs.rs
+++ b/testkit/tests/checkers_cases/jobs.rs
@@ -137,13 +137,13 @@
         broken: vec![
             (0, one()),
             (1, up("w")),
-            (2, Event::CancelAcked { id: "j".into() }),
+            (2, Event::CancelAcknowledged { id: "j".into() }),
             (4000, started("w", 1, "a")),
         ],
         sound: vec![
             (0, one()),
             (1, up("w")),
-            (2, Event::CancelAcked { id: "j".into() }),
+            (2, Event::CancelAcknowledged { id: "j".into() }),
             (2000, started("w", 1, "a")),
         ],
     }]
--- a/testkit/tests/checkers_cases/outage.rs
+++ b/testkit/tests/checkers_cases/outage.rs
@@ -14,19 +14,19 @@
         ..JobSpec::default()
     };
     let mut run = started("w", 1, "a");
-    if let Event::Started { job, .. } = &mut run {
+    if let Event::RunStarted { job, .. } = &mut run {
         *job = id.clone();
     }
     vec![
         (0, up("w")),
-        (0, Event::OutageOver),
+        (0, Event::OutageEnded),
         (0, able(3)),
         (1, Event::Offered { spec }),
         (2, submitted(&id, 202, "")),
         (3, run),
         (
             9000,
-            Event::Polled {
+            Event::StateAnswered {
                 id,
                 status: 200,
                 state: ends.into(),
@@ -35,7 +35,7 @@
             },
         ),
         (9500, node(0, "", true)),
-        (13_000, Event::Calm),
+        (13_000, Event::LoadEnded),
     ]
 }
 
--- a/testkit/tests/checkers_cases/runs.rs
+++ b/testkit/tests/checkers_cases/runs.rs
@@ -1,7 +1,7 @@
 //! How tasks run: in order, in time, not more often than they may, gangs together.
 
 use super::events::{
-    acked, after, asked, configured, ended, gang, offered, one, says, started, task, up,
+    acked, after, asked, configured, ended, gang, offered, one, rule_settings, started, task, up,
 };
 use super::Case;
 use landingdrift::state::{Outcome, TaskSpec};
@@ -97,7 +97,7 @@
         Case {
             rule: "tries",
             broken: vec![
-                (0, asked("c", says("serving", 2, 100))),
+                (0, asked("c", rule_settings("serving", 2, 100))),
                 (0, configured("c", 0, 1, "serving")),
                 (0, one()),
                 (1, up("w")),
@@ -108,7 +108,7 @@
                 (6, started("w", 3, "a")),
             ],
             sound: vec![
-                (0, asked("c", says("serving", 2, 100))),
+                (0, asked("c", rule_settings("serving", 2, 100))),
                 (0, configured("c", 0, 1, "serving")),
                 (0, one()),
                 (1, up("w")),
@@ -121,24 +121,24 @@
         Case {
             rule: "tries",
             broken: vec![
-                (0, asked("c", says("", 3, 9))),
-                (0, acked("c", 0, 1, says("", 3, 9))),
+                (0, asked("c", rule_settings("", 3, 9))),
+                (0, acked("c", 0, 1, rule_settings("", 3, 9))),
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
                 (3, ended("w", 1, "a", Outcome::Failed)),
-                (4, asked("d", says("", 1, 9))),
-                (5, acked("d", 1, 2, says("", 1, 9))),
+                (4, asked("d", rule_settings("", 1, 9))),
+                (5, acked("d", 1, 2, rule_settings("", 1, 9))),
                 (2100, started("w", 2, "a")),
             ],
             sound: vec![
-                (0, asked("c", says("", 1, 9))),
-                (0, acked("c", 0, 1, says("", 1, 9))),
+                (0, asked("c", rule_settings("", 1, 9))),
+                (0, acked("c", 0, 1, rule_settings("", 1, 9))),
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
                 (3, ended("w", 1, "a", Outcome::Failed)),
-                (4, asked("d", says("", 3, 9))),
+                (4, asked("d", rule_settings("", 3, 9))),
                 (2100, started("w", 2, "a")),
             ],
         },
@@ -179,8 +179,8 @@
                 (0, offered(vec![gang("a"), gang("b")])),
                 (
                     0,
-                    Event::Fault {
-                        what: "WorkerCut 1".into(),
+                    Event::FaultBegan {
+                        description: "WorkerCut 1".into(),
                     },
                 ),
                 (1, up("w")),
--- a/testkit/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -7,7 +7,7 @@
 const MAX_LINES: usize = 400;
 
 /// Files that are larger, with the lines that they may have. Entries go or shrink; none is added and none grows.
-const LARGE_FILES: &[(&str, usize)] = &[("testkit/src/scale/drive.rs", 415)];
+const LARGE_FILES: &[(&str, usize)] = &[];
 
 /// The root of the workspace.
 fn workspace() -> PathBuf {
--- a/testkit/tests/operator.rs
+++ b/testkit/tests/operator.rs
@@ -44,19 +44,19 @@
     let o = Options {
         shape: Shape::Gunasekera,
         seconds: 0,
-        settle: 0,
-        rate: 0.0,
+        settle_seconds: 0,
+        jobs_per_second: 0.0,
         program: program(),
         folder: folder.clone(),
         faults: Vec::new(),
         seed: 1,
-        talk: false,
+        verbose: false,
     };
     let fleet = Fleet::start(&o).unwrap_or_else(|e| panic!("{e}"));
     let at: Vec<String> = fleet
-        .procs
+        .processes
         .iter()
-        .filter(|p| !p.replica)
+        .filter(|p| !p.is_replica)
         .map(|p| p.http.clone())
         .collect();
     let d = Desk {
@@ -114,13 +114,13 @@
     let third = write(&folder, "third.json", &config);
     let frozen = d
         .fleet
-        .procs
+        .processes
         .iter()
-        .position(|p| !p.replica)
+        .position(|p| !p.is_replica)
         .expect("a node");
     let others: Vec<&String> = at
         .iter()
-        .filter(|a| **a != d.fleet.procs[frozen].http)
+        .filter(|a| **a != d.fleet.processes[frozen].http)
         .collect();
     d.fleet.freeze(frozen);
     let out = Command::new(program())
@@ -130,7 +130,7 @@
         ])
         .output()
         .expect("the program runs");
-    d.fleet.wake(frozen);
+    d.fleet.thaw(frozen);
     let after = d.ok(&["get"]);
     assert_eq!(
         out.status.code(),
--- a/testkit/tests/promises.rs
+++ b/testkit/tests/promises.rs
@@ -1,16 +1,18 @@
 //! The table of promises names what is there, and leaves nothing out.
 
 use landingdrift_testkit::checkers::ALL;
-use landingdrift_testkit::scenario::Kind;
+use landingdrift_testkit::scenario::FaultKind;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-fn stems(folder: &str, shutdown_timer: &str) -> BTreeSet<String> {
+/// The names of the files of a folder that end with `suffix`.
+fn file_names(folder: &str, suffix: &str) -> BTreeSet<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     std::fs::read_dir(&path)
         .unwrap_or_else(|e| panic!("{}: {e}", path.display()))
-        .filter_map(|f| f.ok().map(|f| f.file_name().to_string_lossy().into_owned()))
-        .filter(|f| f.ends_with(shutdown_timer))
+        .filter_map(Result::ok)
+        .map(|entry| entry.file_name().to_string_lossy().into_owned())
+        .filter(|name| name.ends_with(suffix))
         .collect()
 }
 
@@ -30,24 +32,24 @@
             })
             .collect()
     };
-    let scenarios: BTreeSet<String> = stems("scenarios", ".toml")
+    let scenarios: BTreeSet<String> = file_names("scenarios", ".toml")
         .iter()
         .map(|f| f.trim_end_matches(".toml").to_string())
         .collect();
     assert_eq!(named("scenario"), scenarios, "scenarios");
     assert_eq!(
         named("checker"),
-        ALL.iter().map(|(r, _)| r.to_string()).collect(),
+        ALL.iter().map(|checker| checker.rule.to_string()).collect(),
         "checkers"
     );
     assert_eq!(
         named("fault"),
-        Kind::ALL.iter().map(|k| k.name()).collect(),
+        FaultKind::ALL.iter().map(|kind| kind.name()).collect(),
         "kinds of faults"
     );
     let tests: BTreeSet<String> = ["tests", "../landingdrift/tests", "../platform/tests"]
         .iter()
-        .flat_map(|folder| stems(folder, ".rs"))
+        .flat_map(|folder| file_names(folder, ".rs"))
         .collect();
     assert_eq!(named("test"), tests, "tests");
 }
--- a/testkit/tests/scale.rs
+++ b/testkit/tests/scale.rs
@@ -1,31 +1,38 @@
-//! The scale run: it starts, stops by itself, tells what each process took; wrong words are refused with the remedy.
+//! The scale run: it starts, stops by itself, measures what each process took; wrong arguments are refused with the remedy.
 
 use landingdrift_testkit::fleet::program;
 use landingdrift_testkit::scale::{run, usage, Options};
 use std::process::Command;
 
 #[test]
-fn a_small_run_starts_tasks_and_tells_what_each_process_took() {
+fn a_small_run_starts_tasks_and_measures_what_each_process_took() {
     let folder = std::env::temp_dir().join(format!("landingdrift-scaled-{}", std::process::id()));
     // Two runs in one process don't meet.
-    for log_index in 0..2 {
-        let o = Options {
+    for run_index in 0..2 {
+        let options = Options {
             workers: 14,
             nodes: 3,
-            log_index,
-            // A job a second in the mean, so that some are handed in within the time measured.
+            run_index,
+            // A job a second in the mean, so that some are submitted within the time measured.
             starts: 60.0,
             seconds: 9,
             program: program(),
-            folder: folder.join(log_index.to_string()),
+            folder: folder.join(run_index.to_string()),
             seed: 4,
         };
-        let out = run(&o).unwrap_or_else(|e| panic!("{e}; logs in {}", folder.display()));
-        assert!(out.starts > 0.0 && out.jobs > 0, "{}", out.starts);
-        assert_eq!(out.taken.len(), 3 + 4 + 1);
-        assert!(out.taken.iter().all(|t| t.resident > 0));
-        assert!(out.taken.iter().any(|t| t.name.starts_with("core leader")));
-        assert!(out.each.len() >= out.first.len());
+        let outcome = run(&options).unwrap_or_else(|e| panic!("{e}; logs in {}", folder.display()));
+        assert!(
+            outcome.starts > 0.0 && outcome.jobs > 0,
+            "{}",
+            outcome.starts
+        );
+        assert_eq!(outcome.usage.len(), 3 + 4 + 1);
+        assert!(outcome.usage.iter().all(|process| process.resident > 0));
+        assert!(outcome
+            .usage
+            .iter()
+            .any(|process| process.name.starts_with("core leader")));
+        assert!(outcome.each_start_ms.len() >= outcome.first_start_ms.len());
     }
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -59,8 +66,8 @@
             .args(arguments)
             .output()
             .expect("the program runs");
-        let told = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(2), "{arguments:?}: {told}");
-        assert!(told.contains(remedy), "{arguments:?}: {told}");
+        let message = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert_eq!(out.status.code(), Some(2), "{arguments:?}: {message}");
+        assert!(message.contains(remedy), "{arguments:?}: {message}");
     }
 }
--- a/testkit/tests/scenarios.rs
+++ b/testkit/tests/scenarios.rs
@@ -1,28 +1,38 @@
-//! Every scenario file is rehearsed with its seeds, and every history is checked.
+//! Every scenario file is simulated with its seeds, and every history is checked.
 
+use landingdrift_testkit::checkers::Summary;
 use landingdrift_testkit::scenario::Scenario;
 use landingdrift_testkit::simulator::simulate;
 use std::path::Path;
 
+/// A failure names at most this many violations.
+const MOST_REPORTED: usize = 5;
+
 fn scenario(path: &Path) -> datatest_stable::Result<()> {
-    let s = Scenario::load(&path.to_string_lossy()).map_err(|e| e.to_string())?;
-    for seed in &s.seeds {
-        let (report, broken) = simulate(&s, *seed);
-        let told: Vec<String> = broken.iter().take(5).map(ToString::to_string).collect();
-        if !told.is_empty() {
+    let scenario = Scenario::load(&path.to_string_lossy()).map_err(|e| e.to_string())?;
+    for seed in &scenario.seeds {
+        let (report, violations) = simulate(&scenario, *seed);
+        if !violations.is_empty() {
+            let reported = violations.iter().take(MOST_REPORTED);
+            let lines: Vec<String> = reported.map(ToString::to_string).collect();
             return Err(format!(
                 "seed {seed}; repeat it with: testkit run {} --seed {seed}\n{}",
                 path.display(),
-                told.join("\n")
+                lines.join("\n")
             )
             .into());
         }
-        let s = &report.summary;
-        if s.accepted == 0 || s.done == 0 || s.starts < s.done {
-            return Err(format!("seed {seed}: nothing was served: {s:?}").into());
+        if !has_served(&report.summary) {
+            let summary = &report.summary;
+            return Err(format!("seed {seed}: nothing was served: {summary:?}").into());
         }
     }
     Ok(())
 }
 
+/// Whether jobs were accepted and done; a checker finds nothing wrong in a day without any.
+fn has_served(summary: &Summary) -> bool {
+    summary.accepted > 0 && summary.done > 0 && summary.starts >= summary.done
+}
+
 datatest_stable::harness! { { test = scenario, root = "scenarios", pattern = r"\.toml$" } }
