--- a/landingdrift/src/node/calls/config.rs
+++ b/landingdrift/src/node/calls/config.rs
@@ -1,6 +1,6 @@
-//! Changes of the configuration, and how far they have come.
+//! Changes of the configuration, and on which nodes they are in force.
 
-use super::{param, refused_response, Origin, Then};
+use super::{param, rejected_response, Origin, ProposedCall};
 use crate::node::Node;
 use crate::sans_io::{Now, Request, Response};
 use crate::state::{ApplyResult, Command, Rejection};
@@ -12,42 +12,43 @@
 const FULL_PAUSES: u64 = 5;
 
 /// A change of the configuration as a call asks for it.
-struct AskedChange {
+struct RequestedChange {
     base: u64,
-    /// The number that it is to become; 0 for the next.
-    number: u64,
+    /// The version that it is to become; 0 for the next.
+    version: u64,
     /// The identity that the caller gave it.
     change: Option<String>,
 }
 
-/// Reads the change that a call asks for, but its value; what is wrong with it is told.
-fn read_change(req: &Request, most_bytes: u64) -> Result<AskedChange, Response> {
-    if req.body.len() as u64 > most_bytes {
-        let why = format!("a configuration may have {most_bytes} bytes: send a part of it with PATCH, or raise limits.desired_bytes");
+/// Reads the change that a call asks for, except for its value; the response says what is wrong with it.
+fn read_change(request: &Request, max_bytes: u64) -> Result<RequestedChange, Response> {
+    if request.body.len() as u64 > max_bytes {
+        let why = format!("a configuration may have {max_bytes} bytes: send a part of it with PATCH, or raise limits.desired_bytes");
         return Err(Response::error(413, "tooLarge", why));
     }
-    let base = param(&req.query, "base").and_then(|b| b.parse::<u64>().ok());
+    let base = param(&request.query, "base").and_then(|base| base.parse::<u64>().ok());
     let Some(base) = base else {
         let why =
             "base: name the version the change is made on top of, as in ?base=3 (0 for the first)";
         return Err(Response::error(400, "noBase", why));
     };
-    let number = param(&req.query, "version").map_or(Ok(0), str::parse::<u64>);
-    let Ok(number) = number else {
+    let version = param(&request.query, "version").map_or(Ok(0), str::parse::<u64>);
+    let Ok(version) = version else {
         let why = "version: give the number that the change is to become, above the current one, or leave it out";
         return Err(Response::error(400, "wrongVersion", why));
     };
-    Ok(AskedChange {
+    Ok(RequestedChange {
         base,
-        number,
-        change: param(&req.query, "change").map(str::to_string),
+        version,
+        change: param(&request.query, "change").map(str::to_string),
     })
 }
 
+/// Reads the value of a change; the response says what is wrong with it.
 fn read_object(body: &[u8]) -> Result<Value, Response> {
     let wrong = |why: String| Response::error(400, "wrongDesired", why);
     let value: Value = serde_json::from_slice(body)
-        .map_err(|e| wrong(format!("the body is no JSON ({e}): correct it")))?;
+        .map_err(|error| wrong(format!("the body is no JSON ({error}): correct it")))?;
     if !value.is_object() {
         let why = "the body must be a JSON object: docs/operators/desired-state.md shows one";
         return Err(wrong(why.into()));
@@ -56,82 +57,86 @@
 }
 
 impl Node {
-    pub(super) fn configure(&mut self, now: Now, origin: Origin, req: &Request, patch: bool) {
-        let asked = match read_change(req, self.settings.limits.config_bytes) {
-            Ok(asked) => asked,
-            Err(v) => return self.reply(&origin, v),
+    /// Proposes a change of the configuration.
+    pub(super) fn configure(&mut self, now: Now, origin: Origin, request: &Request, patch: bool) {
+        let requested = match read_change(request, self.settings.limits.config_bytes) {
+            Ok(requested) => requested,
+            Err(response) => return self.reply(&origin, response),
         };
-        // Drawn before the body is read, so that a wrong body costs a draw as well as a right one.
-        let change = match asked.change {
+        // Drawn before the body is read, so that the random draws do not depend on whether the body is valid.
+        let change = match requested.change {
             Some(change) => change,
             None => format!("c{:x}", self.rng.number()),
         };
-        let value = match read_object(&req.body) {
+        let value = match read_object(&request.body) {
             Ok(value) => value,
-            Err(v) => return self.reply(&origin, v),
+            Err(response) => return self.reply(&origin, response),
         };
         let command = Command::UpdateConfig {
             change: change.clone(),
-            base: asked.base,
+            base: requested.base,
             patch,
-            number: asked.number,
+            number: requested.version,
             value,
         };
-        self.open_with_proposal(now, origin, &command, Then::Configured { change });
+        self.open_with_proposal(now, origin, &command, ProposedCall::UpdateConfig { change });
     }
 
-    pub(super) fn configured_response(&mut self, change: &str, ruled: ApplyResult) -> Response {
-        match ruled {
-            Ok(v) => Response::new(
+    pub(super) fn configured_response(&mut self, change: &str, result: ApplyResult) -> Response {
+        match result {
+            Ok(applied) => Response::new(
                 200,
-                json!({"change": change, "version": v["version"], "place": v["place"]}),
+                json!({"change": change, "version": applied["version"], "place": applied["place"]}),
             ),
             Err(Rejection::VersionConflict { current }) => {
-                let mut v = Response::error(
+                let mut response = Response::error(
                     409,
                     "rival",
                     Rejection::VersionConflict { current }.to_string(),
                 );
-                v.body["version"] = json!(current);
-                v
+                response.body["version"] = json!(current);
+                response
+            }
+            Err(rejection @ Rejection::TooManyChanges) => {
+                Response::error(503, "full", rejection.to_string())
+                    .retry(FULL_PAUSES * self.settings.bounds.back())
             }
-            Err(r @ Rejection::TooManyChanges) => Response::error(503, "full", r.to_string())
-                .retry(FULL_PAUSES * self.settings.bounds.back()),
             Err(Rejection::Invalid { path, remedy }) => {
-                let mut v = Response::error(400, "wrongDesired", remedy);
-                v.body["path"] = json!(path);
-                v
+                let mut response = Response::error(400, "wrongDesired", remedy);
+                response.body["path"] = json!(path);
+                response
             }
-            Err(r) => refused_response(&r),
+            Err(rejection) => rejected_response(&rejection),
         }
     }
 
-    /// Begins or ends the emptying of a zone.
+    /// Begins or ends the evacuation of a zone.
     pub(super) fn evacuate_zone(&mut self, now: Now, origin: Origin, zone: &str, on: bool) {
         let command = Command::SetEvacuation {
             zone: zone.into(),
             on,
         };
-        self.open_with_proposal(now, origin, &command, Then::Emptied);
+        self.open_with_proposal(now, origin, &command, ProposedCall::SetEvacuation);
     }
 
     /// How far a change has come, node by node.
     pub(super) fn change_response(&self, id: &str, nodes: &[NodeProgress]) -> Response {
-        let accepted = self.state.changes.iter().find(|c| c.change == id);
+        let mut changes = self.state.changes.iter();
+        let accepted = changes.find(|change| change.change == id);
         let Some(change) = accepted else {
             let why =
                 format!("no change '{id}' was accepted lately: read the current version instead");
             return Response::error(404, "unknownChange", why);
         };
-        let in_force = |n: &NodeProgress| n.log_index >= change.log_index;
-        let of: Vec<Value> = nodes
+        let in_force = |node: &NodeProgress| node.log_index >= change.log_index;
+        let node_bodies: Vec<Value> = nodes
             .iter()
-            .map(|n| json!({"node": n.node, "inForce": in_force(n), "version": n.version, "silentMs": n.age}))
+            .map(|node| json!({"node": node.node, "inForce": in_force(node), "version": node.version, "silentMs": node.age}))
             .collect();
         let everywhere = nodes.iter().all(in_force);
         Response::new(
             200,
-            json!({"change": change.change, "version": change.version, "at": change.at, "inForceEverywhere": everywhere, "nodes": of}),
+            json!({"change": change.change, "version": change.version, "at": change.at, "inForceEverywhere": everywhere, "nodes": node_bodies}),
         )
     }
 }
--- a/landingdrift/src/node/calls/heartbeats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats and leaves, which the holder of the worker's zone scheduler answers.
+//! Heartbeats of workers, and their reports that they have left: the holder of the worker's zone lease answers them.
 
 use super::Origin;
 use crate::node::zone_scheduler::Heartbeat;
@@ -7,12 +7,12 @@
 use crate::state::zone_lease;
 use serde_json::json;
 
-/// Reads a heartbeat; what is wrong with it is told.
+/// Reads a heartbeat; the response says what is wrong with it.
 fn read_heartbeat(body: &[u8]) -> Result<Heartbeat, Response> {
     let wrong = |why: String| Response::error(400, "wrongBeat", why);
-    let de = &mut serde_json::Deserializer::from_slice(body);
-    let heartbeat: Heartbeat = serde_path_to_error::deserialize(de).map_err(|e| {
-        let (path, why) = (e.path(), e.inner());
+    let deserializer = &mut serde_json::Deserializer::from_slice(body);
+    let heartbeat: Heartbeat = serde_path_to_error::deserialize(deserializer).map_err(|error| {
+        let (path, why) = (error.path(), error.inner());
         wrong(format!(
             "{path}: {why}; docs/operators/workers.md shows a beat"
         ))
@@ -26,47 +26,49 @@
 }
 
 impl Node {
-    pub(super) fn on_heartbeat(&mut self, now: Now, origin: Origin, req: Request) {
-        let heartbeat = match read_heartbeat(&req.body) {
+    pub(super) fn on_heartbeat(&mut self, now: Now, origin: Origin, request: Request) {
+        let heartbeat = match read_heartbeat(&request.body) {
             Ok(heartbeat) => heartbeat,
-            Err(v) => return self.reply(&origin, v),
+            Err(response) => return self.reply(&origin, response),
         };
-        let Some(grant) = self.state.holder(&zone_lease(&heartbeat.info.zone)) else {
-            let v = self.found_zone(&heartbeat);
-            return self.reply(&origin, v);
+        let Some(lease) = self.state.holder(&zone_lease(&heartbeat.info.zone)) else {
+            let response = self.unknown_zone_response(&heartbeat);
+            return self.reply(&origin, response);
         };
-        let holder = grant.holder.clone();
+        let holder = lease.holder.clone();
         if holder == self.name || holder.is_empty() {
-            let v = self.heartbeat(now, heartbeat);
-            return self.reply(&origin, v);
+            let response = self.heartbeat(now, heartbeat);
+            return self.reply(&origin, response);
         }
         if let Origin::Local(_) = origin {
-            return self.forward_on(now, origin, &holder, &req);
+            return self.forward_to(now, origin, &holder, &request);
         }
-        // A heartbeat is passed on once; who is asked by another names the holder it knows.
+        // A heartbeat is forwarded once: a node that got it from another names the holder that it knows.
         let why = "another node holds the cell: ask that one";
-        let v = Response {
+        let response = Response {
             by: holder,
             ..Response::error(503, "notHolder", why)
         };
-        self.reply(&origin, v);
+        self.reply(&origin, response);
     }
 
-    /// A worker has left: the holder of its zone scheduler takes note.
-    pub(super) fn on_left(&mut self, now: Now, origin: Origin, worker: &str, req: &Request) {
+    /// A worker reports that it has left: the holder of its zone lease records it.
+    pub(super) fn on_left(&mut self, now: Now, origin: Origin, worker: &str, request: &Request) {
         let known = self.state.workers.get(worker);
-        let zone = known.map(|w| w.info.zone.clone()).unwrap_or_default();
-        let holder = self.state.holder(&zone_lease(&zone));
-        let holder = holder.map(|g| g.holder.clone()).unwrap_or_default();
+        let zone = known
+            .map(|worker| worker.info.zone.clone())
+            .unwrap_or_default();
+        let lease = self.state.holder(&zone_lease(&zone));
+        let holder = lease.map(|lease| lease.holder.clone()).unwrap_or_default();
         if !holder.is_empty() && holder != self.name && matches!(origin, Origin::Local(_)) {
-            return self.forward_on(now, origin, &holder, req);
+            return self.forward_to(now, origin, &holder, request);
         }
-        self.left(now, worker);
+        self.on_worker_left(now, worker);
         self.reply(&origin, Response::new(200, json!({"worker": worker})));
     }
 
-    /// A zone that nobody declared and no node stands in has no zone scheduler.
-    fn found_zone(&mut self, heartbeat: &Heartbeat) -> Response {
+    /// The response to a heartbeat from a zone without a scheduler: nobody declared it, and no node is in it.
+    fn unknown_zone_response(&self, heartbeat: &Heartbeat) -> Response {
         Response::error(
             503,
             "noCell",
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -1,78 +1,88 @@
-//! Calls about jobs: to hand one in, to ask for it, to cancel it, and to settle what is unsure about it.
+//! Calls about jobs: submit, poll, list, cancel, and resolve an attempt whose outcome is unknown.
 
-use super::{param, Origin, ReadThen, State, Then};
+use super::{param, CallState, Origin, ProposedCall, ReadQuery};
 use crate::node::Node;
 use crate::sans_io::{fnv1a, Now, Response};
 use crate::state::{ApplyResult, AttemptState, Command, Job, JobSpec, JobState, Rejection, Task};
 use serde_json::{json, Value};
 use std::ops::Bound;
 
-/// Jobs on one page, at the most.
-const PAGE: usize = 500;
-/// Jobs on a page when the caller names no number.
+/// The most jobs on one page.
+const MAX_PAGE: usize = 500;
+/// Jobs on a page when the caller names no limit.
 const DEFAULT_PAGE: usize = 100;
-/// A caller who is told that the system is full comes back after so many of the usual pauses: jobs end more slowly than
-/// calls are answered.
+/// A caller who is told that the cluster is full comes back after so many of the usual pauses: jobs end more slowly
+/// than calls are answered.
 const FULL_PAUSES: u64 = 5;
 /// A caller whose queue is over its quota comes back after so many of the usual pauses.
 const OVER_QUOTA_PAUSES: u64 = 2;
 
-/// What is said of a job.
-fn describe(j: &Job) -> Value {
-    let tasks: Vec<Value> = (0..j.tasks.len()).map(|i| describe_task(j, i)).collect();
-    let is_unsure = |t: &Task| t.live().any(|s| s.state == AttemptState::Unsure);
-    let unsure = j.tasks.iter().any(is_unsure);
-    json!({"id": j.spec.id, "queue": j.spec.queue, "state": j.state, "unsure": unsure, "accepted": j.accepted, "ended": j.ended, "cancelled": j.cancel, "reason": j.reason, "tasks": tasks})
+/// A job as callers see it.
+fn job_body(job: &Job) -> Value {
+    let tasks: Vec<Value> = (0..job.tasks.len())
+        .map(|task| task_body(job, task))
+        .collect();
+    let is_unsure = |task: &Task| {
+        let mut live = task.live();
+        live.any(|attempt| attempt.state == AttemptState::Unsure)
+    };
+    let unsure = job.tasks.iter().any(is_unsure);
+    json!({"id": job.spec.id, "queue": job.spec.queue, "state": job.state, "unsure": unsure, "accepted": job.accepted, "ended": job.ended, "cancelled": job.cancel, "reason": job.reason, "tasks": tasks})
 }
 
-fn describe_task(j: &Job, i: usize) -> Value {
-    let t = &j.tasks[i];
-    let mut v =
-        json!({"name": j.name(i), "state": t.state, "defects": t.failures, "sends": t.attempts});
-    if t.attempts.iter().any(|s| s.state == AttemptState::Unsure) {
-        v["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
+fn task_body(job: &Job, index: usize) -> Value {
+    let task = &job.tasks[index];
+    let mut body = json!({"name": job.name(index), "state": task.state, "defects": task.failures, "sends": task.attempts});
+    let mut attempts = task.attempts.iter();
+    if attempts.any(|attempt| attempt.state == AttemptState::Unsure) {
+        body["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
     }
-    v
+    body
 }
 
 impl Node {
     pub(super) fn submit(&mut self, now: Now, origin: Origin, body: &[u8]) {
-        let most = self.settings.limits.job_bytes;
-        if body.len() as u64 > most {
-            let why = format!("a job may have {most} bytes: split it");
+        let max_bytes = self.settings.limits.job_bytes;
+        if body.len() as u64 > max_bytes {
+            let why = format!("a job may have {max_bytes} bytes: split it");
             return self.reply(&origin, Response::error(413, "tooLarge", why));
         }
         match JobSpec::read(body) {
-            Ok(s) => self.submit_spec(now, origin, s),
-            Err(e) => self.reply(&origin, Response::error(400, "wrongJob", e.to_string())),
+            Ok(spec) => self.submit_spec(now, origin, spec),
+            Err(error) => {
+                let response = Response::error(400, "wrongJob", error.to_string());
+                self.reply(&origin, response);
+            }
         }
     }
 
     pub(super) fn submit_spec(&mut self, now: Now, origin: Origin, spec: JobSpec) {
-        if let Err(e) = spec.check() {
-            return self.reply(&origin, Response::error(400, "wrongJob", e.to_string()));
+        if let Err(error) = spec.check() {
+            let response = Response::error(400, "wrongJob", error.to_string());
+            return self.reply(&origin, response);
         }
         let is_new = !self.state.open.contains(&spec.id);
         if is_new && self.state.open.len() as u64 >= self.settings.limits.open_jobs {
-            return self.turn_job_away(&origin);
+            return self.reject_full(&origin);
         }
         let hash = fnv1a(&serde_json::to_vec(&spec).unwrap_or_default());
         let id = spec.id.clone();
         if let Some(known) = self.known_hash(&id) {
-            let ruled = if known == hash {
+            let result = if known == hash {
                 Ok(json!({"known": true}))
             } else {
                 Err(Rejection::BodyMismatch)
             };
-            let v = self.accepted_response(&id, ruled);
-            return self.reply(&origin, v);
+            let response = self.accepted_response(&id, result);
+            return self.reply(&origin, response);
         }
         let seen = self.state.applied_index;
         let command = Command::AcceptJob { spec, hash, seen };
-        self.open_with_proposal(now, origin, &command, Then::Accepted { id });
+        self.open_with_proposal(now, origin, &command, ProposedCall::AcceptJob { id });
     }
 
-    fn turn_job_away(&mut self, origin: &Origin) {
+    /// Answers a submission for which the cluster has no capacity.
+    fn reject_full(&mut self, origin: &Origin) {
         self.count("jobs_rejected", 1);
         let why = "the system holds as many unfinished jobs as it may and took nothing of this call: come back later";
         let pause = FULL_PAUSES * self.settings.bounds.back();
@@ -81,35 +91,49 @@
 
     /// The hash of a job's specification, as long as the job or its identity is kept.
     fn known_hash(&self, id: &str) -> Option<u64> {
-        let kept = self.state.jobs.get(id).map(|j| j.hash);
-        kept.or_else(|| self.state.tombstones.get(id).map(|t| t.hash))
+        let kept = self.state.jobs.get(id).map(|job| job.hash);
+        kept.or_else(|| {
+            self.state
+                .tombstones
+                .get(id)
+                .map(|tombstone| tombstone.hash)
+        })
     }
 
     /// The state of a job, as long as the job or its identity is kept.
     fn known_state(&self, id: &str) -> Option<JobState> {
-        let kept = self.state.jobs.get(id).map(|j| j.state);
-        kept.or_else(|| self.state.tombstones.get(id).map(|t| t.state))
+        let kept = self.state.jobs.get(id).map(|job| job.state);
+        kept.or_else(|| {
+            self.state
+                .tombstones
+                .get(id)
+                .map(|tombstone| tombstone.state)
+        })
     }
 
-    pub(super) fn accepted_response(&mut self, id: &str, ruled: ApplyResult) -> Response {
-        match ruled {
-            Ok(v) => {
+    pub(super) fn accepted_response(&mut self, id: &str, result: ApplyResult) -> Response {
+        match result {
+            Ok(told) => {
                 self.count("jobs_accepted", 1);
                 let state = self.known_state(id).unwrap_or(JobState::Waiting);
-                let status = if v["known"] == json!(true) { 200 } else { 202 };
+                let status = if told["known"] == json!(true) {
+                    200
+                } else {
+                    202
+                };
                 let body = json!({"id": id, "state": state, "poll": format!("/v1/jobs/{id}")});
                 Response::new(status, body)
             }
-            Err(refusal) => {
+            Err(rejection) => {
                 self.count("jobs_refused", 1);
-                self.refused_job_response(&refusal)
+                self.rejected_job_response(&rejection)
             }
         }
     }
 
-    fn refused_job_response(&self, refusal: &Rejection) -> Response {
-        let why = refusal.to_string();
-        match refusal {
+    fn rejected_job_response(&self, rejection: &Rejection) -> Response {
+        let why = rejection.to_string();
+        match rejection {
             Rejection::BodyMismatch => Response::error(409, "otherBody", why),
             Rejection::OverQuota { .. } | Rejection::PreviouslyRejected => {
                 let pause = OVER_QUOTA_PAUSES * self.settings.bounds.back();
@@ -122,79 +146,91 @@
         }
     }
 
-    /// What this node knows of a job; `stale` tells the caller that there may be news it has not heard.
+    /// A job as this node knows it; `stale` tells the caller that its state may be newer than that.
     pub(super) fn job_response(&self, id: &str, stale: bool) -> Option<Response> {
-        let mut v = match self.state.jobs.get(id) {
-            Some(job) => describe(job),
+        let mut body = match self.state.jobs.get(id) {
+            Some(job) => job_body(job),
             None => {
                 let tombstone = self.state.tombstones.get(id)?;
                 json!({"id": id, "state": tombstone.state, "retained": false})
             }
         };
-        v["asOf"] = json!(self.state.at);
-        v["stale"] = json!(stale);
-        Some(Response::new(200, v))
+        body["asOf"] = json!(self.state.at);
+        body["stale"] = json!(stale);
+        Some(Response::new(200, body))
     }
 
-    /// An end is told at once; else the watch must be as new as the question, so that no state told elsewhere is taken back.
-    /// For a job it doesn't know, or before it has caught up with the watch, the replica is asked.
+    /// Answers a call for a job's state.
+    ///
+    /// The state of an ended job is final, so it is answered at once. Otherwise the watch must be as new as the call,
+    /// so that no caller sees a state older than the one another node has answered. For a job that this node does not
+    /// know, or before it has caught up, a replica is asked for the read index.
     pub(super) fn poll(&mut self, now: Now, origin: Origin, id: &str) {
         match self.known_state(id) {
             Some(state) if state.ended() => {
-                if let Some(v) = self.job_response(id, false) {
-                    self.reply(&origin, v);
+                if let Some(response) = self.job_response(id, false) {
+                    self.reply(&origin, response);
                 }
             }
             Some(_) if self.watch.has_snapshot => {
-                let patience = now.mono + self.settings.bounds.fresh() / 2;
-                let state = State::Fresh {
+                let state = CallState::PollPending {
                     id: id.into(),
-                    asked: now.mono,
-                    patience,
+                    received_at: now.mono,
+                    answer_by: now.mono + self.settings.bounds.fresh() / 2,
                 };
-                self.open(now, origin, state);
+                self.open_call(now, origin, state);
             }
-            _ => self.read(now, origin, ReadThen::Job { id: id.into() }),
+            _ => self.read(now, origin, ReadQuery::Job { id: id.into() }),
         }
     }
 
     pub(super) fn jobs_response(&self, query: &str) -> Response {
         let limit = param(query, "limit").map_or(Ok(DEFAULT_PAGE), str::parse::<usize>);
-        let Some(limit) = limit.ok().filter(|l| (1..=PAGE).contains(l)) else {
-            let why = format!("limit: give a number from 1 to {PAGE}");
+        let Some(limit) = limit.ok().filter(|limit| (1..=MAX_PAGE).contains(limit)) else {
+            let why = format!("limit: give a number from 1 to {MAX_PAGE}");
             return Response::error(400, "wrongQuery", why);
         };
         let queue = param(query, "queue");
         let after = param(query, "after").unwrap_or("");
         let later_ids = (Bound::Excluded(after), Bound::Unbounded);
         let later = self.state.jobs.range::<str, _>(later_ids);
-        let mut of = later
-            .map(|(_, j)| j)
-            .filter(|j| queue.is_none_or(|q| q == j.spec.queue));
-        let page: Vec<Value> = of
+        let mut matching = later
+            .map(|(_, job)| job)
+            .filter(|job| queue.is_none_or(|queue| queue == job.spec.queue));
+        let page: Vec<Value> = matching
             .by_ref()
             .take(limit)
-            .map(|j| json!({"id": j.spec.id, "queue": j.spec.queue, "state": j.state, "accepted": j.accepted, "ended": j.ended}))
+            .map(|job| json!({"id": job.spec.id, "queue": job.spec.queue, "state": job.state, "accepted": job.accepted, "ended": job.ended}))
             .collect();
-        let next = of.next().and(page.last().map(|l| l["id"].clone()));
+        // Where there are more, the last id of this page is where the next one begins.
+        let is_last_page = matching.next().is_none();
+        let next = match page.last() {
+            Some(last) if !is_last_page => Some(last["id"].clone()),
+            _ => None,
+        };
         Response::new(200, json!({"jobs": page, "next": next}))
     }
 
     pub(super) fn cancel(&mut self, now: Now, origin: Origin, id: &str) {
         let command = Command::CancelJob { job: id.into() };
-        self.open_with_proposal(now, origin, &command, Then::Cancelled { id: id.into() });
+        self.open_with_proposal(
+            now,
+            origin,
+            &command,
+            ProposedCall::CancelJob { id: id.into() },
+        );
     }
 
-    pub(super) fn cancelled_response(&mut self, id: &str, ruled: ApplyResult) -> Response {
-        match ruled {
-            Ok(v) => Response::new(200, json!({"id": id, "state": v["state"]})),
-            Err(refusal) => Response::error(404, "unknownJob", refusal.to_string()),
+    pub(super) fn cancelled_response(&mut self, id: &str, result: ApplyResult) -> Response {
+        match result {
+            Ok(told) => Response::new(200, json!({"id": id, "state": told["state"]})),
+            Err(rejection) => Response::error(404, "unknownJob", rejection.to_string()),
         }
     }
 
     pub(super) fn resolve(&mut self, now: Now, origin: Origin, id: &str, task: &str, body: &[u8]) {
-        let told: Value = serde_json::from_slice(body).unwrap_or_default();
-        let succeeded = match told["outcome"].as_str() {
+        let body: Value = serde_json::from_slice(body).unwrap_or_default();
+        let succeeded = match body["outcome"].as_str() {
             Some("well") => true,
             Some("defect") => false,
             _ => {
@@ -207,6 +243,11 @@
             task: task.into(),
             succeeded,
         };
-        self.open_with_proposal(now, origin, &command, Then::Resolved { id: id.into() });
+        self.open_with_proposal(
+            now,
+            origin,
+            &command,
+            ProposedCall::ResolveAttempt { id: id.into() },
+        );
     }
 }
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -1,110 +1,117 @@
-//! Calls over HTTP, each with its origin; any node takes any call.
+//! Calls over HTTP. Any node takes any call; one that it can't answer itself it forwards.
+//!
+//! - `jobs`, `routed_jobs`, `config`, `heartbeats` and `status` serve the routes,
+//! - `read` answers reads that must not be stale,
+//! - `forward` passes calls to other nodes.
 
-mod at;
 mod config;
+mod forward;
 mod heartbeats;
 mod jobs;
-mod pass;
 mod read;
+mod routed_jobs;
 mod status;
 
+use super::propose::Purpose;
 use super::Node;
-use crate::node::propose::Purpose;
 use crate::sans_io::{Effect, Now, Part, Request, Response};
 use crate::state::{ApplyResult, Command, Rejection};
 use crate::wire::{Body, ForwardResponse, NodeProgress, RequestToken};
-use read::ReadThen;
+use read::ReadQuery;
 use serde_json::json;
 use std::collections::BTreeMap;
 
 /// Where a call came from, and where its response goes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Origin {
+    /// A caller of this process: the call's number.
     Local(u64),
-    /// Another node passed it on: its address and token.
+    /// Another node forwarded it: its address and token.
     Remote(String, RequestToken),
 }
 
-/// What is done once the replica has ruled on a proposal.
+/// What a call has proposed, which decides the response once it is applied or rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Then {
-    Accepted { id: String },
-    Cancelled { id: String },
-    Configured { change: String },
-    Resolved { id: String },
-    Emptied,
+pub enum ProposedCall {
+    AcceptJob { id: String },
+    CancelJob { id: String },
+    UpdateConfig { change: String },
+    ResolveAttempt { id: String },
+    SetEvacuation,
 }
 
-enum State {
-    /// Waits for a result of the cluster state.
+/// What an open call waits for.
+enum CallState {
+    /// For the result of its proposal.
     ProposalPending,
-    /// Asked replicas how far the cluster state goes, one after the other; the next is asked at `next`.
-    Asked {
-        then: ReadThen,
-        next: u64,
+    /// For a replica to name the read index; the next replica is asked at `retry_at`.
+    ReadIndexPending {
+        query: ReadQuery,
+        retry_at: u64,
+        /// The replicas asked so far, by attempt.
         asked: Vec<String>,
     },
-    /// Waits until the watch has come to a place.
-    Following {
-        then: ReadThen,
-        log_index: u64,
+    /// For the watch to reach the read index.
+    CatchingUp {
+        query: ReadQuery,
+        read_index: u64,
         nodes: Vec<NodeProgress>,
     },
-    /// Waits until the watch has told all that was committed when the question came; after `patience` it tells what it knows.
-    Fresh {
+    /// For the watch to be as new as the call; at `answer_by` it is answered with what is known by then.
+    PollPending {
         id: String,
-        asked: u64,
-        patience: u64,
+        received_at: u64,
+        answer_by: u64,
     },
-    /// Passed on to another node, once.
+    /// For the node that it was forwarded to.
     Forwarded { to: String },
 }
 
-struct Open {
+/// A call that is not answered yet.
+struct OpenCall {
     origin: Origin,
-    until: u64,
-    state: State,
+    deadline: u64,
+    state: CallState,
 }
 
-/// The calls under way.
+/// The calls that are not answered yet, by number.
 #[derive(Default)]
 pub struct Calls {
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenCall>,
 }
 
 impl Calls {
-    /// How many calls are under way.
+    /// How many calls are open.
     pub fn len(&self) -> usize {
         self.open.len()
     }
-    /// Whether no call is under way.
-    pub fn idle(&self) -> bool {
+
+    /// Whether no call is open.
+    pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 }
 
-/// One value of a query.
+/// The value of a parameter of a query.
 fn param<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    query
-        .split('&')
-        .filter_map(|kv| kv.split_once('='))
-        .find(|(k, _)| *k == name)
-        .map(|(_, v)| v)
+    let mut params = query.split('&').filter_map(|param| param.split_once('='));
+    let (_, value) = params.find(|(key, _)| *key == name)?;
+    Some(value)
 }
 
-/// Whether a call asks what a light copy of the cluster state does not know.
-fn about_jobs(method: &str, parts: &[&str]) -> bool {
+/// Whether a call reads what a light copy of the cluster state does not have.
+fn reads_jobs(method: &str, parts: &[&str]) -> bool {
     method == "GET" && matches!(parts, ["v1", "jobs" | "status" | "workers", ..])
 }
 
-/// Whether a call counts towards the limit on calls: probes and heartbeats are always taken.
+/// Whether a call counts towards the limit on open calls: probes and heartbeats are always taken.
 fn is_limited(parts: &[&str]) -> bool {
     let is_probe = parts.first() != Some(&"v1");
     !is_probe && parts != ["v1", "beats"]
 }
 
-/// Whether a route is served, if by another method.
-fn is_route(parts: &[&str]) -> bool {
+/// Whether a route is served, even if only by other methods.
+fn is_known_route(parts: &[&str]) -> bool {
     matches!(
         parts,
         [
@@ -116,62 +123,69 @@
 }
 
 impl Node {
-    pub(super) fn on_call(&mut self, now: Now, origin: Origin, req: Request) {
+    pub(super) fn on_call(&mut self, now: Now, origin: Origin, request: Request) {
         self.count("calls", 1);
-        let path = req.path.trim_end_matches('/').to_string();
-        let parts: Vec<&str> = path.split('/').filter(|p| !p.is_empty()).collect();
+        let path = request.path.trim_end_matches('/').to_string();
+        let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
         if is_limited(&parts) && self.calls.len() as u64 >= self.settings.limits.calls {
-            return self.turn_away(&origin);
+            return self.reject_busy(&origin);
         }
-        if self.light && about_jobs(&req.method, &parts) {
-            return self.forward_to_holder(now, origin, &req);
+        if self.light && reads_jobs(&request.method, &parts) {
+            return self.forward_to_any_holder(now, origin, &request);
         }
-        self.route(now, origin, req, &parts);
+        self.route(now, origin, request, &parts);
     }
 
-    fn turn_away(&mut self, origin: &Origin) {
+    /// Answers a call for which this node has no capacity.
+    fn reject_busy(&mut self, origin: &Origin) {
         self.count("calls_rejected", 1);
         let why = "this node works on as many calls as it may and took nothing of this one: come back later, or go to another node";
-        let v = Response::error(503, "busy", why).retry(self.settings.bounds.back());
-        self.reply(origin, v);
+        let response = Response::error(503, "busy", why).retry(self.settings.bounds.back());
+        self.reply(origin, response);
     }
 
-    fn route(&mut self, now: Now, origin: Origin, req: Request, parts: &[&str]) {
-        match (req.method.as_str(), parts) {
+    fn route(&mut self, now: Now, origin: Origin, request: Request, parts: &[&str]) {
+        match (request.method.as_str(), parts) {
             ("GET", ["live"]) => self.reply(&origin, Response::new(200, json!({"live": true}))),
             ("GET", ["ready"]) => {
-                let v = self.ready_response(now);
-                self.reply(&origin, v);
+                let response = self.ready_response(now);
+                self.reply(&origin, response);
             }
             ("GET", ["metrics"]) => {
-                let v = self.metrics();
-                self.reply(&origin, v);
+                let response = self.metrics();
+                self.reply(&origin, response);
             }
-            ("POST", ["v1", "jobs"]) => self.submit(now, origin, &req.body),
-            ("GET", ["v1", "jobs"]) => self.read(now, origin, ReadThen::Jobs { query: req.query }),
+            ("POST", ["v1", "jobs"]) => self.submit(now, origin, &request.body),
+            ("GET", ["v1", "jobs"]) => self.read(
+                now,
+                origin,
+                ReadQuery::Jobs {
+                    query: request.query,
+                },
+            ),
             ("GET", ["v1", "jobs", id]) => self.poll(now, origin, id),
             ("DELETE", ["v1", "jobs", id]) | ("POST", ["v1", "jobs", id, "cancel"]) => {
                 self.cancel(now, origin, id)
             }
             ("POST", ["v1", "jobs", id, "tasks", task, "resolve"]) => {
-                self.resolve(now, origin, id, task, &req.body)
+                self.resolve(now, origin, id, task, &request.body)
             }
-            ("GET", ["v1", "desired"]) => self.read(now, origin, ReadThen::ClusterConfig),
-            ("PUT", ["v1", "desired"]) => self.configure(now, origin, &req, false),
-            ("PATCH", ["v1", "desired"]) => self.configure(now, origin, &req, true),
+            ("GET", ["v1", "desired"]) => self.read(now, origin, ReadQuery::ClusterConfig),
+            ("PUT", ["v1", "desired"]) => self.configure(now, origin, &request, false),
+            ("PATCH", ["v1", "desired"]) => self.configure(now, origin, &request, true),
             ("GET", ["v1", "changes", id]) => {
                 let id = id.to_string();
-                self.read(now, origin, ReadThen::Change { id });
+                self.read(now, origin, ReadQuery::Change { id });
             }
-            ("GET", ["v1", "status"]) => self.read(now, origin, ReadThen::Status),
-            ("GET", ["v1", "workers"]) => self.read(now, origin, ReadThen::Workers),
-            (_, ["v1", "at", ..]) => self.on_routed(now, origin, &req),
+            ("GET", ["v1", "status"]) => self.read(now, origin, ReadQuery::Status),
+            ("GET", ["v1", "workers"]) => self.read(now, origin, ReadQuery::Workers),
+            (_, ["v1", "at", ..]) => self.on_routed(now, origin, &request),
             ("PUT", ["v1", "zones", zone, "empty"]) => self.evacuate_zone(now, origin, zone, true),
             ("DELETE", ["v1", "zones", zone, "empty"]) => {
                 self.evacuate_zone(now, origin, zone, false)
             }
-            ("POST", ["v1", "workers", id, "left"]) => self.on_left(now, origin, id, &req),
-            ("POST", ["v1", "beats"]) => self.on_heartbeat(now, origin, req),
+            ("POST", ["v1", "workers", id, "left"]) => self.on_left(now, origin, id, &request),
+            ("POST", ["v1", "beats"]) => self.on_heartbeat(now, origin, request),
             (method, parts) => self.reply(&origin, not_served(method, parts)),
         }
     }
@@ -183,112 +197,139 @@
         Response::new(status, body)
     }
 
-    pub(super) fn reply(&mut self, origin: &Origin, v: Response) {
+    /// Sends a response to where its call came from.
+    pub(super) fn reply(&mut self, origin: &Origin, response: Response) {
         match origin {
-            Origin::Local(call) => self.out.push(Effect::Answer(*call, v)),
+            Origin::Local(call) => self.out.push(Effect::Answer(*call, response)),
             Origin::Remote(to, token) => {
-                let body = serde_json::to_vec(&v.body).unwrap_or_default();
-                let m = ForwardResponse {
+                let by = if response.by.is_empty() {
+                    self.name.clone()
+                } else {
+                    response.by
+                };
+                let forwarded = ForwardResponse {
                     token: *token,
-                    status: v.status,
-                    retry_ms: v.retry_ms,
-                    body,
-                    by: if v.by.is_empty() {
-                        self.name.clone()
-                    } else {
-                        v.by
-                    },
+                    status: response.status,
+                    retry_ms: response.retry_ms,
+                    body: serde_json::to_vec(&response.body).unwrap_or_default(),
+                    by,
                 };
-                self.send(&to.clone(), Body::ForwardResponse(Box::new(m)));
+                self.send(to, Body::ForwardResponse(Box::new(forwarded)));
             }
         }
     }
 
-    /// Opens a call that can't be answered at once.
-    fn open(&mut self, now: Now, origin: Origin, state: State) -> u64 {
+    /// Opens a call that can't be answered at once; returns its number.
+    fn open_call(&mut self, now: Now, origin: Origin, state: CallState) -> u64 {
         let call = self.token();
-        let until = now.mono + self.settings.bounds.call();
-        let open = Open {
+        let open_call = OpenCall {
             origin,
-            until,
+            deadline: now.mono + self.settings.bounds.call(),
             state,
         };
-        self.calls.open.insert(call, open);
+        self.calls.open.insert(call, open_call);
         call
     }
 
-    /// Opens a call whose response is what the cluster state makes of a command.
-    fn open_with_proposal(&mut self, now: Now, origin: Origin, command: &Command, then: Then) {
+    /// Opens a call that is answered with the result of a proposal.
+    fn open_with_proposal(
+        &mut self,
+        now: Now,
+        origin: Origin,
+        command: &Command,
+        proposed: ProposedCall,
+    ) {
         let within = self.settings.bounds.call();
-        let call = self.open(now, origin, State::ProposalPending);
-        self.propose(now, command, Purpose::Call(call, then), within);
+        let call = self.open_call(now, origin, CallState::ProposalPending);
+        self.propose(now, command, Purpose::Call(call, proposed), within);
     }
 
-    pub(super) fn finish(&mut self, call: u64, v: Response) {
-        if let Some(o) = self.calls.open.remove(&call) {
-            self.reply(&o.origin, v);
+    /// Answers an open call.
+    pub(super) fn finish(&mut self, call: u64, response: Response) {
+        if let Some(open_call) = self.calls.open.remove(&call) {
+            self.reply(&open_call.origin, response);
         }
     }
 
     pub(super) fn calls_tick(&mut self, now: Now) {
-        self.answer_fresh(now);
-        let over = |o: &Open| now.mono >= o.until && !matches!(o.state, State::ProposalPending);
-        for call in self.calls_that(over) {
-            let v = self.overdue_response(call);
-            self.finish(call, v);
+        self.answer_due_polls(now);
+        // A call that waits for a proposal ends with the proposal.
+        let is_overdue = |open_call: &OpenCall| {
+            let proposed = matches!(open_call.state, CallState::ProposalPending);
+            now.mono >= open_call.deadline && !proposed
+        };
+        for call in self.calls_that(is_overdue) {
+            let response = self.overdue_response(call);
+            self.finish(call, response);
         }
-        let to_ask = |o: &Open| matches!(&o.state, State::Asked { next, .. } if now.mono >= *next);
-        for call in self.calls_that(to_ask) {
-            self.ask_place(now, call, None);
+        let must_retry = |open_call: &OpenCall| match open_call.state {
+            CallState::ReadIndexPending { retry_at, .. } => now.mono >= retry_at,
+            _ => false,
+        };
+        for call in self.calls_that(must_retry) {
+            self.send_read_index(now, call, None);
         }
     }
 
-    /// The open calls of which something is true.
-    fn calls_that(&self, is_meant: impl Fn(&Open) -> bool) -> Vec<u64> {
-        let open = self.calls.open.iter();
-        let meant = open.filter(|(_, o)| is_meant(o));
-        meant.map(|(call, _)| *call).collect()
+    /// The open calls that meet a condition.
+    fn calls_that(&self, condition: impl Fn(&OpenCall) -> bool) -> Vec<u64> {
+        let mut calls = Vec::new();
+        for (call, open_call) in &self.calls.open {
+            if condition(open_call) {
+                calls.push(*call);
+            }
+        }
+        calls
     }
 
-    /// What is told of a call that could not be answered in time: one that was passed on may have been taken.
+    /// The response to a call that could not be answered in time: one that was forwarded may have had its effect.
     fn overdue_response(&self, call: u64) -> Response {
-        let open = self.calls.open.get(&call);
-        if open.is_some_and(|o| matches!(o.state, State::Forwarded { .. })) {
+        let open_call = self.calls.open.get(&call);
+        let state = open_call.map(|open_call| &open_call.state);
+        if let Some(CallState::Forwarded { .. }) = state {
             return self.unsure_response();
         }
         let why = "no core answered in time, so nothing sure can be said: come back later";
         Response::error(503, "noCore", why).retry(self.settings.bounds.back())
     }
 
-    /// The cluster state has ruled on what a call proposed.
-    pub(super) fn call_ruled(&mut self, call: u64, then: Then, ruled: ApplyResult) {
-        let v = match then {
-            // An earlier copy may have been taken.
-            _ if ruled == Err(Rejection::DeadlinePassed) => self.unsure_response(),
-            Then::Accepted { id } => self.accepted_response(&id, ruled),
-            Then::Cancelled { id } => self.cancelled_response(&id, ruled),
-            Then::Configured { change } => self.configured_response(&change, ruled),
-            Then::Emptied => match ruled {
-                Ok(told) => Response::new(200, told),
-                Err(refusal) => refused_response(&refusal),
+    /// The cluster state has applied what a call proposed, or has rejected it.
+    pub(super) fn on_call_applied(
+        &mut self,
+        call: u64,
+        proposed: ProposedCall,
+        result: ApplyResult,
+    ) {
+        if result == Err(Rejection::DeadlinePassed) {
+            // An earlier copy of the proposal may have been applied.
+            let response = self.unsure_response();
+            return self.finish(call, response);
+        }
+        let response = match proposed {
+            ProposedCall::AcceptJob { id } => self.accepted_response(&id, result),
+            ProposedCall::CancelJob { id } => self.cancelled_response(&id, result),
+            ProposedCall::UpdateConfig { change } => self.configured_response(&change, result),
+            ProposedCall::SetEvacuation => match result {
+                Ok(body) => Response::new(200, body),
+                Err(rejection) => rejected_response(&rejection),
             },
-            Then::Resolved { id } => match ruled {
+            ProposedCall::ResolveAttempt { id } => match result {
                 Ok(_) => Response::new(200, json!({"id": id, "resolved": true})),
-                Err(refusal) => refused_response(&refusal),
+                Err(rejection) => rejected_response(&rejection),
             },
         };
-        self.finish(call, v);
+        self.finish(call, response);
     }
 }
 
-/// What is told of a command that the cluster state has refused, where the refusal has no answer of its own.
-fn refused_response(refusal: &Rejection) -> Response {
-    Response::error(409, "refused", refusal.to_string())
+/// The response to a call whose command the cluster state has rejected, where the rejection has none of its own.
+fn rejected_response(rejection: &Rejection) -> Response {
+    Response::error(409, "refused", rejection.to_string())
 }
 
-/// The answer to a call that no route takes.
+/// The response to a call that no route takes.
 fn not_served(method: &str, parts: &[&str]) -> Response {
-    if is_route(parts) {
+    if is_known_route(parts) {
         let why = format!(
             "{method} is not served here: docs/operators/api.md lists the methods of each route"
         );
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -1,14 +1,17 @@
-//! Reads that are surely not old: a replica names the place to follow to, or the watch is as new as the question.
+//! Linearizable reads: a replica names the read index to catch up to, or the watch is at least as new as the call.
 
-use super::{Open, Origin, State};
+use super::{CallState, OpenCall, Origin};
 use crate::node::Node;
 use crate::sans_io::{Now, Response};
 use crate::wire::{Body, NodeProgress, ReadIndexRequest, ReadIndexResponse};
 use serde_json::json;
 
-/// What is done once this node has followed to a place that the replica named.
+/// A replica that has not answered after so many heartbeats is asked again, or another is.
+const RETRY_HEARTBEATS: u64 = 5;
+
+/// What a call reads once this node has caught up to the read index.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum ReadThen {
+pub(super) enum ReadQuery {
     Job { id: String },
     Jobs { query: String },
     ClusterConfig,
@@ -17,30 +20,30 @@
     Workers,
 }
 
-/// A read that can be answered: the watch has come to the place that the replica named.
+/// A read that can be answered: this node has caught up to its read index.
 struct ReadyRead {
     call: u64,
-    then: ReadThen,
+    query: ReadQuery,
     nodes: Vec<NodeProgress>,
 }
 
-/// A question after a job that is answered now; `stale` says that the watch may not have told all of it.
+/// A call for a job's state that is answered now; `stale` says that the state may be newer than this node knows.
 struct DuePoll {
     call: u64,
     id: String,
     stale: bool,
 }
 
-impl State {
-    fn ready_read(&self, call: u64, followed: u64) -> Option<ReadyRead> {
+impl CallState {
+    fn ready_read(&self, call: u64, applied_index: u64) -> Option<ReadyRead> {
         match self {
-            Self::Following {
-                then,
-                log_index,
+            Self::CatchingUp {
+                query,
+                read_index,
                 nodes,
-            } if *log_index <= followed => Some(ReadyRead {
+            } if *read_index <= applied_index => Some(ReadyRead {
                 call,
-                then: then.clone(),
+                query: query.clone(),
                 nodes: nodes.clone(),
             }),
             _ => None,
@@ -48,16 +51,16 @@
     }
 
     fn due_poll(&self, call: u64, fresh_at: u64, now: Now) -> Option<DuePoll> {
-        let Self::Fresh {
+        let Self::PollPending {
             id,
-            asked,
-            patience,
+            received_at,
+            answer_by,
         } = self
         else {
             return None;
         };
-        let stale = fresh_at < *asked;
-        let due = !stale || now.mono >= *patience;
+        let stale = fresh_at < *received_at;
+        let due = !stale || now.mono >= *answer_by;
         due.then(|| DuePoll {
             call,
             id: id.clone(),
@@ -66,119 +69,131 @@
     }
 }
 
-/// A replica that gives no answer is asked again, or another is, after so many heartbeats.
-const ASK_AGAIN_HEARTBEATS: u64 = 5;
-
 impl Node {
-    /// Reads what is surely not old: the replica names the place to follow to.
-    pub(super) fn read(&mut self, now: Now, origin: Origin, then: ReadThen) {
-        let call = self.open(
-            now,
-            origin,
-            State::Asked {
-                then,
-                next: now.mono,
-                asked: Vec::new(),
-            },
-        );
-        self.ask_place(now, call, None);
+    /// Answers a call with what the cluster state has, or something newer, at the time of the call.
+    pub(super) fn read(&mut self, now: Now, origin: Origin, query: ReadQuery) {
+        let state = CallState::ReadIndexPending {
+            query,
+            retry_at: now.mono,
+            asked: Vec::new(),
+        };
+        let call = self.open_call(now, origin, state);
+        self.send_read_index(now, call, None);
     }
 
-    pub(super) fn ask_place(&mut self, now: Now, call: u64, hint: Option<String>) {
-        let replicas = self.replicas();
-        let leader = Some(self.watch.leader.clone()).filter(|l| !l.is_empty());
-        let to = hint
-            .filter(|h| !h.is_empty())
-            .or(leader)
-            .or_else(|| self.rng.pick(&replicas).cloned())
-            .unwrap_or_default();
-        let again = ASK_AGAIN_HEARTBEATS * self.settings.bounds.heartbeat();
-        if let Some(Open {
-            state: State::Asked { next, asked, .. },
+    /// Asks a replica for the read index; `leader_hint` is the leader that a replica has just named.
+    pub(super) fn send_read_index(&mut self, now: Now, call: u64, leader_hint: Option<String>) {
+        let to = self.replica_to_ask(leader_hint);
+        let retry_after = RETRY_HEARTBEATS * self.settings.bounds.heartbeat();
+        let open_call = self.calls.open.get_mut(&call);
+        let Some(OpenCall {
+            state: CallState::ReadIndexPending {
+                retry_at, asked, ..
+            },
             ..
-        }) = self.calls.open.get_mut(&call)
-        {
-            *next = now.mono + again;
-            let attempt = asked.len();
-            asked.push(to.clone());
-            let token = self.request_token(call, attempt);
-            self.send(
-                &to,
-                Body::ReadIndexRequest(Box::new(ReadIndexRequest { token })),
-            );
+        }) = open_call
+        else {
+            return;
+        };
+        *retry_at = now.mono + retry_after;
+        let attempt = asked.len();
+        asked.push(to.clone());
+        let token = self.request_token(call, attempt);
+        let request = ReadIndexRequest { token };
+        self.send(&to, Body::ReadIndexRequest(Box::new(request)));
+    }
+
+    /// The leader that was named, else the one that the watch knows, else any replica.
+    fn replica_to_ask(&mut self, leader_hint: Option<String>) -> String {
+        if let Some(named) = leader_hint.filter(|named| !named.is_empty()) {
+            return named;
         }
+        if !self.watch.leader.is_empty() {
+            return self.watch.leader.clone();
+        }
+        let replicas = self.replicas();
+        self.rng.pick(&replicas).cloned().unwrap_or_default()
     }
 
-    pub(in crate::node) fn on_read_place(&mut self, now: Now, from: &str, m: ReadIndexResponse) {
-        let call = m.token.number;
-        let Some(o) = self.calls.open.get_mut(&call) else {
+    pub(in crate::node) fn on_read_index_response(
+        &mut self,
+        now: Now,
+        from: &str,
+        response: ReadIndexResponse,
+    ) {
+        let call = response.token.number;
+        let Some(open_call) = self.calls.open.get_mut(&call) else {
             return;
         };
-        let State::Asked { then, next, asked } = &mut o.state else {
+        let CallState::ReadIndexPending {
+            query,
+            retry_at,
+            asked,
+        } = &mut open_call.state
+        else {
             return;
         };
-        let attempt = m.token.attempt as usize;
-        if asked.get(attempt).is_none_or(|to| to != from) {
+        let attempt = response.token.attempt as usize;
+        if asked.get(attempt).is_none_or(|replica| replica != from) {
             return self.count("responses_unexpected", 1);
         }
-        if m.ok {
-            o.state = State::Following {
-                then: then.clone(),
-                log_index: m.log_index,
-                nodes: m.nodes,
+        if response.ok {
+            open_call.state = CallState::CatchingUp {
+                query: query.clone(),
+                read_index: response.log_index,
+                nodes: response.nodes,
             };
-            return self.calls_on_place();
+            return self.answer_ready_reads();
         }
-        *next = now.mono + self.settings.bounds.heartbeat() / 2;
-        if !m.leader.is_empty() && m.leader != self.watch.leader {
-            return self.ask_place(now, call, Some(m.leader));
+        *retry_at = now.mono + self.settings.bounds.heartbeat() / 2;
+        if !response.leader.is_empty() && response.leader != self.watch.leader {
+            return self.send_read_index(now, call, Some(response.leader));
         }
+        // The process that was asked does not lead and knows no better: another one is asked next.
         let replicas = self.replicas();
         self.watch.leader = self.rng.pick(&replicas).cloned().unwrap_or_default();
     }
 
-    pub(in crate::node) fn calls_on_place(&mut self) {
-        let log_index = self.state.applied_index;
-        let open = self.calls.open.iter();
-        let ready: Vec<ReadyRead> = open
-            .filter_map(|(call, o)| o.state.ready_read(*call, log_index))
-            .collect();
+    /// Answers the reads whose read index this node has caught up to.
+    pub(in crate::node) fn answer_ready_reads(&mut self) {
+        let applied_index = self.state.applied_index;
+        let mut ready = Vec::new();
+        for (call, open_call) in &self.calls.open {
+            ready.extend(open_call.state.ready_read(*call, applied_index));
+        }
         for read in ready {
-            let v = self.answer_read(&read.then, &read.nodes);
-            self.finish(read.call, v);
+            let response = self.read_response(&read.query, &read.nodes);
+            self.finish(read.call, response);
         }
     }
 
-    fn answer_read(&self, then: &ReadThen, nodes: &[NodeProgress]) -> Response {
-        match then {
-            ReadThen::Job { id } => self.job_response(id, false).unwrap_or_else(|| {
-                Response::error(
-                    404,
-                    "unknownJob",
-                    format!("no job '{id}' was accepted: hand it in, or check the id"),
-                )
+    fn read_response(&self, query: &ReadQuery, nodes: &[NodeProgress]) -> Response {
+        match query {
+            ReadQuery::Job { id } => self.job_response(id, false).unwrap_or_else(|| {
+                let why = format!("no job '{id}' was accepted: hand it in, or check the id");
+                Response::error(404, "unknownJob", why)
             }),
-            ReadThen::Jobs { query } => self.jobs_response(query),
-            ReadThen::ClusterConfig => Response::new(
+            ReadQuery::Jobs { query } => self.jobs_response(query),
+            ReadQuery::ClusterConfig => Response::new(
                 200,
                 json!({"version": self.state.version, "desired": self.state.config}),
             ),
-            ReadThen::Change { id } => self.change_response(id, nodes),
-            ReadThen::Status => self.status_response(nodes),
-            ReadThen::Workers => self.workers_response(),
+            ReadQuery::Change { id } => self.change_response(id, nodes),
+            ReadQuery::Status => self.status_response(nodes),
+            ReadQuery::Workers => self.workers_response(),
         }
     }
 
-    /// Answers questions after jobs that the watch is now fresh enough for, or that have waited long enough.
-    pub(in crate::node) fn answer_fresh(&mut self, now: Now) {
+    /// Answers the calls for a job's state that the watch is now new enough for, or that have waited long enough.
+    pub(in crate::node) fn answer_due_polls(&mut self, now: Now) {
         let fresh_at = self.watch.fresh_at;
-        let open = self.calls.open.iter();
-        let due: Vec<DuePoll> = open
-            .filter_map(|(call, o)| o.state.due_poll(*call, fresh_at, now))
-            .collect();
+        let mut due = Vec::new();
+        for (call, open_call) in &self.calls.open {
+            due.extend(open_call.state.due_poll(*call, fresh_at, now));
+        }
         for poll in due {
-            if let Some(v) = self.job_response(&poll.id, poll.stale) {
-                self.finish(poll.call, v);
+            if let Some(response) = self.job_response(&poll.id, poll.stale) {
+                self.finish(poll.call, response);
             }
         }
     }
--- /dev/null
+++ b/landingdrift/src/node/calls/routed_jobs.rs
@@ -0,0 +1,90 @@
+//! Jobs that are submitted by host and path: they go to the queue with that host and the longest matching prefix.
+
+use super::Origin;
+use crate::config::Queue;
+use crate::node::Node;
+use crate::sans_io::{Now, Request, Response};
+use crate::state::{JobSpec, JobState};
+use serde_json::json;
+
+/// The prefix of these calls; the host and path follow.
+const ROUTED_PREFIX: &str = "/v1/at/";
+
+impl Node {
+    /// The queue that a host and path belong to, with its name: the one of the longest prefix.
+    fn routed(&self, host: &str, path: &str) -> Option<(&str, &Queue)> {
+        let host = host.split(':').next().unwrap_or_default();
+        let is_match = |queue: &Queue| {
+            let of_host = !queue.prefix.is_empty() && queue.host.eq_ignore_ascii_case(host);
+            of_host && path.starts_with(&queue.prefix)
+        };
+        let queues = self.state.config.queues.iter();
+        let (name, queue) = queues
+            .filter(|(_, queue)| is_match(queue))
+            .max_by_key(|(_, queue)| queue.prefix.len())?;
+        Some((name, queue))
+    }
+
+    /// Serves a call by host and path.
+    pub(super) fn on_routed(&mut self, now: Now, origin: Origin, request: &Request) {
+        let rest = request.path.strip_prefix(ROUTED_PREFIX).unwrap_or_default();
+        let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
+        if !self.fresh(now) || self.state.version == 0 {
+            let response = Response::error(503, "notReady", "this node has no configuration that is new enough, and took nothing: come back later, or go to another node");
+            return self.reply(&origin, response.retry(self.settings.bounds.back()));
+        }
+        let Some((queue_name, queue)) = self.routed(host, path) else {
+            let response = Response::error(
+                404,
+                "noSuchQueue",
+                "no queue has this host and path: declare one, or correct the call",
+            );
+            return self.reply(&origin, response);
+        };
+        let queue_name = queue_name.to_string();
+        let service = queue.service.clone();
+        let id = path[queue.prefix.len()..].trim_matches('/').to_string();
+        if self.light && request.method == "GET" {
+            return self.forward_to_any_holder(now, origin, request);
+        }
+        match (request.method.as_str(), id.as_str()) {
+            ("GET", "") => {
+                let waiting = self.waiting(&queue_name);
+                self.reply(&origin, Response::new(200, json!({"waiting": waiting})));
+            }
+            ("POST", _) => match routed_spec(&request.body, id, queue_name, &service) {
+                Ok(spec) => self.submit_spec(now, origin, spec),
+                Err(response) => self.reply(&origin, response),
+            },
+            ("GET", id) => self.poll(now, origin, id),
+            ("DELETE", id) => self.cancel(now, origin, id),
+            _ => {
+                let why = "POST hands a job in, GET tells its state, DELETE cancels it";
+                self.reply(&origin, Response::error(405, "wrongMethod", why));
+            }
+        }
+    }
+
+    /// How many jobs of a queue have not started.
+    fn waiting(&self, queue: &str) -> usize {
+        let open = self.state.open.iter();
+        let jobs = open.filter_map(|id| self.state.jobs.get(id));
+        jobs.filter(|job| job.spec.queue == queue && job.state == JobState::Waiting)
+            .count()
+    }
+}
+
+/// The job that a body specifies; its id, queue and service come from the route.
+fn routed_spec(body: &[u8], id: String, queue: String, service: &str) -> Result<JobSpec, Response> {
+    let mut spec: JobSpec = serde_json::from_slice(body)
+        .map_err(|error| Response::error(400, "wrongJob", error.to_string()))?;
+    spec.id = id;
+    spec.queue = queue;
+    for step in &mut spec.steps {
+        step.task.service = service.to_string();
+    }
+    for task in &mut spec.tasks {
+        task.service = service.to_string();
+    }
+    Ok(spec)
+}
--- a/landingdrift/src/node/calls/status.rs
+++ b/landingdrift/src/node/calls/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the whole system, as this node's record has it.
+//! The status of the cluster as operators see it, from this node's copy of the cluster state.
 
 use crate::config::{Queue, Zone};
 use crate::node::Node;
@@ -8,27 +8,28 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// So many of the latest changes are told of.
-const CHANGES: usize = 20;
+/// How many of the latest changes the status shows.
+const MAX_CHANGES: usize = 20;
 
 impl Node {
     pub(super) fn status_response(&self, nodes: &[NodeProgress]) -> Response {
-        let r = &self.state;
-        let queues = r.config.queues.iter();
-        let queues: BTreeMap<&String, Value> =
-            queues.map(|(k, q)| (k, queue_status(r, k, q))).collect();
-        let zones = r.config.zones.iter();
-        let zones: BTreeMap<&String, Value> =
-            zones.map(|(k, z)| (k, zone_status(r, k, z))).collect();
+        let state = &self.state;
+        let queues = state.config.queues.iter();
+        let queues: BTreeMap<&String, Value> = queues
+            .map(|(name, queue)| (name, queue_status(state, name, queue)))
+            .collect();
+        let zones = state.config.zones.iter();
+        let zones: BTreeMap<&String, Value> = zones
+            .map(|(name, zone)| (name, zone_status(state, name, zone)))
+            .collect();
         let nodes_status: Vec<Value> = nodes.iter().map(node_status).collect();
-        let latest = r.changes.iter().rev().take(CHANGES);
-        let changes: Vec<Value> = latest.map(|c| change_status(c, nodes)).collect();
-        let jobs =
-            json!({"open": r.open.len(), "kept": r.jobs.len(), "unsureSends": unsure_sends(r)});
+        let latest = state.changes.iter().rev().take(MAX_CHANGES);
+        let changes: Vec<Value> = latest.map(|change| change_status(change, nodes)).collect();
+        let jobs = json!({"open": state.open.len(), "kept": state.jobs.len(), "unsureSends": unsure_attempts(state)});
         Response::new(
             200,
-            json!({"cluster": r.cluster, "place": r.applied_index, "at": r.at, "version": r.version, "jobs": jobs,
-                   "queues": queues, "zones": zones, "nodes": nodes_status, "cores": r.replicas, "grants": r.leases, "changes": changes}),
+            json!({"cluster": state.cluster, "place": state.applied_index, "at": state.at, "version": state.version, "jobs": jobs,
+                   "queues": queues, "zones": zones, "nodes": nodes_status, "cores": state.replicas, "grants": state.leases, "changes": changes}),
         )
     }
 
@@ -39,50 +40,53 @@
     }
 }
 
-fn queue_status(r: &ClusterState, name: &str, queue: &Queue) -> Value {
-    let count_votes = r.queues.get(name).cloned().unwrap_or_default();
-    let is_in_window = |at: u64| at + queue.window_ms >= r.at;
-    let within = count_votes
+fn queue_status(state: &ClusterState, name: &str, queue: &Queue) -> Value {
+    let stats = state.queues.get(name).cloned().unwrap_or_default();
+    let is_in_window = |ended_at: u64| ended_at + queue.window_ms >= state.at;
+    let in_window = stats
         .promises
         .iter()
-        .filter(|(at, _)| is_in_window(*at));
-    let ended = within.clone().count();
-    let missed = within.filter(|(_, kept)| !kept).count();
-    let window = json!({"ended": ended, "missed": missed, "allowancePercent": queue.failure_allowance_percent, "spent": r.allowance_spent(name)});
-    json!({"unfinished": count_votes.unfinished, "running": count_votes.running, "copies": count_votes.copies, "kept": count_votes.kept, "missed": count_votes.missed,
-           "beta": r.beta(name), "window": window, "copiesEver": count_votes.copies_ever, "copiesWon": count_votes.copies_won})
+        .filter(|(ended_at, _)| is_in_window(*ended_at));
+    let ended = in_window.clone().count();
+    let missed = in_window.filter(|(_, kept)| !kept).count();
+    let window = json!({"ended": ended, "missed": missed, "allowancePercent": queue.failure_allowance_percent, "spent": state.allowance_spent(name)});
+    json!({"unfinished": stats.unfinished, "running": stats.running, "copies": stats.copies, "kept": stats.kept, "missed": stats.missed,
+           "beta": state.beta(name), "window": window, "copiesEver": stats.copies_ever, "copiesWon": stats.copies_won})
 }
 
-fn zone_status(r: &ClusterState, name: &str, zone: &Zone) -> Value {
-    let state = if zone.state.is_empty() {
+fn zone_status(state: &ClusterState, name: &str, zone: &Zone) -> Value {
+    let zone_state = if zone.state.is_empty() {
         "serving"
     } else {
         &zone.state
     };
-    let of_zone = |w: &&Worker| w.info.zone == name && !w.lost;
-    let workers: Vec<&Worker> = r.workers.values().filter(of_zone).collect();
-    let running: usize = workers.iter().map(|w| w.attempts.len()).sum();
-    json!({"state": state, "workers": workers.len(), "running": running, "empty": running == 0})
+    let is_counted = |worker: &&Worker| worker.info.zone == name && !worker.lost;
+    let workers: Vec<&Worker> = state.workers.values().filter(is_counted).collect();
+    let running: usize = workers.iter().map(|worker| worker.attempts.len()).sum();
+    json!({"state": zone_state, "workers": workers.len(), "running": running, "empty": running == 0})
 }
 
-fn node_status(n: &NodeProgress) -> Value {
-    json!({"node": n.node, "place": n.log_index, "version": n.version, "silentMs": n.age})
+fn node_status(node: &NodeProgress) -> Value {
+    json!({"node": node.node, "place": node.log_index, "version": node.version, "silentMs": node.age})
 }
 
-fn change_status(c: &Change, nodes: &[NodeProgress]) -> Value {
-    let in_force = nodes.iter().filter(|n| n.log_index >= c.log_index).count();
-    json!({"change": c.change, "version": c.version, "at": c.at, "inForceOn": in_force})
+fn change_status(change: &Change, nodes: &[NodeProgress]) -> Value {
+    let in_force = nodes
+        .iter()
+        .filter(|node| node.log_index >= change.log_index)
+        .count();
+    json!({"change": change.change, "version": change.version, "at": change.at, "inForceOn": in_force})
 }
 
-fn unsure_sends(r: &ClusterState) -> usize {
-    let is_unsure = |no: &&u64| {
-        let attempt = r.attempt(**no);
-        attempt.is_some_and(|(_, _, s)| s.state == AttemptState::Unsure)
+fn unsure_attempts(state: &ClusterState) -> usize {
+    let is_unsure = |number: &&u64| {
+        let known = state.attempt(**number);
+        known.is_some_and(|(_, _, attempt)| attempt.state == AttemptState::Unsure)
     };
-    r.live.keys().filter(is_unsure).count()
+    state.live.keys().filter(is_unsure).count()
 }
 
-fn worker_status(w: &Worker) -> Value {
-    json!({"worker": w.info.worker, "zone": w.info.zone, "service": w.info.service, "labels": w.info.labels, "room": w.info.cpu, "used": w.used.cpu, "memory": w.info.memory, "memoryUsed": w.used.memory,
-           "leaving": w.info.leaving, "lost": w.lost, "onProbation": w.probation > 0, "incarnation": w.info.incarnation, "sends": w.attempts})
+fn worker_status(worker: &Worker) -> Value {
+    json!({"worker": worker.info.worker, "zone": worker.info.zone, "service": worker.info.service, "labels": worker.info.labels, "room": worker.info.cpu, "used": worker.used.cpu, "memory": worker.info.memory, "memoryUsed": worker.used.memory,
+           "leaving": worker.info.leaving, "lost": worker.lost, "onProbation": worker.probation > 0, "incarnation": worker.info.incarnation, "sends": worker.attempts})
 }
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -1,183 +1,270 @@
-//! Gangs are placed whole, in one entry of the cluster state.
+//! Gang scheduling: the tasks of a gang are placed all at once, by one entry of the log.
 
 use super::Node;
-use crate::state::{zone_lease, ClusterState, Job, Placement, Resources, TaskState};
+use crate::state::{zone_lease, ClusterState, Job, Placement, Resources, TaskState, Worker};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The gang that has waited longest beyond its patience, and the workers kept for it.
+/// The gang that has waited longest beyond its patience, and the workers that are kept free for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Claim {
     pub job: String,
     pub workers: BTreeSet<String>,
 }
 
-/// Members of a task's gang that are not done.
-pub fn members(state: &ClusterState, job: &str, task: u32) -> Vec<u32> {
-    state.jobs.get(job).map_or(Vec::new(), |j| {
-        let all = j.gang(task as usize).into_iter();
-        all.filter(|i| j.tasks[*i].state != TaskState::Done)
-            .map(|i| i as u32)
-            .collect()
-    })
+/// A gang that could start if it had workers.
+struct WaitingGang<'a> {
+    waits_since: u64,
+    job: &'a Job,
+    /// Its first member that is not done.
+    leader: u32,
+}
+
+/// A worker that is kept for a claim.
+struct ClaimedWorker {
+    free: Resources,
+    /// How many members of the gang it is kept for.
+    members: u32,
+}
+
+/// A worker with the resources that are free on it.
+#[derive(Clone, Copy)]
+struct FreeWorker<'a> {
+    name: &'a str,
+    rack: &'a str,
+    free: Resources,
 }
 
-/// Whether the whole gang could start now, workers aside.
-pub fn startable(state: &ClusterState, at: u64, job: &str, task: u32) -> bool {
-    let m = members(state, job, task);
-    !m.is_empty()
-        && m.iter()
-            .all(|i| state.may_start(job, *i, false, at).is_ok())
+/// The members of a task's gang that are not done.
+fn unfinished_members(job: &Job, task: u32) -> Vec<u32> {
+    let mut members = Vec::new();
+    for member in job.gang(task as usize) {
+        if job.tasks[member].state != TaskState::Done {
+            members.push(member as u32);
+        }
+    }
+    members
 }
 
-/// The one gang that others make way for: every node derives the same from the same record, so two never wait for each other.
+/// The same, those that need the most CPU first: they are the hardest to place.
+fn largest_members_first(job: &Job, task: u32) -> Vec<u32> {
+    let mut members = unfinished_members(job, task);
+    members.sort_by_key(|member| Reverse(job.of(*member as usize).cpu));
+    members
+}
+
+/// Whether the whole gang could start now if it had workers.
+fn is_startable(state: &ClusterState, at: u64, job: &Job, task: u32) -> bool {
+    let members = unfinished_members(job, task);
+    let may_start = |member: &u32| state.may_start(&job.spec.id, *member, false, at).is_ok();
+    !members.is_empty() && members.iter().all(may_start)
+}
+
+/// The one gang that other jobs make way for.
+///
+/// Every node derives the same one from the same cluster state, so that no two gangs wait for each other.
 pub fn claim(state: &ClusterState, at: u64, patience: u64) -> Option<Claim> {
-    let jobs = state.open.iter().filter_map(|id| state.jobs.get(id));
-    let waiting = jobs.filter(|j| !j.cancel && at >= j.accepted + patience);
-    let oldest = waiting
-        .filter_map(|j| {
-            let first = |i: &usize| j.leads_gang(*i);
-            let ripe = |i: &usize| at >= j.due(*i) + patience;
-            (0..j.tasks.len())
-                .filter(|i| j.in_gang(*i) && j.tasks[*i].state == TaskState::Waiting)
-                .filter(|i| ripe(i) && first(i))
-                .find(|i| startable(state, at, &j.spec.id, *i as u32))
-                .map(|i| (j.accepted.max(j.due(i)), j, i as u32))
-        })
-        .min_by(|a, b| (a.0, &a.1.spec.id).cmp(&(b.0, &b.1.spec.id)))?;
-    let (_, job, task) = oldest;
-    let mut tasks = members(state, &job.spec.id, task);
-    tasks.sort_by_key(|i| std::cmp::Reverse(job.of(*i as usize).cpu));
-    let mut left: BTreeMap<&String, (Resources, u32)> = BTreeMap::new();
-    for i in tasks {
-        let t = job.of(i as usize);
-        let apart = |n: u32| t.anti_affinity == 0 || n < t.anti_affinity;
-        let fit = |k: &String| {
-            state
-                .workers
-                .get(k)
-                .is_some_and(|w| takes(state, k) && w.probation == 0 && w.info.serves(t))
+    let mut oldest: Option<WaitingGang> = None;
+    for job in state.open.iter().filter_map(|id| state.jobs.get(id)) {
+        let Some(gang) = waiting_gang(state, at, patience, job) else {
+            continue;
         };
-        // Workers already kept first, then the roomiest.
-        let kept = left
-            .iter()
-            .find(|(k, (resources, n))| fit(k) && resources.holds(t.needs()) && apart(*n))
-            .map(|(k, _)| *k);
-        let of = kept.or_else(|| {
-            state
-                .workers
-                .iter()
-                .filter(|(k, w)| {
-                    !left.contains_key(k) && fit(k) && w.info.total_resources().holds(t.needs())
-                })
-                .max_by_key(|(k, w)| (w.info.cpu, std::cmp::Reverse(k.as_str())))
-                .map(|(k, _)| k)
-        })?;
-        let (resources, n) = left
-            .entry(of)
-            .or_insert_with(|| (state.workers[of].info.total_resources(), 0));
-        *resources = resources.less(t.needs());
-        *n += 1;
+        let is_older = oldest.as_ref().is_none_or(|oldest| {
+            (gang.waits_since, &gang.job.spec.id) < (oldest.waits_since, &oldest.job.spec.id)
+        });
+        if is_older {
+            oldest = Some(gang);
+        }
     }
+    let WaitingGang { job, leader, .. } = oldest?;
     Some(Claim {
         job: job.spec.id.clone(),
-        workers: left.into_keys().cloned().collect(),
+        workers: claimed_workers(state, job, leader)?,
     })
 }
 
-fn takes(state: &ClusterState, worker: &str) -> bool {
-    state
-        .workers
-        .get(worker)
-        .is_some_and(|w| !w.lost && !w.info.leaving && state.open(&w.info.zone, worker))
+/// A job's first gang that has waited for longer than `patience`.
+fn waiting_gang<'a>(
+    state: &ClusterState,
+    at: u64,
+    patience: u64,
+    job: &'a Job,
+) -> Option<WaitingGang<'a>> {
+    if job.cancel || at < job.accepted + patience {
+        return None;
+    }
+    for task in 0..job.tasks.len() {
+        let waits = job.in_gang(task) && job.tasks[task].state == TaskState::Waiting;
+        let is_overdue = at >= job.due(task) + patience;
+        if waits && is_overdue && job.leads_gang(task) && is_startable(state, at, job, task as u32)
+        {
+            return Some(WaitingGang {
+                waits_since: job.accepted.max(job.due(task)),
+                job,
+                leader: task as u32,
+            });
+        }
+    }
+    None
+}
+
+/// The workers that a gang fits on when they are empty; none where there are not enough.
+fn claimed_workers(state: &ClusterState, job: &Job, leader: u32) -> Option<BTreeSet<String>> {
+    let mut claimed: BTreeMap<&String, ClaimedWorker> = BTreeMap::new();
+    for member in largest_members_first(job, leader) {
+        let spec = job.of(member as usize);
+        let is_eligible = |name: &str, worker: &Worker| {
+            takes_new_work(state, name, worker) && worker.probation == 0 && worker.info.serves(spec)
+        };
+        // Workers that are claimed already first, then the largest.
+        let reused = claimed.iter().find(|(name, worker)| {
+            let spread = spec.anti_affinity == 0 || worker.members < spec.anti_affinity;
+            let is_eligible = is_eligible(name, &state.workers[**name]);
+            is_eligible && spread && worker.free.holds(spec.needs())
+        });
+        let reused = reused.map(|(name, _)| *name);
+        let chosen = match reused {
+            Some(name) => name,
+            None => {
+                let unclaimed = state.workers.iter().filter(|(name, worker)| {
+                    !claimed.contains_key(name)
+                        && is_eligible(name, worker)
+                        && worker.info.total_resources().holds(spec.needs())
+                });
+                let largest =
+                    unclaimed.max_by_key(|(name, worker)| (worker.info.cpu, Reverse(*name)));
+                largest?.0
+            }
+        };
+        let worker = claimed.entry(chosen).or_insert_with(|| ClaimedWorker {
+            free: state.workers[chosen].info.total_resources(),
+            members: 0,
+        });
+        worker.free = worker.free.less(spec.needs());
+        worker.members += 1;
+    }
+    Some(claimed.into_keys().cloned().collect())
+}
+
+/// Whether new tasks may start on a worker.
+fn takes_new_work(state: &ClusterState, name: &str, worker: &Worker) -> bool {
+    !worker.lost && !worker.info.leaving && state.open(&worker.info.zone, name)
 }
 
 impl Node {
-    /// A placement of the whole gang by the cluster state's view of the resources, the offered worker first. A gang that belongs
-    /// on one rack goes there whole if a rack has the resources now, and else only when it has waited for `patience`.
+    /// A placement of a whole gang by the cluster state's free resources, on the offered worker first; `underway` are
+    /// the resources on each worker that starts not yet in the cluster state will take.
+    ///
+    /// A gang that belongs on one rack is placed on one if any has the resources now, and spread over racks only when
+    /// it has waited for the interval of reservations.
     pub(super) fn place_gang(
         &self,
         at: u64,
-        (job, task): (&str, u32),
+        job: &Job,
+        task: u32,
         offered: &str,
-        held: &BTreeMap<String, Resources>,
+        underway: &BTreeMap<String, Resources>,
     ) -> Option<Vec<Placement>> {
-        let state = &self.state;
-        if !startable(state, at, job, task) {
+        if !is_startable(&self.state, at, job, task) {
             return None;
         }
-        let j = state.jobs.get(job)?;
-        let mut tasks = members(state, job, task);
-        tasks.sort_by_key(|i| std::cmp::Reverse(j.of(*i as usize).cpu));
-        let near = &j.of(task as usize).near;
-        let mut free: Vec<(&String, &str, Resources)> = state
-            .workers
-            .iter()
-            .filter(|(k, _)| takes(state, k))
-            .map(|(k, w)| {
-                let taken = w.used.plus(held.get(k).copied().unwrap_or_default());
-                let left = w.info.total_resources().less(taken);
-                (k, w.info.rack.as_str(), left)
-            })
-            .collect();
-        free.sort_by_key(|(k, rack, resources)| {
-            let far = !near.is_empty() && near != rack && near != *k;
-            (far, k.as_str() != offered, std::cmp::Reverse(resources.cpu))
-        });
-        if !j.of(task as usize).same_rack {
-            return self.spread(job, j, &tasks, free);
+        let members = largest_members_first(job, task);
+        let spec = job.of(task as usize);
+        let free = self.free_workers(&spec.near, offered, underway);
+        if !spec.same_rack {
+            return self.spread(job, &members, free);
         }
         let mut racks: Vec<&str> = Vec::new();
-        free.iter()
-            .filter(|(_, r, _)| !r.is_empty())
-            .for_each(|(_, r, _)| {
-                if !racks.contains(r) {
-                    racks.push(r)
-                }
+        for worker in &free {
+            if !worker.rack.is_empty() && !racks.contains(&worker.rack) {
+                racks.push(worker.rack);
+            }
+        }
+        for rack in racks {
+            let on_rack = free.iter().filter(|worker| worker.rack == rack);
+            let placements = self.spread(job, &members, on_rack.copied().collect());
+            if placements.is_some() {
+                return placements;
+            }
+        }
+        let waits_since = job.accepted.max(job.due(task as usize));
+        if at >= waits_since + self.settings.bounds.reserve() {
+            self.spread(job, &members, free)
+        } else {
+            None
+        }
+    }
+
+    /// The workers that take new work: those near the location first, then the offered one, then those with the most
+    /// free CPU.
+    fn free_workers(
+        &self,
+        near: &str,
+        offered: &str,
+        underway: &BTreeMap<String, Resources>,
+    ) -> Vec<FreeWorker<'_>> {
+        let mut workers: Vec<FreeWorker> = Vec::new();
+        for (name, worker) in &self.state.workers {
+            if !takes_new_work(&self.state, name, worker) {
+                continue;
+            }
+            let taken = worker
+                .used
+                .plus(underway.get(name).copied().unwrap_or_default());
+            workers.push(FreeWorker {
+                name,
+                rack: &worker.info.rack,
+                free: worker.info.total_resources().less(taken),
             });
-        let whole = racks.iter().find_map(|rack| {
-            let of = free.iter().filter(|(_, r, _)| r == rack).copied();
-            self.spread(job, j, &tasks, of.collect())
+        }
+        workers.sort_by_key(|worker| {
+            let is_far = !near.is_empty() && near != worker.rack && near != worker.name;
+            (is_far, worker.name != offered, Reverse(worker.free.cpu))
         });
-        let patience = self.settings.bounds.reserve();
-        let waited = at >= j.accepted.max(j.due(task as usize)) + patience;
-        whole.or_else(|| waited.then(|| self.spread(job, j, &tasks, free)).flatten())
+        workers
     }
 
+    /// Places each task on the first worker that it fits on; none if one fits nowhere.
     fn spread(
         &self,
-        id: &str,
         job: &Job,
         tasks: &[u32],
-        mut free: Vec<(&String, &str, Resources)>,
+        mut workers: Vec<FreeWorker>,
     ) -> Option<Vec<Placement>> {
-        let mut out: Vec<Placement> = Vec::new();
-        for i in tasks {
-            let t = job.of(*i as usize);
-            let at = free.iter().position(|(k, _, left)| {
-                let n = out.iter().filter(|p| p.worker == **k).count() as u32;
-                left.holds(t.needs())
-                    && (t.anti_affinity == 0 || n + job.beside(*i as usize, k) < t.anti_affinity)
-                    && self.state.fits(id, &self.placement(k, *i, false)).is_ok()
+        let mut placements: Vec<Placement> = Vec::new();
+        for task in tasks {
+            let index = *task as usize;
+            let spec = job.of(index);
+            let chosen = workers.iter_mut().find(|worker| {
+                if !worker.free.holds(spec.needs()) {
+                    return false;
+                }
+                let placed_here = placements
+                    .iter()
+                    .filter(|p| p.worker == worker.name)
+                    .count();
+                let beside = placed_here as u32 + job.beside(index, worker.name);
+                let may_join = spec.anti_affinity == 0 || beside < spec.anti_affinity;
+                let placement = self.placement(worker.name, *task, false);
+                may_join && self.state.fits(&job.spec.id, &placement).is_ok()
             })?;
-            free[at].2 = free[at].2.less(t.needs());
-            out.push(self.placement(free[at].0, *i, false));
+            chosen.free = chosen.free.less(spec.needs());
+            placements.push(self.placement(chosen.name, *task, false));
         }
-        Some(out)
+        Some(placements)
     }
 
-    /// A placement under the worker's present incarnation and zone scheduler.
+    /// A placement under the worker's present incarnation and zone epoch.
     pub(super) fn placement(&self, worker: &str, task: u32, copy: bool) -> Placement {
-        let (incarnation, zone) = self
-            .state
-            .workers
-            .get(worker)
-            .map_or((0, ""), |w| (w.info.incarnation, w.info.zone.as_str()));
-        let zone_epoch = self.state.holder(&zone_lease(zone)).map_or(0, |g| g.epoch);
+        let known = self.state.workers.get(worker);
+        let incarnation = known.map_or(0, |worker| worker.info.incarnation);
+        let zone = known.map_or("", |worker| worker.info.zone.as_str());
+        let lease = self.state.holder(&zone_lease(zone));
         Placement {
             task,
             worker: worker.into(),
             incarnation,
-            zone_epoch,
+            zone_epoch: lease.map_or(0, |lease| lease.epoch),
             copy,
         }
     }
--- /dev/null
+++ b/landingdrift/src/node/gossip.rs
@@ -0,0 +1,23 @@
+//! Gossip of this node's peer sampler: shuffles of its view with other processes.
+
+use super::Node;
+use crate::sans_io::Now;
+use crate::wire::{Body, Shuffle};
+
+impl Node {
+    /// Starts a shuffle when one is due.
+    pub(super) fn peer_sampler_tick(&mut self, now: Now) {
+        let interval_ms = self.settings.bounds.shuffle();
+        let started = self.peer_sampler.tick(now, interval_ms, &mut self.rng);
+        if let Some((peer, shuffle)) = started {
+            self.send(&peer, Body::Shuffle(Box::new(shuffle)));
+        }
+    }
+
+    pub(super) fn on_shuffle(&mut self, from: &str, shuffle: Shuffle) {
+        let reply = self.peer_sampler.take(shuffle, &mut self.rng);
+        if let Some(reply) = reply {
+            self.send(from, Body::Shuffle(Box::new(reply)));
+        }
+    }
+}
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -1,14 +1,22 @@
-//! A node: follows the watch, serves calls, owns queues and may hold zone schedulers.
+//! A node: follows the cluster state, serves calls, and schedules for the queues and zones whose leases it holds.
+//!
+//! - `watch` follows the cluster state, `propose` proposes changes to it,
+//! - `calls` serves HTTP,
+//! - `scheduler` and `gangs` place the tasks of the queues whose leases this node holds,
+//! - `zone_scheduler` manages the workers of the zones whose leases it holds,
+//! - `gossip` keeps the peer sampler's view up to date.
 
 mod calls;
 mod gangs;
-mod neighbours;
+mod gossip;
 mod propose;
 mod scheduler;
 mod watch;
 mod zone_scheduler;
 
-pub use zone_scheduler::{judge, Heartbeat, Pace, RescheduleReason, Run, Running};
+pub use zone_scheduler::{
+    find_stragglers, Heartbeat, ObservedRun, RescheduleReason, RunProgress, RunningAttempt,
+};
 
 use crate::peer_sampler::PeerSampler;
 use crate::sans_io::{fnv1a, Effect, Msg, Now, Part, Response, Rng};
@@ -17,13 +25,16 @@
 use crate::wire::{Body, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 
+/// A silence of this node itself that is longer than this part of the election timeout was a freeze of its process.
+const FREEZE_ELECTION_PART: u64 = 2;
+
 /// A node.
 pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) name: String,
     pub(crate) rng: Rng,
     pub(crate) state: ClusterState,
-    /// It follows a light copy: configuration, leases and members, neither jobs nor workers.
+    /// `state` is a light copy: it has the configuration, leases and members, but neither jobs nor workers.
     pub(crate) light: bool,
     pub(crate) watch: watch::Watch,
     pub(crate) peer_sampler: PeerSampler,
@@ -31,22 +42,24 @@
     pub(crate) sched: scheduler::Scheduler,
     pub(crate) calls: calls::Calls,
     pub(crate) proposals: BTreeMap<u64, propose::Proposal>,
-    /// This life of the process: an answer to a former one is nobody's.
+    /// Drawn when the process starts: responses to requests of an earlier one are dropped.
     pub(crate) incarnation: u64,
     next_token: u64,
     last_tick: u64,
+    /// When a node that is stopping exits at the latest.
     stopping: Option<u64>,
-    local: VecDeque<Body>,
+    /// Messages of this node to itself.
+    loopback: VecDeque<Body>,
     counters: BTreeMap<&'static str, u64>,
     out: Vec<Effect>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// A node that has not received the cluster state yet.
     pub fn new(settings: Settings, now: Now, seed: u64) -> Self {
         let name = settings.listen.clone();
         let mut rng = Rng::new(seed ^ fnv1a(name.as_bytes()));
-        let boot = rng.number();
+        let first_token = rng.number();
         let incarnation = rng.number();
         Self {
             state: ClusterState::new(&settings.cluster),
@@ -58,10 +71,11 @@
             calls: calls::Calls::default(),
             proposals: BTreeMap::new(),
             incarnation,
-            next_token: boot >> 16,
+            // Some bits are spared, so that counting on from there does not overflow.
+            next_token: first_token >> 16,
             last_tick: now.mono,
             stopping: None,
-            local: VecDeque::new(),
+            loopback: VecDeque::new(),
             counters: BTreeMap::new(),
             out: Vec::new(),
             rng,
@@ -70,20 +84,22 @@
         }
     }
 
-    pub(crate) fn count(&mut self, name: &'static str, n: u64) {
-        *self.counters.entry(name).or_default() += n;
+    /// Adds to one of this node's counters.
+    pub(crate) fn count(&mut self, name: &'static str, number: u64) {
+        *self.counters.entry(name).or_default() += number;
     }
 
-    pub(crate) fn line(&mut self, text: String) {
+    pub(crate) fn log(&mut self, text: String) {
         self.out.push(Effect::Log(text));
     }
 
+    /// A number that no other request, proposal or call of this process has.
     pub(crate) fn token(&mut self) -> u64 {
         self.next_token += 1;
         self.next_token
     }
 
-    /// What goes out with one attempt of a request.
+    /// The token that is sent with one attempt of a request.
     pub(crate) fn request_token(&self, number: u64, attempt: usize) -> RequestToken {
         RequestToken {
             incarnation: self.incarnation,
@@ -92,32 +108,34 @@
         }
     }
 
-    /// Whether an answer is to a request of this life of the process; others are counted and dropped.
+    /// Whether a response is to a request of this incarnation of the process; others are counted and dropped.
     fn is_own(&mut self, token: &RequestToken) -> bool {
         let own = token.incarnation == self.incarnation;
         self.count("responses_to_another_incarnation", u64::from(!own));
         own
     }
 
-    /// Sends to another process, or to a part of this one without the way round.
+    /// Sends a message to another process, or loops it back where it is for this one.
     pub(crate) fn send(&mut self, to: &str, body: Body) {
         if to == self.name {
-            self.local.push_back(body);
+            self.loopback.push_back(body);
         } else {
             self.out.push(Effect::Send(to.into(), body));
         }
     }
 
-    /// Whether the watch is fresh enough to act on.
+    /// Whether the watch is fresh enough to answer callers and place tasks.
     pub(crate) fn fresh(&self, now: Now) -> bool {
-        self.watch.has_snapshot
-            && now.mono.saturating_sub(self.watch.fresh_at) <= self.settings.bounds.fresh()
+        self.watch.has_snapshot && self.watch_age(now) <= self.settings.bounds.fresh()
+    }
+
+    /// Whether the watch is fresh enough to act as the zone schedulers whose leases this node holds.
+    pub(crate) fn fresh_for_zones(&self, now: Now) -> bool {
+        self.watch.has_snapshot && self.watch_age(now) <= self.settings.bounds.fresh_for_zones()
     }
 
-    /// Whether this node may speak for the zone schedulers it holds.
-    pub(crate) fn speaks(&self, now: Now) -> bool {
-        self.watch.has_snapshot
-            && now.mono.saturating_sub(self.watch.fresh_at) <= self.settings.bounds.speaks()
+    fn watch_age(&self, now: Now) -> u64 {
+        now.mono.saturating_sub(self.watch.fresh_at)
     }
 
     fn ready(&self, now: Now) -> bool {
@@ -126,22 +144,19 @@
 
     /// The epoch under which this node holds a lease, if it does.
     pub(crate) fn epoch(&self, lease: &str) -> Option<u64> {
-        self.state
-            .holder(lease)
-            .filter(|g| g.holder == self.name)
-            .map(|g| g.epoch)
+        let lease = self.state.holder(lease)?;
+        (lease.holder == self.name).then_some(lease.epoch)
     }
 
     fn on_tick(&mut self, now: Now) {
-        let gap = now.mono.saturating_sub(self.last_tick);
+        let since_last_tick = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
-        if gap > self.settings.bounds.election() / 2 {
-            // Frozen: the silence was this node's own, nobody else's.
+        if since_last_tick > self.settings.bounds.election() / FREEZE_ELECTION_PART {
+            // This process was frozen: heartbeats may wait unread, and silence does not count against workers.
             self.count("own_freezes", 1);
-            self.zone_schedulers
-                .values_mut()
-                .flat_map(|c| c.workers.values_mut())
-                .for_each(|w| w.last_heartbeat = now.mono);
+            for worker in self.all_workers() {
+                worker.last_heartbeat = now.mono;
+            }
         }
         self.watch_tick(now);
         self.peer_sampler_tick(now);
@@ -149,34 +164,47 @@
         self.calls_tick(now);
         self.zone_schedulers_tick(now);
         self.scheduler_tick(now);
-        if let Some(until) = self.stopping {
-            let holds = self.state.leases.values().any(|g| g.holder == self.name)
-                || self.state.nodes.get(&self.name).is_some_and(|n| n.alive);
-            if now.mono >= until || (!holds && self.calls.idle()) {
+        if let Some(exit_by) = self.stopping {
+            let drained = !self.is_member() && self.calls.is_empty();
+            if now.mono >= exit_by || drained {
                 self.out.push(Effect::Exit);
             }
         }
     }
 
+    /// Whether the cluster state has this node as alive, or as the holder of a lease.
+    fn is_member(&self) -> bool {
+        let known = self.state.nodes.get(&self.name);
+        let mut leases = self.state.leases.values();
+        leases.any(|lease| lease.holder == self.name) || known.is_some_and(|node| node.alive)
+    }
+
     fn on_wire(&mut self, now: Now, from: &str, body: Body) {
         match body {
-            Body::WatchBatch(m) => self.on_batch(now, from, *m),
-            Body::WatchSnapshotChunk(m) => self.on_watch_chunk(now, from, &m),
-            Body::WatchRequest(m) => self.on_misdirected_watch_request(from, m.sent),
-            Body::ProposeResponse(m) if self.is_own(&m.token) => self.on_proposed(now, from, *m),
-            Body::ReadIndexResponse(m) if self.is_own(&m.token) => {
-                self.on_read_place(now, from, *m)
+            Body::WatchBatch(batch) => self.on_batch(now, from, *batch),
+            Body::WatchSnapshotChunk(chunk) => self.on_watch_chunk(now, from, &chunk),
+            Body::WatchRequest(request) => self.on_misdirected_watch_request(from, request.sent),
+            Body::ProposeResponse(response) if self.is_own(&response.token) => {
+                self.on_propose_response(now, from, *response)
+            }
+            Body::ReadIndexResponse(response) if self.is_own(&response.token) => {
+                self.on_read_index_response(now, from, *response)
+            }
+            Body::Shuffle(shuffle) => self.on_shuffle(from, *shuffle),
+            Body::Reserve(reserve) => self.on_reserve(now, *reserve),
+            Body::Offer(offer) => self.on_offer(now, from, *offer),
+            Body::OfferResponse(response) if self.is_own(&response.token) => {
+                self.on_offer_response(now, from, *response)
+            }
+            Body::OfferOutcome(outcome) if self.is_own(&outcome.token) => {
+                self.on_offer_outcome(now, from, *outcome)
             }
-            Body::Shuffle(m) => self.on_shuffle(from, *m),
-            Body::Reserve(m) => self.on_reserve(now, *m),
-            Body::Offer(m) => self.on_offer(now, from, *m),
-            Body::OfferResponse(m) if self.is_own(&m.token) => {
-                self.on_offer_response(now, from, *m)
+            Body::ForwardRequest(request) => self.on_forward_request(now, from, *request),
+            Body::ForwardResponse(response) if self.is_own(&response.token) => {
+                self.on_forward_response(from, *response)
             }
-            Body::OfferOutcome(m) if self.is_own(&m.token) => self.on_offer_done(now, from, *m),
-            Body::ForwardRequest(m) => self.on_forward(now, from, *m),
-            Body::ForwardResponse(m) if self.is_own(&m.token) => self.on_forwarded(from, *m),
             Body::Hello(_) | Body::JoinCluster(_) => {}
+            // To an earlier incarnation; `is_own` has counted them.
             Body::ProposeResponse(_)
             | Body::ReadIndexResponse(_)
             | Body::OfferResponse(_)
@@ -191,11 +219,12 @@
         &self.state
     }
 
-    /// Whether this node would say that it is ready.
+    /// Whether this node answers that it is ready.
     pub fn is_ready(&self, now: Now) -> bool {
         self.ready(now)
     }
 
+    /// The response to a call whose outcome is unknown: it may have been proposed with effect.
     pub(crate) fn unsure_response(&self) -> Response {
         Response::error(
             503,
@@ -211,8 +240,8 @@
         match msg {
             Msg::Tick => self.on_tick(now),
             Msg::Wire(from, body) => self.on_wire(now, &from, body),
-            Msg::Call(call, req) => self.on_call(now, calls::Origin::Local(call), req),
-            Msg::SettingsChanged(new) => self.settings = *new,
+            Msg::Call(call, request) => self.on_call(now, calls::Origin::Local(call), request),
+            Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => {
                 self.stopping = Some(now.mono + self.settings.bounds.node_lost());
                 self.watch.next_watch_request = now.mono;
@@ -220,9 +249,9 @@
             }
             Msg::Persisted(_) | Msg::DiskFailed(_) => {}
         }
-        while let Some(body) = self.local.pop_front() {
-            let me = self.name.clone();
-            self.on_wire(now, &me, body);
+        while let Some(body) = self.loopback.pop_front() {
+            let own_address = self.name.clone();
+            self.on_wire(now, &own_address, body);
         }
         std::mem::take(&mut self.out)
     }
@@ -231,7 +260,7 @@
         let mut all: Vec<(String, u64)> = self
             .counters
             .iter()
-            .map(|(k, v)| (k.to_string(), *v))
+            .map(|(name, number)| (name.to_string(), *number))
             .collect();
         all.push(("watches_light_copy".into(), u64::from(self.light)));
         all.push(("watch_index".into(), self.state.applied_index));
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -1,30 +1,38 @@
-//! Proposals to the replica: each is a history of attempts of attempts from which the next move is derived.
+//! Proposals to the replicas: each keeps its attempts, from which its next step is derived.
 
-use super::calls::Then;
+use super::calls::ProposedCall;
 use super::Node;
-use crate::sans_io::Now;
-use crate::state::{unpack_apply_result, Command, Order, ProposalId};
+use crate::sans_io::{Now, Response};
+use crate::state::{unpack_apply_result, ApplyResult, Command, Order, ProposalId};
 use crate::wire::{Body, ProposeRequest, ProposeResponse, RequestToken};
 
-/// One attempt of a proposal to a replica.
+/// The `outcome` of a `ProposeResponse` by which a replica says that it does not lead and has appended nothing.
+const NOT_LEADER: u8 = 1;
+/// A proposal is sent on to a named leader at once only for its first attempts: replicas that disagree on who leads
+/// would pass it round for ever otherwise.
+const MAX_REDIRECTS: usize = 7;
+/// An idempotent proposal without a response is sent again after so many heartbeats.
+const RESEND_AFTER_HEARTBEATS: u64 = 5;
+
+/// One attempt of a proposal to reach a replica.
 struct ProposalAttempt {
     to: String,
-    at: u64,
+    sent_at: u64,
     outcome: AttemptOutcome,
 }
 
-/// What came of one attempt.
+/// What is known of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptOutcome {
-    Nothing,
-    /// The replica does not lead: it has taken nothing.
-    NotTaken,
+    Unanswered,
+    /// The replica does not lead: it has appended nothing.
+    Rejected,
 }
 
-/// Why something is proposed.
+/// Why a command is proposed: it decides what is done with its result.
 #[derive(Clone, Debug)]
 pub enum Purpose {
-    Call(u64, Then),
+    Call(u64, ProposedCall),
     Start {
         offer: RequestToken,
         zone_scheduler: String,
@@ -44,62 +52,74 @@
     },
 }
 
-/// One proposal with its history of attempts.
+/// A proposal with its attempts.
 pub struct Proposal {
     pub purpose: Purpose,
-    /// As it goes out; an order is packed with its deadline when the agreed time is known.
-    command: Packed,
-    /// Entering it twice does no harm, so that a lost answer may be asked for again.
+    command: PackedCommand,
+    /// Applying it twice does no harm, so that it may be sent again when no response came.
     idempotent: bool,
-    until: u64,
+    deadline: u64,
     attempts: Vec<ProposalAttempt>,
 }
 
 /// A command on its way to the log.
-enum Packed {
+enum PackedCommand {
     Ready(Vec<u8>),
-    /// An order that waits for the agreed time.
-    Order(Command),
+    /// An order: it is packed with its deadline once the cluster time is known.
+    AwaitsClusterTime(Command),
 }
 
-/// The next move of a proposal.
-enum Move {
+/// The next step of a proposal.
+enum NextStep {
     Wait,
-    Resend,
+    Send,
     GiveUp,
 }
 
+/// The outcome of a start that was proposed.
+pub(super) struct StartResult {
+    pub proposal: u64,
+    pub offer: RequestToken,
+    /// The address of the node whose zone scheduler made the offer.
+    pub zone_scheduler: String,
+    pub worker: String,
+    /// Where the log has the start; 0 where it is unknown.
+    pub log_index: u64,
+    pub placed: bool,
+}
+
 impl Proposal {
-    fn next(&self, now: Now, heartbeat: u64) -> Move {
-        match self.attempts.last() {
-            _ if now.mono >= self.until => Move::GiveUp,
-            None => Move::Resend,
-            Some(last)
-                if last.outcome == AttemptOutcome::NotTaken
-                    && now.mono >= last.at + heartbeat / 4 =>
-            {
-                Move::Resend
-            }
-            Some(last)
-                if last.outcome == AttemptOutcome::Nothing
-                    && self.idempotent
-                    && now.mono >= last.at + 5 * heartbeat =>
-            {
-                Move::Resend
+    fn next_step(&self, now: Now, heartbeat_ms: u64) -> NextStep {
+        if now.mono >= self.deadline {
+            return NextStep::GiveUp;
+        }
+        let Some(last) = self.attempts.last() else {
+            return NextStep::Send;
+        };
+        let send_again = match last.outcome {
+            AttemptOutcome::Rejected => now.mono >= last.sent_at + heartbeat_ms / 4,
+            AttemptOutcome::Unanswered => {
+                let overdue_at = last.sent_at + RESEND_AFTER_HEARTBEATS * heartbeat_ms;
+                self.idempotent && now.mono >= overdue_at
             }
-            _ => Move::Wait,
+        };
+        if send_again {
+            NextStep::Send
+        } else {
+            NextStep::Wait
         }
     }
 
-    /// Whether some replica may have taken it.
-    pub fn maybe_taken(&self) -> bool {
+    /// Whether some replica may have appended it.
+    pub fn may_be_appended(&self) -> bool {
         self.attempts
             .iter()
-            .any(|attempt| attempt.outcome == AttemptOutcome::Nothing)
+            .any(|attempt| attempt.outcome == AttemptOutcome::Unanswered)
     }
 }
 
 impl Node {
+    /// Proposes a command, and tries for `within` milliseconds; returns the proposal's number.
     pub(crate) fn propose(
         &mut self,
         now: Now,
@@ -107,176 +127,186 @@
         purpose: Purpose,
         within: u64,
     ) -> u64 {
-        let token = self.token();
+        let number = self.token();
         let idempotent = !matches!(command, Command::StartAttempts { .. });
         let command = if command.is_order() {
-            Packed::Order(command.clone())
+            PackedCommand::AwaitsClusterTime(command.clone())
         } else {
-            Packed::Ready(command.pack())
+            PackedCommand::Ready(command.pack())
         };
-        self.proposals.insert(
-            token,
-            Proposal {
-                purpose,
-                command,
-                idempotent,
-                until: now.mono + within,
-                attempts: Vec::new(),
-            },
-        );
+        let proposal = Proposal {
+            purpose,
+            command,
+            idempotent,
+            deadline: now.mono + within,
+            attempts: Vec::new(),
+        };
+        self.proposals.insert(number, proposal);
         self.count("proposals", 1);
-        self.drive(now, token, None);
-        token
+        self.advance_proposal(now, number, None);
+        number
     }
 
-    fn drive(&mut self, now: Now, token: u64, hint: Option<String>) {
-        let heartbeat = self.settings.bounds.heartbeat();
-        let Some(p) = self.proposals.get(&token) else {
+    /// Takes a proposal's next step; `leader_hint` is the leader that a replica has just named.
+    fn advance_proposal(&mut self, now: Now, number: u64, leader_hint: Option<String>) {
+        let heartbeat_ms = self.settings.bounds.heartbeat();
+        let Some(proposal) = self.proposals.get(&number) else {
             return;
         };
-        match p.next(now, heartbeat) {
-            Move::Wait => {}
-            Move::GiveUp => self.give_up(token),
-            Move::Resend => self.resend(now, token, hint),
+        match proposal.next_step(now, heartbeat_ms) {
+            NextStep::Wait => {}
+            NextStep::GiveUp => self.give_up(number),
+            NextStep::Send => self.send_proposal(now, number, leader_hint),
         }
     }
 
-    /// Sends a copy of a proposal to the replica that most likely leads, and not to the one that was asked last.
-    fn resend(&mut self, now: Now, token: u64, hint: Option<String>) {
-        let Some(command) = self.packed(now, token) else {
+    /// Sends a copy of a proposal to the replica that most likely leads, other than the one that was asked last.
+    fn send_proposal(&mut self, now: Now, number: u64, leader_hint: Option<String>) {
+        let Some(command) = self.packed_command(now, number) else {
             return;
         };
-        let Some(p) = self.proposals.get(&token) else {
+        let Some(proposal) = self.proposals.get(&number) else {
             return;
         };
-        let last = p
-            .attempts
-            .last()
-            .map(|attempt| attempt.to.clone())
-            .unwrap_or_default();
-        let others: Vec<String> = self.replicas().into_iter().filter(|c| *c != last).collect();
-        let leader = Some(self.watch.leader.clone()).filter(|l| !l.is_empty() && *l != last);
-        let to = hint
-            .filter(|h| !h.is_empty())
-            .or(leader)
-            .or_else(|| self.rng.pick(&others).cloned())
-            .unwrap_or(last);
-        let Some(p) = self.proposals.get_mut(&token) else {
+        let last_attempt = proposal.attempts.last();
+        let last_asked = last_attempt.map_or(String::new(), |attempt| attempt.to.clone());
+        let to = self.likely_leader(leader_hint, last_asked);
+        let Some(proposal) = self.proposals.get_mut(&number) else {
             return;
         };
-        let attempt_index = p.attempts.len();
-        p.attempts.push(ProposalAttempt {
+        let attempt = proposal.attempts.len();
+        proposal.attempts.push(ProposalAttempt {
             to: to.clone(),
-            at: now.mono,
-            outcome: AttemptOutcome::Nothing,
+            sent_at: now.mono,
+            outcome: AttemptOutcome::Unanswered,
         });
-        let token = self.request_token(token, attempt_index);
-        self.send(
-            &to,
-            Body::ProposeRequest(Box::new(ProposeRequest { token, command })),
-        );
+        let token = self.request_token(number, attempt);
+        let request = ProposeRequest { token, command };
+        self.send(&to, Body::ProposeRequest(Box::new(request)));
     }
 
-    /// The bytes of a proposal, the same for every copy; none while an order waits for the agreed time.
-    fn packed(&mut self, now: Now, token: u64) -> Option<Vec<u8>> {
-        let agreed = self.watch.clock_known().then(|| self.agreed(now));
-        let proposal = ProposalId {
+    /// The leader that was named, else the one that the watch knows, else any replica but the one that was asked last.
+    fn likely_leader(&mut self, leader_hint: Option<String>, last_asked: String) -> String {
+        if let Some(named) = leader_hint.filter(|named| !named.is_empty()) {
+            return named;
+        }
+        let leader = &self.watch.leader;
+        if !leader.is_empty() && *leader != last_asked {
+            return leader.clone();
+        }
+        let mut others = self.replicas();
+        others.retain(|replica| *replica != last_asked);
+        self.rng.pick(&others).cloned().unwrap_or(last_asked)
+    }
+
+    /// The bytes of a proposal, the same for every attempt; none while an order waits for the cluster time.
+    fn packed_command(&mut self, now: Now, number: u64) -> Option<Vec<u8>> {
+        let cluster_time = self.watch.clock_known().then(|| self.cluster_time(now));
+        let id = ProposalId {
             proposer: self.name.clone(),
             incarnation: self.incarnation,
-            number: token,
+            number,
         };
-        let p = self.proposals.get_mut(&token)?;
-        if let Packed::Order(action) = &p.command {
-            let order = Order {
-                action: Box::new(action.clone()),
-                proposal,
-                deadline: agreed? + p.until.saturating_sub(now.mono),
-            };
-            p.command = Packed::Ready(Command::Order(order).pack());
-        }
-        match &p.command {
-            Packed::Ready(bytes) => Some(bytes.clone()),
-            Packed::Order(_) => None,
-        }
+        let proposal = self.proposals.get_mut(&number)?;
+        let action = match &proposal.command {
+            PackedCommand::Ready(bytes) => return Some(bytes.clone()),
+            PackedCommand::AwaitsClusterTime(action) => action.clone(),
+        };
+        let order = Order {
+            action: Box::new(action),
+            proposal: id,
+            deadline: cluster_time? + proposal.deadline.saturating_sub(now.mono),
+        };
+        let bytes = Command::Order(order).pack();
+        proposal.command = PackedCommand::Ready(bytes.clone());
+        Some(bytes)
     }
 
     pub(super) fn proposals_tick(&mut self, now: Now) {
-        let all: Vec<u64> = self.proposals.keys().copied().collect();
-        all.into_iter().for_each(|t| self.drive(now, t, None));
+        let numbers: Vec<u64> = self.proposals.keys().copied().collect();
+        for number in numbers {
+            self.advance_proposal(now, number, None);
+        }
     }
 
-    pub(super) fn on_proposed(&mut self, now: Now, from: &str, m: ProposeResponse) {
-        let number = m.token.number;
-        let attempt_index = m.token.attempt as usize;
-        let asked = self
-            .proposals
-            .get_mut(&number)
-            .and_then(|p| p.attempts.get_mut(attempt_index));
-        let Some(attempt) = asked.filter(|attempt| attempt.to == from) else {
+    pub(super) fn on_propose_response(&mut self, now: Now, from: &str, response: ProposeResponse) {
+        let number = response.token.number;
+        let index = response.token.attempt as usize;
+        let proposal = self.proposals.get_mut(&number);
+        let attempt = proposal.and_then(|proposal| proposal.attempts.get_mut(index));
+        let Some(attempt) = attempt.filter(|attempt| attempt.to == from) else {
             return self.count("responses_unexpected", 1);
         };
-        if m.outcome == 1 {
-            attempt.outcome = AttemptOutcome::NotTaken;
-            let hint = Some(m.leader).filter(|l| !l.is_empty() && l != from);
-            return self.not_taken(now, number, attempt_index, hint);
+        if response.outcome == NOT_LEADER {
+            attempt.outcome = AttemptOutcome::Rejected;
+            let leader = response.leader;
+            let leader_hint = Some(leader).filter(|leader| !leader.is_empty() && leader != from);
+            return self.on_proposal_rejected(now, number, index, leader_hint);
         }
-        let Some(ruled) = unpack_apply_result(&m.response) else {
-            // The attempt stays unanswered, and the call is told as unsure in the end.
+        let Some(result) = unpack_apply_result(&response.response) else {
+            // The attempt stays unanswered, and in the end the caller is told that the outcome is unknown.
             return self.count("responses_unreadable", 1);
         };
-        let Some(p) = self.proposals.remove(&number) else {
-            return;
-        };
-        match p.purpose {
-            Purpose::Call(call, then) => self.call_ruled(call, then, ruled),
+        if let Some(proposal) = self.proposals.remove(&number) {
+            self.on_applied(number, proposal.purpose, response.log_index, result);
+        }
+    }
+
+    /// The cluster state has applied a command that this node proposed, or has rejected it.
+    fn on_applied(&mut self, number: u64, purpose: Purpose, log_index: u64, result: ApplyResult) {
+        match purpose {
+            Purpose::Call(call, proposed) => self.on_call_applied(call, proposed, result),
             Purpose::Start {
                 offer,
                 zone_scheduler,
                 worker,
-            } => self.start_ruled(
-                number,
+            } => self.on_start_result(StartResult {
+                proposal: number,
                 offer,
-                &zone_scheduler,
-                &worker,
-                m.log_index,
-                ruled.is_ok(),
-            ),
-            Purpose::UpdateWorker { worker } => self.proposal_over(&worker, true),
-            Purpose::Report { worker } => self.proposal_over(&worker, false),
-            Purpose::ExpireAttempts { worker } => self.expiry_done(&worker, true),
-            Purpose::RescheduleAttempts { worker } => self.reschedule_done(&worker),
+                zone_scheduler,
+                worker,
+                log_index,
+                placed: result.is_ok(),
+            }),
+            Purpose::UpdateWorker { worker } => self.on_info_proposal_done(&worker),
+            Purpose::Report { worker } => self.on_report_proposal_done(&worker),
+            Purpose::ExpireAttempts { worker } => self.on_expiry_proposal_done(&worker, true),
+            Purpose::RescheduleAttempts { worker } => self.on_reschedule_proposal_done(&worker),
         }
     }
 
-    /// A replica has taken nothing: if it was the last one asked and names the leader, that one is asked at once.
-    fn not_taken(&mut self, now: Now, number: u64, attempt_index: usize, hint: Option<String>) {
-        let Some(p) = self.proposals.get_mut(&number) else {
+    /// A replica has appended nothing: if it was asked last and names the leader, that one is asked at once.
+    fn on_proposal_rejected(
+        &mut self,
+        now: Now,
+        number: u64,
+        attempt: usize,
+        leader_hint: Option<String>,
+    ) {
+        let Some(proposal) = self.proposals.get_mut(&number) else {
             return;
         };
-        let newest = attempt_index + 1 == p.attempts.len();
-        if newest && hint.is_some() && attempt_index < 7 {
-            p.attempts[attempt_index].at = 0;
-            self.drive(now, number, hint);
+        let is_newest = attempt + 1 == proposal.attempts.len();
+        if is_newest && leader_hint.is_some() && attempt < MAX_REDIRECTS {
+            // Due at once: no pause is kept before the leader is asked.
+            proposal.attempts[attempt].sent_at = 0;
+            self.advance_proposal(now, number, leader_hint);
         }
     }
 
-    fn give_up(&mut self, token: u64) {
-        let Some(p) = self.proposals.remove(&token) else {
+    fn give_up(&mut self, number: u64) {
+        let Some(proposal) = self.proposals.remove(&number) else {
             return;
         };
         self.count("proposals_given_up", 1);
-        let taken = p.maybe_taken();
-        match p.purpose {
+        let may_be_appended = proposal.may_be_appended();
+        match proposal.purpose {
             Purpose::Call(call, _) => {
-                let response = if taken {
+                let response = if may_be_appended {
                     self.unsure_response()
                 } else {
-                    crate::sans_io::Response::error(
-                        503,
-                        "noCore",
-                        "no core could be reached and nothing was taken: come back later",
-                    )
-                    .retry(self.settings.bounds.back())
+                    let why = "no core could be reached and nothing was taken: come back later";
+                    Response::error(503, "noCore", why).retry(self.settings.bounds.back())
                 };
                 self.finish(call, response);
             }
@@ -284,12 +314,19 @@
                 offer,
                 zone_scheduler,
                 worker,
-            } => self.start_ruled(token, offer, &zone_scheduler, &worker, 0, false),
-            Purpose::UpdateWorker { worker } => self.proposal_over(&worker, true),
-            Purpose::Report { worker } => self.proposal_over(&worker, false),
-            // It may still come through: nothing is renewed until the replica has ruled.
-            Purpose::ExpireAttempts { worker } => self.expiry_done(&worker, false),
-            Purpose::RescheduleAttempts { worker } => self.reschedule_done(&worker),
+            } => self.on_start_result(StartResult {
+                proposal: number,
+                offer,
+                zone_scheduler,
+                worker,
+                log_index: 0,
+                placed: false,
+            }),
+            Purpose::UpdateWorker { worker } => self.on_info_proposal_done(&worker),
+            Purpose::Report { worker } => self.on_report_proposal_done(&worker),
+            // It may still be applied: the worker's lease is not renewed before its expiry has a result.
+            Purpose::ExpireAttempts { worker } => self.on_expiry_proposal_done(&worker, false),
+            Purpose::RescheduleAttempts { worker } => self.on_reschedule_proposal_done(&worker),
         }
     }
 }
--- a/landingdrift/src/node/scheduler/offers.rs
+++ b/landingdrift/src/node/scheduler/offers.rs
@@ -1,18 +1,18 @@
-//! Answers to offers of a slot: an offer that is accepted becomes a start, which the cluster state rules on.
+//! Responses to offers of a slot: for an offer that is accepted, a start is proposed.
 
-use super::demand::Wants;
-use super::sizes::Standing;
-use super::Pending;
-use crate::node::propose::Purpose;
+use super::demand::Demand;
+use super::sizes::JobShare;
+use super::PendingStart;
+use crate::node::propose::{Purpose, StartResult};
 use crate::node::Node;
 use crate::sans_io::Now;
 use crate::state::{Command, Job, Placement, Resources};
-use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken, Sizes};
+use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, Sizes};
 
-/// A start is given up after so many bounds of an offer; its zone scheduler holds the promised resources for as long.
-const START_OFFER_BOUNDS: u64 = 2;
+/// A start is given up after so many offer timeouts; the zone scheduler keeps the promised resources for as long.
+const START_OFFER_TIMEOUTS: u64 = 2;
 
-/// An offer that a job takes: what starts, and under which epoch of its queue.
+/// An offer that is accepted: what starts, and under which epoch of the queue's lease.
 struct Acceptance {
     owner_epoch: u64,
     placements: Vec<Placement>,
@@ -21,67 +21,69 @@
 
 impl Acceptance {
     /// The resources that the start takes on the offered worker; the rest of a gang is placed elsewhere.
-    fn room_on(&self, worker: &str) -> Resources {
-        let placed = self.placements.iter().zip(&self.reserved_resources);
-        placed
-            .filter(|(placement, _)| placement.worker == worker)
-            .fold(Resources::default(), |sum, (_, resources)| {
-                sum.plus(*resources)
-            })
+    fn resources_on(&self, worker: &str) -> Resources {
+        let mut sum = Resources::default();
+        for (placement, resources) in self.placements.iter().zip(&self.reserved_resources) {
+            if placement.worker == worker {
+                sum = sum.plus(*resources);
+            }
+        }
+        sum
     }
 }
 
 impl Node {
-    pub(in crate::node) fn on_offer(&mut self, now: Now, from: &str, m: Offer) {
-        let response = self.consider(now, from, &m);
+    /// Answers an offer.
+    pub(in crate::node) fn on_offer(&mut self, now: Now, from: &str, offer: Offer) {
+        let response = self.answer_offer(now, from, &offer);
         self.send(from, Body::OfferResponse(Box::new(response)));
     }
 
-    fn consider(&mut self, now: Now, from: &str, m: &Offer) -> OfferResponse {
-        let Some((job, owner_epoch)) = self.job_of_offer(now, m) else {
-            let named = self.smallest_unsatisfied(now, m);
-            return refusal(m, true, named.into_iter().collect());
+    fn answer_offer(&mut self, now: Now, from: &str, offer: &Offer) -> OfferResponse {
+        let Some((job, owner_epoch)) = self.job_of_offer(now, offer) else {
+            let smallest = self.smallest_unsatisfied(now, offer);
+            return refusal(offer, true, smallest.into_iter().collect());
         };
-        let floor = self.floor();
-        let willing = !m.refusable || wants_more(&self.standing(job), floor);
+        let fair_share = self.fair_share();
+        let willing = !offer.refusable || needs_more(&self.share(job), fair_share);
         let picked = if willing {
-            self.pick(now, job, m)
+            self.pick(now, job, offer)
         } else {
             None
         };
         let Some(placements) = picked else {
-            return self.refuse(now, job, m, floor);
+            return self.refuse(now, job, offer, fair_share);
         };
         let reserved_resources = placements
             .iter()
-            .map(|p| job.of(p.task as usize).needs())
+            .map(|placement| job.of(placement.task as usize).needs())
             .collect();
         let acceptance = Acceptance {
             owner_epoch,
             placements,
             reserved_resources,
         };
-        self.accept(now, from, m, acceptance, floor)
+        self.accept(now, from, offer, acceptance, fair_share)
     }
 
-    /// The job that a slot is offered for, with the epoch under which this node places its tasks; none where it is over,
-    /// another's, or not known freshly enough.
-    fn job_of_offer(&self, now: Now, m: &Offer) -> Option<(&Job, u64)> {
-        let job = self.state.jobs.get(&m.job)?;
+    /// The job that a slot is offered for, with the epoch under which this node places its tasks; none where the job is
+    /// over or another node's, or this node's copy of the cluster state is too old.
+    fn job_of_offer(&self, now: Now, offer: &Offer) -> Option<(&Job, u64)> {
+        let job = self.state.jobs.get(&offer.job)?;
         let epoch = self.epoch_for(job)?;
         self.fresh(now).then_some((job, epoch))
     }
 
-    /// A refusal of a slot that the job can't use, or has no right to; it names a smaller job that could.
-    fn refuse(&self, now: Now, job: &Job, m: &Offer, floor: f64) -> OfferResponse {
-        let wants = self.wants(now, &m.job, job);
-        let gone = wants == Wants::default();
-        let named = self.smallest_unsatisfied(now, m);
+    /// Refuses a slot that the job can't use, or that exceeds its share; the refusal names a small job that could use it.
+    fn refuse(&self, now: Now, job: &Job, offer: &Offer, fair_share: f64) -> OfferResponse {
+        let demand = self.demand(now, &offer.job, job);
+        let gone = demand == Demand::default();
+        let smallest = self.smallest_unsatisfied(now, offer);
         let own = Sizes {
             unsatisfied: false,
-            ..self.sizes(job, floor)
+            ..self.sizes(job, fair_share)
         };
-        refusal(m, gone, named.into_iter().chain([own]).collect())
+        refusal(offer, gone, smallest.into_iter().chain([own]).collect())
     }
 
     /// Proposes the start that an offer is accepted for.
@@ -89,20 +91,20 @@
         &mut self,
         now: Now,
         from: &str,
-        m: &Offer,
+        offer: &Offer,
         acceptance: Acceptance,
-        floor: f64,
+        fair_share: f64,
     ) -> OfferResponse {
-        let resources = acceptance.room_on(&m.worker);
-        let copy = acceptance.placements.iter().any(|p| p.copy);
-        self.propose_start(now, from, m, acceptance);
+        let resources = acceptance.resources_on(&offer.worker);
+        let copy = acceptance.placements.iter().any(|placement| placement.copy);
+        self.propose_start(now, from, offer, acceptance);
         self.count("placements_proposed", 1);
         self.count("copies_proposed", u64::from(copy));
-        let job = self.state.jobs.get(&m.job);
-        let sizes = job.map(|j| self.sizes(j, floor));
+        let job = self.state.jobs.get(&offer.job);
+        let sizes = job.map(|job| self.sizes(job, fair_share));
         OfferResponse {
-            token: m.token,
-            worker: m.worker.clone(),
+            token: offer.token,
+            worker: offer.worker.clone(),
             accepted: true,
             cpu: resources.cpu,
             memory: resources.memory,
@@ -112,21 +114,21 @@
         }
     }
 
-    fn propose_start(&mut self, now: Now, from: &str, m: &Offer, acceptance: Acceptance) {
-        let within = self.settings.bounds.offer() * START_OFFER_BOUNDS;
+    fn propose_start(&mut self, now: Now, from: &str, offer: &Offer, acceptance: Acceptance) {
+        let within = self.settings.bounds.offer() * START_OFFER_TIMEOUTS;
         let command = Command::StartAttempts {
-            job: m.job.clone(),
+            job: offer.job.clone(),
             owner_epoch: acceptance.owner_epoch,
             placements: acceptance.placements.clone(),
         };
         let purpose = Purpose::Start {
-            offer: m.token,
+            offer: offer.token,
             zone_scheduler: from.into(),
-            worker: m.worker.clone(),
+            worker: offer.worker.clone(),
         };
         let token = self.propose(now, &command, purpose, within);
-        let pending = Pending {
-            job: m.job.clone(),
+        let pending = PendingStart {
+            job: offer.job.clone(),
             placements: acceptance.placements,
             reserved_resources: acceptance.reserved_resources,
             until: now.mono + within,
@@ -135,46 +137,42 @@
         self.sched.pending.insert(token, pending);
     }
 
-    /// The cluster state has ruled on a start, or nobody did in time: the zone scheduler is told where it came to nothing.
-    pub(in crate::node) fn start_ruled(
-        &mut self,
-        token: u64,
-        offer: RequestToken,
-        zone_scheduler: &str,
-        worker: &str,
-        log_index: u64,
-        placed: bool,
-    ) {
-        if placed && log_index > self.state.applied_index {
-            if let Some(pending) = self.sched.pending.get_mut(&token) {
-                pending.log_index = log_index;
+    /// A proposed start was applied, rejected or given up: the zone scheduler is told if nothing starts.
+    pub(in crate::node) fn on_start_result(&mut self, result: StartResult) {
+        let not_yet_applied_here = result.log_index > self.state.applied_index;
+        if result.placed && not_yet_applied_here {
+            if let Some(pending) = self.sched.pending.get_mut(&result.proposal) {
+                pending.log_index = result.log_index;
             }
         } else {
-            self.sched.pending.remove(&token);
+            self.sched.pending.remove(&result.proposal);
         }
-        if placed {
+        if result.placed {
             return;
         }
         self.count("placements_refused", 1);
-        let done = OfferOutcome {
-            token: offer,
-            worker: worker.into(),
-            placed,
+        let outcome = OfferOutcome {
+            token: result.offer,
+            worker: result.worker,
+            placed: false,
         };
-        self.send(zone_scheduler, Body::OfferOutcome(Box::new(done)));
+        self.send(
+            &result.zone_scheduler,
+            Body::OfferOutcome(Box::new(outcome)),
+        );
     }
 }
 
-/// Whether a job that may refuse a slot takes it: it has fewer than its size or the least share, and may always have
-/// one.
-fn wants_more(standing: &Standing, floor: f64) -> bool {
-    standing.occupied < standing.sizing.size.max(floor).max(1.0)
+/// Whether a job that may refuse a slot takes it: it has fewer slots than its size or the fair share. One slot it may
+/// always have.
+fn needs_more(share: &JobShare, fair_share: f64) -> bool {
+    share.occupied < share.sizing.size.max(fair_share).max(1.0)
 }
 
-fn refusal(m: &Offer, gone: bool, sizes: Vec<Sizes>) -> OfferResponse {
+fn refusal(offer: &Offer, gone: bool, sizes: Vec<Sizes>) -> OfferResponse {
     OfferResponse {
-        token: m.token,
-        worker: m.worker.clone(),
+        token: offer.token,
+        worker: offer.worker.clone(),
         accepted: false,
         cpu: 0,
         memory: 0,
--- a/landingdrift/src/node/scheduler/placement.rs
+++ b/landingdrift/src/node/scheduler/placement.rs
@@ -8,86 +8,93 @@
 
 impl Node {
     /// Which of the job's tasks goes to the offered slot: one that waits, with the rest of its gang where it has one,
-    /// and else a spare copy of a slow one.
-    pub(super) fn pick(&self, now: Now, job: &Job, m: &Offer) -> Option<Vec<Placement>> {
-        if self.is_kept_from(job, &m.worker) {
+    /// and else a speculative copy of a slow one.
+    pub(super) fn pick(&self, now: Now, job: &Job, offer: &Offer) -> Option<Vec<Placement>> {
+        if self.is_claimed_by_other(job, &offer.worker) {
             return None;
         }
-        let info = &self.state.workers.get(&m.worker)?.info;
+        let info = &self.state.workers.get(&offer.worker)?.info;
         let mut waiting = self.startable_tasks(now, &job.spec.id, job);
-        waiting.sort_by_key(|i| !info.near(&job.of(*i as usize).near));
+        // The sort is stable: tasks whose data is near come first, in their order otherwise.
+        waiting.sort_by_key(|task| !info.near(&job.of(*task as usize).near));
         let mut tried: Vec<&TaskSpec> = Vec::new();
-        for i in waiting {
-            let index = i as usize;
+        for task in waiting {
+            let index = task as usize;
             let spec = job.of(index);
             let in_gang = job.in_gang(index);
-            // Of alike tasks one look is enough, unless they are gangs of their own times.
-            if !in_gang && tried.iter().any(|t| std::ptr::eq(*t, spec)) {
+            // Of the tasks of one step it is enough to try one, unless each belongs to a gang of its own.
+            if !in_gang && tried.iter().any(|earlier| std::ptr::eq(*earlier, spec)) {
                 continue;
             }
             tried.push(spec);
             let placed = if in_gang {
-                self.pick_gang(now, job, i, m)
+                self.pick_gang(now, job, task, offer)
             } else {
-                self.pick_task(job, i, false, m).map(|p| vec![p])
+                self.pick_task(job, task, false, offer)
+                    .map(|placement| vec![placement])
             };
             if placed.is_some() {
                 return placed;
             }
         }
-        self.slow(now, &job.spec.id, job)
-            .into_iter()
-            .find_map(|i| self.pick_task(job, i, true, m))
-            .map(|p| vec![p])
+        for task in self.slow_tasks(now, &job.spec.id, job) {
+            if let Some(copy) = self.pick_task(job, task, true, offer) {
+                return Some(vec![copy]);
+            }
+        }
+        None
     }
 
-    /// Whether the worker's resources is kept for the gang of another job, which has waited too long: others make way.
-    fn is_kept_from(&self, job: &Job, worker: &str) -> bool {
+    /// Whether the worker is kept free for the gang of another job, which has waited too long.
+    fn is_claimed_by_other(&self, job: &Job, worker: &str) -> bool {
         let claim = self.sched.claim.as_ref();
-        claim.is_some_and(|c| c.job != job.spec.id && c.workers.contains(worker))
+        claim.is_some_and(|claim| claim.job != job.spec.id && claim.workers.contains(worker))
     }
 
     /// The placement of one task in the offered slot, if it fits there.
-    fn pick_task(&self, job: &Job, task: u32, copy: bool, m: &Offer) -> Option<Placement> {
-        let placement = self.placement(&m.worker, task, copy);
-        let holds = offered_room(m).holds(job.of(task as usize).needs());
-        let same_cell = placement.zone_epoch == m.epoch;
-        let fits = holds && same_cell && self.state.fits(&job.spec.id, &placement).is_ok();
+    fn pick_task(&self, job: &Job, task: u32, copy: bool, offer: &Offer) -> Option<Placement> {
+        let placement = self.placement(&offer.worker, task, copy);
+        let has_resources = offered_resources(offer).holds(job.of(task as usize).needs());
+        let same_zone_epoch = placement.zone_epoch == offer.epoch;
+        let fits =
+            has_resources && same_zone_epoch && self.state.fits(&job.spec.id, &placement).is_ok();
         fits.then_some(placement)
     }
 
-    /// The placements of a whole gang, if they fit now and none is under way. Its first member that is not done speaks
-    /// for it.
-    fn pick_gang(&self, now: Now, job: &Job, task: u32, m: &Offer) -> Option<Vec<Placement>> {
+    /// The placements of a whole gang, if they fit now and none was proposed yet. They are tried once, for the gang's
+    /// first member that is not done.
+    fn pick_gang(&self, now: Now, job: &Job, task: u32, offer: &Offer) -> Option<Vec<Placement>> {
         if !job.leads_gang(task as usize) {
             return None;
         }
-        let id = job.spec.id.as_str();
-        let held = self.room_underway();
-        let placements = self.place_gang(self.agreed(now), (id, task), &m.worker, &held)?;
-        let underway = self.underway_tasks(id);
-        let all_new = placements.iter().all(|p| !underway.contains(&p.task));
+        let underway = self.resources_underway();
+        let at = self.cluster_time(now);
+        let placements = self.place_gang(at, job, task, &offer.worker, &underway)?;
+        let starting = self.starting_tasks(&job.spec.id);
+        let all_new = placements
+            .iter()
+            .all(|placement| !starting.contains(&placement.task));
         all_new.then_some(placements)
     }
 
-    /// The resources on each worker that starts not yet in the cluster state will take.
-    fn room_underway(&self) -> BTreeMap<String, Resources> {
-        let mut held: BTreeMap<String, Resources> = BTreeMap::new();
+    /// The resources on each worker that proposed starts not yet in the cluster state will take.
+    fn resources_underway(&self) -> BTreeMap<String, Resources> {
+        let mut underway: BTreeMap<String, Resources> = BTreeMap::new();
         for pending in self.sched.pending.values() {
-            for (placement, resources) in pending.placements.iter().zip(&pending.reserved_resources)
-            {
-                let sum = held.entry(placement.worker.clone()).or_default();
+            let placed = pending.placements.iter().zip(&pending.reserved_resources);
+            for (placement, resources) in placed {
+                let sum = underway.entry(placement.worker.clone()).or_default();
                 *sum = sum.plus(*resources);
             }
         }
-        held
+        underway
     }
 }
 
-fn offered_room(m: &Offer) -> Resources {
+fn offered_resources(offer: &Offer) -> Resources {
     Resources {
-        cpu: m.cpu,
-        memory: m.memory,
-        accelerators: m.accelerators,
+        cpu: offer.cpu,
+        memory: offer.memory,
+        accelerators: offer.accelerators,
     }
 }
--- a/landingdrift/src/node/scheduler/reservations.rs
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations: each task that waits asks several workers that fit for a slot, by the holders of their zone schedulers.
+//! Reservations: for each waiting task, several workers that it fits on are probed, by way of their zone schedulers.
 
 use super::LastReserved;
 use crate::node::Node;
@@ -10,23 +10,23 @@
 /// A worker that could run some task of a job.
 struct Candidate {
     worker: String,
-    /// It is near the data of such a task.
+    /// The data of such a task is near.
     local: bool,
 }
 
 impl Node {
-    /// Places reservations for what waits: the probe ratio's number for each task, on workers that fit.
+    /// Places reservations for waiting tasks: for each of them on as many workers as the probe ratio says.
     pub(in crate::node) fn schedule(&mut self, now: Now) {
         if !self.fresh(now) {
             return;
         }
         let mut by_holder: BTreeMap<String, Vec<Reservation>> = BTreeMap::new();
-        for id in self.take_dirty() {
+        for id in self.take_dirty_jobs() {
             let Some(tasks) = self.tasks_to_reserve(now, &id) else {
                 continue;
             };
             for reservation in self.reservations(now, &id, tasks) {
-                if let Some(holder) = self.cell_holder(&reservation.worker) {
+                if let Some(holder) = self.zone_scheduler_holder(&reservation.worker) {
                     by_holder.entry(holder).or_default().push(reservation);
                 }
             }
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The jobs to look at now; they are marked no more.
-    fn take_dirty(&mut self) -> Vec<String> {
+    /// The jobs whose demand may have changed; their marks are removed.
+    fn take_dirty_jobs(&mut self) -> Vec<String> {
         let dirty = std::mem::take(&mut self.sched.dirty);
         if std::mem::take(&mut self.sched.all_dirty) {
             self.state.open.iter().cloned().collect()
@@ -46,13 +46,13 @@
         }
     }
 
-    /// For how many tasks of a job reservations are due, if any are: for all that it wants when the last ones are old,
-    /// and before that for those that it wants in addition.
+    /// For how many tasks of a job reservations are due, if any are: for its whole demand when the last ones are old, and
+    /// before that for what its demand has grown by.
     fn tasks_to_reserve(&mut self, now: Now, id: &str) -> Option<u32> {
         let job = self.state.jobs.get(id)?;
         self.epoch_for(job)?;
-        let wants = self.wants(now, id, job);
-        let wanted = wants.originals + wants.copies;
+        let demand = self.demand(now, id, job);
+        let wanted = demand.originals + demand.copies;
         let last = self.sched.reserved.get(id).copied().unwrap_or_default();
         let again = last.at == 0 || now.mono >= last.at + self.settings.bounds.reserve();
         let due = wanted > 0 && (again || wanted > last.tasks);
@@ -72,12 +72,12 @@
         self.sched.reserved.insert(id.to_string(), last);
     }
 
-    /// Who holds the zone scheduler of a worker; a worker that is unknown has the zone scheduler of the zone without a name.
-    fn cell_holder(&self, worker: &str) -> Option<String> {
+    /// The node whose zone scheduler a worker belongs to; an unknown worker counts to the zone without a name.
+    fn zone_scheduler_holder(&self, worker: &str) -> Option<String> {
         let known = self.state.workers.get(worker);
-        let zone = known.map_or("", |w| w.info.zone.as_str());
-        let grant = self.state.holder(&zone_lease(zone))?;
-        Some(grant.holder.clone())
+        let zone = known.map_or("", |worker| worker.info.zone.as_str());
+        let lease = self.state.holder(&zone_lease(zone))?;
+        Some(lease.holder.clone())
     }
 
     /// Reservations for so many tasks of a job: workers near the data first, then drawn at random.
@@ -85,12 +85,12 @@
         let Some(job) = self.state.jobs.get(id) else {
             return Vec::new();
         };
-        let sizes = self.sizes(job, self.floor());
+        let sizes = self.sizes(job, self.fair_share());
         let mut candidates = self.candidates(&waiting_specs(job));
         let probes = u64::from(tasks) * u64::from(self.settings.hopper.probe_ratio);
         let number = probes.min(candidates.len() as u64) as usize;
         draw_first(&mut self.rng, &mut candidates, number);
-        // The sort is stable: among the near ones and among the far ones the drawn stay in front.
+        // The sort is stable: among the near ones, and among the others, those that were drawn stay in front.
         candidates.sort_by_key(|candidate| !candidate.local);
         candidates.truncate(number);
         let reservation = |candidate: Candidate| Reservation {
@@ -123,8 +123,8 @@
     }
 }
 
-/// The specifications of a job's tasks that wait and whose step has been reached, each once where they follow each
-/// other.
+/// The specifications of a job's tasks that wait and whose dependencies are done; consecutive tasks of one step share
+/// theirs, which is listed once.
 fn waiting_specs(job: &Job) -> Vec<&TaskSpec> {
     let mut specs: Vec<&TaskSpec> = Vec::new();
     for (i, task) in job.tasks.iter().enumerate() {
@@ -140,7 +140,7 @@
     specs
 }
 
-/// Whether an empty worker could run one of the tasks, and if so whether it is near the data of one that it could run.
+/// None if the worker could run none of the tasks even when empty; else whether the data of one that it could is near.
 fn fits_any(worker: &Worker, specs: &[&TaskSpec]) -> Option<bool> {
     let info = &worker.info;
     let fits = |spec: &&&TaskSpec| info.serves(spec) && info.total_resources().holds(spec.needs());
@@ -149,7 +149,7 @@
     Some(fitting.any(|spec| info.near(&spec.near)))
 }
 
-/// Brings so many candidates, drawn at random, to the front: the first steps of a Fisher-Yates shuffle.
+/// Moves `number` candidates, drawn at random, to the front: the first steps of a Fisher-Yates shuffle.
 fn draw_first(rng: &mut Rng, candidates: &mut [Candidate], number: usize) {
     for i in 0..number {
         let left = candidates.len() - i;
--- a/landingdrift/src/node/scheduler/sizes.rs
+++ b/landingdrift/src/node/scheduler/sizes.rs
@@ -1,4 +1,4 @@
-//! How large jobs are, what share of the slots each has, and which of them come first.
+//! The sizes of jobs, their shares of the slots, and which of them come first.
 
 use crate::node::Node;
 use crate::sans_io::Now;
@@ -6,52 +6,57 @@
 use crate::state::Job;
 use crate::wire::{Offer, Sizes};
 
-/// So many of the smallest jobs are looked at when a refusal is to name one: each look tries to place a task, and there
+/// How many of the smallest jobs are tried when a refusal is to name one: trying a job means placing a task, and there
 /// are many refusals.
-const NAMED: usize = 8;
+const MAX_TRIED: usize = 8;
 
-/// A job's sizes, and the slots it holds or is about to.
-pub(super) struct Standing {
+/// A job's sizes, and the slots that it occupies or is about to.
+pub(super) struct JobShare {
     pub sizing: Sizing,
     pub occupied: f64,
 }
 
 impl Node {
-    fn weight(&self, job: &Job, s: &Sizing) -> f64 {
-        // Larger priority counts as smaller size.
-        let priority = self.state.queue(&job.spec.queue).map_or(0, |q| q.priority);
-        s.rank / (1.0 + f64::from(priority))
+    /// The size by which a job is ranked: a job of higher priority counts as smaller.
+    fn weighted_size(&self, job: &Job, sizing: &Sizing) -> f64 {
+        let priority = self
+            .state
+            .queue(&job.spec.queue)
+            .map_or(0, |queue| queue.priority);
+        sizing.rank / (1.0 + f64::from(priority))
     }
 
-    pub(super) fn standing(&self, job: &Job) -> Standing {
+    /// What a job has and needs of the slots.
+    pub(super) fn share(&self, job: &Job) -> JobShare {
         let sizing = self.state.sizing(job);
-        let underway = self.underway(&job.spec.id).count();
-        let occupied = f64::from(sizing.occupied) + underway as f64;
-        Standing { sizing, occupied }
+        let starting = self.starting_placements(&job.spec.id).count();
+        let occupied = f64::from(sizing.occupied) + starting as f64;
+        JobShare { sizing, occupied }
     }
 
-    /// What is told of a job, given the least share of every one.
-    pub(super) fn sizes(&self, job: &Job, floor: f64) -> Sizes {
-        let Standing { sizing, occupied } = self.standing(job);
+    /// What zone schedulers are told of a job, given the fair share.
+    pub(super) fn sizes(&self, job: &Job, fair_share: f64) -> Sizes {
+        let JobShare { sizing, occupied } = self.share(job);
         Sizes {
             job: job.spec.id.clone(),
             scheduler: self.name.clone(),
             remaining: sizing.remaining,
-            size: self.weight(job, &sizing),
-            starved: occupied < floor && sizing.remaining > 0,
+            size: self.weighted_size(job, &sizing),
+            starved: occupied < fair_share && sizing.remaining > 0,
             unsatisfied: occupied < sizing.size,
         }
     }
 
-    /// The least share of every job, in whole slots of the mean task's resources.
-    pub(super) fn floor(&self) -> f64 {
+    /// The share of the slots that every job is guaranteed, in whole slots of the mean task's CPU.
+    pub(super) fn fair_share(&self) -> f64 {
         let jobs = self.sched.runnable.max(1) as f64;
-        let shared = (1.0 - self.settings.hopper.epsilon) * f64::from(self.state.total_cpu());
-        (shared / self.mean_room() / jobs).floor()
+        let guaranteed_cpu =
+            (1.0 - self.settings.hopper.epsilon) * f64::from(self.state.total_cpu());
+        (guaranteed_cpu / self.mean_task_cpu() / jobs).floor()
     }
 
-    /// The mean resources of what runs, at least 1.
-    fn mean_room(&self) -> f64 {
+    /// The mean CPU of the attempts on workers, at least 1.
+    fn mean_task_cpu(&self) -> f64 {
         let mut attempts = 0_usize;
         let mut used = 0_u32;
         for worker in self.state.workers.values() {
@@ -65,31 +70,31 @@
     }
 
     /// The smallest unsatisfied job of this scheduler, other than the offer's, that could use the slot.
-    pub(super) fn smallest_unsatisfied(&self, now: Now, m: &Offer) -> Option<Sizes> {
-        let floor = self.floor();
-        // The order of a moment ago is good enough to look at the smallest few as they are now.
-        let others = self.sched.ranked.iter().filter(|id| **id != m.job);
+    pub(super) fn smallest_unsatisfied(&self, now: Now, offer: &Offer) -> Option<Sizes> {
+        let fair_share = self.fair_share();
+        // The ranking of the last full pass is good enough to choose which jobs to try.
+        let others = self.sched.ranked.iter().filter(|id| **id != offer.job);
         let smallest = others
             .filter_map(|id| self.state.jobs.get(id))
             .filter(|job| self.epoch_for(job).is_some())
-            .take(NAMED);
+            .take(MAX_TRIED);
         for job in smallest {
-            let sizes = self.sizes(job, floor);
-            if sizes.unsatisfied && self.pick(now, job, m).is_some() {
+            let sizes = self.sizes(job, fair_share);
+            if sizes.unsatisfied && self.pick(now, job, offer).is_some() {
                 return Some(sizes);
             }
         }
         None
     }
 
-    /// The jobs of this scheduler that want more slots, the smallest first.
+    /// The jobs of this scheduler that need more slots, the smallest first.
     pub(super) fn rank(&self) -> Vec<String> {
-        let floor = self.floor();
+        let fair_share = self.fair_share();
         let open = self.state.open.iter();
         let mut unsatisfied: Vec<Sizes> = open
             .filter_map(|id| self.state.jobs.get(id))
-            .filter(|job| !job.cancel && self.owns(&job.spec.queue).is_some())
-            .map(|job| self.sizes(job, floor))
+            .filter(|job| !job.cancel && self.queue_epoch(&job.spec.queue).is_some())
+            .map(|job| self.sizes(job, fair_share))
             .filter(|sizes| sizes.unsatisfied)
             .collect();
         unsatisfied.sort_by(|a, b| a.size.total_cmp(&b.size));
--- a/landingdrift/src/node/watch.rs
+++ b/landingdrift/src/node/watch.rs
@@ -1,28 +1,39 @@
-//! How a node follows the cluster state.
+//! The watch: how a node follows the cluster state.
 
+use super::zone_scheduler::zone_of_lease;
 use super::Node;
 use crate::sans_io::Now;
 use crate::snapshot_chunks::{ChunkOutcome, SnapshotAssembly, SnapshotId};
 use crate::state::{ClusterState, Command};
-use crate::wire::{Body, WatchBatch, WatchRequest, WatchSnapshotChunk};
+use crate::wire::{Body, Entry, WatchBatch, WatchRequest, WatchSnapshotChunk};
 
-/// Where a node stands in the watch.
+/// A replica that has not answered for so many request intervals is exchanged for another.
+const SILENT_INTERVALS: u64 = 4;
+
+/// The cluster time as a replica told it, and when it did by this node's clock.
+#[derive(Clone, Copy, Default)]
+struct ClockReading {
+    cluster_time: u64,
+    read_at: u64,
+}
+
+/// What a node knows of its watch. Times are by this node's monotonic clock, except for cluster times.
 pub struct Watch {
-    /// A snapshot was read, or the watch followed from its beginning.
+    /// A snapshot was installed, or the log was followed from its beginning.
     pub has_snapshot: bool,
-    /// The watch told all that was committed at this moment, by this node's clock.
+    /// All that was committed by this time has been received.
     pub fresh_at: u64,
     pub replica: String,
     pub leader: String,
     pub next_watch_request: u64,
-    pub answered: u64,
-    /// The agreed clock, and when it was read.
-    clock: (u64, u64),
+    pub last_response_at: u64,
+    clock: ClockReading,
     /// The snapshot that is being fetched.
     incoming: SnapshotAssembly,
 }
 
 impl Watch {
+    /// A watch that follows no replica yet.
     pub fn new(now: Now) -> Self {
         Self {
             has_snapshot: false,
@@ -30,44 +41,44 @@
             replica: String::new(),
             leader: String::new(),
             next_watch_request: 0,
-            answered: now.mono,
-            clock: (0, 0),
+            last_response_at: now.mono,
+            clock: ClockReading::default(),
             incoming: SnapshotAssembly::default(),
         }
     }
-}
 
-impl Watch {
-    /// Whether a replica has told the agreed time.
+    /// Whether a replica has told the cluster time.
     pub fn clock_known(&self) -> bool {
-        self.clock.0 > 0
+        self.clock.cluster_time > 0
     }
 }
 
 impl Node {
-    /// The agreed time, as well as a node can know it; never ahead of what a replica said.
-    pub(crate) fn agreed(&self, now: Now) -> u64 {
-        let (clock, at) = self.watch.clock;
-        self.state.at.max(clock + now.mono.saturating_sub(at))
+    /// The cluster time, as well as a node can know it: never ahead of the replicas' clock.
+    pub(crate) fn cluster_time(&self, now: Now) -> u64 {
+        let ClockReading {
+            cluster_time,
+            read_at,
+        } = self.watch.clock;
+        let since = now.mono.saturating_sub(read_at);
+        self.state.at.max(cluster_time + since)
     }
 
+    /// The replicas that this node knows, and its seeds.
     pub(crate) fn replicas(&self) -> Vec<String> {
         self.peer_sampler
             .replicas
             .iter()
             .chain(&self.settings.seeds)
-            .filter(|a| **a != self.name)
+            .filter(|address| **address != self.name)
             .cloned()
             .collect()
     }
 
-    /// Turns to another replica.
-    pub(crate) fn turn(&mut self) {
-        let all = self.replicas();
-        let others: Vec<String> = all
-            .into_iter()
-            .filter(|a| *a != self.watch.replica)
-            .collect();
+    /// Follows another replica from now on.
+    pub(crate) fn switch_replica(&mut self) {
+        let mut others = self.replicas();
+        others.retain(|replica| *replica != self.watch.replica);
         self.watch.replica = self.rng.pick(&others).cloned().unwrap_or_default();
     }
 
@@ -75,73 +86,74 @@
         if now.mono < self.watch.next_watch_request {
             return;
         }
-        let heartbeat = self.settings.bounds.heartbeat();
-        // Who follows nobody yet looks round faster.
-        let heartbeat = if self.watch.has_snapshot {
-            heartbeat
+        let heartbeat_ms = self.settings.bounds.heartbeat();
+        // A node that follows no replica yet tries them faster.
+        let interval_ms = if self.watch.has_snapshot {
+            heartbeat_ms
         } else {
-            heartbeat / 2
+            heartbeat_ms / 2
         };
-        self.watch.next_watch_request = now.mono + heartbeat;
-        if self.watch.replica.is_empty()
-            || now.mono.saturating_sub(self.watch.answered) > 4 * heartbeat
-        {
-            self.turn();
-            self.watch.answered = now.mono;
+        self.watch.next_watch_request = now.mono + interval_ms;
+        let silent_for = now.mono.saturating_sub(self.watch.last_response_at);
+        if self.watch.replica.is_empty() || silent_for > SILENT_INTERVALS * interval_ms {
+            self.switch_replica();
+            self.watch.last_response_at = now.mono;
         }
-        let to = self.watch.replica.clone();
-        let successor = if self.stopping.is_some() {
-            self.successor()
-        } else {
-            String::new()
-        };
-        let carried = self.watch.clock_known();
-        let part = self.watch.incoming.identity();
-        let watch_request = WatchRequest {
+        if self.watch.replica.is_empty() {
+            return;
+        }
+        let replica = self.watch.replica.clone();
+        let request = self.watch_request(now);
+        self.send(&replica, Body::WatchRequest(Box::new(request)));
+    }
+
+    fn watch_request(&self, now: Now) -> WatchRequest {
+        let leaving = self.stopping.is_some();
+        let clock_known = self.watch.clock_known();
+        let incoming = self.watch.incoming.identity();
+        WatchRequest {
             node: self.name.clone(),
             zone: self.settings.zone.clone(),
             http: self.settings.http.clone(),
             log_index: self.state.applied_index,
             sent: now.mono,
-            leaving: self.stopping.is_some(),
-            successor,
-            clock: if carried { self.agreed(now) } else { now.wall },
-            carried,
+            leaving,
+            successor: if leaving {
+                self.successor()
+            } else {
+                String::new()
+            },
+            clock: if clock_known {
+                self.cluster_time(now)
+            } else {
+                now.wall
+            },
+            carried: clock_known,
             share: self.settings.share,
             beside_core: self.settings.beside_core,
             light: self.light,
-            part_index: part.index,
-            part_checksum: part.checksum,
+            part_index: incoming.index,
+            part_checksum: incoming.checksum,
             part_received: self.watch.incoming.received(),
-        };
-        if !to.is_empty() {
-            self.send(&to, Body::WatchRequest(Box::new(watch_request)));
         }
     }
 
-    /// Whom this node names to take over its leases: a living node, of its own zone if there is one.
-    fn successor(&mut self) -> String {
-        let me = self.name.clone();
-        let zone = self.settings.zone.clone();
-        let alive: Vec<(bool, String)> = self
-            .state
-            .nodes
-            .iter()
-            .filter(|(k, n)| n.alive && **k != me)
-            .map(|(k, n)| (n.zone == zone, k.clone()))
-            .collect();
-        let near: Vec<String> = alive
-            .iter()
-            .filter(|(near, _)| *near)
-            .map(|(_, k)| k.clone())
-            .collect();
-        near.into_iter()
-            .next()
-            .or_else(|| alive.into_iter().next().map(|(_, k)| k))
-            .unwrap_or_default()
+    /// The node that should take over this node's leases: one that is alive, of the same zone if there is one.
+    fn successor(&self) -> String {
+        let mut elsewhere: Option<&String> = None;
+        for (name, node) in &self.state.nodes {
+            if !node.alive || *name == self.name {
+                continue;
+            }
+            if node.zone == self.settings.zone {
+                return name.clone();
+            }
+            elsewhere = elsewhere.or(Some(name));
+        }
+        elsewhere.cloned().unwrap_or_default()
     }
 
-    /// Another process took this node for a replica: it says whom it follows.
+    /// Another process took this node for a replica: it is told which ones this node knows.
     pub(super) fn on_misdirected_watch_request(&mut self, from: &str, sent: u64) {
         let batch = WatchBatch {
             replica: self.name.clone(),
@@ -161,151 +173,195 @@
         self.send(from, Body::WatchBatch(Box::new(batch)));
     }
 
-    pub(super) fn on_batch(&mut self, now: Now, from: &str, m: WatchBatch) {
-        if !m.ok {
-            if from == self.watch.replica {
-                let hint = m.leader.clone();
-                self.peer_sampler.replicas.extend(m.replicas);
-                if hint.is_empty() || hint == from {
-                    self.turn();
-                } else {
-                    self.watch.replica = hint;
-                    self.watch.next_watch_request = self
-                        .watch
-                        .next_watch_request
-                        .min(now.mono + self.settings.bounds.tick());
-                }
-            }
-            return;
+    pub(super) fn on_batch(&mut self, now: Now, from: &str, batch: WatchBatch) {
+        if !batch.ok {
+            return self.on_watch_refused(now, from, batch);
         }
         self.watch.replica = from.into();
         self.watch.leader = from.into();
-        self.watch.answered = now.mono;
-        self.peer_sampler.set_replicas(m.replicas);
-        let mut changed = false;
-        if !m.snapshot.is_empty()
-            && (m.snapshot_index > self.state.applied_index
-                || m.commit < self.state.applied_index
-                || m.light != self.light)
-        {
-            changed = self.start_over(&m.snapshot, m.light);
+        self.watch.last_response_at = now.mono;
+        let mut changed = self.install_snapshot_of(&batch);
+        changed |= self.apply_entries(&batch);
+        if self.state.applied_index >= batch.commit && batch.commit > 0 {
+            self.caught_up(now, &batch);
+        } else if self.state.applied_index < batch.commit && changed {
+            // There is more to fetch, and the replica delivers.
+            self.watch.next_watch_request = now.mono;
+        }
+        self.peer_sampler.set_replicas(batch.replicas);
+        self.answer_due_polls(now);
+        if changed {
+            self.on_state_changed(now);
+        }
+    }
+
+    /// The process that was asked is no leader: the one that it names is asked instead, or any other.
+    fn on_watch_refused(&mut self, now: Now, from: &str, batch: WatchBatch) {
+        if from != self.watch.replica {
+            return;
+        }
+        self.peer_sampler.replicas.extend(batch.replicas);
+        let leader = batch.leader;
+        if leader.is_empty() || leader == from {
+            self.switch_replica();
+            return;
+        }
+        self.watch.replica = leader;
+        let soon = now.mono + self.settings.bounds.tick();
+        self.watch.next_watch_request = self.watch.next_watch_request.min(soon);
+    }
+
+    /// Installs the snapshot of a batch if it has one that is needed; returns whether it did.
+    fn install_snapshot_of(&mut self, batch: &WatchBatch) -> bool {
+        let is_needed = batch.snapshot_index > self.state.applied_index
+            || batch.commit < self.state.applied_index
+            || batch.light != self.light;
+        !batch.snapshot.is_empty()
+            && is_needed
+            && self.install_snapshot(&batch.snapshot, batch.light)
+    }
+
+    /// Applies the entries of a batch that follow; returns whether there were any.
+    fn apply_entries(&mut self, batch: &WatchBatch) -> bool {
+        if batch.light != self.light {
+            return false;
         }
-        let own_kind = m.light == self.light;
-        for e in m.entries.iter().filter(|_| own_kind) {
+        let mut changed = false;
+        for entry in &batch.entries {
             let next = self.state.applied_index + 1;
-            if e.index == next || (self.light && e.index > next) {
-                self.follow_entry(e.index, e.at, &e.command);
+            // A light copy gets only the entries that concern it.
+            if entry.index == next || (self.light && entry.index > next) {
+                self.apply_entry(entry);
                 changed = true;
             }
         }
-        if self.light && own_kind && m.reached > self.state.applied_index {
-            // What lies between concerns jobs and workers, of which a light copy keeps nothing.
-            self.state.applied_index = m.reached;
+        if self.light && batch.reached > self.state.applied_index {
+            // The entries between concern jobs and workers, of which a light copy keeps nothing.
+            self.state.applied_index = batch.reached;
             changed = true;
         }
-        if self.state.applied_index >= m.commit && m.commit > 0 {
-            if !self.watch.has_snapshot {
-                self.line(format!(
-                    "watches the log from index {}",
-                    self.state.applied_index
-                ));
-            }
-            self.watch.has_snapshot = true;
-            self.watch.fresh_at = self
-                .watch
-                .fresh_at
-                .max(m.sent.saturating_sub(m.quorum_age).min(now.mono));
-            self.watch.clock = (m.clock, now.mono);
-        } else if self.state.applied_index < m.commit && changed {
-            self.watch.next_watch_request = now.mono;
-        }
-        self.answer_fresh(now);
-        if changed {
-            self.take_up(now);
+        changed
+    }
+
+    /// All that was committed when the replica answered has been applied.
+    fn caught_up(&mut self, now: Now, batch: &WatchBatch) {
+        if !self.watch.has_snapshot {
+            let index = self.state.applied_index;
+            self.log(format!("watches the log from index {index}"));
         }
+        self.watch.has_snapshot = true;
+        // The leader was certain of its leadership `quorum_age` before it answered.
+        let fresh_at = batch.sent.saturating_sub(batch.quorum_age).min(now.mono);
+        self.watch.fresh_at = self.watch.fresh_at.max(fresh_at);
+        self.watch.clock = ClockReading {
+            cluster_time: batch.clock,
+            read_at: now.mono,
+        };
     }
 
     /// Takes a chunk of the snapshot that this node fetches, and asks for the next.
-    pub(super) fn on_watch_chunk(&mut self, now: Now, from: &str, m: &WatchSnapshotChunk) {
-        let wanted = m.index > self.state.applied_index
-            || m.commit < self.state.applied_index
-            || m.light != self.light;
-        if from != self.watch.replica || !wanted {
+    pub(super) fn on_watch_chunk(&mut self, now: Now, from: &str, chunk: &WatchSnapshotChunk) {
+        let is_needed = chunk.index > self.state.applied_index
+            || chunk.commit < self.state.applied_index
+            || chunk.light != self.light;
+        if from != self.watch.replica || !is_needed {
             return;
         }
-        let of = SnapshotId {
-            index: m.index,
-            term: m.term,
-            total: m.total,
-            checksum: m.checksum,
+        let id = SnapshotId {
+            index: chunk.index,
+            term: chunk.term,
+            total: chunk.total,
+            checksum: chunk.checksum,
         };
-        match self.watch.incoming.take(of, m.offset, &m.bytes) {
+        match self.watch.incoming.take(id, chunk.offset, &chunk.bytes) {
             ChunkOutcome::Part => {}
             ChunkOutcome::Corrupt => {
                 self.count("watch_snapshots_refused", 1);
-                self.line(format!(
+                self.log(format!(
                     "a snapshot at index {} refused: its checksum is wrong",
-                    m.index
+                    chunk.index
                 ));
                 return;
             }
             ChunkOutcome::Whole(bytes) => {
-                if self.start_over(&bytes, m.light) {
-                    self.take_up(now);
+                if self.install_snapshot(&bytes, chunk.light) {
+                    self.on_state_changed(now);
                 }
             }
         }
-        self.watch.answered = now.mono;
+        self.watch.last_response_at = now.mono;
         self.watch.next_watch_request = now.mono;
         self.watch_tick(now);
     }
 
-    /// Takes a whole snapshot over in place of its copy; says whether it could.
-    fn start_over(&mut self, bytes: &[u8], light: bool) -> bool {
+    /// Replaces this node's copy of the cluster state by a snapshot; returns whether it could be read.
+    fn install_snapshot(&mut self, bytes: &[u8], light: bool) -> bool {
         match ClusterState::unpack(bytes) {
             Ok(state) => {
                 self.state = state;
                 self.light = light;
                 self.count("watch_snapshots", 1);
                 self.sched.all_dirty = true;
-                self.sched.reserve_anew();
+                self.sched.forget_reservations();
                 true
             }
             Err(why) => {
-                self.line(why);
+                self.log(why);
                 false
             }
         }
     }
 
-    /// Does what a change of the cluster state asks for.
-    fn take_up(&mut self, now: Now) {
-        self.hold_zones(now);
-        self.calls_on_place();
+    /// Does what a change of the cluster state gives cause for.
+    fn on_state_changed(&mut self, now: Now) {
+        self.update_zone_schedulers(now);
+        self.answer_ready_reads();
         self.schedule(now);
         self.offer_all(now);
     }
 
-    /// Applies one entry and lets the parts take note of what it touches.
-    fn follow_entry(&mut self, index: u64, at: u64, bytes: &[u8]) {
-        let command = Command::unpack(bytes).ok();
+    /// Applies an entry of the log to this node's copy of the cluster state.
+    fn apply_entry(&mut self, entry: &Entry) {
+        let command = Command::unpack(&entry.command).ok();
+        // Before the entry is applied: the attempts that end are not live afterwards.
+        self.mark_dirty_jobs(command.as_ref().map(Command::action));
         let version = self.state.version;
-        match command.as_ref().map(Command::action) {
+        let result = self
+            .state
+            .apply_bytes(entry.index, entry.at, &entry.command);
+        self.count("watch_entries", 1);
+        if let Some(Command::StartAttempts {
+            job, placements, ..
+        }) = &command
+        {
+            for placement in placements {
+                self.release_promise(&placement.worker, job);
+            }
+            self.count("starts_refused", u64::from(result.is_err()));
+        }
+        if self.state.version != version {
+            let version = self.state.version;
+            self.log(format!("configuration version {version} in force"));
+        }
+    }
+
+    /// Marks the jobs whose demand for slots a command may change.
+    fn mark_dirty_jobs(&mut self, action: Option<&Command>) {
+        match action {
             Some(Command::ReportAttempts { ends, .. }) => {
-                let touched: Vec<String> = ends
-                    .iter()
-                    .filter_map(|e| self.state.live.get(&e.no))
-                    .map(|(j, _)| j.clone())
-                    .collect();
-                self.sched.dirty.extend(touched);
+                for end in ends {
+                    if let Some((job, _)) = self.state.live.get(&end.no) {
+                        self.sched.dirty.insert(job.clone());
+                    }
+                }
             }
             Some(Command::AcceptJob { spec, .. }) => {
                 self.sched.dirty.insert(spec.id.clone());
             }
             Some(Command::GrantLease { lease, .. }) => {
                 self.sched.all_dirty = true;
-                if lease.starts_with("cell/") {
-                    self.sched.reserve_anew();
+                if zone_of_lease(lease).is_some() {
+                    self.sched.forget_reservations();
                 }
             }
             Some(
@@ -316,20 +372,5 @@
             ) => {}
             _ => self.sched.all_dirty = true,
         }
-        let result = self.state.apply_bytes(index, at, bytes);
-        self.count("watch_entries", 1);
-        if let Some(Command::StartAttempts {
-            job, placements, ..
-        }) = &command
-        {
-            placements.iter().for_each(|p| self.unhold(&p.worker, job));
-            self.count("starts_refused", u64::from(result.is_err()));
-        }
-        if self.state.version != version {
-            self.line(format!(
-                "configuration version {} in force",
-                self.state.version
-            ));
-        }
     }
 }
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -1,6 +1,6 @@
-//! Heartbeats of workers: what each says, and what the holder of its zone scheduler makes of it.
+//! Heartbeats of workers: what each reports, and what the zone scheduler proposes because of it.
 
-use super::{Pace, WorkerState};
+use super::{RunProgress, WorkerState};
 use crate::node::propose::Purpose;
 use crate::node::Node;
 use crate::sans_io::{Now, Response};
@@ -10,104 +10,143 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What a worker says in a heartbeat.
+/// What a worker reports in a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Heartbeat {
     #[serde(rename = "facts")]
     pub info: WorkerInfo,
     #[serde(default)]
-    pub running: Vec<Running>,
-    /// Repeated until the answer says that they are settled.
+    pub running: Vec<RunningAttempt>,
+    /// Repeated until a response acknowledges them.
     #[serde(default)]
     pub ended: Vec<EndReport>,
-    /// Rises with each heartbeat of a worker, so that a late one is known; 0 where it isn't counted.
-    #[serde(default)]
-    pub call: u64,
-    /// The worker keeps runs by their names: stops are told by names, too.
-    #[serde(default)]
-    pub named: bool,
-    /// How long a leaving worker stays at least; what won't end by then is called back.
+    /// Rises with each heartbeat of a worker, so that a delayed one is recognised; 0 where the worker does not count.
+    #[serde(default, rename = "call")]
+    pub sequence: u64,
+    /// The worker identifies runs by their names: stop orders carry names, too.
+    #[serde(default, rename = "named")]
+    pub uses_run_names: bool,
+    /// How long a leaving worker stays at least; runs that would not end by then are rescheduled.
     #[serde(default)]
     pub leaves_in_ms: Option<u64>,
 }
 
-/// A attempt that is running on a worker.
+/// An attempt that is running on a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
-pub struct Running {
-    #[serde(default)]
-    pub no: u64,
-    /// In place of `no`.
+pub struct RunningAttempt {
+    #[serde(default, rename = "no")]
+    pub attempt: u64,
+    /// In place of the attempt's number.
     #[serde(default)]
     pub name: Option<RunName>,
     /// Its newest checkpoint.
     #[serde(default)]
     pub checkpoint: String,
-    /// How far it is, in parts of a thousand, where the worker knows.
+    /// Its progress in parts of a thousand, where the worker knows it.
     #[serde(default)]
     pub progress: u32,
 }
 
+impl Heartbeat {
+    /// The attempts that it reports, as running or as ended.
+    pub(super) fn reported_attempts(&self) -> BTreeSet<u64> {
+        let running = self.running.iter().map(|run| run.attempt);
+        running.chain(self.ended.iter().map(|end| end.no)).collect()
+    }
+}
+
+/// What a heartbeat gives cause to propose.
+struct DueProposals {
+    info: bool,
+    report: bool,
+    running: Vec<u64>,
+    ends: Vec<EndReport>,
+}
+
 impl Node {
-    /// The response on a heartbeat, by the holder of the worker's zone scheduler.
+    /// The response to a heartbeat, by the holder of the worker's zone lease.
     pub(in crate::node) fn heartbeat(&mut self, now: Now, mut heartbeat: Heartbeat) -> Response {
-        let zone = heartbeat.info.zone.clone();
-        let id = heartbeat.info.worker.clone();
-        let Some(epoch) = self.epoch(&zone_lease(&zone)).filter(|_| self.speaks(now)) else {
-            return self.not_ready();
+        let held_epoch = self.epoch(&zone_lease(&heartbeat.info.zone));
+        let Some(epoch) = held_epoch.filter(|_| self.fresh_for_zones(now)) else {
+            return self.not_ready_response();
         };
-        self.hold_zones(now);
+        self.update_zone_schedulers(now);
         self.count("heartbeats", 1);
-        if self.is_late(&zone, &id, &heartbeat) {
-            return self.late_heartbeat();
+        if self.is_late(&heartbeat) {
+            return self.late_heartbeat_response();
         }
-        self.number_runs(&id, &mut heartbeat);
-        let known = self.state.workers.get(&id).cloned().unwrap_or_default();
+        self.resolve_run_names(&mut heartbeat);
+        let known = self.state.workers.get(&heartbeat.info.worker);
+        let known = known.cloned().unwrap_or_default();
         if heartbeat.info.incarnation < known.info.incarnation {
-            return old_incarnation();
+            return old_incarnation_response();
         }
-        let new_facts = known.info != heartbeat.info || known.lost;
-        let mut ends = self.live_ends(now, &heartbeat);
-        let running = self.newly_running(&heartbeat);
-        let held = self
-            .zone_schedulers
-            .entry(zone.clone())
-            .or_default()
-            .workers
-            .entry(id.clone())
-            .or_default();
-        held.hear(now, &heartbeat);
-        ends.extend(held.never_started(&self.state, &heartbeat));
-        held.keep_state(now, &heartbeat);
-        let paces = held.paces.clone();
-        let request_info = new_facts && !held.info_proposed;
-        held.info_proposed |= new_facts;
-        // That something runs is told with the next end, or after a while: it decides little, and an entry costs much.
-        let waited = now.mono >= held.reported + self.settings.bounds.cancel_ms / 4;
-        let has_report = !ends.is_empty() || (!running.is_empty() && waited);
-        let ask_report = has_report && !held.report_proposed;
-        held.report_proposed |= has_report;
-        if ask_report {
-            held.reported = now.mono;
+        let info_changed = known.info != heartbeat.info || known.lost;
+        let due = self.record_heartbeat(now, &heartbeat, info_changed);
+        self.reschedule_stragglers(now, &heartbeat, epoch);
+        if due.info {
+            self.propose_info(now, &heartbeat, epoch);
         }
-        let recalling = held.reschedule_proposed;
-        let leaves = heartbeat.leaves_in_ms.filter(|_| heartbeat.info.leaving);
-        let (late, blame) = self.stragglers(now, &id, &paces, leaves);
-        if !late.is_empty() && !recalling {
-            self.reschedule_attempts(now, &id, epoch, late, blame);
+        if due.report {
+            self.propose_report(now, &heartbeat, due.running, due.ends);
         }
-        if request_info {
-            self.propose_info(now, &heartbeat, epoch);
+        self.orders_response(&heartbeat, epoch)
+    }
+
+    /// Records a heartbeat, and says what is to be proposed because of it.
+    fn record_heartbeat(
+        &mut self,
+        now: Now,
+        heartbeat: &Heartbeat,
+        info_changed: bool,
+    ) -> DueProposals {
+        let mut ends = self.live_ends(now, heartbeat);
+        let running = self.newly_running(heartbeat);
+        // The log carries a report of runs that started with the next end, or after a while: few decisions depend on
+        // it, and an entry is expensive.
+        let report_interval = self.settings.bounds.cancel_ms / 4;
+        let zone_scheduler = self.zone_schedulers.entry(heartbeat.info.zone.clone());
+        let workers = &mut zone_scheduler.or_default().workers;
+        let worker = workers.entry(heartbeat.info.worker.clone()).or_default();
+        worker.renew_lease(now, heartbeat);
+        ends.extend(worker.never_started(&self.state, heartbeat));
+        worker.record_runs(now, heartbeat);
+        let report_overdue = now.mono >= worker.last_report_at + report_interval;
+        let has_report = !ends.is_empty() || (!running.is_empty() && report_overdue);
+        let due = DueProposals {
+            info: info_changed && !worker.info_proposed,
+            report: has_report && !worker.report_proposed,
+            running,
+            ends,
+        };
+        worker.info_proposed |= info_changed;
+        worker.report_proposed |= has_report;
+        if due.report {
+            worker.last_report_at = now.mono;
+        }
+        due
+    }
+
+    /// Proposes to reschedule the worker's stragglers, unless that is under way.
+    fn reschedule_stragglers(&mut self, now: Now, heartbeat: &Heartbeat, epoch: u64) {
+        let info = &heartbeat.info;
+        let Some(worker) = self.worker(&info.zone, &info.worker) else {
+            return;
+        };
+        if worker.reschedule_proposed {
+            return;
         }
-        if ask_report {
-            self.propose_report(now, &heartbeat, running, ends);
+        let leaves_in_ms = heartbeat.leaves_in_ms.filter(|_| info.leaving);
+        let stragglers = self.stragglers(now, &info.worker, &worker.progress, leaves_in_ms);
+        if !stragglers.attempts.is_empty() {
+            self.reschedule_attempts(now, &info.worker, epoch, stragglers);
         }
-        self.orders(&heartbeat, epoch)
     }
 
-    /// The response where this node can't speak for the zone scheduler.
-    fn not_ready(&self) -> Response {
+    /// The response where this node can't act for the zone.
+    fn not_ready_response(&self) -> Response {
         Response::error(
             503,
             "notReady",
@@ -116,8 +155,8 @@
         .retry(self.settings.bounds.worker_heartbeat())
     }
 
-    /// The response on a heartbeat that comes too late to count.
-    fn late_heartbeat(&self) -> Response {
+    /// The response to a heartbeat that comes too late to count.
+    fn late_heartbeat_response(&self) -> Response {
         Response::error(
             503,
             "lateBeat",
@@ -126,95 +165,77 @@
         .retry(self.settings.bounds.worker_heartbeat())
     }
 
-    /// Whether a newer heartbeat of the worker was heard, or what it ran is being ended.
-    fn is_late(&self, zone: &str, id: &str, heartbeat: &Heartbeat) -> bool {
-        self.zone_schedulers
-            .get(zone)
-            .and_then(|c| c.workers.get(id))
-            .is_some_and(|w| {
-                !w.expiring.is_empty() || (heartbeat.call > 0 && heartbeat.call < w.call)
-            })
+    /// Whether a newer heartbeat of the worker was received, or what it ran is being ended.
+    fn is_late(&self, heartbeat: &Heartbeat) -> bool {
+        let info = &heartbeat.info;
+        let Some(worker) = self.worker(&info.zone, &info.worker) else {
+            return false;
+        };
+        let overtaken = heartbeat.sequence > 0 && heartbeat.sequence < worker.newest_sequence;
+        overtaken || !worker.expiring.is_empty()
     }
 
-    /// Gives the runs that a heartbeat names their numbers.
-    fn number_runs(&self, id: &str, heartbeat: &mut Heartbeat) {
-        // What the cluster state does not know as live gets number 0.
-        let number = |name: &Option<RunName>, no: u64| {
-            name.as_ref()
-                .map_or(no, |n| self.state.named(id, n).unwrap_or(0))
-        };
-        let running: Vec<u64> = heartbeat
-            .running
-            .iter()
-            .map(|r| number(&r.name, r.no))
-            .collect();
-        let ended: Vec<u64> = heartbeat
-            .ended
-            .iter()
-            .map(|e| number(&e.name, e.no))
-            .collect();
-        running
-            .into_iter()
-            .zip(&mut heartbeat.running)
-            .for_each(|(no, r)| r.no = no);
-        ended
-            .into_iter()
-            .zip(&mut heartbeat.ended)
-            .for_each(|(no, e)| e.no = no);
+    /// Fills in the attempt numbers of the runs that a heartbeat names.
+    fn resolve_run_names(&self, heartbeat: &mut Heartbeat) {
+        let worker = &heartbeat.info.worker;
+        // A run that the cluster state does not know as live gets number 0.
+        let number_of = |name: &RunName| self.state.named(worker, name).unwrap_or(0);
+        for run in &mut heartbeat.running {
+            if let Some(name) = &run.name {
+                run.attempt = number_of(name);
+            }
+        }
+        for end in &mut heartbeat.ended {
+            if let Some(name) = &end.name {
+                end.no = number_of(name);
+            }
+        }
     }
 
-    /// The ends that a heartbeat tells of runs which the cluster state knows as live.
+    /// The reported ends of runs that the cluster state knows as live.
     fn live_ends(&self, now: Now, heartbeat: &Heartbeat) -> Vec<EndReport> {
-        // How long a run took, where its worker does not say: since its first heartbeat here.
-        let held = self
-            .zone_schedulers
-            .get(&heartbeat.info.zone)
-            .and_then(|c| c.workers.get(&heartbeat.info.worker));
-        let ran = |no: u64| {
-            held.and_then(|w| w.paces.get(&no))
-                .map_or(0, |p| p.since(now.mono))
-        };
-        heartbeat
-            .ended
-            .iter()
-            .filter(|e| self.state.live.contains_key(&e.no))
-            .map(|e| EndReport {
+        let worker = self.worker(&heartbeat.info.zone, &heartbeat.info.worker);
+        let mut ends = Vec::new();
+        for end in &heartbeat.ended {
+            if !self.state.live.contains_key(&end.no) {
+                continue;
+            }
+            let mut end = EndReport {
                 name: None,
-                ran_ms: Some(e.ran_ms)
-                    .filter(|ms| *ms > 0)
-                    .unwrap_or_else(|| ran(e.no)),
-                ..e.clone()
-            })
-            .collect()
+                ..end.clone()
+            };
+            if end.ran_ms == 0 {
+                // The worker does not say how long it ran: it is measured from the first heartbeat that reported it.
+                let progress = worker.and_then(|worker| worker.progress.get(&end.no));
+                end.ran_ms = progress.map_or(0, |progress| progress.age(now.mono));
+            }
+            ends.push(end);
+        }
+        ends
     }
 
     /// The runs of a heartbeat that the cluster state does not show as running yet.
     fn newly_running(&self, heartbeat: &Heartbeat) -> Vec<u64> {
-        heartbeat
-            .running
-            .iter()
-            .map(|r| r.no)
-            .filter(|no| {
-                self.state.attempt(*no).is_some_and(|(_, _, s)| {
-                    s.state != AttemptState::Running && s.worker == heartbeat.info.worker
-                })
+        let is_new = |number: &u64| {
+            let known = self.state.attempt(*number);
+            known.is_some_and(|(_, _, attempt)| {
+                attempt.state != AttemptState::Running && attempt.worker == heartbeat.info.worker
             })
-            .collect()
+        };
+        let running = heartbeat.running.iter().map(|run| run.attempt);
+        running.filter(is_new).collect()
     }
 
-    /// Proposes what the worker says of itself.
+    /// Proposes the facts that the worker reports of itself.
     fn propose_info(&mut self, now: Now, heartbeat: &Heartbeat, zone_epoch: u64) {
-        self.propose(
-            now,
-            &Command::UpdateWorker {
-                info: heartbeat.info.clone(),
-                zone_epoch,
-            },
-            Purpose::UpdateWorker {
-                worker: heartbeat.info.worker.clone(),
-            },
-            self.settings.bounds.call(),
-        );
+        let command = Command::UpdateWorker {
+            info: heartbeat.info.clone(),
+            zone_epoch,
+        };
+        let purpose = Purpose::UpdateWorker {
+            worker: heartbeat.info.worker.clone(),
+        };
+        self.propose(now, &command, purpose, self.settings.bounds.call());
     }
 
     /// Proposes which runs have started and which have ended.
@@ -225,96 +246,90 @@
         running: Vec<u64>,
         ends: Vec<EndReport>,
     ) {
-        let incarnation = heartbeat.info.incarnation;
-        self.propose(
-            now,
-            &Command::ReportAttempts {
-                worker: heartbeat.info.worker.clone(),
-                incarnation,
-                running,
-                ends,
-            },
-            Purpose::Report {
-                worker: heartbeat.info.worker.clone(),
-            },
-            self.settings.bounds.call(),
-        );
+        let command = Command::ReportAttempts {
+            worker: heartbeat.info.worker.clone(),
+            incarnation: heartbeat.info.incarnation,
+            running,
+            ends,
+        };
+        let purpose = Purpose::Report {
+            worker: heartbeat.info.worker.clone(),
+        };
+        self.propose(now, &command, purpose, self.settings.bounds.call());
     }
 }
 
 impl WorkerState {
-    /// Notes when the heartbeat came, and which call it was.
-    fn hear(&mut self, now: Now, heartbeat: &Heartbeat) {
+    /// Renews the worker's lease and records the heartbeat's sequence number.
+    fn renew_lease(&mut self, now: Now, heartbeat: &Heartbeat) {
         self.last_heartbeat = now.mono;
-        self.renewed = now.mono;
-        self.call = self.call.max(heartbeat.call);
-        if self.first_call == 0 {
-            self.first_call = heartbeat.call;
+        self.lease_renewed_at = now.mono;
+        self.newest_sequence = self.newest_sequence.max(heartbeat.sequence);
+        if self.first_sequence == 0 {
+            self.first_sequence = heartbeat.sequence;
         }
     }
 
-    /// Ends of the runs that were never started and never will be.
+    /// Ends of the attempts that were never started and never will be.
+    ///
+    /// A worker's heartbeats follow one another, and it drops a response that arrives after its next heartbeat has
+    /// left. So an attempt that is not wanted any more, and that a heartbeat does not report although an earlier
+    /// response carried its start order, was never started and never will be.
     fn never_started(&mut self, state: &ClusterState, heartbeat: &Heartbeat) -> Vec<EndReport> {
-        // Calls follow one another, and an answer that comes after the next call is dropped. So what is not wanted any
-        // more, and what a call does not show whose order went with an earlier answer, was never started and never will be.
-        let shown: BTreeSet<u64> = heartbeat
-            .running
-            .iter()
-            .map(|r| r.no)
-            .chain(heartbeat.ended.iter().map(|e| e.no))
-            .collect();
-        let attempts = state
-            .workers
-            .get(&heartbeat.info.worker)
-            .map(|w| &w.attempts);
-        self.given
-            .retain(|no, _| attempts.is_some_and(|s| s.contains(no)));
-        if heartbeat.call <= self.first_call {
+        let Some(known) = state.workers.get(&heartbeat.info.worker) else {
+            self.sent_starts.clear();
             return Vec::new();
+        };
+        self.sent_starts
+            .retain(|attempt, _| known.attempts.contains(attempt));
+        if heartbeat.sequence <= self.first_sequence {
+            return Vec::new();
+        }
+        let reported = heartbeat.reported_attempts();
+        let mut ends = Vec::new();
+        for number in &known.attempts {
+            let Some((_, _, attempt)) = state.attempt(*number) else {
+                continue;
+            };
+            let unwanted = attempt.stop || attempt.state == AttemptState::Unsure;
+            let sent_with = self.sent_starts.get(number);
+            let order_is_void = sent_with.is_none_or(|sequence| *sequence < heartbeat.sequence);
+            let of_this_incarnation = attempt.incarnation == heartbeat.info.incarnation;
+            if unwanted && order_is_void && of_this_incarnation && !reported.contains(number) {
+                ends.push(EndReport {
+                    no: *number,
+                    outcome: Outcome::NeverStarted,
+                    ..EndReport::default()
+                });
+            }
         }
-        let gone = attempts.into_iter().flatten().filter(|no| {
-            !shown.contains(no)
-                && self.given.get(no).is_none_or(|c| *c < heartbeat.call)
-                && state.attempt(**no).is_some_and(|(_, _, s)| {
-                    s.incarnation == heartbeat.info.incarnation
-                        && (s.stop || s.state == AttemptState::Unsure)
-                })
-        });
-        gone.map(|no| EndReport {
-            no: *no,
-            outcome: Outcome::NeverStarted,
-            ..EndReport::default()
-        })
-        .collect()
+        ends
     }
 
-    /// Keeps the resources, the progress and the checkpoints that the heartbeat tells.
-    fn keep_state(&mut self, now: Now, heartbeat: &Heartbeat) {
+    /// Records the resources, the progress and the checkpoints that the heartbeat reports.
+    fn record_runs(&mut self, now: Now, heartbeat: &Heartbeat) {
         self.leaving = heartbeat.info.leaving;
         self.resources = heartbeat.info.total_resources();
-        let mut paces = std::mem::take(&mut self.paces);
-        self.paces = heartbeat
-            .running
-            .iter()
-            .filter(|r| r.no > 0)
-            .map(|r| {
-                let new = Pace::new(now.mono, r.progress);
-                let mut pace = paces.remove(&r.no).unwrap_or(new);
-                pace.hear(now.mono, r.progress);
-                (r.no, pace)
-            })
-            .collect();
-        self.checkpoints = heartbeat
-            .running
-            .iter()
-            .filter(|r| !r.checkpoint.is_empty())
-            .map(|r| (r.no, r.checkpoint.clone()))
-            .collect();
+        // Runs that are not reported any more are forgotten.
+        let mut earlier = std::mem::take(&mut self.progress);
+        self.checkpoints.clear();
+        for run in &heartbeat.running {
+            if run.attempt > 0 {
+                let first = RunProgress::new(now.mono, run.progress);
+                let mut progress = earlier.remove(&run.attempt).unwrap_or(first);
+                progress.record(now.mono, run.progress);
+                self.progress.insert(run.attempt, progress);
+            }
+            if !run.checkpoint.is_empty() {
+                let checkpoint = run.checkpoint.clone();
+                self.checkpoints.insert(run.attempt, checkpoint);
+            }
+        }
     }
 }
 
-/// The response on a heartbeat of a process that a newer one has replaced.
-fn old_incarnation() -> Response {
+/// The response to a heartbeat of a process that a newer one has replaced.
+fn old_incarnation_response() -> Response {
     Response::error(
         409,
         "oldIncarnation",
