--- a/landingdrift/src/node/zone_scheduler/lease_expiry.rs
+++ b/landingdrift/src/node/zone_scheduler/lease_expiry.rs
@@ -1,18 +1,21 @@
-//! Silence of workers: those that are lost, those whose hold has passed or who have left, and runs that are called back.
+//! Failure detection: workers that are lost, and workers whose lease has expired or that have left.
 
+use super::stragglers::Stragglers;
+use super::WorkerState;
 use crate::node::propose::Purpose;
 use crate::node::Node;
 use crate::sans_io::Now;
-use crate::state::Command;
+use crate::settings::Bounds;
+use crate::state::{Command, Worker};
 
 /// A worker that has been silent too long.
-struct Lost {
+struct LostWorker {
     worker: String,
     zone_epoch: u64,
 }
 
-/// A worker whose hold has passed or who has left: what ran there is dead.
-struct Expired {
+/// A worker whose lease has expired or that has left: what ran there is dead.
+struct ExpiredWorker {
     worker: String,
     zone_epoch: u64,
     attempts: Vec<u64>,
@@ -20,74 +23,59 @@
 }
 
 impl Node {
-    /// Looks for workers that are silent, gone or expired, and offers free slots.
+    /// Detects workers that are lost, have left or whose lease has expired, and offers free slots.
     pub(in crate::node) fn zone_schedulers_tick(&mut self, now: Now) {
-        let lost_after = self.settings.bounds.worker_lost();
-        if !self.speaks(now) {
-            // Nothing is decided on old news, and silence is not held against workers meanwhile.
-            self.zone_schedulers
-                .values_mut()
-                .flat_map(|c| c.workers.values_mut())
-                .for_each(|w| {
-                    w.last_heartbeat = w
-                        .last_heartbeat
-                        .max(now.mono.saturating_sub(lost_after / 2))
-                });
+        if !self.fresh_for_zones(now) {
+            // Nothing is decided on an old copy of the cluster state, and silence does not count against workers
+            // meanwhile.
+            let lost_after = self.settings.bounds.worker_lost();
+            let earliest = now.mono.saturating_sub(lost_after / 2);
+            for worker in self.all_workers() {
+                worker.last_heartbeat = worker.last_heartbeat.max(earliest);
+            }
             return;
         }
-        let (lost, expired) = self.silent_workers(now);
-        lost.into_iter().for_each(|l| self.propose_lost(now, l));
-        expired
-            .into_iter()
-            .for_each(|l| self.propose_expiry(now, l));
+        let (lost, expired) = self.detect_failures(now);
+        for worker in lost {
+            self.propose_lost(now, worker);
+        }
+        for worker in expired {
+            self.propose_expiry(now, worker);
+        }
         self.offer_all(now);
     }
 
-    /// The workers that are silent too long, and those whose hold has passed or who have left.
-    fn silent_workers(&mut self, now: Now) -> (Vec<Lost>, Vec<Expired>) {
-        let (lost_after, offer) = (
-            self.settings.bounds.worker_lost(),
-            self.settings.bounds.offer(),
-        );
-        let (mut lost, mut expired) = (Vec::new(), Vec::new());
-        let hold = self.settings.bounds.lease_expired_after();
-        for c in self.zone_schedulers.values_mut() {
-            for (k, w) in &mut c.workers {
-                w.pending.retain(|p| now.mono < p.until);
-                if w.episode
-                    .as_ref()
-                    .is_some_and(|e| now.mono >= e.since + offer)
-                {
-                    w.episode = None;
+    /// The workers that are newly lost, and those whose expiry is to be proposed.
+    fn detect_failures(&mut self, now: Now) -> (Vec<LostWorker>, Vec<ExpiredWorker>) {
+        let bounds = &self.settings.bounds;
+        let mut lost = Vec::new();
+        let mut expired = Vec::new();
+        for zone_scheduler in self.zone_schedulers.values_mut() {
+            let zone_epoch = zone_scheduler.epoch;
+            for (name, worker) in &mut zone_scheduler.workers {
+                worker.drop_overdue_offers(now, bounds.offer());
+                let known = self.state.workers.get(name);
+                if let Some(known) = known {
+                    worker.begin_expiry(now, bounds, known);
                 }
-                let left = w.left.is_some_and(|at| now.mono >= at);
-                let passed = hold > 0 && now.mono.saturating_sub(w.renewed) > hold;
-                let holds = self
-                    .state
-                    .workers
-                    .get(k)
-                    .is_some_and(|r| !r.attempts.is_empty());
-                if w.expiring.is_empty() && (passed || left) && holds && !w.info_proposed {
-                    let attempts = self.state.workers.get(k).map(|r| r.attempts.clone());
-                    w.expiring = attempts.unwrap_or_default().into_iter().collect();
-                }
-                if !w.expiring.is_empty() && !w.expiry_proposed {
-                    w.expiry_proposed = true;
-                    let known = std::mem::take(&mut w.checkpoints);
-                    expired.push(Expired {
-                        worker: k.clone(),
-                        zone_epoch: c.epoch,
-                        attempts: w.expiring.clone(),
-                        checkpoints: known.into_iter().collect(),
+                if !worker.expiring.is_empty() && !worker.expiry_proposed {
+                    worker.expiry_proposed = true;
+                    let checkpoints = std::mem::take(&mut worker.checkpoints);
+                    expired.push(ExpiredWorker {
+                        worker: name.clone(),
+                        zone_epoch,
+                        attempts: worker.expiring.clone(),
+                        checkpoints: checkpoints.into_iter().collect(),
                     });
                 }
-                let silent = now.mono.saturating_sub(w.last_heartbeat) > lost_after;
-                if silent && !w.info_proposed && self.state.workers.get(k).is_some_and(|r| !r.lost)
-                {
-                    w.info_proposed = true;
-                    lost.push(Lost {
-                        worker: k.clone(),
-                        zone_epoch: c.epoch,
+                let silent_for = now.mono.saturating_sub(worker.last_heartbeat);
+                let is_silent = silent_for > bounds.worker_lost();
+                let not_known_as_lost = known.is_some_and(|known| !known.lost);
+                if is_silent && not_known_as_lost && !worker.info_proposed {
+                    worker.info_proposed = true;
+                    lost.push(LostWorker {
+                        worker: name.clone(),
+                        zone_epoch,
                     });
                 }
             }
@@ -95,94 +83,90 @@
         (lost, expired)
     }
 
-    /// Proposes that the attempts of a silent worker are unsure.
-    fn propose_lost(&mut self, now: Now, lost: Lost) {
-        let Lost { worker, zone_epoch } = lost;
-        let incarnation = self
-            .state
-            .workers
-            .get(&worker)
-            .map_or(0, |w| w.info.incarnation);
-        self.line(format!(
+    /// Proposes that the outcome of a silent worker's attempts is unknown.
+    fn propose_lost(&mut self, now: Now, lost: LostWorker) {
+        let LostWorker { worker, zone_epoch } = lost;
+        let incarnation = self.incarnation_of(&worker);
+        self.log(format!(
             "worker {worker} is silent: the outcome of its attempts is unknown"
         ));
         self.count("workers_lost", 1);
-        self.propose(
-            now,
-            &Command::WorkerLost {
-                worker: worker.clone(),
-                incarnation,
-                zone_epoch,
-            },
-            Purpose::UpdateWorker { worker },
-            self.settings.bounds.call(),
-        );
+        let command = Command::WorkerLost {
+            worker: worker.clone(),
+            incarnation,
+            zone_epoch,
+        };
+        let within = self.settings.bounds.call();
+        self.propose(now, &command, Purpose::UpdateWorker { worker }, within);
     }
 
     /// Proposes that what ran on a worker is dead.
-    fn propose_expiry(&mut self, now: Now, expired: Expired) {
-        let Expired {
-            worker,
-            zone_epoch,
-            attempts,
-            checkpoints,
-        } = expired;
-        let known = self.state.workers.get(&worker);
-        let incarnation = known.map_or(0, |w| w.info.incarnation);
-        self.line(format!(
+    fn propose_expiry(&mut self, now: Now, expired: ExpiredWorker) {
+        let worker = expired.worker;
+        let incarnation = self.incarnation_of(&worker);
+        self.log(format!(
             "worker {worker} is silent beyond its lease: what ran there is dead"
         ));
         self.count("workers_lease_expired", 1);
         let command = Command::ExpireAttempts {
             worker: worker.clone(),
             incarnation,
-            zone_epoch,
-            attempts,
-            checkpoints,
+            zone_epoch: expired.zone_epoch,
+            attempts: expired.attempts,
+            checkpoints: expired.checkpoints,
         };
         let within = self.settings.bounds.call();
         self.propose(now, &command, Purpose::ExpireAttempts { worker }, within);
     }
 
-    /// A proposal that a worker's runs are dead has been answered; `ruled` says that the cluster state took it.
-    pub(in crate::node) fn expiry_done(&mut self, worker: &str, ruled: bool) {
-        for w in self.workers_named(worker) {
-            w.expiry_proposed = false;
-            if ruled {
-                w.expiring.clear();
+    /// The incarnation of a worker that the cluster state knows; 0 where it knows none.
+    pub(super) fn incarnation_of(&self, worker: &str) -> u64 {
+        let known = self.state.workers.get(worker);
+        known.map_or(0, |worker| worker.info.incarnation)
+    }
+
+    /// The expiry of a worker's attempts was applied, or given up; given up, it is proposed again.
+    pub(in crate::node) fn on_expiry_proposal_done(&mut self, worker: &str, applied: bool) {
+        for worker in self.workers_named(worker) {
+            worker.expiry_proposed = false;
+            if applied {
+                worker.expiring.clear();
             }
         }
     }
 
-    /// A worker says that it has left: what ran there is dead in a moment.
-    pub(in crate::node) fn left(&mut self, now: Now, worker: &str) {
-        let at = now.mono + self.settings.bounds.obey() / 2;
-        for w in self.workers_named(worker) {
-            w.left = Some(at);
-            w.leaving = true;
+    /// A worker reports that it has left: what ran there is dead shortly.
+    pub(in crate::node) fn on_worker_left(&mut self, now: Now, worker: &str) {
+        let dead_at = now.mono + self.settings.bounds.obey() / 2;
+        for worker in self.workers_named(worker) {
+            worker.left_at = Some(dead_at);
+            worker.leaving = true;
         }
     }
 
-    /// Calls sends back that do no good where they are.
+    /// Proposes to reschedule the stragglers of a worker.
     pub(super) fn reschedule_attempts(
         &mut self,
         now: Now,
         worker: &str,
         zone_epoch: u64,
-        attempts: Vec<u64>,
-        blame: bool,
+        stragglers: Stragglers,
     ) {
-        let until = now.mono + self.settings.bounds.cancel_ms;
-        if let Some(w) = self.workers_named(worker).next() {
-            w.reschedule_proposed = true;
-            if blame {
-                w.suspect_until = until;
+        let Stragglers {
+            attempts,
+            blame_worker,
+        } = stragglers;
+        let suspect_until = now.mono + self.settings.bounds.cancel_ms;
+        if let Some(worker) = self.workers_named(worker).next() {
+            worker.reschedule_proposed = true;
+            if blame_worker {
+                worker.suspect_until = suspect_until;
             }
         }
         self.count("attempts_rescheduled", attempts.len() as u64);
-        if blame {
-            self.line(format!(
-                "worker {worker} stands still or crawls: {} of its runs are rescheduled",
+        if blame_worker {
+            self.log(format!(
+                "worker {worker} is stalled or slow: {} of its runs are rescheduled",
                 attempts.len()
             ));
             self.count("workers_suspected", 1);
@@ -191,7 +175,7 @@
             worker: worker.into(),
             zone_epoch,
             attempts,
-            blame,
+            blame: blame_worker,
         };
         let purpose = Purpose::RescheduleAttempts {
             worker: worker.into(),
@@ -199,10 +183,24 @@
         self.propose(now, &command, purpose, self.settings.bounds.call());
     }
 
-    /// A proposal to call sends back has been answered.
-    pub(in crate::node) fn reschedule_done(&mut self, worker: &str) {
-        for w in self.workers_named(worker) {
-            w.reschedule_proposed = false;
+    /// A proposal to reschedule attempts has an outcome, or is given up.
+    pub(in crate::node) fn on_reschedule_proposal_done(&mut self, worker: &str) {
+        for worker in self.workers_named(worker) {
+            worker.reschedule_proposed = false;
+        }
+    }
+}
+
+impl WorkerState {
+    /// Begins to end the worker's attempts if it has left or its lease has expired.
+    fn begin_expiry(&mut self, now: Now, bounds: &Bounds, known: &Worker) {
+        let has_left = self.left_at.is_some_and(|at| now.mono >= at);
+        let expires_after = bounds.lease_expired_after();
+        let unrenewed_for = now.mono.saturating_sub(self.lease_renewed_at);
+        let lease_expired = expires_after > 0 && unrenewed_for > expires_after;
+        let under_way = !self.expiring.is_empty() || self.info_proposed;
+        if (has_left || lease_expired) && !under_way {
+            self.expiring = known.attempts.iter().copied().collect();
         }
     }
 }
--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -1,91 +1,106 @@
-//! A zone scheduler: a zone's workers, their heartbeats and their reservation queues. Hopper's worker side.
+//! The zone scheduler: a zone's workers, their heartbeats and their reservation queues. Hopper's worker side.
+//!
+//! - `heartbeats` receives what workers report,
+//! - `orders` derives what the response tells a worker to start and to stop,
+//! - `lease_expiry` detects workers that are silent or have left,
+//! - `stragglers` finds runs that should be rescheduled,
+//! - `reservations` and `offers` offer free slots to the schedulers that reserved them, in the order of `targets`.
 
 mod heartbeats;
 mod lease_expiry;
 mod offers;
 mod orders;
-mod pace;
 mod reservations;
+mod stragglers;
 mod targets;
 
-pub use heartbeats::{Heartbeat, Running};
-pub use pace::{judge, Pace, RescheduleReason, Run};
+pub use heartbeats::{Heartbeat, RunningAttempt};
+pub use stragglers::{find_stragglers, ObservedRun, RescheduleReason, RunProgress};
 
 use super::Node;
 use crate::sans_io::Now;
 use crate::state::Resources;
 use crate::wire::Reservation;
-use offers::{Episode, PromisedResources};
+use offers::{OfferRound, PromisedResources};
 use std::collections::BTreeMap;
 
-/// A zone scheduler that this node holds.
+/// What the name of a zone scheduler's lease begins with; the zone follows.
+const ZONE_LEASE_PREFIX: &str = "cell/";
+
+/// The zone whose scheduler a lease is for; none for the leases of queues.
+pub(super) fn zone_of_lease(lease: &str) -> Option<&str> {
+    lease.strip_prefix(ZONE_LEASE_PREFIX)
+}
+
+/// A zone scheduler whose lease this node holds.
 #[derive(Default)]
 pub struct ZoneScheduler {
     pub epoch: u64,
     pub workers: BTreeMap<String, WorkerState>,
 }
 
-/// A worker of a zone scheduler.
+/// What the zone scheduler keeps of a worker beside the cluster state. Times are by this node's monotonic clock.
 #[derive(Default)]
 pub struct WorkerState {
     pub last_heartbeat: u64,
     leaving: bool,
     resources: Resources,
-    queue: Vec<Reservation>,
-    episode: Option<Episode>,
-    /// Room promised to accepted offers that the cluster state does not show yet.
-    pending: Vec<PromisedResources>,
-    idle_until: u64,
+    reservations: Vec<Reservation>,
+    offer_round: Option<OfferRound>,
+    /// Resources promised to accepted offers whose start the cluster state does not show yet.
+    promises: Vec<PromisedResources>,
+    no_offers_until: u64,
     info_proposed: bool,
     report_proposed: bool,
-    /// Its sends are being ended since its lease has passed: it is not held on meanwhile.
+    /// Attempts that are being ended because the worker's lease has expired: it is not renewed meanwhile.
     expiring: Vec<u64>,
     expiry_proposed: bool,
-    /// When its lease was last renewed, by this node's clock; or when it said that it left.
-    renewed: u64,
-    left: Option<u64>,
-    /// When a report was last proposed.
-    reported: u64,
-    /// The first call heard by this holder, and the newest.
-    first_call: u64,
-    call: u64,
-    /// Starts given, each with the newest call whose answer had it.
-    given: BTreeMap<u64, u64>,
+    lease_renewed_at: u64,
+    /// When what ran on a worker that reported that it left is dead.
+    left_at: Option<u64>,
+    last_report_at: u64,
+    /// The sequence numbers of the first heartbeat that this holder received, and of the newest.
+    first_sequence: u64,
+    newest_sequence: u64,
+    /// Attempts whose start order was sent, each with the newest heartbeat whose response carried it.
+    sent_starts: BTreeMap<u64, u64>,
     checkpoints: BTreeMap<u64, String>,
-    paces: BTreeMap<u64, Pace>,
+    progress: BTreeMap<u64, RunProgress>,
     reschedule_proposed: bool,
-    /// It does badly: no offers are made for it until then.
+    /// The worker stalled or was slow: its slots are not offered until then.
     suspect_until: u64,
 }
 
 impl Node {
-    /// Takes zone schedulers over and gives them up, as the cluster state says.
-    pub(in crate::node) fn hold_zones(&mut self, now: Now) {
-        let mine: BTreeMap<String, u64> = self
-            .state
-            .leases
-            .iter()
-            .filter(|(_, g)| g.holder == self.name)
-            .filter_map(|(d, g)| d.strip_prefix("cell/").map(|z| (z.to_string(), g.epoch)))
-            .collect();
+    /// Creates and drops zone schedulers, so that they are those whose leases this node holds.
+    pub(in crate::node) fn update_zone_schedulers(&mut self, now: Now) {
+        let mut held: BTreeMap<String, u64> = BTreeMap::new();
+        for (name, lease) in &self.state.leases {
+            if lease.holder != self.name {
+                continue;
+            }
+            if let Some(zone) = zone_of_lease(name) {
+                held.insert(zone.to_string(), lease.epoch);
+            }
+        }
         self.zone_schedulers
-            .retain(|z, c| mine.get(z) == Some(&c.epoch));
-        for (zone, epoch) in mine {
-            self.hold_cell(now, &zone, epoch);
+            .retain(|zone, zone_scheduler| held.get(zone) == Some(&zone_scheduler.epoch));
+        for (zone, epoch) in held {
+            self.update_zone_scheduler(now, &zone, epoch);
         }
     }
 
-    /// Holds a zone scheduler with the workers that the cluster state knows in its zone.
-    fn hold_cell(&mut self, now: Now, zone: &str, epoch: u64) {
+    /// Makes a zone scheduler's workers those that the cluster state knows in its zone.
+    fn update_zone_scheduler(&mut self, now: Now, zone: &str, epoch: u64) {
         if !self.zone_schedulers.contains_key(zone) {
-            self.line(format!("holds the lease of zone {zone}, epoch {epoch}"));
+            self.log(format!("holds the lease of zone {zone}, epoch {epoch}"));
         }
         let known: BTreeMap<String, Resources> = self
             .state
             .workers
             .iter()
-            .filter(|(_, w)| w.info.zone == zone)
-            .map(|(name, w)| (name.clone(), w.info.total_resources()))
+            .filter(|(_, worker)| worker.info.zone == zone)
+            .map(|(name, worker)| (name.clone(), worker.info.total_resources()))
             .collect();
         let zone_scheduler = self.zone_schedulers.entry(zone.to_string());
         let zone_scheduler = zone_scheduler.or_insert_with(|| ZoneScheduler {
@@ -99,30 +114,50 @@
             let worker = zone_scheduler.workers.entry(name);
             worker.or_insert_with(|| WorkerState {
                 last_heartbeat: now.mono,
-                renewed: now.mono,
+                lease_renewed_at: now.mono,
                 resources,
                 ..WorkerState::default()
             });
         }
     }
 
-    /// A proposal about a worker has been answered: on its facts, or on its report.
-    pub(in crate::node) fn proposal_over(&mut self, worker: &str, info: bool) {
-        for w in self.workers_named(worker) {
-            if info {
-                w.info_proposed = false;
-            } else {
-                w.report_proposed = false;
-            }
+    /// A proposal of a worker's facts has an outcome, or is given up.
+    pub(in crate::node) fn on_info_proposal_done(&mut self, worker: &str) {
+        for worker in self.workers_named(worker) {
+            worker.info_proposed = false;
         }
     }
 
-    /// A worker in all zone schedulers of this node that know it: while it moves, that may be two.
+    /// A proposal of what a worker reported has an outcome, or is given up.
+    pub(in crate::node) fn on_report_proposal_done(&mut self, worker: &str) {
+        for worker in self.workers_named(worker) {
+            worker.report_proposed = false;
+        }
+    }
+
+    /// A worker of one zone scheduler.
+    fn worker(&self, zone: &str, worker: &str) -> Option<&WorkerState> {
+        let zone_scheduler = self.zone_schedulers.get(zone)?;
+        zone_scheduler.workers.get(worker)
+    }
+
+    fn worker_mut(&mut self, zone: &str, worker: &str) -> Option<&mut WorkerState> {
+        let zone_scheduler = self.zone_schedulers.get_mut(zone)?;
+        zone_scheduler.workers.get_mut(worker)
+    }
+
+    /// All workers of this node's zone schedulers.
+    pub(in crate::node) fn all_workers(&mut self) -> impl Iterator<Item = &mut WorkerState> {
+        let zone_schedulers = self.zone_schedulers.values_mut();
+        zone_schedulers.flat_map(|zone_scheduler| zone_scheduler.workers.values_mut())
+    }
+
+    /// A worker in all zone schedulers of this node that know it: while it changes its zone, these may be two.
     fn workers_named<'a>(
         &'a mut self,
         worker: &'a str,
     ) -> impl Iterator<Item = &'a mut WorkerState> + 'a {
         let zone_schedulers = self.zone_schedulers.values_mut();
-        zone_schedulers.filter_map(move |c| c.workers.get_mut(worker))
+        zone_schedulers.filter_map(move |zone_scheduler| zone_scheduler.workers.get_mut(worker))
     }
 }
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -8,103 +8,103 @@
 use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken, Sizes};
 use std::collections::BTreeSet;
 
-/// Room promised to an accepted offer.
+/// Resources promised to an accepted offer.
 pub(super) struct PromisedResources {
     offer: RequestToken,
     scheduler: String,
     job: String,
     resources: Resources,
-    pub(super) until: u64,
+    until: u64,
 }
 
-/// The offering of one free slot.
-pub(super) struct Episode {
+/// One free slot that is offered to one scheduler after another, until one accepts it.
+pub(super) struct OfferRound {
     token: u64,
-    pub(super) since: u64,
+    started_at: u64,
     pub(super) refusals: u32,
-    /// The schedulers that it was offered to.
+    /// The schedulers that the slot was offered to.
     pub(super) asked: BTreeSet<String>,
-    /// The offer that is under way, and to whom.
+    /// The offer that is under way, its scheduler and its job.
     offer: RequestToken,
     scheduler: String,
+    job: String,
     /// The smallest unsatisfied job that a refusal named.
     pub(super) unsatisfied: Option<Sizes>,
-    /// The last offer could not be refused: it was the last of this slot.
-    forced: bool,
-    job: String,
+    /// The offer that is under way can't be refused for fairness: it is the last of this round.
+    is_last: bool,
 }
 
-/// An accepted offer's resources is held for so many bounds of an offer: as long as its start may take.
-const PROMISE_OFFER_BOUNDS: u64 = 2;
+/// The resources of an accepted offer stay promised for so many offer timeouts: its start may take as long.
+const PROMISE_OFFER_TIMEOUTS: u64 = 2;
 
-impl Episode {
-    fn new(token: u64, since: u64) -> Self {
+impl OfferRound {
+    fn new(token: u64, started_at: u64) -> Self {
         Self {
             token,
-            since,
+            started_at,
             refusals: 0,
             asked: BTreeSet::new(),
             offer: RequestToken::default(),
             scheduler: String::new(),
-            unsatisfied: None,
-            forced: false,
             job: String::new(),
+            unsatisfied: None,
+            is_last: false,
         }
     }
 
-    /// Takes note of the offer that goes out now.
-    fn offered(&mut self, offer: RequestToken, target: &Target) {
+    /// Records the offer that is sent now.
+    fn record_offer(&mut self, offer: RequestToken, target: &Target) {
         self.offer = offer;
-        self.forced = !target.refusable;
+        self.is_last = !target.refusable;
         self.job = target.job.clone();
         self.scheduler = target.scheduler.clone();
         self.asked.insert(target.scheduler.clone());
     }
 
-    /// Keeps the smallest unsatisfied job of those that a refusal names, if it is smaller than what was kept.
-    fn take_named(&mut self, sizes: &[Sizes]) {
-        let unsatisfied = sizes.iter().filter(|s| s.unsatisfied);
-        let Some(named) = unsatisfied.min_by(|a, b| a.size.total_cmp(&b.size)) else {
+    /// Keeps the smallest unsatisfied job of those that a refusal names, if it is smaller than the one kept before.
+    fn keep_smallest(&mut self, sizes: &[Sizes]) {
+        let unsatisfied = sizes.iter().filter(|sizes| sizes.unsatisfied);
+        let Some(smallest) = unsatisfied.min_by(|a, b| a.size.total_cmp(&b.size)) else {
             return;
         };
         let kept = self.unsatisfied.as_ref();
-        if kept.is_none_or(|kept| named.size < kept.size) {
-            self.unsatisfied = Some(named.clone());
+        if kept.is_none_or(|kept| smallest.size < kept.size) {
+            self.unsatisfied = Some(smallest.clone());
         }
     }
 }
 
-/// A worker of a zone scheduler of this node.
-struct WorkerPlace {
+/// A worker and the zone scheduler of this node that it belongs to.
+struct ZoneWorker {
     zone: String,
     worker: String,
 }
 
 impl Node {
-    /// Offers every free slot for its worker.
+    /// Offers every free slot.
     pub(in crate::node) fn offer_all(&mut self, now: Now) {
-        if !self.speaks(now) || self.zone_schedulers.is_empty() {
+        if !self.fresh_for_zones(now) || self.zone_schedulers.is_empty() {
             return;
         }
         let idle = self.idle_workers(now);
-        // Only where there is resources to offer is the queue looked through.
-        for log_index in &idle {
-            self.drop_ended_jobs(log_index);
+        // The reservations are looked through only where there are resources to offer.
+        for idle_worker in &idle {
+            self.drop_ended_jobs(idle_worker);
         }
-        for WorkerPlace { zone, worker } in idle {
+        for ZoneWorker { zone, worker } in idle {
             if self.free_resources(&zone, &worker).cpu > 0 {
-                self.begin(now, &zone, &worker);
+                self.start_offer_round(now, &zone, &worker);
             }
         }
     }
 
     /// The workers with a free slot that may be offered now and is not yet.
-    fn idle_workers(&self, now: Now) -> Vec<WorkerPlace> {
+    fn idle_workers(&self, now: Now) -> Vec<ZoneWorker> {
         let mut idle = Vec::new();
         for (zone, zone_scheduler) in &self.zone_schedulers {
             for (worker, state) in &zone_scheduler.workers {
                 if state.may_be_offered(now) && self.free_resources(zone, worker).cpu > 0 {
-                    idle.push(WorkerPlace {
+                    idle.push(ZoneWorker {
                         zone: zone.clone(),
                         worker: worker.clone(),
                     });
@@ -115,91 +115,88 @@
     }
 
     /// Drops the reservations of jobs that are over.
-    fn drop_ended_jobs(&mut self, log_index: &WorkerPlace) {
-        let zone_scheduler = self.zone_schedulers.get_mut(&log_index.zone);
-        let worker = zone_scheduler.and_then(|c| c.workers.get_mut(&log_index.worker));
+    fn drop_ended_jobs(&mut self, idle: &ZoneWorker) {
+        let zone_scheduler = self.zone_schedulers.get_mut(&idle.zone);
+        let worker = zone_scheduler.and_then(|zone| zone.workers.get_mut(&idle.worker));
         if let Some(worker) = worker {
             let open = &self.state.open;
-            worker.queue.retain(|r| open.contains(&r.job));
+            worker
+                .reservations
+                .retain(|reservation| open.contains(&reservation.job));
         }
     }
 
-    /// The resources of a worker that nothing runs in and that is not promised.
+    /// The resources of a worker that nothing runs on and that are not promised.
     fn free_resources(&self, zone: &str, worker: &str) -> Resources {
-        let Some(r) = self
-            .state
-            .workers
-            .get(worker)
-            .filter(|r| !r.lost && !r.info.leaving && self.state.open(zone, worker))
-        else {
-            return Resources::default();
-        };
-        let Some(w) = self
-            .zone_schedulers
-            .get(zone)
-            .and_then(|c| c.workers.get(worker))
-        else {
+        let known = self.state.workers.get(worker);
+        let (Some(known), Some(worker_state)) = (known, self.worker(zone, worker)) else {
             return Resources::default();
         };
-        if r.probation > 0 && !(r.attempts.is_empty() && w.pending.is_empty()) {
+        let takes_work = !known.lost && !known.info.leaving && self.state.open(zone, worker);
+        let is_empty = known.attempts.is_empty() && worker_state.promises.is_empty();
+        // A worker on probation runs one task at a time.
+        let is_on_trial = known.probation > 0 && !is_empty;
+        if !takes_work || is_on_trial {
             return Resources::default();
         }
-        let pending = w.pending.iter();
-        let taken = pending.fold(r.used, |sum, p| sum.plus(p.resources));
-        r.info.total_resources().least(w.resources).less(taken)
+        let mut taken = known.used;
+        for promise in &worker_state.promises {
+            taken = taken.plus(promise.resources);
+        }
+        let total = known.info.total_resources().least(worker_state.resources);
+        total.less(taken)
     }
 
     /// Begins to offer a free slot of a worker.
-    fn begin(&mut self, now: Now, zone: &str, worker: &str) {
+    fn start_offer_round(&mut self, now: Now, zone: &str, worker: &str) {
         let token = self.token();
-        let Some(w) = self
-            .zone_schedulers
-            .get_mut(zone)
-            .and_then(|c| c.workers.get_mut(worker))
-        else {
+        let Some(worker_state) = self.worker_mut(zone, worker) else {
             return;
         };
-        w.episode = Some(Episode::new(token, now.mono));
+        worker_state.offer_round = Some(OfferRound::new(token, now.mono));
         self.offer_next(now, zone, worker);
     }
 
-    /// Offers a slot to the next scheduler: the smallest job first, then what refusals named, then a draw by V.
+    /// Offers a slot to the next scheduler: that of the smallest job first, then the one that refusals named, then one
+    /// drawn by the sizes of the jobs.
     fn offer_next(&mut self, now: Now, zone: &str, worker: &str) {
         // Drawn for every offer, whether or not it is needed: a draw fewer would change all that follow.
-        let rng = self.rng.unit();
+        let draw = self.rng.unit();
         let resources = self.free_resources(zone, worker);
-        let known = self.state.workers.get(worker);
-        let incarnation = known.map_or(0, |w| w.info.incarnation);
-        let Some(c) = self.zone_schedulers.get_mut(zone) else {
+        let worker_incarnation = self.incarnation_of(worker);
+        let Some(zone_scheduler) = self.zone_schedulers.get_mut(zone) else {
+            return;
+        };
+        let epoch = zone_scheduler.epoch;
+        let Some(worker_state) = zone_scheduler.workers.get_mut(worker) else {
             return;
         };
-        let epoch = c.epoch;
-        let Some(w) = c.workers.get_mut(worker) else {
+        let Some(round) = worker_state.offer_round.as_mut() else {
             return;
         };
-        let Some(e) = w.episode.as_mut() else { return };
-        if resources.cpu == 0 || e.forced {
-            w.episode = None;
-            w.idle_until = now.mono + self.settings.bounds.heartbeat();
+        if resources.cpu == 0 || round.is_last {
+            worker_state.offer_round = None;
+            worker_state.no_offers_until = now.mono + self.settings.bounds.heartbeat();
             return;
         }
-        let Some(target) = next_target(&w.queue, e, &self.settings.hopper, rng) else {
-            w.episode = None;
+        let hopper = &self.settings.hopper;
+        let Some(target) = next_target(&worker_state.reservations, round, hopper, draw) else {
+            worker_state.offer_round = None;
             return;
         };
         let token = RequestToken {
             incarnation: self.incarnation,
-            number: e.token,
-            attempt: e.refusals,
+            number: round.token,
+            attempt: round.refusals,
         };
-        e.offered(token, &target);
+        round.record_offer(token, &target);
         self.count("offers", 1);
         self.count("offers_not_refusable", u64::from(!target.refusable));
         let offer = Offer {
             token,
             job: target.job,
             worker: worker.into(),
-            incarnation,
+            incarnation: worker_incarnation,
             zone_scheduler: zone.into(),
             epoch,
             cpu: resources.cpu,
@@ -211,77 +208,99 @@
     }
 
     /// A scheduler has accepted or refused an offer.
-    pub(in crate::node) fn on_offer_response(&mut self, now: Now, from: &str, m: OfferResponse) {
-        let Some(zone) = self.zone_of_offer(from, &m) else {
+    pub(in crate::node) fn on_offer_response(
+        &mut self,
+        now: Now,
+        from: &str,
+        response: OfferResponse,
+    ) {
+        let Some(zone) = self.zone_of_offer(from, &response) else {
             return self.count("responses_unexpected", 1);
         };
-        self.take_sizes(&m.sizes);
-        let zone_scheduler = self.zone_schedulers.get_mut(&zone);
-        let Some(w) = zone_scheduler.and_then(|c| c.workers.get_mut(&m.worker)) else {
+        self.update_sizes(&response.sizes);
+        let timeout = self.settings.bounds.offer();
+        let Some(worker) = self.worker_mut(&zone, &response.worker) else {
             return;
         };
-        let Some(job) = w.episode.as_ref().map(|e| e.job.clone()) else {
+        let Some(round) = &worker.offer_round else {
             return;
         };
-        if m.accepted {
-            let until = now.mono + self.settings.bounds.offer() * PROMISE_OFFER_BOUNDS;
-            w.promise(promised_room(from, &m, job, until));
+        let job = round.job.clone();
+        if response.accepted {
+            let until = now.mono + timeout * PROMISE_OFFER_TIMEOUTS;
+            worker.on_accepted(promised_resources(from, &response, job, until));
             self.count("offers_accepted", 1);
             self.offer_all(now);
             return;
         }
-        w.refused(&m, &job);
+        worker.on_refused(&response, &job);
         self.count("offers_refused", 1);
-        self.offer_next(now, &zone, &m.worker);
+        self.offer_next(now, &zone, &response.worker);
     }
 
     /// The zone of the worker whose slot a scheduler was offered, if this answers the offer that is under way.
-    fn zone_of_offer(&self, from: &str, m: &OfferResponse) -> Option<String> {
+    fn zone_of_offer(&self, from: &str, response: &OfferResponse) -> Option<String> {
         for (zone, zone_scheduler) in &self.zone_schedulers {
-            let worker = zone_scheduler.workers.get(&m.worker);
-            let episode = worker.and_then(|w| w.episode.as_ref());
-            if episode.is_some_and(|e| e.offer == m.token && e.scheduler == from) {
+            let worker = zone_scheduler.workers.get(&response.worker);
+            let round = worker.and_then(|worker| worker.offer_round.as_ref());
+            if round.is_some_and(|round| round.offer == response.token && round.scheduler == from) {
                 return Some(zone.clone());
             }
         }
         None
     }
 
-    /// What was accepted came to nothing: the slot is free again.
-    pub(in crate::node) fn on_offer_done(&mut self, now: Now, from: &str, m: OfferOutcome) {
-        if m.placed {
+    /// The start that an accepted offer was for has an outcome: if it failed, its resources are free again.
+    pub(in crate::node) fn on_offer_outcome(
+        &mut self,
+        now: Now,
+        from: &str,
+        outcome: OfferOutcome,
+    ) {
+        if outcome.placed {
             return;
         }
-        let promised = |p: &PromisedResources| p.offer == m.token && p.scheduler == from;
-        // The cluster state knew better: its news comes before the next offer.
+        let is_meant = |promise: &PromisedResources| {
+            promise.offer == outcome.token && promise.scheduler == from
+        };
+        // The scheduler's copy of the cluster state was newer: this node's catches up before the next offer.
         let until = now.mono + self.settings.bounds.heartbeat();
-        for w in self.workers_named(&m.worker) {
-            if w.pending.iter().any(promised) {
-                w.pending.retain(|p| !promised(p));
-                w.idle_until = until;
+        for worker in self.workers_named(&outcome.worker) {
+            if worker.promises.iter().any(is_meant) {
+                worker.promises.retain(|promise| !is_meant(promise));
+                worker.no_offers_until = until;
             }
         }
     }
 
-    /// A start entered the cluster state: the resources promised for it is now counted there.
-    pub(in crate::node) fn unhold(&mut self, worker: &str, job: &str) {
-        for w in self.workers_named(worker) {
-            if let Some(i) = w.pending.iter().position(|p| p.job == job) {
-                w.pending.remove(i);
+    /// The cluster state shows a start: the resources promised to it count as used there.
+    pub(in crate::node) fn release_promise(&mut self, worker: &str, job: &str) {
+        for worker in self.workers_named(worker) {
+            let promise = worker
+                .promises
+                .iter()
+                .position(|promise| promise.job == job);
+            if let Some(index) = promise {
+                worker.promises.remove(index);
             }
         }
     }
 }
 
-fn promised_room(from: &str, m: &OfferResponse, job: String, until: u64) -> PromisedResources {
+fn promised_resources(
+    scheduler: &str,
+    response: &OfferResponse,
+    job: String,
+    until: u64,
+) -> PromisedResources {
     PromisedResources {
-        offer: m.token,
-        scheduler: from.into(),
+        offer: response.token,
+        scheduler: scheduler.into(),
         job,
         resources: Resources {
-            cpu: m.cpu,
-            memory: m.memory,
-            accelerators: m.accelerators,
+            cpu: response.cpu,
+            memory: response.memory,
+            accelerators: response.accelerators,
         },
         until,
     }
@@ -290,38 +309,48 @@
 impl WorkerState {
     /// Whether the worker may be offered now, resources aside.
     fn may_be_offered(&self, now: Now) -> bool {
-        let wanted = !self.queue.is_empty();
-        let in_good_order = !self.leaving && now.mono >= self.suspect_until;
-        self.episode.is_none() && wanted && in_good_order && now.mono >= self.idle_until
+        let is_reserved = !self.reservations.is_empty();
+        let is_sound = !self.leaving && now.mono >= self.suspect_until;
+        self.offer_round.is_none() && is_reserved && is_sound && now.mono >= self.no_offers_until
+    }
+
+    /// Drops the promises whose start never came, and the round whose offer was never answered.
+    pub(super) fn drop_overdue_offers(&mut self, now: Now, offer_timeout: u64) {
+        self.promises.retain(|promise| now.mono < promise.until);
+        let round = self.offer_round.as_ref();
+        if round.is_some_and(|round| now.mono >= round.started_at + offer_timeout) {
+            self.offer_round = None;
+        }
     }
 
-    /// Keeps the resources of an accepted offer, which takes the slot.
-    fn promise(&mut self, promise: PromisedResources) {
+    /// An offer was accepted: its resources are promised, and the job needs one slot less.
+    fn on_accepted(&mut self, promise: PromisedResources) {
         let job = promise.job.clone();
-        self.episode = None;
-        self.pending.push(promise);
-        for i in 0..self.queue.len() {
-            let reservation = &mut self.queue[i];
+        self.offer_round = None;
+        self.promises.push(promise);
+        for index in 0..self.reservations.len() {
+            let reservation = &mut self.reservations[index];
             if reservation.job != job {
                 continue;
             }
             reservation.remaining = reservation.remaining.saturating_sub(1);
             if reservation.remaining == 0 {
-                self.queue.remove(i);
+                self.reservations.remove(index);
                 return;
             }
         }
     }
 
-    /// Keeps what a refusal told, for the next offer of the slot.
-    fn refused(&mut self, m: &OfferResponse, job: &str) {
-        let Some(e) = self.episode.as_mut() else {
+    /// An offer was refused: what the refusal says counts for the next offer of the round.
+    fn on_refused(&mut self, refusal: &OfferResponse, job: &str) {
+        let Some(round) = self.offer_round.as_mut() else {
             return;
         };
-        e.refusals += 1;
-        e.take_named(&m.sizes);
-        if m.gone {
-            self.queue.retain(|q| q.job != job);
+        round.refusals += 1;
+        round.keep_smallest(&refusal.sizes);
+        if refusal.gone {
+            self.reservations
+                .retain(|reservation| reservation.job != job);
         }
     }
 }
@@ -332,43 +361,43 @@
     use crate::settings::Settings;
 
     #[test]
-    fn a_placement_that_came_to_nothing_frees_its_own_room_and_no_other() {
+    fn a_failed_start_frees_its_own_resources_and_no_others() {
         let now = Now { mono: 10, wall: 10 };
-        let mut n = Node::new(Settings::default(), now, 1);
-        let zone_scheduler = n.zone_schedulers.entry("z".into()).or_default();
-        let held = zone_scheduler.workers.entry("w".into()).or_default();
+        let mut node = Node::new(Settings::default(), now, 1);
+        let zone_scheduler = node.zone_schedulers.entry("z".into()).or_default();
+        let worker = zone_scheduler.workers.entry("w".into()).or_default();
         let token = |number| RequestToken {
             number,
             ..RequestToken::default()
         };
-        held.pending = [(1, 3), (2, 5)]
-            .map(|(offer, resources)| PromisedResources {
+        worker.promises = [(1, 3), (2, 5)]
+            .map(|(offer, cpu)| PromisedResources {
                 offer: token(offer),
                 scheduler: "10.0.0.3:1".into(),
                 job: "j".into(),
                 resources: Resources {
-                    cpu: resources,
+                    cpu,
                     ..Resources::default()
                 },
                 until: 1000,
             })
             .into();
-        let done = OfferOutcome {
+        let failed = OfferOutcome {
             token: token(1),
             worker: "w".into(),
             placed: false,
         };
-        n.on_offer_done(now, "10.0.0.4:1", done.clone());
+        node.on_offer_outcome(now, "10.0.0.4:1", failed.clone());
         assert_eq!(
-            n.zone_schedulers["z"].workers["w"].pending.len(),
+            node.zone_schedulers["z"].workers["w"].promises.len(),
             2,
-            "not asked"
+            "another scheduler frees nothing"
         );
-        n.on_offer_done(now, "10.0.0.3:1", done);
-        let left: Vec<u32> = n.zone_schedulers["z"].workers["w"]
-            .pending
+        node.on_offer_outcome(now, "10.0.0.3:1", failed);
+        let left: Vec<u32> = node.zone_schedulers["z"].workers["w"]
+            .promises
             .iter()
-            .map(|p| p.resources.cpu)
+            .map(|promise| promise.resources.cpu)
             .collect();
         assert_eq!(left, [5]);
     }
--- a/landingdrift/src/node/zone_scheduler/orders.rs
+++ b/landingdrift/src/node/zone_scheduler/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: what the answer to a heartbeat tells a worker to start and to stop.
+//! Orders to workers: what the response to a heartbeat tells a worker to start and to stop.
 
 use super::Heartbeat;
 use crate::node::Node;
@@ -11,172 +11,151 @@
 #[derive(Default)]
 struct RunOrders {
     starts: Vec<Value>,
-    /// Numbers of the runs to stop.
+    /// Numbers of the attempts to stop.
     stops: BTreeSet<u64>,
-    /// Names of the runs to stop, for workers that keep runs by their names.
-    named: Vec<Value>,
+    /// Names of the runs to stop, for workers that identify runs by their names.
+    stops_by_name: Vec<Value>,
 }
 
 impl Node {
     /// Start and stop orders, derived from the cluster state; repeated until heartbeats confirm them.
-    pub(super) fn orders(&mut self, heartbeat: &Heartbeat, epoch: u64) -> Response {
+    pub(super) fn orders_response(&mut self, heartbeat: &Heartbeat, epoch: u64) -> Response {
         let mut orders = self.run_orders(heartbeat);
         self.stop_unknown(heartbeat, &mut orders);
-        if heartbeat.call > 0 {
-            self.note_given(heartbeat, &orders.starts);
+        if heartbeat.sequence > 0 {
+            self.record_sent_starts(heartbeat, &orders.starts);
         }
         self.count("start_orders", orders.starts.len() as u64);
         self.count("stop_orders", orders.stops.len() as u64);
-        let mut answer = json!({"starts": orders.starts, "stops": orders.stops, "settled": self.settled(heartbeat), "beatMs": self.settings.bounds.worker_heartbeat(), "obeyMs": self.settings.bounds.obey(), "epoch": epoch});
-        if self.settings.bounds.lease_ms > 0 {
-            answer["holdMs"] = json!(self.settings.bounds.lease_ms);
+        let bounds = &self.settings.bounds;
+        let mut body = json!({"starts": orders.starts, "stops": orders.stops, "settled": self.settled(heartbeat), "beatMs": bounds.worker_heartbeat(), "obeyMs": bounds.obey(), "epoch": epoch});
+        if bounds.lease_ms > 0 {
+            body["holdMs"] = json!(bounds.lease_ms);
         }
-        if heartbeat.named {
-            answer["stopRuns"] = json!(orders.named);
-            answer["settledTo"] = json!(self.settled_to(heartbeat));
+        if heartbeat.uses_run_names {
+            body["stopRuns"] = json!(orders.stops_by_name);
+            body["settledTo"] = json!(self.settled_prefix(heartbeat));
         }
-        Response::new(200, answer)
+        Response::new(200, body)
     }
 
     /// What the cluster state wants started and stopped on the worker.
     fn run_orders(&self, heartbeat: &Heartbeat) -> RunOrders {
-        let f = &heartbeat.info;
-        let reported: BTreeSet<u64> = heartbeat
-            .running
-            .iter()
-            .map(|r| r.no)
-            .chain(heartbeat.ended.iter().map(|e| e.no))
-            .collect();
-        let open = !f.leaving
-            && self.state.open(&f.zone, &f.worker)
-            && self
-                .state
-                .workers
-                .get(&f.worker)
-                .is_some_and(|w| w.info.incarnation == f.incarnation && !w.lost);
-        let mut left = self.resources_left(heartbeat);
+        let info = &heartbeat.info;
         let mut orders = RunOrders::default();
-        for no in self
-            .state
-            .workers
-            .get(&f.worker)
-            .map(|w| w.attempts.clone())
-            .unwrap_or_default()
-        {
-            let Some((job, task, attempt)) = self.state.attempt(no) else {
+        let Some(known) = self.state.workers.get(&info.worker) else {
+            return orders;
+        };
+        let reported = heartbeat.reported_attempts();
+        let takes_work = !info.leaving
+            && self.state.open(&info.zone, &info.worker)
+            && known.info.incarnation == info.incarnation
+            && !known.lost;
+        let mut free = self.resources_left(heartbeat);
+        for number in &known.attempts {
+            let Some((job, task, attempt)) = self.state.attempt(*number) else {
                 continue;
             };
-            let i = self.state.live.get(&no).map(|(_, i)| *i as usize);
-            let Some(i) = i.filter(|_| attempt.incarnation == f.incarnation) else {
+            let Some((_, index)) = self.state.live.get(number) else {
                 continue;
             };
-            let spec = job.of(i);
-            if attempt.stop || (attempt.state == AttemptState::Unsure && !reported.contains(&no)) {
-                orders.stops.insert(no);
-                if heartbeat.named {
-                    orders
-                        .named
-                        .push(json!([job.spec.id, job.name(i), attempt.run]));
+            if attempt.incarnation != info.incarnation {
+                continue;
+            }
+            let index = *index as usize;
+            let spec = job.of(index);
+            let is_reported = reported.contains(number);
+            let must_stop = attempt.stop || (attempt.state == AttemptState::Unsure && !is_reported);
+            if must_stop {
+                orders.stops.insert(*number);
+                if heartbeat.uses_run_names {
+                    let name = json!([job.spec.id, job.name(index), attempt.run]);
+                    orders.stops_by_name.push(name);
                 }
-            } else if attempt.state == AttemptState::Ordered
-                && !reported.contains(&no)
-                && open
-                && f.serves(spec)
-                && !job.cancel
-                && task.state == TaskState::Waiting
-                && left.holds(spec.needs())
-            {
-                left = left.less(spec.needs());
-                orders.starts.push(start_order(job, i, attempt));
+                continue;
+            }
+            let unstarted = attempt.state == AttemptState::Ordered && !is_reported;
+            let wanted = !job.cancel && task.state == TaskState::Waiting;
+            let fits = info.serves(spec) && free.holds(spec.needs());
+            if unstarted && wanted && takes_work && fits {
+                free = free.less(spec.needs());
+                orders.starts.push(start_order(job, index, attempt));
             }
         }
         orders
     }
 
-    /// The capacity that the runs of a heartbeat leave free.
+    /// The resources that the runs of a heartbeat leave free.
     fn resources_left(&self, heartbeat: &Heartbeat) -> Resources {
-        let room_of = |no: &u64| {
-            self.state
-                .live
-                .get(no)
-                .and_then(|(j, i)| self.state.jobs.get(j).map(|j| j.of(*i as usize).needs()))
-                .unwrap_or_default()
-        };
-        let left = heartbeat
-            .running
-            .iter()
-            .fold(heartbeat.info.total_resources(), |left, r| {
-                left.less(room_of(&r.no))
-            });
-        if heartbeat
-            .running
-            .iter()
-            .any(|r| !self.state.live.contains_key(&r.no))
-        {
-            // What runs there without the cluster state's knowledge takes capacity that nobody can tell: it ends first.
-            return Resources::default();
+        let mut left = heartbeat.info.total_resources();
+        for run in &heartbeat.running {
+            if !self.state.live.contains_key(&run.attempt) {
+                // It takes resources that the cluster state doesn't know: nothing starts before it has ended.
+                return Resources::default();
+            }
+            if let Some(spec) = self.spec_of_attempt(run.attempt) {
+                left = left.less(spec.needs());
+            }
         }
         left
     }
 
     /// Adds the runs that the cluster state does not know as live to what is to be stopped.
     fn stop_unknown(&self, heartbeat: &Heartbeat, orders: &mut RunOrders) {
-        // What runs without the cluster state knowing it as live is over for us.
-        orders.stops.extend(
-            heartbeat
-                .running
-                .iter()
-                .map(|r| r.no)
-                .filter(|no| !self.state.live.contains_key(no) && *no < self.state.next_attempt),
-        );
-        orders.named.extend(
-            heartbeat
-                .running
-                .iter()
-                .filter(|r| r.no == 0)
-                .filter_map(|r| r.name.as_ref())
-                .map(|n| json!([n.job, n.task, n.run])),
-        );
+        for run in &heartbeat.running {
+            if self.is_over(run.attempt) {
+                orders.stops.insert(run.attempt);
+            }
+            if run.attempt != 0 {
+                continue;
+            }
+            if let Some(name) = &run.name {
+                orders
+                    .stops_by_name
+                    .push(json!([name.job, name.task, name.run]));
+            }
+        }
     }
 
-    /// How many of the ends, from the first on, need no repeating.
-    fn settled_to(&self, heartbeat: &Heartbeat) -> usize {
-        heartbeat
-            .ended
-            .iter()
-            .take_while(|e| !self.state.live.contains_key(&e.no))
+    /// Whether an attempt is over by the cluster state. One that is newer than this copy of it may be live.
+    fn is_over(&self, attempt: u64) -> bool {
+        !self.state.live.contains_key(&attempt) && attempt < self.state.next_attempt
+    }
+
+    /// How many of the ends, from the first on, need not be reported again.
+    fn settled_prefix(&self, heartbeat: &Heartbeat) -> usize {
+        let ends = heartbeat.ended.iter();
+        ends.take_while(|end| !self.state.live.contains_key(&end.no))
             .count()
     }
 
-    /// The ended runs of a heartbeat that are settled.
+    /// The attempts whose reported ends need not be reported again.
     fn settled(&self, heartbeat: &Heartbeat) -> Vec<u64> {
-        heartbeat
-            .ended
-            .iter()
-            .map(|e| e.no)
-            .filter(|no| !self.state.live.contains_key(no) && *no < self.state.next_attempt)
-            .collect()
+        let ended = heartbeat.ended.iter().map(|end| end.no);
+        ended.filter(|attempt| self.is_over(*attempt)).collect()
     }
 
-    /// Keeps which call each start was an answer to.
-    fn note_given(&mut self, heartbeat: &Heartbeat, starts: &[Value]) {
-        let given: Vec<u64> = starts.iter().filter_map(|s| s["no"].as_u64()).collect();
-        let held = self
-            .zone_schedulers
-            .get_mut(&heartbeat.info.zone)
-            .and_then(|c| c.workers.get_mut(&heartbeat.info.worker));
-        held.into_iter()
-            .for_each(|w| w.given.extend(given.iter().map(|no| (*no, heartbeat.call))));
+    /// Records with the response to which heartbeat each start order was sent.
+    fn record_sent_starts(&mut self, heartbeat: &Heartbeat, starts: &[Value]) {
+        let info = &heartbeat.info;
+        let Some(worker) = self.worker_mut(&info.zone, &info.worker) else {
+            return;
+        };
+        for start in starts {
+            if let Some(attempt) = start["no"].as_u64() {
+                worker.sent_starts.insert(attempt, heartbeat.sequence);
+            }
+        }
     }
 }
 
-/// The order to start a run of a task.
-fn start_order(job: &Job, i: usize, attempt: &Send) -> Value {
-    let spec = job.of(i);
+/// The order to start an attempt of a task.
+fn start_order(job: &Job, task: usize, attempt: &Send) -> Value {
+    let spec = job.of(task);
     let payload = if job.spec.steps.is_empty() {
         spec.payload.clone()
     } else {
         json!(job.spec.payload)
     };
-    json!({"no": attempt.no, "job": job.spec.id, "task": job.name(i), "run": attempt.run, "room": spec.cpu, "copy": attempt.copy, "payload": payload, "checkpoint": attempt.checkpoint})
+    json!({"no": attempt.no, "job": job.spec.id, "task": job.name(task), "run": attempt.run, "room": spec.cpu, "copy": attempt.copy, "payload": payload, "checkpoint": attempt.checkpoint})
 }
--- a/landingdrift/src/node/zone_scheduler/reservations.rs
+++ b/landingdrift/src/node/zone_scheduler/reservations.rs
@@ -5,40 +5,41 @@
 use crate::wire::{Reserve, Sizes};
 
 impl Node {
-    /// Keeps a scheduler's reservations and offers free slots.
-    pub(in crate::node) fn on_reserve(&mut self, now: Now, m: Reserve) {
-        self.count("reservations", m.reservations.len() as u64);
-        for r in m.reservations {
-            let Some(w) = self
-                .zone_schedulers
-                .values_mut()
-                .find_map(|c| c.workers.get_mut(&r.worker))
-            else {
+    /// Adds or replaces a scheduler's reservations, and offers free slots.
+    pub(in crate::node) fn on_reserve(&mut self, now: Now, reserve: Reserve) {
+        self.count("reservations", reserve.reservations.len() as u64);
+        for reservation in reserve.reservations {
+            let name = reservation.worker.clone();
+            let Some(worker) = self.workers_named(&name).next() else {
                 continue;
             };
-            w.idle_until = 0;
-            match w.queue.iter_mut().find(|q| q.job == r.job) {
-                Some(q) => *q = r,
-                None => w.queue.push(r),
+            worker.no_offers_until = 0;
+            let of_same_job = worker
+                .reservations
+                .iter_mut()
+                .find(|earlier| earlier.job == reservation.job);
+            match of_same_job {
+                Some(earlier) => *earlier = reservation,
+                None => worker.reservations.push(reservation),
             }
         }
         self.offer_all(now);
     }
 
-    /// Sizes travel on messages that are sent anyway.
-    pub(super) fn take_sizes(&mut self, sizes: &[Sizes]) {
-        for s in sizes {
-            self.zone_schedulers
-                .values_mut()
-                .flat_map(|c| c.workers.values_mut())
-                .flat_map(|w| w.queue.iter_mut())
-                .filter(|q| q.job == s.job)
-                .for_each(|q| {
-                    q.size = s.size;
-                    q.remaining = s.remaining;
-                    q.starved = s.starved;
-                    q.scheduler = s.scheduler.clone();
-                });
+    /// Updates the sizes of jobs in all reservations: they come along with responses to offers.
+    pub(super) fn update_sizes(&mut self, sizes: &[Sizes]) {
+        for sizes in sizes {
+            for worker in self.all_workers() {
+                for reservation in &mut worker.reservations {
+                    if reservation.job != sizes.job {
+                        continue;
+                    }
+                    reservation.size = sizes.size;
+                    reservation.remaining = sizes.remaining;
+                    reservation.starved = sizes.starved;
+                    reservation.scheduler = sizes.scheduler.clone();
+                }
+            }
         }
     }
 }
--- a/landingdrift/src/node/zone_scheduler/targets.rs
+++ b/landingdrift/src/node/zone_scheduler/targets.rs
@@ -1,40 +1,43 @@
-//! Whom a free slot is offered to. Hopper's order, with V drawn by the jobs' sizes.
+//! The order in which a free slot is offered. Hopper's order, where the last target is drawn by the jobs' sizes.
 
-use super::offers::Episode;
+use super::offers::OfferRound;
 use crate::settings::Hopper;
 use crate::wire::Reservation;
 use std::cmp::Ordering;
 
-/// The least weight of a job in the draw by V: a job of no size has a chance too.
+/// The least weight of a job in the draw by size: a job of size 0 has a chance, too.
 const LEAST_WEIGHT: f64 = 0.01;
 
 /// The job that a slot is offered for, and the scheduler that it is offered to.
 pub(super) struct Target {
     pub job: String,
     pub scheduler: String,
+    /// The scheduler may refuse the slot because its job has enough of them.
     pub refusable: bool,
 }
 
-/// Whom to offer a slot to: the smallest job first, then what refusals named, then a draw by V.
+/// The next target of a slot: the smallest job first, then the one that refusals named, then one drawn by size.
+///
+/// `draw` is uniform in [0, 1).
 pub(super) fn next_target(
-    queue: &[Reservation],
-    episode: &Episode,
+    reservations: &[Reservation],
+    round: &OfferRound,
     hopper: &Hopper,
-    rng: f64,
+    draw: f64,
 ) -> Option<Target> {
-    let mut open: Vec<&Reservation> = queue
+    let mut unasked: Vec<&Reservation> = reservations
         .iter()
-        .filter(|r| !episode.asked.contains(&r.scheduler))
+        .filter(|reservation| !round.asked.contains(&reservation.scheduler))
         .collect();
-    if episode.refusals < hopper.refusals && !open.is_empty() {
-        open.sort_by(|a, b| smaller_first(a, b));
-        let first = first_or_local(&open, hopper.locality);
+    if round.refusals < hopper.refusals && !unasked.is_empty() {
+        unasked.sort_by(|a, b| smaller_first(a, b));
+        let first = first_or_local(&unasked, hopper.locality);
         return Some(target(&first.job, &first.scheduler, true));
     }
-    if let Some(named) = &episode.unsatisfied {
+    if let Some(named) = &round.unsatisfied {
         return Some(target(&named.job, &named.scheduler, false));
     }
-    let drawn = draw_by_size(queue, rng)?;
+    let drawn = draw_by_size(reservations, draw)?;
     Some(target(&drawn.job, &drawn.scheduler, false))
 }
 
@@ -55,24 +58,24 @@
         .then(a.job.cmp(&b.job))
 }
 
-/// The first reservation; but any of the smallest share may go first when its data is near.
+/// The smallest reservation; but any of the smallest share goes first if the worker is near its data.
 fn first_or_local<'a>(sorted: &[&'a Reservation], locality: f64) -> &'a Reservation {
     let share = (sorted.len() as f64 * locality).ceil() as usize;
     let smallest = &sorted[..share.clamp(1, sorted.len())];
-    let local = smallest.iter().find(|r| r.local);
+    let local = smallest.iter().find(|reservation| reservation.local);
     local.unwrap_or(&sorted[0])
 }
 
-/// A reservation drawn by the jobs' sizes; `rng` is in [0, 1).
-fn draw_by_size(queue: &[Reservation], rng: f64) -> Option<&Reservation> {
-    let weight = |r: &Reservation| r.size.max(LEAST_WEIGHT);
-    let sum: f64 = queue.iter().map(weight).sum();
-    let mut mark = rng * sum;
-    for reservation in queue {
-        mark -= weight(reservation);
-        if mark <= 0.0 {
+/// A reservation drawn with a chance in proportion to its job's size; `draw` is uniform in [0, 1).
+fn draw_by_size(reservations: &[Reservation], draw: f64) -> Option<&Reservation> {
+    let weight = |reservation: &Reservation| reservation.size.max(LEAST_WEIGHT);
+    let sum: f64 = reservations.iter().map(weight).sum();
+    let mut left = draw * sum;
+    for reservation in reservations {
+        left -= weight(reservation);
+        if left <= 0.0 {
             return Some(reservation);
         }
     }
-    queue.last()
+    reservations.last()
 }
--- a/landingdrift/src/replay/rerun/hands.rs
+++ b/landingdrift/src/replay/rerun/hands.rs
@@ -1,7 +1,7 @@
 //! The workers of a rerun: they send heartbeats, obey the answers, and end their runs as recorded.
 
 use super::runs::RecordedRun;
-use crate::node::{Heartbeat, Running};
+use crate::node::{Heartbeat, RunningAttempt};
 use crate::state::{EndReport, Outcome, WorkerInfo};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -68,9 +68,9 @@
     pub fn heartbeat(&mut self, t: u64) -> Heartbeat {
         self.next = t + HEARTBEAT_EVERY;
         self.end_runs(t);
-        let running = self.running.keys().map(|no| Running {
-            no: *no,
-            ..Running::default()
+        let running = self.running.keys().map(|no| RunningAttempt {
+            attempt: *no,
+            ..RunningAttempt::default()
         });
         Heartbeat {
             info: self.info.clone(),
--- a/landingdrift/src/settings/bounds.rs
+++ b/landingdrift/src/settings/bounds.rs
@@ -78,15 +78,15 @@
     pub fn fresh(&self) -> u64 {
         self.cancel_ms / 3
     }
-    /// How old the watch of a zone scheduler's holder may be while it gives orders and holds.
-    pub fn speaks(&self) -> u64 {
+    /// How old the watch of a node may be while it acts as a zone scheduler: gives orders to workers and renews their leases.
+    pub fn fresh_for_zones(&self) -> u64 {
         self.cancel_ms / 6
     }
     /// How old a heartbeat's answer may be when its worker obeys a start order.
     pub fn obey(&self) -> u64 {
         self.cancel_ms / 3
     }
-    /// The silence after which a node's zone schedulers pass to others; longer than `speaks` and `obey` together.
+    /// The silence after which a node's zone schedulers pass to others; longer than `fresh_for_zones` and `obey` together.
     pub fn node_lost(&self) -> u64 {
         self.cancel_ms * 11 / 20
     }
--- a/landingdrift/tests/cell_desk/mod.rs
+++ b/landingdrift/tests/cell_desk/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use landingdrift::node::{Heartbeat, Node, Running};
+use landingdrift::node::{Heartbeat, Node, RunningAttempt};
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::state::{
@@ -161,21 +161,21 @@
     }
 
     /// A heartbeat of the worker; the answer, and what was proposed with it.
-    pub fn heartbeat(&mut self, call: u64, running: bool) -> (Option<Response>, Vec<Command>) {
+    pub fn heartbeat(&mut self, sequence: u64, running: bool) -> (Option<Response>, Vec<Command>) {
         let name = RunName {
             job: "j".into(),
             task: "0.0.0".into(),
             run: 1,
         };
-        let run = Running {
+        let run = RunningAttempt {
             name: Some(name),
-            ..Running::default()
+            ..RunningAttempt::default()
         };
         let heartbeat = Heartbeat {
             info: info(),
             running: if running { vec![run] } else { Vec::new() },
-            call,
-            named: true,
+            sequence,
+            uses_run_names: true,
             ..Heartbeat::default()
         };
         self.call += 1;
--- /dev/null
+++ b/landingdrift/tests/stragglers.rs
@@ -0,0 +1,153 @@
+//! Straggler detection: which runs are rescheduled, by their progress.
+
+use landingdrift::node::{find_stragglers, ObservedRun, RescheduleReason, RunProgress};
+
+const PATIENCE: u64 = 1000;
+/// Each run is of a step of its own unless a test says otherwise.
+static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
+
+/// A run of an estimated 4 s with these reports: the time in milliseconds, and the progress in parts of a thousand.
+fn run(reports: &[(u64, u32)]) -> ObservedRun {
+    let mut progress = RunProgress::new(reports[0].0, reports[0].1);
+    for (at, permille) in &reports[1..] {
+        progress.record(*at, *permille);
+    }
+    ObservedRun {
+        progress,
+        group: NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed),
+        rescheduled_before: false,
+        estimate_ms: 4000.0,
+        may_repeat: false,
+        long_running: false,
+        checkpoints: false,
+        awaits_gang: false,
+    }
+}
+
+fn reasons(
+    runs: &[ObservedRun],
+    now: u64,
+    leaves_in_ms: Option<u64>,
+) -> Vec<Option<RescheduleReason>> {
+    find_stragglers(runs, now, leaves_in_ms, PATIENCE)
+}
+
+/// Reports every 100 ms, each with so much more progress than the one before.
+fn steps(by: u64, n: u64) -> Vec<(u64, u32)> {
+    (0..n).map(|i| (i * 100, (i * by) as u32)).collect()
+}
+
+#[test]
+fn runs_at_their_estimated_rate_stay() {
+    assert_eq!(reasons(&[run(&steps(25, 30))], 2900, None), [None]);
+    // Half as fast as estimated is not slow yet: estimates are rough.
+    let half = || run(&steps(12, 30));
+    assert_eq!(reasons(&[half(), half(), half()], 2900, None), [None; 3]);
+}
+
+#[test]
+fn a_task_larger_than_its_like_does_not_blame_its_worker() {
+    let large = run(&steps(8, 20));
+    let other = || run(&steps(25, 20));
+    assert_eq!(reasons(&[large, other(), other()], 1900, None), [None; 3]);
+    assert_eq!(reasons(&[run(&steps(8, 20))], 1900, None), [None]);
+}
+
+#[test]
+fn a_worker_without_any_progress_is_stalled_but_not_at_once() {
+    let stalled = || run(&[(0, 0), (500, 120), (600, 150)]);
+    assert_eq!(reasons(&[stalled(), stalled()], 1500, None), [None; 2]);
+    assert_eq!(
+        reasons(&[stalled(), stalled()], 2200, None),
+        [Some(RescheduleReason::Stalled); 2]
+    );
+    // A single run must be stalled for longer, and one of several says nothing.
+    assert_eq!(reasons(&[stalled()], 2200, None), [None]);
+    assert_eq!(
+        reasons(&[stalled()], 3700, None),
+        [Some(RescheduleReason::Stalled)]
+    );
+    let moves = run(&steps(25, 30));
+    assert_eq!(reasons(&[stalled(), moves], 2900, None), [None; 2]);
+}
+
+#[test]
+fn runs_that_await_their_gang_or_are_long_running_are_not_stalled() {
+    let awaits_gang = ObservedRun {
+        awaits_gang: true,
+        ..run(&[(0, 0)])
+    };
+    let long_running = ObservedRun {
+        long_running: true,
+        ..run(&[(0, 0)])
+    };
+    // Its own work is done, and it waits for the end of the others.
+    let done = run(&[(0, 0), (900, 1000)]);
+    assert_eq!(
+        reasons(&[awaits_gang, long_running, done], 60_000, None),
+        [None; 3]
+    );
+}
+
+#[test]
+fn on_a_slow_worker_runs_are_moved_where_that_pays() {
+    let slow = || run(&steps(4, 20));
+    assert_eq!(
+        reasons(&[slow(), slow(), slow()], 1900, None),
+        [Some(RescheduleReason::Slow); 3]
+    );
+    assert_eq!(reasons(&[slow(), slow()], 1900, None), [None; 2], "too few");
+    // Near its end a run is left alone, and a copy may race one that repeats.
+    let late: Vec<(u64, u32)> = (0..20).map(|i| (i * 100, 850 + (i * 4) as u32)).collect();
+    let repeatable = ObservedRun {
+        may_repeat: true,
+        ..slow()
+    };
+    assert_eq!(
+        reasons(&[run(&late), repeatable, slow()], 1900, None),
+        [None, None, Some(RescheduleReason::Slow)]
+    );
+}
+
+#[test]
+fn the_tasks_of_one_step_count_once_and_move_once() {
+    let slow = |group, rescheduled_before| ObservedRun {
+        group,
+        rescheduled_before,
+        ..run(&steps(4, 20))
+    };
+    let gang = [slow(7, false), slow(7, false), slow(7, false)];
+    assert_eq!(reasons(&gang, 1900, None), [None; 3]);
+    let mixed = [slow(7, true), slow(8, false), slow(9, false)];
+    assert_eq!(
+        reasons(&mixed, 1900, None),
+        [
+            None,
+            Some(RescheduleReason::Slow),
+            Some(RescheduleReason::Slow)
+        ]
+    );
+}
+
+#[test]
+fn runs_that_would_not_end_before_their_worker_leaves_are_rescheduled() {
+    let half = || run(&steps(25, 21));
+    assert_eq!(reasons(&[half()], 2000, Some(2500)), [None]);
+    assert_eq!(
+        reasons(&[half()], 2000, Some(1500)),
+        [Some(RescheduleReason::WorkerLeaving)]
+    );
+    // By the estimate, where no progress was reported yet.
+    assert_eq!(
+        reasons(&[run(&[(0, 0)])], 0, Some(2000)),
+        [Some(RescheduleReason::WorkerLeaving)]
+    );
+    let long_running = ObservedRun {
+        long_running: true,
+        ..run(&[(0, 0)])
+    };
+    assert_eq!(
+        reasons(&[long_running], 0, Some(60_000)),
+        [Some(RescheduleReason::WorkerLeaving)]
+    );
+}
