--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -1,6 +1,8 @@
-use super::calls::Calls;
-use super::disks::Disk;
+//! The control thread of a part: it steps the part and carries out its effects.
+
+use super::disk_writer::DiskWriter;
 use super::input::Input;
+use super::pending_calls::PendingCalls;
 use super::shutdown_timer::{GracePeriods, ShutdownTimer};
 use super::traffic::Transport;
 use crate::sans_io::{Effect, Msg, Now, Part};
@@ -8,15 +10,15 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Inputs taken in one round, at the most, so that effects don't wait for ever while inputs pour in.
-const ROUND: usize = 256;
+/// The most inputs in one round, so that effects are carried out in time even under a flood of inputs.
+const MAX_INPUTS_PER_ROUND: usize = 256;
 
 /// The process's clocks.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Clocks that count from now.
+    /// Clocks whose monotonic time counts from now.
     pub fn start() -> Self {
         Self(Instant::now())
     }
@@ -31,26 +33,26 @@
     }
 }
 
-/// The thread of control state: all that waits is stepped through, then its effects go out together, and again.
+/// A control thread: in each round the part is stepped through all inputs that wait, then their effects are carried out.
 pub struct Control {
     pub part: Box<dyn Part>,
     pub clock: Clock,
     pub transport: Transport,
-    pub disk: Option<Disk>,
-    pub calls: Calls,
+    pub disk: Option<DiskWriter>,
+    pub calls: PendingCalls,
     pub tick: Duration,
     pub shutdown_timer: ShutdownTimer,
 }
 
 impl Control {
-    /// The thread of a part that nothing has reached yet.
+    /// The control thread of a part that got no input yet.
     pub fn new(
         part: Box<dyn Part>,
         clock: Clock,
         transport: Transport,
-        disk: Option<Disk>,
-        calls: Calls,
-        s: &Settings,
+        disk: Option<DiskWriter>,
+        calls: PendingCalls,
+        settings: &Settings,
     ) -> Self {
         Self {
             part,
@@ -58,77 +60,82 @@
             transport,
             disk,
             calls,
-            tick: Duration::from_millis(s.bounds.tick()),
-            shutdown_timer: ShutdownTimer::new(GracePeriods::of(&s.bounds)),
+            tick: Duration::from_millis(settings.bounds.tick()),
+            shutdown_timer: ShutdownTimer::new(GracePeriods::of(&settings.bounds)),
         }
     }
 
-    /// Runs until the part is done or nobody is left who could reach it.
+    /// Runs until the part has ended, or no input can reach it any more.
     pub fn run(mut self, inputs: &Receiver<Input>) {
-        let mut next = Instant::now();
+        let mut next_tick = Instant::now();
         let mut effects = Vec::new();
         loop {
-            let first = match inputs.recv_timeout(next.saturating_duration_since(Instant::now())) {
-                Ok(i) => Some(i),
-                Err(RecvTimeoutError::Timeout) => None,
-                Err(RecvTimeoutError::Disconnected) => return,
-            };
+            let first =
+                match inputs.recv_timeout(next_tick.saturating_duration_since(Instant::now())) {
+                    Ok(input) => Some(input),
+                    Err(RecvTimeoutError::Timeout) => None,
+                    Err(RecvTimeoutError::Disconnected) => return,
+                };
             let now = Instant::now();
-            let tick = (now >= next).then_some(Msg::Tick);
+            let tick = (now >= next_tick).then_some(Msg::Tick);
             if tick.is_some() {
-                next = now + self.tick;
+                next_tick = now + self.tick;
             }
             let msgs = first.into_iter().chain(inputs.try_iter()).map(Msg::from);
-            let over = tick
-                .into_iter()
-                .chain(msgs.take(ROUND))
-                .any(|m| self.step(m, &mut effects));
-            effects.drain(..).for_each(|e| self.carry_out(e));
-            if over {
+            let mut round = tick.into_iter().chain(msgs.take(MAX_INPUTS_PER_ROUND));
+            let is_over = round.any(|msg| self.step(msg, &mut effects));
+            for effect in effects.drain(..) {
+                self.carry_out(effect);
+            }
+            if is_over {
                 self.calls.close();
-                return self.tell_end();
+                return self.log_end();
             }
         }
     }
 
-    /// Takes one step; says whether it was the last one.
+    /// Steps the part once; returns whether that was the last step.
     fn step(&mut self, msg: Msg, effects: &mut Vec<Effect>) -> bool {
         match &msg {
-            Msg::SettingsChanged(s) => {
-                self.tick = Duration::from_millis(s.bounds.tick());
-                self.shutdown_timer.spans = GracePeriods::of(&s.bounds);
+            Msg::SettingsChanged(settings) => {
+                self.tick = Duration::from_millis(settings.bounds.tick());
+                self.shutdown_timer.periods = GracePeriods::of(&settings.bounds);
             }
-            Msg::Stop => self.shutdown_timer.ask(Instant::now()),
+            Msg::Stop => self.shutdown_timer.stop_requested(Instant::now()),
             _ => {}
         }
         let before = effects.len();
         effects.extend(self.part.step(self.clock.now(), msg));
-        if effects[before..].iter().any(|e| matches!(e, Effect::Exit)) {
+        if effects[before..]
+            .iter()
+            .any(|effect| matches!(effect, Effect::Exit))
+        {
             self.shutdown_timer.part_is_done();
         }
-        self.shutdown_timer.over(Instant::now(), self.calls.idle())
+        self.shutdown_timer
+            .is_over(Instant::now(), self.calls.is_empty())
     }
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Send(to, body) => self.transport.send(&to, &body),
-            Effect::Persist(save) => {
-                if let Some(d) = &self.disk {
-                    d.save(save);
+            Effect::Persist(batch) => {
+                if let Some(disk) = &self.disk {
+                    disk.save(batch);
                 }
             }
-            Effect::Answer(call, v) => self.calls.answer(call, v),
+            Effect::Answer(call, response) => self.calls.answer(call, response),
             Effect::Log(text) => log::info!("{text}"),
             Effect::Exit => {}
         }
     }
 
-    fn tell_end(&self) {
+    fn log_end(&self) {
         let counters: Vec<String> = self
             .part
             .counters()
             .into_iter()
-            .map(|(k, v)| format!("{k}={v}"))
+            .map(|(name, number)| format!("{name}={number}"))
             .collect();
         log::info!(
             "ends; frames_dropped={} counters: {}",
--- a/landingdrift/src/daemon/disks.rs
+++ b/landingdrift/src/daemon/disk_writer.rs
@@ -1,3 +1,5 @@
+//! The thread that writes a replica's data folder, and tries again while its disk refuses.
+
 use super::error::ProcessError;
 use super::input::Input;
 use super::threads;
@@ -8,11 +10,11 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// What the thread that writes needs of a data folder.
+/// What the disk writer needs of a data folder.
 pub trait Store: Send {
     /// Writes a batch and syncs once; nothing of it counts unless this succeeds.
     fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError>;
-    /// Makes the store usable after a refusal: it holds what was confirmed, and no part of the batch that failed.
+    /// Makes the store usable after a failure: it keeps what was confirmed, and no part of the batch that failed.
     fn recover(&mut self) -> Result<(), StorageError>;
 }
 
@@ -25,7 +27,7 @@
     }
 }
 
-/// How long to wait before a disk that refused is tried again; each pause is twice the one before.
+/// The pauses before a disk that refused is tried again; each is twice the one before.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     pub next: Duration,
@@ -51,49 +53,49 @@
     }
 }
 
-/// The thread that writes; all that waits is written together and synced once.
-pub struct Disk(Sender<WriteBatch>);
+/// The thread that writes: all that is queued is written together and synced once.
+pub struct DiskWriter(Sender<WriteBatch>);
 
-impl Disk {
+impl DiskWriter {
     /// Starts the thread.
     pub fn start(
         store: impl Store + 'static,
         inputs: Sender<Input>,
         backoff: Backoff,
     ) -> Result<Self, ProcessError> {
-        let (tx, rx) = channel::<WriteBatch>();
+        let (queue, queued) = channel::<WriteBatch>();
         threads::spawn("disk", threads::SMALL, move || {
-            write(store, &rx, &inputs, backoff);
+            write_all(store, &queued, &inputs, backoff);
         })?;
-        Ok(Self(tx))
+        Ok(Self(queue))
     }
 
-    /// Hands over what is to be written.
-    pub fn save(&self, s: WriteBatch) {
-        let _ = self.0.send(s);
+    /// Queues a batch to be written.
+    pub fn save(&self, batch: WriteBatch) {
+        let _ = self.0.send(batch);
     }
 }
 
-/// Writes until nobody hands anything over, or nobody listens.
-fn write(
+/// Writes until the queue is closed, or the control thread has ended.
+fn write_all(
     mut store: impl Store,
-    saves: &Receiver<WriteBatch>,
+    queued: &Receiver<WriteBatch>,
     inputs: &Sender<Input>,
     backoff: Backoff,
 ) {
-    while let Ok(first) = saves.recv() {
+    while let Ok(first) = queued.recv() {
         let mut batch = vec![first];
-        batch.extend(saves.try_iter());
-        let write_id = batch.last().map_or(0, |s| s.write_id);
-        let written = save_at_last(&mut store, &batch, inputs, backoff);
+        batch.extend(queued.try_iter());
+        let write_id = batch.last().map_or(0, |last| last.write_id);
+        let written = save_with_retries(&mut store, &batch, inputs, backoff);
         if written.is_none() || inputs.send(Input::Msg(Msg::Persisted(write_id))).is_err() {
             return;
         }
     }
 }
 
-/// Tries until the batch is durable; `None` where nobody listens any more.
-fn save_at_last(
+/// Tries until the batch is durable; `None` if the control thread has ended.
+fn save_with_retries(
     store: &mut impl Store,
     batch: &[WriteBatch],
     inputs: &Sender<Input>,
@@ -101,10 +103,10 @@
 ) -> Option<()> {
     let mut written = store.save(batch);
     while let Err(why) = written {
-        let told = Msg::DiskFailed(why.to_string());
-        inputs.send(Input::Msg(told)).ok()?;
+        let failure = Msg::DiskFailed(why.to_string());
+        inputs.send(Input::Msg(failure)).ok()?;
         sleep(backoff.next().unwrap_or_default());
-        // Whatever of the batch was written is cut off first, then all of it is written again in order.
+        // What was written of the batch is cut off first, then all of it is written again in order.
         written = store.recover().and_then(|()| store.save(batch));
     }
     Some(())
--- a/landingdrift/src/daemon/error.rs
+++ b/landingdrift/src/daemon/error.rs
@@ -1,10 +1,10 @@
-//! Why a process can't start, or has ended otherwise than it was asked to.
+//! Errors of a process.
 
 use crate::disk::StorageError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a process can't start, or has ended otherwise than it was asked to; each message names the remedy.
+/// Why a process can't start, or has ended without being asked to; each message names the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     #[error("no thread can be started ({0}): raise the limit on threads or on memory")]
@@ -21,7 +21,7 @@
     NoAddress(String),
     #[error("{0}")]
     Disk(StorageError),
-    /// What the data folder holds can't be made a replica of.
+    /// The replica can't start from the contents of the data folder.
     #[error("{0}")]
     Replica(String),
     #[error("a control thread panicked: start the process again")]
@@ -36,7 +36,7 @@
     }
 }
 
-/// For a program that only tells on why its process came to nothing.
+/// For programs that only print the error.
 impl From<ProcessError> for String {
     fn from(why: ProcessError) -> Self {
         why.to_string()
--- a/landingdrift/src/daemon/input.rs
+++ b/landingdrift/src/daemon/input.rs
@@ -1,11 +1,11 @@
-//! What reaches the thread of control state. It lies below all modules that send to that thread or read for it.
+//! Inputs of a control thread. This module has no dependency on those that send or receive them.
 
 use crate::sans_io::{Msg, Request};
 
-/// What reaches the thread of control state.
+/// An input of a control thread.
 pub enum Input {
     Msg(Msg),
-    /// A call with the number under which its caller waits.
+    /// A call with its number among the pending calls.
     Call(Request, u64),
 }
 
@@ -13,7 +13,7 @@
     fn from(input: Input) -> Self {
         match input {
             Input::Msg(msg) => msg,
-            Input::Call(req, call) => Msg::Call(call, req),
+            Input::Call(request, call) => Msg::Call(call, request),
         }
     }
 }
--- a/landingdrift/src/daemon/logs.rs
+++ b/landingdrift/src/daemon/logs.rs
@@ -1,30 +1,32 @@
+//! Logging to standard error.
+
 use flexi_logger::{LogSpecification, Logger, LoggerHandle};
 
 /// Starts logging to standard error.
 pub fn start(level: &str) -> Option<LoggerHandle> {
     Logger::with(spec(level))
         .log_to_stderr()
-        .format(line)
+        .format(write_line)
         .start()
         .ok()
 }
 
-/// The specification of a level: our own lines at it, the libraries' only when they warn.
+/// The specification for a level: it applies to landingdrift itself; libraries log warnings only.
 pub fn spec(level: &str) -> LogSpecification {
     LogSpecification::parse(format!("warn,landingdrift={level},rocket=off,_=off"))
         .unwrap_or_else(|_| LogSpecification::info())
 }
 
-fn line(
-    w: &mut dyn std::io::Write,
+fn write_line(
+    out: &mut dyn std::io::Write,
     now: &mut flexi_logger::DeferredNow,
-    state: &log::Record,
+    record: &log::Record,
 ) -> std::io::Result<()> {
     write!(
-        w,
+        out,
         "{} {} {}",
         now.format_rfc3339(),
-        state.level(),
-        state.args()
+        record.level(),
+        record.args()
     )
 }
--- a/landingdrift/src/daemon/mod.rs
+++ b/landingdrift/src/daemon/mod.rs
@@ -1,14 +1,18 @@
-//! What surrounds a part in a real process: threads, sockets, files, signals.
+//! The environment of the parts in a real process: threads, sockets, files, signals.
+//!
+//! - `process` starts and stops the parts, `roles` are the commands that run one,
+//! - `control` is the thread that steps a part, `disk_writer` the one that writes a replica's data folder,
+//! - `traffic` is the thread of all sockets, `pending_calls` connects its HTTP calls with the control threads.
 
-mod calls;
 mod control;
-mod core_start;
-mod disks;
+mod disk_writer;
 mod error;
 mod input;
 mod logs;
-mod opening;
+mod open_folder;
+mod pending_calls;
 mod process;
+mod replica_start;
 mod roles;
 mod running_part;
 mod shutdown_timer;
@@ -16,12 +20,14 @@
 mod threads;
 mod traffic;
 
-pub use calls::Calls;
 pub use control::{Clock, Control};
-pub use disks::{Backoff, Disk, Store};
+pub use disk_writer::{Backoff, DiskWriter, Store};
 pub use error::ProcessError;
 pub use input::Input;
+pub use pending_calls::PendingCalls;
 pub use process::Process;
-pub use running_part::Handle;
+pub use running_part::PartHandle;
 pub use shutdown_timer::{GracePeriods, ShutdownTimer};
-pub use traffic::{Asked, Frames, Handling, HttpAdapter, HttpLimits, Reply, Traffic, Transport};
+pub use traffic::{
+    Frames, HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Traffic, Transport,
+};
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -1,14 +1,14 @@
-//! A process of one or more parts, from its start to its orderly end.
+//! A process of one or more parts, from its start to its graceful shutdown.
 
-use super::calls::Calls;
 use super::control::{Clock, Control};
-use super::core_start::CoreStart;
 use super::error::ProcessError;
 use super::input::Input;
-use super::running_part::{Handle, RunningPart};
-use super::signals::Ended;
+use super::pending_calls::PendingCalls;
+use super::replica_start::ReplicaStart;
+use super::running_part::{PartHandle, RunningPart};
+use super::signals::CloseSignalsOnDrop;
 use super::traffic::{Frames, HttpAdapter, HttpLimits, ServingState, Traffic, Transport};
-use super::{logs, opening, signals, threads};
+use super::{logs, open_folder, signals, threads};
 use crate::sans_io::{fnv1a, Msg, Now, Part};
 use crate::settings::{Bounds, Settings};
 use signal_hook::consts::SIGHUP;
@@ -18,8 +18,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often a process that ends looks whether it has done all it had to.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often a process that shuts down checks whether its calls are answered and its parts have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A process of one or more parts: each has a control thread and an address of its own, all share the traffic thread.
 pub struct Process {
@@ -30,7 +30,7 @@
     parts: Vec<RunningPart>,
 }
 
-/// What a part needs to be reached by others.
+/// The transport of a part, and the queue of its inputs.
 struct Listening {
     transport: Transport,
     inputs: Sender<Input>,
@@ -38,13 +38,13 @@
 }
 
 impl Process {
-    /// Starts logging and traffic, and takes the signals over.
+    /// Starts logging and traffic, and registers for signals.
     pub fn start(level: &str) -> Result<Self, ProcessError> {
         Ok(Self {
             clock: Clock::start(),
             logger: logs::start(level),
             traffic: Traffic::start()?,
-            signals: signals::take()?,
+            signals: signals::register()?,
             parts: Vec::new(),
         })
     }
@@ -54,8 +54,8 @@
         self.clock.now()
     }
 
-    /// A seed for the part of a name. Lives of processes and disks are told apart by it, so it comes from the operating
-    /// system's randomness; only where that is missing from the clock and the process's number.
+    /// A seed for the part with a name. It distinguishes incarnations of processes and disks, so it comes from the
+    /// operating system's randomness, and only where that is missing from the clock and the process id.
     pub fn seed(&self, name: &str) -> u64 {
         let drawn = getrandom::u64()
             .unwrap_or_else(|_| self.now().wall ^ (u64::from(std::process::id()) << 40));
@@ -63,55 +63,61 @@
     }
 
     /// Starts a part.
-    pub fn part(&mut self, part: Box<dyn Part>, s: &Settings) -> Result<Handle, ProcessError> {
+    pub fn part(
+        &mut self,
+        part: Box<dyn Part>,
+        settings: &Settings,
+    ) -> Result<PartHandle, ProcessError> {
         let Listening {
             transport,
             inputs,
             received,
-        } = self.listen(s)?;
-        let calls = Calls::default();
-        let control = Control::new(part, self.clock, transport, None, calls.clone(), s);
-        self.begin(s, inputs, calls, move || control.run(&received))
+        } = self.listen(settings)?;
+        let calls = PendingCalls::default();
+        let control = Control::new(part, self.clock, transport, None, calls.clone(), settings);
+        self.spawn_control(settings, inputs, calls, move || control.run(&received))
     }
 
-    /// Starts a replica on its data folder. Where the disk refuses, the folder is tried again while the other parts serve.
-    pub fn replica(&mut self, s: &Settings) -> Result<Handle, ProcessError> {
-        let seed = self.seed(&s.listen);
-        let term_start_index = opening::open(s, seed);
-        let term_start_index = match term_start_index {
+    /// Starts a replica on its data folder. If the disk refuses, opening it is retried while the other parts serve.
+    pub fn replica(&mut self, settings: &Settings) -> Result<PartHandle, ProcessError> {
+        let seed = self.seed(&settings.listen);
+        let opened = open_folder::open(settings, seed);
+        let opened = match opened {
             Err(why) if !why.may_pass() => return Err(why.into()),
-            term_start_index => term_start_index,
+            opened => opened,
         };
         let Listening {
             transport,
             inputs,
             received,
-        } = self.listen(s)?;
-        let calls = Calls::default();
-        let start = CoreStart {
-            settings: s.clone(),
+        } = self.listen(settings)?;
+        let calls = PendingCalls::default();
+        let start = ReplicaStart {
+            settings: settings.clone(),
             seed,
             clock: self.clock,
             transport,
             inputs: inputs.clone(),
             calls: calls.clone(),
         };
-        match term_start_index {
-            Ok(term_start_index) => {
-                let control = start.control(term_start_index)?;
-                self.begin(s, inputs, calls, move || control.run(&received))
+        match opened {
+            Ok(opened) => {
+                let control = start.control(opened)?;
+                self.spawn_control(settings, inputs, calls, move || control.run(&received))
+            }
+            Err(why) => {
+                self.spawn_control(settings, inputs, calls, move || start.run(why, &received))
             }
-            Err(why) => self.begin(s, inputs, calls, move || start.run(why, &received)),
         }
     }
 
-    fn listen(&self, s: &Settings) -> Result<Listening, ProcessError> {
+    fn listen(&self, settings: &Settings) -> Result<Listening, ProcessError> {
         let (inputs, received) = channel::<Input>();
         let frames = Frames {
-            cluster: s.cluster.clone(),
-            me: s.listen.clone(),
-            patience: Duration::from_millis(s.bounds.election()),
-            longest: Frames::longest(&s.limits),
+            cluster: settings.cluster.clone(),
+            own_address: settings.listen.clone(),
+            timeout: Duration::from_millis(settings.bounds.election()),
+            max_frame_bytes: Frames::max_frame_bytes(&settings.limits),
         };
         let transport = self.traffic.listen(frames, inputs.clone())?;
         Ok(Listening {
@@ -121,35 +127,36 @@
         })
     }
 
-    fn begin(
+    /// Starts the control thread of a part.
+    fn spawn_control(
         &mut self,
-        s: &Settings,
+        settings: &Settings,
         inputs: Sender<Input>,
-        calls: Calls,
+        calls: PendingCalls,
         run: impl FnOnce() + Send + 'static,
-    ) -> Result<Handle, ProcessError> {
-        let ended = Ended(self.signals.handle());
+    ) -> Result<PartHandle, ProcessError> {
+        let close_signals = CloseSignalsOnDrop(self.signals.handle());
         let thread = threads::spawn("control", threads::CONTROL, move || {
-            let _ended = ended;
+            let _close_signals = close_signals;
             run();
         })?;
-        log::info!("{} in zone {}", s.listen, s.zone);
-        let handle = Handle { calls, inputs };
+        log::info!("{} in zone {}", settings.listen, settings.zone);
+        let handle = PartHandle { calls, inputs };
         self.parts.push(RunningPart {
             handle: handle.clone(),
             thread,
-            current: s.clone(),
+            settings: settings.clone(),
         });
         Ok(handle)
     }
 
-    /// Serves an address for a part.
+    /// Serves HTTP at an address for a part.
     pub fn http(
         &self,
         addr: SocketAddr,
         limits: HttpLimits,
         http_adapter: HttpAdapter,
-        part: &Handle,
+        part: &PartHandle,
     ) -> Result<(), ProcessError> {
         let (calls, inputs) = (part.calls.clone(), part.inputs.clone());
         self.traffic
@@ -157,13 +164,13 @@
         Ok(())
     }
 
-    /// Runs until it is told to stop, or a part ends by itself: then it ends in an orderly way.
+    /// Runs until it is asked to stop, or a part ends by itself; then it shuts down gracefully.
     pub fn run(
         mut self,
         reread: &dyn Fn() -> Result<Vec<Settings>, String>,
     ) -> Result<(), ProcessError> {
-        let asked = self.wait(reread);
-        let why = if asked {
+        let asked_to_stop = self.wait_for_stop(reread);
+        let why = if asked_to_stop {
             "asked to stop"
         } else {
             "a part has ended"
@@ -174,14 +181,14 @@
         if panicked {
             return Err(ProcessError::Panicked);
         }
-        if !asked {
+        if !asked_to_stop {
             return Err(ProcessError::PartEnded);
         }
         Ok(())
     }
 
-    /// Waits for the signal to stop; false where a part ends before. The signal to reread settings is seen to meanwhile.
-    fn wait(&mut self, reread: &dyn Fn() -> Result<Vec<Settings>, String>) -> bool {
+    /// Waits for the signal to stop, and rereads the settings when it is signalled to; false if a part ends before.
+    fn wait_for_stop(&mut self, reread: &dyn Fn() -> Result<Vec<Settings>, String>) -> bool {
         let logger = self.logger.as_ref();
         for signal in self.signals.forever() {
             if signal != SIGHUP {
@@ -189,56 +196,58 @@
             }
             match reread() {
                 Ok(all) => {
-                    for (part, new) in self.parts.iter_mut().zip(&all) {
-                        part.change(new, logger);
+                    for (part, settings) in self.parts.iter_mut().zip(&all) {
+                        part.update_settings(settings, logger);
                     }
                 }
-                Err(e) => log::error!("settings not reread: {e}"),
+                Err(why) => log::error!("settings not reread: {why}"),
             }
         }
         false
     }
 
-    /// Tells all parts to stop at once and goes on serving, so that callers find out that it is not ready; then takes
-    /// no call any more and ends once what was read is answered. Says whether a control thread panicked.
+    /// Tells all parts to stop and keeps serving for a while, so that callers find out that it is not ready; then refuses
+    /// calls and ends once those in flight are answered. Returns whether a control thread panicked.
     fn stop(&mut self) -> bool {
-        let since = Instant::now();
-        let serve = self.longest(Bounds::serve_on);
-        let most = self.longest(Bounds::end_process);
+        let stop_requested_at = Instant::now();
+        let serve_on = self.longest(Bounds::serve_on);
+        let end_by = self.longest(Bounds::end_process);
         let flush = self.longest(Bounds::flush_answers);
         let serving = self.traffic.serving().clone();
         serving.leave();
-        self.parts.iter().for_each(|p| p.tell(Msg::Stop));
-        sleep(serve.saturating_sub(since.elapsed()));
+        for part in &self.parts {
+            part.send(Msg::Stop);
+        }
+        sleep(serve_on.saturating_sub(stop_requested_at.elapsed()));
         serving.refuse();
-        while since.elapsed() + flush < most && self.is_busy(&serving) {
-            sleep(LOOK);
+        while stop_requested_at.elapsed() + flush < end_by && self.is_busy(&serving) {
+            sleep(POLL_INTERVAL);
         }
         if self.is_busy(&serving) {
             log::warn!("ends with {} calls in hand", serving.in_flight());
         }
-        // What was written out last gets a moment to leave.
+        // The last responses get a moment to be transmitted.
         sleep(flush);
         self.join_ended()
     }
 
-    /// The longest of a span among the parts.
+    /// The longest of a duration among the parts.
     fn longest(&self, span: fn(&Bounds) -> u64) -> Duration {
-        let spans = self.parts.iter().map(|p| span(&p.current.bounds));
+        let spans = self.parts.iter().map(|part| span(&part.settings.bounds));
         Duration::from_millis(spans.max().unwrap_or(0))
     }
 
-    /// Whether a call is in hand or a part runs.
+    /// Whether a call is in flight or a part runs.
     fn is_busy(&self, serving: &ServingState) -> bool {
         serving.in_flight() > 0 || !self.parts.iter().all(RunningPart::has_ended)
     }
 
-    /// Joins the threads that have ended, up to the first that panicked; says whether one did. Those that run on end
-    /// with the process.
+    /// Joins the threads that have ended, up to the first that panicked; returns whether one did. Those that still run
+    /// end with the process.
     fn join_ended(&mut self) -> bool {
         self.parts
             .drain(..)
             .filter(RunningPart::has_ended)
-            .any(|p| p.thread.join().is_err())
+            .any(|part| part.thread.join().is_err())
     }
 }
--- a/landingdrift/src/daemon/core_start.rs
+++ b/landingdrift/src/daemon/replica_start.rs
@@ -1,32 +1,32 @@
-//! The start of a core, which may have to wait until its data folder can be opened.
+//! The start of a replica, which may have to wait until its data folder can be opened.
 
-use super::calls::Calls;
 use super::control::{Clock, Control};
-use super::disks::{Backoff, Disk};
+use super::disk_writer::{Backoff, DiskWriter};
 use super::error::ProcessError;
 use super::input::Input;
-use super::opening;
+use super::open_folder;
+use super::pending_calls::PendingCalls;
 use super::traffic::Transport;
 use crate::consensus::{Loaded, Replica};
 use crate::disk::{DataFolder, StorageError};
 use crate::settings::Settings;
 use std::sync::mpsc::{Receiver, Sender};
 
-/// All that a replica needs to start, but its data folder.
-pub struct CoreStart {
+/// All that a replica needs to start, except for its data folder.
+pub struct ReplicaStart {
     pub settings: Settings,
     pub seed: u64,
     pub clock: Clock,
     pub transport: Transport,
     pub inputs: Sender<Input>,
-    pub calls: Calls,
+    pub calls: PendingCalls,
 }
 
-impl CoreStart {
-    /// Opens the folder at last, and runs the replica.
+impl ReplicaStart {
+    /// Tries again to open the folder, and runs the replica.
     pub fn run(self, why: StorageError, received: &Receiver<Input>) {
         let calls = self.calls.clone();
-        match self.control_at_last(why, received) {
+        match self.control_with_retries(why, received) {
             Ok(Some(control)) => control.run(received),
             Ok(None) => {}
             Err(why) => log::error!("the core ends: {why}"),
@@ -34,33 +34,33 @@
         calls.close();
     }
 
-    /// The control thread's state once the folder is open; `None` where the replica is told to stop before.
-    fn control_at_last(
+    /// The control thread's state once the folder is open; `None` if the replica is told to stop before.
+    fn control_with_retries(
         self,
         why: StorageError,
         received: &Receiver<Input>,
     ) -> Result<Option<Control>, ProcessError> {
-        let term_start_index =
-            opening::open_at_last(&self.settings, self.seed, why, &self.calls, received)?;
-        match term_start_index {
-            Some(term_start_index) => self.control(term_start_index).map(Some),
+        let opened =
+            open_folder::open_with_retries(&self.settings, self.seed, why, &self.calls, received)?;
+        match opened {
+            Some(opened) => self.control(opened).map(Some),
             None => Ok(None),
         }
     }
 
-    /// The control thread's state, given what the folder holds.
+    /// The control thread's state, given the open folder and what was loaded from it.
     pub fn control(self, (folder, loaded): (DataFolder, Loaded)) -> Result<Control, ProcessError> {
-        let s = &self.settings;
-        let replica = Replica::new(s.clone(), loaded, self.clock.now(), self.seed)
+        let settings = &self.settings;
+        let replica = Replica::new(settings.clone(), loaded, self.clock.now(), self.seed)
             .map_err(ProcessError::Replica)?;
-        let disk = Disk::start(folder, self.inputs, Backoff::of(&s.bounds))?;
+        let disk = DiskWriter::start(folder, self.inputs, Backoff::of(&settings.bounds))?;
         Ok(Control::new(
             Box::new(replica),
             self.clock,
             self.transport,
             Some(disk),
             self.calls,
-            s,
+            settings,
         ))
     }
 }
--- a/landingdrift/src/daemon/roles.rs
+++ b/landingdrift/src/daemon/roles.rs
@@ -1,3 +1,5 @@
+//! The commands that run a replica or a node as a process of its own.
+
 use super::error::ProcessError;
 use super::process::Process;
 use super::traffic::{HttpAdapter, HttpLimits};
@@ -7,77 +9,98 @@
 use std::ffi::OsString;
 use std::time::Duration;
 
-inventory::submit! { Role { name: "core", summary: "keeps the record on disk, with two others", run: run_core } }
-inventory::submit! { Role { name: "node", summary: "serves callers, workers and operators; places jobs", run: run_node } }
+/// The role of a process that runs a replica.
+const CORE: &str = "core";
+/// The role of a process that runs a node.
+const NODE: &str = "node";
+
+inventory::submit! { Role { name: CORE, summary: "keeps the record on disk, with two others", run: run_replica } }
+inventory::submit! { Role { name: NODE, summary: "serves callers, workers and operators; places jobs", run: run_node } }
 
-fn run_core(arguments: Vec<OsString>) -> i32 {
-    run("core", arguments)
+fn run_replica(arguments: Vec<OsString>) -> i32 {
+    run(CORE, arguments)
 }
 
 fn run_node(arguments: Vec<OsString>) -> i32 {
-    run("node", arguments)
+    run(NODE, arguments)
 }
 
 fn usage(role: &str) {
     crate::outln!("landingdrift {role} [flags]\n\nFlags win over the settings file.\n");
-    FLAGS
-        .iter()
-        .filter(|(f, _)| role == "core" || *f != "data")
-        .for_each(|(f, what)| crate::outln!("  --{f} {what}"));
+    for (flag, help) in FLAGS {
+        // Only a replica has a data folder.
+        if role == CORE || *flag != "data" {
+            crate::outln!("  --{flag} {help}");
+        }
+    }
     crate::outln!("  --check  check the settings and end\n  --help");
 }
 
 fn run(role: &'static str, arguments: Vec<OsString>) -> i32 {
-    let replica = role == "core";
-    let asked = match from_arguments(arguments.clone(), replica) {
-        Ok(a) => a,
-        Err(e) => {
-            eprintln!("landingdrift {role}: {e}");
+    let is_replica = role == CORE;
+    let parsed = match from_arguments(arguments.clone(), is_replica) {
+        Ok(parsed) => parsed,
+        Err(why) => {
+            eprintln!("landingdrift {role}: {why}");
             return 2;
         }
     };
-    if asked.help {
+    if parsed.help {
         usage(role);
         return 0;
     }
-    if asked.check_only {
+    if parsed.check_only {
         crate::outln!("settings are right");
         return 0;
     }
-    start(role, asked.settings, arguments).unwrap_or_else(|why| {
+    start(role, parsed.settings, arguments).unwrap_or_else(|why| {
         eprintln!("landingdrift {role}: {why}");
         1
     })
 }
 
-fn start(role: &'static str, s: Settings, arguments: Vec<OsString>) -> Result<i32, ProcessError> {
-    let replica = role == "core";
-    let mut process = Process::start(&s.log)?;
-    let part = if replica {
-        process.replica(&s)?
+fn start(
+    role: &'static str,
+    settings: Settings,
+    arguments: Vec<OsString>,
+) -> Result<i32, ProcessError> {
+    let is_replica = role == CORE;
+    let mut process = Process::start(&settings.log)?;
+    let part = if is_replica {
+        process.replica(&settings)?
     } else {
-        let (seed, now) = (process.seed(&s.listen), process.now());
-        process.part(Box::new(Node::new(s.clone(), now, seed)), &s)?
+        let (seed, now) = (process.seed(&settings.listen), process.now());
+        let node = Node::new(settings.clone(), now, seed);
+        process.part(Box::new(node), &settings)?
     };
-    let addr = s
+    let addr = settings
         .http
         .parse()
-        .map_err(|_| ProcessError::NoAddress(s.http.clone()))?;
-    process.http(addr, limits(&s), HttpAdapter::default(), &part)?;
-    log::info!("{role} {} serves HTTP at {}", s.listen, s.http);
+        .map_err(|_| ProcessError::NoAddress(settings.http.clone()))?;
+    process.http(addr, limits(&settings), HttpAdapter::default(), &part)?;
+    log::info!(
+        "{role} {} serves HTTP at {}",
+        settings.listen,
+        settings.http
+    );
     let reread = || {
-        from_arguments(arguments.clone(), replica)
-            .map(|asked| vec![asked.settings])
-            .map_err(|e| e.to_string())
+        from_arguments(arguments.clone(), is_replica)
+            .map(|parsed| vec![parsed.settings])
+            .map_err(|why| why.to_string())
     };
     process.run(&reread).map(|()| 0)
 }
 
-/// A part rejects calls beyond its limit itself; as many places again are for the heartbeats and probes it always takes.
-fn limits(s: &Settings) -> HttpLimits {
+/// How many HTTP calls are served at once, as a multiple of the limit that the part itself applies: the rest is for the
+/// heartbeats and probes that it always takes.
+const HTTP_CALLS_FACTOR: u64 = 2;
+/// What a body may have beside a job or a configuration, in bytes.
+const BODY_OVERHEAD: u64 = 1024;
+
+fn limits(settings: &Settings) -> HttpLimits {
     HttpLimits {
-        patience: Duration::from_millis(s.bounds.state_ms),
-        bytes: s.limits.job_bytes.max(s.limits.config_bytes) + 1024,
-        calls: s.limits.calls.saturating_mul(2),
+        timeout: Duration::from_millis(settings.bounds.state_ms),
+        body_bytes: settings.limits.job_bytes.max(settings.limits.config_bytes) + BODY_OVERHEAD,
+        calls: settings.limits.calls.saturating_mul(HTTP_CALLS_FACTOR),
     }
 }
--- a/landingdrift/src/daemon/running_part.rs
+++ b/landingdrift/src/daemon/running_part.rs
@@ -1,31 +1,31 @@
-//! A part that runs in this process: the way to it, its thread, and the settings that it runs by.
+//! A part that runs in this process: its handle, its thread and its settings.
 
-use super::calls::Calls;
 use super::input::Input;
 use super::logs;
+use super::pending_calls::PendingCalls;
 use crate::sans_io::Msg;
 use crate::settings::Settings;
 use flexi_logger::LoggerHandle;
 use std::sync::mpsc::Sender;
 use std::thread::JoinHandle;
 
-/// A way to a part of this process.
+/// A handle to a part of this process, through which calls reach it.
 #[derive(Clone)]
-pub struct Handle {
-    pub(super) calls: Calls,
+pub struct PartHandle {
+    pub(super) calls: PendingCalls,
     pub(super) inputs: Sender<Input>,
 }
 
-/// A part with its control thread and the settings that it runs by.
+/// A part with its control thread and its settings.
 pub(super) struct RunningPart {
-    pub handle: Handle,
+    pub handle: PartHandle,
     pub thread: JoinHandle<()>,
-    pub current: Settings,
+    pub settings: Settings,
 }
 
 impl RunningPart {
-    /// Tells the part something; one that has ended hears nothing.
-    pub fn tell(&self, msg: Msg) {
+    /// Sends the part a message; one that has ended gets none.
+    pub fn send(&self, msg: Msg) {
         let _ = self.handle.inputs.send(Input::Msg(msg));
     }
 
@@ -34,20 +34,20 @@
         self.thread.is_finished()
     }
 
-    /// Takes over the settings that can change while the process runs.
-    pub fn change(&mut self, new: &Settings, logger: Option<&LoggerHandle>) {
-        let (live, fixed) = self.current.take_live(new);
+    /// Applies the settings that can change while the process runs.
+    pub fn update_settings(&mut self, new: &Settings, logger: Option<&LoggerHandle>) {
+        let (updated, fixed) = self.settings.take_live(new);
         for setting in fixed {
             log::warn!("setting '{setting}' can't change while the process runs: restart it");
         }
-        if live == self.current {
+        if updated == self.settings {
             return;
         }
         log::info!("settings reread");
         if let Some(logger) = logger {
-            logger.set_new_spec(logs::spec(&live.log));
+            logger.set_new_spec(logs::spec(&updated.log));
         }
-        self.current = live.clone();
-        self.tell(Msg::SettingsChanged(Box::new(live)));
+        self.settings = updated.clone();
+        self.send(Msg::SettingsChanged(Box::new(updated)));
     }
 }
--- a/landingdrift/src/daemon/shutdown_timer.rs
+++ b/landingdrift/src/daemon/shutdown_timer.rs
@@ -1,46 +1,48 @@
+//! When a part that was told to stop is ended.
+
 use crate::settings::Bounds;
 use std::time::{Duration, Instant};
 
-/// How long a part is kept after it was told to stop.
+/// How long a part keeps running after it was told to stop.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GracePeriods {
-    /// It goes on for so long, even where it is done before.
-    pub serve: Duration,
-    /// It is ended after so long, even where it is not done.
-    pub most: Duration,
+    /// It runs for at least so long, even if it is done before: its callers need time to leave.
+    pub min: Duration,
+    /// It is ended after so long, even if it is not done.
+    pub max: Duration,
 }
 
 impl GracePeriods {
-    /// The spans that the bounds allow for.
+    /// The grace periods that follow from the bounds.
     pub fn of(bounds: &Bounds) -> Self {
         Self {
-            serve: Duration::from_millis(bounds.serve_on()),
-            most: Duration::from_millis(bounds.end_parts()),
+            min: Duration::from_millis(bounds.serve_on()),
+            max: Duration::from_millis(bounds.end_parts()),
         }
     }
 }
 
-/// When the thread of a part ends. A part that was told to stop is stepped on until its callers have gone elsewhere,
-/// then until no caller waits; one that ends by itself ends at once.
+/// Decides when the thread of a part ends. A part that was told to stop runs until its callers have found another
+/// process and none waits any more; one that ends by itself ends at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShutdownTimer {
-    pub spans: GracePeriods,
-    asked: Option<Instant>,
+    pub periods: GracePeriods,
+    stop_requested_at: Option<Instant>,
     done: bool,
 }
 
 impl ShutdownTimer {
-    /// Nothing has been told yet.
-    pub fn new(spans: GracePeriods) -> Self {
+    /// A timer of a part that was not told to stop.
+    pub fn new(periods: GracePeriods) -> Self {
         Self {
-            spans,
+            periods,
             ..Self::default()
         }
     }
 
     /// The part is told to stop; only the first time counts.
-    pub fn ask(&mut self, now: Instant) {
-        self.asked.get_or_insert(now);
+    pub fn stop_requested(&mut self, now: Instant) {
+        self.stop_requested_at.get_or_insert(now);
     }
 
     /// The part has said that it is done.
@@ -48,13 +50,13 @@
         self.done = true;
     }
 
-    /// Whether the part is stepped no more.
-    pub fn over(&self, now: Instant, nobody_waits: bool) -> bool {
-        let Some(asked) = self.asked else {
+    /// Whether the part ends now.
+    pub fn is_over(&self, now: Instant, no_caller_waits: bool) -> bool {
+        let Some(stop_requested_at) = self.stop_requested_at else {
             return self.done;
         };
-        let since = now.saturating_duration_since(asked);
-        let served = since >= self.spans.serve;
-        (self.done && served && nobody_waits) || since >= self.spans.most
+        let since = now.saturating_duration_since(stop_requested_at);
+        let min_passed = since >= self.periods.min;
+        (self.done && min_passed && no_caller_waits) || since >= self.periods.max
     }
 }
--- a/landingdrift/src/daemon/threads.rs
+++ b/landingdrift/src/daemon/threads.rs
@@ -1,12 +1,14 @@
+//! Threads and the sizes of their stacks.
+
 use super::error::ProcessError;
 use std::thread::{Builder, JoinHandle};
 
-/// Stack of the thread that steps a part.
+/// The stack of a control thread, in bytes.
 pub const CONTROL: usize = 2 << 20;
-/// Stack of any other thread.
+/// The stack of any other thread, in bytes.
 pub const SMALL: usize = 256 << 10;
 
-/// Starts a thread whose stack is as large as it needs to be.
+/// Starts a thread with a name and a stack size.
 pub fn spawn<T: Send + 'static>(
     name: &str,
     stack: usize,
--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -1,15 +1,15 @@
-//! Frames between the system's own processes over TCP: a length, then an envelope.
+//! Frames between the cluster's own processes over TCP: a length, then an envelope.
 
-mod deliver;
 mod queue;
 mod receive;
+mod send;
 mod socket;
 
 use crate::daemon::error::ProcessError;
 use crate::daemon::input::Input;
 use crate::settings::Limits;
 use crate::wire::{pack, Body};
-use queue::{NotQueued, Queue};
+use queue::{PushError, Queue};
 use rocket::tokio::net::TcpListener;
 use rocket::tokio::runtime::Handle;
 use rocket::tokio::task::AbortHandle;
@@ -18,74 +18,78 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// No frame is longer than this, whatever the settings say.
-const TOP: u64 = 256 << 20;
-/// What a frame holds beside jobs and configuration.
-const BESIDE: u64 = 16 << 20;
+/// No frame is longer than this, whatever the settings say, in bytes.
+const FRAME_BYTES_CAP: u64 = 256 << 20;
+/// What a frame may have beside jobs and the configuration, in bytes.
+const FRAME_OVERHEAD: u64 = 16 << 20;
 
-/// How a process talks in frames.
+/// A connection is idle after so many times the timeout of a write.
+const IDLE_TIMEOUTS: u32 = 30;
+
+/// How a process exchanges frames.
 #[derive(Clone, Debug)]
 pub struct Frames {
     pub cluster: String,
-    /// Where to listen; also the name under which frames are sent.
-    pub me: String,
-    /// How long a connection or a write may take.
-    pub patience: Duration,
+    /// Where to listen; also the sender of all frames.
+    pub own_address: String,
+    /// How long connecting or a write may take.
+    pub timeout: Duration,
     /// The longest frame in bytes.
-    pub longest: u32,
+    pub max_frame_bytes: u32,
 }
 
 impl Frames {
-    /// The longest frame that limits allow for: the whole record, if that is not too much.
-    pub fn longest(l: &Limits) -> u32 {
-        l.open_jobs
-            .saturating_mul(l.job_bytes)
-            .saturating_add(l.config_bytes)
-            .saturating_add(BESIDE)
-            .min(TOP) as u32
+    /// The longest frame that the limits require: one with the whole cluster state, up to a cap.
+    pub fn max_frame_bytes(limits: &Limits) -> u32 {
+        limits
+            .open_jobs
+            .saturating_mul(limits.job_bytes)
+            .saturating_add(limits.config_bytes)
+            .saturating_add(FRAME_OVERHEAD)
+            .min(FRAME_BYTES_CAP) as u32
     }
 
-    /// A connection on which nothing comes or goes for this long is closed by the sender.
-    fn idle(&self) -> Duration {
-        self.patience * 30
+    /// A sender closes a connection on which it has sent nothing for this long.
+    fn idle_timeout(&self) -> Duration {
+        self.timeout * IDLE_TIMEOUTS
     }
 }
 
-/// Sends frames; each receiver has a queue and a task of its own, so that a slow one holds up nobody else.
+/// Sends frames. Each receiver has a queue and a task of its own, so that a slow one does not delay the others.
 pub struct Transport {
     frames: Frames,
     handle: Handle,
-    routes: HashMap<String, Queue>,
+    queues: HashMap<String, Queue>,
     listener: AbortHandle,
-    /// Frames that found a full queue or were too long.
+    /// How many frames were dropped because a queue was full or they were too long.
     pub dropped: u64,
 }
 
-/// Listens, and gives what sends.
+/// Listens, and returns the transport that sends from the same address.
 pub fn listen(
     handle: &Handle,
     mut frames: Frames,
     inputs: Sender<Input>,
 ) -> Result<Transport, ProcessError> {
-    let at = frames.me.clone();
-    let cant = |why| ProcessError::Listen {
+    let at = frames.own_address.clone();
+    let listen_error = |why| ProcessError::Listen {
         at: at.clone(),
         why,
     };
-    let listener = std::net::TcpListener::bind(&frames.me)
-        .and_then(|l| l.set_nonblocking(true).map(|()| l))
-        .map_err(cant)?;
-    let me = listener.local_addr().map_err(cant)?;
+    let listener = std::net::TcpListener::bind(&frames.own_address)
+        .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
+        .map_err(listen_error)?;
+    let bound = listener.local_addr().map_err(listen_error)?;
     let listener = {
-        let _inside = handle.enter();
-        TcpListener::from_std(listener).map_err(cant)?
+        let _runtime = handle.enter();
+        TcpListener::from_std(listener).map_err(listen_error)?
     };
-    frames.me = me.to_string();
+    frames.own_address = bound.to_string();
     let accepting = receive::accept(listener, frames.clone(), inputs);
     Ok(Transport {
         frames,
         handle: handle.clone(),
-        routes: HashMap::new(),
+        queues: HashMap::new(),
         listener: handle.spawn(accepting).abort_handle(),
         dropped: 0,
     })
@@ -93,44 +97,44 @@
 
 impl Transport {
     /// The address that others reach this one at.
-    pub fn me(&self) -> &str {
-        &self.frames.me
+    pub fn own_address(&self) -> &str {
+        &self.frames.own_address
     }
 
-    /// Queues a frame; a full queue drops it, as a network would.
+    /// Queues a frame; it is dropped if the queue is full, as a network would do.
     pub fn send(&mut self, to: &str, body: &Body) {
         let Ok(addr) = to.parse::<SocketAddr>() else {
             return;
         };
-        let bytes = pack(&self.frames.cluster, &self.frames.me, body);
-        if bytes.len() > self.frames.longest as usize {
+        let bytes = pack(&self.frames.cluster, &self.frames.own_address, body);
+        if bytes.len() > self.frames.max_frame_bytes as usize {
             log::error!(
                 "a frame of {} bytes for {to} is longer than {} and was not sent: lower limits.open_jobs, limits.job_bytes or limits.retain_ms",
                 bytes.len(),
-                self.frames.longest
+                self.frames.max_frame_bytes
             );
             self.dropped += 1;
             return;
         }
-        let left = match self.routes.get(to) {
+        let pushed = match self.queues.get(to) {
             Some(queue) => queue.push(bytes),
-            None => Err(NotQueued::Closed(bytes)),
+            None => Err(PushError::Closed(bytes)),
         };
-        match left {
+        match pushed {
             Ok(()) => {}
-            Err(NotQueued::Full) => self.dropped += 1,
-            Err(NotQueued::Closed(bytes)) => {
-                self.routes.retain(|_, r| !r.is_closed());
-                let queue = deliver::start(&self.handle, addr, &self.frames);
+            Err(PushError::Full) => self.dropped += 1,
+            Err(PushError::Closed(bytes)) => {
+                self.queues.retain(|_, queue| !queue.is_closed());
+                let queue = send::start(&self.handle, addr, &self.frames);
                 let _ = queue.push(bytes);
-                self.routes.insert(to.into(), queue);
+                self.queues.insert(to.into(), queue);
             }
         }
     }
 
-    /// The bytes that wait for receivers.
-    pub fn waiting(&self) -> usize {
-        self.routes.values().map(Queue::bytes).sum()
+    /// The bytes that are queued for all receivers.
+    pub fn queued_bytes(&self) -> usize {
+        self.queues.values().map(Queue::bytes).sum()
     }
 }
 
--- a/landingdrift/src/daemon/traffic/frames/queue.rs
+++ b/landingdrift/src/daemon/traffic/frames/queue.rs
@@ -1,22 +1,24 @@
+//! The queue of frames for one receiver, bounded in frames and in bytes.
+
 use rocket::tokio::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Frames that wait for one receiver.
-const MOST_FRAMES: usize = 4096;
-/// Bytes of frames that wait for one receiver; a single frame may be larger.
-const MOST_BYTES: usize = 4 << 20;
+/// The most frames that are queued for one receiver.
+const MAX_FRAMES: usize = 4096;
+/// The most bytes that are queued for one receiver; a single frame may be larger.
+const MAX_BYTES: usize = 4 << 20;
 
-/// The queue towards one receiver, bounded in frames and in bytes.
+/// The sending end of the queue.
 pub struct Queue {
-    tx: Sender<Queued>,
+    sender: Sender<Queued>,
     bytes: Arc<AtomicUsize>,
 }
 
 /// A frame in a queue; it counts towards the queue's bytes until it is dropped.
 pub struct Queued {
     frame: Vec<u8>,
-    queue: Arc<AtomicUsize>,
+    queue_bytes: Arc<AtomicUsize>,
 }
 
 impl Queued {
@@ -28,50 +30,51 @@
 
 impl Drop for Queued {
     fn drop(&mut self) {
-        self.queue.fetch_sub(self.frame.len(), Ordering::Relaxed);
+        self.queue_bytes
+            .fetch_sub(self.frame.len(), Ordering::Relaxed);
     }
 }
 
 /// Why a frame was not queued.
-pub enum NotQueued {
-    /// The receiver takes too little: the frame is dropped, as a network would.
+pub enum PushError {
+    /// The receiver is too slow: the frame is dropped.
     Full,
-    /// Nobody delivers any more.
+    /// The task that sends has ended.
     Closed(Vec<u8>),
 }
 
-/// An empty queue and its end.
+/// An empty queue, and its receiving end.
 pub fn queue() -> (Queue, Receiver<Queued>) {
-    let (tx, rx) = channel(MOST_FRAMES);
+    let (sender, receiver) = channel(MAX_FRAMES);
     let bytes = Arc::default();
-    (Queue { tx, bytes }, rx)
+    (Queue { sender, bytes }, receiver)
 }
 
 impl Queue {
     /// Queues a frame.
-    pub fn push(&self, frame: Vec<u8>) -> Result<(), NotQueued> {
+    pub fn push(&self, frame: Vec<u8>) -> Result<(), PushError> {
         if self.is_closed() {
-            return Err(NotQueued::Closed(frame));
+            return Err(PushError::Closed(frame));
         }
-        let waiting = self.bytes();
-        if waiting > 0 && waiting + frame.len() > MOST_BYTES {
-            return Err(NotQueued::Full);
+        let queued_bytes = self.bytes();
+        if queued_bytes > 0 && queued_bytes + frame.len() > MAX_BYTES {
+            return Err(PushError::Full);
         }
         self.bytes.fetch_add(frame.len(), Ordering::Relaxed);
         let queued = Queued {
             frame,
-            queue: self.bytes.clone(),
+            queue_bytes: self.bytes.clone(),
         };
-        self.tx.try_send(queued).map_err(|_| NotQueued::Full)
+        self.sender.try_send(queued).map_err(|_| PushError::Full)
     }
 
-    /// The bytes that wait.
+    /// The bytes that are queued.
     pub fn bytes(&self) -> usize {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Whether nobody delivers any more.
+    /// Whether the task that sends has ended.
     pub fn is_closed(&self) -> bool {
-        self.tx.is_closed()
+        self.sender.is_closed()
     }
 }
--- a/landingdrift/src/daemon/traffic/frames/receive.rs
+++ b/landingdrift/src/daemon/traffic/frames/receive.rs
@@ -1,3 +1,5 @@
+//! Receives frames on the connections of other processes.
+
 use super::{socket, Frames};
 use crate::daemon::input::Input;
 use crate::sans_io::Msg;
@@ -9,87 +11,97 @@
 use std::io;
 use std::sync::mpsc::Sender;
 
-/// What is read ahead on a connection.
-const AHEAD: usize = 4 << 10;
+/// The read buffer of a connection, in bytes.
+const READ_BUFFER: usize = 4 << 10;
 
-/// Why a connection ends before its peer ends it.
-enum Defect {
-    TooLong(u32),
-    Gone,
+/// Why no further frame is read from a connection.
+enum ReceiveError {
+    FrameTooLong(u32),
+    Disconnected,
 }
 
-impl From<Elapsed> for Defect {
+impl From<Elapsed> for ReceiveError {
     fn from(_: Elapsed) -> Self {
-        Self::Gone
+        Self::Disconnected
     }
 }
 
-impl From<io::Error> for Defect {
+impl From<io::Error> for ReceiveError {
     fn from(_: io::Error) -> Self {
-        Self::Gone
+        Self::Disconnected
     }
 }
 
-/// Takes connections for as long as somebody takes what comes.
+/// Accepts connections until the task is aborted.
 pub async fn accept(listener: TcpListener, frames: Frames, inputs: Sender<Input>) {
     loop {
         match listener.accept().await {
-            Ok((c, _)) => {
+            Ok((connection, _)) => {
                 let (frames, inputs) = (frames.clone(), inputs.clone());
                 rocket::tokio::spawn(async move {
-                    if let Ok(c) = socket::prepare(c, frames.patience) {
-                        receive(&frames, c, &inputs).await;
+                    if let Ok(connection) = socket::prepare(connection, frames.timeout) {
+                        receive(&frames, connection, &inputs).await;
                     }
                 });
             }
-            Err(e) => {
-                log::warn!("no connection can be taken ({e}): raise the limit on open files");
-                sleep(frames.patience).await;
+            Err(why) => {
+                log::warn!("no connection can be taken ({why}): raise the limit on open files");
+                sleep(frames.timeout).await;
             }
         }
     }
 }
 
-async fn receive(frames: &Frames, c: impl AsyncRead + Unpin, inputs: &Sender<Input>) {
-    let mut r = BufReader::with_capacity(AHEAD, c);
-    let mut said = false;
+/// Receives frames until the connection ends or the control thread has ended.
+async fn receive(frames: &Frames, connection: impl AsyncRead + Unpin, inputs: &Sender<Input>) {
+    let mut reader = BufReader::with_capacity(READ_BUFFER, connection);
+    let mut refusal_logged = false;
     loop {
-        let bytes = match frame(frames, &mut r).await {
+        let bytes = match read_frame(frames, &mut reader).await {
             Ok(bytes) => bytes,
-            Err(Defect::TooLong(n)) => {
-                log::warn!("a connection announced a frame of {n} bytes, more than {}: closed; point it at the HTTP address if it speaks HTTP, else give both processes the same limits", frames.longest);
+            Err(ReceiveError::FrameTooLong(length)) => {
+                log::warn!("a connection announced a frame of {length} bytes, more than {}: closed; point it at the HTTP address if it speaks HTTP, else give both processes the same limits", frames.max_frame_bytes);
                 return;
             }
-            Err(Defect::Gone) => return,
+            Err(ReceiveError::Disconnected) => return,
         };
         match unpack(&frames.cluster, &bytes) {
-            Ok(env) => {
-                let msg = Msg::Wire(env.from, env.body);
+            Ok(envelope) => {
+                let msg = Msg::Wire(envelope.from, envelope.body);
                 if inputs.send(Input::Msg(msg)).is_err() {
                     return;
                 }
             }
-            Err(e) if !std::mem::replace(&mut said, true) => log::warn!("frame refused: {e}"),
+            // Logged once: a process of another version would fill the log.
+            Err(why) if !refusal_logged => {
+                refusal_logged = true;
+                log::warn!("frame refused: {why}");
+            }
             Err(_) => {}
         }
     }
 }
 
-/// The next frame; memory grows with the bytes that are there, not with the length announced.
-async fn frame(frames: &Frames, r: &mut (impl AsyncRead + Unpin)) -> Result<Vec<u8>, Defect> {
+/// Reads the next frame. Memory grows with the bytes received, not with the length announced.
+async fn read_frame(
+    frames: &Frames,
+    reader: &mut (impl AsyncRead + Unpin),
+) -> Result<Vec<u8>, ReceiveError> {
     // A sender closes an idle connection itself; one that is silent for twice as long is dead.
-    let most = frames.idle() * 2;
-    let mut len = [0; 4];
-    timeout(most, r.read_exact(&mut len)).await??;
-    let n = u32::from_le_bytes(len);
-    (n <= frames.longest)
-        .then_some(())
-        .ok_or(Defect::TooLong(n))?;
-    let mut bytes = Vec::with_capacity((n as usize).min(AHEAD));
-    let mut rest = r.take(u64::from(n));
+    let dead_after = frames.idle_timeout() * 2;
+    let mut length = [0; 4];
+    timeout(dead_after, reader.read_exact(&mut length)).await??;
+    let length = u32::from_le_bytes(length);
+    if length > frames.max_frame_bytes {
+        return Err(ReceiveError::FrameTooLong(length));
+    }
+    let mut bytes = Vec::with_capacity((length as usize).min(READ_BUFFER));
+    let mut rest = reader.take(u64::from(length));
     while rest.limit() > 0 {
-        let got = timeout(most, rest.read_buf(&mut bytes)).await??;
-        (got > 0).then_some(()).ok_or(Defect::Gone)?;
+        let received = timeout(dead_after, rest.read_buf(&mut bytes)).await??;
+        if received == 0 {
+            return Err(ReceiveError::Disconnected);
+        }
     }
     Ok(bytes)
 }
--- a/landingdrift/src/daemon/traffic/frames/socket.rs
+++ b/landingdrift/src/daemon/traffic/frames/socket.rs
@@ -1,18 +1,20 @@
+//! Options of the sockets between processes.
+
 use rocket::tokio::net::TcpStream;
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
 use std::time::Duration;
 
-/// Makes a connection send at once, and end when its peer is silent behind a cut.
-pub fn prepare(c: TcpStream, patience: Duration) -> io::Result<TcpStream> {
+/// Makes a connection send without delay, and fail when the network to its peer is cut.
+pub fn prepare(connection: TcpStream, timeout: Duration) -> io::Result<TcpStream> {
     let second = Duration::from_secs(1);
-    let s = SockRef::from(&c);
-    s.set_tcp_nodelay(true)?;
-    s.set_tcp_user_timeout(Some(patience * 2))?;
-    s.set_tcp_keepalive(
+    let socket = SockRef::from(&connection);
+    socket.set_tcp_nodelay(true)?;
+    socket.set_tcp_user_timeout(Some(timeout * 2))?;
+    socket.set_tcp_keepalive(
         &TcpKeepalive::new()
-            .with_time((patience * 10).max(second))
-            .with_interval(patience.max(second)),
+            .with_time((timeout * 10).max(second))
+            .with_interval(timeout.max(second)),
     )?;
-    Ok(c)
+    Ok(connection)
 }
--- a/landingdrift/src/daemon/traffic/http/http_adapter.rs
+++ b/landingdrift/src/daemon/traffic/http/http_adapter.rs
@@ -1,10 +1,12 @@
+//! The translation between HTTP and the requests and responses of a part.
+
 use crate::sans_io::{Request, Response};
 use serde_json::Value;
 use std::sync::Arc;
 
-/// A call as it came over HTTP.
+/// A request as it came over HTTP.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
+pub struct HttpRequest {
     pub method: String,
     pub path: String,
     pub query: String,
@@ -12,69 +14,72 @@
     pub body: Vec<u8>,
 }
 
-/// An answer as it goes out over HTTP.
+/// A response as it is sent over HTTP.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reply {
+pub struct HttpResponse {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-/// What is done with a call.
-pub enum Handling {
-    /// The part is asked, and its response told so.
-    Ask(Request, Box<dyn FnOnce(Response) -> Reply + Send>),
-    /// It is answered without asking.
-    Reply(Reply),
+/// What is done with a request.
+pub enum HandlerAction {
+    /// The part is called; its response is translated by the function.
+    Call(Request, Box<dyn FnOnce(Response) -> HttpResponse + Send>),
+    /// It is answered without calling the part.
+    Respond(HttpResponse),
 }
 
-/// How calls at an address become requests, and responses replies.
+/// How HTTP requests at an address become requests to the part, and its responses HTTP responses.
 #[derive(Clone)]
 pub struct HttpAdapter {
-    pub(super) read: Arc<dyn Fn(Asked) -> Handling + Send + Sync>,
+    pub(super) read: Arc<dyn Fn(HttpRequest) -> HandlerAction + Send + Sync>,
 }
 
 impl HttpAdapter {
-    /// A manner of one's own.
-    pub fn new(read: Arc<dyn Fn(Asked) -> Handling + Send + Sync>) -> Self {
+    /// An adapter of one's own.
+    pub fn new(read: Arc<dyn Fn(HttpRequest) -> HandlerAction + Send + Sync>) -> Self {
         Self { read }
     }
 }
 
 impl Default for HttpAdapter {
-    /// The manner of landingdrift's own pages: JSON, and text where the body is a string.
+    /// The adapter of landingdrift's own API: JSON, and text where the body is a string.
     fn default() -> Self {
         Self::new(Arc::new(read))
     }
 }
 
-fn read(a: Asked) -> Handling {
-    let req = Request {
-        method: a.method,
-        path: a.path,
-        query: a.query,
-        body: a.body,
+fn read(http: HttpRequest) -> HandlerAction {
+    let request = Request {
+        method: http.method,
+        path: http.path,
+        query: http.query,
+        body: http.body,
     };
-    Handling::Ask(req, Box::new(write))
+    HandlerAction::Call(request, Box::new(write))
 }
 
-/// A response in the manner of landingdrift's own pages.
-pub(super) fn write(mut v: Response) -> Reply {
-    let retry = Some(v.retry_ms).filter(|ms| *ms > 0);
-    if let (Some(ms), Value::Object(o)) = (retry, &mut v.body) {
-        o.insert("retryMs".into(), ms.into());
+/// A response of landingdrift's own API.
+pub(super) fn write(mut response: Response) -> HttpResponse {
+    let retry_ms = response.retry_ms;
+    if let Value::Object(fields) = &mut response.body {
+        if retry_ms > 0 {
+            fields.insert("retryMs".into(), retry_ms.into());
+        }
     }
-    let (kind, text) = match v.body {
-        Value::String(s) => ("text/plain; charset=utf-8", s),
+    let (content_type, text) = match response.body {
+        Value::String(text) => ("text/plain; charset=utf-8", text),
         other => ("application/json", other.to_string() + "\n"),
     };
-    let headers = retry
-        .map(|ms| ("Retry-After".into(), ms.div_ceil(1000).to_string()))
-        .into_iter()
-        .chain([("Content-Type".into(), kind.into())])
-        .collect();
-    Reply {
-        status: v.status,
+    let mut headers = Vec::new();
+    if retry_ms > 0 {
+        let seconds = retry_ms.div_ceil(1000);
+        headers.push(("Retry-After".into(), seconds.to_string()));
+    }
+    headers.push(("Content-Type".into(), content_type.into()));
+    HttpResponse {
+        status: response.status,
         headers,
         body: text.into_bytes(),
     }
--- a/landingdrift/src/daemon/traffic/http/request_handler.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -1,8 +1,10 @@
+//! Handles the HTTP requests of one address.
+
 use super::http_adapter::write;
 use super::serving::{Body, InFlight, ServingState};
-use super::{Asked, Handling, HttpAdapter, HttpLimits, Reply};
-use crate::daemon::calls::Calls;
+use super::{HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse};
 use crate::daemon::input::Input;
+use crate::daemon::pending_calls::PendingCalls;
 use crate::sans_io::Response;
 use rocket::catcher;
 use rocket::data::{Data, ToByteUnit};
@@ -15,110 +17,117 @@
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 
-/// When a caller that found no response should come back.
+/// When a caller that got no response of the part should come back, in milliseconds.
 const RETRY_MS: u64 = 1000;
 
-/// Where calls at one address come in.
+/// The handler of all requests at one address.
 #[derive(Clone)]
 pub struct RequestHandler {
     pub limits: HttpLimits,
     pub http_adapter: HttpAdapter,
-    pub calls: Calls,
+    pub calls: PendingCalls,
     pub inputs: Sender<Input>,
     pub serving: ServingState,
-    pub places: Arc<Semaphore>,
+    pub permits: Arc<Semaphore>,
 }
 
 impl RequestHandler {
-    async fn reply(&self, req: &Request<'_>, data: Data<'_>) -> Reply {
-        match self.places.try_acquire() {
-            Ok(_place) => match self.body(data).await {
-                Ok(body) => match (self.http_adapter.read)(asked(req, body)) {
-                    Handling::Ask(req, tell) => tell(self.ask(req).await),
-                    Handling::Reply(r) => r,
-                },
-                Err(refusal) => write(refusal),
-            },
-            Err(_) => write(Response::error(
-                503,
-                "busy",
-                "this process works on as many calls as it may and took nothing of this one: come back later, or go to another node",
-            )
-            .retry(RETRY_MS)),
+    async fn reply(&self, request: &Request<'_>, data: Data<'_>) -> HttpResponse {
+        let Ok(_permit) = self.permits.try_acquire() else {
+            return write(busy());
+        };
+        let body = match self.read_body(data).await {
+            Ok(body) => body,
+            Err(refusal) => return write(refusal),
+        };
+        match (self.http_adapter.read)(http_request(request, body)) {
+            HandlerAction::Call(request, translate) => translate(self.call(request).await),
+            HandlerAction::Respond(response) => response,
         }
     }
 
-    async fn body(&self, data: Data<'_>) -> Result<Vec<u8>, Response> {
-        let most = self.limits.bytes;
+    async fn read_body(&self, data: Data<'_>) -> Result<Vec<u8>, Response> {
+        let max_bytes = self.limits.body_bytes;
         let unread = |why: String| {
             let message = format!("the body could not be read ({why}): send it again");
             Response::error(400, "noBody", message)
         };
-        let whole = timeout(self.limits.patience, data.open(most.bytes()).into_bytes())
-            .await
-            .map_err(|_| unread("it came too slowly".into()))?
-            .map_err(|e| unread(e.to_string()))?;
-        let complete = whole.is_complete();
-        complete.then(|| whole.into_inner()).ok_or_else(|| {
-            let message = format!("no body may have more than {most} bytes: send less");
-            Response::error(413, "tooLarge", message)
-        })
+        let whole = timeout(
+            self.limits.timeout,
+            data.open(max_bytes.bytes()).into_bytes(),
+        )
+        .await
+        .map_err(|_| unread("it came too slowly".into()))?
+        .map_err(|why| unread(why.to_string()))?;
+        if !whole.is_complete() {
+            let message = format!("no body may have more than {max_bytes} bytes: send less");
+            return Err(Response::error(413, "tooLarge", message));
+        }
+        Ok(whole.into_inner())
     }
 
-    async fn ask(&self, req: crate::sans_io::Request) -> Response {
-        if self.serving.refuses() || self.calls.closed() {
+    /// Passes a request to the control thread, and waits for the response.
+    async fn call(&self, request: crate::sans_io::Request) -> Response {
+        if self.serving.is_refusing() || self.calls.is_closed() {
             return leaving();
         }
-        let mut waiting = self.calls.open();
-        if self.inputs.send(Input::Call(req, waiting.call)).is_err() {
+        let mut pending = self.calls.open();
+        let input = Input::Call(request, pending.number);
+        if self.inputs.send(input).is_err() {
             return unsure();
         }
-        timeout(self.limits.patience, &mut waiting.response)
-            .await
-            .ok()
-            .and_then(Result::ok)
-            .unwrap_or_else(unsure)
+        match timeout(self.limits.timeout, &mut pending.response).await {
+            Ok(Ok(response)) => response,
+            _ => unsure(),
+        }
     }
 
-    fn respond<'r>(&self, reply: Reply, in_flight: InFlight) -> RocketResponse<'r> {
-        let mut b = RocketResponse::build();
-        b.status(Status::new(reply.status));
-        reply.headers.into_iter().for_each(|(k, v)| {
-            b.header_adjoin(Header::new(k, v));
-        });
-        if self.serving.leaves() {
-            b.header(Header::new("Connection", "close"));
+    fn respond<'r>(&self, response: HttpResponse, in_flight: InFlight) -> RocketResponse<'r> {
+        let mut builder = RocketResponse::build();
+        builder.status(Status::new(response.status));
+        for (name, value) in response.headers {
+            builder.header_adjoin(Header::new(name, value));
+        }
+        if self.serving.is_leaving() {
+            builder.header(Header::new("Connection", "close"));
         }
-        b.sized_body(reply.body.len(), Body::new(reply.body, in_flight))
+        builder
+            .sized_body(response.body.len(), Body::new(response.body, in_flight))
             .finalize()
     }
 }
 
-/// The answer to a call that was not handed to anybody, since the process ends.
+/// The response to a call that exceeds the limit of calls at once.
+fn busy() -> Response {
+    let message = "this process works on as many calls as it may and took nothing of this one: come back later, or go to another node";
+    Response::error(503, "busy", message).retry(RETRY_MS)
+}
+
+/// The response to a call that was not passed on because the process shuts down.
 fn leaving() -> Response {
     let message = "this process ends and took nothing of this call: go to another one";
     Response::error(503, "leaving", message).retry(RETRY_MS)
 }
 
-/// The answer to a call that was handed on and found no response.
+/// The response to a call that was passed on and got no response: its outcome is unknown.
 fn unsure() -> Response {
     let message = "this process gave no verdict: ask again, here or at another node";
     Response::error(503, "unsure", message).retry(RETRY_MS)
 }
 
-fn asked(req: &Request<'_>, body: Vec<u8>) -> Asked {
-    let uri = req.uri();
+fn http_request(request: &Request<'_>, body: Vec<u8>) -> HttpRequest {
+    let uri = request.uri();
     let path = uri.path();
-    Asked {
-        method: req.method().as_str().into(),
+    HttpRequest {
+        method: request.method().as_str().into(),
         path: path
             .percent_decode()
-            .map_or_else(|_| path.to_string(), |p| p.to_string()),
-        query: uri.query().map_or(String::new(), |q| q.to_string()),
-        headers: req
+            .map_or_else(|_| path.to_string(), |decoded| decoded.to_string()),
+        query: uri.query().map_or(String::new(), |query| query.to_string()),
+        headers: request
             .headers()
             .iter()
-            .map(|h| (h.name.to_string(), h.value.to_string()))
+            .map(|header| (header.name.to_string(), header.value.to_string()))
             .collect(),
         body,
     }
@@ -126,14 +135,14 @@
 
 #[rocket::async_trait]
 impl Handler for RequestHandler {
-    async fn handle<'r>(&self, req: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
+    async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
         let in_flight = self.serving.enter();
-        let reply = self.reply(req, data).await;
-        Outcome::Success(self.respond(reply, in_flight))
+        let response = self.reply(request, data).await;
+        Outcome::Success(self.respond(response, in_flight))
     }
 }
 
-/// What the library refuses before it reaches us is told in the same manner.
+/// What the library refuses by itself is answered in the same form.
 #[rocket::async_trait]
 impl catcher::Handler for RequestHandler {
     async fn handle<'r>(&self, status: Status, _: &'r Request<'_>) -> catcher::Result<'r> {
--- a/landingdrift/src/daemon/traffic/http/serving.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -1,3 +1,5 @@
+//! Whether HTTP calls are served, and how many are in flight.
+
 use rocket::tokio::io::{AsyncRead, AsyncSeek, ReadBuf};
 use rocket::Shutdown;
 use std::io;
@@ -6,14 +8,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
 
-/// How far the end of a process has come, as its callers see it; phases only go forward.
+/// How far the shutdown of a process is, as its callers see it; phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-enum Phase {
+enum ServingPhase {
     Serving,
-    /// Calls are worked on; each answer ends its connection.
+    /// PendingCalls are served; each response closes its connection.
     Leaving,
-    /// New calls are refused at once, and no connection is taken any more.
+    /// New calls are refused at once, and no connection is accepted any more.
     Refusing,
 }
 
@@ -30,7 +32,7 @@
 impl Default for ServingState {
     fn default() -> Self {
         Self(Arc::new(State {
-            phase: AtomicU8::new(Phase::Serving as u8),
+            phase: AtomicU8::new(ServingPhase::Serving as u8),
             in_flight: AtomicU64::new(0),
             servers: Mutex::default(),
         }))
@@ -38,43 +40,45 @@
 }
 
 impl ServingState {
-    /// From now on every answer ends its connection, so that none is left idle when the process ends.
+    /// From now on each response closes its connection, so that none is idle when the process ends.
     pub fn leave(&self) {
-        self.advance(Phase::Leaving);
+        self.advance(ServingPhase::Leaving);
     }
 
-    /// From now on calls are refused at once, and no connection is taken.
+    /// From now on calls are refused at once, and no connection is accepted.
     pub fn refuse(&self) {
-        self.advance(Phase::Refusing);
+        self.advance(ServingPhase::Refusing);
         let mut servers = self.servers();
-        servers.drain(..).for_each(Shutdown::notify);
+        for server in servers.drain(..) {
+            server.notify();
+        }
     }
 
-    /// Calls that were read and whose answer has not been written out.
+    /// How many calls were read and their responses not written yet.
     pub fn in_flight(&self) -> u64 {
         self.0.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Whether answers end their connections.
-    pub fn leaves(&self) -> bool {
-        self.reached(Phase::Leaving)
+    /// Whether responses close their connections.
+    pub fn is_leaving(&self) -> bool {
+        self.reached(ServingPhase::Leaving)
     }
 
     /// Whether new calls are refused.
-    pub fn refuses(&self) -> bool {
-        self.reached(Phase::Refusing)
+    pub fn is_refusing(&self) -> bool {
+        self.reached(ServingPhase::Refusing)
     }
 
-    /// A server that is to stop listening when calls are refused.
+    /// Adds a server, which stops listening when calls are refused.
     pub(super) fn add(&self, server: Shutdown) {
-        if self.refuses() {
+        if self.is_refusing() {
             server.notify();
         } else {
             self.servers().push(server);
         }
     }
 
-    /// Counts a call until what is given is dropped.
+    /// Counts a call as in flight until the guard is dropped.
     pub(super) fn enter(&self) -> InFlight {
         self.0.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight(self.clone())
@@ -87,16 +91,16 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn advance(&self, to: Phase) {
+    fn advance(&self, to: ServingPhase) {
         self.0.phase.fetch_max(to as u8, Ordering::SeqCst);
     }
 
-    fn reached(&self, phase: Phase) -> bool {
+    fn reached(&self, phase: ServingPhase) -> bool {
         self.0.phase.load(Ordering::SeqCst) >= phase as u8
     }
 }
 
-/// A call in hand; dropped once its answer was written out, or its caller is gone.
+/// A call in flight; dropped once its response was written, or its caller has hung up.
 pub struct InFlight(ServingState);
 
 impl Drop for InFlight {
@@ -105,14 +109,14 @@
     }
 }
 
-/// The body of an answer; the call counts as in hand until it was read to its end.
+/// The body of a response; the call counts as in flight until it was read to its end.
 pub struct Body {
     bytes: io::Cursor<Vec<u8>>,
     _in_flight: InFlight,
 }
 
 impl Body {
-    /// The body of the answer to a call.
+    /// The body of the response to a call.
     pub fn new(bytes: Vec<u8>, in_flight: InFlight) -> Self {
         Self {
             bytes: io::Cursor::new(bytes),
@@ -124,10 +128,10 @@
 impl AsyncRead for Body {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
+        context: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.bytes).poll_read(cx, buf)
+        Pin::new(&mut self.bytes).poll_read(context, buf)
     }
 }
 
@@ -136,7 +140,7 @@
         Pin::new(&mut self.bytes).start_seek(to)
     }
 
-    fn poll_complete(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<u64>> {
-        Pin::new(&mut self.bytes).poll_complete(cx)
+    fn poll_complete(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<u64>> {
+        Pin::new(&mut self.bytes).poll_complete(context)
     }
 }
--- a/landingdrift/src/daemon/traffic/mod.rs
+++ b/landingdrift/src/daemon/traffic/mod.rs
@@ -1,14 +1,14 @@
-//! The one thread that all sockets of a process share.
+//! The one thread that serves all sockets of a process.
 
 mod frames;
 mod http;
 
 pub use frames::{Frames, Transport};
-pub use http::{Asked, Handling, HttpAdapter, HttpLimits, Reply, ServingState};
+pub use http::{HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, ServingState};
 
-use super::calls::Calls;
 use super::error::ProcessError;
 use super::input::Input;
+use super::pending_calls::PendingCalls;
 use super::threads;
 use rocket::tokio::runtime::{Builder, Handle};
 use rocket::tokio::sync::oneshot;
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Listens for frames, hands what comes to `inputs`, and gives what sends frames in the same name.
+    /// Listens for frames, whose messages go to `inputs`; returns the transport that sends frames from the same address.
     pub fn listen(&self, frames: Frames, inputs: Sender<Input>) -> Result<Transport, ProcessError> {
         frames::listen(&self.handle, frames, inputs)
     }
@@ -57,13 +57,13 @@
         &self.serving
     }
 
-    /// Serves HTTP at an address, in a manner, until the thread ends; says which address it became.
+    /// Serves HTTP at an address until the thread ends; returns the address that was bound.
     pub fn http(
         &self,
         addr: SocketAddr,
         limits: HttpLimits,
         http_adapter: HttpAdapter,
-        calls: Calls,
+        calls: PendingCalls,
         inputs: Sender<Input>,
     ) -> Result<SocketAddr, ProcessError> {
         http::serve(
@@ -81,8 +81,8 @@
 impl Drop for Traffic {
     fn drop(&mut self) {
         drop(self.stop.take());
-        self.thread.take().into_iter().for_each(|t| {
-            let _ = t.join();
-        });
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
     }
 }
--- a/landingdrift/tests/control.rs
+++ b/landingdrift/tests/control.rs
@@ -1,6 +1,6 @@
 //! The thread of control state steps its part no more often than it must.
 
-use landingdrift::daemon::{Calls, Clock, Control, Frames, Input, ShutdownTimer, Traffic};
+use landingdrift::daemon::{Clock, Control, Frames, Input, PendingCalls, ShutdownTimer, Traffic};
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
@@ -33,9 +33,9 @@
     let (tx, rx) = channel();
     let frames = Frames {
         cluster: "tests".into(),
-        me: "127.0.0.1:0".into(),
-        patience: Duration::from_secs(1),
-        longest: 1 << 20,
+        own_address: "127.0.0.1:0".into(),
+        timeout: Duration::from_secs(1),
+        max_frame_bytes: 1 << 20,
     };
     let witnessed = Arc::new(Mutex::new(Vec::new()));
     let control = Control {
@@ -43,7 +43,7 @@
         clock: Clock::start(),
         transport: traffic.listen(frames, tx.clone()).expect("listens"),
         disk: None,
-        calls: Calls::default(),
+        calls: PendingCalls::default(),
         tick,
         shutdown_timer: ShutdownTimer::default(),
     };
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -1,6 +1,6 @@
 //! A disk that refuses writes for a while: nothing is confirmed meanwhile, nothing is lost, and it comes back by itself.
 
-use landingdrift::daemon::{Backoff, Disk, Input, Store};
+use landingdrift::daemon::{Backoff, DiskWriter, Input, Store};
 use landingdrift::disk::{DataFolder, StorageError};
 use landingdrift::sans_io::{HardState, Msg, WriteBatch};
 use landingdrift::wire::{DurabilityWitness, Entry};
@@ -114,7 +114,7 @@
         recovered: recovered.clone(),
     };
     let (tx, rx) = channel();
-    let disk = Disk::start(store, tx, backoff()).expect("starts");
+    let disk = DiskWriter::start(store, tx, backoff()).expect("starts");
     let since = Instant::now();
     (1..=4).for_each(|write_id| disk.save(save(write_id, write_id, write_id)));
     assert_eq!(refusals_until(&rx, 4), 5);
--- a/landingdrift/tests/opening.rs
+++ b/landingdrift/tests/opening.rs
@@ -48,8 +48,8 @@
         .expect("starts without its folder");
     let at = free_address();
     let limits = HttpLimits {
-        patience: LONG,
-        bytes: 1000,
+        timeout: LONG,
+        body_bytes: 1000,
         calls: 10,
     };
     process
--- a/landingdrift/tests/orderly_end.rs
+++ b/landingdrift/tests/orderly_end.rs
@@ -1,6 +1,8 @@
 //! A process that is told to end answers every call that it has read whole, and ends within its grace.
 
-use landingdrift::daemon::{Asked, Handling, HttpAdapter, HttpLimits, Process, Reply};
+use landingdrift::daemon::{
+    HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Process,
+};
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::{Bounds, Settings};
 use signal_hook::consts::{SIGHUP, SIGTERM};
@@ -51,12 +53,12 @@
 
 #[derive(Default)]
 struct Counts {
-    /// Calls that the process read whole.
+    /// PendingCalls that the process read whole.
     read: AtomicU64,
     /// Answers that came whole.
     answered: AtomicU64,
     refused: AtomicU64,
-    /// Calls that were sent whole and found no answer, and when the first one was sent.
+    /// PendingCalls that were sent whole and found no answer, and when the first one was sent.
     cut: AtomicU64,
     first_cut: Mutex<Option<Instant>>,
 }
@@ -80,18 +82,18 @@
 /// Counts the calls that were read whole, and tells responses as they are.
 fn counting(counts: &Arc<Counts>) -> HttpAdapter {
     let counts = counts.clone();
-    HttpAdapter::new(Arc::new(move |asked: Asked| {
+    HttpAdapter::new(Arc::new(move |asked: HttpRequest| {
         counts.read.fetch_add(1, Ordering::SeqCst);
         let req = Request {
             path: asked.path,
             ..Request::default()
         };
-        let tell = |v: Response| Reply {
+        let tell = |v: Response| HttpResponse {
             status: v.status,
             headers: vec![("Retry-After".into(), v.retry_ms.to_string())],
             body: vec![b'x'; 3000],
         };
-        Handling::Ask(req, Box::new(tell))
+        HandlerAction::Call(req, Box::new(tell))
     }))
 }
 
@@ -119,7 +121,7 @@
     Some((status?, close))
 }
 
-/// Calls until nobody listens; keeps its connection where it may.
+/// PendingCalls until nobody listens; keeps its connection where it may.
 fn caller(at: SocketAddr, keep: bool, counts: Arc<Counts>) -> JoinHandle<()> {
     spawn(move || {
         let mut connection: Option<BufReader<TcpStream>> = None;
@@ -178,8 +180,8 @@
     process.part(Box::new(other), &settings()).expect("starts");
     let at = free_address();
     let limits = HttpLimits {
-        patience: Duration::from_secs(3),
-        bytes: 1000,
+        timeout: Duration::from_secs(3),
+        body_bytes: 1000,
         calls: 1000,
     };
     process
@@ -270,8 +272,8 @@
     let handle = process.part(Box::new(part), &settings()).expect("starts");
     let at = free_address();
     let limits = HttpLimits {
-        patience: Duration::from_secs(30),
-        bytes: 1000,
+        timeout: Duration::from_secs(30),
+        body_bytes: 1000,
         calls: 1000,
     };
     process
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -2,7 +2,7 @@
 
 mod traffic_common;
 
-use landingdrift::daemon::{Calls, Frames, HttpAdapter, Input, Traffic, Transport};
+use landingdrift::daemon::{Frames, HttpAdapter, Input, PendingCalls, Traffic, Transport};
 use landingdrift::sans_io::Msg;
 use landingdrift::settings::Limits;
 use landingdrift::wire::{pack, unpack, Body, ForwardResponse, ReadIndexRequest, RequestToken};
@@ -17,9 +17,9 @@
 fn frames(me: &str) -> Frames {
     Frames {
         cluster: "tests".into(),
-        me: me.into(),
-        patience: Duration::from_secs(2),
-        longest: LONGEST,
+        own_address: me.into(),
+        timeout: Duration::from_secs(2),
+        max_frame_bytes: LONGEST,
     }
 }
 
@@ -78,17 +78,20 @@
         Traffic::start().expect("starts"),
     );
     let ((mut a, at_a), (mut b, at_b)) = (listen(&one), listen(&two));
-    a.send(b.me(), &ask(1));
-    assert_eq!(next(&at_b), (a.me().to_string(), ask(1)));
-    b.send(a.me(), &ask(2));
-    assert_eq!(next(&at_a), (b.me().to_string(), ask(2)));
+    a.send(b.own_address(), &ask(1));
+    assert_eq!(next(&at_b), (a.own_address().to_string(), ask(1)));
+    b.send(a.own_address(), &ask(2));
+    assert_eq!(next(&at_a), (b.own_address().to_string(), ask(2)));
 }
 
 #[test]
 fn parts_in_one_process_share_the_thread_and_keep_their_names() {
     let traffic = Traffic::start().expect("starts");
     let ((mut replica, at_core), (mut node, at_node)) = (listen(&traffic), listen(&traffic));
-    let (c, n) = (replica.me().to_string(), node.me().to_string());
+    let (c, n) = (
+        replica.own_address().to_string(),
+        node.own_address().to_string(),
+    );
     node.send(&c, &ask(1));
     replica.send(&n, &ask(2));
     node.send(&n, &ask(3));
@@ -104,7 +107,7 @@
     let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
     let sizes = [0, 10, 900_000, 20, 16 << 10, 40_000, 1];
     for (i, bytes) in sizes.into_iter().enumerate() {
-        a.send(b.me(), &forwarded(i as u64, bytes));
+        a.send(b.own_address(), &forwarded(i as u64, bytes));
     }
     for (i, bytes) in sizes.into_iter().enumerate() {
         assert_eq!(next(&at_b).1, forwarded(i as u64, bytes));
@@ -125,7 +128,7 @@
         })
         .count();
     assert!(max_attempts < 50_000, "its queue is bounded");
-    a.send(b.me(), &ask(1));
+    a.send(b.own_address(), &ask(1));
     assert_eq!(next(&at_b).1, ask(1));
 }
 
@@ -138,10 +141,10 @@
     let deaf_at = deaf.local_addr().expect("an address").to_string();
     for i in 0..200 {
         a.send(&deaf_at, &forwarded(i, 500_000));
-        assert!(a.waiting() <= MOST_BYTES, "{} bytes", a.waiting());
+        assert!(a.queued_bytes() <= MOST_BYTES, "{} bytes", a.queued_bytes());
     }
     assert!(a.dropped > 0);
-    a.send(b.me(), &ask(1));
+    a.send(b.own_address(), &ask(1));
     assert_eq!(next(&at_b).1, ask(1));
 }
 
@@ -149,12 +152,12 @@
 fn a_frame_that_is_too_long_ends_its_connection_and_nothing_else() {
     let traffic = Traffic::start().expect("starts");
     let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
-    let mut c = TcpStream::connect(b.me()).expect("connects");
+    let mut c = TcpStream::connect(b.own_address()).expect("connects");
     c.write_all(&(LONGEST + 1).to_le_bytes()).expect("written");
     assert!(ends(c));
-    a.send(b.me(), &ask(1));
+    a.send(b.own_address(), &ask(1));
     assert_eq!(next(&at_b).1, ask(1));
-    a.send(b.me(), &forwarded(2, LONGEST as usize + 1));
+    a.send(b.own_address(), &forwarded(2, LONGEST as usize + 1));
     assert_eq!(a.dropped, 1, "nor is one sent");
 }
 
@@ -162,7 +165,7 @@
 fn a_frame_of_another_kind_is_passed_over() {
     let traffic = Traffic::start().expect("starts");
     let (b, at_b) = listen(&traffic);
-    let mut c = TcpStream::connect(b.me()).expect("connects");
+    let mut c = TcpStream::connect(b.own_address()).expect("connects");
     for bytes in [
         vec![1, 2, 3],
         pack("others", "127.0.0.1:1", &ask(1)),
@@ -179,7 +182,7 @@
     let (mut a, _at_a) = listen(&traffic);
     let first = Traffic::start().expect("starts");
     let (b, at_b) = listen(&first);
-    let me = b.me().to_string();
+    let me = b.own_address().to_string();
     a.send(&me, &ask(1));
     assert_eq!(next(&at_b).1, ask(1));
     drop((b, first));
@@ -236,17 +239,17 @@
     let (a, _at_a) = listen(&traffic);
     let (tx, _rx) = channel();
     let why = traffic
-        .listen(frames(a.me()), tx.clone())
+        .listen(frames(a.own_address()), tx.clone())
         .map(|_| ())
         .expect_err("taken");
     assert!(why.to_string().contains("--listen"), "{why}");
-    let taken = a.me().parse().expect("an address");
+    let taken = a.own_address().parse().expect("an address");
     let why = traffic
         .http(
             taken,
             limits(),
             HttpAdapter::default(),
-            Calls::default(),
+            PendingCalls::default(),
             tx,
         )
         .expect_err("taken");
@@ -255,12 +258,12 @@
 
 #[test]
 fn the_longest_frame_follows_the_limits_up_to_a_top() {
-    assert_eq!(Frames::longest(&Limits::default()), 256 << 20);
+    assert_eq!(Frames::max_frame_bytes(&Limits::default()), 256 << 20);
     let small = Limits {
         open_jobs: 10,
         job_bytes: 1 << 20,
         config_bytes: 4 << 20,
         ..Limits::default()
     };
-    assert_eq!(Frames::longest(&small), 30 << 20);
+    assert_eq!(Frames::max_frame_bytes(&small), 30 << 20);
 }
--- a/landingdrift/tests/traffic_common/mod.rs
+++ b/landingdrift/tests/traffic_common/mod.rs
@@ -7,8 +7,8 @@
 
 pub fn limits() -> HttpLimits {
     HttpLimits {
-        patience: LONG,
-        bytes: 1000,
+        timeout: LONG,
+        body_bytes: 1000,
         calls: 10,
     }
 }
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -3,7 +3,7 @@
 mod traffic_common;
 
 use landingdrift::daemon::{
-    Asked, Calls, Handling, HttpAdapter, HttpLimits, Input, Reply, Traffic,
+    HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Input, PendingCalls, Traffic,
 };
 use landingdrift::sans_io::{Request, Response};
 use serde_json::json;
@@ -16,13 +16,13 @@
 
 struct Served {
     at: SocketAddr,
-    calls: Calls,
+    calls: PendingCalls,
     inputs: Receiver<Input>,
 }
 
 fn serve(traffic: &Traffic, limits: HttpLimits, http_adapter: HttpAdapter) -> Served {
     let (tx, inputs) = channel();
-    let calls = Calls::default();
+    let calls = PendingCalls::default();
     let any = "127.0.0.1:0".parse().expect("an address");
     let at = traffic
         .http(any, limits, http_adapter, calls.clone(), tx)
@@ -39,7 +39,7 @@
     }
 }
 
-/// Calls from a thread of its own; status, a header's value and the text come back.
+/// PendingCalls from a thread of its own; status, a header's value and the text come back.
 fn call(
     at: SocketAddr,
     path: &str,
@@ -69,7 +69,7 @@
     let other = serve(
         &traffic,
         limits(),
-        HttpAdapter::new(Arc::new(|asked: Asked| {
+        HttpAdapter::new(Arc::new(|asked: HttpRequest| {
             let header = asked
                 .headers
                 .iter()
@@ -79,9 +79,9 @@
                 path,
                 ..Request::default()
             };
-            Handling::Ask(
+            HandlerAction::Call(
                 req,
-                Box::new(|v| Reply {
+                Box::new(|v| HttpResponse {
                     status: v.status + 1,
                     headers: vec![("X-Answers".into(), "other".into())],
                     body: b"other".to_vec(),
@@ -155,7 +155,7 @@
     let s = serve(&traffic, limits(), HttpAdapter::default());
     drop(s.inputs);
     let short = HttpLimits {
-        patience: Duration::from_millis(50),
+        timeout: Duration::from_millis(50),
         ..limits()
     };
     let silent = serve(&traffic, short, HttpAdapter::default());
