--- a/landingdrift/src/operator/change.rs
+++ b/landingdrift/src/operator/change.rs
@@ -5,25 +5,26 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often it is looked whether something has come about: soon enough for one who waits, seldom enough for a node.
-const LOOK: Duration = Duration::from_millis(200);
+/// How often a condition is checked: soon enough for a person who waits, and seldom enough for a node.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// An identity of a change: a lost answer changes nothing twice.
+/// A new identity for a change: if a response is lost, the change is still made only once.
 pub(super) fn change_id() -> String {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-    let nanos = since_epoch.map_or(0, |d| d.as_nanos());
+    let nanos = since_epoch.map_or(0, |duration| duration.as_nanos());
     format!("op-{nanos:x}-{}", std::process::id())
 }
 
-/// Where a change of the configuration is sent.
+/// The path and query for a change of the configuration.
 pub(super) fn change_path(base: u64, change: &str) -> String {
     format!("/v1/desired?base={base}&change={change}")
 }
 
-/// What a look has shown.
-pub(super) struct Look {
+/// What a check of a condition has found.
+pub(super) struct Progress {
     pub done: bool,
-    pub seen: Value,
+    /// What the caller is shown.
+    pub status: Value,
 }
 
 /// Waits until a change is in force on all nodes.
@@ -34,31 +35,31 @@
 ) -> Result<Value, ClientError> {
     let path = format!("/v1/changes/{change}");
     wait(within, || {
-        let seen = client.call("GET", &path, None)?;
-        Ok(Look {
-            done: seen["inForceEverywhere"] == json!(true),
-            seen,
+        let status = client.call("GET", &path, None)?;
+        Ok(Progress {
+            done: status["inForceEverywhere"] == json!(true),
+            status,
         })
     })
 }
 
-/// Looks again and again, for so many seconds.
+/// Checks a condition again and again, for `within` seconds.
 pub(super) fn wait(
     within: u64,
-    mut look: impl FnMut() -> Result<Look, ClientError>,
+    mut check: impl FnMut() -> Result<Progress, ClientError>,
 ) -> Result<Value, ClientError> {
     let start = Instant::now();
     loop {
-        let Look { done, seen } = look()?;
+        let Progress { done, status } = check()?;
         if done {
-            return Ok(seen);
+            return Ok(status);
         }
         if start.elapsed() > Duration::from_secs(within) {
             return Err(ClientError::Refused {
                 status: 504,
-                body: json!({"message": format!("not yet after {within} s, it goes on: look again with status; {seen}")}),
+                body: json!({"message": format!("not yet after {within} s, it goes on: look again with status; {status}")}),
             });
         }
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
 }
--- a/landingdrift/src/operator/client.rs
+++ b/landingdrift/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! The operator's HTTP client: it repeats only what may be repeated, and nothing behind its own back.
+//! The operator's HTTP client: it repeats only what may be repeated, and never implicitly.
 
 use crate::worker_proxy::may_repeat;
 use reqwest::blocking::{Client, RequestBuilder, Response};
@@ -7,7 +7,12 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Why a command of the operator came to nothing.
+/// How long one request may take.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The pause before the nodes are called again, unless one says otherwise.
+const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
+
+/// Why a command of the operator failed.
 #[derive(Debug)]
 pub enum ClientError {
     Usage(String),
@@ -19,12 +24,12 @@
         status: u16,
         body: Value,
     },
-    /// It may have been taken and may not be sent again.
+    /// It may have had its effect, and may not be sent again.
     Unsure {
         at: String,
         why: String,
     },
-    /// A roll-out was halted, and what was in force before is so again, as a new version.
+    /// A roll-out was halted, and the configuration before it is in force again, as a new version.
     Halted {
         stage: String,
         why: String,
@@ -33,7 +38,7 @@
 }
 
 impl ClientError {
-    /// The exit code that tells scripts the kind.
+    /// The exit code, by which scripts distinguish the kinds.
     pub fn code(&self) -> i32 {
         match self {
             Self::Usage(_) => 2,
@@ -47,44 +52,46 @@
 }
 
 impl fmt::Display for ClientError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Usage(why) => write!(f, "{why}: see 'landingdrift operator --help'"),
-            Self::Unreachable { at, why } => write!(f, "no node answered at {} ({why}): check --at, or name other nodes", at.join(", ")),
-            Self::Unsure { at, why } => write!(f, "it is not known whether {at} has taken this ({why}): look, then give the order again if need be"),
+            Self::Usage(why) => write!(formatter, "{why}: see 'landingdrift operator --help'"),
+            Self::Unreachable { at, why } => write!(formatter, "no node answered at {} ({why}): check --at, or name other nodes", at.join(", ")),
+            Self::Unsure { at, why } => write!(formatter, "it is not known whether {at} has taken this ({why}): look, then give the order again if need be"),
             Self::Halted { stage, why, version } => write!(
-                f,
+                formatter,
                 "halted at stage '{stage}' ({why}); the former state is in force again as version {version}: look at status, then roll out anew"
             ),
-            Self::Refused { status, body } => write!(f, "refused ({status}): {}", body["message"].as_str().unwrap_or(&body.to_string())),
+            Self::Refused { status, body } => write!(formatter, "refused ({status}): {}", body["message"].as_str().unwrap_or(&body.to_string())),
         }
     }
 }
 
-/// Asks nodes, one after the other, until one gives a response or the time is over.
+/// Calls nodes, one after the other, until one responds or the time is over.
 pub struct ControlClient {
+    /// The addresses of the nodes.
     at: Vec<String>,
     within: Duration,
     client: Client,
 }
 
 impl ControlClient {
+    /// A client of the nodes at these addresses, which tries each call for the given time.
     pub fn new(at: Vec<String>, within: Duration) -> Result<Self, ClientError> {
         let client = Client::builder()
-            .timeout(Duration::from_secs(5))
+            .timeout(REQUEST_TIMEOUT)
             .no_proxy()
-            // The library would send a request anew when a kept connection turns out to be closed, and follow
-            // redirects: whether anything is sent twice is decided here alone.
+            // The library would resend a request when a pooled connection turns out to be closed, and follow redirects:
+            // whether anything is sent twice is decided here alone.
             .pool_max_idle_per_host(0)
             .retry(retry::never())
             .redirect(redirect::Policy::none())
             .build()
-            .map_err(|e| ClientError::Usage(e.to_string()))?;
+            .map_err(|why| ClientError::Usage(why.to_string()))?;
         Ok(Self { at, within, client })
     }
 
-    /// Asks until a node answers. A call that may not be repeated goes on to the next node only while it is certain
-    /// that no former one has taken it.
+    /// Calls nodes until one responds. A call that may not be repeated is sent to the next node only while it is
+    /// certain that it had no effect at an earlier one.
     pub fn call(
         &self,
         method: &str,
@@ -94,14 +101,14 @@
         let start = Instant::now();
         let (route, query) = path.split_once('?').unwrap_or((path, ""));
         let repeatable = may_repeat(method, route, query);
-        let method =
-            Method::from_bytes(method.as_bytes()).map_err(|e| ClientError::Usage(e.to_string()))?;
+        let method = Method::from_bytes(method.as_bytes())
+            .map_err(|why| ClientError::Usage(why.to_string()))?;
         let mut why = String::from("none was named");
         loop {
-            let mut pause = Duration::from_millis(200);
+            let mut pause = DEFAULT_PAUSE;
             for at in &self.at {
                 match outcome(self.request(&method, at, path, body).send()) {
-                    Outcome::Done(v) => return Ok(v),
+                    Outcome::Done(body) => return Ok(body),
                     Outcome::Refused { status, body } => {
                         return Err(ClientError::Refused { status, body })
                     }
@@ -109,8 +116,14 @@
                         let at = at.clone();
                         return Err(ClientError::Unsure { at, why });
                     }
-                    Outcome::Unsure(told) => why = told,
-                    Outcome::NotTaken { told, retry } => (why, pause) = (told, retry),
+                    Outcome::Unsure(message) => why = message,
+                    Outcome::NotTaken {
+                        message,
+                        retry_after,
+                    } => {
+                        why = message;
+                        pause = retry_after;
+                    }
                 }
             }
             if start.elapsed() + pause > self.within {
@@ -142,34 +155,32 @@
     }
 }
 
-/// What came of one request.
+/// The outcome of one request.
 enum Outcome {
     Done(Value),
     Refused {
         status: u16,
         body: Value,
     },
-    /// The node has surely taken nothing.
+    /// The request certainly had no effect.
     NotTaken {
-        told: String,
-        retry: Duration,
+        message: String,
+        retry_after: Duration,
     },
-    /// The node may have taken it.
+    /// The request may have had its effect.
     Unsure(String),
 }
 
-const RETRY: Duration = Duration::from_millis(200);
-
 fn outcome(sent: reqwest::Result<Response>) -> Outcome {
     let response = match sent {
         Ok(response) => response,
-        Err(e) if e.is_connect() => {
+        Err(why) if why.is_connect() => {
             return Outcome::NotTaken {
-                told: e.without_url().to_string(),
-                retry: RETRY,
+                message: why.without_url().to_string(),
+                retry_after: DEFAULT_PAUSE,
             }
         }
-        Err(e) => return Outcome::Unsure(e.without_url().to_string()),
+        Err(why) => return Outcome::Unsure(why.without_url().to_string()),
     };
     let status = response.status().as_u16();
     let body: Option<Value> = response.json().ok();
@@ -184,13 +195,15 @@
     }
 }
 
+/// The outcome that a node means by status 503.
 fn unavailable(body: &Value) -> Outcome {
-    let told = body["message"].as_str().unwrap_or("not ready").to_string();
+    let message = body["message"].as_str().unwrap_or("not ready").to_string();
     if body["error"] == "unsure" {
-        return Outcome::Unsure(told);
+        return Outcome::Unsure(message);
+    }
+    let retry_ms = body["retryMs"].as_u64();
+    Outcome::NotTaken {
+        message,
+        retry_after: retry_ms.map_or(DEFAULT_PAUSE, Duration::from_millis),
     }
-    let retry = body["retryMs"]
-        .as_u64()
-        .map_or(RETRY, Duration::from_millis);
-    Outcome::NotTaken { told, retry }
 }
--- a/landingdrift/src/operator/command_line.rs
+++ b/landingdrift/src/operator/command_line.rs
@@ -1,10 +1,10 @@
-//! The operator's command line: its commands, and what the words of one ask for.
+//! The operator's command line: its commands, flags and arguments.
 
 use super::client::ClientError;
 use lexopt::Arg;
 use std::ffi::OsString;
 
-/// The commands, each with its words and what it does.
+/// The commands, each with its arguments and what it does.
 const COMMANDS: &[(&str, &str)] = &[
     ("apply", "FILE [--base N] [--patch] [--wait]  put a configuration into force (base: the current version when left out)"),
     (
@@ -25,7 +25,7 @@
     ("workers", "list the workers"),
 ];
 
-/// The help of one command, or of all where there is none of this name.
+/// The help for a command, or for all if there is none of this name.
 pub(super) fn help(command: &str) -> String {
     let known = COMMANDS.iter().find(|(name, _)| *name == command);
     match known {
@@ -37,37 +37,39 @@
 fn usage() -> String {
     let list: String = COMMANDS
         .iter()
-        .map(|(c, what)| format!("  {c:<9} {what}\n"))
+        .map(|(name, what)| format!("  {name:<9} {what}\n"))
         .collect();
     format!(
         "landingdrift operator [--at IP:PORT,...] [--json] [--within SECONDS] COMMAND ...\n\n{list}\n  --at      nodes to ask, one after the other (default 127.0.0.1:8000)\n  --json    print JSON instead of text\n  --within  how long to try (default 10)\n\nExit codes: 0 done, 1 refused, 2 wrong command line, 3 no node answered, 4 a rival change came first, 5 a roll-out was halted, 6 not known whether it was taken."
     )
 }
 
-/// Where a node is asked when none is named.
+/// The node that is called when none is named.
 const DEFAULT_AT: &str = "127.0.0.1:8000";
-/// How many seconds a command is tried for when nothing else is said.
+/// How many seconds a command is tried for by default.
 const DEFAULT_WITHIN_SECONDS: u64 = 10;
-/// How many seconds each stage of a roll-out is watched for when nothing else is said.
+/// How many seconds each stage of a roll-out is watched for by default.
 const DEFAULT_WATCH_SECONDS: u64 = 5;
 
-/// What the words after `operator` say.
+/// The parsed command line after `operator`.
 pub(super) struct Arguments {
     pub at: Vec<String>,
     pub json: bool,
+    /// In seconds.
     pub within: u64,
     pub patch: bool,
     pub wait: bool,
     pub help: bool,
     pub base: Option<u64>,
     pub stages: Vec<String>,
+    /// In seconds.
     pub watch: u64,
     pub queue: String,
     pub limit: String,
     pub after: String,
     pub worker: String,
-    /// The command and what follows it.
-    pub rest: Vec<String>,
+    /// The command and its arguments.
+    pub positional: Vec<String>,
 }
 
 impl Default for Arguments {
@@ -86,7 +88,7 @@
             limit: String::new(),
             after: String::new(),
             worker: String::new(),
-            rest: Vec::new(),
+            positional: Vec::new(),
         }
     }
 }
@@ -94,60 +96,62 @@
 impl Arguments {
     /// The command, empty where none was given.
     pub fn command(&self) -> &str {
-        self.rest.first().map_or("", String::as_str)
+        self.positional.first().map_or("", String::as_str)
     }
 
-    /// A word after the command, which needs it.
-    pub fn argument(&self, i: usize, what: &str) -> Result<&str, ClientError> {
-        let word = self.rest.get(i).map(String::as_str);
+    /// An argument that the command requires.
+    pub fn argument(&self, index: usize, what: &str) -> Result<&str, ClientError> {
+        let word = self.positional.get(index).map(String::as_str);
         word.ok_or_else(|| ClientError::Usage(format!("{} needs {what}", self.command())))
     }
 }
 
-/// Reads the words after `operator`.
-pub(super) fn read_arguments(arguments: Vec<OsString>) -> Result<Arguments, ClientError> {
-    let mut w = Arguments::default();
-    let mut p = lexopt::Parser::from_args(arguments);
-    while let Some(arg) = p.next().map_err(wrong_words)? {
+/// Parses the command line after `operator`.
+pub(super) fn read_arguments(words: Vec<OsString>) -> Result<Arguments, ClientError> {
+    let mut arguments = Arguments::default();
+    let mut parser = lexopt::Parser::from_args(words);
+    while let Some(arg) = parser.next().map_err(usage_error)? {
         match arg {
-            Arg::Long("at") => w.at = text(&mut p)?.split(',').map(str::to_string).collect(),
-            Arg::Long("json") => w.json = true,
-            Arg::Long("patch") => w.patch = true,
-            Arg::Long("wait") => w.wait = true,
-            Arg::Long("help") | Arg::Short('h') => w.help = true,
-            Arg::Long("within") => w.within = number("within", &mut p)?,
-            Arg::Long("base") => w.base = Some(number("base", &mut p)?),
-            Arg::Long("stages") => w.stages = names(&text(&mut p)?),
-            Arg::Long("watch") => w.watch = number("watch", &mut p)?,
-            Arg::Long("queue") => w.queue = text(&mut p)?,
-            Arg::Long("limit") => w.limit = text(&mut p)?,
-            Arg::Long("after") => w.after = text(&mut p)?,
-            Arg::Long("worker") => w.worker = text(&mut p)?,
+            Arg::Long("at") => {
+                arguments.at = text(&mut parser)?.split(',').map(str::to_string).collect()
+            }
+            Arg::Long("json") => arguments.json = true,
+            Arg::Long("patch") => arguments.patch = true,
+            Arg::Long("wait") => arguments.wait = true,
+            Arg::Long("help") | Arg::Short('h') => arguments.help = true,
+            Arg::Long("within") => arguments.within = number("within", &mut parser)?,
+            Arg::Long("base") => arguments.base = Some(number("base", &mut parser)?),
+            Arg::Long("stages") => arguments.stages = names(&text(&mut parser)?),
+            Arg::Long("watch") => arguments.watch = number("watch", &mut parser)?,
+            Arg::Long("queue") => arguments.queue = text(&mut parser)?,
+            Arg::Long("limit") => arguments.limit = text(&mut parser)?,
+            Arg::Long("after") => arguments.after = text(&mut parser)?,
+            Arg::Long("worker") => arguments.worker = text(&mut parser)?,
             Arg::Value(value) => {
                 let word = value.into_string();
                 let word =
                     word.map_err(|_| ClientError::Usage("arguments are text in UTF-8".into()))?;
-                w.rest.push(word);
+                arguments.positional.push(word);
             }
-            other => return Err(wrong_words(other.unexpected())),
+            other => return Err(usage_error(other.unexpected())),
         }
     }
-    Ok(w)
+    Ok(arguments)
 }
 
-fn wrong_words(e: lexopt::Error) -> ClientError {
-    ClientError::Usage(e.to_string())
+fn usage_error(why: lexopt::Error) -> ClientError {
+    ClientError::Usage(why.to_string())
 }
 
 /// The value of the flag that was read last.
-fn text(p: &mut lexopt::Parser) -> Result<String, ClientError> {
-    let value = p.value().map_err(wrong_words)?;
+fn text(parser: &mut lexopt::Parser) -> Result<String, ClientError> {
+    let value = parser.value().map_err(usage_error)?;
     let value = value.into_string();
     value.map_err(|_| ClientError::Usage("flags take text in UTF-8".into()))
 }
 
-fn number(flag: &str, p: &mut lexopt::Parser) -> Result<u64, ClientError> {
-    let value = text(p)?;
+fn number(flag: &str, parser: &mut lexopt::Parser) -> Result<u64, ClientError> {
+    let value = text(parser)?;
     let number = value.parse::<u64>();
     number.map_err(|_| ClientError::Usage(format!("--{flag} takes a whole number, not '{value}'")))
 }
--- a/landingdrift/src/operator/commands.rs
+++ b/landingdrift/src/operator/commands.rs
@@ -1,11 +1,11 @@
-//! The operator's commands, each asked of a node.
+//! The operator's commands, each a call to a node.
 
 use super::apply::apply;
 use super::client::{ClientError, ControlClient};
 use super::command_line::{help, read_arguments, Arguments};
 use super::rollout::rollout;
 use super::show::show;
-use super::steer::steer;
+use super::zones::change_zone;
 use crate::sans_io::roles::Role;
 use serde_json::{json, Value};
 use std::ffi::OsString;
@@ -14,57 +14,68 @@
 inventory::submit! { Role { name: "operator", summary: "declares, watches and steers", run } }
 
 fn run(arguments: Vec<OsString>) -> i32 {
-    let done = read_arguments(arguments).and_then(|w| obey(&w));
+    let done = read_arguments(arguments).and_then(|arguments| execute(&arguments));
     match done {
         Ok(()) => 0,
-        Err(e) => {
-            eprintln!("landingdrift operator: {e}");
-            e.code()
+        Err(why) => {
+            eprintln!("landingdrift operator: {why}");
+            why.code()
         }
     }
 }
 
-/// Does what the words ask for, and prints what came of it.
-fn obey(w: &Arguments) -> Result<(), ClientError> {
-    let command = w.command();
-    if w.help || command.is_empty() {
+/// Executes a command, and prints the response.
+fn execute(arguments: &Arguments) -> Result<(), ClientError> {
+    let command = arguments.command();
+    if arguments.help || command.is_empty() {
         crate::outln!("{}", help(command));
-        if w.help {
+        if arguments.help {
             return Ok(());
         }
         return Err(ClientError::Usage("no command was given".into()));
     }
-    let told = perform(command, w)?;
-    let text = if w.json {
-        told.to_string()
+    let response = perform(command, arguments)?;
+    let text = if arguments.json {
+        response.to_string()
     } else {
-        show(command, &told)
+        show(command, &response)
     };
     crate::outln!("{text}");
     Ok(())
 }
 
-fn perform(command: &str, w: &Arguments) -> Result<Value, ClientError> {
-    let client = ControlClient::new(w.at.clone(), Duration::from_secs(w.within))?;
+fn perform(command: &str, arguments: &Arguments) -> Result<Value, ClientError> {
+    let client = ControlClient::new(arguments.at.clone(), Duration::from_secs(arguments.within))?;
     let get = |path: &str| client.call("GET", path, None);
     match command {
-        "apply" => apply(&client, w, &file_named(w)?),
+        "apply" => apply(&client, arguments, &read_file(arguments)?),
         "rollout" => {
-            let watch = Duration::from_secs(w.watch);
-            rollout(&client, &w.stages, watch, w.within, &file_named(w)?)
+            let watch = Duration::from_secs(arguments.watch);
+            rollout(
+                &client,
+                &arguments.stages,
+                watch,
+                arguments.within,
+                &read_file(arguments)?,
+            )
         }
         "get" => get("/v1/desired"),
-        "change" => get(&format!("/v1/changes/{}", w.argument(1, "an ID")?)),
+        "change" => get(&format!("/v1/changes/{}", arguments.argument(1, "an ID")?)),
         "status" => get("/v1/status"),
-        "drain" | "evacuate" | "restore" => steer(&client, w, command, w.argument(1, "a ZONE")?),
-        "submit" => client.call("POST", "/v1/jobs", Some(&file_named(w)?)),
-        "job" => get(&format!("/v1/jobs/{}", w.argument(1, "an ID")?)),
-        "jobs" => get(&format!("/v1/jobs?{}", jobs_query(w))),
+        "drain" | "evacuate" | "restore" => change_zone(
+            &client,
+            arguments,
+            command,
+            arguments.argument(1, "a ZONE")?,
+        ),
+        "submit" => client.call("POST", "/v1/jobs", Some(&read_file(arguments)?)),
+        "job" => get(&format!("/v1/jobs/{}", arguments.argument(1, "an ID")?)),
+        "jobs" => get(&format!("/v1/jobs?{}", jobs_query(arguments))),
         "cancel" => {
-            let id = w.argument(1, "an ID")?;
+            let id = arguments.argument(1, "an ID")?;
             client.call("DELETE", &format!("/v1/jobs/{id}"), None)
         }
-        "resolve" => resolve(&client, w),
+        "resolve" => resolve(&client, arguments),
         "workers" => get("/v1/workers"),
         other => Err(ClientError::Usage(format!(
             "no command is called '{other}'"
@@ -73,20 +84,20 @@
 }
 
 /// The JSON of the file that a command names.
-fn file_named(w: &Arguments) -> Result<Value, ClientError> {
-    let path = w.argument(1, "a FILE")?;
+fn read_file(arguments: &Arguments) -> Result<Value, ClientError> {
+    let path = arguments.argument(1, "a FILE")?;
     let text = std::fs::read_to_string(path)
-        .map_err(|e| ClientError::Usage(format!("'{path}' can't be read ({e})")))?;
+        .map_err(|why| ClientError::Usage(format!("'{path}' can't be read ({why})")))?;
     serde_json::from_str(&text)
-        .map_err(|e| ClientError::Usage(format!("'{path}' is no JSON ({e})")))
+        .map_err(|why| ClientError::Usage(format!("'{path}' is no JSON ({why})")))
 }
 
-/// The query of a list of jobs: only what was given.
-fn jobs_query(w: &Arguments) -> String {
+/// The query for a list of jobs, with the flags that were given.
+fn jobs_query(arguments: &Arguments) -> String {
     let given = [
-        ("queue", &w.queue),
-        ("limit", &w.limit),
-        ("after", &w.after),
+        ("queue", &arguments.queue),
+        ("limit", &arguments.limit),
+        ("after", &arguments.after),
     ];
     let query: Vec<String> = given
         .iter()
@@ -96,11 +107,11 @@
     query.join("&")
 }
 
-/// Says how an unsure attempt ended.
-fn resolve(client: &ControlClient, w: &Arguments) -> Result<Value, ClientError> {
-    let job = w.argument(1, "a JOB")?;
-    let task = w.argument(2, "a TASK")?;
-    let outcome = w.argument(3, "'well' or 'defect'")?;
+/// Resolves an attempt whose outcome is unknown.
+fn resolve(client: &ControlClient, arguments: &Arguments) -> Result<Value, ClientError> {
+    let job = arguments.argument(1, "a JOB")?;
+    let task = arguments.argument(2, "a TASK")?;
+    let outcome = arguments.argument(3, "'well' or 'defect'")?;
     let path = format!("/v1/jobs/{job}/tasks/{task}/resolve");
     client.call("POST", &path, Some(&json!({"outcome": outcome})))
 }
--- a/landingdrift/src/operator/mod.rs
+++ b/landingdrift/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's command line.
+//! The operator's command line: each command is a call, or a few, to the HTTP API of the nodes.
 
 mod apply;
 mod change;
@@ -7,7 +7,7 @@
 mod commands;
 mod rollout;
 mod show;
-mod steer;
 mod verify;
+mod zones;
 
 pub use client::{ClientError, ControlClient};
--- a/landingdrift/src/operator/rollout.rs
+++ b/landingdrift/src/operator/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: a configuration comes into force queue by queue, and goes back where a stage does harm.
+//! The command `rollout`: a configuration comes into force queue by queue, and is rolled back if a stage does harm.
 
 use super::change::{change_id, change_path, wait_in_force};
 use super::client::{ClientError, ControlClient};
@@ -7,10 +7,10 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often a stage's queues are looked at while it is watched.
-const WATCH_EVERY: Duration = Duration::from_millis(500);
+/// How often the queues are checked while a stage is watched.
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One step of a roll-out.
+/// One stage of a roll-out.
 struct Stage<'a> {
     name: &'a str,
     method: &'static str,
@@ -28,8 +28,8 @@
     AllowanceSpent(String),
 }
 
-/// Puts a configuration into force queue by queue, the rest last. Each stage is watched; where a queue spends its
-/// allowance or a node stays behind, the former state comes back as a new version.
+/// Puts a configuration into force queue by queue, the rest last. Each stage is watched; if a queue spends its failure
+/// allowance or a node does not follow, the earlier configuration is put into force again as a new version.
 pub fn rollout(
     client: &ControlClient,
     stages: &[String],
@@ -37,68 +37,70 @@
     within: u64,
     value: &Value,
 ) -> Result<Value, ClientError> {
-    let steps = steps(stages, value)?;
-    let former = client.call("GET", "/v1/desired", None)?;
+    let stages = stages_of(stages, value)?;
+    let earlier = client.call("GET", "/v1/desired", None)?;
     let spent = spent_queues(&client.call("GET", "/v1/status", None)?);
-    let mut version = former["version"].as_u64().unwrap_or(0);
-    for stage in &steps {
+    let mut version = earlier["version"].as_u64().unwrap_or(0);
+    for stage in &stages {
         let change = change_id();
         let path = change_path(version, &change);
-        let done = client.call(stage.method, &path, Some(&stage.body))?;
-        version = done["version"].as_u64().unwrap_or(version);
-        if let Err(why) = look(client, &change, &spent, watch, within) {
+        let applied = client.call(stage.method, &path, Some(&stage.body))?;
+        version = applied["version"].as_u64().unwrap_or(version);
+        if let Err(why) = watch_stage(client, &change, &spent, watch, within) {
             let path = change_path(version, &change_id());
-            let back = client.call("PUT", &path, Some(&former["desired"]))?;
+            let rolled_back = client.call("PUT", &path, Some(&earlier["desired"]))?;
             return Err(ClientError::Halted {
                 stage: stage.name.into(),
                 why: why.to_string(),
-                version: back["version"].as_u64().unwrap_or(0),
+                version: rolled_back["version"].as_u64().unwrap_or(0),
             });
         }
     }
-    Ok(json!({"version": version, "stages": steps.len()}))
+    Ok(json!({"version": version, "stages": stages.len()}))
 }
 
-/// The stages as they are named, then the rest.
-fn steps<'a>(stages: &'a [String], value: &Value) -> Result<Vec<Stage<'a>>, ClientError> {
-    let mut steps = Vec::new();
-    for name in stages {
+/// The stages in the order they are named, then the rest.
+fn stages_of<'a>(names: &'a [String], value: &Value) -> Result<Vec<Stage<'a>>, ClientError> {
+    let mut stages = Vec::new();
+    for name in names {
         let name = name.as_str();
         let Some(queue) = value["queues"].get(name) else {
             return Err(ClientError::Usage(format!(
                 "--stages names queue '{name}', which the file does not have"
             )));
         };
-        steps.push(Stage {
+        stages.push(Stage {
             name,
             method: "PATCH",
             body: json!({"queues": {name: queue}}),
         });
     }
-    steps.push(Stage {
+    stages.push(Stage {
         name: "the rest",
         method: "PUT",
         body: value.clone(),
     });
-    Ok(steps)
+    Ok(stages)
 }
 
-/// Queues whose allowance is spent.
+/// The queues whose failure allowance is spent.
 fn spent_queues(status: &Value) -> BTreeSet<String> {
-    let queues = status["queues"].as_object();
-    queues
-        .into_iter()
-        .flatten()
-        .filter(|(_, queue)| queue["window"]["spent"] == json!(true))
-        .map(|(name, _)| name.clone())
-        .collect()
+    let mut spent = BTreeSet::new();
+    if let Some(queues) = status["queues"].as_object() {
+        for (name, queue) in queues {
+            if queue["window"]["spent"] == json!(true) {
+                spent.insert(name.clone());
+            }
+        }
+    }
+    spent
 }
 
-/// Watches a stage: it has to come into force on all nodes, and no queue may spend its allowance that had not before.
-fn look(
+/// Watches a stage: it has to come into force on all nodes, and no further queue may spend its failure allowance.
+fn watch_stage(
     client: &ControlClient,
     change: &str,
-    spent: &BTreeSet<String>,
+    spent_before: &BTreeSet<String>,
     watch: Duration,
     within: u64,
 ) -> Result<(), HaltReason> {
@@ -107,10 +109,10 @@
     while start.elapsed() < watch {
         let status = client.call("GET", "/v1/status", None);
         let spent_now = spent_queues(&status.map_err(HaltReason::NoStatus)?);
-        if let Some(queue) = spent_now.difference(spent).next() {
+        if let Some(queue) = spent_now.difference(spent_before).next() {
             return Err(HaltReason::AllowanceSpent(queue.clone()));
         }
-        sleep(WATCH_EVERY);
+        sleep(WATCH_INTERVAL);
     }
     Ok(())
 }
--- a/landingdrift/src/operator/show.rs
+++ b/landingdrift/src/operator/show.rs
@@ -1,10 +1,12 @@
+//! Responses as text for a person.
+
 use serde_json::Value;
 
-/// A response as text for a person.
-pub fn show(command: &str, v: &Value) -> String {
+/// The response to a command as text.
+pub fn show(command: &str, response: &Value) -> String {
     match command {
         "workers" => table(
-            v["workers"].as_array(),
+            response["workers"].as_array(),
             &[
                 "worker",
                 "zone",
@@ -17,115 +19,94 @@
             ],
         ),
         "jobs" => {
-            let next = v["next"]
-                .as_str()
-                .map_or(String::new(), |n| format!("\nmore: --after {n}"));
-            table(
-                v["jobs"].as_array(),
-                &["id", "queue", "state", "accepted", "ended"],
-            ) + &next
-        }
-        "job" => {
-            let head = format!(
-                "{} {}{}",
-                text(&v["id"]),
-                text(&v["state"]),
-                if v["unsure"] == true { " (unsure)" } else { "" }
-            );
-            let reason = v["reason"]
-                .as_str()
-                .filter(|r| !r.is_empty())
-                .map_or(String::new(), |r| format!("\n{r}"));
-            format!(
-                "{head}{reason}\n{}",
-                table(
-                    v["tasks"].as_array(),
-                    &["name", "state", "defects", "unsure"]
-                )
-            )
+            let columns = ["id", "queue", "state", "accepted", "ended"];
+            let jobs = table(response["jobs"].as_array(), &columns);
+            match response["next"].as_str() {
+                Some(next) => format!("{jobs}\nmore: --after {next}"),
+                None => jobs,
+            }
         }
-        "status" => status(v),
-        _ => serde_json::to_string_pretty(v).unwrap_or_default(),
+        "job" => job(response),
+        "status" => status(response),
+        _ => serde_json::to_string_pretty(response).unwrap_or_default(),
     }
 }
 
-fn text(v: &Value) -> String {
-    v.as_str().map_or_else(
-        || {
-            if v.is_null() {
-                "-".into()
-            } else {
-                v.to_string()
-            }
-        },
-        str::to_string,
-    )
+fn job(response: &Value) -> String {
+    let id = text(&response["id"]);
+    let state = text(&response["state"]);
+    let unsure = if response["unsure"] == true {
+        " (unsure)"
+    } else {
+        ""
+    };
+    let reason = match response["reason"].as_str() {
+        Some(reason) if !reason.is_empty() => format!("\n{reason}"),
+        _ => String::new(),
+    };
+    let columns = ["name", "state", "defects", "unsure"];
+    let tasks = table(response["tasks"].as_array(), &columns);
+    format!("{id} {state}{unsure}{reason}\n{tasks}")
 }
 
+/// A value as text: strings without quotes, and a dash for none.
+fn text(value: &Value) -> String {
+    match value {
+        Value::String(string) => string.clone(),
+        Value::Null => "-".into(),
+        other => other.to_string(),
+    }
+}
+
+/// A table of some fields of the rows, with a header; each column is as wide as its widest cell.
 fn table(rows: Option<&Vec<Value>>, columns: &[&str]) -> String {
-    let rows: Vec<Vec<String>> = rows
-        .into_iter()
-        .flatten()
-        .map(|r| columns.iter().map(|c| text(&r[*c])).collect())
-        .collect();
-    let widths: Vec<usize> = columns
-        .iter()
-        .enumerate()
-        .map(|(i, c)| {
-            rows.iter()
-                .map(|r| r[i].len())
-                .chain([c.len()])
-                .max()
-                .unwrap_or(0)
-        })
+    let mut lines: Vec<Vec<String>> = vec![columns.iter().map(|name| name.to_string()).collect()];
+    for row in rows.into_iter().flatten() {
+        lines.push(columns.iter().map(|name| text(&row[*name])).collect());
+    }
+    let mut widths = vec![0; columns.len()];
+    for line in &lines {
+        for (width, cell) in widths.iter_mut().zip(line) {
+            *width = cell.len().max(*width);
+        }
+    }
+    let padded: Vec<String> = lines.iter().map(|line| padded(line, &widths)).collect();
+    padded.join("\n")
+}
+
+fn padded(cells: &[String], widths: &[usize]) -> String {
+    let cells = cells.iter().zip(widths);
+    let padded: Vec<String> = cells
+        .map(|(cell, width)| format!("{cell:<width$}"))
         .collect();
-    let line = |zone_schedulers: Vec<&str>| {
-        zone_schedulers
-            .iter()
-            .zip(&widths)
-            .map(|(c, w)| format!("{c:<w$}"))
-            .collect::<Vec<_>>()
-            .join("  ")
-            .trim_end()
-            .to_string()
-    };
-    std::iter::once(line(columns.to_vec()))
-        .chain(
-            rows.iter()
-                .map(|r| line(r.iter().map(String::as_str).collect())),
-        )
-        .collect::<Vec<_>>()
-        .join("\n")
+    padded.join("  ").trim_end().to_string()
 }
 
-fn status(v: &Value) -> String {
-    let named = |key: &str, columns: &[&str]| {
-        let rows: Vec<Value> = v[key]
-            .as_object()
-            .into_iter()
-            .flatten()
-            .map(|(k, x)| {
-                let mut row = x.clone();
-                row["name"] = Value::String(k.clone());
-                row
-            })
-            .collect();
-        let all: Vec<&str> = std::iter::once("name")
-            .chain(columns.iter().copied())
-            .collect();
-        format!("{key}\n{}\n", table(Some(&rows), &all))
-    };
+fn status(response: &Value) -> String {
     format!(
         "cluster {}  version {}  place {}  open jobs {}  unsure sends {}\n\n{}\n{}\n{}\nnodes\n{}\n\nchanges\n{}",
-        text(&v["cluster"]),
-        v["version"],
-        v["place"],
-        v["jobs"]["open"],
-        v["jobs"]["unsureSends"],
-        named("queues", &["unfinished", "running", "copies", "kept", "missed", "beta"]),
-        named("zones", &["state", "workers", "running", "empty"]),
-        named("cores", &["voter"]),
-        table(v["nodes"].as_array(), &["node", "place", "version", "silentMs"]),
-        table(v["changes"].as_array(), &["change", "version", "inForceOn"])
+        text(&response["cluster"]),
+        response["version"],
+        response["place"],
+        response["jobs"]["open"],
+        response["jobs"]["unsureSends"],
+        section(response, "queues", &["unfinished", "running", "copies", "kept", "missed", "beta"]),
+        section(response, "zones", &["state", "workers", "running", "empty"]),
+        section(response, "cores", &["voter"]),
+        table(response["nodes"].as_array(), &["node", "place", "version", "silentMs"]),
+        table(response["changes"].as_array(), &["change", "version", "inForceOn"])
     )
 }
+
+/// A section of the status: a table of named items.
+fn section(response: &Value, key: &str, columns: &[&str]) -> String {
+    let mut rows = Vec::new();
+    for (name, item) in response[key].as_object().into_iter().flatten() {
+        let mut row = item.clone();
+        row["name"] = Value::String(name.clone());
+        rows.push(row);
+    }
+    let mut columns_with_name = vec!["name"];
+    columns_with_name.extend(columns);
+    format!("{key}\n{}\n", table(Some(&rows), &columns_with_name))
+}
--- a/landingdrift/src/operator/steer.rs
+++ b/landingdrift/src/operator/zones.rs
@@ -1,44 +1,45 @@
-//! Drains, evacuates and restores zones and workers.
+//! The commands `drain`, `evacuate` and `restore`, for zones and workers.
 
-use super::change::{change_id, change_path, wait, Look};
+use super::change::{change_id, change_path, wait, Progress};
 use super::client::{ClientError, ControlClient};
 use super::command_line::Arguments;
 use serde_json::{json, Value};
 
-/// So many rival changes are taken in before one is told of: others change the state too, but not without end.
-const RETRIES_AFTER_RIVALS: u32 = 20;
+/// How often a change is retried on top of a conflicting one before the conflict is reported.
+const MAX_CONFLICT_RETRIES: u32 = 20;
 
-/// Drains, evacuates and restores by a change of the zone alone; a rival change is taken in and the patch tried again.
-pub(super) fn steer(
+/// Changes the state of a zone, or of one of its workers, and waits until nothing runs there if that is asked for.
+pub(super) fn change_zone(
     client: &ControlClient,
-    w: &Arguments,
+    arguments: &Arguments,
     command: &str,
     zone: &str,
 ) -> Result<Value, ClientError> {
-    let done = patch_zone(client, w, command, zone)?;
-    if w.wait && command != "restore" {
-        return wait_empty(client, zone, w.within);
+    let done = patch_zone(client, arguments, command, zone)?;
+    if arguments.wait && command != "restore" {
+        return wait_empty(client, zone, arguments.within);
     }
     Ok(done)
 }
 
+/// Patches the zone alone; after a conflicting change the patch is tried again on top of it.
 fn patch_zone(
     client: &ControlClient,
-    w: &Arguments,
+    arguments: &Arguments,
     command: &str,
     zone: &str,
 ) -> Result<Value, ClientError> {
     let mut retries = 0;
     loop {
         let current = client.call("GET", "/v1/desired", None)?;
-        let patch = if w.worker.is_empty() {
+        let patch = if arguments.worker.is_empty() {
             zone_patch(command, zone)
         } else {
-            worker_patch(command, zone, &w.worker, &current)
+            worker_patch(command, zone, &arguments.worker, &current)
         };
         let base = current["version"].as_u64().unwrap_or(0);
         match client.call("PATCH", &change_path(base, &change_id()), Some(&patch)) {
-            Err(ClientError::Refused { status: 409, .. }) if retries < RETRIES_AFTER_RIVALS => {
+            Err(ClientError::Refused { status: 409, .. }) if retries < MAX_CONFLICT_RETRIES => {
                 retries += 1;
             }
             other => return other,
@@ -46,7 +47,7 @@
     }
 }
 
-/// The patch that brings a whole zone into the state that a command asks for.
+/// The patch that gives a whole zone the state that a command asks for.
 fn zone_patch(command: &str, zone: &str) -> Value {
     let state = match command {
         "drain" => "draining",
@@ -56,7 +57,7 @@
     json!({"zones": {zone: {"state": state}}})
 }
 
-/// The patch that puts a worker on the list of its zone's drained workers, or takes it off.
+/// The patch that adds a worker to its zone's drained workers, or removes it.
 fn worker_patch(command: &str, zone: &str, worker: &str, current: &Value) -> Value {
     let listed = current["desired"]["zones"][zone]["drainedWorkers"].clone();
     let mut drained: Vec<String> = serde_json::from_value(listed).unwrap_or_default();
@@ -72,9 +73,9 @@
     wait(within, || {
         let status = client.call("GET", "/v1/status", None)?;
         let of_zone = &status["zones"][zone];
-        Ok(Look {
+        Ok(Progress {
             done: of_zone["empty"] == json!(true),
-            seen: json!({"zone": zone, "status": of_zone}),
+            status: json!({"zone": zone, "status": of_zone}),
         })
     })
 }
--- a/landingdrift/src/peer_sampler/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -1,30 +1,47 @@
-//! Partial views: every process knows a few others and shuffles them with its neighbours.
+//! The peer sampler: each process keeps a partial view of the others and shuffles it with its peers.
 
 use crate::sans_io::{Now, Rng};
 use crate::wire::{PeerView, Shuffle};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many others a process keeps in view.
+/// How many other processes are in a view.
 pub const VIEW_SIZE: usize = 8;
+/// A peer that is older than this, in shuffles, is not taken into a view: it is probably gone.
+const MAX_AGE: u32 = 100;
+/// One of so many shuffles goes to a seed, so that a cluster whose parts have lost sight of each other rejoins.
+const SEED_SHUFFLE_ODDS: u64 = 8;
+/// Intervals vary by up to this part, so that processes do not shuffle in step.
+const JITTER_PART: u64 = 4;
+/// The role of replicas, as it is on the wire.
+const REPLICA_ROLE: &str = "core";
 
-/// The part of the system that one process knows of.
+/// A process in view.
+#[derive(Clone, Debug)]
+struct Peer {
+    role: String,
+    zone: String,
+    /// How many shuffles ago it was heard from.
+    age: u32,
+}
+
+/// The partial view of one process.
 #[derive(Clone, Debug, Default)]
 pub struct PeerSampler {
-    me: String,
+    own_address: String,
     role: String,
     zone: String,
     seeds: Vec<String>,
-    view: BTreeMap<String, (String, String, u32)>,
-    /// Cores heard of, by watch or by neighbours.
+    view: BTreeMap<String, Peer>,
+    /// The replicas that are known from the watch or from peers.
     pub replicas: BTreeSet<String>,
-    next: u64,
+    next_shuffle: u64,
 }
 
 impl PeerSampler {
-    /// A view that starts from the seeds.
-    pub fn new(me: &str, role: &str, zone: &str, seeds: &[String]) -> Self {
+    /// An empty view, which starts from the seeds.
+    pub fn new(own_address: &str, role: &str, zone: &str, seeds: &[String]) -> Self {
         Self {
-            me: me.into(),
+            own_address: own_address.into(),
             role: role.into(),
             zone: zone.into(),
             seeds: seeds.to_vec(),
@@ -32,121 +49,145 @@
         }
     }
 
-    /// How many others are in view.
+    /// How many processes are in view.
     pub fn len(&self) -> usize {
         self.view.len()
     }
 
-    /// Whether nobody is in view.
+    /// Whether no process is in view.
     pub fn is_empty(&self) -> bool {
         self.view.is_empty()
     }
 
-    /// Everybody in view with a role.
+    /// The processes in view that have a role.
     pub fn of_role(&self, role: &str) -> Vec<String> {
-        let of = self.view.iter().filter(|(_, v)| v.0 == role);
-        of.map(|(k, _)| k.clone()).collect()
+        let peers = self.view.iter();
+        let of_role = peers.filter(|(_, peer)| peer.role == role);
+        of_role.map(|(address, _)| address.clone()).collect()
     }
 
-    /// Everybody in view.
+    /// All processes in view.
     pub fn addresses(&self) -> Vec<String> {
         self.view.keys().cloned().collect()
     }
 
+    /// This process itself and half a view of others, drawn at random.
     fn sample(&self, rng: &mut Rng) -> Vec<PeerView> {
-        let mut all: Vec<(&String, &(String, String, u32))> = self.view.iter().collect();
-        let mut some = vec![PeerView {
-            addr: self.me.clone(),
+        let mut left: Vec<(&String, &Peer)> = self.view.iter().collect();
+        let mut sample = vec![PeerView {
+            addr: self.own_address.clone(),
             role: self.role.clone(),
             zone: self.zone.clone(),
             age: 0,
         }];
-        while some.len() <= VIEW_SIZE / 2 && !all.is_empty() {
-            let (addr, (role, zone, age)) = all.swap_remove(rng.below(all.len() as u64) as usize);
-            some.push(PeerView {
-                addr: addr.clone(),
-                role: role.clone(),
-                zone: zone.clone(),
-                age: *age,
+        while sample.len() <= VIEW_SIZE / 2 && !left.is_empty() {
+            let drawn = rng.below(left.len() as u64) as usize;
+            let (address, peer) = left.swap_remove(drawn);
+            sample.push(PeerView {
+                addr: address.clone(),
+                role: peer.role.clone(),
+                zone: peer.zone.clone(),
+                age: peer.age,
             });
         }
-        some
+        sample
     }
 
-    fn merge(&mut self, got: Vec<PeerView>, rng: &mut Rng) {
-        for p in got.into_iter().filter(|p| p.addr != self.me && p.age < 100) {
-            let known = self
-                .view
-                .entry(p.addr)
-                .or_insert_with(|| (p.role.clone(), p.zone.clone(), p.age));
-            if p.age < known.2 {
-                *known = (p.role, p.zone, p.age);
+    /// Takes peers into the view, which keeps the youngest.
+    fn merge(&mut self, received: Vec<PeerView>, rng: &mut Rng) {
+        for peer in received {
+            if peer.addr == self.own_address || peer.age >= MAX_AGE {
+                continue;
+            }
+            let received = Peer {
+                role: peer.role,
+                zone: peer.zone,
+                age: peer.age,
+            };
+            match self.view.get_mut(&peer.addr) {
+                Some(known) if received.age < known.age => *known = received,
+                Some(_) => {}
+                None => {
+                    self.view.insert(peer.addr, received);
+                }
             }
         }
         while self.view.len() > VIEW_SIZE {
-            // The oldest goes, and among equals any.
-            let oldest = self.view.values().map(|v| v.2).max().unwrap_or(0);
-            let of: Vec<String> = self
-                .view
-                .iter()
-                .filter(|(_, v)| v.2 == oldest)
-                .map(|(k, _)| k.clone())
-                .collect();
-            rng.pick(&of).iter().for_each(|k| {
-                self.view.remove(*k);
-            });
+            self.remove_oldest(rng);
         }
     }
 
-    /// Whom to shuffle with now, if it is time.
-    pub fn tick(&mut self, now: Now, every: u64, rng: &mut Rng) -> Option<(String, Shuffle)> {
-        if now.mono < self.next {
+    /// Removes the oldest peer, or one of them at random.
+    fn remove_oldest(&mut self, rng: &mut Rng) {
+        let greatest_age = self.view.values().map(|peer| peer.age).max().unwrap_or(0);
+        let peers = self.view.iter();
+        let oldest: Vec<String> = peers
+            .filter(|(_, peer)| peer.age == greatest_age)
+            .map(|(address, _)| address.clone())
+            .collect();
+        if let Some(address) = rng.pick(&oldest) {
+            self.view.remove(address);
+        }
+    }
+
+    /// The shuffle to start now and the peer to send it to, if one is due.
+    pub fn tick(&mut self, now: Now, interval_ms: u64, rng: &mut Rng) -> Option<(String, Shuffle)> {
+        if now.mono < self.next_shuffle {
             return None;
         }
-        self.next = now.mono + every + rng.below(every / 4 + 1);
-        self.view.values_mut().for_each(|v| v.2 += 1);
-        // The oldest leaves the view and comes back with its answer; a seed now and then keeps halves from parting.
-        let oldest = self
-            .view
-            .iter()
-            .max_by_key(|(_, v)| v.2)
-            .map(|(k, _)| k.clone())
-            .filter(|_| rng.below(8) > 0);
-        let seeds: Vec<String> = self
-            .seeds
-            .iter()
-            .filter(|s| **s != self.me)
-            .cloned()
-            .collect();
-        let to = oldest.or_else(|| rng.pick(&seeds).cloned())?;
+        let jitter = rng.below(interval_ms / JITTER_PART + 1);
+        self.next_shuffle = now.mono + interval_ms + jitter;
+        for peer in self.view.values_mut() {
+            peer.age += 1;
+        }
+        let to = self.shuffle_target(rng)?;
         let view = self.sample(rng);
+        // It comes back into the view with its reply, if it is alive.
         self.view.remove(&to);
-        Some((
-            to,
-            Shuffle {
-                reply: false,
-                view,
-                replicas: self.replicas.iter().cloned().collect(),
-            },
-        ))
+        let shuffle = Shuffle {
+            reply: false,
+            view,
+            replicas: self.replicas.iter().cloned().collect(),
+        };
+        Some((to, shuffle))
     }
 
-    /// Takes a neighbour's part; the answer to it where one is due.
-    pub fn take(&mut self, m: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
-        let back = (!m.reply).then(|| Shuffle {
-            reply: true,
-            view: self.sample(rng),
-            replicas: self.replicas.iter().cloned().collect(),
-        });
-        m.view.iter().filter(|p| p.role == "core").for_each(|p| {
-            self.replicas.insert(p.addr.clone());
-        });
-        self.replicas.extend(m.replicas);
-        self.merge(m.view, rng);
-        back
+    /// The oldest peer; now and then, or where there is none, a seed.
+    fn shuffle_target(&self, rng: &mut Rng) -> Option<String> {
+        let oldest = self.view.iter().max_by_key(|(_, peer)| peer.age);
+        if let Some((address, _)) = oldest {
+            let to_seed = rng.below(SEED_SHUFFLE_ODDS) == 0;
+            if !to_seed {
+                return Some(address.clone());
+            }
+        }
+        let mut seeds = self.seeds.clone();
+        seeds.retain(|seed| *seed != self.own_address);
+        rng.pick(&seeds).cloned()
+    }
+
+    /// Takes a shuffle of a peer; returns the reply if it is none itself.
+    pub fn take(&mut self, shuffle: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
+        let reply = if shuffle.reply {
+            None
+        } else {
+            Some(Shuffle {
+                reply: true,
+                view: self.sample(rng),
+                replicas: self.replicas.iter().cloned().collect(),
+            })
+        };
+        for peer in &shuffle.view {
+            if peer.role == REPLICA_ROLE {
+                self.replicas.insert(peer.addr.clone());
+            }
+        }
+        self.replicas.extend(shuffle.replicas);
+        self.merge(shuffle.view, rng);
+        reply
     }
 
-    /// The replicas by the cluster state replace hearsay.
+    /// Replaces the replicas known from peers by those of the cluster state.
     pub fn set_replicas(&mut self, replicas: Vec<String>) {
         self.replicas = replicas.into_iter().collect();
     }
--- a/landingdrift/src/replay/command.rs
+++ b/landingdrift/src/replay/command.rs
@@ -1,6 +1,6 @@
-//! The command line of replay: it records days, checks them with this build, and decides them anew.
+//! The command line of replay: it makes recordings, checks them with this build, and reruns them.
 
-use super::{rerun, Day, RecordingError, Summary};
+use super::{rerun, Difference, Recording, RecordingError, Summary};
 use crate::config::{self, ClusterConfig};
 use crate::sans_io::roles::Role;
 use crate::settings::Settings;
@@ -18,10 +18,10 @@
 
 Exit codes: 0 done, 1 verdicts differ (check), 2 wrong command line, recording or file.";
 
-/// So many differences are printed; the rest is only counted.
-const SHOWN: usize = 20;
+/// How many differences are printed; the rest is only counted.
+const MAX_SHOWN: usize = 20;
 
-/// Why a command came to nothing.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error("{0}\n\n{help}", help = HELP)]
@@ -48,34 +48,36 @@
     #[error("{0}")]
     WrongDesired(String),
     #[error("{0}")]
-    Day(RecordingError),
+    Recording(RecordingError),
 }
 
 impl From<RecordingError> for CommandError {
     fn from(why: RecordingError) -> Self {
-        Self::Day(why)
+        Self::Recording(why)
     }
 }
 
-/// What the words after `replay` say.
+/// The parsed command line after `replay`.
 #[derive(Default)]
 struct Arguments {
     help: bool,
     json: bool,
     config: Option<String>,
     settings: Option<String>,
-    rest: Vec<String>,
+    /// The command and its arguments.
+    positional: Vec<String>,
 }
 
 impl Arguments {
-    fn argument(&self, i: usize) -> Result<&str, CommandError> {
-        let word = self.rest.get(i).map(String::as_str);
+    /// An argument that the command requires.
+    fn argument(&self, index: usize) -> Result<&str, CommandError> {
+        let word = self.positional.get(index).map(String::as_str);
         word.ok_or(CommandError::WordMissing)
     }
 }
 
 fn run(arguments: Vec<OsString>) -> i32 {
-    let done = read_arguments(arguments).and_then(|w| perform(&w));
+    let done = read_arguments(arguments).and_then(|arguments| perform(&arguments));
     match done {
         Ok(code) => code,
         Err(why) => {
@@ -85,85 +87,96 @@
     }
 }
 
-fn read_arguments(arguments: Vec<OsString>) -> Result<Arguments, CommandError> {
-    let mut w = Arguments::default();
-    let mut p = lexopt::Parser::from_args(arguments);
-    while let Some(arg) = p.next().map_err(CommandError::Arguments)? {
+fn read_arguments(words: Vec<OsString>) -> Result<Arguments, CommandError> {
+    let mut arguments = Arguments::default();
+    let mut parser = lexopt::Parser::from_args(words);
+    while let Some(arg) = parser.next().map_err(CommandError::Arguments)? {
         match arg {
             Arg::Long("help") | Arg::Short('h') => {
-                w.help = true;
-                // What follows is not looked at.
-                return Ok(w);
+                arguments.help = true;
+                // What follows is ignored.
+                return Ok(arguments);
             }
-            Arg::Long("desired") => w.config = Some(text(&mut p)?),
-            Arg::Long("settings") => w.settings = Some(text(&mut p)?),
-            Arg::Long("json") => w.json = true,
+            Arg::Long("desired") => arguments.config = Some(text(&mut parser)?),
+            Arg::Long("settings") => arguments.settings = Some(text(&mut parser)?),
+            Arg::Long("json") => arguments.json = true,
             Arg::Value(value) => {
                 let word = value.into_string();
-                w.rest
+                arguments
+                    .positional
                     .push(word.map_err(|_| CommandError::ArgumentNotText)?);
             }
             other => return Err(CommandError::Arguments(other.unexpected())),
         }
     }
-    Ok(w)
+    Ok(arguments)
 }
 
 /// The value of the flag that was read last.
-fn text(p: &mut lexopt::Parser) -> Result<String, CommandError> {
-    let value = p.value().map_err(CommandError::Arguments)?;
+fn text(parser: &mut lexopt::Parser) -> Result<String, CommandError> {
+    let value = parser.value().map_err(CommandError::Arguments)?;
     let value = value.into_string();
     value.map_err(|_| CommandError::FlagNotText)
 }
 
-fn perform(w: &Arguments) -> Result<i32, CommandError> {
-    if w.help {
+/// Executes a command; returns the exit code.
+fn perform(arguments: &Arguments) -> Result<i32, CommandError> {
+    if arguments.help {
         crate::outln!("{HELP}");
         return Ok(0);
     }
-    match w.argument(0)? {
-        "record" => state(w),
-        "check" => check(w),
-        "run" => decide_anew(w),
+    match arguments.argument(0)? {
+        "record" => record(arguments),
+        "check" => check(arguments),
+        "run" => run_again(arguments),
         other => Err(CommandError::UnknownWord(other.to_string())),
     }
 }
 
 /// Records what a stopped replica's data folder holds.
-fn state(w: &Arguments) -> Result<i32, CommandError> {
-    let day = Day::state(Path::new(w.argument(1)?))?;
-    let file = w.argument(2)?;
-    std::fs::write(file, day.text()).map_err(|why| CommandError::Write {
+fn record(arguments: &Arguments) -> Result<i32, CommandError> {
+    let recording = Recording::of_folder(Path::new(arguments.argument(1)?))?;
+    let file = arguments.argument(2)?;
+    std::fs::write(file, recording.text()).map_err(|why| CommandError::Write {
         file: file.to_string(),
         why,
     })?;
-    crate::outln!("{} entries recorded", day.lines.len());
+    crate::outln!("{} entries recorded", recording.entries.len());
     Ok(0)
 }
 
-/// Applies a day's entries with this build, and lists what differs.
-fn check(w: &Arguments) -> Result<i32, CommandError> {
-    let day = Day::read(w.argument(1)?)?;
-    let differences = day.differences();
-    for (log_index, then, now) in differences.iter().take(SHOWN) {
-        crate::outln!("place {log_index}: recorded {then}, now {now}");
+/// Applies the recorded entries with this build, and lists the results that differ.
+fn check(arguments: &Arguments) -> Result<i32, CommandError> {
+    let recording = Recording::read(arguments.argument(1)?)?;
+    let differences = recording.differences();
+    for difference in differences.iter().take(MAX_SHOWN) {
+        let Difference {
+            log_index,
+            recorded,
+            now,
+        } = difference;
+        crate::outln!("place {log_index}: recorded {recorded}, now {now}");
     }
     crate::outln!(
         "{} entries, {} verdicts differ",
-        day.lines.len(),
+        recording.entries.len(),
         differences.len()
     );
     Ok(i32::from(!differences.is_empty()))
 }
 
-/// Decides a day anew in virtual time, and compares.
-fn decide_anew(w: &Arguments) -> Result<i32, CommandError> {
-    let day = Day::read(w.argument(1)?)?;
-    let config = w.config.as_deref().map(read_desired).transpose()?;
-    let settings = w.settings.as_deref().map(read_settings).transpose()?;
-    let then = Summary::of(&day.end());
-    let now = rerun(&day, config.as_ref(), &settings.unwrap_or_default());
-    tell(&then, &now, w.json);
+/// Reruns a recording in virtual time, and compares.
+fn run_again(arguments: &Arguments) -> Result<i32, CommandError> {
+    let recording = Recording::read(arguments.argument(1)?)?;
+    let config = arguments.config.as_deref().map(read_desired).transpose()?;
+    let settings = arguments
+        .settings
+        .as_deref()
+        .map(read_settings)
+        .transpose()?;
+    let recorded = Summary::of(&recording.end());
+    let now = rerun(&recording, config.as_ref(), &settings.unwrap_or_default());
+    print_comparison(&recorded, &now, arguments.json);
     Ok(0)
 }
 
@@ -179,7 +192,7 @@
         file: file.to_string(),
         why,
     })?;
-    config::read(&value).map_err(|e| CommandError::WrongDesired(e.to_string()))
+    config::read(&value).map_err(|why| CommandError::WrongDesired(why.to_string()))
 }
 
 fn read_settings(file: &str) -> Result<Settings, CommandError> {
@@ -189,53 +202,53 @@
     })
 }
 
-/// Prints what was recorded beside what is decided now.
-fn tell(then: &Summary, now: &Summary, as_json: bool) {
-    let other_ends = other_ends(then, now);
-    let tasks = then.placed.len();
-    let moved = moved_tasks(then, now);
+/// Prints the recorded summary beside that of the rerun.
+fn print_comparison(recorded: &Summary, now: &Summary, as_json: bool) {
+    let other_ends = other_ends(recorded, now);
+    let tasks = recorded.placed.len();
+    let moved = moved_tasks(recorded, now);
     if as_json {
         crate::outln!(
             "{}",
-            json!({"recorded": summary(then), "now": summary(now), "otherEnds": other_ends, "otherWorkers": moved, "tasks": tasks})
+            json!({"recorded": summary(recorded), "now": summary(now), "otherEnds": other_ends, "otherWorkers": moved, "tasks": tasks})
         );
         return;
     }
-    crate::outln!("recorded {}\nnow      {}", summary(then), summary(now));
+    crate::outln!("recorded {}\nnow      {}", summary(recorded), summary(now));
     crate::outln!("{moved} of {tasks} tasks ended on another worker");
     crate::outln!("{} jobs ended otherwise", other_ends.len());
-    for end in other_ends.iter().take(SHOWN) {
+    for end in other_ends.iter().take(MAX_SHOWN) {
         crate::outln!("  {end}");
     }
 }
 
-/// The jobs that end otherwise now.
-fn other_ends(then: &Summary, now: &Summary) -> Vec<Value> {
-    let ends = then.states.iter();
+/// The jobs that end in another state in the rerun.
+fn other_ends(recorded: &Summary, now: &Summary) -> Vec<Value> {
+    let ends = recorded.states.iter();
     ends.filter(|(job, state)| now.states.get(*job) != Some(state))
         .map(|(job, state)| json!({"job": job, "recorded": state, "now": now.states.get(job)}))
         .collect()
 }
 
-/// How many tasks ended on another worker.
-fn moved_tasks(then: &Summary, now: &Summary) -> usize {
+/// How many tasks end on another worker in the rerun.
+fn moved_tasks(recorded: &Summary, now: &Summary) -> usize {
     let moved = |task: &String, worker: &String| {
         let now = now.placed.get(task);
         now.is_some_and(|other| other != worker)
     };
-    let placed = then.placed.iter();
+    let placed = recorded.placed.iter();
     placed.filter(|(task, worker)| moved(task, worker)).count()
 }
 
-fn summary(s: &Summary) -> Value {
-    json!({"jobs": s.states.len(), "done": s.took.len(), "medianMs": quantile(s, 0.5), "p95Ms": quantile(s, 0.95), "kept": s.kept, "missed": s.missed, "copies": s.copies})
+fn summary(summary: &Summary) -> Value {
+    json!({"jobs": summary.states.len(), "done": summary.took.len(), "medianMs": quantile(summary, 0.5), "p95Ms": quantile(summary, 0.95), "kept": summary.kept, "missed": summary.missed, "copies": summary.copies})
 }
 
 /// A quantile of the times that jobs took, in milliseconds; 0 where none was done.
-fn quantile(s: &Summary, q: f64) -> u64 {
-    let mut took: Vec<u64> = s.took.values().copied().collect();
+fn quantile(summary: &Summary, quantile: f64) -> u64 {
+    let mut took: Vec<u64> = summary.took.values().copied().collect();
     took.sort_unstable();
     let last = took.len().saturating_sub(1);
-    let at = (last as f64 * q) as usize;
+    let at = (last as f64 * quantile) as usize;
     took.get(at).copied().unwrap_or(0)
 }
--- a/landingdrift/src/replay/mod.rs
+++ b/landingdrift/src/replay/mod.rs
@@ -1,8 +1,8 @@
-//! Recorded days, and what another build, configuration or other settings would have made of them.
+//! Replay: recordings of a cluster's log, and what another build, configuration or settings would have decided.
 
 mod command;
-mod day;
+mod recording;
 mod rerun;
 
-pub use day::{Day, Line, RecordingError};
+pub use recording::{Difference, RecordedEntry, Recording, RecordingError};
 pub use rerun::{rerun, Summary};
--- a/landingdrift/src/replay/rerun/mod.rs
+++ b/landingdrift/src/replay/rerun/mod.rs
@@ -1,75 +1,81 @@
-//! A day in virtual time: the jobs, cancels, changes and workers as recorded, decided anew.
+//! Reruns a recording in virtual time: jobs, cancels, changes and workers are as recorded, every decision is made again.
 //!
-//! - `stage` is the replica's part: it keeps the cluster state, and gives the node what a replica would,
-//! - `hands` are the workers' part,
-//! - `runs` says how each task's runs went on the recorded day,
-//! - `story` is what a day came to.
+//! - `simulation` has the only node, and plays the replica and the workers around it,
+//! - `simulated_worker` is one worker,
+//! - `recorded_runs` says how each task's runs went in the recording,
+//! - `summary` is what a recording or a rerun comes to.
 
-mod hands;
-mod runs;
-mod stage;
-mod story;
+mod recorded_runs;
+mod simulated_worker;
+mod simulation;
+mod summary;
 
-pub use story::Summary;
+pub use summary::Summary;
 
-use super::{Day, Line};
+use super::{RecordedEntry, Recording};
 use crate::config::ClusterConfig;
 use crate::sans_io::Msg;
 use crate::settings::Settings;
 use crate::state::Command;
-use stage::Stage;
+use simulation::Simulation;
 use std::collections::VecDeque;
 
-/// Virtual milliseconds from one look at the time to the next: what a part's tick is by the default bounds.
-const STEP: u64 = 20;
-/// Virtual milliseconds for which a rerun goes on after the last recorded entry, so that what is under way can end.
-const AFTER_LAST_ENTRY: u64 = 120_000;
+/// Virtual milliseconds from one step to the next: a part's tick by the default bounds.
+const STEP_MS: u64 = 20;
+/// Virtual milliseconds for which a rerun continues after the last recorded entry, so that what runs can end.
+const AFTER_LAST_ENTRY_MS: u64 = 120_000;
 
-/// Decides a day anew, under another configuration or other settings where they are given.
-pub fn rerun(day: &Day, config: Option<&ClusterConfig>, settings: &Settings) -> Summary {
-    let mut stage = Stage::new(day, settings);
+/// Reruns a recording, under another configuration or other settings where they are given.
+pub fn rerun(
+    recording: &Recording,
+    config: Option<&ClusterConfig>,
+    settings: &Settings,
+) -> Summary {
+    let mut simulation = Simulation::new(recording, settings);
     if let Some(config) = config {
-        stage.configure(config);
+        simulation.configure(config);
     }
-    let mut lines: VecDeque<&Line> = day.lines.iter().collect();
-    let last = day.lines.last();
-    let until = last.map_or(0, |line| stage.since_start(line.at)) + AFTER_LAST_ENTRY;
-    while stage.elapsed() < until {
-        stage.advance(STEP);
-        while let Some(line) = lines.pop_front_if(|line| line.at <= stage.agreed()) {
-            replay_entry(&mut stage, &line.entry, config.is_none());
+    let mut entries: VecDeque<&RecordedEntry> = recording.entries.iter().collect();
+    let last = recording.entries.last();
+    let until = last.map_or(0, |last| simulation.since_start(last.at)) + AFTER_LAST_ENTRY_MS;
+    while simulation.elapsed() < until {
+        simulation.advance(STEP_MS);
+        while let Some(recorded) =
+            entries.pop_front_if(|recorded| recorded.at <= simulation.cluster_time())
+        {
+            replay_entry(&mut simulation, &recorded.entry, config.is_none());
         }
-        stage.leases();
-        stage.watch();
-        stage.step(Msg::Tick);
-        stage.work();
-        if lines.is_empty() && stage.all_is_done() {
+        simulation.grant_leases();
+        simulation.send_watch_batch();
+        simulation.step(Msg::Tick);
+        simulation.step_workers();
+        if entries.is_empty() && simulation.all_jobs_ended() {
             break;
         }
     }
-    stage.story()
+    simulation.summary()
 }
 
-/// What came from outside on the recorded day comes again: changes (`configured`: unless another configuration is
-/// tried), jobs, cancels and workers. The system's own decisions are made anew.
-fn replay_entry(stage: &mut Stage, entry: &Command, configured: bool) {
+/// Replays an entry that came from outside: a change, a job, a cancel or what became of a worker. The cluster's own
+/// decisions are made again, and changes are left out (`with_changes`) where another configuration is tried.
+fn replay_entry(simulation: &mut Simulation, entry: &Command, with_changes: bool) {
     match entry.action() {
-        Command::UpdateConfig { .. } if configured => {
-            stage.enter(entry);
+        Command::UpdateConfig { .. } if with_changes => {
+            simulation.append(entry);
         }
         Command::CancelJob { .. } => {
-            stage.enter(entry);
+            simulation.append(entry);
         }
         Command::AcceptJob { spec, hash, .. } => {
-            let seen = stage.place();
-            stage.enter(&Command::AcceptJob {
+            let seen = simulation.applied_index();
+            simulation.append(&Command::AcceptJob {
                 spec: spec.clone(),
                 hash: *hash,
                 seen,
             });
         }
-        Command::UpdateWorker { info, .. } => stage.hand(info),
-        Command::WorkerLost { worker, .. } => stage.silence(worker),
+        Command::UpdateWorker { info, .. } => simulation.update_worker(info),
+        Command::WorkerLost { worker, .. } => simulation.silence_worker(worker),
         _ => {}
     }
 }
--- a/landingdrift/src/replay/rerun/runs.rs
+++ b/landingdrift/src/replay/rerun/recorded_runs.rs
@@ -1,34 +1,34 @@
-//! How the runs of each task went on the recorded day.
+//! How the runs of each task went in the recording.
 
 use crate::state::{AttemptState, ClusterState, Job, Outcome, Send};
 use std::collections::BTreeMap;
 
-/// Milliseconds that a run takes whose task never ended well on the recorded day: nothing is known of it, so it is short.
+/// Milliseconds that a run takes whose task never succeeded in the recording: nothing is known of it, so it is short.
 const UNKNOWN_RUN_MS: u64 = 100;
 
-/// How a run ended, after how long.
+/// How a run ended, and after how long.
 #[derive(Clone, Copy)]
 pub(super) struct RecordedRun {
     pub outcome: Outcome,
     pub ran_ms: u64,
 }
 
-/// A job and the number of one of its tasks.
+/// A job and the index of one of its tasks.
 type TaskKey = (String, u32);
 
-/// The recorded runs of all tasks, and how many of each have been given out.
+/// The recorded runs of all tasks, and how many of each the rerun has used.
 pub(super) struct RecordedRuns {
     runs: BTreeMap<TaskKey, Vec<RecordedRun>>,
     used: BTreeMap<TaskKey, usize>,
 }
 
 impl RecordedRuns {
-    /// The runs that the cluster state at the end of a day tells of.
+    /// The runs in the cluster state at the end of a recording.
     pub fn of(end: &ClusterState) -> Self {
         let mut runs = BTreeMap::new();
         for (id, job) in &end.jobs {
-            for i in 0..job.tasks.len() {
-                runs.insert((id.clone(), i as u32), runs_of_task(job, i));
+            for task in 0..job.tasks.len() {
+                runs.insert((id.clone(), task as u32), runs_of_task(job, task));
             }
         }
         Self {
@@ -37,31 +37,31 @@
         }
     }
 
-    /// The next run of a task: the same number of its runs as recorded; beyond them, like its last good one.
+    /// The next run of a task: its n-th run goes as recorded, and beyond those like the last one that succeeded.
     pub fn next(&mut self, key: TaskKey) -> RecordedRun {
         let recorded = self.runs.get(&key).map_or(&[][..], Vec::as_slice);
         let used = self.used.entry(key).or_default();
         let next = recorded.get(*used).copied();
         *used += 1;
-        next.unwrap_or_else(|| like_last_good(recorded))
+        next.unwrap_or_else(|| like_last_success(recorded))
     }
 }
 
-fn like_last_good(recorded: &[RecordedRun]) -> RecordedRun {
+fn like_last_success(recorded: &[RecordedRun]) -> RecordedRun {
     let mut latest_first = recorded.iter().rev();
-    let good = latest_first.find(|run| run.outcome == Outcome::Succeeded);
-    good.copied().unwrap_or(RecordedRun {
+    let success = latest_first.find(|run| run.outcome == Outcome::Succeeded);
+    success.copied().unwrap_or(RecordedRun {
         outcome: Outcome::Succeeded,
         ran_ms: UNKNOWN_RUN_MS,
     })
 }
 
-fn runs_of_task(job: &Job, i: usize) -> Vec<RecordedRun> {
-    let attempts = job.tasks[i].attempts.iter();
+fn runs_of_task(job: &Job, task: usize) -> Vec<RecordedRun> {
+    let attempts = job.tasks[task].attempts.iter();
     attempts.filter_map(recorded_run).collect()
 }
 
-/// The run of a attempt, if it is known how it went.
+/// The run of an attempt, if its outcome is known.
 fn recorded_run(attempt: &Send) -> Option<RecordedRun> {
     match attempt.state {
         AttemptState::Succeeded => Some(RecordedRun {
--- /dev/null
+++ b/landingdrift/src/replay/rerun/simulation.rs
@@ -0,0 +1,335 @@
+//! The simulation of a rerun: the only node, with the replica and the workers that it talks to.
+
+use super::recorded_runs::RecordedRuns;
+use super::simulated_worker::{starts, SimulatedWorker};
+use super::summary::Summary;
+use crate::config::ClusterConfig;
+use crate::node::Node;
+use crate::replay::Recording;
+use crate::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use crate::settings::Settings;
+use crate::state::{pack_apply_result, queue_lease, zone_lease, ClusterState, Command, WorkerInfo};
+use crate::wire::{
+    Body, Entry, ProposeRequest, ProposeResponse, ReadIndexRequest, ReadIndexResponse, WatchBatch,
+};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// The only node of a rerun.
+const NODE: &str = "10.0.0.1:1";
+/// The only replica of a rerun.
+const REPLICA: &str = "10.0.0.2:1";
+const ZONE: &str = "replay";
+/// The only term of a rerun.
+const TERM: u64 = 1;
+/// The seed of the node: fixed, so that reruns of the same recording give the same summary.
+const SEED: u64 = 1;
+/// Ended jobs are kept for longer than any recording, since the summary is made from them; a quarter of the range, so
+/// that sums with it don't overflow.
+const RETAIN_ALL_MS: u64 = u64::MAX / 4;
+
+/// An applied command: its place in the log, and its packed result.
+struct Applied {
+    log_index: u64,
+    result: Vec<u8>,
+}
+
+/// A node with the replica and the workers that it talks to.
+pub(super) struct Simulation {
+    /// The replica's cluster state.
+    state: ClusterState,
+    /// Entries that were not sent to the node yet.
+    log: VecDeque<Entry>,
+    node: Node,
+    /// Virtual milliseconds since the beginning.
+    elapsed_ms: u64,
+    /// The cluster time at the beginning.
+    started_at: u64,
+    workers: BTreeMap<String, SimulatedWorker>,
+    runs: RecordedRuns,
+    /// The workers whose heartbeats wait for a response, by call.
+    calls: BTreeMap<u64, String>,
+    next_call: u64,
+}
+
+impl Simulation {
+    /// The beginning of a recording, with the workers that there were.
+    pub fn new(recording: &Recording, settings: &Settings) -> Self {
+        let started_at = start_time(recording);
+        let settings = Settings {
+            listen: NODE.into(),
+            http: NODE.into(),
+            zone: ZONE.into(),
+            seeds: vec![REPLICA.into()],
+            cluster: recording.start.cluster.clone(),
+            ..settings.clone()
+        };
+        let now = Now {
+            mono: 1,
+            wall: started_at,
+        };
+        let mut simulation = Self {
+            state: recording.start.clone(),
+            log: VecDeque::new(),
+            node: Node::new(settings, now, SEED),
+            elapsed_ms: 0,
+            started_at,
+            workers: BTreeMap::new(),
+            runs: RecordedRuns::of(&recording.end()),
+            calls: BTreeMap::new(),
+            next_call: 0,
+        };
+        simulation.append(&Command::RegisterNode {
+            node: NODE.into(),
+            zone: ZONE.into(),
+            http: NODE.into(),
+        });
+        for worker in recording.start.workers.values() {
+            simulation.update_worker(&worker.info);
+        }
+        simulation
+    }
+
+    fn now(&self) -> Now {
+        Now {
+            mono: self.elapsed_ms + 1,
+            wall: self.cluster_time(),
+        }
+    }
+
+    /// The cluster time.
+    pub fn cluster_time(&self) -> u64 {
+        self.started_at + self.elapsed_ms
+    }
+
+    /// Virtual milliseconds since the beginning.
+    pub fn elapsed(&self) -> u64 {
+        self.elapsed_ms
+    }
+
+    /// Virtual milliseconds from the beginning to a cluster time.
+    pub fn since_start(&self, at: u64) -> u64 {
+        at.saturating_sub(self.started_at)
+    }
+
+    /// Lets virtual time pass.
+    pub fn advance(&mut self, ms: u64) {
+        self.elapsed_ms += ms;
+    }
+
+    /// The index of the last entry.
+    pub fn applied_index(&self) -> u64 {
+        self.state.applied_index
+    }
+
+    /// Whether no job is open.
+    pub fn all_jobs_ended(&self) -> bool {
+        self.state.open.is_empty()
+    }
+
+    /// What the rerun comes to.
+    pub fn summary(&self) -> Summary {
+        Summary::of(&self.state)
+    }
+
+    /// Appends a command to the log and applies it.
+    pub fn append(&mut self, command: &Command) {
+        self.apply(command);
+    }
+
+    fn apply(&mut self, command: &Command) -> Applied {
+        let log_index = self.state.applied_index + 1;
+        let at = self.cluster_time();
+        let result = pack_apply_result(&self.state.apply(log_index, at, command));
+        self.log.push_back(Entry {
+            index: log_index,
+            term: TERM,
+            at,
+            command: serde_json::to_vec(command).unwrap_or_default(),
+        });
+        Applied { log_index, result }
+    }
+
+    /// Puts a configuration into force.
+    pub fn configure(&mut self, config: &ClusterConfig) {
+        let base = self.state.version;
+        let value = serde_json::to_value(config).unwrap_or_default();
+        self.append(&Command::UpdateConfig {
+            change: "replay".into(),
+            base,
+            patch: false,
+            number: 0,
+            value,
+        });
+    }
+
+    /// A worker joins, comes back or changes its facts.
+    pub fn update_worker(&mut self, info: &WorkerInfo) {
+        let name = info.worker.clone();
+        let worker = self.workers.entry(name);
+        let worker = worker.or_insert_with(|| SimulatedWorker::new(info.clone()));
+        worker.update(info);
+    }
+
+    /// A worker falls silent.
+    pub fn silence_worker(&mut self, worker: &str) {
+        if let Some(worker) = self.workers.get_mut(worker) {
+            worker.fall_silent();
+        }
+    }
+
+    /// Grants the leases of all zones and queues to the node, and collects garbage where that is due.
+    pub fn grant_leases(&mut self) {
+        let workers = self.workers.values();
+        let zones: BTreeSet<String> = workers.map(|worker| zone_lease(worker.zone())).collect();
+        let queues = self.state.config.queues.keys();
+        let queues: BTreeSet<String> = queues.map(|queue| queue_lease(queue)).collect();
+        for lease in zones.into_iter().chain(queues) {
+            self.grant(lease);
+        }
+        let due = self.state.sweep_due(RETAIN_ALL_MS, RETAIN_ALL_MS);
+        if due.is_some_and(|due| due <= self.cluster_time()) {
+            self.append(&Command::CollectGarbage {
+                retain_ms: RETAIN_ALL_MS,
+                identity_ms: RETAIN_ALL_MS,
+            });
+        }
+    }
+
+    fn grant(&mut self, lease: String) {
+        let granted = self.state.holder(&lease);
+        if granted.is_some_and(|granted| granted.holder == NODE) {
+            return;
+        }
+        let from_epoch = granted.map_or(0, |granted| granted.epoch);
+        self.append(&Command::GrantLease {
+            lease,
+            holder: NODE.into(),
+            from_epoch,
+        });
+    }
+
+    /// Sends the node the entries since the last batch, or a snapshot where it has nothing and the entries don't reach
+    /// back to the beginning.
+    pub fn send_watch_batch(&mut self) {
+        let entries: Vec<Entry> = std::mem::take(&mut self.log).into();
+        let is_empty = self.node.state().applied_index == 0;
+        let needs_snapshot = is_empty && self.state.applied_index > entries.len() as u64;
+        let mut batch = WatchBatch {
+            replica: REPLICA.into(),
+            leader: REPLICA.into(),
+            ok: true,
+            sent: self.now().mono,
+            quorum_age: 0,
+            clock: self.cluster_time(),
+            commit: self.state.applied_index,
+            snapshot: Vec::new(),
+            snapshot_index: 0,
+            entries: Vec::new(),
+            light: false,
+            reached: self.state.applied_index,
+            replicas: vec![REPLICA.into()],
+        };
+        if needs_snapshot {
+            batch.snapshot = self.state.pack();
+            batch.snapshot_index = self.state.applied_index;
+        } else {
+            batch.entries = entries;
+        }
+        self.send(Body::WatchBatch(Box::new(batch)));
+    }
+
+    /// Sends the node a message from the replica.
+    fn send(&mut self, body: Body) {
+        self.step(Msg::Wire(REPLICA.into(), body));
+    }
+
+    /// Steps the node, and carries out its effects.
+    pub fn step(&mut self, msg: Msg) {
+        let now = self.now();
+        for effect in self.node.step(now, msg) {
+            match effect {
+                Effect::Send(_, Body::ProposeRequest(proposal)) => self.on_propose(&proposal),
+                Effect::Send(_, Body::ReadIndexRequest(request)) => self.on_read_index(&request),
+                Effect::Answer(call, response) => {
+                    if let Some(worker) = self.calls.remove(&call) {
+                        self.on_heartbeat_response(&worker, &response);
+                    }
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn on_propose(&mut self, proposal: &ProposeRequest) {
+        let Ok(command) = Command::unpack(&proposal.command) else {
+            return;
+        };
+        let applied = self.apply(&command);
+        let response = ProposeResponse {
+            token: proposal.token,
+            outcome: 0,
+            log_index: applied.log_index,
+            leader: REPLICA.into(),
+            response: applied.result,
+        };
+        self.send(Body::ProposeResponse(Box::new(response)));
+    }
+
+    fn on_read_index(&mut self, request: &ReadIndexRequest) {
+        let response = ReadIndexResponse {
+            token: request.token,
+            ok: true,
+            log_index: self.state.applied_index,
+            leader: REPLICA.into(),
+            nodes: Vec::new(),
+        };
+        self.send(Body::ReadIndexResponse(Box::new(response)));
+    }
+
+    /// Steps the workers: runs end as recorded, and heartbeats are sent.
+    pub fn step_workers(&mut self) {
+        let now_ms = self.elapsed_ms;
+        let workers = self.workers.iter();
+        let due = workers.filter(|(_, worker)| worker.is_due(now_ms));
+        let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
+        for name in due {
+            let Some(worker) = self.workers.get_mut(&name) else {
+                continue;
+            };
+            let heartbeat = worker.heartbeat(now_ms);
+            self.next_call += 1;
+            let call = self.next_call;
+            self.calls.insert(call, name);
+            let request = Request {
+                method: "POST".into(),
+                path: "/v1/beats".into(),
+                query: String::new(),
+                body: serde_json::to_vec(&heartbeat).unwrap_or_default(),
+            };
+            self.step(Msg::Call(call, request));
+        }
+    }
+
+    /// A worker obeys the response to its heartbeat.
+    fn on_heartbeat_response(&mut self, worker: &str, response: &Response) {
+        let Some(worker) = self.workers.get_mut(worker) else {
+            return;
+        };
+        worker.obey(&response.body);
+        for attempt in starts(&response.body) {
+            if worker.knows(attempt) {
+                continue;
+            }
+            let Some(key) = self.state.live.get(&attempt).cloned() else {
+                continue;
+            };
+            worker.start(attempt, self.elapsed_ms, self.runs.next(key));
+        }
+    }
+}
+
+/// The cluster time at the beginning of a recording; the first entries of a new cluster come before its clock is set.
+fn start_time(recording: &Recording) -> u64 {
+    let mut times = recording.entries.iter().map(|recorded| recorded.at);
+    times.find(|at| *at > 0).unwrap_or(0)
+}
--- a/landingdrift/src/replay/rerun/story.rs
+++ b/landingdrift/src/replay/rerun/summary.rs
@@ -1,17 +1,17 @@
-//! What a day came to.
+//! The summary of a recording or a rerun.
 
 use crate::state::{AttemptState, ClusterState, Job, JobState};
 use std::collections::BTreeMap;
 
-/// What a day came to.
+/// What a recording or a rerun came to.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Summary {
-    /// Jobs by how they ended.
+    /// The final states of the jobs.
     pub states: BTreeMap<String, JobState>,
-    /// Milliseconds from acceptance to the end, of jobs that were done.
+    /// Milliseconds from acceptance to the end, of jobs that succeeded.
     pub took: BTreeMap<String, u64>,
-    /// Workers on which tasks ended well.
+    /// The workers on which tasks succeeded.
     pub placed: BTreeMap<String, String>,
     pub kept: u64,
     pub missed: u64,
@@ -19,34 +19,34 @@
 }
 
 impl Summary {
-    /// The story that a cluster state tells.
-    pub fn of(r: &ClusterState) -> Self {
-        let mut story = Self {
-            kept: r.queues.values().map(|q| q.kept).sum(),
-            missed: r.queues.values().map(|q| q.missed).sum(),
-            copies: r.queues.values().map(|q| q.copies_ever).sum(),
+    /// The summary of a cluster state.
+    pub fn of(state: &ClusterState) -> Self {
+        let mut summary = Self {
+            kept: state.queues.values().map(|queue| queue.kept).sum(),
+            missed: state.queues.values().map(|queue| queue.missed).sum(),
+            copies: state.queues.values().map(|queue| queue.copies_ever).sum(),
             ..Self::default()
         };
-        for (id, job) in &r.jobs {
-            story.states.insert(id.clone(), job.state);
+        for (id, job) in &state.jobs {
+            summary.states.insert(id.clone(), job.state);
             if job.state == JobState::Done {
                 let took = job.ended.saturating_sub(job.accepted);
-                story.took.insert(id.clone(), took);
+                summary.took.insert(id.clone(), took);
             }
-            story.placed.extend(placed(id, job));
+            summary.placed.extend(placed(id, job));
         }
-        story
+        summary
     }
 }
 
-/// The tasks of a job that ended well, each with its worker.
+/// The tasks of a job that succeeded, each with its worker.
 fn placed(id: &str, job: &Job) -> BTreeMap<String, String> {
     let mut placed = BTreeMap::new();
     for (i, task) in job.tasks.iter().enumerate() {
         let succeeded = task
             .attempts
             .iter()
-            .find(|s| s.state == AttemptState::Succeeded);
+            .find(|attempt| attempt.state == AttemptState::Succeeded);
         if let Some(attempt) = succeeded {
             placed.insert(format!("{id}/{}", job.name(i)), attempt.worker.clone());
         }
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -1,6 +1,7 @@
-//! A worker proxy: stands beside a worker, keeps no state, and carries the worker's calls to the node that holds its zone scheduler.
+//! The worker proxy: runs beside a worker, keeps no state, and forwards the worker's calls to the node that holds the
+//! lease of its zone.
 
-mod open;
+mod open_call;
 mod repeat;
 
 pub use repeat::may_repeat;
@@ -9,20 +10,19 @@
 use crate::sans_io::{Effect, Msg, Now, Part, Request, Response, Rng};
 use crate::settings::Settings;
 use crate::wire::{Body, ForwardRequest, ForwardResponse, RequestToken};
-use open::{Asked, Open};
+use open_call::{CallAttempt, OpenCall};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// The query of a heartbeat whose worker says that it leaves.
+/// The query of a heartbeat whose worker reports that it is leaving.
 pub const LEAVING: &str = "leaving";
 
-/// A worker's call is sent to another node after this part of the time in which an answer is obeyed: several nodes can
-/// be tried before it is over.
+/// A worker's call is sent to another node after this part of the time in which a response is obeyed, so that several
+/// nodes can be tried in time.
 const WORKER_RETRY_PART: u64 = 5;
-/// Any other call that may be repeated is sent to another node after this part of the time that nodes work on a call.
+/// Any other repeatable call is sent to another node after this part of the time for which nodes work on a call.
 const RETRY_PART: u64 = 3;
-/// A worker proxy asks for news of the nodes this many times less often than nodes ask each other: there are as many worker proxies as
-/// workers.
+/// A worker proxy shuffles this many times less often than nodes do: there are as many worker proxies as workers.
 const SHUFFLE_FACTOR: u64 = 10;
 
 /// A worker proxy.
@@ -30,19 +30,19 @@
     settings: Settings,
     rng: Rng,
     peer_sampler: PeerSampler,
-    /// The node that answered last for the zone scheduler.
+    /// The node that last answered as the holder of the zone lease; empty where none is known.
     holder: String,
-    open: BTreeMap<u64, Open>,
-    /// This life of the process: an answer to a former one is nobody's.
+    open: BTreeMap<u64, OpenCall>,
+    /// Drawn when the process starts: responses to requests of an earlier one are dropped.
     incarnation: u64,
-    next: u64,
+    next_token: u64,
     stopping: bool,
     counters: BTreeMap<&'static str, u64>,
     out: Vec<Effect>,
 }
 
 impl WorkerProxy {
-    /// A worker proxy that knows the seeds.
+    /// A worker proxy that knows only the seeds.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Rng::new(seed);
         Self {
@@ -52,7 +52,8 @@
                 &settings.zone,
                 &settings.seeds,
             ),
-            next: rng.number() >> 16,
+            // Some bits are spared, so that counting on from there does not overflow.
+            next_token: rng.number() >> 16,
             incarnation: rng.number(),
             rng,
             holder: String::new(),
@@ -68,194 +69,216 @@
         *self.counters.entry(name).or_default() += 1;
     }
 
-    /// Whom to ask: the holder first, then any node that was not asked for this call.
-    fn pick(&mut self, asked: &[Asked]) -> String {
-        let fresh = |a: &&String| !a.is_empty() && !asked.iter().any(|b| b.node == **a);
-        if fresh(&&self.holder) {
+    /// The node to send a call to: the holder first, then any node that it was not sent to.
+    fn pick_node(&mut self, attempts: &[CallAttempt]) -> String {
+        let is_untried = |node: &&String| {
+            let mut tried = attempts.iter();
+            !node.is_empty() && !tried.any(|attempt| attempt.node == **node)
+        };
+        if is_untried(&&self.holder) {
             return self.holder.clone();
         }
         let nodes = self.peer_sampler.of_role("node");
-        let mut candidates: Vec<String> = nodes.iter().filter(fresh).cloned().collect();
+        let mut candidates: Vec<String> = nodes.iter().filter(is_untried).cloned().collect();
         if candidates.is_empty() {
-            candidates = self.settings.seeds.iter().filter(fresh).cloned().collect();
+            candidates = self
+                .settings
+                .seeds
+                .iter()
+                .filter(is_untried)
+                .cloned()
+                .collect();
         }
-        // Where all were asked, the seeds are asked again.
+        // Where all were tried, a seed is tried again.
         let drawn = self.rng.pick(&candidates);
         let drawn = drawn.or_else(|| self.rng.pick(&self.settings.seeds));
         drawn.cloned().unwrap_or_default()
     }
 
-    fn pass(&mut self, now: Now, token: u64) {
-        let Some(mut o) = self.open.remove(&token) else {
+    /// Forwards a call to a node that it was not sent to yet.
+    fn forward(&mut self, now: Now, token: u64) {
+        let Some(mut open_call) = self.open.remove(&token) else {
             return;
         };
-        let to = self.pick(&o.asked);
-        let attempt = o.asked.len() as u32;
-        o.asked.push(Asked {
+        let to = self.pick_node(&open_call.attempts);
+        let attempt = open_call.attempts.len() as u32;
+        open_call.attempts.push(CallAttempt {
             node: to.clone(),
             refused: false,
         });
-        let pause = if o.is_of_worker() {
+        let retry_after = if open_call.is_of_worker() {
             self.settings.bounds.obey() / WORKER_RETRY_PART
         } else {
             self.settings.bounds.call() / RETRY_PART
         };
-        o.again = o.repeatable().then(|| now.mono + pause);
-        let m = ForwardRequest {
+        open_call.retry_at = open_call.is_repeatable().then_some(now.mono + retry_after);
+        let request = &open_call.request;
+        let forwarded = ForwardRequest {
             token: RequestToken {
                 incarnation: self.incarnation,
                 number: token,
                 attempt,
             },
-            method: o.req.method.clone(),
-            path: o.req.path.clone(),
-            query: o.req.query.clone(),
-            body: o.req.body.clone(),
+            method: request.method.clone(),
+            path: request.path.clone(),
+            query: request.query.clone(),
+            body: request.body.clone(),
         };
-        self.open.insert(token, o);
+        self.open.insert(token, open_call);
         self.count("forwarded");
-        self.out
-            .push(Effect::Send(to, Body::ForwardRequest(Box::new(m))));
+        let body = Body::ForwardRequest(Box::new(forwarded));
+        self.out.push(Effect::Send(to, body));
     }
 
     fn on_tick(&mut self, now: Now) {
-        // It asks for a part of a neighbour's view and gives none: workers' machines are not those to be known.
-        let every = SHUFFLE_FACTOR * self.settings.bounds.shuffle();
-        if let Some((to, mut m)) = self.peer_sampler.tick(now, every, &mut self.rng) {
-            m.view.clear();
-            m.replicas.clear();
-            self.out.push(Effect::Send(to, Body::Shuffle(Box::new(m))));
+        // It receives a part of a peer's view and sends none: no process should connect to workers' machines.
+        let interval_ms = SHUFFLE_FACTOR * self.settings.bounds.shuffle();
+        let started = self.peer_sampler.tick(now, interval_ms, &mut self.rng);
+        if let Some((peer, mut shuffle)) = started {
+            shuffle.view.clear();
+            shuffle.replicas.clear();
+            let body = Body::Shuffle(Box::new(shuffle));
+            self.out.push(Effect::Send(peer, body));
         }
-        for token in self.calls_that(|o| now.mono >= o.until) {
+        for token in self.calls_that(|open_call| now.mono >= open_call.deadline) {
             self.give_up(token);
         }
-        for token in self.calls_that(|o| o.again.is_some_and(|at| now.mono >= at)) {
+        let must_retry = |open_call: &OpenCall| open_call.retry_at.is_some_and(|at| now.mono >= at);
+        for token in self.calls_that(must_retry) {
             self.holder.clear();
-            self.pass(now, token);
+            self.forward(now, token);
         }
         if self.stopping && self.open.is_empty() {
             self.out.push(Effect::Exit);
         }
     }
 
-    /// The open calls of which something is true.
-    fn calls_that(&self, is_meant: impl Fn(&Open) -> bool) -> Vec<u64> {
-        let meant = self.open.iter().filter(|(_, o)| is_meant(o));
+    /// The open calls that meet a condition.
+    fn calls_that(&self, condition: impl Fn(&OpenCall) -> bool) -> Vec<u64> {
+        let open = self.open.iter();
+        let meant = open.filter(|(_, open_call)| condition(open_call));
         meant.map(|(token, _)| *token).collect()
     }
 
-    /// Nobody speaks for the zone scheduler now. A worker that is told so by a refusal comes back after a growing pause, and what it
-    /// runs is not held meanwhile; so it is told that there are no orders and when to heartbeat again. That acknowledges
-    /// nothing: one that says it leaves is refused. Any other call that a node may have taken is unsure.
+    /// Answers a call that no node answered in time.
+    ///
+    /// A worker whose heartbeat is refused comes back after a growing pause, and its lease is not renewed meanwhile. So
+    /// it is answered that there are no orders, and when to send the next heartbeat. That acknowledges nothing, so a
+    /// worker that is leaving is refused. The outcome of any other call that may have had its effect is unknown.
     fn give_up(&mut self, token: u64) {
-        let Some(o) = self.open.remove(&token) else {
+        let Some(open_call) = self.open.remove(&token) else {
             return;
         };
         self.count("given_up");
-        let heartbeat = self.settings.bounds.worker_heartbeat();
-        let v = if o.is_heartbeat() && o.req.query != LEAVING {
+        let heartbeat_ms = self.settings.bounds.worker_heartbeat();
+        let is_leaving = open_call.request.query == LEAVING;
+        let response = if open_call.is_heartbeat() && !is_leaving {
             Response::new(
                 200,
-                json!({"starts": [], "stops": [], "settled": [], "beatMs": heartbeat}),
+                json!({"starts": [], "stops": [], "settled": [], "beatMs": heartbeat_ms}),
             )
-        } else if !o.is_heartbeat() && o.maybe_taken() {
-            unsure(heartbeat)
+        } else if !open_call.is_heartbeat() && open_call.may_have_effect() {
+            unsure(heartbeat_ms)
         } else {
             let why = "no node answered for the cell: call again";
-            Response::error(503, "noCell", why).retry(heartbeat)
+            Response::error(503, "noCell", why).retry(heartbeat_ms)
         };
-        self.out.push(Effect::Answer(o.call, v));
+        self.out.push(Effect::Answer(open_call.call, response));
     }
 
-    fn on_call(&mut self, now: Now, call: u64, req: Request) {
-        match (req.method.as_str(), req.path.as_str()) {
+    fn on_call(&mut self, now: Now, call: u64, request: Request) {
+        match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/live" | "/ready") => {
-                let v = Response::new(200, json!({"ready": true}));
-                self.out.push(Effect::Answer(call, v));
+                let response = Response::new(200, json!({"ready": true}));
+                self.out.push(Effect::Answer(call, response));
             }
             ("GET", "/metrics") => {
-                let v = self.metrics();
-                self.out.push(Effect::Answer(call, v));
+                let response = self.metrics();
+                self.out.push(Effect::Answer(call, response));
             }
-            _ => self.open_call(now, call, req),
+            _ => self.open_call(now, call, request),
         }
     }
 
-    fn open_call(&mut self, now: Now, call: u64, req: Request) {
-        self.next += 1;
-        let token = self.next;
-        let mut o = Open {
+    fn open_call(&mut self, now: Now, call: u64, request: Request) {
+        self.next_token += 1;
+        let token = self.next_token;
+        let mut open_call = OpenCall {
             call,
-            req,
-            until: now.mono + self.settings.bounds.call(),
-            again: None,
-            asked: Vec::new(),
+            request,
+            deadline: now.mono + self.settings.bounds.call(),
+            retry_at: None,
+            attempts: Vec::new(),
         };
-        if o.is_of_worker() {
-            // An answer that takes longer is not obeyed.
-            o.until = now.mono + self.settings.bounds.obey() * 4 / 5;
+        if open_call.is_of_worker() {
+            // The worker would not obey a response that takes longer.
+            open_call.deadline = now.mono + self.settings.bounds.obey() * 4 / 5;
         }
-        self.open.insert(token, o);
-        self.pass(now, token);
+        self.open.insert(token, open_call);
+        self.forward(now, token);
     }
-}
 
-impl WorkerProxy {
-    /// Takes an answer from the node that was asked, for the call that it was asked for.
-    fn on_forwarded(&mut self, now: Now, from: &str, m: ForwardResponse) {
-        let token = m.token.number;
-        let attempt = self
-            .open
-            .get_mut(&token)
-            .filter(|_| m.token.incarnation == self.incarnation)
-            .and_then(|o| o.asked.get_mut(m.token.attempt as usize))
+    /// Takes the response of a node to a call that was forwarded to it.
+    fn on_forward_response(&mut self, now: Now, from: &str, forwarded: ForwardResponse) {
+        let RequestToken {
+            number: token,
+            incarnation,
+            attempt: index,
+        } = forwarded.token;
+        let open_call = self.open.get_mut(&token);
+        let attempt = open_call
+            .filter(|_| incarnation == self.incarnation)
+            .and_then(|open_call| open_call.attempts.get_mut(index as usize))
             .filter(|attempt| attempt.node == from);
         let Some(attempt) = attempt else {
             return self.count("responses_unexpected");
         };
-        let body: Value = serde_json::from_slice(&m.body).unwrap_or_default();
-        let refused = m.status == 503 && body["error"] != json!("unsure");
+        let body: Value = serde_json::from_slice(&forwarded.body).unwrap_or_default();
+        let unavailable = forwarded.status == 503;
+        let refused = unavailable && body["error"] != json!("unsure");
         attempt.refused = refused;
-        let again = self.open.get(&token).is_some_and(Open::repeatable);
-        if refused || (m.status == 503 && again) {
-            return self.try_another(now, token, from, m.by);
+        let repeatable = self.open.get(&token).is_some_and(OpenCall::is_repeatable);
+        if refused || (unavailable && repeatable) {
+            return self.try_another(now, token, from, forwarded.by);
         }
-        let Some(o) = self.open.remove(&token) else {
+        let Some(open_call) = self.open.remove(&token) else {
             return;
         };
-        if m.status == 200 {
-            self.holder = if m.by.is_empty() { from.into() } else { m.by };
+        if forwarded.status == 200 {
+            let named = forwarded.by;
+            self.holder = if named.is_empty() { from.into() } else { named };
         }
-        let v = if (400..500).contains(&m.status) && o.maybe_taken_elsewhere(m.token.attempt) {
+        let rejected = (400..500).contains(&forwarded.status);
+        let response = if rejected && open_call.may_have_effect_elsewhere(index) {
             unsure(self.settings.bounds.worker_heartbeat())
         } else {
             Response {
-                status: m.status,
-                retry_ms: m.retry_ms,
+                status: forwarded.status,
+                retry_ms: forwarded.retry_ms,
                 body,
                 ..Response::default()
             }
         };
-        self.out.push(Effect::Answer(o.call, v));
+        self.out.push(Effect::Answer(open_call.call, response));
     }
 
-    /// A node is not the holder, which it may name, or can't speak for the zone scheduler now: another may be able to.
+    /// Sends a call to another node: this one is not the holder, which it may name, or can't act for the zone now.
     fn try_another(&mut self, now: Now, token: u64, from: &str, by: String) {
         let named = !by.is_empty() && by != from;
         self.holder = if named { by } else { String::new() };
-        let Some(o) = self.open.get_mut(&token) else {
+        let Some(open_call) = self.open.get_mut(&token) else {
             return;
         };
-        if named && !o.was_asked(&self.holder) {
-            return self.pass(now, token);
+        if named && !open_call.was_sent_to(&self.holder) {
+            return self.forward(now, token);
         }
         let soon = now.mono + self.settings.bounds.tick();
-        let at = o.again.map_or(soon, |again| again.min(soon));
-        o.again = Some(at.max(now.mono + 1));
+        let retry_at = open_call.retry_at.map_or(soon, |at| at.min(soon));
+        open_call.retry_at = Some(retry_at.max(now.mono + 1));
     }
 }
 
-/// A node may have taken a call and gave no answer.
+/// The response to a call that may have had its effect.
 fn unsure(retry_ms: u64) -> Response {
     let why = "it is not known whether this was taken: look, then call again";
     Response::error(503, "unsure", why).retry(retry_ms)
@@ -265,12 +288,15 @@
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
-            Msg::Call(call, req) => self.on_call(now, call, req),
-            Msg::Wire(_, Body::Shuffle(m)) => {
-                let _ = self.peer_sampler.take(*m, &mut self.rng);
+            Msg::Call(call, request) => self.on_call(now, call, request),
+            Msg::Wire(_, Body::Shuffle(shuffle)) => {
+                // Its own view is not sent back.
+                let _ = self.peer_sampler.take(*shuffle, &mut self.rng);
+            }
+            Msg::Wire(from, Body::ForwardResponse(forwarded)) => {
+                self.on_forward_response(now, &from, *forwarded)
             }
-            Msg::Wire(from, Body::ForwardResponse(m)) => self.on_forwarded(now, &from, *m),
-            Msg::SettingsChanged(new) => self.settings = *new,
+            Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => self.stopping = true,
             Msg::Wire(..) | Msg::Persisted(_) | Msg::DiskFailed(_) => {}
         }
@@ -281,7 +307,7 @@
         let mut all: Vec<(String, u64)> = self
             .counters
             .iter()
-            .map(|(k, v)| (k.to_string(), *v))
+            .map(|(name, number)| (name.to_string(), *number))
             .collect();
         all.push(("calls_open".into(), self.open.len() as u64));
         all.push(("view_size".into(), self.peer_sampler.len() as u64));
--- a/landingdrift/src/worker_proxy/repeat.rs
+++ b/landingdrift/src/worker_proxy/repeat.rs
@@ -1,12 +1,12 @@
-//! Which calls may be sent a second time when no answer came to the first.
+//! Which calls may be sent again when no response came.
 
-/// The calls that two copies of do no more than one: they change nothing, or carry an identity by which a copy is
-/// known. Every other call goes out at most once, and silence leaves it unsure.
+/// Whether a call is idempotent: it changes nothing, or carries an identity by which a copy is recognised. Any other call
+/// is sent at most once, and its outcome is unknown if no response comes.
 pub fn may_repeat(method: &str, path: &str, query: &str) -> bool {
-    let identified = || query.split('&').any(|kv| kv.starts_with("change="));
+    let has_identity = || query.split('&').any(|param| param.starts_with("change="));
     match (method, path) {
         ("GET", _) | ("POST", "/v1/beats" | "/v1/jobs") => true,
-        ("PUT" | "PATCH", "/v1/desired") => identified(),
+        ("PUT" | "PATCH", "/v1/desired") => has_identity(),
         ("POST", path) => path.starts_with("/v1/workers/") && path.ends_with("/left"),
         _ => false,
     }
--- a/landingdrift/tests/stored/mod.rs
+++ b/landingdrift/tests/stored/mod.rs
@@ -6,7 +6,7 @@
 
 use landingdrift::disk::DataFolder;
 use landingdrift::node::Node;
-use landingdrift::replay::{Day, Line};
+use landingdrift::replay::{RecordedEntry, Recording};
 use landingdrift::sans_io::{Effect, HardState, Msg, Now, Part, Request, Snapshot, WriteBatch};
 use landingdrift::settings::{Bounds, Hopper, Limits, Settings};
 use landingdrift::state::{ClusterState, Command, ProposalId};
@@ -42,9 +42,9 @@
 }
 
 /// The recording that is a fixture.
-pub fn recording(name: &str) -> Day {
+pub fn recording(name: &str) -> Recording {
     let path = fixture(name);
-    Day::read(path.to_str().expect("a path in UTF-8")).expect("a recording that can be read")
+    Recording::read(path.to_str().expect("a path in UTF-8")).expect("a recording that can be read")
 }
 
 /// A folder of the test's own, empty.
@@ -56,7 +56,7 @@
 }
 
 /// What the log leases of a recorded line.
-pub fn entry(line: &Line) -> Entry {
+pub fn entry(line: &RecordedEntry) -> Entry {
     Entry {
         index: line.log_index,
         term: term(line.log_index),
@@ -93,14 +93,14 @@
 }
 
 /// How many of the lines come before the snapshot.
-pub fn before_snapshot(day: &Day) -> usize {
-    day.lines.len() - ENTRIES_AFTER_SNAPSHOT
+pub fn before_snapshot(recording: &Recording) -> usize {
+    recording.entries.len() - ENTRIES_AFTER_SNAPSHOT
 }
 
 /// The snapshot in the folder.
-pub fn snapshot(day: &Day) -> Snapshot {
-    let mut state = day.start.clone();
-    for line in &day.lines[..before_snapshot(day)] {
+pub fn snapshot(recording: &Recording) -> Snapshot {
+    let mut state = recording.start.clone();
+    for line in &recording.entries[..before_snapshot(recording)] {
         let _ = state.apply(line.log_index, line.at, &line.entry);
     }
     Snapshot {
@@ -110,8 +110,8 @@
     }
 }
 
-/// Writes a log without a snapshot, and the entries of a day in it.
-pub fn write_log(path: &Path, lines: &[Line]) -> DataFolder {
+/// Writes a log without a snapshot, and the entries of a recording in it.
+pub fn write_log(path: &Path, lines: &[RecordedEntry]) -> DataFolder {
     let (mut folder, _) =
         DataFolder::open(path, CLUSTER, SEGMENT_BYTES, DISK).expect("a new folder");
     let first = WriteBatch {
@@ -125,18 +125,18 @@
 }
 
 /// Writes the whole folder: a log, a snapshot of it, and some entries after that.
-pub fn write_folder(path: &Path, day: &Day) {
-    let (before, after) = day.lines.split_at(before_snapshot(day));
+pub fn write_folder(path: &Path, recording: &Recording) {
+    let (before, after) = recording.entries.split_at(before_snapshot(recording));
     let mut folder = write_log(path, before);
     let save = WriteBatch {
-        snapshot: Some(snapshot(day)),
+        snapshot: Some(snapshot(recording)),
         ..WriteBatch::default()
     };
     folder.save(&[save]).expect("saved");
     save_entries(&mut folder, after);
 }
 
-fn save_entries(folder: &mut DataFolder, lines: &[Line]) {
+fn save_entries(folder: &mut DataFolder, lines: &[RecordedEntry]) {
     for batch in lines.chunks(BATCH) {
         let save = WriteBatch {
             entries: batch.iter().map(entry).collect(),
@@ -153,12 +153,12 @@
 }
 
 /// A recording that begins with a cluster state and goes no further. JSON has no keys such as those of the orders.
-pub fn recording_of(state: &ClusterState) -> Day {
+pub fn recording_of(state: &ClusterState) -> Recording {
     let mut start = state.clone();
     start.orders.clear();
-    Day {
+    Recording {
         start,
-        lines: Vec::new(),
+        entries: Vec::new(),
     }
 }
 
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -11,7 +11,7 @@
 mod stored;
 
 use landingdrift::disk::{read_whole, verify, DataFolder};
-use landingdrift::replay::Day;
+use landingdrift::replay::Recording;
 use landingdrift::settings::Settings;
 use landingdrift::state::pack::{pack, unpack};
 use landingdrift::state::{AttemptState, ClusterState, Command, JobState, STATE_VERSION};
@@ -63,10 +63,10 @@
 fn write_the_fixtures() {
     let history = History::whole();
     let log = stored::scratch("log");
-    let lines: Vec<landingdrift::replay::Line> = history
+    let lines: Vec<landingdrift::replay::RecordedEntry> = history
         .entries
         .into_iter()
-        .map(|entry| landingdrift::replay::Line {
+        .map(|entry| landingdrift::replay::RecordedEntry {
             log_index: entry.log_index,
             at: entry.at,
             entry: entry.command,
@@ -74,10 +74,10 @@
         })
         .collect();
     drop(stored::write_log(&log, &lines));
-    let day = Day::state(&log).expect("a sound folder");
-    assert_eq!(day.end(), history.state);
+    let recording = Recording::of_folder(&log).expect("a sound folder");
+    assert_eq!(recording.end(), history.state);
     fs::create_dir_all(fixture("wire")).expect("made");
-    fs::write(fixture(LOG), day.text()).expect("written");
+    fs::write(fixture(LOG), recording.text()).expect("written");
     let state = stored::recording_of(&history.state);
     fs::write(fixture(STATE), state.text()).expect("written");
     fs::write(fixture(RECORD), history.state.pack()).expect("written");
@@ -99,7 +99,7 @@
         fs::write(fixture(&file), envelope).expect("written");
     }
     let folder = stored::scratch("folder");
-    stored::write_folder(&folder, &day);
+    stored::write_folder(&folder, &recording);
     fs::create_dir_all(fixture(FOLDER)).expect("made");
     for (name, bytes) in files(&folder) {
         fs::write(fixture(FOLDER).join(name), bytes).expect("written");
@@ -225,13 +225,13 @@
 
 #[test]
 fn a_recording_is_read_and_written_as_it_was_and_decided_alike() {
-    let day = stored::recording(LOG);
-    assert_eq!(day.text(), stored::text(LOG));
-    assert_eq!(day.differences(), Vec::new());
+    let recording = stored::recording(LOG);
+    assert_eq!(recording.text(), stored::text(LOG));
+    assert_eq!(recording.differences(), Vec::new());
     let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
-    assert_eq!(day.end(), state);
-    let kinds: BTreeSet<usize> = day
-        .lines
+    assert_eq!(recording.end(), state);
+    let kinds: BTreeSet<usize> = recording
+        .entries
         .iter()
         .flat_map(|line| [stored::kind(&line.entry), stored::kind(line.entry.action())])
         .collect();
@@ -240,7 +240,7 @@
 
 #[test]
 fn the_entries_of_a_data_folder_are_those_of_the_recording() {
-    let day = stored::recording(LOG);
+    let recording = stored::recording(LOG);
     let (cluster, loaded) = read_whole(&fixture(FOLDER)).expect("a sound folder");
     assert_eq!((cluster.as_str(), loaded.disk), (stored::CLUSTER, 77));
     assert_eq!(
@@ -253,10 +253,10 @@
     );
     assert!(!loaded.damaged);
     let snapshot = loaded.snapshot.expect("a snapshot");
-    assert_eq!(snapshot, stored::snapshot(&day));
+    assert_eq!(snapshot, stored::snapshot(&recording));
     let after = loaded.entries.iter().filter(|e| e.index > snapshot.index);
     let after: Vec<_> = after.cloned().collect();
-    let lines = &day.lines[stored::before_snapshot(&day)..];
+    let lines = &recording.entries[stored::before_snapshot(&recording)..];
     assert_eq!(after, lines.iter().map(stored::entry).collect::<Vec<_>>());
     for (entry, line) in after.iter().zip(lines) {
         let command = Command::unpack(&entry.command).expect("a command");
