--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings of a process, from a file and from flags, checked as a whole.
+//! The settings of a process, from a file and from flags, checked as a whole. Names that end in `_ms` are in
+//! milliseconds, in `_bytes` in bytes.
 
 mod bounds;
 mod check;
@@ -9,29 +10,29 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Limits on what is held and taken.
+/// Limits on what a cluster stores and accepts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The largest body of a job.
+    /// The largest job, in bytes.
     pub job_bytes: u64,
-    /// The largest configuration.
+    /// The largest configuration, in bytes.
     #[serde(rename = "desired_bytes")]
     pub config_bytes: u64,
-    /// Unfinished jobs in the whole system.
+    /// The most unfinished jobs in the cluster.
     pub open_jobs: u64,
-    /// Calls that one node works on at once.
+    /// The most calls that one node works on at once.
     pub calls: u64,
-    /// How long a finished job is kept in full.
+    /// How long a finished job is kept in full, in milliseconds.
     pub retain_ms: u64,
-    /// How long a finished job's identity is kept after that.
+    /// How long a finished job's identity is kept after that, in milliseconds, so that a late copy of it is recognised.
     pub identity_ms: u64,
-    /// Entries between two snapshots.
+    /// The number of entries between two snapshots.
     #[serde(rename = "capture_every")]
     pub snapshot_every: u64,
-    /// Bytes of entries that a replica keeps in memory; a snapshot is taken after half of it.
+    /// How many bytes of entries a replica keeps in memory; a snapshot is taken after half of them.
     pub log_bytes: u64,
-    /// Size at which a log segment is closed.
+    /// The size at which a log segment is closed, in bytes.
     pub segment_bytes: u64,
 }
 
@@ -51,19 +52,19 @@
     }
 }
 
-/// Free values of admission.
+/// The parameters of scheduling, as Hopper names them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Hopper {
-    /// Reservations per waiting task.
+    /// The number of reservations for each waiting task.
     pub probe_ratio: u32,
-    /// Refusals after which an offer can't be refused.
+    /// The number of refusals after which the next offer of a slot can't be refused.
     pub refusals: u32,
-    /// ε of the fairness floor.
+    /// ε of the fairness guarantee: each job gets at least 1 - ε of its fair share.
     pub epsilon: f64,
-    /// Share of the smallest jobs among which a local one may go first.
+    /// The share of the smallest jobs, from 0 to 1, among which one with its data near goes first.
     pub locality: f64,
-    /// A running attempt is slow when it has run this many times the median of its queue.
+    /// An attempt is slow when it has run for this many times the median of its queue.
     pub slow_factor: f64,
 }
 
@@ -83,30 +84,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Processes of different clusters don't talk.
+    /// The name of the cluster: processes of different clusters ignore each other.
     pub cluster: String,
-    /// Address for the system's own processes; it is also this process's name.
+    /// The address for the cluster's other processes; it is also this process's name.
     pub listen: String,
-    /// Address for callers, workers and operators.
+    /// The address for callers, workers and operators.
     pub http: String,
+    /// The zone of this machine.
     pub zone: String,
-    /// Addresses of other processes to start from.
+    /// The addresses of other processes to start from.
     pub seeds: Vec<String>,
     /// The first replicas of a new cluster; the seeds when left empty.
     pub founders: Vec<String>,
-    /// This replica founds nothing: it asks to be let in by replicas that there are. An empty disk of a cluster that runs.
+    /// This replica founds no cluster: it asks the replicas of a running one to join. For an empty disk.
     pub join_only: bool,
-    /// How many replicas vote: 2f+1 where f machines may be lost at once. Further ones are standbys.
+    /// How many replicas vote: 2f+1 if f machines may be lost at once. Further ones are standbys.
     pub voters: u32,
-    /// This replica does not vote as long as others can: its loss is not counted on.
+    /// This replica does not vote as long as enough others can: its machine does not count among those that may be lost.
     pub standby_only: bool,
-    /// The share of a core that this process may use, in thousandths; leases go where there is more of it.
+    /// The CPU that this process may use, in thousandths of a core; leases are rather granted where there is more.
     pub share: u32,
-    /// A replica stands on the same machine: leases rather go elsewhere, so that one loss does not hit both.
+    /// A replica runs on the same machine: leases are rather granted elsewhere, so that one loss does not hit both.
     pub beside_core: bool,
-    /// The data folder of a core.
+    /// The data folder of a replica.
     pub data: String,
-    /// `error`, `warn`, `info` or `debug`.
+    /// The log level: `error`, `warn`, `info` or `debug`.
     pub log: String,
     pub bounds: Bounds,
     pub limits: Limits,
@@ -147,7 +149,9 @@
             self.founders.clone()
         }
     }
-    /// The settings with those of `new` that can change while the process runs; the names of the others that differ.
+
+    /// These settings, with those of `new` that can change while the process runs; and the names of those that differ but
+    /// can't change.
     pub fn take_live(&self, new: &Settings) -> (Settings, Vec<&'static str>) {
         let fixed = [
             ("cluster", self.cluster != new.cluster),
@@ -163,7 +167,7 @@
             ("beside_core", self.beside_core != new.beside_core),
             ("data", self.data != new.data),
         ];
-        let live = Settings {
+        let updated = Settings {
             log: new.log.clone(),
             bounds: new.bounds.clone(),
             limits: new.limits.clone(),
@@ -171,6 +175,6 @@
             ..self.clone()
         };
         let differing = fixed.into_iter().filter(|(_, differs)| *differs);
-        (live, differing.map(|(name, _)| name).collect())
+        (updated, differing.map(|(name, _)| name).collect())
     }
 }
--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -1,11 +1,11 @@
-//! Settings as a process reads them: from a file and from flags, which win.
+//! Reads settings from a file and from flags, which take precedence.
 
 use super::check::check;
 use super::Settings;
 use std::ffi::OsString;
 use std::fmt;
 
-/// Flags that override the settings file, with what they set.
+/// The flags that override the settings file, each with its help.
 pub const FLAGS: &[(&str, &str)] = &[
     ("settings", "FILE  read settings from this TOML file"),
     ("cluster", "NAME  name of the cluster"),
@@ -41,24 +41,24 @@
 }
 
 impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Flag(why) => write!(f, "{why}: see --help for the flags"),
-            Self::File { file, why } => write!(f, "settings file '{file}' can't be read ({why}): correct --settings or the file's rights"),
-            Self::Text { file, why } => write!(f, "settings file '{file}' is wrong: {why}; docs/operators/settings.md lists all settings"),
-            Self::Value { setting, remedy } => write!(f, "setting '{setting}': {remedy}"),
+            Self::Flag(why) => write!(formatter, "{why}: see --help for the flags"),
+            Self::File { file, why } => write!(formatter, "settings file '{file}' can't be read ({why}): correct --settings or the file's rights"),
+            Self::Text { file, why } => write!(formatter, "settings file '{file}' is wrong: {why}; docs/operators/settings.md lists all settings"),
+            Self::Value { setting, remedy } => write!(formatter, "setting '{setting}': {remedy}"),
         }
     }
 }
 
-/// What the words after a role's name ask for.
-pub struct Asked {
+/// The parsed command line after a role's name.
+pub struct ParsedArguments {
     pub settings: Settings,
     pub check_only: bool,
     pub help: bool,
 }
 
-/// What the words say, before the file is read.
+/// The flags, before the file is read.
 #[derive(Default)]
 struct Flags {
     check_only: bool,
@@ -72,8 +72,11 @@
     value: String,
 }
 
-/// Reads the words after a role's name; flags win over the file.
-pub fn from_arguments(arguments: Vec<OsString>, replica: bool) -> Result<Asked, SettingsError> {
+/// Parses the command line after a role's name; flags take precedence over the file.
+pub fn from_arguments(
+    arguments: Vec<OsString>,
+    is_replica: bool,
+) -> Result<ParsedArguments, SettingsError> {
     let flags = read_flags(arguments)?;
     let mut last_first = flags.given.iter().rev();
     let file = last_first.find(|flag| flag.name == "settings");
@@ -85,9 +88,9 @@
         override_by(&mut settings, flag);
     }
     if !flags.help {
-        check(&settings, replica)?;
+        check(&settings, is_replica)?;
     }
-    Ok(Asked {
+    Ok(ParsedArguments {
         settings,
         check_only: flags.check_only,
         help: flags.help,
@@ -95,7 +98,7 @@
 }
 
 fn read_flags(arguments: Vec<OsString>) -> Result<Flags, SettingsError> {
-    let wrong = |e: lexopt::Error| SettingsError::Flag(e.to_string());
+    let wrong = |why: lexopt::Error| SettingsError::Flag(why.to_string());
     let is_known = |name: &str| FLAGS.iter().any(|(flag, _)| *flag == name);
     let mut flags = Flags::default();
     let mut parser = lexopt::Parser::from_args(arguments);
@@ -118,17 +121,17 @@
 }
 
 fn read_file(file: &str) -> Result<Settings, SettingsError> {
-    let text = std::fs::read_to_string(file).map_err(|e| SettingsError::File {
+    let text = std::fs::read_to_string(file).map_err(|why| SettingsError::File {
         file: file.to_string(),
-        why: e.to_string(),
+        why: why.to_string(),
     })?;
-    toml::from_str(&text).map_err(|e| SettingsError::Text {
+    toml::from_str(&text).map_err(|why| SettingsError::Text {
         file: file.to_string(),
-        why: e.to_string().trim().replace('\n', " "),
+        why: why.to_string().trim().replace('\n', " "),
     })
 }
 
-/// Sets what a flag says.
+/// Overrides the setting that a flag names.
 fn override_by(settings: &mut Settings, flag: &GivenFlag) {
     let value = flag.value.clone();
     match flag.name.as_str() {
