--- a/landingdrift/tests/cell_desk/mod.rs
+++ b/landingdrift/tests/node_harness/mod.rs
@@ -1,4 +1,4 @@
-//! A node that holds a zone scheduler and owns a queue; the tests are its workers, its replicas and its clock.
+//! A node that holds the leases of a zone and a queue; the tests play its workers, its replicas and its clock.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -14,13 +14,15 @@
 
 pub const NODE: &str = "10.0.0.1:1";
 
-pub const CORE: &str = "10.0.0.2:1";
+pub const REPLICA: &str = "10.0.0.2:1";
 
-/// A node that holds the zone scheduler of zone `z` and owns queue `q`, with one worker.
-pub struct Desk {
-    pub r: ClusterState,
-    pub n: Node,
-    pub t: u64,
+/// A node that holds the leases of zone `z` and queue `q`, with one worker.
+pub struct NodeHarness {
+    /// The cluster state as the replicas have it.
+    pub state: ClusterState,
+    pub node: Node,
+    pub elapsed_ms: u64,
+    /// The number of the last call.
     pub call: u64,
 }
 
@@ -35,13 +37,13 @@
     }
 }
 
-impl Desk {
+impl NodeHarness {
     pub fn new() -> Self {
         let settings = Settings {
             listen: NODE.into(),
             http: NODE.into(),
             zone: "z".into(),
-            seeds: vec![CORE.into()],
+            seeds: vec![REPLICA.into()],
             bounds: Bounds {
                 lease_ms: 6000,
                 ..Bounds::default()
@@ -49,25 +51,25 @@
             ..Settings::default()
         };
         let now = Now { mono: 1, wall: 1 };
-        let mut d = Self {
-            r: ClusterState::new(&settings.cluster),
-            n: Node::new(settings, now, 1),
-            t: 1,
+        let mut harness = Self {
+            state: ClusterState::new(&settings.cluster),
+            node: Node::new(settings, now, 1),
+            elapsed_ms: 1,
             call: 0,
         };
-        d.enter(Command::RegisterNode {
+        harness.append(Command::RegisterNode {
             node: NODE.into(),
             zone: "z".into(),
             http: NODE.into(),
         });
         for lease in ["cell/z", "queue/q"] {
-            d.enter(Command::GrantLease {
+            harness.append(Command::GrantLease {
                 lease: lease.into(),
                 holder: NODE.into(),
                 from_epoch: 0,
             });
         }
-        d.enter(Command::UpdateConfig {
+        harness.append(Command::UpdateConfig {
             change: "c".into(),
             base: 0,
             patch: false,
@@ -75,55 +77,56 @@
             value: json!({"queues": {"q": {"tries": 3, "quota": 9, "windowMs": 1000, "unsureBoundMs": 1000, "speculationPercent": 0}},
                 "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
         });
-        d.enter(Command::UpdateWorker {
+        harness.append(Command::UpdateWorker {
             info: info(),
             zone_epoch: 1,
         });
-        d
+        harness
     }
 
-    pub fn enter(&mut self, c: Command) {
-        let index = self.r.applied_index + 1;
-        self.r
-            .apply(index, 1000 + self.t, &c)
-            .unwrap_or_else(|e| panic!("{c:?}: {e}"));
+    /// Appends a command to the log and applies it; it must not be rejected.
+    pub fn append(&mut self, command: Command) {
+        let index = self.state.applied_index + 1;
+        self.state
+            .apply(index, 1000 + self.elapsed_ms, &command)
+            .unwrap_or_else(|rejection| panic!("{command:?}: {rejection}"));
     }
 
     pub fn now(&self) -> Now {
         Now {
-            mono: self.t,
-            wall: 1000 + self.t,
+            mono: self.elapsed_ms,
+            wall: 1000 + self.elapsed_ms,
         }
     }
 
-    /// The node follows to where the cluster state is.
+    /// Lets the node catch up with the cluster state.
     pub fn follow(&mut self) -> Vec<Effect> {
         let batch = WatchBatch {
-            replica: CORE.into(),
-            leader: CORE.into(),
+            replica: REPLICA.into(),
+            leader: REPLICA.into(),
             ok: true,
-            sent: self.t,
+            sent: self.elapsed_ms,
             quorum_age: 0,
-            clock: 1000 + self.t,
-            commit: self.r.applied_index,
-            snapshot: self.r.pack(),
-            snapshot_index: self.r.applied_index,
+            clock: 1000 + self.elapsed_ms,
+            commit: self.state.applied_index,
+            snapshot: self.state.pack(),
+            snapshot_index: self.state.applied_index,
             entries: Vec::new(),
-            replicas: vec![CORE.into()],
+            replicas: vec![REPLICA.into()],
             light: false,
-            reached: self.r.applied_index,
+            reached: self.state.applied_index,
         };
         let now = self.now();
-        self.n.step(
+        self.node.step(
             now,
-            Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(batch))),
+            Msg::Wire(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
         )
     }
 
-    /// A job of one step of so many tasks.
+    /// Accepts a job of one step with so many tasks.
     pub fn accept(&mut self, id: &str, count: u32) {
-        let seen = self.r.applied_index;
-        self.enter(Command::AcceptJob {
+        let seen = self.state.applied_index;
+        self.append(Command::AcceptJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
@@ -143,10 +146,10 @@
         });
     }
 
-    /// A job of one task, and a run of it on the worker.
-    pub fn started(&mut self) {
+    /// Accepts a job of one task, and places it on the worker.
+    pub fn start_job(&mut self) {
         self.accept("j", 1);
-        self.enter(Command::StartAttempts {
+        self.append(Command::StartAttempts {
             job: "j".into(),
             owner_epoch: 2,
             placements: vec![Placement {
@@ -160,7 +163,7 @@
         self.follow();
     }
 
-    /// A heartbeat of the worker; the answer, and what was proposed with it.
+    /// Sends a heartbeat of the worker; returns the response, and what was proposed because of it.
     pub fn heartbeat(&mut self, sequence: u64, running: bool) -> (Option<Response>, Vec<Command>) {
         let name = RunName {
             job: "j".into(),
@@ -179,39 +182,41 @@
             ..Heartbeat::default()
         };
         self.call += 1;
-        let req = Request {
+        let request = Request {
             method: "POST".into(),
             path: "/v1/beats".into(),
             body: serde_json::to_vec(&heartbeat).expect("JSON"),
             ..Request::default()
         };
         let now = self.now();
-        said(self.n.step(now, Msg::Call(self.call, req)))
+        response_and_proposals(self.node.step(now, Msg::Call(self.call, request)))
     }
 }
 
-pub fn said(effects: Vec<Effect>) -> (Option<Response>, Vec<Command>) {
-    let mut answer = None;
+/// The response among some effects, and the commands that were proposed.
+pub fn response_and_proposals(effects: Vec<Effect>) -> (Option<Response>, Vec<Command>) {
+    let mut response = None;
     let mut proposed = Vec::new();
-    for e in effects {
-        match e {
-            Effect::Answer(_, v) => answer = Some(v),
-            Effect::Send(_, Body::ProposeRequest(p)) => {
-                proposed.push(Command::unpack(&p.command).expect("a command"))
+    for effect in effects {
+        match effect {
+            Effect::Answer(_, answer) => response = Some(answer),
+            Effect::Send(_, Body::ProposeRequest(request)) => {
+                proposed.push(Command::unpack(&request.command).expect("a command"))
             }
             _ => {}
         }
     }
-    (answer, proposed)
+    (response, proposed)
 }
 
-pub fn voids(of: &[Command]) -> Vec<EndReport> {
-    of.iter()
-        .filter_map(|c| match c {
-            Command::ReportAttempts { ends, .. } => Some(ends.clone()),
-            _ => None,
-        })
-        .flatten()
-        .filter(|e| e.outcome == Outcome::NeverStarted)
-        .collect()
+/// The ends of attempts that were never started, as some commands report them.
+pub fn never_started(commands: &[Command]) -> Vec<EndReport> {
+    let mut never_started = Vec::new();
+    for command in commands {
+        if let Command::ReportAttempts { ends, .. } = command {
+            let ends = ends.iter().cloned();
+            never_started.extend(ends.filter(|end| end.outcome == Outcome::NeverStarted));
+        }
+    }
+    never_started
 }
