--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -8,6 +8,7 @@
 
 mod heartbeats;
 mod lease_expiry;
+mod offer_round;
 mod offers;
 mod orders;
 mod reservations;
@@ -21,7 +22,7 @@
 use crate::sans_io::Now;
 use crate::state::Resources;
 use crate::wire::Reservation;
-use offers::{OfferRound, PromisedResources};
+use offer_round::{OfferRound, PromisedResources};
 use std::collections::BTreeMap;
 
 /// What the name of a zone scheduler's lease begins with; the zone follows.
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -1,79 +1,16 @@
 //! Offers: each free slot is offered to the schedulers that have reserved it. Hopper's worker side.
 
-use super::targets::{next_target, Target};
+use super::offer_round::{OfferRound, PromisedResources};
+use super::targets::next_target;
 use super::WorkerState;
 use crate::node::Node;
 use crate::sans_io::Now;
 use crate::state::Resources;
-use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken, Sizes};
-use std::collections::BTreeSet;
-
-/// Resources promised to an accepted offer.
-pub(super) struct PromisedResources {
-    offer: RequestToken,
-    scheduler: String,
-    job: String,
-    resources: Resources,
-    until: u64,
-}
-
-/// One free slot that is offered to one scheduler after another, until one accepts it.
-pub(super) struct OfferRound {
-    token: u64,
-    started_at: u64,
-    pub(super) refusals: u32,
-    /// The schedulers that the slot was offered to.
-    pub(super) asked: BTreeSet<String>,
-    /// The offer that is under way, its scheduler and its job.
-    offer: RequestToken,
-    scheduler: String,
-    job: String,
-    /// The smallest unsatisfied job that a refusal named.
-    pub(super) unsatisfied: Option<Sizes>,
-    /// The offer that is under way can't be refused for fairness: it is the last of this round.
-    is_last: bool,
-}
+use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken};
 
 /// The resources of an accepted offer stay promised for so many offer timeouts: its start may take as long.
 const PROMISE_OFFER_TIMEOUTS: u64 = 2;
 
-impl OfferRound {
-    fn new(token: u64, started_at: u64) -> Self {
-        Self {
-            token,
-            started_at,
-            refusals: 0,
-            asked: BTreeSet::new(),
-            offer: RequestToken::default(),
-            scheduler: String::new(),
-            job: String::new(),
-            unsatisfied: None,
-            is_last: false,
-        }
-    }
-
-    /// Records the offer that is sent now.
-    fn record_offer(&mut self, offer: RequestToken, target: &Target) {
-        self.offer = offer;
-        self.is_last = !target.refusable;
-        self.job = target.job.clone();
-        self.scheduler = target.scheduler.clone();
-        self.asked.insert(target.scheduler.clone());
-    }
-
-    /// Keeps the smallest unsatisfied job of those that a refusal names, if it is smaller than the one kept before.
-    fn keep_smallest(&mut self, sizes: &[Sizes]) {
-        let unsatisfied = sizes.iter().filter(|sizes| sizes.unsatisfied);
-        let Some(smallest) = unsatisfied.min_by(|a, b| a.size.total_cmp(&b.size)) else {
-            return;
-        };
-        let kept = self.unsatisfied.as_ref();
-        if kept.is_none_or(|kept| smallest.size < kept.size) {
-            self.unsatisfied = Some(smallest.clone());
-        }
-    }
-}
-
 /// A worker and the zone scheduler of this node that it belongs to.
 struct ZoneWorker {
     zone: String,
--- a/landingdrift/src/node/zone_scheduler/targets.rs
+++ b/landingdrift/src/node/zone_scheduler/targets.rs
@@ -1,6 +1,6 @@
 //! The order in which a free slot is offered. Hopper's order, where the last target is drawn by the jobs' sizes.
 
-use super::offers::OfferRound;
+use super::offer_round::OfferRound;
 use crate::settings::Hopper;
 use crate::wire::Reservation;
 use std::cmp::Ordering;
