--- a/landingdrift/src/config/check.rs
+++ b/landingdrift/src/config/check.rs
@@ -5,9 +5,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigError {
     /// A field is unknown or of the wrong type.
-    Shape { path: String, why: String },
+    Shape {
+        /// The path of the field at fault.
+        path: String,
+        /// What is wrong with it.
+        why: String,
+    },
     /// A value is out of its range or contradicts another.
-    Value { path: String, remedy: String },
+    Value {
+        /// The path of the field at fault.
+        path: String,
+        /// What to do about it.
+        remedy: String,
+    },
 }
 
 impl ConfigError {
--- a/landingdrift/src/config/mod.rs
+++ b/landingdrift/src/config/mod.rs
@@ -12,10 +12,13 @@
 #[derive(Clone, PartialEq, prost::Message, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 pub struct ClusterConfig {
+    /// The queues by name.
     #[prost(btree_map = "string, message", tag = "1")]
     pub queues: BTreeMap<String, Queue>,
+    /// The services by name.
     #[prost(btree_map = "string, message", tag = "2")]
     pub services: BTreeMap<String, Service>,
+    /// The zones by name.
     #[prost(btree_map = "string, message", tag = "3")]
     pub zones: BTreeMap<String, Zone>,
     /// Free text that travels with the configuration.
@@ -62,6 +65,7 @@
     /// Jobs handed in for this host, at a path that begins with the prefix, belong to the queue.
     #[prost(string, tag = "10")]
     pub host: String,
+    /// The path prefix of its requests; the longest that fits wins.
     #[prost(string, tag = "11")]
     pub prefix: String,
     /// A promise that grows with the job: so many times its longest chain of work, beside `finishWithinMs`.
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -24,6 +24,7 @@
 /// What the leader knows of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observed {
+    /// Whether it can be relied on.
     pub health: Health,
     /// Its log reaches (nearly) the commit index, so that promoting it delays no commit.
     pub caught_up: bool,
@@ -34,7 +35,9 @@
 /// A replica that asks to be admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JoinRequest {
+    /// Its disk.
     pub disk: u64,
+    /// Its zone.
     pub zone: String,
     /// It is not to vote as long as others can.
     pub standby_only: bool,
@@ -55,18 +58,24 @@
 
 /// Everything the next change is derived from.
 pub struct MembershipView<'a> {
+    /// The address of the leader, which is a member.
     pub leader: &'a str,
     /// The wanted number of voters: 2f+1 where f machines may be lost at once.
     pub target_voters: usize,
+    /// The members by address.
     pub members: &'a BTreeMap<String, ReplicaMember>,
+    /// What the leader has observed of the others, by address.
     pub observed: &'a BTreeMap<String, Observed>,
+    /// Requests to be admitted, by address.
     pub requests: &'a BTreeMap<String, JoinRequest>,
 }
 
 /// What may still be lost before no majority is left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Resilience {
+    /// Replicas that vote.
     pub voters: usize,
+    /// Replicas that stand by.
     pub standbys: usize,
     /// Machines, whichever they are; below zero there is no majority.
     pub machine_losses_left: i64,
--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -35,12 +35,19 @@
 
 /// A control thread: in each round the part is stepped through all inputs that wait, then their effects are carried out.
 pub struct Control {
+    /// The part whose steps the thread takes.
     pub part: Box<dyn Part>,
+    /// The clocks of the process.
     pub clock: Clock,
+    /// Sends messages to other processes.
     pub transport: Transport,
+    /// Writes to the disk; none for parts that keep nothing there.
     pub disk: Option<DiskWriter>,
+    /// HTTP requests that wait for their response.
     pub calls: PendingCalls,
+    /// The interval between two ticks.
     pub tick: Duration,
+    /// When the part ends after it was told to.
     pub shutdown_timer: ShutdownTimer,
 }
 
--- a/landingdrift/src/daemon/disk_writer.rs
+++ b/landingdrift/src/daemon/disk_writer.rs
@@ -30,7 +30,9 @@
 /// The pauses before a disk that refused is tried again; each is twice the one before.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
+    /// The pause before the next attempt.
     pub next: Duration,
+    /// The longest pause.
     pub longest: Duration,
 }
 
--- a/landingdrift/src/daemon/input.rs
+++ b/landingdrift/src/daemon/input.rs
@@ -4,6 +4,7 @@
 
 /// An input of a control thread.
 pub enum Input {
+    /// A message for the part.
     Msg(Msg),
     /// A call with its number among the pending calls.
     Call(Request, u64),
--- a/landingdrift/src/daemon/shutdown_timer.rs
+++ b/landingdrift/src/daemon/shutdown_timer.rs
@@ -26,6 +26,7 @@
 /// process and none waits any more; one that ends by itself ends at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShutdownTimer {
+    /// How long each phase of the shutdown lasts.
     pub periods: GracePeriods,
     stop_requested_at: Option<Instant>,
     done: bool,
--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -29,6 +29,7 @@
 /// How a process exchanges frames.
 #[derive(Clone, Debug)]
 pub struct Frames {
+    /// The cluster that this process belongs to; frames of others are refused.
     pub cluster: String,
     /// Where to listen; also the sender of all frames.
     pub own_address: String,
--- a/landingdrift/src/daemon/traffic/http/http_adapter.rs
+++ b/landingdrift/src/daemon/traffic/http/http_adapter.rs
@@ -7,18 +7,26 @@
 /// A request as it came over HTTP.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HttpRequest {
+    /// The method, as `GET`.
     pub method: String,
+    /// The path, without the query.
     pub path: String,
+    /// The query, without the question mark.
     pub query: String,
+    /// The headers in the order in which they came.
     pub headers: Vec<(String, String)>,
+    /// The body.
     pub body: Vec<u8>,
 }
 
 /// A response as it is sent over HTTP.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HttpResponse {
+    /// The HTTP status.
     pub status: u16,
+    /// The headers.
     pub headers: Vec<(String, String)>,
+    /// The body.
     pub body: Vec<u8>,
 }
 
--- a/landingdrift/src/disk/error.rs
+++ b/landingdrift/src/disk/error.rs
@@ -6,13 +6,26 @@
 #[derive(Debug)]
 pub enum StorageError {
     /// The file system refused.
-    Io { path: PathBuf, why: std::io::Error },
+    Io {
+        /// The file or folder.
+        path: PathBuf,
+        /// What the file system said.
+        why: std::io::Error,
+    },
     /// The folder holds something else.
     Foreign(PathBuf),
     /// Another build's folder.
-    Version { found: u16 },
+    Version {
+        /// The format of the folder.
+        found: u16,
+    },
     /// Another cluster's folder.
-    Cluster { found: String, wanted: String },
+    Cluster {
+        /// The cluster that the folder belongs to.
+        found: String,
+        /// The cluster of the settings.
+        wanted: String,
+    },
     /// Another process uses it.
     Busy(PathBuf),
 }
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -84,14 +84,22 @@
 /// What an offline look at a data folder finds.
 #[derive(Debug, Serialize)]
 pub struct Findings {
+    /// The cluster that it belongs to.
     pub cluster: String,
+    /// The identity of the disk.
     pub disk: u64,
+    /// The last entry that the newest snapshot covers; 0 for none.
     #[serde(rename = "capture_index")]
     pub snapshot_index: u64,
+    /// The first entry of the log; 0 for none.
     pub first: u64,
+    /// The last entry of the log or of the snapshot.
     pub last: u64,
+    /// The current term.
     pub term: u64,
+    /// Something that was confirmed can't be read.
     pub damaged: bool,
+    /// The last write was cut short, as a crash does.
     pub torn_tail: bool,
 }
 
--- a/landingdrift/src/lib.rs
+++ b/landingdrift/src/lib.rs
@@ -1,8 +1,10 @@
 //! landingdrift: a scheduler for jobs on borrowed workers.
 //!
-//! Every part (a replica's agreement, a node's zone schedulers, schedulers and calls) is a
+//! Every part (a replica, a node, a worker proxy) is a
 //! [`sans_io::Part`]: it takes one message at a time and gives effects back.
-//! Daemons and the simulation's simulator run the same parts.
+//! Daemons and the simulator of the test kit run the same parts. See docs/architecture.md.
+
+#![warn(missing_docs)]
 
 pub mod config;
 pub mod consensus;
--- a/landingdrift/src/main.rs
+++ b/landingdrift/src/main.rs
@@ -1,3 +1,5 @@
+//! The program `landingdrift`: one subcommand per role.
+
 use landingdrift::sans_io::roles;
 
 fn main() {
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -14,8 +14,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Heartbeat {
+    /// What the worker says of itself.
     #[serde(rename = "facts")]
     pub info: WorkerInfo,
+    /// The attempts that run.
     #[serde(default)]
     pub running: Vec<RunningAttempt>,
     /// Repeated until a response acknowledges them.
@@ -36,6 +38,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct RunningAttempt {
+    /// The number of the attempt; 0 where it is called by its names.
     #[serde(default, rename = "no")]
     pub attempt: u64,
     /// In place of the attempt's number.
--- a/landingdrift/src/node/zone_scheduler/stragglers.rs
+++ b/landingdrift/src/node/zone_scheduler/stragglers.rs
@@ -93,6 +93,7 @@
 
 /// A run as straggler detection sees it.
 pub struct ObservedRun {
+    /// How the run has progressed.
     pub progress: RunProgress,
     /// The same for all tasks of one step: their sizes vary together, and a gang advances at one rate.
     pub group: u64,
--- a/landingdrift/src/operator/client.rs
+++ b/landingdrift/src/operator/client.rs
@@ -15,24 +15,36 @@
 /// Why a command of the operator failed.
 #[derive(Debug)]
 pub enum ClientError {
+    /// The command line can't be read.
     Usage(String),
+    /// No node has answered.
     Unreachable {
+        /// The nodes that were asked.
         at: Vec<String>,
+        /// What the last one came to.
         why: String,
     },
+    /// The system has refused.
     Refused {
+        /// The HTTP status.
         status: u16,
+        /// The body of the response.
         body: Value,
     },
     /// It may have had its effect, and may not be sent again.
     Unsure {
+        /// The node that was asked.
         at: String,
+        /// What went wrong after it may have taken the order.
         why: String,
     },
     /// A roll-out was halted, and the configuration before it is in force again, as a new version.
     Halted {
+        /// The stage at which the roll-out halted.
         stage: String,
+        /// Why it halted.
         why: String,
+        /// The version that is in force again.
         version: u64,
     },
 }
--- a/landingdrift/src/replay/recording.rs
+++ b/landingdrift/src/replay/recording.rs
@@ -13,23 +13,36 @@
 /// What is wrong with a recording.
 #[derive(Debug)]
 pub enum RecordingError {
+    /// The file can't be read.
     Read {
+        /// The file.
         file: String,
+        /// What the file system said.
         why: String,
     },
+    /// The file is no recording.
     Foreign {
+        /// The file.
         file: String,
     },
+    /// Another build's recording.
     Version {
+        /// The version of the recording.
         found: u64,
     },
+    /// A line can't be read.
     Line {
+        /// The number of the line, counted from 1.
         line: usize,
+        /// What is wrong with it.
         why: String,
     },
+    /// The file ends early.
     Truncated {
+        /// The lines that are there.
         lines: usize,
     },
+    /// The data folder can't be read.
     Disk(StorageError),
     /// The folder has no readable state from which its log could be applied.
     Damaged,
@@ -52,10 +65,14 @@
 /// An entry of the log with its result.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedEntry {
+    /// The index of the entry.
     #[serde(rename = "place")]
     pub log_index: u64,
+    /// Its time, in milliseconds since 1970 by the cluster clock.
     pub at: u64,
+    /// The command.
     pub entry: Command,
+    /// The result when it was applied.
     #[serde(rename = "ruled")]
     pub result: Value,
 }
@@ -63,15 +80,20 @@
 /// An entry whose result by this build differs from the recorded one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
+    /// The index of the entry.
     pub log_index: u64,
+    /// The result that was recorded.
     pub recorded: Value,
+    /// The result that this build gives.
     pub now: Value,
 }
 
 /// A recording: the cluster state at its beginning, and every entry since.
 #[derive(Clone, Debug)]
 pub struct Recording {
+    /// The state before the first entry.
     pub start: ClusterState,
+    /// The entries, the oldest first.
     pub entries: Vec<RecordedEntry>,
 }
 
--- a/landingdrift/src/replay/rerun/summary.rs
+++ b/landingdrift/src/replay/rerun/summary.rs
@@ -13,8 +13,11 @@
     pub took: BTreeMap<String, u64>,
     /// The workers on which tasks succeeded.
     pub placed: BTreeMap<String, String>,
+    /// Jobs that kept the promise of their queue.
     pub kept: u64,
+    /// Jobs that missed it.
     pub missed: u64,
+    /// Speculative copies.
     pub copies: u64,
 }
 
--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -21,18 +21,24 @@
 /// A call over HTTP, already read by the library.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
+    /// The method, as `GET`.
     pub method: String,
+    /// The path, without the query.
     pub path: String,
+    /// The query, without the question mark.
     pub query: String,
+    /// The body.
     pub body: Vec<u8>,
 }
 
 /// The response on a call.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
+    /// The HTTP status.
     pub status: u16,
     /// When the caller should come back, in milliseconds; 0 for never.
     pub retry_ms: u64,
+    /// The body.
     pub body: Value,
     /// The node that gave it, where another passed it on.
     pub by: String,
@@ -83,19 +89,26 @@
 /// What goes to the disk in one piece.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WriteBatch {
+    /// The number of the batch, by which it is confirmed.
     pub write_id: u64,
+    /// The term and the vote, if they have changed.
     pub hard_state: Option<HardState>,
     /// Entries from this index on are void.
     pub truncate_from: Option<u64>,
+    /// Entries to append, after the truncation.
     pub entries: Vec<Entry>,
+    /// What this replica remembers of the disks of others.
     pub witnesses: Vec<DurabilityWitness>,
+    /// A snapshot to keep beside the log.
     pub snapshot: Option<Snapshot>,
 }
 
 /// The term and the vote given in it.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct HardState {
+    /// The current term.
     pub term: u64,
+    /// Who got the vote in it; empty for nobody.
     pub vote: String,
     /// Votes in terms up to this one may have been given and forgotten.
     #[serde(rename = "silent_to")]
@@ -108,8 +121,11 @@
 /// The cluster state as it was at an index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
+    /// The last entry that it covers.
     pub index: u64,
+    /// The term of that entry.
     pub term: u64,
+    /// The packed state.
     pub bytes: Vec<u8>,
 }
 
--- a/landingdrift/src/sans_io/roles.rs
+++ b/landingdrift/src/sans_io/roles.rs
@@ -2,7 +2,9 @@
 
 /// One subcommand of the program.
 pub struct Role {
+    /// The name on the command line.
     pub name: &'static str,
+    /// What it is for, in a few words.
     pub summary: &'static str,
     /// Runs with the words after the subcommand; the result is the exit code.
     pub run: fn(Vec<std::ffi::OsString>) -> i32,
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -110,8 +110,11 @@
     pub data: String,
     /// The log level: `error`, `warn`, `info` or `debug`.
     pub log: String,
+    /// Bounds that operators are promised.
     pub bounds: Bounds,
+    /// Limits on what is held and taken.
     pub limits: Limits,
+    /// Free values of the scheduling policy.
     pub hopper: Hopper,
 }
 
--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -30,12 +30,24 @@
     /// The command line can't be read.
     Flag(String),
     /// The file can't be opened.
-    File { file: String, why: String },
+    File {
+        /// The file.
+        file: String,
+        /// What the file system said.
+        why: String,
+    },
     /// The file's text is wrong.
-    Text { file: String, why: String },
+    Text {
+        /// The file.
+        file: String,
+        /// What is wrong with the text.
+        why: String,
+    },
     /// A value is missing, wrong or contradicts another.
     Value {
+        /// The name of the setting.
         setting: &'static str,
+        /// What to do about it.
         remedy: String,
     },
 }
--- a/landingdrift/src/snapshot_chunks/mod.rs
+++ b/landingdrift/src/snapshot_chunks/mod.rs
@@ -12,6 +12,7 @@
 pub struct SnapshotId {
     /// The place of the last entry in it, and that entry's term.
     pub index: u64,
+    /// The term of that entry.
     pub term: u64,
     /// Its length in bytes.
     pub total: u64,
--- a/landingdrift/src/state/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -12,7 +12,9 @@
 /// Why a job can't be taken as it is.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpecError {
+    /// The path of the field at fault.
     pub path: String,
+    /// What to do about it.
     pub remedy: String,
 }
 
