--- a/testkit/src/cli/capacity.rs
+++ b/testkit/src/cli/capacity.rs
@@ -1,104 +1,118 @@
+//! `testkit capacity`: what each role costs in virtual time, as tables.
+
 use super::Arguments;
-use crate::measure::capacity::{memory_of_a_byte, report, sizes, Clockwork, Run};
+use crate::measure::capacity::{memory_of_a_byte, report, sizes, MeteredDay, Run, Size};
+use std::path::Path;
 use std::process::Command;
 
+/// The most workers of a size.
+const MAX_WORKERS: usize = 200;
+/// Slopes need so many sizes.
+const MIN_SIZES: usize = 3;
+
+/// What git prints; none where it fails.
+fn git(arguments: &[&str]) -> Option<String> {
+    let output = Command::new("git").args(arguments).output().ok()?;
+    let text = String::from_utf8_lossy(&output.stdout).trim().to_string();
+    output.status.success().then_some(text)
+}
+
 /// The commit that the figures belong to, where git knows it.
 pub(super) fn commit() -> String {
-    let git = |arguments: &[&str]| {
-        Command::new("git")
-            .args(arguments)
-            .output()
-            .ok()
-            .filter(|o| o.status.success())
-            .map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string())
+    let Some(commit) = git(&["rev-parse", "--short", "HEAD"]) else {
+        return "unknown".into();
     };
-    let changed = git(&["status", "--porcelain", "--", "landingdrift", "testkit/src"])
-        .is_some_and(|s| !s.is_empty());
-    git(&["rev-parse", "--short", "HEAD"]).map_or("unknown".into(), |c| {
-        c + if changed { " with changes" } else { "" }
-    })
+    let changes = git(&["status", "--porcelain", "--", "landingdrift", "testkit/src"]);
+    match changes {
+        Some(changes) if !changes.is_empty() => format!("{commit} with changes"),
+        _ => commit,
+    }
 }
 
-/// Sizes from a list of numbers.
-pub(super) fn worker_counts(w: &Arguments, or: &str, most: usize) -> Result<Vec<usize>, String> {
-    w.text("sizes")
-        .unwrap_or(or)
-        .split(',')
-        .map(|x| {
-            x.parse()
-                .ok()
-                .filter(|n| (1..=most).contains(n))
-                .ok_or_else(|| {
-                    format!("--sizes takes numbers of workers from 1 to {most}, not '{x}'")
-                })
+/// The numbers of workers that `--sizes` gives.
+pub(super) fn worker_counts(
+    arguments: &Arguments,
+    default: &str,
+    most: usize,
+) -> Result<Vec<usize>, String> {
+    let sizes = arguments.text("sizes").unwrap_or(default).split(',');
+    let parse = |text: &str| {
+        let count = text.parse().ok().filter(|count| (1..=most).contains(count));
+        count.ok_or_else(|| {
+            format!("--sizes takes numbers of workers from 1 to {most}, not '{text}'")
         })
-        .collect()
+    };
+    sizes.map(parse).collect()
+}
+
+/// A number of seconds that a flag gives.
+fn seconds(arguments: &Arguments, name: &str, default: u64) -> Result<u64, String> {
+    let seconds = arguments.number(name, default)?;
+    if (10..=600).contains(&seconds) {
+        Ok(seconds)
+    } else {
+        Err(format!("--{name}: give 10 to 600 seconds"))
+    }
 }
 
-/// Has a new process of this program unpack a cluster state, and say what a packed byte takes in memory.
+/// Has a new process of this program unpack the state of the last run, and say what a packed byte takes in memory.
 fn footprint(runs: &[Run]) -> Result<f64, String> {
-    let file = std::env::temp_dir().join(format!("landingdrift-record-{}", std::process::id()));
-    let defect = |e: std::io::Error| {
-        format!(
-            "a record can't be weighed ({e}): see that {} can be written",
-            file.display()
-        )
-    };
-    let packed = runs.last().map_or(&[][..], |r| &r.packed_state);
-    std::fs::write(&file, packed).map_err(defect)?;
-    let out = std::env::current_exe().and_then(|exe| {
-        Command::new(exe)
-            .args(["capacity", "--record"])
-            .arg(&file)
-            .output()
-    });
+    let name = format!("landingdrift-record-{}", std::process::id());
+    let file = std::env::temp_dir().join(name);
+    let packed = runs.last().map_or(&[][..], |run| &run.packed_state);
+    let output = std::fs::write(&file, packed).and_then(|()| run_footprint(&file));
     let _ = std::fs::remove_file(&file);
-    let told = out.map_err(defect)?.stdout;
-    String::from_utf8_lossy(&told)
+    let output = output.map_err(|error| {
+        let file = file.display();
+        format!("a state can't be weighed ({error}): see that {file} can be written")
+    })?;
+    output
         .trim()
         .parse()
-        .map_err(|_| "the record could not be unpacked: run the command again".into())
+        .map_err(|_| "the state could not be unpacked: run the command again".into())
+}
+
+fn run_footprint(file: &Path) -> std::io::Result<String> {
+    let program = std::env::current_exe()?;
+    let mut command = Command::new(program);
+    let output = command.args(["capacity", "--record"]).arg(file).output()?;
+    Ok(String::from_utf8_lossy(&output.stdout).into_owned())
 }
 
-pub fn run(w: &Arguments) -> Result<bool, String> {
-    if let Some(file) = w.text("record") {
-        let packed = std::fs::read(file)
-            .map_err(|e| format!("'{file}' can't be read ({e}): name a packed record"))?;
-        landingdrift::outln!("{}", memory_of_a_byte(&packed));
-        return Ok(true);
+/// Prints what a byte of a packed state takes in memory; the process must have done nothing else before.
+fn print_footprint(file: &str) -> Result<bool, String> {
+    let packed = std::fs::read(file)
+        .map_err(|error| format!("'{file}' can't be read ({error}): name a packed record"))?;
+    landingdrift::outln!("{}", memory_of_a_byte(&packed));
+    Ok(true)
+}
+
+/// Runs all sizes and prints the tables.
+pub fn run(arguments: &Arguments) -> Result<bool, String> {
+    if let Some(file) = arguments.text("record") {
+        return print_footprint(file);
     }
-    let mut workers = worker_counts(w, "40,80,160", 200)?;
+    let mut workers = worker_counts(arguments, "40,80,160", MAX_WORKERS)?;
     workers.sort_unstable();
     workers.dedup();
-    (workers.len() >= 3)
-        .then_some(())
-        .ok_or("--sizes: give at least three sizes, so that slopes can be told")?;
-    let limits = |name: &str, or: u64| {
-        let n = w.number(name, or)?;
-        (10..=600)
-            .contains(&n)
-            .then_some(n)
-            .ok_or_else(|| format!("--{name}: give 10 to 600 seconds"))
+    if workers.len() < MIN_SIZES {
+        return Err("--sizes: give at least three sizes, so that slopes can be told".into());
+    }
+    let warm_seconds = seconds(arguments, "warm", 75)?;
+    let measured_seconds = seconds(arguments, "seconds", 40)?;
+    let seed = arguments.number("seed", 1)?;
+    let run_size = |size: Size| {
+        eprintln!(
+            "{} workers, {} nodes, {:.1} starts a second",
+            size.workers, size.nodes, size.starts
+        );
+        MeteredDay::new(size, seed).run(warm_seconds, measured_seconds)
     };
-    let (warm, window, seed) = (
-        limits("warm", 75)?,
-        limits("seconds", 40)?,
-        w.number("seed", 1)?,
-    );
-    let runs: Vec<_> = sizes(&workers)
-        .into_iter()
-        .map(|s| {
-            eprintln!(
-                "{} workers, {} nodes, {:.1} starts a second",
-                s.workers, s.nodes, s.starts
-            );
-            Clockwork::new(s, seed).run(warm, window)
-        })
-        .collect();
-    let named: Vec<String> = workers.iter().map(ToString::to_string).collect();
+    let runs: Vec<Run> = sizes(&workers).into_iter().map(run_size).collect();
+    let names: Vec<String> = workers.iter().map(ToString::to_string).collect();
     landingdrift::outln!(
-        "    testkit capacity --sizes {} --warm {warm} --seconds {window} --seed {seed}\n\nCheckout at {}; virtual time, no faults.\n",
-        named.join(","),
+        "    testkit capacity --sizes {} --warm {warm_seconds} --seconds {measured_seconds} --seed {seed}\n\nCheckout at {}; virtual time, no faults.\n",
+        names.join(","),
         commit()
     );
     landingdrift::outln!("{}", report(&runs, footprint(&runs)?));
--- a/testkit/src/measure/capacity/fit.rs
+++ b/testkit/src/measure/capacity/fit.rs
@@ -1,3 +1,5 @@
+//! Fits of what was measured to terms that it may depend on.
+
 /// Slopes that are never negative, by least squares of the relative errors.
 #[derive(Clone, Debug, Default)]
 pub struct Fit {
@@ -9,7 +11,7 @@
 }
 
 impl Fit {
-    /// What the slopes foretell at a point.
+    /// What the slopes predict at a point.
     pub fn at(&self, x: &[f64]) -> f64 {
         self.slopes.iter().zip(x).map(|(s, x)| s * x).sum()
     }
--- a/testkit/src/measure/capacity/footprint.rs
+++ b/testkit/src/measure/capacity/footprint.rs
@@ -1,3 +1,5 @@
+//! How long the packed cluster state is, and what it takes in memory.
+
 use super::meter::timed;
 use landingdrift::state::ClusterState;
 
--- a/testkit/src/measure/capacity/load.rs
+++ b/testkit/src/measure/capacity/load.rs
@@ -1,3 +1,5 @@
+//! The workers, the configuration and the jobs of a metered day.
+
 use super::target::{GANG, QUEUES, ZONES};
 use landingdrift::sans_io::Rng;
 use landingdrift::state::{JobSpec, TaskSpec, WorkerInfo};
--- a/testkit/src/measure/capacity/meter.rs
+++ b/testkit/src/measure/capacity/meter.rs
@@ -1,3 +1,5 @@
+//! What a process sends, takes, writes and works.
+
 use landingdrift::sans_io::fnv1a;
 use rustix::time::{clock_gettime, ClockId};
 use std::ops::{AddAssign, Sub};
--- a/testkit/src/measure/capacity/table.rs
+++ b/testkit/src/measure/capacity/table.rs
@@ -1,8 +1,10 @@
-use super::clockwork::{Duty, Run};
+//! The report on capacity, as Markdown.
+
 use super::fit::{fit, Fit};
 use super::footprint::State;
 use super::load::TASKS;
 use super::meter::Tally;
+use super::metered_day::{Role, Run};
 use super::target::{Target, TARGET};
 use landingdrift::settings::Settings;
 
@@ -22,17 +24,17 @@
     }),
 ];
 
-/// What a role's cost hangs on.
-fn terms(d: Duty, workers: f64, nodes: f64, starts: f64) -> Vec<f64> {
-    if matches!(d, Duty::Leader | Duty::Follower) {
+/// The terms that a role's cost may depend on.
+fn terms(d: Role, workers: f64, nodes: f64, starts: f64) -> Vec<f64> {
+    if d.is_replica() {
         vec![1.0, workers, nodes, starts, nodes * starts]
     } else {
         vec![1.0, workers, workers / nodes, starts, workers * starts]
     }
 }
 
-fn named(d: Duty) -> [&'static str; 5] {
-    if matches!(d, Duty::Leader | Duty::Follower) {
+fn term_names(d: Role) -> [&'static str; 5] {
+    if d.is_replica() {
         [
             "fixed",
             "a worker",
@@ -51,6 +53,7 @@
     }
 }
 
+/// A number with about three digits.
 fn short(x: f64) -> String {
     let a = x.abs();
     if a == 0.0 {
@@ -64,20 +67,16 @@
     }
 }
 
-fn row(zone_schedulers: &[String]) -> String {
-    format!("| {} |\n", zone_schedulers.join(" | "))
+fn row(cells: &[String]) -> String {
+    format!("| {} |\n", cells.join(" | "))
 }
 
-fn head(zone_schedulers: &[&str]) -> String {
-    let rule: Vec<String> = zone_schedulers.iter().map(|_| "---".to_string()).collect();
-    row(&zone_schedulers
-        .iter()
-        .map(|c| (*c).to_string())
-        .collect::<Vec<_>>())
-        + &row(&rule)
+fn head(cells: &[&str]) -> String {
+    let rule: Vec<String> = cells.iter().map(|_| "---".to_string()).collect();
+    row(&cells.iter().map(|c| (*c).to_string()).collect::<Vec<_>>()) + &row(&rule)
 }
 
-fn response(holds: bool) -> &'static str {
+fn verdict(holds: bool) -> &'static str {
     if holds {
         "holds"
     } else {
@@ -102,18 +101,16 @@
         "`pack`, `unpack`, µs",
     ]);
     for r in runs {
-        for (d, (n, t)) in &r.roles {
-            let zone_schedulers = [
+        for (d, role) in &r.roles {
+            let t = &role.tally;
+            let cells = [
                 format!("{}, {}", r.size.workers, r.size.nodes),
                 format!("{:.1}", r.starts),
                 d.name().to_string(),
-                n.to_string(),
+                role.processes.to_string(),
             ];
             let figures = FIGURES.iter().map(|(_, f)| short(f(t)));
-            out += &row(&zone_schedulers
-                .into_iter()
-                .chain(figures)
-                .collect::<Vec<_>>());
+            out += &row(&cells.into_iter().chain(figures).collect::<Vec<_>>());
         }
     }
     out
@@ -135,8 +132,8 @@
         "reference, µs",
     ]);
     for r in runs {
-        for (d, (_, t)) in &r.roles {
-            let t = t.per(r.starts.max(1e-9));
+        for (d, role) in &r.roles {
+            let t = role.tally.per(r.starts.max(1e-9));
             out += &row(&[
                 format!("{}, {}", r.size.workers, r.size.nodes),
                 format!("{:.1}", r.starts),
@@ -187,12 +184,12 @@
         jobs,
         bytes,
         memory: bytes * memory_of_a_byte,
-        pack_ns: bytes * pack * quiet(runs),
+        pack_ns: bytes * pack * quietest_reference(runs),
     }
 }
 
 fn state(runs: &[Run], s: &Peak) -> String {
-    let mut out = String::from("\n### State\n\nBytes of `Record::pack` at the end of each run. Of jobs, workers, running tasks: what is missing when they are left out; a running task stands in its job and its worker as well.\n\n");
+    let mut out = String::from("\n### State\n\nBytes of `ClusterState::pack` at the end of each run. Of jobs, workers, running tasks: what is missing when they are left out; a running task stands in its job and its worker as well.\n\n");
     out += &head(&[
         "workers, nodes",
         "jobs kept",
@@ -221,19 +218,19 @@
             short(fixed / 1000.0),
         ]);
     }
-    out + &format!("\nAt the target {:.0} jobs are kept (peak rate over `limits.retain_ms`, {TASKS} tasks a job): {:.1} MB packed, {:.0} MB resident for one copy ({:.2} resident bytes a packed byte, measured in a process of its own). A capture of it takes {:.0} ms of processor time in one step. Tombs of the day's jobs are not counted.\n", s.jobs, s.bytes / 1e6, s.memory / 1e6, s.memory / s.bytes.max(1.0), s.pack_ns / 1e6)
+    out + &format!("\nAt the target {:.0} jobs are kept (peak rate over `limits.retain_ms`, {TASKS} tasks a job): {:.1} MB packed, {:.0} MB resident for one copy ({:.2} resident bytes a packed byte, measured in a process of its own). A snapshot of it takes {:.0} ms of processor time in one step. Tombstones of the day's jobs are not counted.\n", s.jobs, s.bytes / 1e6, s.memory / 1e6, s.memory / s.bytes.max(1.0), s.pack_ns / 1e6)
 }
 
 /// The reference's time in the quietest run: processor time is fitted as the ratio to the reference of the same run.
-fn quiet(runs: &[Run]) -> f64 {
+fn quietest_reference(runs: &[Run]) -> f64 {
     runs.iter().map(|r| r.reference).fold(f64::MAX, f64::min)
 }
 
 /// Fits of all figures of a role, in the order of `FIGURES`.
-fn fits(runs: &[Run], d: Duty) -> Option<Vec<Fit>> {
+fn fits(runs: &[Run], d: Role) -> Option<Vec<Fit>> {
     let of: Vec<(&Run, &Tally)> = runs
         .iter()
-        .filter_map(|r| r.roles.get(&d).map(|(_, t)| (r, t)))
+        .filter_map(|r| r.roles.get(&d).map(|role| (r, &role.tally)))
         .collect();
     let x: Vec<Vec<f64>> = of
         .iter()
@@ -242,7 +239,7 @@
     let y = |name: &str, f: fn(&Tally) -> f64| -> Vec<f64> {
         let paired = |r: &Run| {
             if name.starts_with("processor") {
-                quiet(runs) / r.reference
+                quietest_reference(runs) / r.reference
             } else {
                 1.0
             }
@@ -257,8 +254,8 @@
     })
 }
 
-fn slopes(all: &[(Duty, Vec<Fit>)], t: &Target) -> String {
-    let mut out = String::from("\n### Slopes and what they foretell\n\nLeast squares of the relative errors, slopes not below 0; processor time as the ratio to the reference of the same run, shown at the reference's time in the quietest one. Residual: root of the mean square of the relative errors. Left out: the relative error at the largest size when the fit doesn't know it. At the target: 600 workers, 602 nodes, 270 starts/s.\n\n");
+fn slopes(all: &[(Role, Vec<Fit>)], t: &Target) -> String {
+    let mut out = String::from("\n### Slopes and what they predict\n\nLeast squares of the relative errors, slopes not below 0; processor time as the ratio to the reference of the same run, shown at the reference's time in the quietest one. Residual: root of the mean square of the relative errors. Left out: the relative error at the largest size when the fit doesn't know it. At the target: 600 workers, 602 nodes, 270 starts/s.\n\n");
     out += &head(&[
         "role",
         "figure",
@@ -270,14 +267,14 @@
     for (d, fits) in all {
         let at = terms(*d, t.workers, t.nodes, t.starts);
         for ((name, _), f) in FIGURES.iter().zip(fits) {
-            // Where callers call is the stand-ins' own luck.
+            // Where fakes call is drawn at random, not decided by the product.
             if f.slopes.iter().all(|s| *s == 0.0) || name.starts_with("calls") {
                 continue;
             }
             let parts: Vec<String> = f
                 .slopes
                 .iter()
-                .zip(named(*d))
+                .zip(term_names(*d))
                 .filter(|(s, _)| **s > 0.0)
                 .map(|(s, n)| format!("{} {n}", short(*s)))
                 .collect();
@@ -294,8 +291,8 @@
     out
 }
 
-fn responses(all: &[(Duty, Vec<Fit>)], s: &Peak, t: &Target) -> String {
-    let mut out = String::from("\n### Against the bounds\n\nBytes in and out together; `step`, `pack` and `unpack` together, without sockets, disk and HTTP; memory of one copy of the record alone.\n\n");
+fn against_bounds(all: &[(Role, Vec<Fit>)], s: &Peak, t: &Target) -> String {
+    let mut out = String::from("\n### Against the bounds\n\nBytes in and out together; `step`, `pack` and `unpack` together, without sockets, disk and HTTP; memory of one copy of the state alone.\n\n");
     out += &head(&["role", "4.1 % of a core", "", "6 KB/s", "", "256 MB", ""]);
     for (d, fits) in all {
         let at = terms(*d, t.workers, t.nodes, t.starts);
@@ -304,11 +301,11 @@
         out += &row(&[
             d.name().to_string(),
             format!("{percent:.2} %"),
-            response(percent <= t.core_percent).into(),
+            verdict(percent <= t.core_percent).into(),
             format!("{:.1} KB/s", bytes / 1000.0),
-            response(bytes <= t.bytes).into(),
+            verdict(bytes <= t.bytes).into(),
             format!("{:.0} MB", s.memory / 1e6),
-            response(s.memory <= t.memory).into(),
+            verdict(s.memory <= t.memory).into(),
         ]);
     }
     out
@@ -317,7 +314,7 @@
 /// All tables, as Markdown; how many bytes a packed byte takes in memory is measured elsewhere.
 pub fn report(runs: &[Run], memory_of_a_byte: f64) -> String {
     let s = peak(runs, &TARGET, memory_of_a_byte);
-    let all: Vec<(Duty, Vec<Fit>)> = Duty::ALL
+    let all: Vec<(Role, Vec<Fit>)> = Role::ALL
         .iter()
         .filter_map(|d| fits(runs, *d).map(|f| (*d, f)))
         .collect();
@@ -325,5 +322,5 @@
         + &a_start(runs)
         + &state(runs, &s)
         + &slopes(&all, &TARGET)
-        + &responses(&all, &s, &TARGET)
+        + &against_bounds(&all, &s, &TARGET)
 }
--- a/testkit/src/measure/capacity/target.rs
+++ b/testkit/src/measure/capacity/target.rs
@@ -1,3 +1,5 @@
+//! What the users' system has to carry.
+
 /// What the users' system has to carry, and what control may cost.
 pub struct Target {
     pub workers: f64,
--- a/testkit/tests/capacity.rs
+++ b/testkit/tests/capacity.rs
@@ -1,6 +1,6 @@
-//! The capacity run: slopes are found where they are known, figures follow from the seed, and bounds are observations.
+//! The capacity run: slopes are found where they are known, figures follow from the seed, and bounds are reported.
 
-use landingdrift_testkit::measure::capacity::{fit, report, sizes, Clockwork, Duty, Run, Size};
+use landingdrift_testkit::measure::capacity::{fit, report, sizes, MeteredDay, Role, Run, Size};
 
 fn run(workers: usize) -> Run {
     let size = Size {
@@ -8,7 +8,7 @@
         nodes: 36,
         starts: 10.0,
     };
-    Clockwork::new(size, 5).run(12, 8)
+    MeteredDay::new(size, 5).run(12, 8)
 }
 
 #[test]
@@ -33,14 +33,15 @@
 }
 
 #[test]
-fn every_duty_is_metered_and_the_seed_decides() {
+fn every_role_is_metered_and_the_seed_decides() {
     let (a, b) = (run(12), run(12));
-    assert_eq!(a.roles.keys().copied().collect::<Vec<_>>(), Duty::ALL);
+    assert_eq!(a.roles.keys().copied().collect::<Vec<_>>(), Role::ALL);
     assert!(a.starts > 1.0, "{}", a.starts);
     let counted = |r: &Run| -> Vec<[f64; 5]> {
         r.roles
             .values()
-            .map(|(_, t)| {
+            .map(|role| {
+                let t = role.tally;
                 [
                     t.messages_in,
                     t.messages_out,
@@ -54,12 +55,12 @@
     assert_eq!(counted(&a), counted(&b));
     let sum = |f: fn(&[f64; 5]) -> f64| counted(&a).iter().map(f).sum::<f64>();
     assert!(sum(|t| t[0]) > 0.0 && sum(|t| t[2]) > 0.0);
-    assert!(a.roles[&Duty::Leader].1.log_bytes > 0.0);
-    assert_eq!(a.roles[&Duty::Plain].1.log_bytes, 0.0);
+    assert!(a.roles[&Role::Leader].tally.log_bytes > 0.0);
+    assert_eq!(a.roles[&Role::Plain].tally.log_bytes, 0.0);
 }
 
 #[test]
-fn the_report_has_all_tables_and_a_verdict_for_each_duty() {
+fn the_report_has_all_tables_and_a_verdict_for_each_role() {
     let text = report(&[run(12), run(16), run(20)], 2.5);
     [
         "### Measured, a second",
@@ -70,11 +71,11 @@
     ]
     .iter()
     .for_each(|h| assert!(text.contains(h), "{h} is missing"));
-    let responses = text
+    let verdicts = text
         .split("### Against the bounds")
         .nth(1)
         .map_or(0, |t| t.matches("hold").count());
-    assert_eq!(responses, 3 * Duty::ALL.len());
+    assert_eq!(verdicts, 3 * Role::ALL.len());
 }
 
 #[test]
