--- a/testkit/tests/bad_input.rs
+++ b/testkit/tests/bad_input.rs
@@ -37,11 +37,15 @@
                 vec![command, &path]
             };
             let out = testkit(&arguments);
-            let told = String::from_utf8_lossy(&out.stderr).into_owned();
-            assert_eq!(out.status.code(), Some(2), "{command} of {text:?}: {told}");
+            let message = String::from_utf8_lossy(&out.stderr).into_owned();
+            assert_eq!(
+                out.status.code(),
+                Some(2),
+                "{command} of {text:?}: {message}"
+            );
             assert!(
-                told.contains(remedy),
-                "{command} of {text:?} should say '{remedy}': {told}"
+                message.contains(remedy),
+                "{command} of {text:?} should say '{remedy}': {message}"
             );
         }
     }
@@ -49,7 +53,7 @@
 }
 
 #[test]
-fn wrong_words_are_refused() {
+fn wrong_arguments_are_refused() {
     let file = "scenarios/plain.toml";
     let cases: [&[&str]; 6] = [
         &["run", "no-such-file.toml"],
--- a/testkit/tests/checkers.rs
+++ b/testkit/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Each checker is shown a history that breaks its rule, and one that doesn't.
+//! Each checker is shown a history that violates its rule, and one that doesn't.
 
 mod checkers_cases;
 
@@ -16,18 +16,18 @@
 }
 
 #[test]
-fn each_checker_sees_its_rule_broken_and_nothing_else() {
+fn each_checker_sees_its_rule_violated_and_nothing_else() {
     for Case {
         rule,
-        broken,
+        violating,
         sound,
     } in cases()
     {
-        let rules: BTreeSet<&str> = check(&history(broken), &PromisedBounds::default())
+        let rules: BTreeSet<&str> = check(&history(violating), &PromisedBounds::default())
             .iter()
             .map(|violation| violation.rule)
             .collect();
-        assert_eq!(rules, [rule].into(), "the broken history of '{rule}'");
+        assert_eq!(rules, [rule].into(), "the violating history of '{rule}'");
         let none = check(&history(sound), &PromisedBounds::default());
         assert!(none.is_empty(), "the sound history of '{rule}': {none:?}");
     }
@@ -38,7 +38,7 @@
     let shown: BTreeSet<&str> = cases().iter().map(|case| case.rule).collect();
     let all: BTreeSet<&str> = ALL.iter().map(|checker| checker.rule).collect();
     assert_eq!(shown, all);
-    // The end of a day without jobs breaks nothing.
+    // The end of a day without jobs violates nothing.
     let empty = BTreeMap::new();
     assert!(check(
         &history(vec![(
--- a/testkit/tests/checkers_cases/configuration.rs
+++ b/testkit/tests/checkers_cases/configuration.rs
@@ -12,7 +12,7 @@
     vec![
         Case {
             rule: "one of two rivals",
-            broken: vec![
+            violating: vec![
                 (0, configured("c", 0, 1, "")),
                 (1, configured("d", 0, 2, "")),
             ],
@@ -24,7 +24,7 @@
         // Content counts, not the number alone.
         Case {
             rule: "one of two rivals",
-            broken: vec![
+            violating: vec![
                 (0, configured("c", 0, 1, "")),
                 (1, refused("d", 0)),
                 (6, read(1, "d")),
@@ -37,7 +37,7 @@
         },
         Case {
             rule: "one of two rivals",
-            broken: vec![
+            violating: vec![
                 (0, configured("c", 0, 1, "")),
                 (1, configured("d", 1, 2, "")),
                 (6, closed_by("done", 2, "c")),
@@ -55,13 +55,13 @@
     vec![
         Case {
             rule: "configuration takes hold",
-            broken: vec![(0, configured("c", 0, 1, "")), (5000, node(0, "", true))],
+            violating: vec![(0, configured("c", 0, 1, "")), (5000, node(0, "", true))],
             sound: vec![(0, configured("c", 0, 1, "")), (5000, node(1, "c", true))],
         },
         // Nobody escapes the bound by saying that it is not ready.
         Case {
             rule: "configuration takes hold",
-            broken: vec![
+            violating: vec![
                 (0, able(3)),
                 (1, node(0, "", false)),
                 (6000, node(0, "", false)),
@@ -82,7 +82,7 @@
         // The effect counts, not the number shown.
         Case {
             rule: "configuration takes hold",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (
                     0,
@@ -132,17 +132,17 @@
     vec![
         Case {
             rule: "configuration never slides back",
-            broken: vec![(0, node(2, "", true)), (1, node(1, "", true))],
+            violating: vec![(0, node(2, "", true)), (1, node(1, "", true))],
             sound: vec![(0, node(1, "", true)), (1, node(2, "", true))],
         },
         Case {
             rule: "configuration never slides back",
-            broken: vec![(0, configured("c", 0, 1, "")), (9, closed("done", 0))],
+            violating: vec![(0, configured("c", 0, 1, "")), (9, closed("done", 0))],
             sound: vec![(0, configured("c", 0, 1, "")), (9, closed("done", 1))],
         },
         Case {
             rule: "configuration never slides back",
-            broken: vec![(0, configured("c", 0, 1, "")), (9, read(0, ""))],
+            violating: vec![(0, configured("c", 0, 1, "")), (9, read(0, ""))],
             sound: vec![(0, configured("c", 0, 1, "")), (9, read(1, "c"))],
         },
     ]
--- a/testkit/tests/checkers_cases/jobs.rs
+++ b/testkit/tests/checkers_cases/jobs.rs
@@ -8,12 +8,12 @@
     vec![
         Case {
             rule: "never forgotten",
-            broken: vec![(0, one()), (1, accepted()), (4000, polled(404, ""))],
+            violating: vec![(0, one()), (1, accepted()), (4000, polled(404, ""))],
             sound: vec![(0, one()), (1, accepted()), (4000, polled(200, "running"))],
         },
         Case {
             rule: "never forgotten",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (1, accepted()),
                 (4000, polled(200, "done")),
@@ -34,7 +34,7 @@
         // Silence and 503 count as much as a wrong word, but for the time in which the replica had no majority, and its return.
         Case {
             rule: "state within its bound",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (0, able(3)),
                 (1, accepted()),
@@ -55,7 +55,7 @@
         },
         Case {
             rule: "state within its bound",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (1, accepted()),
                 (2, ask()),
@@ -75,7 +75,7 @@
     vec![
         Case {
             rule: "turned away never runs",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (1, handed("j")),
                 (2, submitted("j", 429, "overQuota")),
@@ -94,7 +94,7 @@
         // A refusal of one call says nothing of an earlier call without an answer; a refusal of the job does.
         Case {
             rule: "turned away never runs",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (1, handed("j")),
                 (2, submitted("j", 503, "busy")),
@@ -112,7 +112,7 @@
         },
         Case {
             rule: "turned away never runs",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (1, handed("j")),
                 (2, handed("j")),
@@ -134,7 +134,7 @@
 pub(super) fn cancelled_stays_cancelled() -> Vec<Case> {
     vec![Case {
         rule: "cancelled stays cancelled",
-        broken: vec![
+        violating: vec![
             (0, one()),
             (1, up("w")),
             (2, Event::CancelAcknowledged { id: "j".into() }),
@@ -152,7 +152,7 @@
 pub(super) fn all_come_to_an_end() -> Vec<Case> {
     vec![Case {
         rule: "all come to an end",
-        broken: vec![(0, one()), (1, accepted()), (2, closed("running", 0))],
+        violating: vec![(0, one()), (1, accepted()), (2, closed("running", 0))],
         sound: vec![(0, one()), (1, accepted()), (2, closed("done", 0))],
     }]
 }
--- a/testkit/tests/checkers_cases/mod.rs
+++ b/testkit/tests/checkers_cases/mod.rs
@@ -1,4 +1,4 @@
-//! For each rule: histories that break it, and the same ones as they should have been.
+//! For each rule: histories that violate it, and the same ones as they should have been.
 
 mod configuration;
 mod events;
@@ -12,10 +12,10 @@
 /// Events with the moments at which they come, in milliseconds.
 pub type Day = Vec<(u64, Event)>;
 
-/// A rule, a history that breaks it and no other, and one that breaks none.
+/// A rule, a history that violates it and no other, and one that violates none.
 pub struct Case {
     pub rule: &'static str,
-    pub broken: Day,
+    pub violating: Day,
     pub sound: Day,
 }
 
--- a/testkit/tests/checkers_cases/outage.rs
+++ b/testkit/tests/checkers_cases/outage.rs
@@ -5,7 +5,7 @@
 use landingdrift::state::JobSpec;
 use landingdrift_testkit::history::Event;
 
-fn muster(ends: &str) -> Day {
+fn recovery_job(ends: &str) -> Day {
     let id = "muster-1".to_string();
     let spec = JobSpec {
         id: id.clone(),
@@ -44,16 +44,16 @@
         // One accepted job and one start don't make normal service.
         Case {
             rule: "back after an outage",
-            broken: muster("running"),
-            sound: muster("done"),
+            violating: recovery_job("running"),
+            sound: recovery_job("done"),
         },
         Case {
             rule: "back after an outage",
-            broken: muster("done")
+            violating: recovery_job("done")
                 .into_iter()
                 .filter(|(t, _)| *t != 9500)
                 .collect(),
-            sound: muster("done"),
+            sound: recovery_job("done"),
         },
     ]
 }
--- a/testkit/tests/checkers_cases/runs.rs
+++ b/testkit/tests/checkers_cases/runs.rs
@@ -11,7 +11,7 @@
     vec![
         Case {
             rule: "no repeat without leave",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (1, up("w")),
                 (1, up("v")),
@@ -29,7 +29,7 @@
         },
         Case {
             rule: "no repeat without leave",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
@@ -49,7 +49,7 @@
 pub(super) fn steps_in_order() -> Vec<Case> {
     vec![Case {
         rule: "steps in order",
-        broken: vec![
+        violating: vec![
             (0, offered(vec![task("a"), after("b", "a")])),
             (1, up("w")),
             (2, started("w", 1, "b")),
@@ -67,7 +67,7 @@
 pub(super) fn not_before_its_time() -> Vec<Case> {
     vec![Case {
         rule: "not before its time",
-        broken: vec![
+        violating: vec![
             (
                 0,
                 offered(vec![TaskSpec {
@@ -96,7 +96,7 @@
     vec![
         Case {
             rule: "tries",
-            broken: vec![
+            violating: vec![
                 (0, asked("c", rule_settings("serving", 2, 100))),
                 (0, configured("c", 0, 1, "serving")),
                 (0, one()),
@@ -120,7 +120,7 @@
         // The limit in force counts, not the largest there ever was.
         Case {
             rule: "tries",
-            broken: vec![
+            violating: vec![
                 (0, asked("c", rule_settings("", 3, 9))),
                 (0, acked("c", 0, 1, rule_settings("", 3, 9))),
                 (0, one()),
@@ -149,7 +149,7 @@
     vec![
         Case {
             rule: "gangs together",
-            broken: vec![
+            violating: vec![
                 (0, offered(vec![gang("a"), gang("b")])),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
@@ -167,7 +167,7 @@
         // Half a second alone is nothing, two seconds are too long unless a fault struck.
         Case {
             rule: "gangs together",
-            broken: vec![
+            violating: vec![
                 (0, offered(vec![gang("a"), gang("b")])),
                 (1, up("w")),
                 (1, up("v")),
--- a/testkit/tests/checkers_cases/workers.rs
+++ b/testkit/tests/checkers_cases/workers.rs
@@ -9,7 +9,7 @@
     vec![
         Case {
             rule: "room",
-            broken: vec![
+            violating: vec![
                 (0, offered(vec![task("a"), task("b")])),
                 (1, up("w")),
                 (2, started("w", 1, "a")),
@@ -26,7 +26,7 @@
         // Room and labels may change under way.
         Case {
             rule: "room",
-            broken: vec![
+            violating: vec![
                 (0, one()),
                 (1, up("w")),
                 (2, changed(1, &["l"])),
@@ -46,7 +46,7 @@
     vec![
         Case {
             rule: "fitting workers",
-            broken: vec![
+            violating: vec![
                 (
                     0,
                     offered(vec![TaskSpec {
@@ -73,7 +73,7 @@
         },
         Case {
             rule: "fitting workers",
-            broken: vec![
+            violating: vec![
                 (
                     0,
                     offered(vec![TaskSpec {
@@ -102,7 +102,7 @@
 pub(super) fn leaving_workers() -> Vec<Case> {
     vec![Case {
         rule: "leaving workers",
-        broken: vec![
+        violating: vec![
             (0, one()),
             (1, up("w")),
             (2, Event::WorkerLeaving { worker: "w".into() }),
@@ -120,7 +120,7 @@
 pub(super) fn emptied_zones() -> Vec<Case> {
     vec![Case {
         rule: "emptied zones",
-        broken: vec![
+        violating: vec![
             (0, one()),
             (1, up("w")),
             (2, configured("c", 0, 1, "evacuated")),
--- a/testkit/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn files_that_grow_and_needless_entries_are_told() {
+fn files_that_grow_and_needless_entries_are_reported() {
     let sources = BTreeMap::from([
         ("small.rs".to_string(), MAX_LINES),
         ("new.rs".to_string(), MAX_LINES + 1),
--- a/testkit/tests/simulator.rs
+++ b/testkit/tests/simulator.rs
@@ -4,33 +4,31 @@
 use landingdrift_testkit::simulator::simulate;
 
 fn storm() -> Scenario {
-    let mut s = Scenario::load("scenarios/storm.toml").expect("the scenario is there");
-    s.seconds = 10;
-    s
+    let mut scenario = Scenario::load("scenarios/storm.toml").expect("the scenario is there");
+    scenario.seconds = 10;
+    scenario
 }
 
 #[test]
 fn the_same_seed_gives_the_same_history_byte_for_byte() {
-    let (a, b) = (simulate(&storm(), 11).0, simulate(&storm(), 11).0);
-    assert_eq!(a.history.text(), b.history.text());
-    assert_eq!(a.counters, b.counters);
-    let c = simulate(&storm(), 12).0;
-    assert_ne!(a.history.digest(), c.history.digest());
+    let (first, _) = simulate(&storm(), 11);
+    let (second, _) = simulate(&storm(), 11);
+    assert_eq!(first.history.text(), second.history.text());
+    assert_eq!(first.counters, second.counters);
+    let (other, _) = simulate(&storm(), 12);
+    assert_ne!(first.history.digest(), other.history.digest());
 }
 
 #[test]
 fn faults_bite() {
     // What the scenarios rely on really happens: disks lose, workers are lost, leaders change.
     let seen = |file: &str, seed: u64, counter: &str| {
-        let s = Scenario::load(&format!("scenarios/{file}.toml")).expect("the scenario is there");
-        simulate(&s, seed)
-            .0
-            .counters
-            .get(counter)
-            .copied()
-            .unwrap_or(0)
+        let path = format!("scenarios/{file}.toml");
+        let scenario = Scenario::load(&path).expect("the scenario is there");
+        let (report, _) = simulate(&scenario, seed);
+        report.counters.get(counter).copied().unwrap_or(0)
     };
-    // Whether a single disk's last save held entries is luck, so the losses of three days are summed up.
+    // Whether a single disk's last batch held entries is random, so the losses of three days are summed up.
     let losses: u64 = (1..=3)
         .map(|seed| seen("tail", seed, "core_disk_losses_seen"))
         .sum();
