--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// A control thread: in each round the part is stepped through all inputs that wait, then their effects are carried out.
+/// A control thread: in each round the part is stepped through all inputs that wait, then their effects are carried
+/// out.
 pub struct Control {
     pub part: Box<dyn Part>,
     pub clock: Clock,
--- a/landingdrift/src/daemon/pending_calls.rs
+++ b/landingdrift/src/daemon/pending_calls.rs
@@ -1,4 +1,4 @@
-//! PendingCalls whose callers wait for a response.
+//! Calls whose callers wait for a response.
 
 use crate::sans_io::Response;
 use dashmap::DashMap;
@@ -9,7 +9,7 @@
 /// The map is divided for few threads: the traffic thread and one control thread use it.
 const SHARDS: usize = 2;
 
-/// PendingCalls whose callers wait for a response. One control thread answers them; any number of addresses may open them.
+/// Calls whose callers wait for a response. One control thread answers them; any number of addresses may open them.
 #[derive(Clone)]
 pub struct PendingCalls {
     pending: Arc<DashMap<u64, Sender<Response>>>,
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -206,8 +206,8 @@
         false
     }
 
-    /// Tells all parts to stop and keeps serving for a while, so that callers find out that it is not ready; then refuses
-    /// calls and ends once those in flight are answered. Returns whether a control thread panicked.
+    /// Tells all parts to stop and keeps serving for a while, so that callers find out that it is not ready; then
+    /// refuses calls and ends once those in flight are answered. Returns whether a control thread panicked.
     fn stop(&mut self) -> bool {
         let stop_requested_at = Instant::now();
         let serve_on = self.longest(Bounds::serve_on);
--- a/landingdrift/src/daemon/traffic/frames/send.rs
+++ b/landingdrift/src/daemon/traffic/frames/send.rs
@@ -44,7 +44,8 @@
             None => connect(addr, write_timeout).await,
         };
         let Some(mut open) = connection.take() else {
-            // The receiver can't be reached: what was queued meanwhile is outdated, and its senders repeat what matters.
+            // The receiver can't be reached: what was queued meanwhile is outdated, and its senders repeat what
+            // matters.
             while queued.try_recv().is_ok() {}
             continue;
         };
--- a/landingdrift/src/daemon/traffic/http/serving.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -13,7 +13,7 @@
 #[repr(u8)]
 enum ServingPhase {
     Serving,
-    /// PendingCalls are served; each response closes its connection.
+    /// Calls are served; each response closes its connection.
     Leaving,
     /// New calls are refused at once, and no connection is accepted any more.
     Refusing,
--- a/landingdrift/src/daemon/traffic/mod.rs
+++ b/landingdrift/src/daemon/traffic/mod.rs
@@ -47,7 +47,8 @@
         })
     }
 
-    /// Listens for frames, whose messages go to `inputs`; returns the transport that sends frames from the same address.
+    /// Listens for frames, whose messages go to `inputs`; returns the transport that sends frames from the same
+    /// address.
     pub fn listen(&self, frames: Frames, inputs: Sender<Input>) -> Result<Transport, ProcessError> {
         frames::listen(&self.handle, frames, inputs)
     }
--- a/landingdrift/src/node/scheduler/offers.rs
+++ b/landingdrift/src/node/scheduler/offers.rs
@@ -74,7 +74,8 @@
         self.fresh(now).then_some((job, epoch))
     }
 
-    /// Refuses a slot that the job can't use, or that exceeds its share; the refusal names a small job that could use it.
+    /// Refuses a slot that the job can't use, or that exceeds its share; the refusal names a small job that could use
+    /// it.
     fn refuse(&self, now: Now, job: &Job, offer: &Offer, fair_share: f64) -> OfferResponse {
         let demand = self.demand(now, &offer.job, job);
         let gone = demand == Demand::default();
--- a/landingdrift/src/node/scheduler/reservations.rs
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// For how many tasks of a job reservations are due, if any are: for its whole demand when the last ones are old, and
-    /// before that for what its demand has grown by.
+    /// For how many tasks of a job reservations are due, if any are: for its whole demand when the last ones are old,
+    /// and before that for what its demand has grown by.
     fn tasks_to_reserve(&mut self, now: Now, id: &str) -> Option<u32> {
         let job = self.state.jobs.get(id)?;
         self.epoch_for(job)?;
--- a/landingdrift/src/replay/rerun/mod.rs
+++ b/landingdrift/src/replay/rerun/mod.rs
@@ -1,4 +1,5 @@
-//! Reruns a recording in virtual time: jobs, cancels, changes and workers are as recorded, every decision is made again.
+//! Reruns a recording in virtual time: jobs, cancels, changes and workers are as recorded, every decision is made
+//! again.
 //!
 //! - `simulation` has the only node, and plays the replica and the workers around it,
 //! - `simulated_worker` is one worker,
--- a/landingdrift/src/settings/bounds.rs
+++ b/landingdrift/src/settings/bounds.rs
@@ -22,7 +22,8 @@
     pub outage_ms: u64,
     /// A standby that is silent for three times as long is dropped from the membership.
     pub replace_ms: u64,
-    /// The lease of a worker on what it runs lasts this long after each heartbeat, then the worker kills it; 0 is for ever.
+    /// The lease of a worker on what it runs lasts this long after each heartbeat, then the worker kills it; 0 is for
+    /// ever.
     #[serde(rename = "hold_ms")]
     pub lease_ms: u64,
     /// How often workers heartbeat; 0 for an eighth of `leave_ms`.
@@ -85,7 +86,8 @@
         self.cancel_ms / 3
     }
 
-    /// How old the watch of a node may be while it acts as a zone scheduler: gives orders to workers and renews their leases.
+    /// How old the watch of a node may be while it acts as a zone scheduler: gives orders to workers and renews their
+    /// leases.
     pub fn fresh_for_zones(&self) -> u64 {
         self.cancel_ms / 6
     }
@@ -95,12 +97,14 @@
         self.cancel_ms / 3
     }
 
-    /// The silence after which the zone leases of a node are granted to others; longer than `fresh_for_zones` and `obey` together.
+    /// The silence after which the zone leases of a node are granted to others; longer than `fresh_for_zones` and
+    /// `obey` together.
     pub fn node_lost(&self) -> u64 {
         self.cancel_ms * 11 / 20
     }
 
-    /// The silence after which the queue leases of a node are granted to others: the cluster state alone fences their starts.
+    /// The silence after which the queue leases of a node are granted to others: the cluster state alone fences their
+    /// starts.
     pub fn queue_lost(&self) -> u64 {
         self.cancel_ms / 4
     }
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -100,7 +100,8 @@
     pub join_only: bool,
     /// How many replicas vote: 2f+1 if f machines may be lost at once. Further ones are standbys.
     pub voters: u32,
-    /// This replica does not vote as long as enough others can: its machine does not count among those that may be lost.
+    /// This replica does not vote as long as enough others can: its machine does not count among those that may be
+    /// lost.
     pub standby_only: bool,
     /// The CPU that this process may use, in thousandths of a core; leases are rather granted where there is more.
     pub share: u32,
@@ -150,8 +151,8 @@
         }
     }
 
-    /// These settings, with those of `new` that can change while the process runs; and the names of those that differ but
-    /// can't change.
+    /// These settings, with those of `new` that can change while the process runs; and the names of those that differ
+    /// but can't change.
     pub fn take_live(&self, new: &Settings) -> (Settings, Vec<&'static str>) {
         let fixed = [
             ("cluster", self.cluster != new.cluster),
--- a/landingdrift/src/worker_proxy/repeat.rs
+++ b/landingdrift/src/worker_proxy/repeat.rs
@@ -1,7 +1,7 @@
 //! Which calls may be sent again when no response came.
 
-/// Whether a call is idempotent: it changes nothing, or carries an identity by which a copy is recognised. Any other call
-/// is sent at most once, and its outcome is unknown if no response comes.
+/// Whether a call is idempotent: it changes nothing, or carries an identity by which a copy is recognised. Any other
+/// call is sent at most once, and its outcome is unknown if no response comes.
 pub fn may_repeat(method: &str, path: &str, query: &str) -> bool {
     let has_identity = || query.split('&').any(|param| param.starts_with("change="));
     match (method, path) {
--- a/landingdrift/tests/orderly_end.rs
+++ b/landingdrift/tests/orderly_end.rs
@@ -53,12 +53,12 @@
 
 #[derive(Default)]
 struct Counts {
-    /// PendingCalls that the process read whole.
+    /// Calls that the process read whole.
     read: AtomicU64,
     /// Answers that came whole.
     answered: AtomicU64,
     refused: AtomicU64,
-    /// PendingCalls that were sent whole and found no answer, and when the first one was sent.
+    /// Calls that were sent whole and found no answer, and when the first one was sent.
     cut: AtomicU64,
     first_cut: Mutex<Option<Instant>>,
 }
@@ -121,7 +121,7 @@
     Some((status?, close))
 }
 
-/// PendingCalls until nobody listens; keeps its connection where it may.
+/// Calls until nobody listens; keeps its connection where it may.
 fn caller(at: SocketAddr, keep: bool, counts: Arc<Counts>) -> JoinHandle<()> {
     spawn(move || {
         let mut connection: Option<BufReader<TcpStream>> = None;
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// PendingCalls from a thread of its own; status, a header's value and the text come back.
+/// Calls from a thread of its own; status, a header's value and the text come back.
 fn call(
     at: SocketAddr,
     path: &str,
--- a/landingdrift/tests/worker_proxy.rs
+++ b/landingdrift/tests/worker_proxy.rs
@@ -1,4 +1,4 @@
-//! A worker proxy carries a worker's calls; each test drives one by its messages.
+//! The worker proxy forwards a worker's calls; each test drives one by its messages.
 
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::Settings;
@@ -15,193 +15,225 @@
     WorkerProxy::new(settings, 1)
 }
 
-fn step(r: &mut WorkerProxy, mono: u64, msg: Msg) -> Vec<Effect> {
-    r.step(Now { mono, wall: mono }, msg)
+fn step(proxy: &mut WorkerProxy, mono: u64, msg: Msg) -> Vec<Effect> {
+    proxy.step(Now { mono, wall: mono }, msg)
 }
 
 fn heartbeat(query: &str) -> Msg {
-    let req = Request {
+    let request = Request {
         method: "POST".into(),
         path: "/v1/beats".into(),
         query: query.into(),
         body: b"{}".to_vec(),
     };
-    Msg::Call(7, req)
+    Msg::Call(7, request)
 }
 
-/// Whom calls were passed to, with their tokens.
-fn passed(effects: &[Effect]) -> Vec<(String, RequestToken)> {
+/// The nodes that calls were forwarded to, with their tokens.
+fn forwarded(effects: &[Effect]) -> Vec<(String, RequestToken)> {
     effects
         .iter()
-        .filter_map(|e| match e {
-            Effect::Send(to, Body::ForwardRequest(f)) => Some((to.clone(), f.token)),
+        .filter_map(|effect| match effect {
+            Effect::Send(to, Body::ForwardRequest(request)) => Some((to.clone(), request.token)),
             _ => None,
         })
         .collect()
 }
 
-fn answer(effects: &[Effect]) -> Option<Response> {
-    effects.iter().find_map(|e| match e {
-        Effect::Answer(7, v) => Some(v.clone()),
+fn response_among(effects: &[Effect]) -> Option<Response> {
+    effects.iter().find_map(|effect| match effect {
+        Effect::Answer(7, response) => Some(response.clone()),
         _ => None,
     })
 }
 
-fn back(from: &str, token: RequestToken, status: u16, by: &str) -> Msg {
-    let m = ForwardResponse {
+fn response_from(from: &str, token: RequestToken, status: u16, by: &str) -> Msg {
+    let response = ForwardResponse {
         token,
         status,
         retry_ms: 0,
         body: json!({"beatMs": 150}).to_string().into_bytes(),
         by: by.into(),
     };
-    Msg::Wire(from.into(), Body::ForwardResponse(Box::new(m)))
+    Msg::Wire(from.into(), Body::ForwardResponse(Box::new(response)))
 }
 
 #[test]
-fn the_node_that_answered_is_asked_first_the_next_time() {
-    let mut r = worker_proxy();
-    let (to, token) = passed(&step(&mut r, 10, heartbeat("")))[0].clone();
-    let v = answer(&step(&mut r, 15, back(&to, token, 200, "10.0.0.5:1"))).expect("answered");
-    assert_eq!(v.status, 200);
-    assert_eq!(passed(&step(&mut r, 160, heartbeat("")))[0].0, "10.0.0.5:1");
+fn the_node_that_answered_is_called_first_the_next_time() {
+    let mut proxy = worker_proxy();
+    let (to, token) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
+    let response = response_among(&step(
+        &mut proxy,
+        15,
+        response_from(&to, token, 200, "10.0.0.5:1"),
+    ))
+    .expect("answered");
+    assert_eq!(response.status, 200);
+    assert_eq!(
+        forwarded(&step(&mut proxy, 160, heartbeat("")))[0].0,
+        "10.0.0.5:1"
+    );
 }
 
 #[test]
-fn one_that_is_silent_or_cannot_speak_makes_way_for_another() {
-    let mut r = worker_proxy();
-    let (first, token) = passed(&step(&mut r, 10, heartbeat("")))[0].clone();
-    step(&mut r, 12, back(&first, token, 503, &first));
-    let again = passed(&step(&mut r, 40, Msg::Tick));
+fn after_a_refusal_another_node_is_called() {
+    let mut proxy = worker_proxy();
+    let (first, token) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
+    step(&mut proxy, 12, response_from(&first, token, 503, &first));
+    let again = forwarded(&step(&mut proxy, 40, Msg::Tick));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].0, first);
 }
 
 #[test]
-fn a_node_that_names_the_holder_is_followed_at_once() {
-    let mut r = worker_proxy();
-    let (to, token) = passed(&step(&mut r, 10, heartbeat("")))[0].clone();
-    let next = passed(&step(&mut r, 12, back(&to, token, 503, "10.0.0.5:1")));
+fn a_holder_that_a_node_names_is_called_at_once() {
+    let mut proxy = worker_proxy();
+    let (to, token) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
+    let next = forwarded(&step(
+        &mut proxy,
+        12,
+        response_from(&to, token, 503, "10.0.0.5:1"),
+    ));
     assert_eq!(next.len(), 1);
     assert_eq!(next[0].0, "10.0.0.5:1");
     assert_eq!(next[0].1.number, token.number, "the same call");
     let (holder, token) = next[0].clone();
-    // A holder that can't speak names nobody, and is not asked again at once.
-    let m = back(&holder, token, 503, &holder);
-    assert_eq!(passed(&step(&mut r, 14, m)), []);
+    // A holder that can't act for the zone names no other, and is not called again at once.
+    let refusal = response_from(&holder, token, 503, &holder);
+    assert_eq!(forwarded(&step(&mut proxy, 14, refusal)), []);
 }
 
-/// The answers given while nobody speaks for the zone scheduler, over a second and a half.
-fn in_vain(query: &str) -> Vec<(u64, Response)> {
-    let mut r = worker_proxy();
-    step(&mut r, 1, heartbeat(query));
+/// The responses, with their times, while no node answers for a second and a half.
+fn without_nodes(query: &str) -> Vec<(u64, Response)> {
+    let mut proxy = worker_proxy();
+    step(&mut proxy, 1, heartbeat(query));
     (20..1500)
         .step_by(20)
-        .filter_map(|t| answer(&step(&mut r, t, Msg::Tick)).map(|v| (t, v)))
+        .filter_map(|t| {
+            response_among(&step(&mut proxy, t, Msg::Tick)).map(|response| (t, response))
+        })
         .collect()
 }
 
 #[test]
-fn a_beat_in_vain_is_told_when_to_come_back_before_its_worker_gives_it_up() {
-    let told = in_vain("");
-    assert_eq!(told.len(), 1);
-    let (t, v) = &told[0];
-    assert!(*t < 1000, "a worker drops what comes after a second");
-    assert_eq!(v.status, 200, "a refusal makes it wait longer each time");
-    assert!(v.body["beatMs"].as_u64().is_some_and(|ms| ms > 0));
-    let nothing = ["holdMs", "epoch", "settledTo"];
-    assert!(nothing.iter().all(|k| v.body.get(k).is_none()));
+fn an_unanswered_heartbeat_gets_a_response_before_its_worker_gives_up() {
+    let responses = without_nodes("");
+    assert_eq!(responses.len(), 1);
+    let (at, response) = &responses[0];
+    assert!(*at < 1000, "a worker drops responses after a second");
+    assert_eq!(
+        response.status, 200,
+        "a refusal makes it wait longer each time"
+    );
+    assert!(response.body["beatMs"].as_u64().is_some_and(|ms| ms > 0));
+    let acknowledgements = ["holdMs", "epoch", "settledTo"];
+    assert!(acknowledgements
+        .iter()
+        .all(|key| response.body.get(key).is_none()));
 }
 
 #[test]
-fn a_worker_that_leaves_is_not_told_that_it_was_heard() {
-    let told = in_vain(LEAVING);
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].1.status, 503);
+fn a_leaving_worker_gets_no_false_acknowledgement() {
+    let responses = without_nodes(LEAVING);
+    assert_eq!(responses.len(), 1);
+    assert_eq!(responses[0].1.status, 503);
 }
 
 #[test]
-fn an_answer_goes_to_the_beat_that_was_asked_from_the_node_that_was_asked() {
-    let mut r = worker_proxy();
-    let (to, first) = passed(&step(&mut r, 10, heartbeat("")))[0].clone();
-    let stranger = back("10.0.0.8:1", first, 200, "");
-    assert_eq!(answer(&step(&mut r, 11, stranger)), None);
-    let former = RequestToken {
+fn a_response_counts_only_for_its_own_attempt_and_from_its_own_node() {
+    let mut proxy = worker_proxy();
+    let (to, first) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
+    let stranger = response_from("10.0.0.8:1", first, 200, "");
+    assert_eq!(response_among(&step(&mut proxy, 11, stranger)), None);
+    let of_earlier_process = RequestToken {
         incarnation: first.incarnation ^ 1,
         ..first
     };
-    assert_eq!(answer(&step(&mut r, 12, back(&to, former, 200, ""))), None);
-    assert!(answer(&step(&mut r, 13, back(&to, first, 200, &to))).is_some());
-    let (_, second) = passed(&step(&mut r, 160, heartbeat("")))[0].clone();
-    // The answer to the former heartbeat comes once more: it says nothing of the one under way.
-    assert_eq!(answer(&step(&mut r, 161, back(&to, first, 200, &to))), None);
-    assert!(answer(&step(&mut r, 162, back(&to, second, 200, &to))).is_some());
     assert_eq!(
-        answer(&step(&mut r, 163, back(&to, second, 200, &to))),
+        response_among(&step(
+            &mut proxy,
+            12,
+            response_from(&to, of_earlier_process, 200, "")
+        )),
+        None
+    );
+    assert!(response_among(&step(&mut proxy, 13, response_from(&to, first, 200, &to))).is_some());
+    let (_, second) = forwarded(&step(&mut proxy, 160, heartbeat("")))[0].clone();
+    // The response to the earlier heartbeat arrives again: it is none to the open one.
+    assert_eq!(
+        response_among(&step(&mut proxy, 161, response_from(&to, first, 200, &to))),
+        None
+    );
+    assert!(response_among(&step(&mut proxy, 162, response_from(&to, second, 200, &to))).is_some());
+    assert_eq!(
+        response_among(&step(&mut proxy, 163, response_from(&to, second, 200, &to))),
         None
     );
 }
 
 #[test]
-fn an_answer_after_the_beat_was_given_up_goes_to_nobody() {
-    let mut r = worker_proxy();
-    let (to, token) = passed(&step(&mut r, 1, heartbeat("")))[0].clone();
-    let told = (20..1500)
+fn a_response_after_the_call_was_given_up_is_dropped() {
+    let mut proxy = worker_proxy();
+    let (to, token) = forwarded(&step(&mut proxy, 1, heartbeat("")))[0].clone();
+    let response = (20..1500)
         .step_by(20)
-        .find_map(|t| answer(&step(&mut r, t, Msg::Tick)));
-    assert!(told.is_some());
+        .find_map(|t| response_among(&step(&mut proxy, t, Msg::Tick)));
+    assert!(response.is_some());
     assert_eq!(
-        answer(&step(&mut r, 1501, back(&to, token, 200, &to))),
+        response_among(&step(&mut proxy, 1501, response_from(&to, token, 200, &to))),
         None
     );
 }
 
-fn zone_order() -> Msg {
-    let req = Request {
+fn evacuation() -> Msg {
+    let request = Request {
         method: "PUT".into(),
         path: "/v1/zones/z/empty".into(),
         ..Request::default()
     };
-    Msg::Call(7, req)
+    Msg::Call(7, request)
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_is_sent_once_and_silence_is_unsure() {
-    let mut r = worker_proxy();
-    let mut effects = step(&mut r, 1, zone_order());
+fn a_call_that_may_not_be_repeated_is_sent_once_and_unsure_without_a_response() {
+    let mut proxy = worker_proxy();
+    let mut effects = step(&mut proxy, 1, evacuation());
     for t in (20..3000).step_by(20) {
-        effects.extend(step(&mut r, t, Msg::Tick));
+        effects.extend(step(&mut proxy, t, Msg::Tick));
     }
-    assert_eq!(passed(&effects).len(), 1);
-    let v = answer(&effects).expect("answered");
-    assert_eq!((v.status, v.body["error"].clone()), (503, json!("unsure")));
+    assert_eq!(forwarded(&effects).len(), 1);
+    let response = response_among(&effects).expect("answered");
+    let error = response.body["error"].clone();
+    assert_eq!((response.status, error), (503, json!("unsure")));
 }
 
 #[test]
 fn a_call_that_may_not_be_repeated_goes_to_another_node_after_a_clear_refusal() {
-    let mut r = worker_proxy();
-    let (first, token) = passed(&step(&mut r, 1, zone_order()))[0].clone();
-    step(&mut r, 5, back(&first, token, 503, &first));
-    let again = passed(&step(&mut r, 40, Msg::Tick));
+    let mut proxy = worker_proxy();
+    let (first, token) = forwarded(&step(&mut proxy, 1, evacuation()))[0].clone();
+    step(&mut proxy, 5, response_from(&first, token, 503, &first));
+    let again = forwarded(&step(&mut proxy, 40, Msg::Tick));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].0, first);
 }
 
 #[test]
-fn a_refusal_is_not_passed_on_as_final_while_another_node_may_still_take_the_call() {
-    let mut r = worker_proxy();
-    let req = Request {
+fn a_rejection_is_not_final_while_the_call_may_have_its_effect_at_another_node() {
+    let mut proxy = worker_proxy();
+    let request = Request {
         method: "PUT".into(),
         path: "/v1/desired".into(),
         query: "base=1&change=c".into(),
         body: b"{}".to_vec(),
     };
-    let mut sent = passed(&step(&mut r, 1, Msg::Call(7, req)));
+    let mut sent = forwarded(&step(&mut proxy, 1, Msg::Call(7, request)));
     for t in (20..1000).step_by(20) {
-        sent.extend(passed(&step(&mut r, t, Msg::Tick)));
+        sent.extend(forwarded(&step(&mut proxy, t, Msg::Tick)));
     }
-    assert_eq!(sent.len(), 2, "silence: another node is asked");
+    assert_eq!(sent.len(), 2, "without a response another node is called");
     let (to, token) = sent[1].clone();
-    let v = answer(&step(&mut r, 1000, back(&to, token, 400, &to))).expect("answered");
-    assert_eq!((v.status, v.body["error"].clone()), (503, json!("unsure")));
+    let response = response_among(&step(&mut proxy, 1000, response_from(&to, token, 400, &to)))
+        .expect("answered");
+    let error = response.body["error"].clone();
+    assert_eq!((response.status, error), (503, json!("unsure")));
 }
