--- a/landingdrift/src/main.rs
+++ b/landingdrift/src/main.rs
@@ -1,28 +1,48 @@
 //! The program `landingdrift`: one subcommand per role.
 
 use landingdrift::sans_io::roles;
+use std::ffi::OsString;
+
+/// The exit code for a wrong command line.
+const EXIT_USAGE: i32 = 2;
 
 fn main() {
     let mut arguments = std::env::args_os().skip(1);
-    let name = arguments
-        .next()
-        .and_then(|w| w.into_string().ok())
-        .unwrap_or_default();
-    let rest: Vec<std::ffi::OsString> = arguments.collect();
-    let code = roles::all().into_iter().find(|r| r.name == name).map(|r| (r.run)(rest)).unwrap_or_else(|| {
-        let help = ["", "--help", "-h", "help"].contains(&name.as_str());
-        if name == "--version" {
+    let name = arguments.next().unwrap_or_default();
+    let name = name.into_string().unwrap_or_default();
+    let code = run(&name, arguments.collect());
+    std::process::exit(code);
+}
+
+/// Runs the role with a name; the result is the exit code.
+fn run(name: &str, arguments: Vec<OsString>) -> i32 {
+    if let Some(role) = roles::all().into_iter().find(|role| role.name == name) {
+        return (role.run)(arguments);
+    }
+    match name {
+        "--version" => {
             landingdrift::outln!("landingdrift {}", env!("CARGO_PKG_VERSION"));
-            return 0;
+            0
         }
-        let text: String = roles::all().iter().map(|r| format!("  {:<10} {}\n", r.name, r.summary)).collect();
-        let text = format!("landingdrift ROLE [flags]\n\nRoles:\n{text}\n'landingdrift ROLE --help' lists a role's flags.");
-        if help && !name.is_empty() {
-            landingdrift::outln!("{text}");
-            return 0;
+        "--help" | "-h" | "help" => {
+            landingdrift::outln!("{}", usage());
+            0
         }
-        eprintln!("{}{text}", if name.is_empty() { String::new() } else { format!("no role is called '{name}'\n\n") });
-        2
-    });
-    std::process::exit(code);
+        "" => {
+            eprintln!("{}", usage());
+            EXIT_USAGE
+        }
+        _ => {
+            eprintln!("no role is called '{name}'\n\n{}", usage());
+            EXIT_USAGE
+        }
+    }
+}
+
+fn usage() -> String {
+    let mut text = String::from("landingdrift ROLE [flags]\n\nRoles:\n");
+    for role in roles::all() {
+        text += &format!("  {:<10} {}\n", role.name, role.summary);
+    }
+    text + "\n'landingdrift ROLE --help' lists a role's flags."
 }
