--- a/landingdrift/tests/docs.rs
+++ b/landingdrift/tests/docs.rs
@@ -47,10 +47,10 @@
         .filter(|l| l.starts_with("| `"))
         .map(|l| {
             l.split('|')
-                .map(|zone_scheduler| zone_scheduler.trim().replace('`', ""))
+                .map(|cell| cell.trim().replace('`', ""))
                 .collect::<Vec<_>>()
         })
-        .map(|zone_schedulers| (zone_schedulers[1].clone(), zone_schedulers[2].clone()))
+        .map(|cells| (cells[1].clone(), cells[2].clone()))
         .collect();
     listed
         .iter_mut()
