--- a/landingdrift/src/consensus/client_requests.rs
+++ b/landingdrift/src/consensus/client_requests.rs
@@ -6,7 +6,7 @@
 use crate::state::Command;
 use crate::wire::{
     Body, NodeProgress, ProposeRequest, ProposeResponse, ReadIndexResponse, RequestToken,
-    PROPOSAL_APPLIED, PROPOSAL_NOT_TAKEN, PROPOSAL_NO_CAPACITY,
+    PROPOSAL_APPLIED, PROPOSAL_NOT_APPENDED, PROPOSAL_NO_CAPACITY,
 };
 
 /// Who is to be answered once a proposal is applied.
@@ -46,7 +46,7 @@
             && !self.is_transferring_leadership(now)
             && self.accepts_proposals(now);
         if !accepts {
-            return self.decline_proposal(from, request.token, PROPOSAL_NOT_TAKEN);
+            return self.decline_proposal(from, request.token, PROPOSAL_NOT_APPENDED);
         }
         let submitted = submitted_job(&request.command);
         let admitted = submitted.as_ref().and_then(|job| self.admit_job(now, job));
--- a/landingdrift/src/consensus/inspect.rs
+++ b/landingdrift/src/consensus/inspect.rs
@@ -11,7 +11,7 @@
     }
 
     /// Whether this replica leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -16,20 +16,20 @@
     /// It answers, and its disk takes nothing.
     Impaired,
     /// It has not answered for longer than the span after which a voter is exchanged.
-    Silent,
+    Unreachable,
     /// Another disk answers at its address: this identity will never answer again.
     Replaced,
 }
 
 /// What the leader knows of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Observed {
+pub struct MemberStatus {
     /// Whether it can be relied on.
     pub health: Health,
     /// Its log reaches (nearly) the commit index, so that promoting it delays no commit.
     pub caught_up: bool,
     /// It has been silent for so long that a standby like this is dropped.
-    pub long_silent: bool,
+    pub long_unreachable: bool,
 }
 
 /// A replica that asks to be admitted.
@@ -65,7 +65,7 @@
     /// The members by address.
     pub members: &'a BTreeMap<String, ReplicaMember>,
     /// What the leader has observed of the others, by address.
-    pub observed: &'a BTreeMap<String, Observed>,
+    pub observed: &'a BTreeMap<String, MemberStatus>,
     /// Requests to be admitted, by address.
     pub requests: &'a BTreeMap<String, JoinRequest>,
 }
@@ -130,7 +130,7 @@
         }
         self.observed
             .get(address)
-            .map_or(Health::Silent, |o| o.health)
+            .map_or(Health::Unreachable, |o| o.health)
     }
 
     fn zone(&self, address: &str) -> &str {
@@ -201,7 +201,7 @@
     /// A disk that answers at another address already is a copy, and is not admitted.
     fn may_admit(&self, address: &str, request: &JoinRequest) -> bool {
         let is_copy = |other: &String, member: &ReplicaMember| {
-            member.disk == request.disk && self.health(other) != Health::Silent
+            member.disk == request.disk && self.health(other) != Health::Unreachable
         };
         !self.members.contains_key(address)
             && !self.members.iter().any(|(other, m)| is_copy(other, m))
@@ -215,7 +215,7 @@
         }
         let dispensable = |address: &str| {
             let health = match self.health(address) {
-                Health::Silent | Health::Replaced => 3,
+                Health::Unreachable | Health::Replaced => 3,
                 Health::Leaving | Health::Impaired => 2,
                 Health::Reachable => u32::from(self.members[address].standby_only),
             };
@@ -240,7 +240,7 @@
 
     /// A voter whose place a standby should take.
     fn outgoing_voter(&self) -> Option<&str> {
-        self.first_voter_with(Health::Silent)
+        self.first_voter_with(Health::Unreachable)
             .or_else(|| self.first_voter_with(Health::Leaving))
             .or_else(|| self.first_voter_with(Health::Impaired))
     }
@@ -284,7 +284,11 @@
     }
 
     fn remove_silent_standby(&self) -> Option<MembershipChange> {
-        let long_silent = |address: &str| self.observed.get(address).is_some_and(|o| o.long_silent);
+        let long_silent = |address: &str| {
+            self.observed
+                .get(address)
+                .is_some_and(|o| o.long_unreachable)
+        };
         let (gone, _) = self
             .members
             .iter()
--- a/landingdrift/src/consensus/membership_state.rs
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -1,7 +1,7 @@
 //! The membership as one replica knows it, and the leader's work of keeping it as wanted.
 
 use super::membership::{
-    majority, Health, JoinRequest, MembershipChange, MembershipView, Observed, Resilience,
+    majority, Health, JoinRequest, MemberStatus, MembershipChange, MembershipView, Resilience,
 };
 use super::progress::Progress;
 use super::{Replica, Role};
@@ -217,14 +217,14 @@
         })
     }
 
-    fn observe(&self, now: Now, members: &Members) -> BTreeMap<String, Observed> {
+    fn observe(&self, now: Now, members: &Members) -> BTreeMap<String, MemberStatus> {
         let others = members.iter().filter(|(address, _)| **address != self.name);
         others
             .map(|(address, member)| (address.clone(), self.observe_member(now, address, member)))
             .collect()
     }
 
-    fn observe_member(&self, now: Now, address: &str, member: &ReplicaMember) -> Observed {
+    fn observe_member(&self, now: Now, address: &str, member: &ReplicaMember) -> MemberStatus {
         let progress = self
             .leadership
             .progress
@@ -238,7 +238,7 @@
         let health = if is_other_disk(progress.disk) || is_other_disk(requested_disk) {
             Health::Replaced
         } else if silence > self.settings.bounds.exchange() {
-            Health::Silent
+            Health::Unreachable
         } else if progress.leaving {
             Health::Leaving
         } else if progress.disk_refuses_writes {
@@ -249,10 +249,10 @@
         let answers = silence < self.settings.bounds.election() && progress.disk == member.disk;
         let has_most_entries = progress.match_index > 0
             && progress.match_index + CAUGHT_UP_WITHIN >= self.log.commit_index;
-        Observed {
+        MemberStatus {
             health,
             caught_up: answers && has_most_entries,
-            long_silent: silence > STANDBY_SILENT_SPANS * self.settings.bounds.replace_ms,
+            long_unreachable: silence > STANDBY_SILENT_SPANS * self.settings.bounds.replace_ms,
         }
     }
 
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -62,7 +62,7 @@
 
 /// What a replica finds on its disk when it starts.
 #[derive(Clone, Debug, Default)]
-pub struct Loaded {
+pub struct PersistedState {
     /// The identity of the disk, drawn at random when the data folder was made.
     pub disk: u64,
     /// The term and the vote given in it.
@@ -140,7 +140,12 @@
 
 impl Replica {
     /// A replica from what its disk holds. Fails where the disk belongs to another cluster or can't be read.
-    pub fn new(settings: Settings, loaded: Loaded, now: Now, seed: u64) -> Result<Self, String> {
+    pub fn new(
+        settings: Settings,
+        loaded: PersistedState,
+        now: Now,
+        seed: u64,
+    ) -> Result<Self, String> {
         let state = load_state(&settings, loaded.snapshot.as_ref())?;
         let snapshot_position = loaded
             .snapshot
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -180,16 +180,16 @@
             match self
                 .snapshots
                 .incoming
-                .take(id, chunk.offset, &chunk.snapshot)
+                .add_chunk(id, chunk.offset, &chunk.snapshot)
             {
-                ChunkOutcome::Part => {
+                ChunkOutcome::Incomplete => {
                     let received = self.snapshots.incoming.received();
                     return self.answer_chunk(from, id, received, false);
                 }
                 ChunkOutcome::Corrupt => {
                     return self.refuse_snapshot(from, id, "its checksum is wrong");
                 }
-                ChunkOutcome::Whole(bytes) => {
+                ChunkOutcome::Complete(bytes) => {
                     if let Err(reason) = self.install_snapshot(id, bytes) {
                         return self.refuse_snapshot(from, id, &reason);
                     }
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -124,7 +124,7 @@
             sent.unacknowledged.acknowledged(now.mono, &mut rate);
             sent.size.acknowledged(after_ms, CHUNK_BYTES, bounds);
         }
-        let bytes = snapshot.chunk_of(offset, sent.size.bytes()).to_vec();
+        let bytes = snapshot.chunk_up_to(offset, sent.size.bytes()).to_vec();
         if is_repeated {
             sent.unacknowledged.repeat(now.mono, &mut rate);
         } else {
--- a/landingdrift/src/daemon/open_folder.rs
+++ b/landingdrift/src/daemon/open_folder.rs
@@ -3,7 +3,7 @@
 use super::disk_writer::Backoff;
 use super::input::Input;
 use super::pending_calls::PendingCalls;
-use crate::consensus::Loaded;
+use crate::consensus::PersistedState;
 use crate::disk::{DataFolder, StorageError};
 use crate::sans_io::{Msg, Request, Response};
 use crate::settings::Settings;
@@ -16,7 +16,7 @@
 const RETRY_MS: u64 = 1000;
 
 /// Opens the data folder that the settings name.
-pub fn open(settings: &Settings, seed: u64) -> Result<(DataFolder, Loaded), StorageError> {
+pub fn open(settings: &Settings, seed: u64) -> Result<(DataFolder, PersistedState), StorageError> {
     // 0 would mean that the disk has no identity.
     let disk_id = seed | 1;
     let path = Path::new(&settings.data);
@@ -35,7 +35,7 @@
     mut why: StorageError,
     calls: &PendingCalls,
     inputs: &Receiver<Input>,
-) -> Result<Option<(DataFolder, Loaded)>, StorageError> {
+) -> Result<Option<(DataFolder, PersistedState)>, StorageError> {
     for (retries, pause) in Backoff::of(&settings.bounds).enumerate() {
         log::warn!("the data folder can't be opened ({why}): tried again in {pause:?}");
         if !wait(pause, calls, inputs, &why, retries as u64) {
@@ -46,7 +46,7 @@
                 log::info!("the data folder was opened after {} tries", retries + 1);
                 return Ok(Some(opened));
             }
-            Err(error) if error.may_pass() => why = error,
+            Err(error) if error.is_transient() => why = error,
             Err(error) => return Err(error),
         }
     }
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -83,7 +83,7 @@
         let seed = self.seed(&settings.listen);
         let opened = open_folder::open(settings, seed);
         let opened = match opened {
-            Err(why) if !why.may_pass() => return Err(why.into()),
+            Err(why) if !why.is_transient() => return Err(why.into()),
             opened => opened,
         };
         let Listening {
--- a/landingdrift/src/daemon/replica_start.rs
+++ b/landingdrift/src/daemon/replica_start.rs
@@ -7,7 +7,7 @@
 use super::open_folder;
 use super::pending_calls::PendingCalls;
 use super::traffic::Transport;
-use crate::consensus::{Loaded, Replica};
+use crate::consensus::{PersistedState, Replica};
 use crate::disk::{DataFolder, StorageError};
 use crate::settings::Settings;
 use std::sync::mpsc::{Receiver, Sender};
@@ -49,7 +49,10 @@
     }
 
     /// The control thread's state, given the open folder and what was loaded from it.
-    pub fn control(self, (folder, loaded): (DataFolder, Loaded)) -> Result<Control, ProcessError> {
+    pub fn control(
+        self,
+        (folder, loaded): (DataFolder, PersistedState),
+    ) -> Result<Control, ProcessError> {
         let settings = &self.settings;
         let replica = Replica::new(settings.clone(), loaded, self.clock.now(), self.seed)
             .map_err(ProcessError::Replica)?;
--- a/landingdrift/src/disk/error.rs
+++ b/landingdrift/src/disk/error.rs
@@ -10,10 +10,10 @@
         /// The file or folder.
         path: PathBuf,
         /// What the file system said.
-        why: std::io::Error,
+        source: std::io::Error,
     },
     /// The folder holds something else.
-    Foreign(PathBuf),
+    NotADataFolder(PathBuf),
     /// Another build's folder.
     Version {
         /// The format of the folder.
@@ -27,12 +27,12 @@
         wanted: String,
     },
     /// Another process uses it.
-    Busy(PathBuf),
+    InUse(PathBuf),
 }
 
 impl StorageError {
     /// Whether the folder may become usable without anybody changing the settings.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         matches!(self, Self::Io { .. })
     }
 }
@@ -40,12 +40,12 @@
 impl fmt::Display for StorageError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Io { path, why } if why.kind() == std::io::ErrorKind::StorageFull => write!(f, "{}: the disk is full: free some of it", path.display()),
-            Self::Io { path, why } => write!(f, "{}: {why}: check the folder's rights and its disk", path.display()),
-            Self::Foreign(p) => write!(f, "{} holds files of something else: name an empty folder or the one this core used before", p.display()),
+            Self::Io { path, source: why } if why.kind() == std::io::ErrorKind::StorageFull => write!(f, "{}: the disk is full: free some of it", path.display()),
+            Self::Io { path, source: why } => write!(f, "{}: {why}: check the folder's rights and its disk", path.display()),
+            Self::NotADataFolder(p) => write!(f, "{} holds files of something else: name an empty folder or the one this core used before", p.display()),
             Self::Version { found } => write!(f, "the data folder has format {found}, this build reads {FOLDER_VERSION}: run the build that wrote it"),
             Self::Cluster { found, wanted } => write!(f, "the data folder belongs to cluster '{found}', not '{wanted}': correct 'cluster' or 'data'"),
-            Self::Busy(p) => write!(f, "{} is in use by another process: stop that one first", p.display()),
+            Self::InUse(p) => write!(f, "{} is in use by another process: stop that one first", p.display()),
         }
     }
 }
@@ -54,6 +54,6 @@
 pub(super) fn io(path: &Path) -> impl Fn(std::io::Error) -> StorageError + '_ {
     move |why| StorageError::Io {
         path: path.to_path_buf(),
-        why,
+        source: why,
     }
 }
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -8,7 +8,7 @@
 pub use directory::{Directory, FileSystem};
 pub use error::StorageError;
 
-use crate::consensus::Loaded;
+use crate::consensus::PersistedState;
 use crate::sans_io::{HardState, Snapshot, WriteBatch};
 use crate::wire::DurabilityWitness;
 use directory::{make_durable, write_whole};
@@ -83,7 +83,7 @@
 
 /// What an offline look at a data folder finds.
 #[derive(Debug, Serialize)]
-pub struct Findings {
+pub struct FolderReport {
     /// The cluster that it belongs to.
     pub cluster: String,
     /// The identity of the disk.
@@ -110,23 +110,23 @@
         cluster: &str,
         segment_bytes: u64,
         fresh: u64,
-    ) -> Result<(Self, Loaded), StorageError> {
-        Self::open_in(Box::new(FileSystem), path, cluster, segment_bytes, fresh)
+    ) -> Result<(Self, PersistedState), StorageError> {
+        Self::open_with(Box::new(FileSystem), path, cluster, segment_bytes, fresh)
     }
 
     /// The same, with a file system of the caller's.
-    pub fn open_in(
+    pub fn open_with(
         directory: Box<dyn Directory>,
         path: &Path,
         cluster: &str,
         segment_bytes: u64,
         fresh: u64,
-    ) -> Result<(Self, Loaded), StorageError> {
+    ) -> Result<(Self, PersistedState), StorageError> {
         make_durable(directory.as_ref(), path)?;
         let mark = own_mark(directory.as_ref(), path, cluster, fresh)?;
         let lock = lock(path)?;
         let found = load::load(path, true)?;
-        let loaded = Loaded {
+        let loaded = PersistedState {
             disk: mark.disk,
             hard_state: found.hard_state,
             snapshot: found.snapshot,
@@ -151,7 +151,7 @@
         path: &Path,
         segment_bytes: u64,
         lock: File,
-        loaded: &Loaded,
+        loaded: &PersistedState,
         closed: Vec<(u64, u64)>,
     ) -> Result<Self, StorageError> {
         let captured = loaded.snapshot.as_ref().map_or(0, |c| c.index);
@@ -301,7 +301,7 @@
             .any(|n| !n.ends_with(".new") && n != "lock");
         (!strange)
             .then_some(())
-            .ok_or_else(|| StorageError::Foreign(path.to_path_buf()))?;
+            .ok_or_else(|| StorageError::NotADataFolder(path.to_path_buf()))?;
         let mark = FolderMarker {
             format: FOLDER_VERSION,
             cluster: cluster.into(),
@@ -330,15 +330,15 @@
         .open(&path)
         .map_err(io(&path))?;
     lock.try_lock()
-        .map_err(|_| StorageError::Busy(folder.to_path_buf()))?;
+        .map_err(|_| StorageError::InUse(folder.to_path_buf()))?;
     Ok(lock)
 }
 
 fn read_mark(path: &Path) -> Result<FolderMarker, StorageError> {
     let p = path.join(MARKER_FILE);
     let bytes = fs::read(&p).map_err(io(&p))?;
-    let mark: FolderMarker =
-        serde_json::from_slice(&bytes).map_err(|_| StorageError::Foreign(path.to_path_buf()))?;
+    let mark: FolderMarker = serde_json::from_slice(&bytes)
+        .map_err(|_| StorageError::NotADataFolder(path.to_path_buf()))?;
     (mark.format == FOLDER_VERSION)
         .then_some(())
         .ok_or(StorageError::Version { found: mark.format })?;
@@ -350,16 +350,16 @@
     path.join(MARKER_FILE)
         .exists()
         .then_some(())
-        .ok_or_else(|| StorageError::Foreign(path.to_path_buf()))?;
+        .ok_or_else(|| StorageError::NotADataFolder(path.to_path_buf()))?;
     Ok((read_mark(path)?, load::load(path, false)?))
 }
 
 /// All that a data folder holds, with its cluster, without changing it.
-pub fn read_whole(path: &Path) -> Result<(String, Loaded), StorageError> {
+pub fn read_folder(path: &Path) -> Result<(String, PersistedState), StorageError> {
     let (mark, f) = look(path)?;
     Ok((
         mark.cluster,
-        Loaded {
+        PersistedState {
             disk: mark.disk,
             hard_state: f.hard_state,
             snapshot: f.snapshot,
@@ -371,9 +371,9 @@
 }
 
 /// Looks through a data folder without changing it.
-pub fn verify(path: &Path) -> Result<Findings, StorageError> {
+pub fn verify(path: &Path) -> Result<FolderReport, StorageError> {
     let (mark, found) = look(path)?;
-    Ok(Findings {
+    Ok(FolderReport {
         cluster: mark.cluster,
         disk: mark.disk,
         snapshot_index: found.snapshot.as_ref().map_or(0, |c| c.index),
--- a/landingdrift/src/node/calls/forward_targets.rs
+++ b/landingdrift/src/node/calls/forward_targets.rs
@@ -73,7 +73,7 @@
         let nodes = self.state.nodes.iter();
         let alive = nodes.filter(|(_, node)| node.alive);
         let alive = alive.map(|(address, _)| address.clone()).collect();
-        let peers = self.peer_sampler.of_role("node");
+        let peers = self.peer_sampler.with_role("node");
         let known_replicas = &self.peer_sampler.replicas;
         let seeds = self.settings.seeds.iter();
         let seeds = seeds.filter(|seed| !known_replicas.contains(*seed));
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -5,7 +5,8 @@
 use crate::sans_io::{transfer_ms, Now, Response};
 use crate::state::{unpack_apply_result, ApplyResult, Command, Order, ProposalId, Rejection};
 use crate::wire::{
-    Body, ProposeRequest, ProposeResponse, RequestToken, PROPOSAL_NOT_TAKEN, PROPOSAL_NO_CAPACITY,
+    Body, ProposeRequest, ProposeResponse, RequestToken, PROPOSAL_NOT_APPENDED,
+    PROPOSAL_NO_CAPACITY,
 };
 
 /// A proposal is sent on to a named leader at once only for its first attempts: replicas that disagree on who leads
@@ -251,7 +252,7 @@
         let Some(attempt) = attempt.filter(|attempt| attempt.to == from) else {
             return self.count("responses_unexpected", 1);
         };
-        if response.outcome == PROPOSAL_NOT_TAKEN {
+        if response.outcome == PROPOSAL_NOT_APPENDED {
             attempt.outcome = AttemptOutcome::Rejected;
             let leader = response.leader;
             let leader_hint = Some(leader).filter(|leader| !leader.is_empty() && leader != from);
--- a/landingdrift/src/node/watch/snapshot.rs
+++ b/landingdrift/src/node/watch/snapshot.rs
@@ -39,8 +39,12 @@
             return self.note_unused_chunk();
         }
         let received_before = self.watch.incoming.received();
-        match self.watch.incoming.take(id, chunk.offset, &chunk.bytes) {
-            ChunkOutcome::Part => {
+        match self
+            .watch
+            .incoming
+            .add_chunk(id, chunk.offset, &chunk.bytes)
+        {
+            ChunkOutcome::Incomplete => {
                 if self.watch.incoming.received() > received_before {
                     self.watch.snapshot_progress_at = now.mono;
                 } else {
@@ -55,7 +59,7 @@
                 ));
                 return;
             }
-            ChunkOutcome::Whole(bytes) => {
+            ChunkOutcome::Complete(bytes) => {
                 if self.install_snapshot(&bytes, chunk.light) {
                     self.on_state_changed(now);
                 }
--- a/landingdrift/src/peer_sampler/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -60,7 +60,7 @@
     }
 
     /// The processes in view that have a role.
-    pub fn of_role(&self, role: &str) -> Vec<String> {
+    pub fn with_role(&self, role: &str) -> Vec<String> {
         let peers = self.view.iter();
         let of_role = peers.filter(|(_, peer)| peer.role == role);
         of_role.map(|(address, _)| address.clone()).collect()
--- a/landingdrift/src/replay/recording.rs
+++ b/landingdrift/src/replay/recording.rs
@@ -1,6 +1,6 @@
 //! Recordings: the log of a cluster with the results, as a text file with a JSON object per line.
 
-use crate::disk::{read_whole, StorageError};
+use crate::disk::{read_folder, StorageError};
 use crate::state::{pack_apply_result, ClusterState, Command};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -100,7 +100,7 @@
 impl Recording {
     /// Records the contents of the data folder of a stopped replica.
     pub fn of_folder(folder: &Path) -> Result<Self, RecordingError> {
-        let (cluster, loaded) = read_whole(folder).map_err(RecordingError::Disk)?;
+        let (cluster, loaded) = read_folder(folder).map_err(RecordingError::Disk)?;
         if loaded.damaged {
             return Err(RecordingError::Damaged);
         }
--- a/landingdrift/src/snapshot_chunks/mod.rs
+++ b/landingdrift/src/snapshot_chunks/mod.rs
@@ -5,7 +5,7 @@
 /// The most bytes of one chunk.
 pub const CHUNK_BYTES: usize = 256 << 10;
 /// No snapshot is taken that says it is longer.
-pub const LONGEST_SNAPSHOT: u64 = 1 << 30;
+pub const MAX_SNAPSHOT_BYTES: u64 = 1 << 30;
 
 /// What tells one snapshot from another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -46,11 +46,11 @@
 
     /// The largest chunk that starts at an offset; empty behind the end.
     pub fn chunk(&self, offset: u64) -> &[u8] {
-        self.chunk_of(offset, CHUNK_BYTES)
+        self.chunk_up_to(offset, CHUNK_BYTES)
     }
 
     /// The chunk of at most so many bytes that starts at an offset; empty behind the end.
-    pub fn chunk_of(&self, offset: u64, max_bytes: usize) -> &[u8] {
+    pub fn chunk_up_to(&self, offset: u64, max_bytes: usize) -> &[u8] {
         let from = (offset as usize).min(self.bytes.len());
         let to = (from + max_bytes.min(CHUNK_BYTES)).min(self.bytes.len());
         &self.bytes[from..to]
@@ -76,9 +76,9 @@
 #[derive(Debug, PartialEq)]
 pub enum ChunkOutcome {
     /// More is to come.
-    Part,
+    Incomplete,
     /// It is whole, and its checksum is right.
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
     /// It can't be what was sent: all of it is thrown away.
     Corrupt,
 }
@@ -102,12 +102,12 @@
     }
 
     /// Takes a chunk. One of another snapshot starts over; one that does not follow what is there changes nothing.
-    pub fn take(&mut self, of: SnapshotId, offset: u64, chunk: &[u8]) -> ChunkOutcome {
+    pub fn add_chunk(&mut self, of: SnapshotId, offset: u64, chunk: &[u8]) -> ChunkOutcome {
         if of != self.identity {
             self.identity = of;
             self.bytes = Vec::new();
         }
-        let most = of.total.min(LONGEST_SNAPSHOT);
+        let most = of.total.min(MAX_SNAPSHOT_BYTES);
         if offset == self.received() && offset + chunk.len() as u64 <= most {
             self.bytes.extend_from_slice(chunk);
         }
@@ -115,7 +115,7 @@
             return if of.total > most {
                 self.spoilt()
             } else {
-                ChunkOutcome::Part
+                ChunkOutcome::Incomplete
             };
         }
         if crc32fast::hash(&self.bytes) != of.checksum {
@@ -123,7 +123,7 @@
         }
         let whole = std::mem::take(&mut self.bytes);
         self.identity = SnapshotId::default();
-        ChunkOutcome::Whole(whole)
+        ChunkOutcome::Complete(whole)
     }
 
     /// Forgets what is there.
--- a/landingdrift/src/wire/mod.rs
+++ b/landingdrift/src/wire/mod.rs
@@ -15,7 +15,7 @@
 /// The outcome of a proposal: it was applied, and `response` says with which result.
 pub const PROPOSAL_APPLIED: u8 = 0;
 /// The outcome of a proposal: the replica does not lead, or not yet, and has appended nothing.
-pub const PROPOSAL_NOT_TAKEN: u8 = 1;
+pub const PROPOSAL_NOT_APPENDED: u8 = 1;
 /// The outcome of a proposal: the leader has no memory for the job and has appended nothing.
 pub const PROPOSAL_NO_CAPACITY: u8 = 2;
 
@@ -45,11 +45,11 @@
 
 /// Turns an envelope into bytes.
 pub fn pack(cluster: &str, from: &str, body: &Body) -> Vec<u8> {
-    pack_as(WIRE_VERSION, cluster, from, body)
+    pack_with_version(WIRE_VERSION, cluster, from, body)
 }
 
 /// The same, as a build that speaks another version would.
-pub fn pack_as(version: u16, cluster: &str, from: &str, body: &Body) -> Vec<u8> {
+pub fn pack_with_version(version: u16, cluster: &str, from: &str, body: &Body) -> Vec<u8> {
     let env = Envelope {
         version,
         cluster: cluster.into(),
@@ -61,11 +61,15 @@
 
 /// Reads an envelope and checks its version and cluster.
 pub fn unpack(cluster: &str, bytes: &[u8]) -> Result<Envelope, WireError> {
-    unpack_as(WIRE_VERSION, cluster, bytes)
+    unpack_with_version(WIRE_VERSION, cluster, bytes)
 }
 
 /// The same, as a build that speaks another version would.
-pub fn unpack_as(version: u16, cluster: &str, bytes: &[u8]) -> Result<Envelope, WireError> {
+pub fn unpack_with_version(
+    version: u16,
+    cluster: &str,
+    bytes: &[u8],
+) -> Result<Envelope, WireError> {
     let read = || -> planus::Result<Envelope> {
         let env: EnvelopeRef = planus::ReadAsRoot::read_as_root(bytes)?;
         env.try_into()
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -78,7 +78,7 @@
         if is_untried(&&self.holder) {
             return self.holder.clone();
         }
-        let nodes = self.peer_sampler.of_role("node");
+        let nodes = self.peer_sampler.with_role("node");
         let mut candidates: Vec<String> = nodes.iter().filter(is_untried).cloned().collect();
         if candidates.is_empty() {
             candidates = self
--- a/landingdrift/tests/disk.rs
+++ b/landingdrift/tests/disk.rs
@@ -158,13 +158,13 @@
     fs::write(p.join("photos.txt"), "mine").expect("written");
     assert!(matches!(
         DataFolder::open(&p, "c", 600, 7),
-        Err(StorageError::Foreign(_))
+        Err(StorageError::NotADataFolder(_))
     ));
     let q = folder("cluster");
     let kept = DataFolder::open(&q, "c", 600, 7).expect("made");
     assert!(matches!(
         DataFolder::open(&q, "c", 600, 7),
-        Err(StorageError::Busy(_))
+        Err(StorageError::InUse(_))
     ));
     drop(kept);
     assert!(matches!(
--- a/landingdrift/tests/disk_power.rs
+++ b/landingdrift/tests/disk_power.rs
@@ -197,7 +197,7 @@
         let at = place(name);
         fs::create_dir_all(&at).expect("made");
         let lossy = Lossy::new(&at);
-        let made = DataFolder::open_in(Box::new(lossy.clone()), &at, "c", SEGMENT_BYTES, 7);
+        let made = DataFolder::open_with(Box::new(lossy.clone()), &at, "c", SEGMENT_BYTES, 7);
         let (folder, _) = made.expect("made");
         lossy.take_images();
         Self {
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -62,7 +62,7 @@
             self.left.fetch_sub(1, Ordering::SeqCst);
             return Err(StorageError::Io {
                 path: "log".into(),
-                why: std::io::ErrorKind::StorageFull.into(),
+                source: std::io::ErrorKind::StorageFull.into(),
             });
         }
         let mut written = self.written.lock().expect("free");
--- a/landingdrift/tests/membership.rs
+++ b/landingdrift/tests/membership.rs
@@ -1,7 +1,7 @@
 //! The pure reconciler of the membership, step by step.
 
 use landingdrift::consensus::membership::{
-    Health, JoinRequest, MembershipChange, MembershipView, Observed, Resilience,
+    Health, JoinRequest, MemberStatus, MembershipChange, MembershipView, Resilience,
 };
 use landingdrift::state::ReplicaMember;
 use std::collections::BTreeMap;
@@ -10,17 +10,17 @@
 struct Cluster {
     target: usize,
     members: BTreeMap<String, ReplicaMember>,
-    observed: BTreeMap<String, Observed>,
+    observed: BTreeMap<String, MemberStatus>,
     requests: BTreeMap<String, JoinRequest>,
 }
 
 const LEADER: &str = "a";
 
-fn observed(health: Health) -> Observed {
-    Observed {
+fn observed(health: Health) -> MemberStatus {
+    MemberStatus {
         health,
         caught_up: health == Health::Reachable,
-        long_silent: false,
+        long_unreachable: false,
     }
 }
 
@@ -129,7 +129,7 @@
     cluster.see("c", Health::Leaving);
     cluster.settle();
     assert_eq!(cluster.voters(), ["a", "b", "d"]);
-    cluster.see("c", Health::Silent);
+    cluster.see("c", Health::Unreachable);
     cluster.settle();
     assert_eq!(cluster.resilience().machine_losses_left, 1);
 }
@@ -142,7 +142,7 @@
         cluster.settle();
         cluster.see(old, Health::Leaving);
         cluster.settle();
-        cluster.see(old, Health::Silent);
+        cluster.see(old, Health::Unreachable);
         cluster.settle();
     }
     assert_eq!(cluster.voters(), ["a", "e", "f"]);
@@ -153,7 +153,7 @@
 fn four_voters_of_which_one_is_dead_become_three() {
     let four = [THREE[0], THREE[1], THREE[2], ("d", "z0")];
     let mut cluster = Cluster::new(5, &four, &[]);
-    cluster.see("c", Health::Silent);
+    cluster.see("c", Health::Unreachable);
     assert_eq!(cluster.resilience().machine_losses_left, 0);
     cluster.settle();
     assert_eq!(cluster.voters(), ["a", "b", "d"]);
@@ -163,7 +163,7 @@
 #[test]
 fn three_voters_of_which_one_is_dead_stay_three_until_a_standby_is_there() {
     let mut cluster = Cluster::new(3, &THREE, &[]);
-    cluster.see("b", Health::Silent);
+    cluster.see("b", Health::Unreachable);
     assert_eq!(cluster.settle(), []);
     cluster.request("d", 40, "z1");
     cluster.settle();
@@ -180,8 +180,8 @@
         ("e", "z2"),
     ];
     let mut cluster = Cluster::new(5, &five, &[]);
-    cluster.see("c", Health::Silent);
-    cluster.see("d", Health::Silent);
+    cluster.see("c", Health::Unreachable);
+    cluster.see("d", Health::Unreachable);
     assert_eq!(
         cluster.settle(),
         [],
@@ -207,7 +207,7 @@
     let disk_of_b = cluster.members["b"].disk;
     cluster.request("x", disk_of_b, "z1");
     assert_eq!(cluster.settle(), []);
-    cluster.see("b", Health::Silent);
+    cluster.see("b", Health::Unreachable);
     cluster.settle();
     assert!(cluster.members.contains_key("x"), "the disk has moved");
 }
@@ -251,6 +251,6 @@
 fn a_replica_whose_loss_is_not_counted_votes_only_where_no_other_can() {
     let mut cluster = Cluster::new(3, &THREE, &[("d", "z1")]);
     cluster.members.get_mut("d").expect("a member").standby_only = true;
-    cluster.see("b", Health::Silent);
+    cluster.see("b", Health::Unreachable);
     assert_eq!(cluster.settle(), []);
 }
--- a/landingdrift/tests/replicas/disk.rs
+++ b/landingdrift/tests/replicas/disk.rs
@@ -1,6 +1,6 @@
 //! A disk whose behaviour the tests rule over.
 
-use landingdrift::consensus::Loaded;
+use landingdrift::consensus::PersistedState;
 use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
 
 /// A replica's disk: what is durable, and what was handed over and is not.
 pub struct TestDisk {
-    pub durable: Loaded,
+    pub durable: PersistedState,
     pub pending: VecDeque<WriteBatch>,
     pub behaviour: Behaviour,
     pub(super) next_retry: u64,
@@ -22,9 +22,9 @@
 
 impl TestDisk {
     pub(super) fn new(disk: u64) -> Self {
-        let durable = Loaded {
+        let durable = PersistedState {
             disk,
-            ..Loaded::default()
+            ..PersistedState::default()
         };
         Self {
             durable,
@@ -49,7 +49,7 @@
     }
 }
 
-fn write(to: &mut Loaded, s: WriteBatch) {
+fn write(to: &mut PersistedState, s: WriteBatch) {
     s.hard_state.into_iter().for_each(|h| to.hard_state = h);
     if let Some(cut) = s.truncate_from {
         to.entries.retain(|e| e.index < cut);
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -122,7 +122,7 @@
     /// The leader of the newest term.
     pub fn leader(&self) -> Option<usize> {
         (0..self.replicas.len())
-            .filter(|i| self.replicas[*i].as_ref().is_some_and(Replica::leads))
+            .filter(|i| self.replicas[*i].as_ref().is_some_and(Replica::is_leader))
             .max_by_key(|i| self.replica(*i).term())
     }
 
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -116,17 +116,23 @@
     let snapshot = ChunkedSnapshot::new(7, 2, vec![9; 3 * CHUNK_BYTES]);
     let of = snapshot.identity();
     let mut assembly = SnapshotAssembly::default();
-    assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), ChunkOutcome::Part);
+    assert_eq!(
+        assembly.add_chunk(of, 0, snapshot.chunk(0)),
+        ChunkOutcome::Incomplete
+    );
     // The next one begins at the beginning, and is told how much is there.
-    assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), ChunkOutcome::Part);
+    assert_eq!(
+        assembly.add_chunk(of, 0, snapshot.chunk(0)),
+        ChunkOutcome::Incomplete
+    );
     assert_eq!(assembly.received(), CHUNK_BYTES as u64);
     let rest = [1, 2].map(|n| n * CHUNK_BYTES as u64);
     assert_eq!(
-        assembly.take(of, rest[0], snapshot.chunk(rest[0])),
-        ChunkOutcome::Part
+        assembly.add_chunk(of, rest[0], snapshot.chunk(rest[0])),
+        ChunkOutcome::Incomplete
     );
-    let whole = assembly.take(of, rest[1], snapshot.chunk(rest[1]));
-    assert_eq!(whole, ChunkOutcome::Whole(vec![9; 3 * CHUNK_BYTES]));
+    let whole = assembly.add_chunk(of, rest[1], snapshot.chunk(rest[1]));
+    assert_eq!(whole, ChunkOutcome::Complete(vec![9; 3 * CHUNK_BYTES]));
     assert_eq!(assembly.received(), 0);
 }
 
--- a/landingdrift/tests/snapshots_to_nodes.rs
+++ b/landingdrift/tests/snapshots_to_nodes.rs
@@ -46,9 +46,9 @@
             total: m.total,
             checksum: m.checksum,
         };
-        match assembly.take(of, m.offset, &m.bytes) {
-            ChunkOutcome::Part => {}
-            ChunkOutcome::Whole(bytes) => {
+        match assembly.add_chunk(of, m.offset, &m.bytes) {
+            ChunkOutcome::Incomplete => {}
+            ChunkOutcome::Complete(bytes) => {
                 whole = Some((m.index, bytes));
                 break;
             }
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -10,7 +10,7 @@
 
 mod stored;
 
-use landingdrift::disk::{read_whole, verify, DataFolder};
+use landingdrift::disk::{read_folder, verify, DataFolder};
 use landingdrift::replay::Recording;
 use landingdrift::settings::Settings;
 use landingdrift::state::pack::{pack, unpack};
@@ -241,7 +241,7 @@
 #[test]
 fn the_entries_of_a_data_folder_are_those_of_the_recording() {
     let recording = stored::recording(LOG);
-    let (cluster, loaded) = read_whole(&fixture(FOLDER)).expect("a sound folder");
+    let (cluster, loaded) = read_folder(&fixture(FOLDER)).expect("a sound folder");
     assert_eq!((cluster.as_str(), loaded.disk), (stored::CLUSTER, 77));
     assert_eq!(
         (loaded.hard_state.clone(), loaded.witnesses),
--- a/testkit/src/explorer/inspect.rs
+++ b/testkit/src/explorer/inspect.rs
@@ -45,7 +45,7 @@
             return;
         };
         let address = &self.machines[machine_index].address;
-        if replica.leads() {
+        if replica.is_leader() {
             let life = format!(
                 "{address} (disk {})",
                 self.machines[machine_index].disk_number
@@ -95,7 +95,7 @@
             machine
                 .replica
                 .as_ref()
-                .is_some_and(|replica| replica.leads())
+                .is_some_and(|replica| replica.is_leader())
                 && !machine.frozen
         };
         (0..self.machines.len())
--- a/testkit/src/measure/capacity/metered_day.rs
+++ b/testkit/src/measure/capacity/metered_day.rs
@@ -14,7 +14,7 @@
 use crate::fakes::worker::Worker;
 use crate::simulator::EPOCH;
 use actions::{Action, Caller, ScheduledAction};
-use landingdrift::consensus::{Loaded, Replica};
+use landingdrift::consensus::{PersistedState, Replica};
 use landingdrift::node::Node;
 use landingdrift::sans_io::{Now, Rng};
 use landingdrift::settings::Settings;
@@ -91,10 +91,10 @@
     };
     let mut processes: Vec<Process> = Vec::new();
     for (index, address) in replicas.iter().enumerate() {
-        let loaded = Loaded {
+        let loaded = PersistedState {
             // Odd, as no disk has the number 0.
             disk: rng.number() | 1,
-            ..Loaded::default()
+            ..PersistedState::default()
         };
         let replica = Replica::new(settings(address, index, "d"), loaded, now, rng.number());
         let replica = replica.expect("an empty disk loads");
--- a/testkit/src/measure/capacity/metered_day/process.rs
+++ b/testkit/src/measure/capacity/metered_day/process.rs
@@ -54,6 +54,6 @@
     }
 
     pub fn leads(&self) -> bool {
-        matches!(&self.part, Part::Replica(replica) if replica.leads())
+        matches!(&self.part, Part::Replica(replica) if replica.is_leader())
     }
 }
--- a/testkit/src/simulator/disk.rs
+++ b/testkit/src/simulator/disk.rs
@@ -1,6 +1,6 @@
 //! The disk of a simulated replica, which can lose what it has confirmed.
 
-use landingdrift::consensus::Loaded;
+use landingdrift::consensus::PersistedState;
 use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct SimDisk {
     /// What can't be lost any more.
-    base: Loaded,
+    base: PersistedState,
     /// Confirmed batches since then.
     confirmed: VecDeque<WriteBatch>,
     /// Batches that are not confirmed.
@@ -36,7 +36,7 @@
 }
 
 /// Applies a batch to what a replica would load.
-fn apply(loaded: &mut Loaded, batch: &WriteBatch) {
+fn apply(loaded: &mut PersistedState, batch: &WriteBatch) {
     if let Some(hard_state) = &batch.hard_state {
         loaded.hard_state = hard_state.clone();
     }
@@ -60,9 +60,9 @@
     /// An empty disk with a number of its own.
     pub fn new(disk: u64) -> Self {
         Self {
-            base: Loaded {
+            base: PersistedState {
                 disk,
-                ..Loaded::default()
+                ..PersistedState::default()
             },
             confirmed: VecDeque::new(),
             pending: VecDeque::new(),
@@ -105,15 +105,15 @@
         let kept = self.load();
         self.confirmed.clear();
         self.pending.clear();
-        self.base = Loaded {
+        self.base = PersistedState {
             disk: kept.disk,
             hard_state: kept.hard_state,
-            ..Loaded::default()
+            ..PersistedState::default()
         };
     }
 
     /// What a replica finds on it when it starts.
-    pub fn load(&self) -> Loaded {
+    pub fn load(&self) -> PersistedState {
         let mut loaded = self.base.clone();
         for batch in &self.confirmed {
             apply(&mut loaded, batch);
--- a/testkit/src/simulator/world/links.rs
+++ b/testkit/src/simulator/world/links.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Caller, OpenCall, World};
 use landingdrift::sans_io::{Msg, Request, Response};
-use landingdrift::wire::{pack_as, unpack_as, Body, WireError};
+use landingdrift::wire::{pack_with_version, unpack_with_version, Body, WireError};
 
 /// Messages take 1 ms to this many, times the slowness of the sender.
 const LATENCY_SPREAD_MS: u64 = 3;
@@ -45,7 +45,7 @@
         let Some(at_ms) = arrival else { return };
         self.messages += 1;
         let sender = &self.processes[from];
-        let frame = pack_as(
+        let frame = pack_with_version(
             sender.wire_version,
             &self.settings.cluster,
             &sender.address,
@@ -101,7 +101,7 @@
     /// Hands a frame to the process that it was sent to.
     pub(super) fn deliver(&mut self, to: usize, from: String, frame: &[u8]) {
         let wire_version = self.processes[to].wire_version;
-        match unpack_as(wire_version, &self.settings.cluster, frame) {
+        match unpack_with_version(wire_version, &self.settings.cluster, frame) {
             Ok(envelope) => self.step(to, Msg::Wire(from, envelope.body)),
             Err(WireError::Version(_)) => {
                 let counters = &mut self.processes[to].counters;
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -142,7 +142,7 @@
     /// The replica that leads in the highest term.
     pub(in crate::simulator) fn leader(&self) -> Option<usize> {
         let leading_term = |process: &Process| {
-            let replica = process.replica().filter(|replica| replica.leads())?;
+            let replica = process.replica().filter(|replica| replica.is_leader())?;
             Some(replica.term())
         };
         let awake = self.processes.iter().enumerate();
--- a/testkit/src/simulator/world/report.rs
+++ b/testkit/src/simulator/world/report.rs
@@ -41,7 +41,8 @@
             }
         }
         let replicas = self.processes.iter().filter_map(Process::replica);
-        let best = replicas.max_by_key(|replica| (replica.leads(), replica.state().applied_index));
+        let best =
+            replicas.max_by_key(|replica| (replica.is_leader(), replica.state().applied_index));
         let state = best.map(|replica| replica.state().clone());
         let state = state.unwrap_or_default();
         for line in open_jobs(&state) {
