--- a/landingdrift/src/config/check.rs
+++ b/landingdrift/src/config/check.rs
@@ -69,7 +69,7 @@
     for (name, queue) in &config.queues {
         check_queue(name, queue)?;
     }
-    check_places(config)?;
+    check_routes(config)?;
     for (name, service) in &config.services {
         check_service(name, service)?;
     }
@@ -127,15 +127,15 @@
 }
 
 /// No two queues have the same host and prefix, and each that has a prefix has a service.
-fn check_places(config: &ClusterConfig) -> Result<(), ConfigError> {
-    let mut places = BTreeMap::new();
+fn check_routes(config: &ClusterConfig) -> Result<(), ConfigError> {
+    let mut routes = BTreeMap::new();
     for (name, queue) in &config.queues {
         if queue.prefix.is_empty() {
             continue;
         }
         let item = Item::named("queues", name)?;
-        let place = (canonical_host(&queue.host), &queue.prefix);
-        let is_own = places.insert(place, name).is_none();
+        let route = (canonical_host(&queue.host), &queue.prefix);
+        let is_own = routes.insert(route, name).is_none();
         let same = "another queue has the same host and prefix: give one of them another";
         item.ensure(is_own, "prefix", same)?;
         let has_slash = queue.prefix.starts_with('/');
--- a/landingdrift/src/config/mod.rs
+++ b/landingdrift/src/config/mod.rs
@@ -122,7 +122,7 @@
 
 impl ClusterConfig {
     /// Whether a worker of a zone may get new work.
-    pub fn open(&self, zone: &str, worker: &str) -> bool {
+    pub fn allows_new_work(&self, zone: &str, worker: &str) -> bool {
         self.zones
             .get(zone)
             .is_none_or(|z| z.serving() && !z.drained_workers.iter().any(|w| w == worker))
--- a/landingdrift/src/consensus/disk_health.rs
+++ b/landingdrift/src/consensus/disk_health.rs
@@ -138,7 +138,7 @@
 
     /// Steps aside when the disk has confirmed nothing for too long.
     pub(super) fn disk_health_tick(&mut self, now: Now) {
-        let timeout_ms = STALL_ELECTION_TIMEOUTS * self.settings.bounds.election();
+        let timeout_ms = STALL_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
         if !self.disk_health.check_stalled(now.mono, timeout_ms) {
             return;
         }
--- a/landingdrift/src/consensus/election.rs
+++ b/landingdrift/src/consensus/election.rs
@@ -39,7 +39,7 @@
 impl Replica {
     /// Starts the election timer anew, with a random share so that replicas rarely stand at once.
     pub(super) fn reset_election_timer(&mut self, now: Now) {
-        let mut timeout = self.settings.bounds.election();
+        let mut timeout = self.settings.bounds.election_timeout();
         let is_fast = now.mono < self.election.fast_until && self.leader.is_empty();
         if is_fast {
             timeout /= FAST_ELECTION_DIVISOR;
@@ -57,7 +57,7 @@
     fn has_live_leader(&self, now: Now) -> bool {
         let silence = now.mono.saturating_sub(self.election.last_leader_contact);
         self.role == Role::Leader
-            || (!self.leader.is_empty() && silence < self.settings.bounds.election())
+            || (!self.leader.is_empty() && silence < self.settings.bounds.election_timeout())
     }
 
     /// Enters a term that is not older than the current one, as a follower. `leader` is empty where it isn't known.
@@ -249,7 +249,7 @@
     /// The voter that should lead next: it answers, stays, has a working disk, and has the most entries.
     fn successor(&mut self, now: Now) -> Option<String> {
         let voters = self.voters();
-        let timeout = self.settings.bounds.election();
+        let timeout = self.settings.bounds.election_timeout();
         let is_fit = |address: &String, progress: &Progress| {
             voters.contains(address)
                 && !progress.leaving
--- a/landingdrift/src/consensus/leadership.rs
+++ b/landingdrift/src/consensus/leadership.rs
@@ -48,7 +48,7 @@
 impl Replica {
     /// The leader's periodic work: keeps its majority, sends heartbeats, and reconciles the cluster state.
     pub(super) fn leader_tick(&mut self, now: Now) {
-        let election_timeout = self.settings.bounds.election();
+        let election_timeout = self.settings.bounds.election_timeout();
         let last_contact = self.last_quorum_contact(now).max(self.leadership.since);
         let silence = now.mono.saturating_sub(last_contact);
         if silence > STEP_DOWN_ELECTION_TIMEOUTS * election_timeout {
@@ -60,7 +60,7 @@
         self.clock
             .agree_if_possible(now, CLOCK_WAIT_ELECTION_TIMEOUTS * election_timeout);
         let next_heartbeat_at =
-            self.leadership.rounds.last_heartbeat_at + self.settings.bounds.heartbeat();
+            self.leadership.rounds.last_heartbeat_at + self.settings.bounds.heartbeat_interval();
         let is_due = now.mono >= next_heartbeat_at;
         if is_due || std::mem::take(&mut self.leadership.heartbeat_requested) {
             self.send_round(now, true);
@@ -117,7 +117,9 @@
         let retain_ms = self.settings.limits.retain_ms;
         let identity_ms = self.settings.limits.identity_ms;
         let time = self.clock.read(now);
-        let due_at = self.state.sweep_due(retain_ms, identity_ms)?;
+        let due_at = self
+            .state
+            .next_garbage_collection_at(retain_ms, identity_ms)?;
         (due_at <= time).then_some(Command::CollectGarbage {
             retain_ms,
             identity_ms,
--- a/landingdrift/src/consensus/lease_assignment.rs
+++ b/landingdrift/src/consensus/lease_assignment.rs
@@ -84,7 +84,7 @@
                 }
             }
         }
-        let settle_ms = SETTLE_NODE_TIMEOUTS * self.settings.bounds.node_lost();
+        let settle_ms = SETTLE_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
         let last_change = self
             .leadership
             .since
@@ -98,7 +98,7 @@
 
     /// Whether a node may be given leases: it is alive, stays, and follows the whole state.
     fn may_hold_leases(&self, now: Now, node: &str) -> bool {
-        let timeout = self.settings.bounds.queue_lost();
+        let timeout = self.settings.bounds.queue_lease_timeout();
         let is_registered = self.state.nodes.get(node).is_some_and(|n| n.alive);
         is_registered
             && self.watch.watchers.get(node).is_some_and(|watcher| {
@@ -180,7 +180,7 @@
         let is_leaving = watcher.is_some_and(|w| w.leaving);
         let last_heard_at = watcher.map_or(self.leadership.since, |w| w.last_heard_at);
         let is_queue = wanted.zone.is_none();
-        let is_silent = last_heard_at + self.settings.bounds.queue_lost() < now.mono;
+        let is_silent = last_heard_at + self.settings.bounds.queue_lease_timeout() < now.mono;
         is_alive && !is_leaving && !(is_queue && is_silent)
     }
 
--- a/landingdrift/src/consensus/membership_state.rs
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -184,7 +184,7 @@
             }
         }
         let led_ms = now.mono.saturating_sub(self.leadership.since);
-        let waited = led_ms >= self.settings.bounds.election();
+        let waited = led_ms >= self.settings.bounds.election_timeout();
         let all_heard = replicas.len() == founders.len();
         let all_but_one_heard = replicas.len() + 1 == founders.len();
         (all_heard || (waited && all_but_one_heard)).then_some(Command::FoundCluster { replicas })
@@ -237,7 +237,7 @@
         let is_other_disk = |disk: u64| disk != 0 && disk != member.disk;
         let health = if is_other_disk(progress.disk) || is_other_disk(requested_disk) {
             Health::Replaced
-        } else if silence > self.settings.bounds.exchange() {
+        } else if silence > self.settings.bounds.voter_replacement_timeout() {
             Health::Unreachable
         } else if progress.leaving {
             Health::Leaving
@@ -246,7 +246,8 @@
         } else {
             Health::Reachable
         };
-        let answers = silence < self.settings.bounds.election() && progress.disk == member.disk;
+        let answers =
+            silence < self.settings.bounds.election_timeout() && progress.disk == member.disk;
         let has_most_entries = progress.match_index > 0
             && progress.match_index + CAUGHT_UP_WITHIN >= self.log.commit_index;
         MemberStatus {
@@ -312,8 +313,8 @@
         let name = self.name.clone();
         let silence = now.mono.saturating_sub(self.election.last_leader_contact);
         let is_admitted = self.is_identity(&name, self.disk);
-        let is_abandoned = silence > self.settings.bounds.exchange();
-        let interval = JOIN_EVERY_HEARTBEATS * self.settings.bounds.heartbeat();
+        let is_abandoned = silence > self.settings.bounds.voter_replacement_timeout();
+        let interval = JOIN_EVERY_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let last_request_at = self.membership.last_join_request_at;
         let is_due = last_request_at.is_none_or(|at| now.mono >= at + interval);
         let needs_to_ask = !is_admitted || is_abandoned;
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -181,7 +181,7 @@
             state,
             witnesses: loaded.witnesses.into_iter().map(by_identity).collect(),
             recovery: recovery::RecoveryState::new(query, loaded.damaged),
-            election: election::Election::new(now, settings.bounds.election()),
+            election: election::Election::new(now, settings.bounds.election_timeout()),
             leadership: leadership::Leadership::default(),
             watch: watch::Watch::default(),
             job_admission: job_admission::JobAdmission::default(),
@@ -206,7 +206,7 @@
     fn on_tick(&mut self, now: Now) {
         let gap = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
-        if gap > self.settings.bounds.election() / FROZEN_ELECTION_DIVISOR {
+        if gap > self.settings.bounds.election_timeout() / FROZEN_ELECTION_DIVISOR {
             self.on_thaw(now);
         }
         self.disk_health_tick(now);
@@ -236,7 +236,7 @@
     }
 
     fn peer_sampler_tick(&mut self, now: Now) {
-        let interval = self.settings.bounds.shuffle();
+        let interval = self.settings.bounds.shuffle_interval();
         let exchange = self.peer_sampler.tick(now, interval, &mut self.rng);
         if let Some((to, shuffle)) = exchange {
             self.send(&to, Body::Shuffle(Box::new(shuffle)));
--- a/landingdrift/src/consensus/node_registry.rs
+++ b/landingdrift/src/consensus/node_registry.rs
@@ -12,7 +12,7 @@
     }
 
     fn node_to_register(&self, now: Now) -> Option<Command> {
-        let timeout = self.settings.bounds.node_lost();
+        let timeout = self.settings.bounds.node_timeout();
         for (name, watcher) in &self.watch.watchers {
             let is_silent = now.mono.saturating_sub(watcher.last_heard_at) >= timeout;
             if is_silent || watcher.leaving {
@@ -34,7 +34,7 @@
     }
 
     fn node_to_remove(&self, now: Now) -> Option<Command> {
-        let timeout = self.settings.bounds.node_lost();
+        let timeout = self.settings.bounds.node_timeout();
         let has_led_long = now.mono.saturating_sub(self.leadership.since) > timeout;
         for (name, node) in &self.state.nodes {
             let is_gone = match self.watch.watchers.get(name) {
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -186,7 +186,7 @@
             for replica in self.known_replicas() {
                 self.send_recovery_request(&replica);
             }
-            let interval = self.settings.bounds.heartbeat();
+            let interval = self.settings.bounds.heartbeat_interval();
             if let Some(query) = self.recovery.query.as_mut() {
                 query.next_request_at = now.mono + interval;
             }
@@ -242,7 +242,7 @@
         self.recovery.disk_damaged = false;
         self.election.last_leader_contact = self.election.last_leader_contact.min(now.mono);
         self.election.fast_until =
-            now.mono + FAST_ELECTION_TIMEOUTS * self.settings.bounds.election();
+            now.mono + FAST_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
         self.reset_election_timer(now);
         self.outbox.log(format!(
             "recovered at index {} of term {}, {} other replicas heard",
--- a/landingdrift/src/consensus/replication.rs
+++ b/landingdrift/src/consensus/replication.rs
@@ -65,7 +65,7 @@
 
     /// Sends a replica the entries that it lacks. One batch is in flight at a time; heartbeats go out beside it.
     pub(super) fn replicate(&mut self, now: Now, to: &str, heartbeat: bool) {
-        let resend_after = RESEND_AFTER_HEARTBEATS * self.settings.bounds.heartbeat();
+        let resend_after = RESEND_AFTER_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let Some(progress) = self.leadership.progress.get_mut(to) else {
             return;
         };
--- a/landingdrift/src/consensus/shutdown.rs
+++ b/landingdrift/src/consensus/shutdown.rs
@@ -27,7 +27,7 @@
         if self.shutdown.is_requested() {
             return;
         }
-        self.shutdown.deadline = Some(now.mono + self.settings.bounds.leave());
+        self.shutdown.deadline = Some(now.mono + self.settings.bounds.leave_timeout());
         self.shutdown.leave_permitted = false;
         if self.role == Role::Leader {
             self.transfer_leadership(now);
@@ -47,7 +47,8 @@
             self.outbox.exit();
             return;
         }
-        let next_offer_at = self.shutdown.transfer_offered_at + self.settings.bounds.heartbeat();
+        let next_offer_at =
+            self.shutdown.transfer_offered_at + self.settings.bounds.heartbeat_interval();
         if self.role == Role::Leader && now.mono >= next_offer_at {
             self.transfer_leadership(now);
         }
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -75,7 +75,7 @@
     pub(super) fn send_snapshot(&mut self, now: Now, to: &str) {
         let latest = self.snapshots.latest.clone();
         let log_base = self.log.base().index;
-        let repeat_after = REPEAT_AFTER_HEARTBEATS * self.settings.bounds.heartbeat();
+        let repeat_after = REPEAT_AFTER_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let Some(progress) = self.leadership.progress.get_mut(to) else {
             return;
         };
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -32,7 +32,8 @@
 
     fn is_ready(&self, now: Now) -> bool {
         let silence = now.mono.saturating_sub(self.election.last_leader_contact);
-        let hears_leader = silence < READY_ELECTION_TIMEOUTS * self.settings.bounds.election();
+        let hears_leader =
+            silence < READY_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
         self.disk_health.takes_writes()
             && !self.is_recovering()
             && !self.shutdown.is_requested()
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -148,7 +148,7 @@
             self.send_watch_batch(now, from, RequestOrigin::of(&request), None);
             return;
         }
-        let unused_after = UNUSED_SNAPSHOT_NODE_TIMEOUTS * self.settings.bounds.node_lost();
+        let unused_after = UNUSED_SNAPSHOT_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
         self.watch.snapshots.expire(now, unused_after);
         let reading = ClockReading {
             time: request.clock,
@@ -239,8 +239,8 @@
     /// Whether a node is to follow a light copy: it has too little of a processor for leases, and others have enough.
     fn should_follow_light_copy(&self, now: Now, request: &WatchRequest) -> bool {
         let is_small = |share: u32| share < SMALL_NODE_SHARE;
-        let expected_until =
-            self.leadership.since + NODES_EXPECTED_NODE_TIMEOUTS * self.settings.bounds.node_lost();
+        let expected_until = self.leadership.since
+            + NODES_EXPECTED_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
         let mut watchers = self.watch.watchers.values();
         is_small(request.share)
             && (now.mono < expected_until || watchers.any(|w| !is_small(w.share)))
@@ -250,7 +250,7 @@
     pub(super) fn push_to_watchers(&mut self, now: Now) {
         let leases = self.state.leases.values();
         let holders: BTreeSet<String> = leases.map(|lease| lease.holder.clone()).collect();
-        let fresh_ms = self.settings.bounds.fresh();
+        let fresh_ms = self.settings.bounds.max_watch_age();
         let mut due = Vec::new();
         for (node, watcher) in &self.watch.watchers {
             let is_fresh = now.mono.saturating_sub(watcher.last_heard_at) < fresh_ms;
@@ -305,7 +305,7 @@
         let wanted = (self.log.commit_index - index).min(MAX_BATCH_ENTRIES);
         let mut sent = SentEntries::none(index);
         for entry in self.log.batch(index + 1, wanted as usize) {
-            let is_wanted = !light || Command::concerns_all(&entry.command);
+            let is_wanted = !light || Command::is_cluster_wide(&entry.command);
             let bytes = entry.command.len() as u64;
             let is_full = sent.bytes > 0 && sent.bytes + bytes > MAX_LIGHT_BATCH_BYTES;
             if light && is_wanted && is_full {
--- a/landingdrift/src/consensus/watch_flow.rs
+++ b/landingdrift/src/consensus/watch_flow.rs
@@ -1,7 +1,7 @@
 //! Flow control towards the nodes that follow the log: what is on its way to a node is not sent again before it can
 //! have arrived, however narrow the node's link is, and each repetition waits twice as long as the last.
 
-use crate::sans_io::SLOWEST_LINK_BYTES_PER_MS;
+use crate::sans_io::MIN_LINK_BYTES_PER_MS;
 use crate::settings::Bounds;
 
 /// What is sent waits this many heartbeats for its acknowledgement, beside the time that its bytes take.
@@ -26,7 +26,7 @@
 
 impl Default for LinkRate {
     fn default() -> Self {
-        Self(SLOWEST_LINK_BYTES_PER_MS)
+        Self(MIN_LINK_BYTES_PER_MS)
     }
 }
 
@@ -39,7 +39,7 @@
     }
 
     fn timed_out(&mut self) {
-        self.0 = (self.0 / 2).max(SLOWEST_LINK_BYTES_PER_MS);
+        self.0 = (self.0 / 2).max(MIN_LINK_BYTES_PER_MS);
     }
 
     fn transfer_ms(self, bytes: u64) -> u64 {
@@ -100,7 +100,7 @@
 
     /// Whether it may still be on its way.
     pub fn is_in_flight(&self, now_ms: u64, rate: LinkRate, bounds: &Bounds) -> bool {
-        let usual_ms = ACK_HEARTBEATS * bounds.heartbeat() + rate.transfer_ms(self.bytes);
+        let usual_ms = ACK_HEARTBEATS * bounds.heartbeat_interval() + rate.transfer_ms(self.bytes);
         let wait_ms = usual_ms << self.repetitions.min(MAX_DOUBLINGS);
         now_ms < self.sent_at + wait_ms
     }
@@ -124,9 +124,9 @@
 
     /// A chunk was acknowledged after so many milliseconds.
     pub fn acknowledged(&mut self, after_ms: u64, max_bytes: usize, bounds: &Bounds) {
-        if after_ms <= QUICK_CHUNK_HEARTBEATS * bounds.heartbeat() {
+        if after_ms <= QUICK_CHUNK_HEARTBEATS * bounds.heartbeat_interval() {
             self.0 = (self.0 * 2).min(max_bytes);
-        } else if after_ms > SLOW_CHUNK_HEARTBEATS * bounds.heartbeat() {
+        } else if after_ms > SLOW_CHUNK_HEARTBEATS * bounds.heartbeat_interval() {
             self.0 = (self.0 / 2).max(MIN_CHUNK_BYTES);
         }
     }
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -214,7 +214,7 @@
             return own.clone();
         }
         let bytes = if light {
-            self.state.light().pack()
+            self.state.without_jobs_and_workers().pack()
         } else {
             self.state.pack()
         };
--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -68,7 +68,7 @@
             transport,
             disk,
             calls,
-            tick: Duration::from_millis(settings.bounds.tick()),
+            tick: Duration::from_millis(settings.bounds.tick_interval()),
             shutdown_timer: ShutdownTimer::new(GracePeriods::of(&settings.bounds)),
         }
     }
@@ -106,7 +106,7 @@
     fn step(&mut self, msg: Msg, effects: &mut Vec<Effect>) -> bool {
         match &msg {
             Msg::SettingsChanged(settings) => {
-                self.tick = Duration::from_millis(settings.bounds.tick());
+                self.tick = Duration::from_millis(settings.bounds.tick_interval());
                 self.shutdown_timer.periods = GracePeriods::of(&settings.bounds);
             }
             Msg::Stop => self.shutdown_timer.stop_requested(Instant::now()),
--- a/landingdrift/src/daemon/disk_writer.rs
+++ b/landingdrift/src/daemon/disk_writer.rs
@@ -40,8 +40,8 @@
     /// The pauses that the bounds allow for.
     pub fn of(bounds: &Bounds) -> Self {
         Self {
-            next: Duration::from_millis(bounds.heartbeat()),
-            longest: Duration::from_millis(bounds.disk_pause()),
+            next: Duration::from_millis(bounds.heartbeat_interval()),
+            longest: Duration::from_millis(bounds.max_disk_retry_interval()),
         }
     }
 }
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -116,7 +116,7 @@
         let frames = Frames {
             cluster: settings.cluster.clone(),
             own_address: settings.listen.clone(),
-            timeout: Duration::from_millis(settings.bounds.election()),
+            timeout: Duration::from_millis(settings.bounds.election_timeout()),
             max_frame_bytes: Frames::max_frame_bytes(&settings.limits),
         };
         let transport = self.traffic.listen(frames, inputs.clone())?;
@@ -210,9 +210,9 @@
     /// refuses calls and ends once those in flight are answered. Returns whether a control thread panicked.
     fn stop(&mut self) -> bool {
         let stop_requested_at = Instant::now();
-        let serve_on = self.longest(Bounds::serve_on);
-        let end_by = self.longest(Bounds::end_process);
-        let flush = self.longest(Bounds::flush_answers);
+        let serve_on = self.longest(Bounds::serving_time_after_stop);
+        let end_by = self.longest(Bounds::process_deadline);
+        let flush = self.longest(Bounds::flush_timeout);
         let serving = self.traffic.serving().clone();
         serving.leave();
         for part in &self.parts {
--- a/landingdrift/src/daemon/running_part.rs
+++ b/landingdrift/src/daemon/running_part.rs
@@ -36,7 +36,7 @@
 
     /// Applies the settings that can change while the process runs.
     pub fn update_settings(&mut self, new: &Settings, logger: Option<&LoggerHandle>) {
-        let (updated, fixed) = self.settings.take_live(new);
+        let (updated, fixed) = self.settings.with_reloadable_from(new);
         for setting in fixed {
             log::warn!("setting '{setting}' can't change while the process runs: restart it");
         }
--- a/landingdrift/src/daemon/shutdown_timer.rs
+++ b/landingdrift/src/daemon/shutdown_timer.rs
@@ -16,8 +16,8 @@
     /// The grace periods that follow from the bounds.
     pub fn of(bounds: &Bounds) -> Self {
         Self {
-            min: Duration::from_millis(bounds.serve_on()),
-            max: Duration::from_millis(bounds.end_parts()),
+            min: Duration::from_millis(bounds.serving_time_after_stop()),
+            max: Duration::from_millis(bounds.parts_deadline()),
         }
     }
 }
--- a/landingdrift/src/node/calls/config.rs
+++ b/landingdrift/src/node/calls/config.rs
@@ -107,7 +107,7 @@
             }
             Err(rejection @ Rejection::TooManyChanges) => {
                 Response::error(503, "full", rejection.to_string())
-                    .retry(FULL_PAUSES * self.settings.bounds.back())
+                    .retry(FULL_PAUSES * self.settings.bounds.retry_after())
             }
             Err(Rejection::Invalid { path, remedy }) => {
                 let mut response = Response::error(400, "wrongDesired", remedy);
--- a/landingdrift/src/node/calls/forward.rs
+++ b/landingdrift/src/node/calls/forward.rs
@@ -104,12 +104,12 @@
     }
 
     fn forward_retry_ms(&self) -> u64 {
-        self.settings.bounds.call() / RETRY_PART
+        self.settings.bounds.request_timeout() / RETRY_PART
     }
 
     fn no_full_copy_response(&self) -> Response {
         let why = "this node keeps no jobs and knows of none that does: come back later, or go to another node";
-        Response::error(503, "noDuty", why).retry(self.settings.bounds.back())
+        Response::error(503, "noDuty", why).retry(self.settings.bounds.retry_after())
     }
 
     /// Asks the next nodes for the calls whose last one was silent.
@@ -132,7 +132,7 @@
         let Some(silent) = last.filter(|attempt| !attempt.is_refused) else {
             return;
         };
-        let until = now.mono + self.settings.bounds.node_lost();
+        let until = now.mono + self.settings.bounds.node_timeout();
         let node = silent.to.clone();
         self.calls.silent_nodes.note_silence(&node, until);
         self.count("forwards_without_answer", 1);
--- a/landingdrift/src/node/calls/heartbeats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -109,6 +109,6 @@
                 heartbeat.info.zone
             ),
         )
-        .retry(self.settings.bounds.worker_heartbeat())
+        .retry(self.settings.bounds.worker_heartbeat_interval())
     }
 }
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -85,7 +85,7 @@
     fn reject_full(&mut self, origin: &Origin) {
         self.count("jobs_rejected", 1);
         let why = "the system holds as many unfinished jobs as it may and took nothing of this call: come back later";
-        let pause = FULL_PAUSES * self.settings.bounds.back();
+        let pause = FULL_PAUSES * self.settings.bounds.retry_after();
         self.reply(origin, Response::error(503, "full", why).retry(pause));
     }
 
@@ -136,11 +136,11 @@
         match rejection {
             Rejection::BodyMismatch => Response::error(409, "otherBody", why),
             Rejection::OverQuota { .. } | Rejection::PreviouslyRejected => {
-                let pause = OVER_QUOTA_PAUSES * self.settings.bounds.back();
+                let pause = OVER_QUOTA_PAUSES * self.settings.bounds.retry_after();
                 Response::error(429, "overQuota", why).retry(pause)
             }
             Rejection::InsufficientCapacity => {
-                let pause = FULL_PAUSES * self.settings.bounds.back();
+                let pause = FULL_PAUSES * self.settings.bounds.retry_after();
                 Response::error(503, "full", why).retry(pause)
             }
             Rejection::Invalid { path, .. } if path == "queue" => {
@@ -180,7 +180,7 @@
                 let state = CallState::PollPending {
                     id: id.into(),
                     received_at: now.mono,
-                    answer_by: now.mono + self.settings.bounds.fresh() / 2,
+                    answer_by: now.mono + self.settings.bounds.max_watch_age() / 2,
                 };
                 self.open_call(now, origin, state);
             }
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -163,7 +163,7 @@
         let call = self.token();
         let open_call = OpenCall {
             origin,
-            deadline: now.mono + self.settings.bounds.call(),
+            deadline: now.mono + self.settings.bounds.request_timeout(),
             state,
             forward: None,
         };
@@ -179,7 +179,7 @@
         command: &Command,
         proposed: ProposedCall,
     ) {
-        let within = self.settings.bounds.call();
+        let within = self.settings.bounds.request_timeout();
         let call = self.open_call(now, origin, CallState::ProposalPending);
         self.propose(now, command, Purpose::Call(call, proposed), within);
     }
@@ -232,7 +232,7 @@
             return self.unsure_response();
         }
         let why = "neither a core nor another node answered in time, so nothing sure can be said: come back later";
-        Response::error(503, "noCore", why).retry(self.settings.bounds.back())
+        Response::error(503, "noCore", why).retry(self.settings.bounds.retry_after())
     }
 
     /// The cluster state has applied what a call proposed, or has rejected it.
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -180,7 +180,7 @@
             _ => return,
         };
         let to = self.likely_leader(leader_hint, last_asked.unwrap_or_default());
-        let retry_after = RETRY_HEARTBEATS * self.settings.bounds.heartbeat();
+        let retry_after = RETRY_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let open_call = self.calls.open.get_mut(&call);
         let Some(OpenCall {
             state: CallState::ReadIndexPending {
@@ -229,7 +229,7 @@
             };
             return self.answer_ready_reads();
         }
-        *retry_at = now.mono + self.settings.bounds.heartbeat() / 2;
+        *retry_at = now.mono + self.settings.bounds.heartbeat_interval() / 2;
         if !response.leader.is_empty() && response.leader != self.watch.leader {
             return self.send_read_index(now, call, Some(response.leader));
         }
--- a/landingdrift/src/node/calls/routed_jobs.rs
+++ b/landingdrift/src/node/calls/routed_jobs.rs
@@ -41,7 +41,7 @@
             }
             self.note_call_without_copy();
             let response = Response::error(503, "notReady", "this node has no configuration that is new enough, and took nothing: come back later, or go to another node");
-            return self.reply(&origin, response.retry(self.settings.bounds.back()));
+            return self.reply(&origin, response.retry(self.settings.bounds.retry_after()));
         }
         if self.is_behind_forwarder(request) {
             return self.forward_repeatable(now, origin, request);
--- a/landingdrift/src/node/calls/routes.rs
+++ b/landingdrift/src/node/calls/routes.rs
@@ -51,7 +51,7 @@
     fn reject_busy(&mut self, origin: &Origin) {
         self.count("calls_rejected", 1);
         let why = "this node works on as many calls as it may and took nothing of this one: come back later, or go to another node";
-        let response = Response::error(503, "busy", why).retry(self.settings.bounds.back());
+        let response = Response::error(503, "busy", why).retry(self.settings.bounds.retry_after());
         self.reply(origin, response);
     }
 
--- a/landingdrift/src/node/calls/status.rs
+++ b/landingdrift/src/node/calls/status.rs
@@ -49,7 +49,7 @@
         .filter(|(ended_at, _)| is_in_window(*ended_at));
     let ended = in_window.clone().count();
     let missed = in_window.filter(|(_, kept)| !kept).count();
-    let window = json!({"ended": ended, "missed": missed, "allowancePercent": queue.failure_allowance_percent, "spent": state.allowance_spent(name)});
+    let window = json!({"ended": ended, "missed": missed, "allowancePercent": queue.failure_allowance_percent, "spent": state.is_allowance_exhausted(name)});
     json!({"unfinished": stats.unfinished, "running": stats.running, "copies": stats.copies, "kept": stats.kept, "missed": stats.missed,
            "beta": state.beta(name), "window": window, "copiesEver": stats.copies_ever, "copiesWon": stats.copies_won})
 }
--- a/landingdrift/src/node/calls/unanswered.rs
+++ b/landingdrift/src/node/calls/unanswered.rs
@@ -53,7 +53,12 @@
             return self.count(counter, 1);
         }
         self.calls.next_unanswered_line = now.mono + LINE_EVERY_MS;
-        let line = unanswered_line(open_call, &waited_for, now, self.settings.bounds.call());
+        let line = unanswered_line(
+            open_call,
+            &waited_for,
+            now,
+            self.settings.bounds.request_timeout(),
+        );
         self.count(counter, 1);
         self.log(line);
     }
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -49,7 +49,7 @@
 /// The same, those that need the most CPU first: they are the hardest to place.
 fn largest_members_first(job: &Job, task: u32) -> Vec<u32> {
     let mut members = unfinished_members(job, task);
-    members.sort_by_key(|member| Reverse(job.of(*member as usize).cpu));
+    members.sort_by_key(|member| Reverse(job.task_spec(*member as usize).cpu));
     members
 }
 
@@ -90,7 +90,7 @@
                 continue;
             }
             if let Some((job, _, attempt)) = state.attempt(*attempt_no) {
-                let needs = job.of(*task as usize).needs();
+                let needs = job.task_spec(*task as usize).needs();
                 let used = by_worker.entry(&attempt.worker).or_default();
                 *used = used.plus(needs);
             }
@@ -101,7 +101,7 @@
     /// The resources of a worker that come free by themselves.
     fn left(&self, name: &str, worker: &Worker) -> Resources {
         let used = self.0.get(name).copied().unwrap_or_default();
-        worker.info.total_resources().less(used)
+        worker.info.total_resources().minus(used)
     }
 }
 
@@ -139,15 +139,17 @@
 ) -> Option<BTreeSet<String>> {
     let mut claimed: BTreeMap<&String, ClaimedWorker> = BTreeMap::new();
     for member in largest_members_first(job, leader) {
-        let spec = job.of(member as usize);
+        let spec = job.task_spec(member as usize);
         let is_eligible = |name: &str, worker: &Worker| {
-            state.takes_new_work(name, worker) && worker.probation == 0 && worker.info.serves(spec)
+            state.accepts_new_tasks(name, worker)
+                && worker.probation == 0
+                && worker.info.serves(spec)
         };
         // Workers that are claimed already first, then the largest.
         let reused = claimed.iter().find(|(name, worker)| {
             let spread = spec.anti_affinity == 0 || worker.members < spec.anti_affinity;
             let is_eligible = is_eligible(name, &state.workers[**name]);
-            is_eligible && spread && worker.free.holds(spec.needs())
+            is_eligible && spread && worker.free.covers(spec.needs())
         });
         let reused = reused.map(|(name, _)| *name);
         let chosen = match reused {
@@ -156,7 +158,7 @@
                 let unclaimed = state.workers.iter().filter(|(name, worker)| {
                     !claimed.contains_key(name)
                         && is_eligible(name, worker)
-                        && lasting.left(name, worker).holds(spec.needs())
+                        && lasting.left(name, worker).covers(spec.needs())
                 });
                 let largest =
                     unclaimed.max_by_key(|(name, worker)| (worker.info.cpu, Reverse(*name)));
@@ -167,7 +169,7 @@
             free: lasting.left(chosen, &state.workers[chosen]),
             members: 0,
         });
-        worker.free = worker.free.less(spec.needs());
+        worker.free = worker.free.minus(spec.needs());
         worker.members += 1;
     }
     Some(claimed.into_keys().cloned().collect())
@@ -191,7 +193,7 @@
             return None;
         }
         let members = largest_members_first(job, task);
-        let spec = job.of(task as usize);
+        let spec = job.task_spec(task as usize);
         let free = self.free_workers(&spec.near, offered, underway);
         if !spec.same_rack {
             return self.spread(at, job, &members, free);
@@ -210,7 +212,7 @@
             }
         }
         let waits_since = job.accepted.max(job.due(task as usize));
-        if at >= waits_since + self.settings.bounds.reserve() {
+        if at >= waits_since + self.settings.bounds.reservation_interval() {
             self.spread(at, job, &members, free)
         } else {
             None
@@ -227,7 +229,7 @@
     ) -> Vec<FreeWorker<'_>> {
         let mut workers: Vec<FreeWorker> = Vec::new();
         for (name, worker) in &self.state.workers {
-            if !self.state.takes_new_work(name, worker) {
+            if !self.state.accepts_new_tasks(name, worker) {
                 continue;
             }
             let taken = worker
@@ -236,7 +238,7 @@
             workers.push(FreeWorker {
                 name,
                 rack: &worker.info.rack,
-                free: worker.info.total_resources().less(taken),
+                free: worker.info.total_resources().minus(taken),
             });
         }
         workers.sort_by_key(|worker| {
@@ -257,21 +259,21 @@
         let mut placements: Vec<Placement> = Vec::new();
         for task in tasks {
             let index = *task as usize;
-            let spec = job.of(index);
+            let spec = job.task_spec(index);
             let chosen = workers.iter_mut().find(|worker| {
-                if !worker.free.holds(spec.needs()) {
+                if !worker.free.covers(spec.needs()) {
                     return false;
                 }
                 let placed_here = placements
                     .iter()
                     .filter(|p| p.worker == worker.name)
                     .count();
-                let beside = placed_here as u32 + job.beside(index, worker.name);
+                let beside = placed_here as u32 + job.step_attempts_on(index, worker.name);
                 let may_join = spec.anti_affinity == 0 || beside < spec.anti_affinity;
                 let placement = self.placement(worker.name, *task, false);
                 may_join && self.state.fits(&job.spec.id, &placement, at).is_ok()
             })?;
-            chosen.free = chosen.free.less(spec.needs());
+            chosen.free = chosen.free.minus(spec.needs());
             placements.push(self.placement(chosen.name, *task, false));
         }
         Some(placements)
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -126,7 +126,7 @@
 
     /// Whether the watch is fresh enough to answer callers and place tasks.
     pub(crate) fn fresh(&self, now: Now) -> bool {
-        self.watch.has_snapshot && self.watch_age(now) <= self.settings.bounds.fresh()
+        self.watch.has_snapshot && self.watch_age(now) <= self.settings.bounds.max_watch_age()
     }
 
     /// Whether the watch is fresh enough to act as the zone schedulers whose leases this node holds. A light copy never
@@ -134,7 +134,7 @@
     pub(crate) fn fresh_for_zones(&self, now: Now) -> bool {
         !self.light
             && self.watch.has_snapshot
-            && self.watch_age(now) <= self.settings.bounds.fresh_for_zones()
+            && self.watch_age(now) <= self.settings.bounds.max_watch_age_for_zones()
     }
 
     fn watch_age(&self, now: Now) -> u64 {
@@ -154,7 +154,7 @@
     fn on_tick(&mut self, now: Now) {
         let since_last_tick = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
-        if since_last_tick > self.settings.bounds.election() / FREEZE_ELECTION_PART {
+        if since_last_tick > self.settings.bounds.election_timeout() / FREEZE_ELECTION_PART {
             // This process was frozen: heartbeats may wait unread, and silence does not count against workers.
             self.count("own_freezes", 1);
             for worker in self.all_workers() {
@@ -235,7 +235,7 @@
             "unsure",
             "it is not known whether this was taken: ask again with the same id, or poll",
         )
-        .retry(self.settings.bounds.back())
+        .retry(self.settings.bounds.retry_after())
     }
 }
 
@@ -247,7 +247,7 @@
             Msg::Call(call, request) => self.on_call(now, calls::Origin::Local(call), request),
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => {
-                self.stopping = Some(now.mono + self.settings.bounds.node_lost());
+                self.stopping = Some(now.mono + self.settings.bounds.node_timeout());
                 self.watch.next_watch_request = now.mono;
                 self.watch_tick(now);
             }
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -160,7 +160,7 @@
 
     /// Takes a proposal's next step; `leader_hint` is the leader that a replica has just named.
     fn advance_proposal(&mut self, now: Now, number: u64, leader_hint: Option<String>) {
-        let heartbeat_ms = self.settings.bounds.heartbeat();
+        let heartbeat_ms = self.settings.bounds.heartbeat_interval();
         let Some(proposal) = self.proposals.get(&number) else {
             return;
         };
@@ -355,7 +355,7 @@
             self.unsure_response()
         } else {
             let why = "no core could be reached and nothing was taken: come back later";
-            Response::error(503, "noCore", why).retry(self.settings.bounds.back())
+            Response::error(503, "noCore", why).retry(self.settings.bounds.retry_after())
         };
         self.finish(call, response);
     }
--- a/landingdrift/src/node/scheduler/demand.rs
+++ b/landingdrift/src/node/scheduler/demand.rs
@@ -58,7 +58,7 @@
         let mut slow: Vec<RunningTask> = Vec::new();
         for (i, state) in job.tasks.iter().enumerate() {
             let task = i as u32;
-            if !job.of(i).may_repeat || underway.contains(&task) {
+            if !job.task_spec(i).may_repeat || underway.contains(&task) {
                 continue;
             }
             let Some(ran_ms) = running_for(state, cluster_time) else {
--- a/landingdrift/src/node/scheduler/mod.rs
+++ b/landingdrift/src/node/scheduler/mod.rs
@@ -87,10 +87,10 @@
 
     /// Derives anew what depends on the whole cluster state, and marks every job.
     fn full_pass(&mut self, now: Now) {
-        self.sched.next_full_pass = now.mono + self.settings.bounds.heartbeat();
+        self.sched.next_full_pass = now.mono + self.settings.bounds.heartbeat_interval();
         self.sched.all_dirty = true;
         let cluster_time = self.cluster_time(now);
-        let patience = GANG_PATIENCE_INTERVALS * self.settings.bounds.reserve();
+        let patience = GANG_PATIENCE_INTERVALS * self.settings.bounds.reservation_interval();
         self.sched.claim = gangs::claim(&self.state, cluster_time, patience);
         self.sched.runnable = self.state.runnable(cluster_time);
         self.sched.ranked = self.rank();
--- a/landingdrift/src/node/scheduler/offers.rs
+++ b/landingdrift/src/node/scheduler/offers.rs
@@ -56,7 +56,7 @@
         };
         let reserved_resources = placements
             .iter()
-            .map(|placement| job.of(placement.task as usize).needs())
+            .map(|placement| job.task_spec(placement.task as usize).needs())
             .collect();
         let acceptance = Acceptance {
             owner_epoch,
@@ -116,7 +116,7 @@
     }
 
     fn propose_start(&mut self, now: Now, from: &str, offer: &Offer, acceptance: Acceptance) {
-        let within = self.settings.bounds.offer() * START_OFFER_TIMEOUTS;
+        let within = self.settings.bounds.offer_timeout() * START_OFFER_TIMEOUTS;
         let command = Command::StartAttempts {
             job: offer.job.clone(),
             owner_epoch: acceptance.owner_epoch,
--- a/landingdrift/src/node/scheduler/placement.rs
+++ b/landingdrift/src/node/scheduler/placement.rs
@@ -22,10 +22,10 @@
         let info = &self.state.workers.get(&offer.worker)?.info;
         let mut waiting = self.startable_tasks(now, &job.spec.id, job);
         // The sort is stable: tasks that are equally near stay in their order.
-        waiting.sort_by_key(|task| !info.near(&job.of(*task as usize).near));
+        waiting.sort_by_key(|task| !info.near(&job.task_spec(*task as usize).near));
         let mut tried: Vec<&TaskSpec> = Vec::new();
         for task in waiting {
-            let spec = job.of(task as usize);
+            let spec = job.task_spec(task as usize);
             let in_gang = job.in_gang(task as usize);
             // Of the tasks of one step it is enough to try one, unless each belongs to a gang of its own.
             if !in_gang && tried.iter().any(|earlier| std::ptr::eq(*earlier, spec)) {
@@ -77,7 +77,7 @@
         offer: &Offer,
     ) -> Option<Placement> {
         let placement = self.placement(&offer.worker, task, copy);
-        let has_resources = offered_resources(offer).holds(job.of(task as usize).needs());
+        let has_resources = offered_resources(offer).covers(job.task_spec(task as usize).needs());
         let same_zone_epoch = placement.zone_epoch == offer.epoch;
         if !has_resources || !same_zone_epoch {
             return None;
--- a/landingdrift/src/node/scheduler/reservations.rs
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -54,7 +54,8 @@
         let demand = self.demand(now, id, job);
         let wanted = demand.originals + demand.copies;
         let last = self.sched.reserved.get(id).copied().unwrap_or_default();
-        let again = last.at == 0 || now.mono >= last.at + self.settings.bounds.reserve();
+        let again =
+            last.at == 0 || now.mono >= last.at + self.settings.bounds.reservation_interval();
         let due = wanted > 0 && (again || wanted > last.tasks);
         if !due {
             if wanted < last.tasks {
@@ -110,7 +111,7 @@
     fn candidates(&self, specs: &[&TaskSpec]) -> Vec<Candidate> {
         let mut candidates = Vec::new();
         for (name, worker) in &self.state.workers {
-            if !self.state.takes_new_work(name, worker) {
+            if !self.state.accepts_new_tasks(name, worker) {
                 continue;
             }
             if let Some(local) = fits_any(worker, specs) {
@@ -127,10 +128,10 @@
 fn waiting_specs(job: &Job) -> Vec<&TaskSpec> {
     let mut specs: Vec<&TaskSpec> = Vec::new();
     for (i, task) in job.tasks.iter().enumerate() {
-        if task.state != TaskState::Waiting || !job.reached(i) {
+        if task.state != TaskState::Waiting || !job.are_dependencies_done(i) {
             continue;
         }
-        let spec = job.of(i);
+        let spec = job.task_spec(i);
         let repeated = specs.last().is_some_and(|last| std::ptr::eq(*last, spec));
         if !repeated {
             specs.push(spec);
@@ -142,7 +143,7 @@
 /// None if the worker could run none of the tasks even when empty; else whether the data of one that it could is near.
 fn fits_any(worker: &Worker, specs: &[&TaskSpec]) -> Option<bool> {
     let info = &worker.info;
-    let fits = |spec: &&&TaskSpec| info.serves(spec) && info.total_resources().holds(spec.needs());
+    let fits = |spec: &&&TaskSpec| info.serves(spec) && info.total_resources().covers(spec.needs());
     let mut fitting = specs.iter().filter(fits).peekable();
     fitting.peek()?;
     Some(fitting.any(|spec| info.near(&spec.near)))
--- a/landingdrift/src/node/watch/catch_up.rs
+++ b/landingdrift/src/node/watch/catch_up.rs
@@ -46,7 +46,7 @@
 impl Node {
     /// Logs that the copy is missing or old, and what was received since it was fresh.
     pub(in crate::node) fn report_catch_up(&mut self, now: Now) {
-        let fresh_ms = self.settings.bounds.fresh();
+        let fresh_ms = self.settings.bounds.max_watch_age();
         if self.fresh(now) {
             return self.note_fresh_copy(now);
         }
@@ -73,7 +73,7 @@
 
     fn note_fresh_copy(&mut self, now: Now) {
         let missing_ms = now.mono.saturating_sub(self.watch.catch_up.since);
-        if missing_ms > self.settings.bounds.fresh() {
+        if missing_ms > self.settings.bounds.max_watch_age() {
             let summary = self.watch.catch_up.summary();
             let index = self.state.applied_index;
             self.log(format!(
--- a/landingdrift/src/node/watch/mod.rs
+++ b/landingdrift/src/node/watch/mod.rs
@@ -113,7 +113,7 @@
         if now.mono < self.watch.next_watch_request {
             return;
         }
-        let heartbeat_ms = self.settings.bounds.heartbeat();
+        let heartbeat_ms = self.settings.bounds.heartbeat_interval();
         // A node that follows no replica yet tries them faster.
         let interval_ms = if self.watch.has_snapshot {
             heartbeat_ms
@@ -279,7 +279,7 @@
             return;
         }
         self.watch.replica = leader;
-        let soon = now.mono + self.settings.bounds.tick();
+        let soon = now.mono + self.settings.bounds.tick_interval();
         self.watch.next_watch_request = self.watch.next_watch_request.min(soon);
     }
 
--- a/landingdrift/src/node/watch/snapshot.rs
+++ b/landingdrift/src/node/watch/snapshot.rs
@@ -77,7 +77,7 @@
         if self.watch.incoming.received() == 0 || begun == id {
             return true;
         }
-        let stalled_after = STALLED_HEARTBEATS * self.settings.bounds.heartbeat();
+        let stalled_after = STALLED_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let is_stalled = now.mono >= self.watch.snapshot_progress_at + stalled_after;
         offset == 0 && (id.index > begun.index || is_stalled)
     }
--- a/landingdrift/src/node/zone_scheduler/end_reports.rs
+++ b/landingdrift/src/node/zone_scheduler/end_reports.rs
@@ -32,7 +32,7 @@
 
     fn propose_report_command(&mut self, now: Now, worker: &str, command: &Command) {
         let worker = worker.into();
-        let within = self.settings.bounds.call();
+        let within = self.settings.bounds.request_timeout();
         self.propose(now, command, Purpose::Report { worker }, within);
     }
 
@@ -62,7 +62,7 @@
     /// Proposes the reported ends that the cluster state does not show and no report on its way has: the worker may be
     /// silent by now.
     pub(super) fn report_remaining_ends(&mut self, now: Now) {
-        let wait_ms = MISSED_HEARTBEATS * self.settings.bounds.worker_heartbeat();
+        let wait_ms = MISSED_HEARTBEATS * self.settings.bounds.worker_heartbeat_interval();
         let mut remaining: Vec<(String, Vec<EndReport>)> = Vec::new();
         for zone_scheduler in self.zone_schedulers.values_mut() {
             for (name, worker) in &mut zone_scheduler.workers {
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -174,7 +174,7 @@
             "notReady",
             "this node can't speak for the cell now: beat again, here or at another node",
         )
-        .retry(self.settings.bounds.worker_heartbeat())
+        .retry(self.settings.bounds.worker_heartbeat_interval())
     }
 
     /// The response to a heartbeat that comes too late to count.
@@ -184,7 +184,7 @@
             "lateBeat",
             "a newer beat of this worker was heard, or what it ran is being ended: beat again",
         )
-        .retry(self.settings.bounds.worker_heartbeat())
+        .retry(self.settings.bounds.worker_heartbeat_interval())
     }
 
     /// Whether a newer heartbeat of the worker was received, or what it ran is being ended.
@@ -201,7 +201,7 @@
     fn resolve_run_names(&self, heartbeat: &mut Heartbeat) {
         let worker = &heartbeat.info.worker;
         // A run that the cluster state does not know as live gets number 0.
-        let number_of = |name: &RunName| self.state.named(worker, name).unwrap_or(0);
+        let number_of = |name: &RunName| self.state.live_attempt_by_name(worker, name).unwrap_or(0);
         for run in &mut heartbeat.running {
             if let Some(name) = &run.name {
                 run.attempt = number_of(name);
@@ -260,7 +260,12 @@
         let purpose = Purpose::UpdateWorker {
             worker: heartbeat.info.worker.clone(),
         };
-        self.propose(now, &command, purpose, self.settings.bounds.call());
+        self.propose(
+            now,
+            &command,
+            purpose,
+            self.settings.bounds.request_timeout(),
+        );
     }
 }
 
--- a/landingdrift/src/node/zone_scheduler/lease_expiry.rs
+++ b/landingdrift/src/node/zone_scheduler/lease_expiry.rs
@@ -28,7 +28,7 @@
         if !self.fresh_for_zones(now) {
             // Nothing is decided on an old copy of the cluster state, and silence does not count against workers
             // meanwhile.
-            let lost_after = self.settings.bounds.worker_lost();
+            let lost_after = self.settings.bounds.worker_timeout();
             let earliest = now.mono.saturating_sub(lost_after / 2);
             for worker in self.all_workers() {
                 worker.last_heartbeat = worker.last_heartbeat.max(earliest);
@@ -54,7 +54,7 @@
         for zone_scheduler in self.zone_schedulers.values_mut() {
             let zone_epoch = zone_scheduler.epoch;
             for (name, worker) in &mut zone_scheduler.workers {
-                worker.drop_overdue_offers(now, bounds.offer());
+                worker.drop_overdue_offers(now, bounds.offer_timeout());
                 let known = self.state.workers.get(name);
                 worker.forget_applied(&self.state);
                 if let Some(known) = known {
@@ -71,7 +71,7 @@
                     });
                 }
                 let silent_for = now.mono.saturating_sub(worker.last_heartbeat);
-                let is_silent = silent_for > bounds.worker_lost();
+                let is_silent = silent_for > bounds.worker_timeout();
                 let not_known_as_lost = known.is_some_and(|known| !known.lost);
                 if is_silent && not_known_as_lost && !worker.info_proposed {
                     worker.info_proposed = true;
@@ -98,7 +98,7 @@
             incarnation,
             zone_epoch,
         };
-        let within = self.settings.bounds.call();
+        let within = self.settings.bounds.request_timeout();
         self.propose(now, &command, Purpose::UpdateWorker { worker }, within);
     }
 
@@ -117,7 +117,7 @@
             attempts: expired.attempts,
             checkpoints: expired.checkpoints,
         };
-        let within = self.settings.bounds.call();
+        let within = self.settings.bounds.request_timeout();
         self.propose(now, &command, Purpose::ExpireAttempts { worker }, within);
     }
 
@@ -171,7 +171,12 @@
         let purpose = Purpose::RescheduleAttempts {
             worker: worker.into(),
         };
-        self.propose(now, &command, purpose, self.settings.bounds.call());
+        self.propose(
+            now,
+            &command,
+            purpose,
+            self.settings.bounds.request_timeout(),
+        );
     }
 
     /// A proposal to reschedule attempts has an outcome, or is given up.
@@ -185,7 +190,7 @@
 impl WorkerState {
     /// Begins to end the worker's attempts if it has ended or its lease has expired.
     fn begin_expiry(&mut self, now: Now, bounds: &Bounds, known: &Worker) {
-        let silence_ms = bounds.obey() / 2;
+        let silence_ms = bounds.max_start_order_age() / 2;
         let has_left = self
             .departure
             .has_ended(now, self.last_heartbeat, silence_ms);
--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -129,7 +129,7 @@
         });
         // The holder before renewed leases until it knew that the zone's lease had moved.
         let predecessor_ms = if epoch > FIRST_EPOCH {
-            self.settings.bounds.fresh_for_zones()
+            self.settings.bounds.max_watch_age_for_zones()
         } else {
             0
         };
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -69,7 +69,7 @@
         let (Some(known), Some(worker_state)) = (known, self.worker(zone, worker)) else {
             return Resources::default();
         };
-        let is_open = self.state.takes_new_work(worker, known)
+        let is_open = self.state.accepts_new_tasks(worker, known)
             && (!is_on_trial(&self.state, known, worker_state)
                 || self.has_idle_reservation(now, known, worker_state));
         if !is_open {
@@ -79,8 +79,11 @@
         for promise in &worker_state.promises {
             taken = taken.plus(promise.resources);
         }
-        let total = known.info.total_resources().least(worker_state.resources);
-        total.less(taken)
+        let total = known
+            .info
+            .total_resources()
+            .min_of_each(worker_state.resources);
+        total.minus(taken)
     }
 
     /// Whether a job that is reserved at a worker has been idle for too long while the service has spare capacity.
@@ -126,7 +129,7 @@
         };
         if resources.cpu == 0 || round.is_last {
             worker_state.offer_round = None;
-            worker_state.no_offers_until = now.mono + self.settings.bounds.heartbeat();
+            worker_state.no_offers_until = now.mono + self.settings.bounds.heartbeat_interval();
             return;
         }
         let hopper = &self.settings.hopper;
@@ -168,7 +171,7 @@
             return self.count("responses_unexpected", 1);
         };
         self.update_sizes(&response.sizes);
-        let timeout = self.settings.bounds.offer();
+        let timeout = self.settings.bounds.offer_timeout();
         let Some(worker) = self.worker_mut(&zone, &response.worker) else {
             return;
         };
@@ -214,7 +217,7 @@
             promise.offer == outcome.token && promise.scheduler == from
         };
         // The scheduler's copy of the cluster state was newer: this node's catches up before the next offer.
-        let until = now.mono + self.settings.bounds.heartbeat();
+        let until = now.mono + self.settings.bounds.heartbeat_interval();
         for worker in self.workers_named(&outcome.worker) {
             if worker.promises.iter().any(is_meant) {
                 worker.promises.retain(|promise| !is_meant(promise));
--- a/landingdrift/src/node/zone_scheduler/orders.rs
+++ b/landingdrift/src/node/zone_scheduler/orders.rs
@@ -52,7 +52,7 @@
         self.count("start_orders", orders.starts.len() as u64);
         self.count("stop_orders", orders.stops.len() as u64);
         let bounds = &self.settings.bounds;
-        let mut body = json!({"starts": orders.starts, "stops": orders.stops, "settled": self.settled(heartbeat), "beatMs": bounds.worker_heartbeat(), "obeyMs": bounds.obey(), "epoch": epoch});
+        let mut body = json!({"starts": orders.starts, "stops": orders.stops, "settled": self.settled(heartbeat), "beatMs": bounds.worker_heartbeat_interval(), "obeyMs": bounds.max_start_order_age(), "epoch": epoch});
         if bounds.lease_ms > 0 {
             body["holdMs"] = json!(bounds.lease_ms);
         }
@@ -72,7 +72,7 @@
         };
         let reported = heartbeat.reported_attempts();
         let takes_work = !info.leaving
-            && self.state.open(&info.zone, &info.worker)
+            && self.state.allows_new_work(&info.zone, &info.worker)
             && known.info.incarnation == info.incarnation
             && !known.lost;
         let mut free = self.resources_left(heartbeat);
@@ -87,7 +87,7 @@
                 continue;
             }
             let index = *index as usize;
-            let spec = job.of(index);
+            let spec = job.task_spec(index);
             let is_reported = reported.contains(number);
             let must_stop = attempt.stop || (attempt.state == AttemptState::Unsure && !is_reported);
             if must_stop && orders.stops.len() >= MAX_STOPS {
@@ -103,9 +103,9 @@
             }
             let unstarted = attempt.state == AttemptState::Ordered && !is_reported;
             let wanted = !job.cancel && task.state == TaskState::Waiting;
-            let fits = info.serves(spec) && free.holds(spec.needs());
+            let fits = info.serves(spec) && free.covers(spec.needs());
             if unstarted && wanted && takes_work && fits && !orders.is_full() {
-                free = free.less(spec.needs());
+                free = free.minus(spec.needs());
                 orders.add_start(start_order(job, index, attempt));
             }
         }
@@ -121,7 +121,7 @@
                 return Resources::default();
             }
             if let Some(spec) = self.spec_of_attempt(run.attempt) {
-                left = left.less(spec.needs());
+                left = left.minus(spec.needs());
             }
         }
         left
@@ -182,7 +182,7 @@
 
 /// The order to start an attempt of a task.
 fn start_order(job: &Job, task: usize, attempt: &Attempt) -> Value {
-    let spec = job.of(task);
+    let spec = job.task_spec(task);
     let payload = if job.spec.steps.is_empty() {
         spec.payload.clone()
     } else {
--- a/landingdrift/src/node/zone_scheduler/stragglers.rs
+++ b/landingdrift/src/node/zone_scheduler/stragglers.rs
@@ -188,7 +188,7 @@
     let (job, task) = state.live.get(&attempt)?;
     let task = *task as usize;
     let job: &Job = state.jobs.get(job)?;
-    let spec = job.of(task);
+    let spec = job.task_spec(task);
     let just_started = progress.age(now_ms) < gang_start_ms;
     let no_progress = progress.permille() == 0;
     let mut group_name = job.spec.id.as_bytes().to_vec();
@@ -218,7 +218,7 @@
     let Some(attempt) = attempts.find(|attempt| attempt.no == attempt_no) else {
         return false;
     };
-    let spec = job.of(task);
+    let spec = job.task_spec(task);
     let near = spec.near.as_str();
     let rack = rack_of(attempt);
     if !near.is_empty() && near != rack && near != attempt.worker {
@@ -249,7 +249,7 @@
         progress: &BTreeMap<u64, RunProgress>,
         leaves_in_ms: Option<u64>,
     ) -> Stragglers {
-        let patience_ms = self.settings.bounds.reserve();
+        let patience_ms = self.settings.bounds.reservation_interval();
         let gang_start_ms = GANG_START_CANCEL_BOUNDS * self.settings.bounds.cancel_ms;
         let mut attempts = Vec::new();
         let mut runs = Vec::new();
@@ -292,14 +292,14 @@
         };
         self.state.workers.iter().any(|(name, other)| {
             name != worker
-                && self.state.takes_new_work(name, other)
+                && self.state.accepts_new_tasks(name, other)
                 && other.probation == 0
                 && other.info.serves(spec)
                 && other
                     .info
                     .total_resources()
-                    .less(other.used)
-                    .holds(spec.needs())
+                    .minus(other.used)
+                    .covers(spec.needs())
         })
     }
 
@@ -307,6 +307,6 @@
     pub(super) fn spec_of_attempt(&self, attempt: u64) -> Option<&TaskSpec> {
         let (job, task) = self.state.live.get(&attempt)?;
         let job = self.state.jobs.get(job)?;
-        Some(job.of(*task as usize))
+        Some(job.task_spec(*task as usize))
     }
 }
--- a/landingdrift/src/replay/rerun/simulation.rs
+++ b/landingdrift/src/replay/rerun/simulation.rs
@@ -186,7 +186,9 @@
         for lease in zones.into_iter().chain(queues) {
             self.grant(lease);
         }
-        let due = self.state.sweep_due(RETAIN_ALL_MS, RETAIN_ALL_MS);
+        let due = self
+            .state
+            .next_garbage_collection_at(RETAIN_ALL_MS, RETAIN_ALL_MS);
         if due.is_some_and(|due| due <= self.cluster_time()) {
             self.append(&Command::CollectGarbage {
                 retain_ms: RETAIN_ALL_MS,
--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -203,11 +203,11 @@
 }
 
 /// Links are assumed to carry at least so many bytes in a millisecond; narrower ones cost repetitions.
-pub const SLOWEST_LINK_BYTES_PER_MS: u64 = 128;
+pub const MIN_LINK_BYTES_PER_MS: u64 = 128;
 
 /// How long bytes may take on the narrowest link, in milliseconds: what was sent is not taken for lost sooner.
 pub fn transfer_ms(bytes: u64) -> u64 {
-    bytes / SLOWEST_LINK_BYTES_PER_MS
+    bytes / MIN_LINK_BYTES_PER_MS
 }
 
 /// A number from a text, the same on every machine.
--- a/landingdrift/src/settings/bounds.rs
+++ b/landingdrift/src/settings/bounds.rs
@@ -52,27 +52,27 @@
 
 impl Bounds {
     /// The interval of a part's ticks.
-    pub fn tick(&self) -> u64 {
+    pub fn tick_interval(&self) -> u64 {
         self.config_ms / 100
     }
 
     /// The interval of a leader's heartbeats.
-    pub fn heartbeat(&self) -> u64 {
+    pub fn heartbeat_interval(&self) -> u64 {
         self.config_ms / 20
     }
 
     /// The shortest silence after which a replica stands for election.
-    pub fn election(&self) -> u64 {
+    pub fn election_timeout(&self) -> u64 {
         self.config_ms / 4
     }
 
     /// The silence after which a voter is exchanged for a standby that is caught up, and becomes a standby itself.
-    pub fn exchange(&self) -> u64 {
-        4 * self.election()
+    pub fn voter_replacement_timeout(&self) -> u64 {
+        4 * self.election_timeout()
     }
 
     /// How long a replica that is asked to stop waits for a standby to vote in its place.
-    pub fn leave(&self) -> u64 {
+    pub fn leave_timeout(&self) -> u64 {
         self.grace_ms * 5 / 8
     }
 
@@ -82,35 +82,35 @@
     }
 
     /// How old a node's watch may be while it answers callers from it: it shows cancels and configurations in time.
-    pub fn fresh(&self) -> u64 {
+    pub fn max_watch_age(&self) -> u64 {
         (self.cancel_ms / 3).min(self.config_ms * 2 / 3)
     }
 
     /// How old the watch of a node may be while it acts as a zone scheduler: gives orders to workers and renews their
     /// leases.
-    pub fn fresh_for_zones(&self) -> u64 {
+    pub fn max_watch_age_for_zones(&self) -> u64 {
         self.cancel_ms / 6
     }
 
     /// How old the response to a heartbeat may be when its worker obeys a start order.
-    pub fn obey(&self) -> u64 {
+    pub fn max_start_order_age(&self) -> u64 {
         self.cancel_ms / 3
     }
 
     /// The silence after which the zone leases of a node are granted to others; longer than `fresh_for_zones` and
     /// `obey` together.
-    pub fn node_lost(&self) -> u64 {
+    pub fn node_timeout(&self) -> u64 {
         self.cancel_ms * 11 / 20
     }
 
     /// The silence after which the queue leases of a node are granted to others: the cluster state alone fences their
     /// starts.
-    pub fn queue_lost(&self) -> u64 {
+    pub fn queue_lease_timeout(&self) -> u64 {
         self.cancel_ms / 4
     }
 
     /// The interval of workers' heartbeats.
-    pub fn worker_heartbeat(&self) -> u64 {
+    pub fn worker_heartbeat_interval(&self) -> u64 {
         if self.heartbeat_ms > 0 {
             self.heartbeat_ms
         } else {
@@ -124,57 +124,57 @@
     }
 
     /// The silence after which a worker is lost.
-    pub fn worker_lost(&self) -> u64 {
+    pub fn worker_timeout(&self) -> u64 {
         self.cancel_ms
     }
 
     /// How long a call is worked on before its response is "unsure".
-    pub fn call(&self) -> u64 {
+    pub fn request_timeout(&self) -> u64 {
         self.state_ms * 4 / 5
     }
 
     /// How long an offer waits for its response.
-    pub fn offer(&self) -> u64 {
+    pub fn offer_timeout(&self) -> u64 {
         self.config_ms / 4
     }
 
     /// The interval of a peer sampler's shuffles.
-    pub fn shuffle(&self) -> u64 {
+    pub fn shuffle_interval(&self) -> u64 {
         self.config_ms / 4
     }
 
     /// The interval after which reservations are placed again.
-    pub fn reserve(&self) -> u64 {
+    pub fn reservation_interval(&self) -> u64 {
         self.config_ms / 2
     }
 
     /// How long a process that is asked to stop keeps serving, so that callers find out that it is not ready.
-    pub fn serve_on(&self) -> u64 {
+    pub fn serving_time_after_stop(&self) -> u64 {
         self.grace_ms * 5 / 12
     }
 
     /// When the parts of a process that was asked to stop are ended, even if they are not done.
-    pub fn end_parts(&self) -> u64 {
+    pub fn parts_deadline(&self) -> u64 {
         self.grace_ms * 2 / 3
     }
 
     /// When a process that was asked to stop has ended; the rest of the grace period is for a slow machine.
-    pub fn end_process(&self) -> u64 {
+    pub fn process_deadline(&self) -> u64 {
         self.grace_ms * 4 / 5
     }
 
     /// How long the last responses may take to be transmitted.
-    pub fn flush_answers(&self) -> u64 {
+    pub fn flush_timeout(&self) -> u64 {
         self.grace_ms / 60
     }
 
     /// The longest pause before a disk that refused is tried again.
-    pub fn disk_pause(&self) -> u64 {
+    pub fn max_disk_retry_interval(&self) -> u64 {
         self.config_ms / 2
     }
 
     /// The usual pause before a caller that was told to come back does so.
-    pub fn back(&self) -> u64 {
+    pub fn retry_after(&self) -> u64 {
         self.state_ms / 3
     }
 }
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -164,7 +164,7 @@
 
     /// These settings, with those of `new` that can change while the process runs; and the names of those that differ
     /// but can't change.
-    pub fn take_live(&self, new: &Settings) -> (Settings, Vec<&'static str>) {
+    pub fn with_reloadable_from(&self, new: &Settings) -> (Settings, Vec<&'static str>) {
         let fixed = [
             ("cluster", self.cluster != new.cluster),
             ("listen", self.listen != new.listen),
--- a/landingdrift/src/state/apply/attempts.rs
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -43,7 +43,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let resources = job.of(task).needs();
+        let resources = job.task_spec(task).needs();
         let queue = job.spec.queue.clone();
         let mut attempts = job.tasks[task].attempts.iter_mut();
         let Some(attempt) = attempts.find(|attempt| attempt.no == attempt_no) else {
@@ -55,15 +55,16 @@
         attempt.note = note.into();
         let (worker, is_copy) = (attempt.worker.clone(), attempt.copy);
         let has_succeeded = state == AttemptState::Succeeded;
-        let is_first_success =
-            has_succeeded && job.tasks[task].state != TaskState::Done && !job.of(task).long_running;
+        let is_first_success = has_succeeded
+            && job.tasks[task].state != TaskState::Done
+            && !job.task_spec(task).long_running;
         job.tasks[task].failures += u32::from(state == AttemptState::Failed);
         end_task(job, task, is_first_success, max_attempts);
         let to_stop = superseded_attempts(job, task, is_first_success);
 
         if let Some(worker) = self.workers.get_mut(&worker) {
             if worker.attempts.remove(&attempt_no) {
-                worker.used = worker.used.less(resources);
+                worker.used = worker.used.minus(resources);
             }
         }
         let stats = self.queues.entry(queue).or_default();
@@ -135,16 +136,16 @@
         if job.ends_as_one(task) {
             // The members end together: this end counts for all of them.
             for member in job.gang(task) {
-                job.put(member, TaskState::Done);
+                job.set_task_state(member, TaskState::Done);
             }
         } else {
-            job.put(task, TaskState::Done);
+            job.set_task_state(task, TaskState::Done);
         }
         return;
     }
     // As long as another attempt may still succeed, the task has not failed.
     let is_exhausted = job.tasks[task].state == TaskState::Waiting
-        && !job.of(task).long_running
+        && !job.task_spec(task).long_running
         && job.tasks[task].failures >= max_attempts
         && job.tasks[task].live().next().is_none();
     if is_exhausted {
@@ -153,7 +154,7 @@
         } else {
             TaskState::Failed
         };
-        job.put(task, state);
+        job.set_task_state(task, state);
     }
 }
 
--- a/landingdrift/src/state/apply/config_update.rs
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -3,7 +3,7 @@
 use super::{ensure, ApplyResult};
 use crate::config::{merge, read, ClusterConfig, Queue};
 use crate::state::{
-    AttemptState, Change, ClusterState, Rejection, TaskState, CHANGES_KEPT_MS, CHANGES_MOST,
+    AttemptState, Change, ClusterState, Rejection, TaskState, CHANGE_RETENTION_MS, MAX_CHANGES,
 };
 use serde_json::{json, Value};
 use sha2::{Digest, Sha256};
@@ -53,7 +53,7 @@
             Rejection::VersionConflict { current },
         )?;
         self.forget_old_changes();
-        ensure(self.changes.len() < CHANGES_MOST, Rejection::TooManyChanges)?;
+        ensure(self.changes.len() < MAX_CHANGES, Rejection::TooManyChanges)?;
         let is_higher = update.version == 0 || update.version > current;
         ensure(
             is_higher,
@@ -73,7 +73,7 @@
             log_index: self.applied_index,
             at: self.at,
         });
-        self.stop_where_closed();
+        self.stop_disallowed_attempts();
         self.fail_exhausted_tasks();
         Ok(json!({"version": self.version, "place": self.applied_index}))
     }
@@ -109,15 +109,15 @@
                 remedy: format!("queues.{queue}: it holds unfinished jobs: let them end or cancel them, then remove it"),
             });
         }
-        self.retired.extend(dropped);
-        self.retired
+        self.retired_queues.extend(dropped);
+        self.retired_queues
             .retain(|queue, _| !config.queues.contains_key(queue));
         Ok(())
     }
 
     /// Drops the identities of changes made long ago, but never the newest: it is acknowledged again however late.
     fn forget_old_changes(&mut self) {
-        let kept_from = self.at.saturating_sub(CHANGES_KEPT_MS);
+        let kept_from = self.at.saturating_sub(CHANGE_RETENTION_MS);
         while self.changes.len() > 1 && self.changes[0].at < kept_from {
             self.changes.pop_front();
         }
@@ -137,13 +137,13 @@
                 let task = &job.tasks[i];
                 let is_exhausted =
                     task.state == TaskState::Waiting && task.failures >= max_attempts;
-                if !is_exhausted || job.of(i).long_running {
+                if !is_exhausted || job.task_spec(i).long_running {
                     continue;
                 }
                 let unstarted = task.live().filter(|a| a.state == AttemptState::Ordered);
                 to_stop.extend(unstarted.map(|a| a.no));
                 if task.live().next().is_none() {
-                    job.put(i, TaskState::Failed);
+                    job.set_task_state(i, TaskState::Failed);
                     any_failed = true;
                 }
             }
@@ -167,19 +167,19 @@
         } else {
             self.evacuated_zones.remove(zone);
         }
-        self.stop_where_closed();
+        self.stop_disallowed_attempts();
         Ok(json!({"zone": zone, "emptied": on}))
     }
 
     /// Stops attempts that have not started in zones and on workers that get nothing new, and repeatable ones in
     /// evacuated zones whether they have started or not.
-    fn stop_where_closed(&mut self) {
+    fn stop_disallowed_attempts(&mut self) {
         let attempts = self.live.keys().copied();
-        let to_stop = attempts.filter(|no| self.must_stop_where_closed(*no));
+        let to_stop = attempts.filter(|no| self.is_disallowed(*no));
         self.request_stops(to_stop.collect());
     }
 
-    fn must_stop_where_closed(&self, attempt_no: u64) -> bool {
+    fn is_disallowed(&self, attempt_no: u64) -> bool {
         let Some((_, task)) = self.live.get(&attempt_no) else {
             return false;
         };
@@ -189,8 +189,8 @@
         let worker = self.workers.get(&attempt.worker);
         let zone = worker.map_or("", |worker| worker.info.zone.as_str());
         let has_started = attempt.state != AttemptState::Ordered;
-        let is_closed = !self.open(zone, &attempt.worker);
-        let may_repeat = job.of(*task as usize).may_repeat;
+        let is_closed = !self.allows_new_work(zone, &attempt.worker);
+        let may_repeat = job.task_spec(*task as usize).may_repeat;
         (!has_started && is_closed) || (may_repeat && self.config.evacuated(zone))
     }
 }
--- a/landingdrift/src/state/apply/garbage_collection.rs
+++ b/landingdrift/src/state/apply/garbage_collection.rs
@@ -13,7 +13,7 @@
 
 impl ClusterState {
     /// When there is something to collect next, by the cluster clock; none if nothing is retained.
-    pub fn sweep_due(&self, retain_ms: u64, identity_ms: u64) -> Option<u64> {
+    pub fn next_garbage_collection_at(&self, retain_ms: u64, identity_ms: u64) -> Option<u64> {
         let unsure = self.unsure_attempts().map(|(due_at, _)| due_at).min();
         let expiry = self.expiry.first().map(|(since, id)| {
             let is_retained = self.jobs.contains_key(id);
@@ -22,7 +22,7 @@
         let idle_lost = self.workers.values();
         let idle_lost = idle_lost.filter(|worker| worker.lost && worker.attempts.is_empty());
         let lost = idle_lost.map(|worker| worker.since + retain_ms).min();
-        let rejected = self.refusals.values();
+        let rejected = self.rejected_ids.values();
         let rejected = rejected.map(|(_, at)| at + REJECTED_IDS_KEPT_MS).min();
         [unsure, expiry, lost, rejected].into_iter().flatten().min()
     }
@@ -49,9 +49,9 @@
             let is_idle = worker.lost && worker.attempts.is_empty();
             !is_idle || worker.since + retain_ms > at
         });
-        self.refusals
+        self.rejected_ids
             .retain(|_, (_, rejected_at)| *rejected_at + REJECTED_IDS_KEPT_MS > at);
-        self.forget_old_promises();
+        self.drop_old_job_ends();
         Ok(Value::Null)
     }
 
@@ -69,9 +69,9 @@
             let task = task as usize;
             if let Some(job) = self.jobs.get_mut(&id) {
                 // What may not be repeated is never started again, however many attempts are left.
-                let is_final = !job.of(task).may_repeat;
+                let is_final = !job.task_spec(task).may_repeat;
                 if is_final && job.tasks[task].state == TaskState::Waiting {
-                    job.put(task, TaskState::Failed);
+                    job.set_task_state(task, TaskState::Failed);
                 }
             }
             self.update_job_state(&id);
@@ -105,7 +105,7 @@
     }
 
     /// Drops the ends of jobs that lie before the window of their queue.
-    fn forget_old_promises(&mut self) {
+    fn drop_old_job_ends(&mut self) {
         for (name, queue) in &self.config.queues {
             let Some(stats) = self.queues.get_mut(name) else {
                 continue;
--- a/landingdrift/src/state/apply/job_state.rs
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -49,7 +49,7 @@
         let stats = self.queues.entry(queue.clone()).or_default();
         stats.unfinished = stats.unfinished.saturating_sub(1);
         if stats.unfinished == 0 {
-            self.retired.remove(&queue);
+            self.retired_queues.remove(&queue);
         }
         if state == JobState::Cancelled {
             return;
@@ -70,7 +70,7 @@
     for i in 0..job.tasks.len() {
         let task = &job.tasks[i];
         if task.state == TaskState::Waiting && task.live().next().is_none() {
-            job.put(i, TaskState::Cancelled);
+            job.set_task_state(i, TaskState::Cancelled);
         }
     }
 }
--- a/landingdrift/src/state/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -12,7 +12,7 @@
         let is_known = self.jobs.contains_key(&spec.id) || self.tombstones.contains_key(&spec.id);
         if result.is_err() && !is_known {
             let rejected_at = (self.applied_index, self.at);
-            self.refusals.insert(spec.id.clone(), rejected_at);
+            self.rejected_ids.insert(spec.id.clone(), rejected_at);
         }
         result
     }
@@ -22,12 +22,12 @@
             ensure(known_hash == hash, Rejection::BodyMismatch)?;
             return Ok(json!({"known": true}));
         }
-        let rejected = self.refusals.get(&spec.id);
+        let rejected = self.rejected_ids.get(&spec.id);
         let rejected_since = rejected.is_some_and(|(index, _)| *index > seen);
         ensure(!rejected_since, Rejection::PreviouslyRejected)?;
         let waits = spec
             .check()
-            .and_then(|waits| spec.satisfiable(&self.config).map(|()| waits))
+            .and_then(|waits| spec.check_against(&self.config).map(|()| waits))
             .map_err(|e| Rejection::Invalid {
                 path: e.path,
                 remedy: e.remedy,
@@ -37,7 +37,7 @@
         let stats = self.queues.entry(spec.queue.clone()).or_default();
         ensure(stats.unfinished < quota, Rejection::OverQuota { quota })?;
         stats.unfinished += 1;
-        self.refusals.remove(&spec.id);
+        self.rejected_ids.remove(&spec.id);
         let job = Job {
             hash,
             accepted: self.at,
--- a/landingdrift/src/state/apply/placement_rules.rs
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -41,12 +41,12 @@
         let (job, task) = found.ok_or_else(|| unknown(format!("task {task_no}")))?;
         let task_no = task_no as usize;
         ensure(task.state == TaskState::Waiting, Rejection::Ended)?;
-        let spec = job.of(task_no);
+        let spec = job.task_spec(task_no);
         let queue_name = &job.spec.queue;
         let queue = self.queue(queue_name);
         let queue = queue.ok_or_else(|| unknown(format!("queue '{queue_name}'")))?;
         ensure(at >= job.due(task_no), Rejection::NotDue)?;
-        ensure(job.reached(task_no), Rejection::Waiting)?;
+        ensure(job.are_dependencies_done(task_no), Rejection::Waiting)?;
         let live = LiveAttempts::of(task);
         let is_repeat = if spec.may_repeat {
             // A first or next attempt, or one copy beside one that runs.
@@ -72,7 +72,7 @@
         let running = stats.map_or(0, |stats| stats.running);
         let copies = stats.map_or(0, |stats| stats.copies);
         let budget = (running * queue.speculation_percent).div_ceil(100);
-        let has_budget = copies < budget && !self.allowance_spent(name);
+        let has_budget = copies < budget && !self.is_allowance_exhausted(name);
         ensure(has_budget, Rejection::SpeculationBudgetExhausted)
     }
 
@@ -89,7 +89,7 @@
         let is_current = lease.is_some_and(|lease| lease.epoch == placement.zone_epoch);
         ensure(is_current, Rejection::StaleLease)?;
         self.ensure_usable(worker, placement)?;
-        let spec = job.of(placement.task as usize);
+        let spec = job.task_spec(placement.task as usize);
         ensure_served(worker, spec)?;
         let may_get_it = worker.probation == 0
             || self.is_free_for_trial(worker, spec)
@@ -118,7 +118,7 @@
         ensure(is_same_process, unsuitable("it has started anew"))?;
         ensure(!worker.lost, unsuitable("it is lost"))?;
         ensure(!info.leaving, unsuitable("it is leaving"))?;
-        let is_open = self.open(&info.zone, &placement.worker);
+        let is_open = self.allows_new_work(&info.zone, &placement.worker);
         ensure(is_open, unsuitable("its zone or itself is drained"))
     }
 }
@@ -142,8 +142,9 @@
     placed_beside: u32,
 ) -> Result<(), Rejection> {
     let task = placement.task as usize;
-    let allowed = job.of(task).anti_affinity;
-    let has_space = allowed == 0 || job.beside(task, &placement.worker) + placed_beside < allowed;
+    let allowed = job.task_spec(task).anti_affinity;
+    let has_space =
+        allowed == 0 || job.step_attempts_on(task, &placement.worker) + placed_beside < allowed;
     ensure(
         has_space,
         unsuitable("as many tasks of the step are there as it allows"),
--- a/landingdrift/src/state/apply/start_attempts.rs
+++ b/landingdrift/src/state/apply/start_attempts.rs
@@ -56,9 +56,9 @@
             self.may_start(id, placement.task, placement.copy, self.at)?;
             self.fits(id, placement, self.at)?;
             let sum = needed.entry(placement.worker.as_str()).or_default();
-            *sum = sum.plus(job.of(placement.task as usize).needs());
+            *sum = sum.plus(job.task_spec(placement.task as usize).needs());
             let free = self.unused_resources(&placement.worker);
-            ensure(free.holds(*sum), Rejection::InsufficientResources)?;
+            ensure(free.covers(*sum), Rejection::InsufficientResources)?;
             ensure_apart(job, placement, placed_beside(job, placement, before))?;
         }
         ensure(
@@ -71,7 +71,7 @@
     fn unused_resources(&self, worker: &str) -> Resources {
         let worker = self.workers.get(worker);
         worker.map_or(Resources::default(), |worker| {
-            worker.info.total_resources().less(worker.used)
+            worker.info.total_resources().minus(worker.used)
         })
     }
 
@@ -82,7 +82,7 @@
         let ordered_at = self.at;
         let job = self.jobs.get_mut(id).expect("checked before");
         let task = placement.task as usize;
-        let resources = job.of(task).needs();
+        let resources = job.task_spec(task).needs();
         let attempt = Attempt {
             no: attempt_no,
             run: run.number,
--- a/landingdrift/src/state/apply/worker_trust.rs
+++ b/landingdrift/src/state/apply/worker_trust.rs
@@ -3,7 +3,7 @@
 use crate::state::{AttemptState, ClusterState, Worker};
 
 /// Ends that are looked at when a worker is judged.
-const ENDS_JUDGED: usize = 12;
+const MAX_TRUST_ENDS: usize = 12;
 /// Successes in a row that end a probation.
 const PROBATION_SUCCESSES: u32 = 3;
 /// A worker with fewer failures than this among the ends that are looked at is trusted.
@@ -53,7 +53,7 @@
     }
 
     /// Takes an end into account that shows whether a worker can be trusted.
-    pub(super) fn judge_worker(&mut self, name: &str, state: AttemptState) {
+    pub(super) fn update_worker_trust(&mut self, name: &str, state: AttemptState) {
         let has_succeeded = match state {
             AttemptState::Succeeded => true,
             AttemptState::Failed => false,
@@ -67,7 +67,7 @@
             return;
         };
         worker.ends.push_back(has_succeeded);
-        if worker.ends.len() > ENDS_JUDGED {
+        if worker.ends.len() > MAX_TRUST_ENDS {
             worker.ends.pop_front();
         }
         if worker.probation > 0 {
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -72,15 +72,15 @@
 
     /// Stops attempts that have not started on a worker that should not have them any more.
     fn stop_unstarted_where_unfit(&mut self, info: &WorkerInfo, attempts: Vec<u64>) {
-        let is_closed = info.leaving || !self.open(&info.zone, &info.worker);
+        let is_closed = info.leaving || !self.allows_new_work(&info.zone, &info.worker);
         let worker = self.workers.get(&info.worker);
-        let is_overcommitted = worker.is_some_and(|w| !info.total_resources().holds(w.used));
+        let is_overcommitted = worker.is_some_and(|w| !info.total_resources().covers(w.used));
         let must_stop = |attempt_no: &u64| {
             let Some((job, _, attempt)) = self.attempt(*attempt_no) else {
                 return false;
             };
             let task = self.live.get(attempt_no).map(|(_, task)| *task as usize);
-            let is_served = task.is_some_and(|task| info.serves(job.of(task)));
+            let is_served = task.is_some_and(|task| info.serves(job.task_spec(task)));
             let has_started = attempt.state != AttemptState::Ordered;
             !has_started && (is_closed || is_overcommitted || !is_served)
         };
@@ -207,7 +207,7 @@
             return;
         }
         let job = self.jobs.get(&id);
-        if job.is_some_and(|job| job.of(task as usize).may_repeat) {
+        if job.is_some_and(|job| job.task_spec(task as usize).may_repeat) {
             let note = "the worker started anew while it ran";
             self.end_attempt(attempt_no, AttemptState::Failed, 0, note);
             self.update_job_state(&id);
@@ -244,7 +244,7 @@
             }
         }
         for end in ends {
-            self.take_end(worker.name, end);
+            self.apply_end_report(worker.name, end);
         }
         Ok(Value::Null)
     }
@@ -269,7 +269,7 @@
         self.update_job_state(&id);
     }
 
-    fn take_end(&mut self, worker: &str, end: &EndReport) {
+    fn apply_end_report(&mut self, worker: &str, end: &EndReport) {
         let Some((id, _)) = self.live.get(&end.no).cloned() else {
             return;
         };
@@ -291,7 +291,7 @@
             Outcome::Expired => AttemptState::Expired,
         };
         self.end_attempt(end.no, state, end.ran_ms, &end.note);
-        self.judge_worker(worker, state);
+        self.update_worker_trust(worker, state);
         self.update_job_state(&id);
     }
 }
--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -233,7 +233,7 @@
     /// Whether an entry says something of the system as a whole (configuration, leases, members) and not of one job or
     /// worker. This is what a light copy of the state follows. The entry is not read beyond its kind, or that of what it
     /// orders.
-    pub fn concerns_all(bytes: &[u8]) -> bool {
+    pub fn is_cluster_wide(bytes: &[u8]) -> bool {
         let (mut number, rest) = take_kind(bytes).unwrap_or((kind::TERM_STARTED, &[]));
         if number == kind::ORDER {
             number = take_kind(rest).map_or(kind::TERM_STARTED, |(number, _)| number);
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -22,7 +22,7 @@
 /// A task counts as ready this long before it is due, in milliseconds.
 const DUE_SOON_MS: u64 = 1000;
 /// A queue's allowance is not judged before so many jobs have ended within its window.
-const MIN_JOBS_JUDGED: u32 = 20;
+const MIN_JOBS_FOR_ALLOWANCE: u32 = 20;
 
 /// What the policy knows of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -96,7 +96,7 @@
             if task.state != TaskState::Waiting || !is_due {
                 continue;
             }
-            if job.reached(i) {
+            if job.are_dependencies_done(i) {
                 ready += 1;
             } else {
                 later += 1;
@@ -121,7 +121,9 @@
     /// nothing.
     pub fn runnable(&self, at: u64) -> usize {
         let can_run = |job: &Job, i: usize, task: &Task| {
-            let is_ready = task.state == TaskState::Waiting && job.due(i) <= at && job.reached(i);
+            let is_ready = task.state == TaskState::Waiting
+                && job.due(i) <= at
+                && job.are_dependencies_done(i);
             is_ready || task.live().next().is_some()
         };
         let is_runnable = |job: &&Job| {
@@ -135,12 +137,12 @@
     /// The processors of all workers that take new work, in the workers' own units.
     pub fn total_cpu(&self) -> u32 {
         let workers = self.workers.iter();
-        let usable = workers.filter(|(name, worker)| self.takes_new_work(name, worker));
+        let usable = workers.filter(|(name, worker)| self.accepts_new_tasks(name, worker));
         usable.map(|(_, worker)| worker.info.cpu).sum()
     }
 
     /// Whether a queue has used up what it may miss of its promise within its window.
-    pub fn allowance_spent(&self, name: &str) -> bool {
+    pub fn is_allowance_exhausted(&self, name: &str) -> bool {
         let (Some(queue), Some(stats)) = (self.queue(name), self.queues.get(name)) else {
             return false;
         };
@@ -151,6 +153,6 @@
                 missed += u32::from(!is_kept);
             }
         }
-        ended >= MIN_JOBS_JUDGED && missed * 100 > ended * queue.failure_allowance_percent
+        ended >= MIN_JOBS_FOR_ALLOWANCE && missed * 100 > ended * queue.failure_allowance_percent
     }
 }
--- a/landingdrift/src/state/idle_jobs.rs
+++ b/landingdrift/src/state/idle_jobs.rs
@@ -45,7 +45,7 @@
     pub fn has_spare_capacity(&self, service: &str) -> bool {
         let (mut used, mut total) = (0_u64, 0_u64);
         for (name, worker) in &self.workers {
-            if worker.info.service == service && self.takes_new_work(name, worker) {
+            if worker.info.service == service && self.accepts_new_tasks(name, worker) {
                 used += u64::from(worker.used.cpu);
                 total += u64::from(worker.info.cpu);
             }
--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -161,7 +161,7 @@
     }
 
     /// What was asked for a task.
-    pub fn of(&self, task: usize) -> &TaskSpec {
+    pub fn task_spec(&self, task: usize) -> &TaskSpec {
         if self.has_steps() {
             &self.step_of(task).task
         } else {
@@ -198,11 +198,11 @@
         let step_spec = self.spec.steps.get(step as usize)?;
         let exists = time < self.spec.times.max(1) && index < step_spec.count;
         let is_whole = parts.next().is_none();
-        (exists && is_whole).then(|| self.first_of(time, step) + index as usize)
+        (exists && is_whole).then(|| self.first_task_of(time, step) + index as usize)
     }
 
     /// The number of the first task of a step at a time.
-    fn first_of(&self, time: u32, step: u32) -> usize {
+    fn first_task_of(&self, time: u32, step: u32) -> usize {
         let count = |steps: &[StepSpec]| steps.iter().map(|s| s.count as usize).sum::<usize>();
         let tasks_per_time = count(&self.spec.steps);
         let before = count(&self.spec.steps[..step as usize]);
@@ -214,34 +214,34 @@
         let time = u64::from(self.tasks[task].time);
         let after_first = time.saturating_mul(self.spec.period_ms);
         let job_due = self.spec.first_due.saturating_add(after_first);
-        self.of(task).due.max(job_due)
+        self.task_spec(task).due.max(job_due)
     }
 
     /// Whether all that a task depends on is done.
-    pub fn reached(&self, task_no: usize) -> bool {
+    pub fn are_dependencies_done(&self, task_no: usize) -> bool {
         let task = &self.tasks[task_no];
         if !self.has_steps() {
             let is_done = |other: &u32| self.tasks[*other as usize].state == TaskState::Done;
             return task.waits.iter().all(is_done);
         }
         let is_step_done = |step: &u32| {
-            let done = self.done[self.group(task.time, *step)];
+            let done = self.done[self.done_index(task.time, *step)];
             done == self.spec.steps[*step as usize].count
         };
         self.step_of(task_no).depends_on.iter().all(is_step_done)
     }
 
     /// The position of a step at a time in [`Job::done`].
-    fn group(&self, time: u32, step: u32) -> usize {
+    fn done_index(&self, time: u32, step: u32) -> usize {
         time as usize * self.spec.steps.len() + step as usize
     }
 
     /// Sets a task's state, and counts it for the steps that depend on it.
-    pub fn put(&mut self, task_no: usize, state: TaskState) {
+    pub fn set_task_state(&mut self, task_no: usize, state: TaskState) {
         let task = &mut self.tasks[task_no];
         let before = std::mem::replace(&mut task.state, state);
         let (time, step) = (task.time, task.step);
-        let group = self.group(time, step);
+        let group = self.done_index(time, step);
         let becomes_done = state == TaskState::Done && before != TaskState::Done;
         if let Some(done) = self.done.get_mut(group) {
             *done += u32::from(becomes_done);
@@ -273,7 +273,7 @@
             return all.filter(|i| self.spec.tasks[*i].gang == *name).collect();
         }
         let task = &self.tasks[task_no];
-        let first = self.first_of(task.time, task.step);
+        let first = self.first_task_of(task.time, task.step);
         let count = self.step_of(task_no).count as usize;
         (first..first + count).collect()
     }
@@ -288,7 +288,7 @@
     }
 
     /// Attempts of a task's step that may be running on a worker.
-    pub fn beside(&self, task: usize, worker: &str) -> u32 {
+    pub fn step_attempts_on(&self, task: usize, worker: &str) -> u32 {
         let step = self.tasks[task].step;
         let of_step = self.tasks.iter().filter(|task| task.step == step);
         let live = of_step.flat_map(Task::live);
--- a/landingdrift/src/state/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -6,10 +6,10 @@
 use std::fmt;
 
 /// The most tasks that one job may have.
-pub const TASKS_MOST: usize = 2000;
+pub const MAX_TASKS: usize = 2000;
 
 /// The most tasks that the steps of a job may have over all times.
-pub const STEP_TASKS_MOST: u64 = 20_000;
+pub const MAX_STEP_TASKS: u64 = 20_000;
 
 /// The most characters of the name of a job or a task.
 const MAX_NAME_CHARACTERS: usize = 128;
@@ -71,7 +71,7 @@
             self.check_steps()?;
             return Ok(Vec::new());
         }
-        let is_allowed = (1..=TASKS_MOST).contains(&self.tasks.len());
+        let is_allowed = (1..=MAX_TASKS).contains(&self.tasks.len());
         let remedy = "give 1 to 2000 tasks; split a larger job";
         ensure(is_allowed, || error("tasks", remedy))?;
         let by_name = self.check_tasks()?;
@@ -119,7 +119,7 @@
     fn check_steps(&self) -> Result<(), SpecError> {
         let remedy = "give single tasks or steps, not both";
         ensure(self.tasks.is_empty(), || error("tasks", remedy))?;
-        let is_allowed = (1..=STEP_TASKS_MOST).contains(&self.task_count());
+        let is_allowed = (1..=MAX_STEP_TASKS).contains(&self.task_count());
         let remedy = "give 1 to 20000 tasks over all times; split a larger job";
         ensure(is_allowed, || error("steps", remedy))?;
         for (number, step) in self.steps.iter().enumerate() {
@@ -166,7 +166,7 @@
     }
 
     /// Checks that the configuration lets the job run at all.
-    pub fn satisfiable(&self, config: &ClusterConfig) -> Result<(), SpecError> {
+    pub fn check_against(&self, config: &ClusterConfig) -> Result<(), SpecError> {
         let queue = &self.queue;
         ensure(config.queues.contains_key(queue), || {
             let remedy = format!("no queue is called '{queue}': create it or name another");
--- a/landingdrift/src/state/job/mod.rs
+++ b/landingdrift/src/state/job/mod.rs
@@ -7,7 +7,7 @@
 mod state;
 
 pub use accepted::{Attempt, Job, Task};
-pub use check::{SpecError, STEP_TASKS_MOST, TASKS_MOST};
+pub use check::{SpecError, MAX_STEP_TASKS, MAX_TASKS};
 pub use resources::Resources;
 pub use spec::{JobSpec, StepSpec, TaskSpec};
 pub use state::{AttemptState, JobState, TaskState};
--- a/landingdrift/src/state/job/resources.rs
+++ b/landingdrift/src/state/job/resources.rs
@@ -15,14 +15,14 @@
 
 impl Resources {
     /// Whether `other` fits into it.
-    pub fn holds(self, other: Self) -> bool {
+    pub fn covers(self, other: Self) -> bool {
         other.cpu <= self.cpu
             && other.memory <= self.memory
             && other.accelerators <= self.accelerators
     }
 
     /// What is left of it without `other`.
-    pub fn less(self, other: Self) -> Self {
+    pub fn minus(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(other.cpu),
             memory: self.memory.saturating_sub(other.memory),
@@ -40,7 +40,7 @@
     }
 
     /// The smaller of each.
-    pub fn least(self, other: Self) -> Self {
+    pub fn min_of_each(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.min(other.cpu),
             memory: self.memory.min(other.memory),
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -40,10 +40,10 @@
 
 /// How long, by the cluster clock, a change of configuration is known by its identity, in milliseconds; the newest one
 /// always is.
-pub const CHANGES_KEPT_MS: u64 = 86_400_000;
+pub const CHANGE_RETENTION_MS: u64 = 86_400_000;
 
 /// More changes than this within that time are rejected rather than forgotten.
-pub const CHANGES_MOST: usize = 50_000;
+pub const MAX_CHANGES: usize = 50_000;
 
 /// The state that the replicas agree on. Times are milliseconds since 1970 by the cluster clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -74,7 +74,8 @@
     /// Ended jobs and tombstones by the time they ended or were made.
     pub expiry: BTreeSet<(u64, String)>,
     /// Ids of rejected jobs: the index of the entry, and its time.
-    pub refusals: BTreeMap<String, (u64, u64)>,
+    #[serde(rename = "refusals")]
+    pub rejected_ids: BTreeMap<String, (u64, u64)>,
     /// Ids of unfinished jobs.
     pub open: BTreeSet<String>,
     /// Workers by name.
@@ -86,7 +87,8 @@
     #[serde(rename = "emptied")]
     pub evacuated_zones: BTreeSet<String>,
     /// Queues that were removed while they held unfinished jobs, until those end.
-    pub retired: BTreeMap<String, Queue>,
+    #[serde(rename = "retired")]
+    pub retired_queues: BTreeMap<String, Queue>,
     /// Nodes by name, alive or remembered.
     pub nodes: BTreeMap<String, NodeMember>,
     /// Replicas by address.
@@ -144,7 +146,7 @@
     }
 
     /// The state without jobs and workers: configuration, leases and members.
-    pub fn light(&self) -> Self {
+    pub fn without_jobs_and_workers(&self) -> Self {
         Self {
             format: self.format,
             cluster: self.cluster.clone(),
@@ -179,17 +181,17 @@
     /// A queue by the configuration, or as it was when it was removed with jobs in it.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         let configured = self.config.queues.get(name);
-        configured.or_else(|| self.retired.get(name))
+        configured.or_else(|| self.retired_queues.get(name))
     }
 
     /// Whether a worker of a zone may get new work.
-    pub fn open(&self, zone: &str, worker: &str) -> bool {
-        !self.evacuated_zones.contains(zone) && self.config.open(zone, worker)
+    pub fn allows_new_work(&self, zone: &str, worker: &str) -> bool {
+        !self.evacuated_zones.contains(zone) && self.config.allows_new_work(zone, worker)
     }
 
     /// Whether new tasks may start on a worker.
-    pub fn takes_new_work(&self, name: &str, worker: &Worker) -> bool {
-        !worker.lost && !worker.info.leaving && self.open(&worker.info.zone, name)
+    pub fn accepts_new_tasks(&self, name: &str, worker: &Worker) -> bool {
+        !worker.lost && !worker.info.leaving && self.allows_new_work(&worker.info.zone, name)
     }
 
     /// The holder of a lease.
@@ -203,7 +205,7 @@
             return false;
         };
         let job = self.jobs.get(job);
-        job.is_some_and(|job| job.of(*task as usize).long_running)
+        job.is_some_and(|job| job.task_spec(*task as usize).long_running)
     }
 
     /// Whether a worker has attempts that will end: one on probation proves itself by those.
@@ -229,7 +231,7 @@
     }
 
     /// The number of the live attempt that a worker calls by its names.
-    pub fn named(&self, worker: &str, name: &RunName) -> Option<u64> {
+    pub fn live_attempt_by_name(&self, worker: &str, name: &RunName) -> Option<u64> {
         let job = self.jobs.get(&name.job)?;
         let task = job.tasks.get(job.find(&name.task)?)?;
         let mut live = task.live();
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -107,9 +107,9 @@
             refused: false,
         });
         let retry_after = if open_call.is_of_worker() {
-            self.settings.bounds.obey() / WORKER_RETRY_PART
+            self.settings.bounds.max_start_order_age() / WORKER_RETRY_PART
         } else {
-            self.settings.bounds.call() / RETRY_PART
+            self.settings.bounds.request_timeout() / RETRY_PART
         };
         open_call.retry_at = open_call.is_repeatable().then_some(now.mono + retry_after);
         let request = &open_call.request;
@@ -132,7 +132,7 @@
 
     fn on_tick(&mut self, now: Now) {
         // It receives a part of a peer's view and sends none: no process should connect to workers' machines.
-        let interval_ms = SHUFFLE_FACTOR * self.settings.bounds.shuffle();
+        let interval_ms = SHUFFLE_FACTOR * self.settings.bounds.shuffle_interval();
         let started = self.peer_sampler.tick(now, interval_ms, &mut self.rng);
         if let Some((peer, mut shuffle)) = started {
             shuffle.view.clear();
@@ -170,7 +170,7 @@
             return;
         };
         self.count("given_up");
-        let heartbeat_ms = self.settings.bounds.worker_heartbeat();
+        let heartbeat_ms = self.settings.bounds.worker_heartbeat_interval();
         let is_leaving = open_call.request.query == LEAVING;
         let response = if open_call.is_heartbeat() && !is_leaving {
             Response::new(
@@ -206,13 +206,13 @@
         let mut open_call = OpenCall {
             call,
             request,
-            deadline: now.mono + self.settings.bounds.call(),
+            deadline: now.mono + self.settings.bounds.request_timeout(),
             retry_at: None,
             attempts: Vec::new(),
         };
         if open_call.is_of_worker() {
             // The worker would not obey a response that takes longer.
-            open_call.deadline = now.mono + self.settings.bounds.obey() * 4 / 5;
+            open_call.deadline = now.mono + self.settings.bounds.max_start_order_age() * 4 / 5;
         }
         self.open.insert(token, open_call);
         self.forward(now, token);
@@ -250,7 +250,7 @@
         }
         let rejected = (400..500).contains(&forwarded.status);
         let response = if rejected && open_call.may_have_effect_elsewhere(index) {
-            unsure(self.settings.bounds.worker_heartbeat())
+            unsure(self.settings.bounds.worker_heartbeat_interval())
         } else {
             Response {
                 status: forwarded.status,
@@ -272,7 +272,7 @@
         if named && !open_call.was_sent_to(&self.holder) {
             return self.forward(now, token);
         }
-        let soon = now.mono + self.settings.bounds.tick();
+        let soon = now.mono + self.settings.bounds.tick_interval();
         let retry_at = open_call.retry_at.map_or(soon, |at| at.min(soon));
         open_call.retry_at = Some(retry_at.max(now.mono + 1));
     }
--- a/landingdrift/tests/bounds.rs
+++ b/landingdrift/tests/bounds.rs
@@ -11,7 +11,7 @@
                 cancel_ms,
                 ..Bounds::default()
             };
-            let fresh_ms = bounds.fresh();
+            let fresh_ms = bounds.max_watch_age();
             assert!(
                 fresh_ms < config_ms,
                 "{fresh_ms} of {config_ms}, {cancel_ms}"
--- a/landingdrift/tests/forwarded_reads.rs
+++ b/landingdrift/tests/forwarded_reads.rs
@@ -130,7 +130,7 @@
     let mut harness = light_node();
     let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
     let (silent, _) = first.first().expect("it is forwarded").clone();
-    let later = forwarded(&pass(&mut harness, Bounds::default().call() / 2));
+    let later = forwarded(&pass(&mut harness, Bounds::default().request_timeout() / 2));
     let (other, request) = later.first().expect("it is forwarded again").clone();
     assert_ne!(other, silent);
     let effects = respond(&mut harness, &other, &request, 200);
@@ -145,7 +145,7 @@
     let mut harness = light_node();
     let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
     let (late, request) = first.first().expect("it is forwarded").clone();
-    pass(&mut harness, Bounds::default().call() / 2);
+    pass(&mut harness, Bounds::default().request_timeout() / 2);
     let effects = respond(&mut harness, &late, &request, 200);
     assert_eq!(answer(&effects).map(|response| response.status), Some(200));
 }
@@ -210,7 +210,7 @@
 #[test]
 fn a_node_without_a_copy_has_other_nodes_answer_a_read_by_host_and_path() {
     let mut harness = light_node();
-    harness.elapsed_ms += 10 * Bounds::default().fresh();
+    harness.elapsed_ms += 10 * Bounds::default().max_watch_age();
     let effects = ask(&mut harness, "/v1/at/host.example/jobs/j");
     assert_eq!(answer(&effects), None, "another node may have a copy");
     assert!(!forwarded(&effects).is_empty(), "{effects:?}");
@@ -221,7 +221,7 @@
     let mut harness = light_node();
     let effects = ask(&mut harness, "/v1/desired");
     assert!(forwarded(&effects).is_empty(), "it tries itself first");
-    let later = forwarded(&pass(&mut harness, Bounds::default().call() / 2));
+    let later = forwarded(&pass(&mut harness, Bounds::default().request_timeout() / 2));
     let (to, request) = later.first().expect("it is forwarded").clone();
     let effects = respond(&mut harness, &to, &request, 200);
     assert_eq!(answer(&effects).map(|response| response.status), Some(200));
@@ -232,7 +232,7 @@
     let mut harness = light_node();
     let first = forwarded(&ask(&mut harness, "/v1/status"));
     let (to, request) = first.first().expect("it is forwarded").clone();
-    let later = forwarded(&pass(&mut harness, Bounds::default().call() / 2));
+    let later = forwarded(&pass(&mut harness, Bounds::default().request_timeout() / 2));
     assert!(later.is_empty(), "the answer may still be on its way");
     let effects = respond(&mut harness, &to, &request, 503);
     assert!(!forwarded(&effects).is_empty(), "{effects:?}");
@@ -273,7 +273,7 @@
         forwards += forwarded(&ask(&mut harness, "/v1/jobs/j")).len();
         forwards += forwarded(&pass(&mut harness, 20)).len();
     }
-    forwards += forwarded(&pass(&mut harness, Bounds::default().call())).len();
+    forwards += forwarded(&pass(&mut harness, Bounds::default().request_timeout())).len();
     assert!(forwards >= calls, "{forwards}");
     // A tenth of the calls, one a second, and what was saved up.
     assert!(forwards < calls + calls / 10 + 11 + 10 + 1, "{forwards}");
--- a/landingdrift/tests/light_copies.rs
+++ b/landingdrift/tests/light_copies.rs
@@ -166,14 +166,14 @@
     let orders: Vec<_> = orders.map(|(c, all)| (ordered(c), all)).collect();
     assert_eq!(orders.len(), 4);
     for (c, all) in orders {
-        assert_eq!(Command::concerns_all(&c.pack()), all, "{c:?}");
+        assert_eq!(Command::is_cluster_wide(&c.pack()), all, "{c:?}");
     }
 }
 
 #[test]
 fn what_concerns_all_is_told_by_the_kind_of_an_entry() {
     for (c, all) in kinds() {
-        assert_eq!(Command::concerns_all(&c.pack()), all, "{c:?}");
+        assert_eq!(Command::is_cluster_wide(&c.pack()), all, "{c:?}");
     }
 }
 
@@ -221,7 +221,7 @@
     };
     enter(&mut r, node).expect("entered");
     let first = WatchBatch {
-        snapshot: r.light().pack(),
+        snapshot: r.without_jobs_and_workers().pack(),
         snapshot_index: r.applied_index,
         ..batch(&r, 1)
     };
--- a/landingdrift/tests/node_harness/mod.rs
+++ b/landingdrift/tests/node_harness/mod.rs
@@ -153,7 +153,7 @@
 
     /// Gives the node a light copy of the cluster state.
     pub fn follow_light(&mut self) -> Vec<Effect> {
-        self.install_copy(self.state.light().pack(), true)
+        self.install_copy(self.state.without_jobs_and_workers().pack(), true)
     }
 
     /// A batch without entries for the node's copy, whose kind is `light`.
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -251,13 +251,13 @@
     assert!(read > LEAST_CALLS, "{read} calls were read");
     assert_eq!(read, answered, "calls read whole, and whole answers");
     let bounds = settings().bounds;
-    let serves = Duration::from_millis(bounds.serve_on());
+    let serves = Duration::from_millis(bounds.serving_time_after_stop());
     assert!(
         first_cut.is_none_or(|at| at + Duration::from_millis(100) >= serves),
         "cut after {first_cut:?}, it serves for {serves:?}"
     );
     assert!(ran.took >= serves, "ended after {:?}", ran.took);
-    let most = Duration::from_millis(bounds.end_process() + 200);
+    let most = Duration::from_millis(bounds.process_deadline() + 200);
     assert!(ran.took <= most, "ended after {:?}", ran.took);
 }
 
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -130,7 +130,7 @@
     assert_eq!(states(JobState::Waiting), 1);
     assert_eq!(cluster.tombstones["forgotten"].state, JobState::Done);
     assert_eq!(cluster.tombstones["forgotten"].hash, 101);
-    assert!(cluster.refusals.contains_key("turned-away"));
+    assert!(cluster.rejected_ids.contains_key("turned-away"));
     assert_eq!((cluster.workers.len(), cluster.nodes.len()), (3, 2));
     assert_eq!(
         (
@@ -141,7 +141,7 @@
     );
     assert_eq!(cluster.leases["queue/old"].epoch, 4);
     assert_eq!((cluster.version, cluster.changes.len()), (8, 2));
-    assert_eq!(cluster.retired["old"].quota, 1);
+    assert_eq!(cluster.retired_queues["old"].quota, 1);
     assert_eq!(cluster.config.queues["fast"].stretch, 2.5);
     assert_eq!(cluster.evacuated_zones, BTreeSet::from(["z2".to_string()]));
     assert_eq!(cluster.orders.len(), 4);
@@ -157,12 +157,12 @@
         state.jobs.len(),
         state.tombstones.len(),
         state.expiry.len(),
-        state.refusals.len(),
+        state.rejected_ids.len(),
         state.open.len(),
         state.workers.len(),
         state.leases.len(),
         state.evacuated_zones.len(),
-        state.retired.len(),
+        state.retired_queues.len(),
         state.nodes.len(),
         state.replicas.len(),
         state.queues.len(),
--- a/landingdrift/tests/watch_flow.rs
+++ b/landingdrift/tests/watch_flow.rs
@@ -90,7 +90,7 @@
 /// One chunk that holds all of a snapshot of the state as the replicas have it.
 fn whole_snapshot(harness: &NodeHarness, light: bool, requested_from: u64) -> WatchSnapshotChunk {
     let bytes = if light {
-        harness.state.light().pack()
+        harness.state.without_jobs_and_workers().pack()
     } else {
         harness.state.pack()
     };
--- a/testkit/src/explorer/search.rs
+++ b/testkit/src/explorer/search.rs
@@ -236,7 +236,7 @@
 
 /// Moves a machine's clock past its election timeout.
 fn time_out(cluster: &mut Cluster, machine_index: usize) {
-    let past_timeout = 3 * cluster.settings.bounds.election();
+    let past_timeout = 3 * cluster.settings.bounds.election_timeout();
     // After the jump the machine sees that it stood still and waits anew; the smaller steps look like time that passes.
     let step = past_timeout / 4;
     for advance in [past_timeout, step, step, step] {
--- a/testkit/src/explorer/time.rs
+++ b/testkit/src/explorer/time.rs
@@ -17,7 +17,7 @@
         mut is_lost: impl FnMut(&InFlight) -> bool,
     ) {
         let until = self.now + ms;
-        let tick = self.settings.bounds.tick();
+        let tick = self.settings.bounds.tick_interval();
         while self.now < until {
             self.now += 1;
             self.deliver_due(&mut is_lost);
--- a/testkit/tests/explorer.rs
+++ b/testkit/tests/explorer.rs
@@ -275,7 +275,7 @@
 fn a_newcomer_asks_to_be_admitted_at_once() {
     let mut cluster = settled(3);
     let newcomer = cluster.add_newcomer("z0".into());
-    let heartbeats = 3 * cluster.settings.bounds.heartbeat();
+    let heartbeats = 3 * cluster.settings.bounds.heartbeat_interval();
     cluster.run(heartbeats, &BTreeSet::new(), |_| false);
     let address = &cluster.machines[newcomer].address;
     assert!(cluster.membership().contains_key(address));
