--- a/testkit/src/checkers/conditions.rs
+++ b/testkit/src/checkers/conditions.rs
@@ -1,32 +1,32 @@
-//! What could work at which time, as the history tells of processes and links.
+//! Times in which service was possible, derived from the process and link events of a history.
 
 use super::interval::Interval;
 use super::PromisedBounds;
 use crate::history::{Event, History};
 use std::collections::BTreeMap;
 
-/// Fewer replicas than this have no majority of three.
+/// The majority of three replicas.
 const MAJORITY: usize = 2;
 
-/// The times in which service was possible.
+/// Times in which service was possible: the replicas had a majority and nodes could reach them.
 pub struct Conditions<'a> {
-    /// Times in which no service can be asked for, with the promised time to return.
+    /// Times without service that no promise covers, each extended by the bound on its recovery. Sorted.
     excused: Vec<Interval>,
-    /// Times in which a node was up and could talk to the replicas.
+    /// The times in which each node was up and connected to the replicas.
     nodes: BTreeMap<&'a str, Vec<Interval>>,
 }
 
-/// A time without service that has not ended.
+/// A downtime that has not ended yet.
 #[derive(Clone, Copy)]
 struct Downtime {
     from: u64,
-    /// How long service may take to return when it ends, in milliseconds.
+    /// The bound on the recovery of service after it, in milliseconds.
     return_ms: u64,
 }
 
 impl<'a> Conditions<'a> {
-    /// Reads the conditions. After a time without a majority service may take `recover_ms` to return, and `outage_ms`
-    /// where no replica was left.
+    /// Derives the conditions from a history. After a loss of the majority, recovery is bounded by `recover_ms`; after
+    /// a loss of all replicas, by `outage_ms`.
     pub fn new(history: &'a History, bounds: &PromisedBounds) -> Self {
         let mut conditions = Self {
             excused: Vec::new(),
@@ -63,7 +63,7 @@
         conditions
     }
 
-    /// Notes the times of nodes that are not available any more, and the beginning for those that are new.
+    /// Closes the up times of nodes that became unavailable and opens those of nodes that became available.
     fn note_nodes(&mut self, up_since: &mut BTreeMap<&'a str, u64>, nodes: &'a [String], now: u64) {
         up_since.retain(|node, from| {
             let is_still_up = nodes.iter().any(|up| up == node);
@@ -82,13 +82,13 @@
         times.push(Interval::new(from, to));
     }
 
-    /// Excuses another time.
+    /// Excludes a time from what the promises cover.
     pub fn excuse(&mut self, from: u64, to: u64) {
         self.excused.push(Interval::new(from, to));
         self.excused.sort_unstable();
     }
 
-    /// How many milliseconds of a time are left to account for without what is excused.
+    /// The length of a time without its excused parts, in milliseconds.
     pub fn unexcused_ms(&self, from: u64, to: u64) -> u64 {
         let mut accounted_to = from;
         let mut sum = 0;
@@ -101,7 +101,7 @@
         sum + to.saturating_sub(accounted_to)
     }
 
-    /// Whether a node was up and connected, and the replicas had a majority, all the time.
+    /// Whether a node was up and connected, and the replicas had a majority, throughout a time.
     pub fn node_could_work(&self, node: &str, from: u64, to: u64) -> bool {
         let whole = Interval::new(from, to);
         let up_times = self.nodes.get(node).into_iter().flatten();
--- a/testkit/src/checkers/configuration.rs
+++ b/testkit/src/checkers/configuration.rs
@@ -1,4 +1,4 @@
-//! Checkers of the configuration: one of two rivals wins, changes take effect, and none is undone silently.
+//! Checkers of the configuration: one of two concurrent changes wins, changes take effect, and none is lost.
 
 use super::conditions::Conditions;
 use super::quotas::quotas;
@@ -6,10 +6,10 @@
 use crate::history::{Event, History};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What operators were told of their changes, over the whole day.
+/// The outcomes of all changes of a day, as operators received them.
 #[derive(Default)]
 struct Changes<'a> {
-    /// The change that each version came from.
+    /// The accepted change that created each version.
     by_version: BTreeMap<u64, &'a str>,
     refused: BTreeSet<&'a str>,
 }
@@ -36,21 +36,21 @@
         changes
     }
 
-    /// What is wrong with a version that carries the mark of a change.
+    /// Describes why a version must not carry the mark of a change; none if it may.
     fn wrong_content(&self, version: u64, change: &str) -> Option<String> {
         if self.refused.contains(change) {
             return Some(format!(
-                "{change} was refused, and its content is in version {version}"
+                "{change} was refused, but its content is in version {version}"
             ));
         }
         let maker = self.by_version.get(&version)?;
         (*maker != change).then(|| {
-            format!("version {version} was made by {maker} and has the content of {change}")
+            format!("version {version} was created by {maker} but has the content of {change}")
         })
     }
 }
 
-/// Of two changes on one version only one is accepted, and nothing of the other is seen anywhere.
+/// Of two changes based on the same version only one is accepted, and the content of the other appears nowhere.
 pub fn one_winner(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let changes = Changes::new(history);
     let mut winner_on_base: BTreeMap<u64, &str> = BTreeMap::new();
@@ -75,7 +75,7 @@
                         .is_some_and(is_other);
                 if has_rival {
                     let description =
-                        format!("{change} was accepted on version {base}, and another was too");
+                        format!("{change} and another change were both accepted on version {base}");
                     violated(timed.at_ms, description);
                 }
             }
@@ -98,7 +98,7 @@
     violations
 }
 
-/// The versions that operators were told are accepted, each with when.
+/// The acknowledged versions with the times of their acknowledgements.
 #[derive(Default)]
 struct Accepted(Vec<AcceptedVersion>);
 
@@ -112,14 +112,15 @@
         self.0.push(AcceptedVersion { at_ms, version });
     }
 
-    /// The newest version that was accepted before a time; 0 where there is none.
+    /// The newest version that was acknowledged before a time; 0 if there is none.
     fn newest_before(&self, at_ms: u64) -> u64 {
         let before = self.0.iter().filter(|accepted| accepted.at_ms < at_ms);
         before.map(|accepted| accepted.version).max().unwrap_or(0)
     }
 }
 
-/// An accepted change is never undone silently, and what is read is the newest that was accepted.
+/// An accepted change is never lost: reads return at least the newest version accepted before them, and versions on a
+/// node only increase.
 pub fn never_slides_back(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut accepted = Accepted::default();
@@ -144,7 +145,7 @@
                 let expected = accepted.newest_before(*requested_ms);
                 if *version < expected {
                     let description =
-                        format!("version {version} was read after {expected} was accepted");
+                        format!("version {version} was read after version {expected} was accepted");
                     violated(now, description);
                 }
             }
@@ -159,7 +160,7 @@
             } => {
                 let before = on_node.insert(node, *version);
                 if before.is_some_and(|before| before > *version) {
-                    violated(now, format!("{node} slid back to version {version}"));
+                    violated(now, format!("{node} went back to version {version}"));
                 }
             }
             Event::DayEnded { version, .. } => {
@@ -167,7 +168,9 @@
                 if *version < expected {
                     violated(
                         now,
-                        format!("version {version} at the end of the day, {expected} was accepted"),
+                        format!(
+                            "the day ended with version {version}, but {expected} was accepted"
+                        ),
                     );
                 }
             }
@@ -177,7 +180,8 @@
     violations
 }
 
-/// An accepted change is in force soon on every node: on those that say they are ready, and on all that could be.
+/// An accepted change is in force within its bound on every node that reports ready, and every node that can work
+/// becomes ready within its bound.
 pub fn takes_effect(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut nodes = NodeReadiness {
         conditions: Conditions::new(history, bounds),
@@ -213,7 +217,7 @@
     violations
 }
 
-/// What nodes say of themselves, compared with what they could do.
+/// Compares the readiness and versions that nodes report with the conditions they run under.
 struct NodeReadiness<'a> {
     conditions: Conditions<'a>,
     bounds: &'a PromisedBounds,
@@ -234,11 +238,11 @@
             .accepted
             .newest_before(now.saturating_sub(self.bounds.config_ms));
         if version < expected {
-            self.violated(now, format!("{node} says it is ready with version {version}, {expected} was accepted long before"));
+            self.violated(now, format!("{node} reports ready with version {version}, but version {expected} was accepted long before"));
         }
     }
 
-    /// Nobody escapes by not being ready: a node that is up and connected has no excuse for long.
+    /// A node must not escape the bound by reporting not ready: if it is up and connected, it has to become ready.
     fn not_ready(&mut self, node: &'a str, now: u64) {
         let since = *self.unready_since.entry(node).or_insert(now);
         let is_late = now > since + self.bounds.ready_ms;
@@ -246,7 +250,7 @@
             let duration_ms = now - since;
             self.violated(
                 now,
-                format!("{node} was up and connected and not ready for {duration_ms} ms"),
+                format!("{node} was up and connected but not ready for {duration_ms} ms"),
             );
             self.unready_since.insert(node, now);
         }
--- a/testkit/src/checkers/interval.rs
+++ b/testkit/src/checkers/interval.rs
@@ -1,4 +1,4 @@
-//! Intervals of time.
+//! Closed intervals of time.
 
 /// A span of time in milliseconds; both ends belong to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -8,17 +8,17 @@
 }
 
 impl Interval {
-    /// From one time to another; `u64::MAX` stands for one that has not ended.
+    /// An interval; `to` is `u64::MAX` if it has not ended.
     pub fn new(from: u64, to: u64) -> Self {
         Self { from, to }
     }
 
-    /// Whether it has a moment in common with another one.
+    /// Whether the two intervals share a moment.
     pub fn touches(&self, other: &Self) -> bool {
         self.from <= other.to && self.to >= other.from
     }
 
-    /// Whether another one lies within it.
+    /// Whether the other interval lies within this one.
     pub fn contains(&self, other: &Self) -> bool {
         self.from <= other.from && self.to >= other.to
     }
--- a/testkit/src/checkers/jobs.rs
+++ b/testkit/src/checkers/jobs.rs
@@ -1,23 +1,24 @@
-//! Checkers of what clients are told about their jobs.
+//! Checkers of the answers that clients get about their jobs.
 
 use super::conditions::Conditions;
 use super::{PromisedBounds, Violation};
 use crate::history::{Event, FinalState, History};
 use std::collections::BTreeMap;
 
-/// Clients get their answers this long after the network stops losing them: they ask again after a time of their own,
-/// in milliseconds.
+/// After answers stop being lost, clients need up to this long to get one, in milliseconds: they retry after a timeout
+/// of their own.
 const CLIENT_RETRY_MS: u64 = 1000;
 
-/// Faults of this kind lose answers; see [`crate::scenario::Kind`].
+/// How the descriptions of faults that lose answers begin: the name of
+/// [`FaultKind::LostAnswers`](crate::scenario::FaultKind::LostAnswers).
 const LOST_ANSWERS: &str = "LostAnswers";
 
-/// Whether a job in this state has ended.
+/// Whether a state in the API is a final one.
 pub fn has_ended(state: &str) -> bool {
     ["done", "failed", "cancelled"].contains(&state)
 }
 
-/// The job that an event shows to be accepted, if it does.
+/// The id of the job that an event proves to be accepted, if any.
 fn accepted_job(event: &Event) -> Option<&str> {
     match event {
         Event::SubmitAnswered {
@@ -33,7 +34,7 @@
     }
 }
 
-/// An accepted job is known from then on, to the end of the day, and an end once reported stays that end.
+/// An accepted job stays known until the end of the day, and a reported final state never changes.
 pub fn never_forgotten(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut known = KnownJobs::default();
     for timed in &history.events {
@@ -58,12 +59,12 @@
     known.violations
 }
 
-/// What clients know of their jobs.
+/// The accepted jobs and final states that clients know of.
 #[derive(Default)]
 struct KnownJobs<'a> {
     /// When each job was first known to be accepted.
     accepted: BTreeMap<&'a str, u64>,
-    /// The state of each job that has ended.
+    /// The final state of each job that has ended.
     ends: BTreeMap<&'a str, &'a str>,
     violations: Vec<Violation>,
 }
@@ -77,14 +78,14 @@
     fn check_unknown(&mut self, id: &str, at_ms: u64, state_ms: u64) {
         let accepted = self.accepted.get(id);
         if accepted.is_some_and(|accepted_ms| at_ms >= accepted_ms + state_ms) {
-            self.violated(at_ms, format!("job {id} was accepted and is unknown"));
+            self.violated(at_ms, format!("job {id} was accepted but is unknown"));
         }
     }
 
     fn check_state(&mut self, id: &'a str, state: &'a str, stale: bool, at_ms: u64) {
         match self.ends.get(id) {
             Some(end) if *end != state && !stale => {
-                let description = format!("job {id} was reported as {end} and is {state} now");
+                let description = format!("job {id} was reported as {end} but is {state} now");
                 self.violated(at_ms, description);
             }
             None if has_ended(state) => {
@@ -99,7 +100,7 @@
         for id in self.accepted.keys() {
             if !jobs.contains_key(*id) {
                 descriptions.push(format!(
-                    "job {id} was accepted and is gone at the end of the day"
+                    "job {id} was accepted but is missing at the end of the day"
                 ));
             }
         }
@@ -107,7 +108,7 @@
             let Some(last) = jobs.get(*id) else { continue };
             if last.state != *end {
                 descriptions.push(format!(
-                    "job {id} was reported as {end} and is {} at the end of the day",
+                    "job {id} was reported as {end} but is {} at the end of the day",
                     last.state
                 ));
             }
@@ -118,7 +119,7 @@
     }
 }
 
-/// From acceptance on, whoever asks nodes that say they are ready gets the state soon.
+/// From acceptance on, clients that poll ready nodes get the job's state within its bound.
 pub fn state_in_time(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     unknown_times(history, bounds)
         .into_iter()
@@ -128,7 +129,7 @@
                 "state within its bound",
                 unknown.until,
                 format!(
-                    "the state of job {} could not be told for {} ms",
+                    "the state of job {} was unavailable for {} ms",
                     unknown.job, unknown.duration_ms
                 ),
             )
@@ -136,16 +137,16 @@
         .collect()
 }
 
-/// A time in which a client asked for the state of an accepted job and got no answer.
+/// A time in which a client polled an accepted job without getting its state.
 pub struct UnknownTime<'a> {
     pub job: &'a str,
     /// When it ended, in milliseconds.
     pub until: u64,
-    /// How long it lasted without what is excused, in milliseconds.
+    /// How long it lasted without its excused parts, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// The times in which accepted jobs were asked for without an answer.
+/// All times in which clients polled accepted jobs without getting their states.
 pub fn unknown_times<'a>(history: &'a History, bounds: &PromisedBounds) -> Vec<UnknownTime<'a>> {
     let mut conditions = Conditions::new(history, bounds);
     excuse_lost_answers(&mut conditions, history);
@@ -173,7 +174,7 @@
                     times.push(unknown_time(id, from, now));
                 }
             }
-            // Whoever cancels stops asking for the state.
+            // The client stops polling when it cancels.
             Event::CancelRequested { id } => {
                 asking_since.remove(id.as_str());
             }
@@ -188,7 +189,7 @@
     times
 }
 
-/// Excuses the times in which the network loses answers, and the time after which clients have asked again.
+/// Excuses the times in which answers are lost, and the clients' retry timeout after them.
 fn excuse_lost_answers(conditions: &mut Conditions, history: &History) {
     let mut lost_since = None;
     for timed in &history.events {
@@ -206,15 +207,15 @@
     }
 }
 
-/// What is known of the calls that submit one job.
+/// The state of the calls that submit one job.
 #[derive(Default)]
 struct SubmitCalls {
-    /// A call has no answer yet.
+    /// The latest call has no answer yet.
     is_open: bool,
-    /// The outcome of an earlier call is not known: it may have got through.
+    /// The outcome of an earlier call is unknown: it may have been accepted.
     is_uncertain: bool,
     is_accepted: bool,
-    /// When the job was refused for good, in milliseconds.
+    /// When the job was definitely refused, in milliseconds.
     refused_ms: Option<u64>,
 }
 
@@ -231,14 +232,14 @@
             200 | 202 => self.is_accepted = true,
             // Refusals of the job itself.
             400 | 413 | 429 => self.refused_ms = Some(at_ms),
-            // Refusals of this call: an earlier one may have got through.
+            // Refusals of this call only: an earlier one may have been accepted.
             503 if code != "unsure" => self.refused_ms = (!self.is_uncertain).then_some(at_ms),
             _ => self.is_uncertain = true,
         }
     }
 }
 
-/// A job that was refused does not run, unless it is submitted again.
+/// A refused job never runs unless it is submitted again.
 pub fn refused_never_runs(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut jobs: BTreeMap<&str, SubmitCalls> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -256,7 +257,7 @@
                     violations.push(Violation::new(
                         "turned away never runs",
                         timed.at_ms,
-                        format!("job {job} was refused at {refused_ms} and started on {worker}"),
+                        format!("job {job} was refused at {refused_ms} ms but started on {worker}"),
                     ));
                 }
             }
@@ -266,7 +267,7 @@
     violations
 }
 
-/// Soon after a cancel is acknowledged nothing more of the job starts.
+/// No run of a job starts later than `cancel_ms` after its cancel was acknowledged.
 pub fn cancelled(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut acknowledged: BTreeMap<&str, u64> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -296,7 +297,7 @@
     violations
 }
 
-/// When the day ends, every accepted job has ended or is shown as unsure.
+/// At the end of the day, every accepted job has ended or is reported as unsure.
 pub fn all_end(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut newest_first = history.events.iter().rev();
     let day_end = newest_first.find_map(|timed| match &timed.event {
--- a/testkit/src/checkers/mod.rs
+++ b/testkit/src/checkers/mod.rs
@@ -1,4 +1,5 @@
-//! Checkers of what must never happen. They read histories only: nothing here uses the product's own rules.
+//! Checkers of the system's promises. They read only histories and share no rules with the product, so that a fault in
+//! the product's rules can't hide itself.
 
 mod conditions;
 mod configuration;
@@ -20,6 +21,7 @@
     pub rule: &'static str,
     /// When it was violated, in milliseconds since the beginning of the day.
     pub at_ms: u64,
+    /// The parts involved and the values observed, for people.
     pub description: String,
 }
 
@@ -47,29 +49,29 @@
 /// The bounds that the system promises, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct PromisedBounds {
-    /// How long an accepted job's state may be unknown.
+    /// How long clients may be unable to get an accepted job's state.
     pub state_ms: u64,
-    /// How late a run may start after a cancel was acknowledged.
+    /// How long after the acknowledgement of a cancel a run of the job may still start.
     pub cancel_ms: u64,
-    /// How late a run may start on a worker that has announced that it leaves.
+    /// How long after a worker announced that it leaves a run may still start on it.
     pub leave_ms: u64,
-    /// How late a run may start in a zone that was emptied.
+    /// How long after a zone was drained or evacuated a run may still start in it.
     pub empty_zone_ms: u64,
-    /// How long a change of configuration may take to be in force.
+    /// How long an accepted change of the configuration may take to be in force everywhere.
     pub config_ms: u64,
     /// How long service may take to return after a total outage.
     pub outage_ms: u64,
-    /// How early a run may start before its appointed time.
+    /// How long before its due time a run may start.
     pub early_ms: u64,
-    /// How long a gang's member may be alone when no fault strikes it.
+    /// How long a gang member may run without its partners if no fault affects the gang.
     pub alone_ms: u64,
-    /// How long a gang's member may be alone when a fault strikes it.
+    /// How long a gang member may run without its partners if a fault affects the gang.
     pub alone_in_fault_ms: u64,
-    /// How long service may take to return after the replicas had no majority, short of a total outage.
+    /// How long service may take to return after a loss of the majority that was no total outage.
     pub recover_ms: u64,
     /// How long a node that is up and connected may take to be ready.
     pub ready_ms: u64,
-    /// What the system's clock showed at time 0 of the history, in milliseconds since 1970.
+    /// The wall clock's time at time 0 of the history, in milliseconds since 1970.
     pub epoch_ms: u64,
 }
 
@@ -106,7 +108,7 @@
     Checker { rule, check }
 }
 
-/// All checkers.
+/// All checkers, in the order in which their violations are reported.
 pub const ALL: &[Checker] = &[
     checker("never forgotten", jobs::never_forgotten),
     checker("state within its bound", jobs::state_in_time),
@@ -131,14 +133,14 @@
     checker("all come to an end", jobs::all_end),
 ];
 
-/// Rules on how long something takes: on real processes they say as much about the machine as about the system.
+/// Rules that bound durations. With real processes their results depend on the machine as much as on the system.
 pub const TIMED: &[&str] = &[
     "state within its bound",
     "configuration takes hold",
     "back after an outage",
 ];
 
-/// Runs all checkers.
+/// Runs all checkers on a history and returns every violation.
 pub fn check(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     ALL.iter()
         .flat_map(|checker| (checker.check)(history, bounds))
--- a/testkit/src/checkers/outage.rs
+++ b/testkit/src/checkers/outage.rs
@@ -4,7 +4,8 @@
 use crate::history::{is_serving, Event, History, TimedEvent, RECOVERY_JOB_PREFIX};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Normal service returns soon after a total outage: every node ready, every queue and zone at work.
+/// After a total outage, service returns within `outage_ms`: every node is ready, every queue accepts and finishes
+/// jobs, and every zone gets work.
 pub fn service_returns(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let outage_ends = history
         .events
@@ -14,7 +15,7 @@
     let mut violations = Vec::new();
     for from in outage_ends {
         let until = from + bounds.outage_ms;
-        // Another fault meanwhile has its own rules.
+        // A fault in between may delay the recovery beyond the bound.
         if until > history.end_ms() || has_fault_between(history, from, until) {
             continue;
         }
@@ -36,7 +37,7 @@
     })
 }
 
-/// What must be served at a time, as far as the history tells.
+/// The queues, zones and nodes that have to be served at a time.
 #[derive(Default)]
 struct Deployment<'a> {
     queue_of_job: BTreeMap<&'a str, &'a str>,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The zones that have workers and are not to be empty.
+    /// The zones that have running workers and are neither drained nor evacuated.
     fn served_zones(&self) -> BTreeSet<&'a str> {
         self.running_workers
             .iter()
@@ -93,7 +94,7 @@
     }
 }
 
-/// What was served between two times.
+/// The service observed between two times.
 #[derive(Default)]
 struct Service<'a> {
     accepting_queues: BTreeSet<&'a str>,
@@ -103,7 +104,7 @@
 }
 
 impl<'a> Service<'a> {
-    /// Only the ends of recovery jobs count: what else is offered may be too long to end in time.
+    /// Only the ends of recovery jobs count: other jobs may take too long to end in time.
     fn observe(
         &mut self,
         event: &'a Event,
@@ -142,7 +143,7 @@
     }
 }
 
-/// The ids of jobs that were offered to show whether every queue is served.
+/// The ids of the recovery jobs, which are offered to test whether every queue is served.
 fn recovery_jobs<'a>(events: &[&'a TimedEvent]) -> BTreeSet<&'a str> {
     let offered = events.iter().filter_map(|timed| match &timed.event {
         Event::Offered { spec } => Some(spec.id.as_str()),
@@ -171,14 +172,14 @@
     }
     let mut missing = Vec::new();
     for queue in queues.difference(&service.accepting_queues) {
-        missing.push(format!("queue {queue} accepted nothing"));
+        missing.push(format!("queue {queue} accepted no job"));
     }
     for queue in queues.difference(&service.finishing_queues) {
-        missing.push(format!("queue {queue} finished nothing"));
+        missing.push(format!("queue {queue} finished no recovery job"));
     }
     if !queues.is_empty() {
         for zone in deployment.served_zones().difference(&service.working_zones) {
-            missing.push(format!("zone {zone} got nothing"));
+            missing.push(format!("zone {zone} got no work"));
         }
     }
     for node in deployment.available_nodes {
--- a/testkit/src/checkers/quotas.rs
+++ b/testkit/src/checkers/quotas.rs
@@ -1,4 +1,4 @@
-//! The effect of quotas on which jobs are accepted.
+//! The checker of quotas: a queue accepts no job beyond its quota of unfinished ones.
 
 use super::interval::Interval;
 use super::jobs::has_ended;
@@ -7,27 +7,27 @@
 use crate::history::{Event, History};
 use std::collections::BTreeMap;
 
-/// What clients saw of the jobs of all queues.
+/// The jobs of all queues, as clients observed them.
 #[derive(Default)]
 struct Jobs<'a> {
     queues: BTreeMap<&'a str, &'a str>,
     requested_ms: BTreeMap<&'a str, u64>,
     accepted_ms: BTreeMap<&'a str, u64>,
-    /// When each job was last seen unfinished.
+    /// When each job was last observed unfinished.
     unfinished_ms: BTreeMap<&'a str, u64>,
 }
 
-/// A job that was newly accepted.
+/// The acceptance of a new job (status 202).
 struct Acceptance<'a> {
     job: &'a str,
-    /// The time of the call.
+    /// The time from the request to its answer.
     call: Interval,
-    /// The largest quota that may have been in force meanwhile.
+    /// The largest quota that may have been in force during the call.
     quota: u32,
 }
 
 impl Jobs<'_> {
-    /// How many other jobs of the queue were surely unfinished while a job was accepted.
+    /// The number of other jobs in the queue that were certainly unfinished throughout a call that accepted a job.
     fn unfinished_beside(&self, acceptance: &Acceptance) -> usize {
         let queue = self.queues.get(acceptance.job);
         let is_beside = |job: &str, accepted_ms: u64| {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Nothing is accepted while as many jobs of the queue as its quota are surely unfinished.
+/// Violations by jobs that were accepted although the queue certainly had its quota of unfinished jobs already.
 pub(super) fn quotas(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut limits = Limits::default();
     let mut jobs = Jobs::default();
@@ -92,10 +92,10 @@
         .collect()
 }
 
-/// The violation of a quota by a job, if there is one.
+/// The violation of the quota by an acceptance, if it is one.
 fn exceeded(jobs: &Jobs, acceptance: &Acceptance) -> Option<Violation> {
     let quota = acceptance.quota as usize;
-    // Most quotas are larger than the whole day's load: those need no count.
+    // Most quotas exceed the whole day's load; those need no count.
     if quota >= jobs.accepted_ms.len() {
         return None;
     }
@@ -105,7 +105,7 @@
             "configuration takes hold",
             acceptance.call.to,
             format!(
-                "job {} was accepted beside {unfinished} unfinished ones, the quota is {quota}",
+                "job {} was accepted with {unfinished} unfinished jobs in its queue, whose quota is {quota}",
                 acceptance.job
             ),
         )
--- a/testkit/src/checkers/runs/gangs.rs
+++ b/testkit/src/checkers/runs/gangs.rs
@@ -1,4 +1,4 @@
-//! The checker of gangs: members run together.
+//! The checker of gangs: their members run at the same time.
 
 use super::{runs, Run, Specs};
 use crate::checkers::conditions::Conditions;
@@ -8,13 +8,14 @@
 use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
-/// A fault may keep orders from workers for so long after its end, in milliseconds.
+/// How long after its end a fault may still delay orders to workers, in milliseconds.
 const AFTER_FAULT_MS: u64 = 4000;
 
-/// A worker may miss orders for so long after it can be reached again, in milliseconds.
+/// How long after it is reachable again a worker may still miss orders, in milliseconds.
 const AFTER_UNREACHABLE_MS: u64 = 2000;
 
-/// Faults whose descriptions begin so keep no orders from workers; see [`crate::scenario::Kind`].
+/// How the descriptions of faults that delay no orders to workers begin: names of variants of
+/// [`FaultKind`](crate::scenario::FaultKind) and marks of reachability.
 const HARMLESS_FAULTS: [&str; 14] = [
     "Crowd",
     "Huge",
@@ -32,18 +33,18 @@
     WORKER_REACHABLE,
 ];
 
-/// Members of a gang are never left waiting alone: whoever runs for long, runs with all that are not done.
+/// No gang member runs longer than its bound without all partners that have not succeeded yet.
 pub fn gangs(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     for alone in alone_times(history, bounds) {
         let (most_ms, cause) = if alone.in_fault {
-            (bounds.alone_in_fault_ms, ", a member was struck")
+            (bounds.alone_in_fault_ms, " during a fault")
         } else {
             (bounds.alone_ms, "")
         };
         if alone.duration_ms > most_ms {
             let description = format!(
-                "{} was alone for {} ms{cause}",
+                "{} ran without a partner for {} ms{cause}",
                 alone.member, alone.duration_ms
             );
             violations.push(Violation::new("gangs together", alone.from, description));
@@ -52,23 +53,23 @@
     violations
 }
 
-/// A time that a gang's member ran without another one.
+/// A time in which a gang member ran without one of its partners.
 pub struct AloneTime {
-    /// The member's job, task and worker.
+    /// The member's job, task and worker, for messages.
     pub member: String,
     /// When the member started, in milliseconds.
     pub from: u64,
-    /// How long it ran without the other one, without what is excused, in milliseconds.
+    /// How long it ran without the partner, without excused times, in milliseconds.
     pub duration_ms: u64,
-    /// A fault struck a member's worker, or the processes that give it orders, meanwhile.
+    /// A fault that may have delayed orders to workers was active during that time.
     pub in_fault: bool,
 }
 
-/// Every time that a member of a gang ran without another one, one for each pair.
+/// The time that each run of a gang member went without each partner, one entry per run and partner.
 pub fn alone_times(history: &History, bounds: &PromisedBounds) -> Vec<AloneTime> {
     let specs = Specs::new(history);
     let all_runs = runs(history);
-    // The runs of each gang, by its job and its name.
+    // The runs of each gang, by job and gang name.
     let mut runs_of_gang: BTreeMap<(&str, &str), Vec<&Run>> = BTreeMap::new();
     for run in &all_runs {
         let task = specs.task(run.job, run.task);
@@ -98,7 +99,7 @@
     alone_times
 }
 
-/// What decides how long a run may be alone.
+/// The circumstances that decide how long a run may be without its partners.
 struct Observed<'a> {
     conditions: Conditions<'a>,
     unreachable: Vec<UnreachableTime<'a>>,
@@ -108,9 +109,10 @@
 }
 
 impl Observed<'_> {
-    /// How long a run was without any of the runs of another member.
+    /// The time that a run went without any run of one partner.
     fn alone_time<'r>(&self, run: &Run, partners: impl Iterator<Item = &'r Run<'r>>) -> AloneTime {
-        // A partner is with it from when it starts, if it has not ended by then, or at once when it had succeeded.
+        // They are together from the partner's start if that had not ended before the run began; a partner that had
+        // succeeded counts as present at once.
         let together_since = partners
             .filter(|partner| partner.to >= run.from || partner.outcome == Some(Outcome::Succeeded))
             .map(|partner| partner.from.max(run.from))
@@ -121,13 +123,13 @@
         AloneTime {
             member: format!("{}/{} on {}", run.job, run.task, run.worker),
             from: run.from,
-            // While the replicas have no majority nobody can be told to stop.
+            // Without a majority of replicas no stop order can be given.
             duration_ms: self.conditions.unexcused_ms(run.from, until.max(run.from)),
             in_fault: self.faults.iter().any(|fault| fault.touches(&alone)),
         }
     }
 
-    /// Up to when a run's worker could be told to stop it: nobody reaches a worker that is cut off.
+    /// The time until which the run's worker could receive a stop order: its end, or the first time it was unreachable.
     fn stoppable_until(&self, run: &Run) -> u64 {
         let to = run.to.min(self.end_ms);
         let whole = Interval::new(run.from, to);
@@ -141,7 +143,7 @@
     }
 }
 
-/// Times in which a fault that keeps orders from workers was at work, and shortly after.
+/// Times in which a fault that may delay orders to workers was active, each extended by [`AFTER_FAULT_MS`].
 fn fault_times(history: &History) -> Vec<Interval> {
     let mut times: Vec<Interval> = Vec::new();
     let mut open: BTreeMap<&str, u64> = BTreeMap::new();
@@ -174,7 +176,7 @@
     interval: Interval,
 }
 
-/// Times in which workers could not be reached, as the faults say.
+/// Times in which workers were unreachable, from the marks in the descriptions of faults.
 fn unreachable_times(history: &History) -> Vec<UnreachableTime<'_>> {
     let mut times: Vec<UnreachableTime> = Vec::new();
     for timed in &history.events {
--- a/testkit/src/checkers/runs/limits.rs
+++ b/testkit/src/checkers/runs/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of queues, and the checker of attempts, which are limited so.
+//! Configured limits of queues over time, and the checker of the limit on attempts.
 
 use super::unreported::unreported_ends;
 use super::{Specs, TaskKey};
@@ -8,13 +8,13 @@
 use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
-/// A change of a limit, and when it may have been in force.
+/// A value of a limit, with the change that sets it and the times that bound when it can be in force.
 struct Limit {
     change: String,
     value: u32,
     requested_ms: u64,
     acknowledged: Option<Acknowledged>,
-    /// The change was answered with a refusal.
+    /// The change was refused.
     is_refused: bool,
 }
 
@@ -24,12 +24,12 @@
     at_ms: u64,
 }
 
-/// Limits of a kind, by queue, as they were asked for and acknowledged.
+/// The requested and acknowledged values of one kind of limit, by queue.
 #[derive(Default)]
 pub struct Limits<'a>(BTreeMap<&'a str, Vec<Limit>>);
 
 impl<'a> Limits<'a> {
-    /// Takes note of an event; `limits_in` finds the limits of this kind in a change.
+    /// Updates the limits from an event; `limits_in` selects this kind of limit from the settings of a change.
     pub fn observe(
         &mut self,
         timed: &'a TimedEvent,
@@ -53,7 +53,7 @@
 
     fn request(&mut self, queue: &'a str, change: &str, value: u32, requested_ms: u64) {
         let limits = self.0.entry(queue).or_default();
-        // The same change is asked for again where an answer is missing.
+        // Operators repeat a request whose answer is missing.
         if limits.iter().any(|limit| limit.change == change) {
             return;
         }
@@ -79,14 +79,14 @@
         }
     }
 
-    /// The largest limit of a queue that may be in force at some moment of a time, when a change has `hold_ms` to
-    /// take effect.
-    pub fn largest(&self, queue: &str, time: Interval, hold_ms: u64) -> Option<u32> {
+    /// The largest value of a queue's limit that can be in force at some moment of a time, given that an acknowledged
+    /// change takes effect within `config_ms`.
+    pub fn largest(&self, queue: &str, time: Interval, config_ms: u64) -> Option<u32> {
         let limits = self.0.get(queue)?;
         let in_force = limits
             .iter()
             .filter_map(|limit| limit.acknowledged)
-            .filter(|acknowledged| acknowledged.at_ms + hold_ms < time.from);
+            .filter(|acknowledged| acknowledged.at_ms + config_ms < time.from);
         let newest_in_force = in_force.map(|limit| limit.version).max().unwrap_or(0);
         let is_replaced = |limit: &Limit| {
             let version = limit.acknowledged.map(|acknowledged| acknowledged.version);
@@ -101,7 +101,7 @@
     }
 }
 
-/// A task that has failed as often as its queue permits is not tried again.
+/// A task that has failed as often as its queue permits is not started again.
 pub fn max_attempts(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let unreported = unreported_ends(history);
@@ -131,7 +131,9 @@
                     violations.push(Violation::new(
                         "tries",
                         timed.at_ms,
-                        format!("{job}/{task} started after {failed} failures of {limit}"),
+                        format!(
+                            "{job}/{task} started after {failed} failures with a limit of {limit}"
+                        ),
                     ));
                 }
             }
--- a/testkit/src/checkers/runs/mod.rs
+++ b/testkit/src/checkers/runs/mod.rs
@@ -1,4 +1,4 @@
-//! Checkers of runs: when they start, where they run, how often they are tried, and gangs.
+//! Checkers of runs: when and where they start, how often, and together with which others.
 
 mod gangs;
 mod limits;
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use unreported::unreported_ends;
 
-/// The specifications of all jobs that were offered.
+/// The specifications of all offered jobs, by job id.
 struct Specs<'a>(BTreeMap<&'a str, &'a JobSpec>);
 
 impl<'a> Specs<'a> {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A task of a job, by their names.
+/// The id of a job and the name of one of its tasks.
 type TaskKey<'a> = (&'a str, &'a str);
 
 /// One run of a task on a worker.
@@ -49,9 +49,9 @@
     job: &'a str,
     task: &'a str,
     from: u64,
-    /// When it ended, in milliseconds; `u64::MAX` if it did not.
+    /// When it ended, in milliseconds; `u64::MAX` if it has not ended.
     to: u64,
-    /// How it ended; none if it did not, if its worker died, or if the worker could tell nobody.
+    /// Its outcome; none if it has not ended, if its worker died, or if the worker could not report the end.
     outcome: Option<Outcome>,
 }
 
@@ -59,7 +59,7 @@
 fn runs(history: &History) -> Vec<Run<'_>> {
     let unreported = unreported_ends(history);
     let mut runs: Vec<Run> = Vec::new();
-    // The open runs' positions, by worker and attempt.
+    // Indices into `runs` of those that have not ended, by worker and attempt.
     let mut open: BTreeMap<(&str, u64), usize> = BTreeMap::new();
     for timed in &history.events {
         match &timed.event {
@@ -105,7 +105,7 @@
     runs
 }
 
-/// Without leave to repeat, a task never runs twice at once and never again after it succeeded.
+/// A task that may not be repeated never runs twice at the same time, and never again after it succeeded.
 pub fn no_repeat(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let mut runs_of_task: BTreeMap<TaskKey, Vec<Run>> = BTreeMap::new();
@@ -126,7 +126,7 @@
     violations
 }
 
-/// The violation that a run is after an earlier one of the same task, if it is one.
+/// The violation by a run of a task that had the run `before` already, if it is one.
 fn repeated(before: &Run, run: &Run) -> Option<Violation> {
     let Run {
         job, task, worker, ..
@@ -173,7 +173,7 @@
                     violations.push(Violation::new(
                         "steps in order",
                         timed.at_ms,
-                        format!("{job}/{task} started before {missing} was done"),
+                        format!("{job}/{task} started before {missing} succeeded"),
                     ));
                 }
             }
@@ -183,7 +183,7 @@
     violations
 }
 
-/// No task starts noticeably before its appointed time.
+/// No task starts more than `early_ms` before its due time.
 pub fn not_early(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let mut violations = Vec::new();
--- a/testkit/src/checkers/runs/placement.rs
+++ b/testkit/src/checkers/runs/placement.rs
@@ -1,32 +1,32 @@
-//! Checkers of where runs are placed: capacity, services and labels, leaving workers, emptied zones.
+//! Checkers of placement: capacity, services and labels, leaving workers, emptied zones.
 
 use super::Specs;
 use crate::checkers::{PromisedBounds, Violation};
 use crate::history::{is_serving, Event, History, RuleSettings};
 use std::collections::BTreeMap;
 
-/// No worker holds more than its capacity.
+/// The runs on a worker never need more than its capacity.
 pub fn capacity(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut capacity: BTreeMap<&str, u32> = BTreeMap::new();
-    // What each worker's runs take, by attempt.
-    let mut held: BTreeMap<&str, BTreeMap<u64, u32>> = BTreeMap::new();
+    // The capacity that each worker's runs use, by attempt.
+    let mut used: BTreeMap<&str, BTreeMap<u64, u32>> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
         match &timed.event {
             Event::WorkerUp { worker, cpu, .. } => {
                 capacity.insert(worker, *cpu);
-                held.remove(worker.as_str());
+                used.remove(worker.as_str());
             }
             Event::WorkerChanged { worker, cpu, .. } => {
                 capacity.insert(worker, *cpu);
             }
             Event::WorkerDied { worker } => {
-                held.remove(worker.as_str());
+                used.remove(worker.as_str());
             }
             Event::RunEnded {
                 worker, attempt, ..
             } => {
-                if let Some(runs) = held.get_mut(worker.as_str()) {
+                if let Some(runs) = used.get_mut(worker.as_str()) {
                     runs.remove(attempt);
                 }
             }
@@ -36,7 +36,7 @@
                 cpu,
                 ..
             } => {
-                let runs = held.entry(worker).or_default();
+                let runs = used.entry(worker).or_default();
                 runs.insert(*attempt, *cpu);
                 let sum: u32 = runs.values().sum();
                 let most = capacity.get(worker.as_str()).copied();
@@ -44,7 +44,7 @@
                     violations.push(Violation::new(
                         "room",
                         timed.at_ms,
-                        format!("{worker} holds {sum} of {most:?}"),
+                        format!("the runs on {worker} use {sum}, its capacity is {most:?}"),
                     ));
                 }
             }
@@ -54,13 +54,13 @@
     violations
 }
 
-/// What a worker offers.
+/// The service and labels of a worker.
 struct Offer<'a> {
     service: &'a str,
     labels: &'a [String],
 }
 
-/// Tasks run only on workers of their service that carry their labels.
+/// Tasks run only on workers of their service that have all their labels.
 pub fn fitting(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let mut offers: BTreeMap<&str, Offer> = BTreeMap::new();
@@ -93,7 +93,9 @@
                     violations.push(Violation::new(
                         "fitting workers",
                         timed.at_ms,
-                        format!("{job}/{task} started on {worker}, which does not fit"),
+                        format!(
+                            "{job}/{task} started on {worker}, which lacks its service or a label"
+                        ),
                     ));
                 }
             }
@@ -103,7 +105,7 @@
     violations
 }
 
-/// A worker that has announced that it leaves gets nothing new soon after.
+/// No run starts on a worker later than `leave_ms` after it announced that it leaves.
 pub fn leaving(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut leaving_since: BTreeMap<&str, u64> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -124,7 +126,7 @@
                     violations.push(Violation::new(
                         "leaving workers",
                         timed.at_ms,
-                        format!("{worker} got work {late_ms} ms after it said it leaves"),
+                        format!("{worker} got work {late_ms} ms after it announced that it leaves"),
                     ));
                 }
             }
@@ -134,9 +136,10 @@
     violations
 }
 
-/// Since when zones are to be empty.
+/// The zones that are drained or evacuated.
 #[derive(Default)]
 struct EmptiedZones<'a> {
+    /// When the change of each of them was acknowledged, in milliseconds.
     since: BTreeMap<&'a str, u64>,
     /// The newest version of the configuration that was acknowledged.
     newest_version: u64,
@@ -157,7 +160,7 @@
         }
     }
 
-    /// A zone may serve again as soon as somebody asks for it.
+    /// A zone may get work again from the moment a change to serving is requested.
     fn requested(&mut self, settings: &RuleSettings) {
         for (zone, state) in &settings.zones {
             if is_serving(state) {
@@ -167,7 +170,7 @@
     }
 }
 
-/// An emptied zone gets nothing new soon after.
+/// No run starts in a zone later than `empty_zone_ms` after it was drained or evacuated.
 pub fn emptied_zones(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut zone_of: BTreeMap<&str, &str> = BTreeMap::new();
     let mut emptied = EmptiedZones::default();
--- a/testkit/src/checkers/runs/unreported.rs
+++ b/testkit/src/checkers/runs/unreported.rs
@@ -1,13 +1,13 @@
-//! Ends of runs that nobody was told of: the worker's lease ran out, or its process died, before they were acknowledged.
+//! Ends of runs that were never reported: the worker's lease expired, or its process died, before an acknowledgement.
 
 use crate::history::{Event, History};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Runs by worker and attempt.
+/// Runs, identified by worker and attempt.
 pub(super) type RunIds<'a> = BTreeSet<(&'a str, u64)>;
 
-/// The ends that were not acknowledged before their worker's lease ran out. A report that comes later says nothing of
-/// whether the run was counted in time. Where workers have no leases there are none.
+/// The runs whose ends were not acknowledged before their worker's lease expired. A later report does not show whether
+/// the run was counted in time. Empty if workers have no leases.
 pub(super) fn unreported_ends(history: &History) -> RunIds<'_> {
     let mut open: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
     let mut unreported = RunIds::new();
--- a/testkit/src/checkers/summary.rs
+++ b/testkit/src/checkers/summary.rs
@@ -1,4 +1,4 @@
-//! The figures of a day.
+//! Summary figures of a day.
 
 use super::jobs::unknown_times;
 use super::runs::alone_times;
@@ -6,42 +6,46 @@
 use crate::history::{is_serving, Event, FinalState, History, RuleSettings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Figures of a day: how many jobs and runs there were, and how close to its bound each promise came.
+/// Numbers of jobs and runs in a day, and how close each bounded promise came to its bound.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Summary {
-    /// Jobs that clients made.
+    /// Jobs that clients created.
     pub offered: usize,
+    /// Jobs with at least one accepted submission.
     pub accepted: usize,
-    /// Jobs that clients gave up after refusals.
+    /// Jobs that clients stopped submitting after refusals.
     pub given_up: usize,
+    /// Jobs in the state `done` at the end of the day.
     pub done: usize,
+    /// Jobs in the state `failed` at the end of the day.
     pub failed: usize,
+    /// Jobs in the state `cancelled` at the end of the day.
     pub cancelled: usize,
-    /// Jobs of which the end of a task is not known at the end of the day.
+    /// Jobs with a task whose outcome is unknown at the end of the day.
     pub unsure: usize,
     /// Runs that started, copies included.
     pub starts: usize,
     /// Speculative copies that started.
     pub copies: usize,
-    /// The latest start of a run after the cancel of its job was acknowledged.
+    /// The longest time from the acknowledgement of a job's cancel to the start of one of its runs.
     pub latest_start_after_cancel_ms: u64,
-    /// The latest start of a run on a worker that had announced that it leaves.
+    /// The longest time from a worker's announcement that it leaves to the start of a run on it.
     pub latest_start_after_leaving_ms: u64,
     /// The longest time from the end of a total outage to the first start of a run.
     pub longest_outage_ms: u64,
-    /// The latest start of a run in a zone that was emptied.
+    /// The longest time from the draining or evacuation of a zone to the start of a run in it.
     pub latest_start_after_emptying_ms: u64,
-    /// The latest moment after a change was accepted at which a ready node had not got it.
+    /// The longest time after the acceptance of a change at which a ready node still had an older version.
     pub latest_old_version_ms: u64,
-    /// The longest that a client asked for an accepted job's state, without what is excused.
+    /// The longest time that a client polled an accepted job without getting its state, without excused times.
     pub longest_unknown_state_ms: u64,
-    /// The longest that a gang's member ran without another, when no fault struck.
+    /// The longest time that a gang member ran without a partner while no fault affected the gang.
     pub longest_alone_ms: u64,
-    /// The longest that a gang's member ran without another, when a fault struck.
+    /// The longest time that a gang member ran without a partner while a fault affected the gang.
     pub longest_alone_struck_ms: u64,
 }
 
-/// Summarizes a history.
+/// Computes the summary of a history.
 pub fn summary(history: &History, bounds: &PromisedBounds) -> Summary {
     let mut summarizer = Summarizer::default();
     for timed in &history.events {
@@ -76,7 +80,7 @@
     is_copy: bool,
 }
 
-/// What is known while a history is read.
+/// The state of a pass over a history.
 #[derive(Default)]
 struct Summarizer<'a> {
     summary: Summary,
@@ -140,7 +144,7 @@
         }
     }
 
-    /// A zone may serve again as soon as somebody asks for it.
+    /// A zone may get work again from the moment a change to serving is requested.
     fn config_requested(&mut self, settings: &RuleSettings) {
         for (zone, state) in &settings.zones {
             if is_serving(state) {
