--- a/testkit/src/calls.rs
+++ b/testkit/src/calls.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to real processes, made by threads of their own.
+//! HTTP calls to real processes, made by a pool of threads.
 
 use landingdrift::sans_io::{Request, Response};
 use reqwest::blocking::Client as Http;
@@ -8,18 +8,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// After this time a call is given up, and its answer counts as lost.
+/// The timeout of a call; its answer counts as lost afterwards.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A call that is to be made; `key` tells its answer from others.
+/// A call to be made.
 pub struct OutgoingCall<K> {
+    /// Identifies the call when its answer comes back.
     pub key: K,
     /// The address of the process.
     pub to: String,
     pub request: Request,
 }
 
-/// Makes one call and returns what came back; a lost answer has status 0.
+/// Makes a call and waits for its response; status 0 stands for a lost one.
 pub fn call(http: &Http, to: &str, request: &Request) -> Response {
     let method = reqwest::Method::from_bytes(request.method.as_bytes()).unwrap_or_default();
     let mut url = format!("http://{to}{}", request.path);
@@ -41,7 +42,7 @@
     }
 }
 
-/// An HTTP client that gives a call up after a time.
+/// An HTTP client with a timeout for each call.
 pub fn http_client(timeout: Duration) -> Http {
     Http::builder()
         .timeout(timeout)
@@ -50,8 +51,8 @@
         .unwrap_or_default()
 }
 
-/// Starts threads that make calls, each waiting for its answer, and send on what `answer` makes of the responses. They
-/// end when nobody hands them calls or takes their answers any more.
+/// Starts threads that take calls from the returned sender, make one at a time, and send the result of `answer` for
+/// each response to `answers`. They end when either channel is closed.
 pub fn start_callers<K: Send + 'static, T: Send + 'static>(
     threads: usize,
     answers: &Sender<T>,
--- a/testkit/src/history.rs
+++ b/testkit/src/history.rs
@@ -1,25 +1,25 @@
-//! The history of a day: what clients, workers and operators observe from outside.
+//! The history of a day: the events that clients, workers and operators observe from outside the system.
 
 use landingdrift::state::{JobSpec, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Ids of the jobs that show after an outage whether every queue is served start with this.
+/// The prefix of the ids of recovery jobs, which are offered after an outage to test whether every queue is served.
 pub const RECOVERY_JOB_PREFIX: &str = "muster-";
 
-/// In [`Event::FaultBegan`]: from now on nothing reaches the worker that follows.
+/// Begins the description of an [`Event::FaultBegan`] that marks a worker as unreachable; the worker's name follows.
 pub const WORKER_UNREACHABLE: &str = "dark ";
 
-/// In [`Event::FaultBegan`]: the worker that follows can be reached again.
+/// Begins the description of an [`Event::FaultBegan`] that marks a worker as reachable again; its name follows.
 pub const WORKER_REACHABLE: &str = "light ";
 
-/// One observation. The fingerprints of `testkit digest` hold the variants and their fields by position, so their
-/// order stays as it is.
+/// One observation. The digests of `testkit digest` depend on the order of the variants and of their fields, so that
+/// order must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A client has made a job that it is about to submit.
+    /// A client has created a job that it is about to submit.
     Offered { spec: JobSpec },
-    /// A client calls to submit a job, for the first time or again.
+    /// A client submits a job, for the first time or again.
     SubmitRequested { id: String },
     /// A call to submit a job was answered.
     SubmitAnswered {
@@ -29,23 +29,23 @@
         /// The error code; empty where there is none.
         code: String,
     },
-    /// The client takes a refusal as final.
+    /// A client stops submitting a job after a refusal.
     GaveUp { id: String },
-    /// A client asks for a job's state.
+    /// A client polls a job's state.
     StateRequested { id: String },
-    /// A client was answered on a job's state.
+    /// A client's poll of a job's state was answered.
     StateAnswered {
         id: String,
         status: u16,
         state: String,
-        /// Whether the end of one of its tasks is not known.
+        /// Whether the outcome of one of its tasks is unknown.
         unsure: bool,
-        /// The node said itself that its answer may be out of date.
+        /// The node marked its answer as possibly out of date.
         stale: bool,
     },
-    /// A client asks for a job to be cancelled.
+    /// A client requests that a job be cancelled.
     CancelRequested { id: String },
-    /// A cancel was acknowledged.
+    /// A request to cancel was acknowledged.
     CancelAcknowledged { id: String },
     /// A worker's process has started.
     WorkerUp {
@@ -56,7 +56,7 @@
         zone: String,
         cpu: u32,
     },
-    /// A worker has other capacity or labels from now on.
+    /// A worker's capacity or labels have changed.
     WorkerChanged {
         worker: String,
         labels: Vec<String>,
@@ -64,9 +64,9 @@
     },
     /// A worker has announced that it is leaving.
     WorkerLeaving { worker: String },
-    /// A worker's process ended, and all its runs with it.
+    /// A worker's process has ended, and all its runs with it.
     WorkerDied { worker: String },
-    /// A worker has started a run of a task.
+    /// A worker has started an attempt of a task.
     RunStarted {
         worker: String,
         /// The number of the attempt.
@@ -85,15 +85,15 @@
         task: String,
         outcome: Outcome,
     },
-    /// An operator asks for a change of configuration, for the first time or again.
+    /// An operator requests a change of the configuration, for the first time or again.
     ConfigRequested {
         change: String,
         settings: RuleSettings,
     },
-    /// An operator's change was answered.
+    /// The request of a change was answered.
     ConfigAnswered {
         change: String,
-        /// The version that the change was made on.
+        /// The version that the change is based on.
         base: u64,
         status: u16,
         version: u64,
@@ -102,49 +102,50 @@
     /// An operator has read the configuration.
     ConfigRead {
         version: u64,
-        /// The change whose mark the configuration carries.
+        /// The id of the change that last marked the configuration.
         change: String,
-        /// When it was asked for, in milliseconds.
+        /// When it was requested, in milliseconds.
         requested_ms: u64,
     },
-    /// No node has answered an operator's read of the configuration in time.
+    /// No node has answered an operator's read of the configuration within its deadline.
     ConfigReadUnanswered {
         /// When the first node was asked, in milliseconds.
         since_ms: u64,
     },
-    /// What a node has in force, and whether it says that it is ready.
+    /// The version of the configuration in force on a node, and whether the node reports ready.
     NodeVersion {
         node: String,
         version: u64,
-        /// The change whose mark the configuration carries; empty where that is not known.
+        /// The id of the change that last marked the configuration; empty if unknown.
         change: String,
         ready: bool,
     },
-    /// From now on so many replicas are up and can talk to each other, and these nodes to them.
+    /// A change in the number of replicas that are up and connected to each other, or in the nodes that reach all of
+    /// those.
     Availability { replicas: usize, nodes: Vec<String> },
-    /// A node's process ended.
+    /// A node's process has ended.
     NodeDown { node: String },
     /// All processes are up again after a total outage.
     OutageEnded,
-    /// A fault strikes.
+    /// A fault begins.
     FaultBegan { description: String },
-    /// The fault of that description is over.
+    /// The fault with this description has ended.
     FaultEnded { description: String },
-    /// The load has ended, and the faults with it.
+    /// Jobs are no longer offered, and all faults are healed.
     LoadEnded,
-    /// The day is over; this is the state that the cluster ends with.
+    /// The day is over; carries the final state of the cluster.
     DayEnded {
         version: u64,
         change: String,
         jobs: BTreeMap<String, FinalState>,
     },
-    /// The end of a run was acknowledged to its worker, which forgets it.
+    /// The end of a run was acknowledged to its worker, which stops reporting it.
     EndAcknowledged {
         worker: String,
         /// The number of the attempt.
         attempt: u64,
     },
-    /// The lease of a worker has run out: what ran there was killed.
+    /// The lease of a worker has expired, and its runs were killed.
     LeaseExpired { worker: String },
 }
 
@@ -152,22 +153,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FinalState {
     pub state: String,
-    /// Whether the end of one of its tasks is not known.
+    /// Whether the outcome of one of its tasks is unknown.
     pub unsure: bool,
 }
 
-/// The settings in a change of configuration that rules depend on, each by the name of its zone or queue.
+/// The settings in a change of the configuration that the checkers' rules depend on, by zone or queue.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RuleSettings {
     /// The state of each zone.
     pub zones: BTreeMap<String, String>,
-    /// The most attempts of a task of each queue.
+    /// The limit on the attempts of a task, for each queue.
     pub max_attempts: BTreeMap<String, u32>,
-    /// The most unfinished jobs of each queue.
+    /// The limit on unfinished jobs, for each queue.
     pub quotas: BTreeMap<String, u32>,
 }
 
-/// Whether a zone in this state gets work.
+/// Whether a zone in this state gets new work.
 pub fn is_serving(zone_state: &str) -> bool {
     !["draining", "evacuated"].contains(&zone_state)
 }
@@ -180,7 +181,7 @@
     pub event: Event,
 }
 
-/// A whole history, in the order of time.
+/// A whole history, ordered by time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
     pub events: Vec<TimedEvent>,
@@ -192,12 +193,12 @@
         self.events.push(TimedEvent { at_ms, event });
     }
 
-    /// When the last event happened, in milliseconds; 0 in an empty history.
+    /// The time of the last event, in milliseconds; 0 in an empty history.
     pub fn end_ms(&self) -> u64 {
         self.events.last().map_or(0, |last| last.at_ms)
     }
 
-    /// The history as JSON, an event a line.
+    /// The history as JSON, one event per line.
     pub fn text(&self) -> String {
         self.events
             .iter()
@@ -205,7 +206,7 @@
             .collect()
     }
 
-    /// A hash that equal histories share.
+    /// A hash of the history's JSON lines.
     pub fn digest(&self) -> u64 {
         landingdrift::sans_io::fnv1a(self.text().as_bytes())
     }
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! The test kit: a simulator, fakes of workers, clients and operators, a fleet of real processes on one machine, a model
-//! checker of the replicas, and checkers of what must never happen.
+//! The test kit: a simulator, fake workers, clients and operators, a fleet of real processes on one machine, a model
+//! checker of the replicas, and checkers of the system's promises.
 
 mod calls;
 pub mod checkers;
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the test kit.
+//! The `testkit` program.
 
 use landingdrift_testkit::cli;
 
