--- a/testkit/src/scenario/fault.rs
+++ b/testkit/src/scenario/fault.rs
@@ -4,102 +4,102 @@
 use landingdrift::sans_io::Rng;
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong. The names of the variants are part of histories, so they stay as they are.
+/// The kinds of faults. The names of the variants appear in histories, so they must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     /// A process is killed and started again.
     Kill,
-    /// A process stands still and wakes again.
+    /// A process is suspended, and resumes with its messages.
     Freeze,
-    /// A process is cut off from all others.
+    /// A process is partitioned from all others.
     Cut,
-    /// What a process sends is lost; what others send arrives.
+    /// Messages that a process sends are lost; those it receives arrive.
     CutOneWay,
-    /// A replica is cut off from the other replicas alone.
+    /// A replica is partitioned from the other replicas only.
     SplitCore,
-    /// No node reaches any replica.
+    /// All nodes are partitioned from all replicas.
     CutCores,
-    /// All machines of a zone are killed.
+    /// All processes and workers of a zone are killed.
     LoseZone,
-    /// What a process sends and gets is slow.
+    /// Messages from and to a process are slow.
     SlowLink,
-    /// The disks of `amount` replicas, one where it is 0, take long.
+    /// The disks of `amount` replicas (one if 0) write slowly.
     SlowDisk,
-    /// A replica is killed and its disk has lost what it had just confirmed.
+    /// A replica is killed, and its disk loses the last batches that it had confirmed.
     LoseTail,
-    /// A replica is lost for good; an empty one joins at a new address.
+    /// A replica is lost permanently; an empty one joins at a new address.
     ReplaceCore,
-    /// A node is lost for good; another joins at a new address.
+    /// A node is lost permanently; another joins at a new address.
     SwapNode,
-    /// Every process is killed; `amount` replicas lose their confirmed tail.
+    /// Every process is killed, and the disks of `amount` replicas lose the last batches that they had confirmed.
     Outage,
-    /// The clocks of `amount` processes, one where it is 0, jump by `by`, an hour where it is 0.
+    /// The wall clocks of `amount` processes (one if 0) jump by `by` milliseconds (an hour if 0).
     ClockJump,
-    /// A worker's process ends, and starts again.
+    /// A worker's process is killed and started again.
     WorkerCrash,
-    /// A worker's process ends for good.
+    /// A worker's process is killed, and is not started again when the fault ends.
     WorkerGone,
-    /// A worker stands still and wakes again.
+    /// A worker is suspended, and resumes.
     WorkerFreeze,
-    /// A worker takes longer for its runs.
+    /// The runs of a worker take longer.
     WorkerSlow,
-    /// A worker fails `amount` in a hundred of its runs, 90 where it is 0, while it claims to be well.
+    /// `amount` percent (90 if 0) of a worker's runs fail, while its heartbeats go on as usual.
     WorkerFailing,
-    /// A worker reaches nobody; its runs go on.
+    /// A worker is partitioned from all processes; its runs go on.
     WorkerCut,
     /// A worker announces that it leaves; another process takes its place.
     WorkerLeaves,
-    /// Many jobs at once: `amount`, the usual number where it is 0.
+    /// `amount` jobs at once (60 if 0).
     Crowd,
-    /// A job with very many tasks.
+    /// A job with 200 tasks.
     Huge,
     /// Many jobs that can never succeed.
     Doomed,
-    /// Two operators change the configuration by turns, many times.
+    /// Two operators change the configuration in turn, 30 times in all.
     Storm,
-    /// Two operators change the same version.
+    /// Two operators submit changes based on the same version.
     Rivals,
-    /// A large configuration of `amount` notes, the usual number where it is 0.
+    /// A large configuration of `amount` notes (2000 if 0).
     LargeConfig,
-    /// A zone gets no new work; its runs go on.
+    /// A zone is drained: it gets no new work, and its runs go on.
     Drain,
-    /// A zone is emptied.
+    /// A zone is evacuated: it gets no new work, and its repeatable runs are stopped.
     Evacuate,
-    /// A graceful stop, as the platform does it, and a start.
+    /// A process is stopped gracefully, as by the platform, and started again.
     Restart,
-    /// What a process sends is late, doubled, out of order or lost, as when connections break and come back.
+    /// Messages from and to a process are delayed, duplicated, reordered or lost, as with connections that break.
     FlakyLink,
-    /// Answers to clients, workers and operators are lost after the call was carried out.
+    /// Answers to clients, workers and operators are lost after their calls were carried out.
     LostAnswers,
-    /// A worker announces less capacity and fewer labels; later its old ones again.
+    /// A worker announces less capacity and no labels, and later its original ones.
     WorkerChange,
-    /// A crowd of short jobs in the most urgent queue.
+    /// Many short jobs in the most urgent queue.
     Urgent,
-    /// Jobs that can't be taken as they are: circles, unknown queues, bodies too large.
+    /// Invalid jobs: dependency cycles, unknown queues, oversized bodies.
     Wrong,
-    /// The attempts that a queue permits are lowered; `amount` 1 leaves them so.
+    /// A queue's limit on attempts is lowered to 1; if `amount` is 1, it is not restored.
     Tries,
-    /// The quota of a queue is lowered to 1 for a while.
+    /// The quota of a queue is lowered to 1 for the duration.
     Quota,
-    /// A configuration close to the size limit.
+    /// A configuration close to the size limit, removed again at the end.
     HugeConfig,
-    /// A process is stopped gracefully and comes back as a build that speaks the next wire version.
+    /// A process is stopped gracefully and restarted as a build with the next wire version.
     Upgrade,
-    /// The disks of `amount` replicas, one where it is 0, refuse every write.
+    /// The disks of `amount` replicas (one if 0) fail every write.
     DiskFull,
-    /// The disks of `amount` replicas, one where it is 0, confirm nothing.
+    /// The disks of `amount` replicas (one if 0) confirm no write.
     DiskStall,
-    /// A worker says that it leaves by the call that others make as they end, runs on and heartbeats as before, and ends;
+    /// A worker reports that it has left without having announced it, goes on with its runs and heartbeats, and ends;
     /// another process takes its place.
     WorkerLeavesUnannounced,
-    /// A process is told that its settings may have changed.
+    /// A process is notified that its settings may have changed.
     HangUp,
 }
 
 impl FaultKind {
-    /// The kinds of random faults. They are drawn by their position in this list, so it stays as it is; a kind that came
-    /// later strikes where a scenario names it.
+    /// The kinds that random faults are sampled from, by their index in this list: changing the list changes the days
+    /// of all seeds, so newer kinds go into [`Self::NAMED_ONLY`].
     pub const ALL: &[Self] = &[
         Self::Kill,
         Self::Freeze,
@@ -144,7 +144,7 @@
         Self::DiskStall,
     ];
 
-    /// Kinds that are never drawn.
+    /// Kinds that are never sampled and occur only where a scenario names them.
     pub const NAMED_ONLY: &[Self] = &[Self::WorkerLeavesUnannounced, Self::HangUp];
 
     /// Its name in scenario files.
@@ -153,7 +153,7 @@
         value.as_str().unwrap_or_default().to_string()
     }
 
-    /// The roles that a fault of this kind can strike, as in [`Fault::target`].
+    /// The roles that a fault of this kind can have as its target, as in [`Fault::target`].
     fn roles(self) -> &'static [&'static str] {
         use FaultKind::*;
         match self {
@@ -176,13 +176,13 @@
         }
     }
 
-    /// Whether it takes data or a machine from the replicas: three disks survive one such fault at a time, with time to
-    /// recover between.
+    /// Whether it destroys a replica's data. Three replicas survive one such fault at a time, with time to recover in
+    /// between.
     fn takes_data(self) -> bool {
         matches!(self, Self::LoseTail | Self::ReplaceCore | Self::Outage)
     }
 
-    /// How long after one that takes data the next one may come, in milliseconds.
+    /// How long the replicas need to recover after a fault that destroys data, in milliseconds.
     fn recovery_ms(self) -> u64 {
         match self {
             Self::ReplaceCore => 16_000,
@@ -191,37 +191,37 @@
     }
 }
 
-/// The latest moment and the longest duration of a fault, in milliseconds.
+/// The latest start and the longest duration of a fault, in milliseconds.
 const MAX_MS: u64 = 200_000_000;
-/// The largest amount of a fault.
+/// The largest `amount` of a fault.
 const MAX_AMOUNT: u64 = 10_000;
-/// Replicas, zones and queues of every deployment.
+/// The number of replicas, of zones and of queues in every deployment.
 const REPLICAS_ZONES_QUEUES: usize = 3;
-/// The shortest random fault, in milliseconds.
+/// The shortest duration of a random fault, in milliseconds.
 const MIN_DURATION_MS: u64 = 500;
-/// How much longer than the shortest a random fault may last, in milliseconds.
+/// The spread of the durations of random faults above the shortest, in milliseconds.
 const DURATION_SPREAD_MS: u64 = 5000;
-/// By how much clocks jump, in milliseconds: from less than a timeout to three days.
+/// The sizes of random clock jumps, in milliseconds: from less than a timeout to three days.
 const CLOCK_JUMPS_MS: [i64; 6] = [700, 2000, 60_000, 3_600_000, 86_400_000, 3 * 86_400_000];
 
-/// A fault at a time.
+/// A fault in the course of a day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it strikes, in milliseconds from the beginning of the day.
+    /// When it begins, in milliseconds since the beginning of the day.
     #[serde(rename = "at")]
     pub at_ms: u64,
     pub kind: FaultKind,
-    /// Whom it strikes: `leader`, `core:0`, `node:1`, `worker:2`, `zone:0`, `queue:0`; drawn from the seed where left out.
+    /// Its target: `leader`, `core:0`, `node:1`, `worker:2`, `zone:0` or `queue:0`; sampled if left out.
     #[serde(default, rename = "who")]
     pub target: String,
     /// How long it lasts, in milliseconds.
     #[serde(default = "default_duration_ms", rename = "lasts")]
     pub duration_ms: u64,
-    /// How much of it, as its kind says.
+    /// The extent of the fault; see its kind.
     #[serde(default)]
     pub amount: u64,
-    /// By how much clocks jump, in milliseconds; where `amount` is more than 1 and this is odd, every second clock jumps
+    /// The size of a clock jump, in milliseconds. If it is odd and `amount` is more than 1, every second clock jumps
     /// the other way.
     #[serde(default, rename = "by")]
     pub clock_jump_ms: i64,
@@ -232,11 +232,11 @@
 }
 
 impl Fault {
-    /// Checks its target and values against what a day has.
+    /// Checks that the target exists in the scenario's deployment and that the values are in range.
     pub(super) fn check(&self, nodes: usize, workers: usize) -> Result<(), InvalidValue> {
         ensure(
             self.at_ms <= MAX_MS && self.duration_ms <= MAX_MS,
-            "at, lasts: give milliseconds, at most 200000000",
+            "at, lasts: give at most 200000000 milliseconds",
         )?;
         ensure(self.amount <= MAX_AMOUNT, "amount: give at most 10000")?;
         let (role, number) = self
@@ -265,7 +265,7 @@
             _ => format!("{role}:N"),
         });
         format!(
-            "who: '{}' is nothing that {} can strike: give {}, with N counted from 0 and below {}, or leave it out",
+            "who: '{}' is no target for {}: give {}, with N from 0 and below {}, or leave it out",
             self.target,
             self.kind.name(),
             forms.collect::<Vec<_>>().join(" or "),
@@ -273,7 +273,7 @@
         )
     }
 
-    /// Whether another fault strikes before the replicas have recovered from the earlier one.
+    /// Whether the later of two faults begins before the replicas have recovered from the earlier one.
     fn is_too_near(&self, other: &Self) -> bool {
         let (first, second) = if other.at_ms <= self.at_ms {
             (other, self)
@@ -284,11 +284,11 @@
     }
 }
 
-/// Random faults between two moments in milliseconds: anything that three disks can survive, several at once.
+/// Random faults that begin between two times in milliseconds. They may overlap, but three replicas can survive them.
 pub fn random_faults(rng: &mut Rng, count: usize, from: u64, to: u64) -> Vec<Fault> {
     use FaultKind::*;
     let more_often = [Kill, Kill, Freeze, WorkerCrash, WorkerCut, LoseTail, Outage];
-    // An upgrade is done in an order, not at random; disks that refuse have scenarios of their own.
+    // Upgrades follow an order and so can't be random; failing disks have scenarios of their own.
     let kinds: Vec<FaultKind> = FaultKind::ALL
         .iter()
         .chain(&more_often)
@@ -300,7 +300,7 @@
         let mut fault = random_fault(rng, &kinds, from, to);
         let mut data_faults = faults.iter().filter(|other| other.kind.takes_data());
         if fault.kind.takes_data() && data_faults.any(|other| fault.is_too_near(other)) {
-            // It counts nevertheless, so that short days come to an end as well.
+            // Replaced, not sampled again: on short days no later sample might fit, and the loop would not end.
             fault.kind = Kill;
         }
         faults.push(fault);
@@ -309,7 +309,7 @@
     faults
 }
 
-/// A random fault. All numbers are drawn for every kind, in the same order, except those that only one kind needs.
+/// A random fault. All kinds sample the same numbers in the same order, except for those that only one kind needs.
 fn random_fault(rng: &mut Rng, kinds: &[FaultKind], from: u64, to: u64) -> Fault {
     let kind = *rng.pick(kinds).unwrap_or(&FaultKind::Kill);
     let duration_ms = MIN_DURATION_MS + rng.below(DURATION_SPREAD_MS);
@@ -338,7 +338,7 @@
     }
 }
 
-/// A random fault for the end of a day: one that clients may notice while they read.
+/// A random fault for the end of a day, of a kind that may affect the clients' closing reads.
 pub fn last_fault(rng: &mut Rng, at_ms: u64) -> Fault {
     use FaultKind::*;
     let kinds = [
--- a/testkit/src/scenario/mix.rs
+++ b/testkit/src/scenario/mix.rs
@@ -1,37 +1,39 @@
-//! Mixes of random jobs.
+//! Random jobs, sampled from a mix.
 
 use landingdrift::sans_io::Rng;
 use landingdrift::state::{JobSpec, TaskSpec};
 use serde_json::json;
 
-/// The share of runs that fail of a task that isn't bound to.
+/// The share of runs that fail, for tasks of jobs that can succeed.
 const FAILING_SHARE: f64 = 0.01;
-/// Tasks of a gang, at the most.
+/// The most tasks of a gang.
 const MAX_GANG: usize = 4;
-/// An appointed task starts so long after its job was made at the earliest, in milliseconds.
+/// The shortest time from the creation of a job to the due time of one of its tasks, in milliseconds.
 const MIN_APPOINTMENT_MS: u64 = 1000;
-/// How much later than the earliest an appointed task may start, in milliseconds.
+/// The spread of due times above the earliest, in milliseconds.
 const APPOINTMENT_SPREAD_MS: u64 = 3000;
-/// The zones of every deployment.
+/// The number of zones in every deployment.
 const ZONES: u64 = 3;
 
-/// What kinds of jobs are offered, and how many.
+/// The distribution that random jobs are sampled from.
 #[derive(Clone, Debug)]
 pub struct Mix {
     pub jobs_per_second: f64,
+    /// The queues of jobs, each equally likely.
     pub queues: Vec<String>,
+    /// The services of jobs, each equally likely.
     pub services: Vec<String>,
-    /// Mean of the shortest duration of a task, in milliseconds.
+    /// The mean of the tasks' shortest durations, in milliseconds.
     pub task_ms: f64,
-    /// Shape of the Pareto distribution of durations; 0 for none.
+    /// The shape parameter of the Pareto distribution of durations; 0 for constant durations.
     pub tail: f64,
-    /// Share of jobs that can never succeed.
+    /// The share of jobs that can never succeed.
     pub doomed_share: f64,
-    /// Share of jobs whose tasks may be repeated.
+    /// The share of jobs whose tasks may be repeated.
     pub repeatable_share: f64,
     /// The most tasks of a job.
     pub max_tasks: u64,
-    /// Only jobs of a single task.
+    /// All jobs have a single task.
     pub is_plain: bool,
 }
 
@@ -51,18 +53,18 @@
     }
 }
 
-/// How the tasks of a job hang together.
+/// The structure of a job: how its tasks relate to each other.
 #[derive(Clone, Copy, PartialEq)]
 enum Form {
     Single,
-    /// Many tasks at once.
+    /// Several independent tasks.
     Parallel,
-    /// A first task, a middle that fans out, and a last task.
+    /// A first task, tasks that depend on it, and a last task that depends on those.
     Steps,
     Gang,
-    /// Each task has an appointed time.
+    /// Each task has a due time.
     Appointed,
-    /// One task needs a label, the others have a zone that they prefer.
+    /// The first task needs a label, the others prefer a zone.
     Labelled,
 }
 
@@ -82,7 +84,7 @@
     }
 }
 
-/// A random job of the mix; `now` is the time of day in milliseconds since 1970.
+/// A random job of the mix; `now` is the wall clock's time in milliseconds since 1970.
 pub fn random_job(rng: &mut Rng, mix: &Mix, id: &str, now: u64) -> JobSpec {
     let queue = rng.pick(&mix.queues).cloned().unwrap_or_default();
     let service = rng.pick(&mix.services).cloned().unwrap_or_default();
@@ -93,7 +95,7 @@
         Form::Single => 1,
         _ => 2 + rng.below(mix.max_tasks.max(3) - 2) as usize,
     };
-    // The steps of a job fan out as the number that was drawn says.
+    // Dependencies follow the sampled number, of which gangs use at most `MAX_GANG`.
     let count = if form == Form::Gang {
         drawn.min(MAX_GANG)
     } else {
@@ -129,7 +131,7 @@
     format!("t{index}")
 }
 
-/// Gives a task, of `count`, what its job's form asks for.
+/// Sets the fields of a task that follow from its job's form; `count` is the number of tasks.
 fn shape_task(
     task: &mut TaskSpec,
     rng: &mut Rng,
@@ -150,7 +152,7 @@
     }
 }
 
-/// The first task comes before all others, and the last one after all others.
+/// The dependencies of a task in [`Form::Steps`]: all depend on the first task, and the last on all in between.
 fn dependencies(index: usize, count: usize) -> Vec<String> {
     let is_last = index + 1 == count;
     match index {
--- a/testkit/src/scenario/mod.rs
+++ b/testkit/src/scenario/mod.rs
@@ -20,41 +20,41 @@
 const MAX_NODES: usize = 1000;
 const MAX_WORKERS: usize = 10_000;
 const MAX_RANDOM_FAULTS: usize = 1000;
-/// Random faults strike from this moment on, in milliseconds; before that the first leader is elected.
+/// The earliest start of a random fault, in milliseconds: the first leader has to be elected before.
 pub const FIRST_RANDOM_FAULT_MS: u64 = 3000;
 /// The shortest day with random faults, in seconds.
 const MIN_SECONDS_WITH_FAULTS: u64 = 4;
 
-/// A day to simulate.
+/// A day to simulate, as described by a scenario file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub shape: Shape,
-    /// How many seconds jobs are offered.
+    /// How long jobs are offered, in seconds.
     pub seconds: u64,
-    /// How many seconds the day goes on after that, with all faults healed.
+    /// How long the day goes on after that with all faults healed, in seconds.
     #[serde(default = "default_settle", rename = "settle")]
     pub settle_seconds: u64,
-    /// Nodes; the shape's own number where 0.
+    /// The number of nodes; 0 for the shape's own.
     #[serde(default)]
     pub nodes: usize,
-    /// Further nodes, on machines of other classes.
+    /// Additional nodes on machines of other classes.
     #[serde(default, rename = "class")]
     pub node_classes: Vec<NodeClass>,
-    /// Workers; the shape's own number where 0.
+    /// The number of workers; 0 for the shape's own.
     #[serde(default)]
     pub workers: usize,
-    /// Each worker calls a proxy beside it, and no node.
+    /// Each worker calls a proxy on its own machine instead of nodes.
     #[serde(default, rename = "proxies")]
     pub has_worker_proxies: bool,
-    /// Clients call any node, whether it says that it is ready or not.
+    /// Clients call any running node, whether it reports ready or not.
     #[serde(default, rename = "any_node")]
     pub clients_call_any_node: bool,
-    /// Jobs a second; the shape's own rate where 0.
+    /// Jobs per second; 0 for the shape's own rate.
     #[serde(default, rename = "rate")]
     pub jobs_per_second: f64,
-    /// Workers run tasks for as long as a lease of this length lasts, in milliseconds, and identify runs by their names;
-    /// 0 for workers without leases.
+    /// The duration of the workers' leases, in milliseconds; 0 for none. Workers with a lease kill their runs when it
+    /// expires, and identify runs by name.
     #[serde(default)]
     pub lease_ms: u64,
     /// The share of jobs that can never succeed.
@@ -62,13 +62,13 @@
     pub doomed_share: f64,
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// Further faults, drawn from the seed.
+    /// The number of additional faults, sampled from the seed.
     #[serde(default, rename = "random")]
     pub random_faults: usize,
-    /// One last fault, drawn from the seed, straight before the closing reads.
+    /// One last fault, sampled from the seed, begins just before the closing reads.
     #[serde(default, rename = "last")]
     pub has_last_fault: bool,
-    /// Seeds to run in tests.
+    /// The seeds that tests run.
     #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
 }
@@ -81,29 +81,29 @@
     vec![1, 2]
 }
 
-/// Why a scenario can't be simulated.
+/// A scenario file that can't be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    #[error("'{path}' can't be read ({source}): name a scenario file")]
+    #[error("failed to read scenario file '{path}' ({source}): give the path of a readable file")]
     File {
         path: String,
         source: std::io::Error,
     },
-    #[error("'{path}' is no scenario: {source}")]
+    #[error("failed to parse scenario file '{path}': {source}")]
     Syntax {
         path: String,
         source: toml::de::Error,
     },
-    #[error("'{path}' is no scenario: {source}")]
+    #[error("invalid scenario file '{path}': {source}")]
     Invalid { path: String, source: InvalidValue },
 }
 
-/// A value that a scenario can't have, and its remedy.
+/// An invalid value: the field, and the values to give instead.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidValue(String);
 
-/// An error unless a condition holds.
+/// Fails with a remedy unless a condition holds.
 fn ensure(condition: bool, remedy: &str) -> Result<(), InvalidValue> {
     if condition {
         Ok(())
@@ -130,7 +130,7 @@
         Ok(scenario)
     }
 
-    /// The number of nodes, with the shape's own for 0.
+    /// The number of nodes without those of other classes.
     pub fn node_count(&self) -> usize {
         match self.nodes {
             0 => self.shape.nodes(),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The class of the machine that a node runs on, the usual one for those of the shape.
+    /// The class of the machine that a node runs on; the default class for the first [`Self::node_count`] nodes.
     pub fn class_of_node(&self, index: usize) -> NodeClass {
         let mut first = self.node_count();
         for class in &self.node_classes {
@@ -150,13 +150,13 @@
         NodeClass::default()
     }
 
-    /// The number of all nodes, of every class.
+    /// The number of nodes of all classes.
     pub fn total_nodes(&self) -> usize {
         let classes = self.node_classes.iter();
         self.node_count() + classes.map(|class| class.count).sum::<usize>()
     }
 
-    /// The number of workers, with the shape's own for 0.
+    /// The number of workers.
     pub fn worker_count(&self) -> usize {
         match self.workers {
             0 => self.shape.workers(),
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The mix of jobs, at the scenario's rate.
+    /// The mix of jobs: the shape's, with the scenario's rate and share of doomed jobs.
     pub fn mix(&self) -> Mix {
         let mut mix = self.shape.mix();
         if self.jobs_per_second > 0.0 {
@@ -176,7 +176,7 @@
         mix
     }
 
-    /// Checks that the day can be simulated; what is wrong is named with its remedy.
+    /// Checks that the day can be simulated; the error names the field and the remedy.
     pub fn check(&self) -> Result<(), InvalidValue> {
         ensure(
             (1..=MAX_SECONDS).contains(&self.seconds),
@@ -189,7 +189,7 @@
         let rate = self.jobs_per_second;
         ensure(
             rate.is_finite() && (0.0..=MAX_JOBS_PER_SECOND).contains(&rate),
-            "rate: give 0 (the shape's own) to 10000 jobs a second",
+            "rate: give 0 (the shape's own) to 10000 jobs per second",
         )?;
         ensure(
             (0.0..=1.0).contains(&self.doomed_share),
@@ -197,7 +197,7 @@
         )?;
         ensure(
             self.total_nodes() <= MAX_NODES && self.workers <= MAX_WORKERS,
-            "nodes, workers: give at most 1000 and 10000",
+            "nodes, workers: give at most 1000 nodes and 10000 workers",
         )?;
         ensure(
             self.random_faults <= MAX_RANDOM_FAULTS,
@@ -205,7 +205,7 @@
         )?;
         ensure(
             self.random_faults == 0 || self.seconds >= MIN_SECONDS_WITH_FAULTS,
-            "random: faults are drawn from the third second on: give at least 4 seconds",
+            "random: random faults begin after 3 seconds: give at least 4 seconds",
         )?;
         for (index, fault) in self.faults.iter().enumerate() {
             fault
--- a/testkit/src/scenario/node_class.rs
+++ b/testkit/src/scenario/node_class.rs
@@ -2,18 +2,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The share of the usual machine's processor, in thousandths of a core.
+/// The processor share of a default machine, in thousandths of a core.
 const USUAL_SHARE: u32 = 1000;
 
-/// Machines of one class that run a node each.
+/// A class of machines, each of which runs one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeClass {
+    /// The number of machines.
     pub count: usize,
-    /// The share of a processor, in thousandths of a core. A node with little of it follows a light copy of the state.
+    /// The share of a processor, in thousandths of a core. Nodes with a small share keep a partial copy of
+    /// the state, without jobs and workers.
     #[serde(default = "usual_share")]
     pub share: u32,
-    /// The bandwidth of the link, in thousand bits a second; 0 where it is never the bottleneck.
+    /// The bandwidth of the network link, in kilobits per second; 0 for unlimited.
     #[serde(default)]
     pub link_kbps: u64,
 }
--- a/testkit/src/scenario/shape.rs
+++ b/testkit/src/scenario/shape.rs
@@ -1,21 +1,21 @@
-//! Shapes of deployments: how large they are, and what jobs they see.
+//! Shapes of deployments: their sizes, job mixes and configurations.
 
 use super::Mix;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// A deployment's shape.
+/// The shape of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Shape {
-    /// 17 machines: three replicas, three nodes, 11 workers of 64.
+    /// 17 machines: three replicas, three nodes, 11 workers with a capacity of 64.
     Odvoza,
-    /// 18 machines: three replicas, four nodes, 11 workers of 16.
+    /// 18 machines: three replicas, four nodes, 11 workers with a capacity of 16.
     Gunasekera,
 }
 
 impl Shape {
-    /// A shape by its name.
+    /// The shape with a name on the command line.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "odvoza" => Some(Self::Odvoza),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The mix of jobs that the deployment sees, at its rate.
+    /// The mix and rate of the deployment's jobs.
     pub fn mix(self) -> Mix {
         let names = |names: &[&str]| names.iter().map(ToString::to_string).collect();
         match self {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The deployment's configuration, in the form of the API.
+    /// The deployment's configuration, as JSON of the API.
     pub fn config(self) -> Value {
         let mix = self.mix();
         let queue = |finish_within_ms: u64, priority: u32| {
