--- a/testkit/src/simulator/disk.rs
+++ b/testkit/src/simulator/disk.rs
@@ -1,41 +1,42 @@
-//! The disk of a simulated replica, which can lose what it has confirmed.
+//! The disk of a simulated replica, which can lose batches that it has confirmed.
 
 use landingdrift::consensus::PersistedState;
 use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
-/// Confirmed batches that a disk can still lose; older ones are safe.
+/// How many of the last confirmed batches a disk can still lose.
 const LOSABLE_BATCHES: usize = 64;
 
-/// How long a sound disk takes to write, in milliseconds.
+/// The duration of a write on a healthy disk, in milliseconds.
 pub const SOUND_DELAY_MS: u64 = 2;
 
-/// Whether a disk takes what it is given.
+/// How a disk responds to writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Condition {
+    /// Confirms every write after its delay.
     #[default]
     Sound,
-    /// It answers every write with an error.
+    /// Fails every write with an error.
     Full,
-    /// It answers nothing.
+    /// Neither confirms nor fails any write.
     Stalled,
 }
 
-/// A replica's disk: what is durable, and what is on its way.
+/// A replica's disk, with confirmed and pending batches of writes.
 #[derive(Clone, Debug)]
 pub struct SimDisk {
-    /// What can't be lost any more.
+    /// The content that can't be lost any more.
     base: PersistedState,
-    /// Confirmed batches since then.
+    /// Confirmed batches that follow it, oldest first.
     confirmed: VecDeque<WriteBatch>,
-    /// Batches that are not confirmed.
+    /// Batches that are not confirmed yet, oldest first.
     pub pending: VecDeque<WriteBatch>,
-    /// How long a write takes, in milliseconds.
+    /// The duration of a write, in milliseconds.
     pub delay_ms: u64,
     pub condition: Condition,
 }
 
-/// Applies a batch to what a replica would load.
+/// Applies a batch to the content that a replica would load.
 fn apply(loaded: &mut PersistedState, batch: &WriteBatch) {
     if let Some(hard_state) = &batch.hard_state {
         loaded.hard_state = hard_state.clone();
@@ -57,7 +58,7 @@
 }
 
 impl SimDisk {
-    /// An empty disk with a number of its own.
+    /// An empty disk; `disk` is its unique number.
     pub fn new(disk: u64) -> Self {
         Self {
             base: PersistedState {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Confirms all batches up to this one.
+    /// Confirms all batches up to and including `write_id`.
     pub fn confirm(&mut self, write_id: u64) {
         while let Some(batch) = self
             .pending
@@ -86,21 +87,21 @@
         }
     }
 
-    /// Loses power: only the first `persisted` of the batches under way are there afterwards.
+    /// Simulates a crash: of the pending batches, only the first `persisted` are kept.
     pub fn crash(&mut self, persisted: usize) {
         let persisted = persisted.min(self.pending.len());
         self.confirmed.extend(self.pending.drain(..persisted));
         self.pending.clear();
     }
 
-    /// Loses the last batches that it had confirmed; returns the number of entries in them.
+    /// Loses the last `batches` confirmed batches; returns the number of entries in them.
     pub fn lose_confirmed(&mut self, batches: usize) -> usize {
         let kept = self.confirmed.len().saturating_sub(batches);
         let lost = self.confirmed.drain(kept..);
         lost.map(|batch| batch.entries.len()).sum()
     }
 
-    /// Loses everything but its number, the term, the vote and the founders.
+    /// Loses everything except its number and the hard state: term, vote and founders.
     pub fn forget_log(&mut self) {
         let kept = self.load();
         self.confirmed.clear();
@@ -112,7 +113,7 @@
         };
     }
 
-    /// What a replica finds on it when it starts.
+    /// The content that a replica loads when it starts.
     pub fn load(&self) -> PersistedState {
         let mut loaded = self.base.clone();
         for batch in &self.confirmed {
--- a/testkit/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a simulated day: whom each strikes, what it does, and how it is healed.
+//! Faults of a simulated day: how each selects its target, is injected and is healed.
 
 mod links;
 mod load;
@@ -14,30 +14,31 @@
 
 /// How long a slow disk takes to write, in milliseconds.
 const SLOW_DISK_MS: u64 = 120;
-/// How many times longer messages take over a slow link.
+/// The factor on message latencies over a slow link.
 const SLOW_LINK_FACTOR: u64 = 8;
-/// How many times longer a slow worker takes.
+/// The factor on the durations of a slow worker's runs.
 const SLOW_WORKER_FACTOR: f64 = 6.0;
-/// How many answers in a hundred are lost while answers get lost.
+/// The share of answers that are lost during a fault that loses answers, in percent.
 const LOST_ANSWERS_PERCENT: u64 = 50;
-/// The attempts that a queue permits, as the shapes have them.
+/// The limit on attempts of every queue in the shapes' configurations.
 const USUAL_ATTEMPTS: u32 = 3;
-/// The quota of a queue, as the shapes have it.
+/// The quota of every queue in the shapes' configurations.
 const USUAL_QUOTA: u32 = 2000;
-/// Every deployment has so many zones, and as many queues.
+/// The number of zones, and of queues, in every deployment.
 const ZONES: usize = 3;
 
-/// What a fault strikes.
+/// The part of the world that a fault affects.
 enum Area {
     /// Processes, disks and clocks.
     Machines,
+    /// The network between processes.
     Links,
     Workers,
-    /// Those who call: jobs and configuration.
+    /// The callers: jobs and changes of the configuration.
     Load,
 }
 
-/// What faults of a kind strike.
+/// The part that faults of a kind affect.
 fn area(kind: FaultKind) -> Area {
     use FaultKind::*;
     match kind {
@@ -58,7 +59,7 @@
     }
 }
 
-/// The role and the number that a fault names as its target, such as `core:1`.
+/// The role and number of a fault's named target, such as `core:1`.
 fn named_target(fault: &Fault) -> Option<(&str, usize)> {
     let (role, number) = fault.target.split_once(':')?;
     Some((role, number.parse().ok()?))
@@ -69,7 +70,7 @@
         (0..self.processes.len()).collect()
     }
 
-    /// The replicas that are not lost for good.
+    /// The replicas that are not lost permanently.
     fn replicas(&self) -> Vec<usize> {
         let processes = 0..self.processes.len();
         processes
@@ -78,7 +79,7 @@
             .collect()
     }
 
-    /// The nodes that are not lost for good.
+    /// The nodes that are not lost permanently.
     fn nodes(&self) -> Vec<usize> {
         let processes = 0..self.processes.len();
         processes
@@ -87,7 +88,7 @@
             .collect()
     }
 
-    /// The number of the process, worker, zone or queue that a fault strikes.
+    /// The number of the process, worker, zone or queue that is a fault's target.
     fn target(&self, fault: &Fault) -> usize {
         let replicas = self.replicas();
         if fault.target == "leader" {
@@ -102,12 +103,12 @@
             };
         }
         let candidates = self.candidates(fault.kind);
-        // Each fault draws for itself, so that leaving one out moves no other.
+        // Each fault has its own generator, so that leaving one out does not change the others' targets.
         let mut rng = Rng::new(self.seed ^ fault.at_ms);
         rng.pick(&candidates).copied().unwrap_or(0)
     }
 
-    /// What a fault of a kind may strike where it names no target.
+    /// The possible targets of a fault of a kind that names none.
     fn candidates(&self, kind: FaultKind) -> Vec<usize> {
         use FaultKind::*;
         match kind {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Has the fault of a number strike.
+    /// Injects the fault with a number, and schedules its end.
     pub(super) fn strike(&mut self, number: usize) {
         let fault = self.faults[number].clone();
         if self.is_calm && fault.at_ms < self.now {
@@ -147,7 +148,7 @@
         self.schedule_in(fault.duration_ms, Action::Heal(number));
     }
 
-    /// Strikes processes, disks and clocks; returns those that were struck.
+    /// Injects a fault of processes, disks or clocks; returns the affected processes.
     fn strike_machines(&mut self, fault: &Fault, target: usize) -> Vec<usize> {
         use FaultKind::*;
         match fault.kind {
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Strikes by jobs and changes of configuration.
+    /// Injects a fault by offering jobs or changing the configuration.
     fn strike_load(&mut self, fault: &Fault, target: usize) {
         use FaultKind::*;
         match fault.kind {
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Heals the fault of a number, if it is open.
+    /// Heals the fault with a number, if it is active.
     pub(super) fn heal(&mut self, number: usize) {
         let Some(struck) = self.struck.remove(&number) else {
             return;
--- a/testkit/src/simulator/faults/links.rs
+++ b/testkit/src/simulator/faults/links.rs
@@ -3,21 +3,21 @@
 use super::World;
 
 impl World {
-    /// Cuts a process off from others, in both directions.
+    /// Partitions a process from others, in both directions.
     pub(super) fn cut_off(&mut self, process: usize, others: &[usize]) {
         for other in others {
             self.block(process, *other);
         }
     }
 
-    /// Cuts off what a process sends to others; what they send arrives.
+    /// Blocks messages from a process to others; messages in the other direction arrive.
     pub(super) fn cut_off_outgoing(&mut self, process: usize, others: &[usize]) {
         for other in others.iter().filter(|other| **other != process) {
             self.blocked.insert((process, *other));
         }
     }
 
-    /// Ends any cut between a process and others.
+    /// Ends any partition between a process and others.
     pub(super) fn reconnect(&mut self, process: usize, others: &[usize]) {
         for other in others {
             self.unblock(process, *other);
--- a/testkit/src/simulator/faults/load.rs
+++ b/testkit/src/simulator/faults/load.rs
@@ -1,4 +1,4 @@
-//! Faults of those who call: too many jobs, jobs of the wrong kind, and storms of configuration.
+//! Faults in the load: bursts of jobs, invalid or failing jobs, and many or large changes of the configuration.
 
 use super::World;
 use crate::scenario::{random_job, Mix};
@@ -7,31 +7,31 @@
 use landingdrift::state::JobSpec;
 use serde_json::{json, Map, Value};
 
-/// Jobs of a crowd, where the fault doesn't say how many.
+/// The number of jobs in a crowd, unless the fault gives an amount.
 const CROWD: u64 = 60;
-/// Jobs that are all bound to fail.
+/// The number of jobs that can never succeed, in one fault.
 const DOOMED_JOBS: u64 = 40;
-/// How long a task of an urgent job runs on average, in milliseconds.
+/// The mean of the shortest durations of an urgent job's tasks, in milliseconds.
 const URGENT_TASK_MS: f64 = 60.0;
-/// Tasks of a huge job.
+/// The number of tasks of a huge job.
 const HUGE_JOB_TASKS: usize = 200;
-/// Jobs that nobody can take: three of each of three kinds.
+/// The number of invalid jobs in one fault: three of each of three kinds.
 const INVALID_JOBS: u64 = 9;
-/// The size of a payload that makes a job too large, in bytes.
+/// The size of a payload that exceeds the limit on a job's size, in bytes.
 const TOO_LARGE_BYTES: usize = 1 << 20;
-/// Changes of configuration in a storm.
+/// The number of changes of the configuration in a storm.
 const STORM_CHANGES: usize = 30;
-/// The notes of a large configuration.
+/// The number of notes in a large configuration, unless the fault gives an amount.
 const LARGE_NOTES: usize = 2000;
-/// The size of each of them, in bytes.
+/// The size of each of those notes, in bytes.
 const LARGE_NOTE_BYTES: usize = 50;
-/// The notes of a configuration that is close to the limit of 4 MiB.
+/// The number of notes that bring a configuration close to the limit of 4 MiB.
 const HUGE_NOTES: usize = 1000;
-/// The size of each of them, in bytes.
+/// The size of each of those notes, in bytes.
 const HUGE_NOTE_BYTES: usize = 3900;
 
 impl World {
-    /// Offers many jobs at once; 0 stands for the usual number.
+    /// Offers `amount` jobs at once, [`CROWD`] if 0.
     pub(super) fn offer_crowd(&mut self, amount: u64, mix: &Mix) {
         let count = if amount > 0 { amount } else { CROWD };
         for index in 0..count {
@@ -63,7 +63,7 @@
         self.offer(repeat_first_task(spec, HUGE_JOB_TASKS));
     }
 
-    /// Offers jobs that nobody can take: a task that depends on itself, an unknown queue, a body too large.
+    /// Offers invalid jobs: with a task that depends on itself, with an unknown queue, and with an oversized body.
     pub(super) fn offer_invalid_jobs(&mut self) {
         let mix = self.plain_mix();
         for index in 0..INVALID_JOBS {
@@ -90,7 +90,7 @@
         random_job(&mut self.rng, mix, id, EPOCH + self.now)
     }
 
-    /// Two operators change the configuration by turns, many times.
+    /// Has two operators change the configuration in turn.
     pub(super) fn change_often(&mut self) {
         for index in 0..STORM_CHANGES {
             let change = json!({"notes": {"storm": index.to_string()}});
@@ -98,14 +98,14 @@
         }
     }
 
-    /// Two operators change the same version.
+    /// Has two operators submit changes based on the same version.
     pub(super) fn change_as_rivals(&mut self) {
         let base = self.operators[0].version.max(self.operators[1].version);
         self.operators[0].race(base, json!({"notes": {"rival": "a"}}));
         self.operators[1].race(base, json!({"notes": {"rival": "b"}}));
     }
 
-    /// Applies a large configuration of so many notes; 0 stands for the usual number.
+    /// Applies a large configuration of `amount` notes, [`LARGE_NOTES`] if 0.
     pub(super) fn apply_large_configuration(&mut self, amount: u64) {
         let text = json!("x".repeat(LARGE_NOTE_BYTES));
         let count = if amount > 0 {
@@ -125,7 +125,7 @@
         self.set_notes("h", HUGE_NOTES, &Value::Null);
     }
 
-    /// Sets so many notes of the configuration, or removes them where `text` is null.
+    /// Sets `count` notes of the configuration to `text`, or removes them if it is null.
     fn set_notes(&mut self, prefix: &str, count: usize, text: &Value) {
         let note = |index| (format!("{prefix}{index}"), text.clone());
         let notes: Map<String, Value> = (0..count).map(note).collect();
--- a/testkit/src/simulator/faults/machines.rs
+++ b/testkit/src/simulator/faults/machines.rs
@@ -6,15 +6,15 @@
 use crate::simulator::world::{Machine, Process};
 use landingdrift::sans_io::Msg;
 
-/// How far a clock jumps where the fault doesn't say, in milliseconds: an hour.
+/// The size of a clock jump, unless the fault gives one, in milliseconds: an hour.
 const CLOCK_JUMP_MS: i64 = 3_600_000;
-/// The last part of the address of a new process, above those that a day starts with.
+/// The last part of the first address for replacements, above the addresses that a day starts with.
 const FIRST_NEW_ADDRESS: usize = 50;
-/// The most confirmed batches that a disk loses at once.
+/// The most confirmed batches that a disk loses in one fault.
 const MAX_LOST_BATCHES: u64 = 4;
 
 impl World {
-    /// Kills all that runs in a zone, and its workers; returns the processes.
+    /// Kills all processes and workers in a zone; returns the processes.
     pub(super) fn lose_zone(&mut self, zone: usize) -> Vec<usize> {
         let runs_there =
             |process: &Process| process.zone == zone && !process.is_gone && process.is_up();
@@ -31,7 +31,7 @@
         lost
     }
 
-    /// Loses a replica for good; another one with an empty disk joins in its zone.
+    /// Removes a replica permanently, and adds one with an empty disk in its zone.
     pub(super) fn replace_replica(&mut self, replaced: usize) {
         self.observe_availability();
         self.kill(replaced);
@@ -42,7 +42,8 @@
         self.note_loss(newcomer);
     }
 
-    /// Loses a node for good; another one joins in its zone, and the platform names it to all who call.
+    /// Removes a node permanently, adds another in its zone, and updates the callers' lists of nodes, as the platform
+    /// does.
     pub(super) fn replace_node(&mut self, replaced: usize) {
         self.kill(replaced);
         self.processes[replaced].is_gone = true;
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Kills all processes at once; so many disks, from a replica's on, lose what they had confirmed last.
+    /// Kills all processes at once. The disks of `disks_lost` replicas, starting with `first_lost`, lose the last
+    /// batches that they had confirmed.
     pub(super) fn begin_outage(&mut self, first_lost: usize, disks_lost: usize) {
         self.observe_availability();
         for process in self.all_processes() {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// A replica's disk loses what it had confirmed last.
+    /// Has a replica's disk lose the last batches that it had confirmed.
     pub(super) fn lose_confirmed(&mut self, replica: usize) {
         self.note_loss(replica);
         let batches = 1 + self.rng.below(MAX_LOST_BATCHES) as usize;
@@ -90,7 +92,7 @@
         self.log_line(&line);
     }
 
-    /// Clocks jump; returns the processes whose clocks do.
+    /// Has wall clocks jump; returns the affected processes.
     pub(super) fn jump_clocks(&mut self, target: usize, fault: &Fault) -> Vec<usize> {
         let jump_ms = match fault.clock_jump_ms {
             0 if fault.duration_ms.is_multiple_of(2) => CLOCK_JUMP_MS,
@@ -99,14 +101,14 @@
         };
         let struck = self.struck_replicas(target, fault);
         for (index, process) in struck.iter().enumerate() {
-            // An odd jump goes back at every second one, so that their clocks come apart.
+            // An odd jump is reversed for every second process, so that their clocks diverge.
             let is_opposite = index % 2 == 1 && jump_ms % 2 != 0;
             self.processes[*process].wall_offset_ms = if is_opposite { -jump_ms } else { jump_ms };
         }
         struck
     }
 
-    /// The target, and the next replicas where several are meant.
+    /// The target, and further replicas up to the fault's amount.
     fn struck_replicas(&self, target: usize, fault: &Fault) -> Vec<usize> {
         let others = self.replicas().into_iter();
         let others = others.filter(|replica| *replica != target);
@@ -135,7 +137,7 @@
         }
     }
 
-    /// A process that was stopped comes back with the next version of the wire.
+    /// Restarts a stopped process with the next wire version.
     pub(super) fn upgrade(&mut self, process: usize) {
         self.kill(process);
         self.processes[process].wire_version += 1;
@@ -150,7 +152,7 @@
         self.offer_recovery_jobs();
     }
 
-    /// Starts the processes of a zone that was lost, and all workers that are down.
+    /// Starts the processes of a lost zone, and all workers that are down.
     pub(super) fn regain_zone(&mut self, lost: &[usize]) {
         for process in lost {
             self.start(*process);
@@ -162,14 +164,14 @@
         }
     }
 
-    /// A process that stood still goes on, with all that reached it meanwhile.
+    /// Resumes a frozen process, which then handles the messages that arrived in the meantime.
     pub(super) fn thaw(&mut self, number: usize) {
         let process = &mut self.processes[number];
         if !std::mem::replace(&mut process.is_frozen, false) {
             return;
         }
         let inbox = std::mem::take(&mut process.inbox);
-        // What waited may come before the process has looked at the time, or after.
+        // Whether it handles a tick before the waiting messages is random.
         if self.rng.below(2) == 0 {
             self.step(number, Msg::Tick);
         }
--- a/testkit/src/simulator/faults/workers.rs
+++ b/testkit/src/simulator/faults/workers.rs
@@ -3,7 +3,7 @@
 use super::World;
 use crate::history::{Event, WORKER_REACHABLE, WORKER_UNREACHABLE};
 
-/// The share of runs that fail on a failing worker, where the fault doesn't say.
+/// The share of runs that fail on a failing worker, unless the fault gives an amount.
 const FAILING_SHARE: f64 = 0.9;
 
 impl World {
@@ -12,7 +12,7 @@
         self.record_reachable(number, false);
     }
 
-    /// A worker that stood still goes on, with all that reached it meanwhile.
+    /// Resumes a frozen worker, which then handles the answers that arrived in the meantime.
     pub(super) fn thaw_worker(&mut self, number: usize) {
         self.workers[number].is_frozen = false;
         self.record_reachable(number, true);
@@ -23,20 +23,20 @@
         }
     }
 
-    /// Cuts a worker off from all processes, or connects it to them again.
+    /// Partitions a worker from all processes, or reconnects it.
     pub(super) fn cut_worker(&mut self, number: usize, is_cut: bool) {
         self.workers[number].is_cut = is_cut;
         self.record_reachable(number, !is_cut);
     }
 
-    /// Ends a worker's process, if it runs.
+    /// Kills a worker's process, if it runs.
     pub(super) fn crash_worker(&mut self, number: usize) {
         let machine = &mut self.workers[number];
         if let Some(dead) = machine.worker.take() {
             machine.incarnation += 1;
             let worker = machine.info.worker.clone();
             if dead.has_lease() {
-                // Nothing that it has not reported can ever be.
+                // The ends that it has not reported are lost.
                 let worker = worker.clone();
                 self.record(Event::LeaseExpired { worker });
             }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Has a worker fail so many runs in a hundred; 0 stands for most of them.
+    /// Has `percent` of a worker's runs fail; 0 stands for [`FAILING_SHARE`].
     pub(super) fn fail_runs(&mut self, number: usize, percent: u64) {
         let share = match percent {
             0 => FAILING_SHARE,
--- a/testkit/src/simulator/mod.rs
+++ b/testkit/src/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator: the same parts as the real processes run, in virtual time; one seed decides all.
+//! The simulator: runs the parts of the real processes in virtual time. A seed determines the whole day.
 
 pub(crate) mod disk;
 mod faults;
@@ -9,10 +9,10 @@
 use crate::checkers::{check, PromisedBounds, Violation};
 use crate::scenario::Scenario;
 
-/// What the clocks of the system show at time 0, in milliseconds since 1970.
+/// The wall clocks' time at time 0 of the day, in milliseconds since 1970.
 pub const EPOCH: u64 = 1_700_000_000_000;
 
-/// The promised bounds, for histories of the simulator.
+/// The promised bounds, with the simulator's epoch.
 fn bounds() -> PromisedBounds {
     PromisedBounds {
         epoch_ms: EPOCH,
@@ -28,7 +28,7 @@
         violations.push(Violation::new(
             "no livelock",
             report.history.end_ms(),
-            "more happened than a day can hold".into(),
+            "the day exceeded the limit on actions".into(),
         ));
     }
     (report, violations)
--- a/testkit/src/simulator/world/callers.rs
+++ b/testkit/src/simulator/world/callers.rs
@@ -1,4 +1,4 @@
-//! Those who call the system from outside: workers, the client and the operators.
+//! The callers of the system: workers, the client and the operators.
 
 use super::{Action, PlannedJob, World, TICK_MS};
 use crate::fakes::worker::Worker;
@@ -9,9 +9,9 @@
 use landingdrift::sans_io::Response;
 use landingdrift::state::{JobSpec, TaskSpec, WorkerInfo};
 
-/// Calls take less than this many milliseconds more than one.
+/// The spread of call latencies above 1 ms, in milliseconds.
 const CALL_LATENCY_SPREAD_MS: u64 = 4;
-/// Tasks of a job that shows whether a queue is served: enough for every zone to get some.
+/// The number of tasks of a recovery job: enough for every zone to get some.
 const RECOVERY_JOB_TASKS: usize = 24;
 
 /// An answer that reached a worker while it was frozen.
@@ -20,23 +20,24 @@
     pub response: Response,
 }
 
-/// A worker's machine: the worker, if it runs, and what keeps it from working.
+/// A worker's machine: the worker, if it runs, and the faults that affect it.
 pub(in crate::simulator) struct WorkerMachine {
     pub worker: Option<Worker>,
-    /// What the worker is started with.
+    /// The description that the worker starts with.
     pub info: WorkerInfo,
     pub zone: usize,
     pub is_frozen: bool,
-    /// Nothing passes from or to it.
+    /// It is partitioned from all processes.
     pub is_cut: bool,
+    /// Answers that arrived while it was frozen.
     pub inbox: Vec<WaitingAnswer>,
-    /// Counts its starts and ends.
+    /// Incremented at each start and end of the worker.
     pub incarnation: u64,
-    /// The address of the proxy beside the worker, which it calls instead of nodes.
+    /// The address of the proxy on its machine, which it calls instead of nodes.
     pub proxy: Option<String>,
 }
 
-/// Who makes a call; a worker with its incarnation, so that answers to an earlier one are dropped.
+/// The caller of a call. Workers include their incarnation, so that answers to an earlier one are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::simulator) enum Caller {
     Worker { worker: usize, incarnation: u64 },
@@ -71,7 +72,7 @@
         self.schedule_in(1 + jitter_ms, tick);
     }
 
-    /// Has a worker act, if it runs.
+    /// Performs `act` on a worker, if it runs, and handles the outputs.
     pub(in crate::simulator) fn with_worker(
         &mut self,
         number: usize,
@@ -103,7 +104,7 @@
         self.schedule_in(TICK_MS, next);
     }
 
-    /// The client and the operators get their tick.
+    /// Offers the planned jobs that are due, and ticks the client and the operators.
     pub(super) fn tick_callers(&mut self) {
         let now = self.now;
         let is_due = |planned: &mut PlannedJob| planned.at_ms <= now;
@@ -148,7 +149,7 @@
         matches!(caller, Caller::Worker { worker, .. } if self.workers[worker].is_cut)
     }
 
-    /// Hands an answer to whoever called.
+    /// Delivers an answer to its caller.
     pub(super) fn deliver_answer(&mut self, caller: Caller, call: u64, response: Response) {
         let now = self.now;
         match caller {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// After an outage: jobs for every queue and service, so that it shows whether all are served.
+    /// Offers a job for every queue and service, to test after an outage whether all are served.
     pub(in crate::simulator) fn offer_recovery_jobs(&mut self) {
         let mix = self.shape.mix();
         for queue in &mix.queues {
@@ -204,7 +205,7 @@
     }
 }
 
-/// The job with its first task as often as wanted, in place of its own tasks.
+/// Replaces a job's tasks with `count` copies of its first one.
 pub(in crate::simulator) fn repeat_first_task(mut spec: JobSpec, count: usize) -> JobSpec {
     let first = spec.tasks[0].clone();
     let task = |index: usize| TaskSpec {
--- a/testkit/src/simulator/world/day.rs
+++ b/testkit/src/simulator/world/day.rs
@@ -1,4 +1,4 @@
-//! The run of a day from its first moment to its last.
+//! The course of a day: the load, the time after it, and the closing reads.
 
 use super::{Report, World};
 use crate::fakes::operator::Operator;
@@ -7,13 +7,13 @@
 use landingdrift::sans_io::Rng;
 use std::cmp::Reverse;
 
-/// The most actions that a second of a day may have; a busy one has a tenth of it.
+/// The limit on actions per second of a day, above which it counts as livelocked; a busy second has a tenth of it.
 const MAX_ACTIONS_PER_SECOND: u64 = 60_000;
-/// A day may end early so long after the load at the earliest: what a fault has left behind shows by then.
+/// The shortest time from the end of the load to an early end of the day: late effects of faults show by then.
 const MIN_SETTLE_SECONDS: u64 = 15;
-/// How often it is looked whether a day may end early, in milliseconds.
+/// The interval of checks for an early end of the day, in milliseconds.
 const END_CHECK_EVERY_MS: u64 = 1000;
-/// Mixed into the seed for the last fault, so that it depends on no other draw.
+/// Mixed into the seed for the last fault, so that it does not depend on other samples.
 const LAST_FAULT_SEED: u64 = 0x1a57;
 
 impl World {
@@ -40,7 +40,7 @@
         self.into_report(is_livelocked)
     }
 
-    /// Whether the load has ended and nothing is open: such a day needn't be sat out.
+    /// Whether the load has ended and no job, change or fault is open, so that the day may end early.
     fn has_settled(&self) -> bool {
         let earliest_ms = (self.scenario.seconds + MIN_SETTLE_SECONDS) * 1000;
         self.is_calm
@@ -51,8 +51,8 @@
             && self.struck.is_empty()
     }
 
-    /// The closing reads: the configuration, and every job once more; straight before them, where wanted, one last
-    /// fault.
+    /// Begins the closing reads of the configuration and of every accepted job, after the last fault if the scenario
+    /// has one.
     fn begin_closing(&mut self) {
         self.is_closing = true;
         if self.scenario.has_last_fault {
@@ -64,7 +64,7 @@
         self.operators.iter_mut().for_each(Operator::read);
     }
 
-    /// Ends the load, heals all faults, and starts whatever is down.
+    /// Ends the load, heals all faults, and starts all processes and workers that are down.
     pub(super) fn end_load(&mut self) {
         self.is_calm = true;
         self.client.is_offering = false;
--- a/testkit/src/simulator/world/link.rs
+++ b/testkit/src/simulator/world/link.rs
@@ -1,26 +1,26 @@
-//! The link of a machine: everything that it sends or receives shares its bandwidth and waits its turn.
+//! The network link of a machine: all its traffic shares the bandwidth, first in, first out.
 
-/// What waits for a link at the most, in bytes; a sender drops what exceeds it, as the transport does.
+/// The limit on bytes that wait for a link; a sender drops messages beyond it, as the transport does.
 const MAX_QUEUED_BYTES: u64 = 4 << 20;
 
 /// One direction of a link.
 #[derive(Clone, Debug, Default)]
 struct Direction {
-    /// When all that was handed over so far has passed, in milliseconds since the beginning of the day.
+    /// When all bytes queued so far have passed, in milliseconds since the beginning of the day.
     free_at_ms: u64,
 }
 
-/// The link of a machine, in both directions.
+/// The link of a machine, with independent directions.
 #[derive(Clone, Debug, Default)]
 pub(in crate::simulator) struct Link {
-    /// Bytes that pass in a millisecond; 0 for a link that is never the bottleneck.
+    /// The bandwidth in bytes per millisecond; 0 for unlimited.
     bytes_per_ms: u64,
     outgoing: Direction,
     incoming: Direction,
 }
 
 impl Link {
-    /// A link of so many thousand bits a second; 0 for one that is never the bottleneck.
+    /// A link with a bandwidth in kilobits per second; 0 for unlimited.
     pub fn of_kbps(kbps: u64) -> Self {
         let bytes_per_ms = kbps / 8;
         Self {
@@ -29,23 +29,22 @@
         }
     }
 
-    /// Whether the link may be the bottleneck.
+    /// Whether the bandwidth is limited.
     pub fn is_limited(&self) -> bool {
         self.bytes_per_ms > 0
     }
 
-    /// Sends bytes at a time; returns when the last one has left, or nothing where too much waits already.
+    /// Sends bytes at a time; returns when the last one has left, or none if the queue is full.
     pub fn send(&mut self, at_ms: u64, bytes: u64) -> Option<u64> {
         self.outgoing.pass(at_ms, bytes, self.bytes_per_ms)
     }
 
-    /// Receives bytes that arrive from a time on; returns when the last one is there, or nothing where too much waits
-    /// already.
+    /// Receives bytes that arrive from a time on; returns when the last one is there, or none if the queue is full.
     pub fn receive(&mut self, at_ms: u64, bytes: u64) -> Option<u64> {
         self.incoming.pass(at_ms, bytes, self.bytes_per_ms)
     }
 
-    /// Forgets what waits: the connections of the process that used the link are gone.
+    /// Empties the queues, as when the connections of the process are closed.
     pub fn reset(&mut self) {
         self.outgoing = Direction::default();
         self.incoming = Direction::default();
--- a/testkit/src/simulator/world/links.rs
+++ b/testkit/src/simulator/world/links.rs
@@ -1,32 +1,32 @@
-//! The links between processes: latency, loss, duplication and order of messages.
+//! Messages and calls between processes: latency, bandwidth, loss, duplication and order.
 
 use super::{Action, Caller, OpenCall, World};
 use landingdrift::sans_io::{Msg, Request, Response};
 use landingdrift::wire::{pack_with_version, unpack_with_version, Body, WireError};
 
-/// Messages take 1 ms to this many, times the slowness of the sender.
+/// The spread of message latencies above 1 ms, in milliseconds; multiplied by the slowness of the sender.
 const LATENCY_SPREAD_MS: u64 = 3;
-/// What each degree of slowness beyond the usual one adds, in milliseconds.
+/// The latency that each unit of slowness above 1 adds, in milliseconds.
 const SLOW_LINK_MS: u64 = 20;
-/// Of a hundred messages of a flaky link, so many are lost.
+/// The share of messages over a flaky link that are lost, in percent.
 const FLAKY_LOSS_PERCENT: u64 = 15;
-/// Of a hundred messages of a flaky link, so many are late.
+/// The share of messages over a flaky link that are delayed, in percent.
 const FLAKY_LATE_PERCENT: u64 = 40;
-/// Late messages come so much later at the most, in milliseconds.
+/// The additional delay of such a message is below this, in milliseconds.
 const FLAKY_LATE_MS: u64 = 400;
-/// Of a hundred messages of a flaky link, so many arrive twice.
+/// The share of messages over a flaky link that arrive twice, in percent.
 const FLAKY_DUPLICATE_PERCENT: u64 = 10;
-/// The second copy comes so much later at the most, in milliseconds.
+/// The delay of the duplicate is below this, in milliseconds.
 const FLAKY_DUPLICATE_MS: u64 = 500;
 
 impl World {
-    /// A random latency of what a process sends, in milliseconds.
+    /// A random latency for a message from a process, in milliseconds.
     fn latency_ms(&mut self, process: usize) -> u64 {
         let slowness = self.processes[process].slowness;
         1 + self.rng.below(LATENCY_SPREAD_MS) * slowness + (slowness - 1) * SLOW_LINK_MS
     }
 
-    /// Sends a message from a process to the one at an address, if it reaches it.
+    /// Sends a message from a process to the one at an address; it is lost if that one is down or unreachable.
     pub(super) fn send(&mut self, from: usize, to_address: &str, body: &Body) {
         let Some(to) = self.process_up_at(to_address) else {
             return;
@@ -55,7 +55,7 @@
             return;
         };
         if !is_flaky {
-            // One connection keeps its order, however slow the link is.
+            // A connection delivers in order, even over a slow link.
             let last = self.arrivals.entry((from, to)).or_default();
             at_ms = at_ms.max(*last);
             *last = at_ms;
@@ -67,7 +67,8 @@
         self.schedule_delivery(at_ms, from, to, frame);
     }
 
-    /// When a frame that would arrive at a time does so, given the bandwidth of the links of sender and receiver.
+    /// The arrival time of a frame, given the bandwidths of sender and receiver; none if it is dropped. `at_ms` is the
+    /// arrival time with unlimited bandwidth.
     fn pass_links(&mut self, from: usize, to: usize, at_ms: u64, bytes: u64) -> Option<u64> {
         let latency_ms = at_ms.saturating_sub(self.now);
         let sent_ms = self.processes[from].machine.link.send(self.now, bytes)?;
@@ -75,7 +76,7 @@
         self.processes[to].machine.link.receive(arrival_ms, bytes)
     }
 
-    /// Connections break and come back: nothing keeps its order, and some messages never arrive.
+    /// The arrival time of a message over a flaky link, which loses and reorders messages; none if it is lost.
     fn flaky_arrival(&mut self, latency_ms: u64) -> Option<u64> {
         if self.rng.below(100) < FLAKY_LOSS_PERCENT {
             return None;
@@ -98,7 +99,7 @@
         self.schedule(at_ms, delivery);
     }
 
-    /// Hands a frame to the process that it was sent to.
+    /// Delivers a frame to its receiver; counts one of another wire version and drops it.
     pub(super) fn deliver(&mut self, to: usize, from: String, frame: &[u8]) {
         let wire_version = self.processes[to].wire_version;
         match unpack_with_version(wire_version, &self.settings.cluster, frame) {
@@ -109,11 +110,11 @@
                     .entry("frames_of_another_version".into())
                     .or_default() += 1;
             }
-            Err(error) => panic!("a frame of our own can't be read: {error}"),
+            Err(error) => panic!("failed to decode a frame of the simulator: {error}"),
         }
     }
 
-    /// Hands a call to the process at an address, if one is up there.
+    /// Delivers a call to the process at an address, if it is up.
     pub(super) fn deliver_call(
         &mut self,
         to_address: &str,
@@ -130,7 +131,7 @@
         self.step(to, Msg::Call(self.last_call, request));
     }
 
-    /// Sends the answer of a process to whoever called it, unless it gets lost.
+    /// Sends the answer of a process to the caller, unless a fault loses it.
     pub(super) fn send_answer(&mut self, from: usize, call: u64, response: Response) {
         let Some(open) = self.open_calls.remove(&call) else {
             return;
@@ -151,7 +152,7 @@
         self.schedule_in(latency_ms, answer);
     }
 
-    /// When an answer has left the machine of a process, given the bandwidth of its link; none where too much waits already.
+    /// When an answer has left a process's machine through the limited bandwidth of its link; none if it is dropped.
     fn pass_answer(&mut self, from: usize, response: &Response) -> Option<u64> {
         let now = self.now;
         let link = &mut self.processes[from].machine.link;
--- a/testkit/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world that the simulated parts live in: its state, and the order in which things happen in it.
+//! The simulated world: the state of all simulated parts, and the event loop that drives them.
 
 mod callers;
 mod day;
@@ -29,17 +29,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-/// How often every part gets its tick, in milliseconds.
+/// The interval of every part's ticks, in milliseconds.
 const TICK_MS: u64 = 20;
 
 /// A call that waits for its answer.
 struct OpenCall {
     caller: Caller,
-    /// Its number among the calls of its caller.
+    /// The number that its caller gave it.
     call: u64,
 }
 
-/// A job that is offered at a time.
+/// A job to be offered at a fixed time.
 #[derive(Clone, Debug)]
 pub struct PlannedJob {
     /// Milliseconds since the beginning of the day.
@@ -47,51 +47,51 @@
     pub spec: JobSpec,
 }
 
-/// What could work at a moment.
+/// The processes that could work at a moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Availability {
     /// The size of the largest group of replicas that are up and can talk to each other.
     replicas: usize,
-    /// The nodes that reach all of that group.
+    /// The addresses of the nodes that are connected to all of that group.
     nodes: Vec<String>,
 }
 
-/// A simulated day: all parts, all that is under way between them, and the history so far. Numbers of processes,
-/// workers and operators are their positions in the lists here.
+/// A simulated day: all parts, the messages and calls between them, and the history so far. Processes, workers and
+/// operators are numbered by their indices in the lists here.
 pub struct World {
     /// Milliseconds since the beginning of the day.
     pub(in crate::simulator) now: u64,
-    /// The actions scheduled so far.
+    /// The number of actions scheduled so far.
     scheduled: u64,
     queue: BinaryHeap<Reverse<ScheduledAction>>,
     pub(in crate::simulator) rng: Rng,
     pub(in crate::simulator) shape: Shape,
     scenario: Scenario,
     pub(in crate::simulator) faults: Vec<Fault>,
-    /// The processes, workers or zones that each fault has struck and that are not healed, by the fault's number.
+    /// The active faults by number, each with the processes, workers or zones that it affects.
     pub(in crate::simulator) struck: BTreeMap<usize, Vec<usize>>,
     pub(in crate::simulator) processes: Vec<Process>,
-    /// The processes by their addresses.
+    /// The numbers of the processes, by address.
     pub(in crate::simulator) by_address: BTreeMap<String, usize>,
     pub(in crate::simulator) workers: Vec<WorkerMachine>,
     pub(in crate::simulator) client: Client,
     pub(in crate::simulator) operators: Vec<Operator>,
-    /// Pairs of processes of which the first doesn't reach the second.
+    /// Pairs of processes: messages from the first to the second are lost.
     pub(in crate::simulator) blocked: BTreeSet<(usize, usize)>,
     history: History,
     log: Vec<String>,
     open_calls: BTreeMap<u64, OpenCall>,
     last_call: u64,
     pub(in crate::simulator) settings: Settings,
-    /// The load has ended, and the faults with it.
+    /// The load has ended: no more jobs are offered and no more scheduled faults begin.
     pub(in crate::simulator) is_calm: bool,
     pub(in crate::simulator) seed: u64,
     planned_jobs: VecDeque<PlannedJob>,
-    /// Messages that were sent between processes.
+    /// The number of messages sent between processes.
     messages: u64,
-    /// When the last message from one process to another arrives.
+    /// When the latest message from one process to another arrives, in milliseconds; keeps their order.
     arrivals: BTreeMap<(usize, usize), u64>,
-    /// Of a hundred answers to calls, so many are lost.
+    /// The share of answers to calls that are lost, in percent.
     pub(in crate::simulator) lost_answers_percent: u64,
     availability: Availability,
     /// The highest log index that any replica has applied.
--- a/testkit/src/simulator/world/observe.rs
+++ b/testkit/src/simulator/world/observe.rs
@@ -1,4 +1,4 @@
-//! What is observed of the system while it runs: which parts could work, which are ready, what is in force.
+//! Observation of the running system: available and ready processes, and the configuration in force.
 
 use super::schedule::PROBE_EVERY_MS;
 use super::{Availability, Process, World};
@@ -6,13 +6,14 @@
 use landingdrift::consensus::Replica;
 use landingdrift::state::ClusterState;
 
-/// How often the platform finds out which nodes are ready, in milliseconds.
+/// The interval at which the platform checks which nodes are ready, in milliseconds.
 const READY_EVERY_MS: u64 = PROBE_EVERY_MS;
-/// How often an operator reads the configuration, in milliseconds.
+/// The interval at which an operator reads the configuration, in milliseconds.
 const READ_EVERY_MS: u64 = 3000;
 
 impl World {
-    /// Records what could work now, if that has changed; now and then tells the client which nodes are ready.
+    /// Records the current availability if it has changed; every [`READY_EVERY_MS`], updates the client's list of ready
+    /// nodes.
     pub(in crate::simulator) fn observe_availability(&mut self) {
         let availability = self.current_availability();
         if availability != self.availability {
@@ -51,7 +52,7 @@
         availability
     }
 
-    /// The largest group of a replica that could work and those that it is linked to.
+    /// The largest group formed by an available replica and the available replicas connected to it.
     fn largest_group(&self, newest: Option<&ClusterState>) -> Vec<usize> {
         let processes = 0..self.processes.len();
         let replicas: Vec<usize> = processes
@@ -67,14 +68,14 @@
         groups.max_by_key(Vec::len).unwrap_or_default()
     }
 
-    /// Whether two processes reach each other and speak the same version.
+    /// Whether two processes can exchange messages: no partition, and the same wire version.
     fn is_linked(&self, one: usize, other: usize) -> bool {
         self.processes[one].wire_version == self.processes[other].wire_version
             && !self.blocked.contains(&(one, other))
             && !self.blocked.contains(&(other, one))
     }
 
-    /// Whether the platform steers clients to a process: a node that is ready, or any node that runs.
+    /// Whether the platform routes clients to a process: a ready node, or any running node if the scenario says so.
     fn takes_clients(&self, number: usize) -> bool {
         let process = &self.processes[number];
         if self.scenario.clients_call_any_node {
@@ -90,7 +91,8 @@
         node.is_some_and(|node| node.is_ready(self.clocks(number)))
     }
 
-    /// Records what the nodes have in force; now and then has an operator read the configuration.
+    /// Records the version in force and the readiness of each node; every [`READ_EVERY_MS`], has an operator read the
+    /// configuration.
     pub(super) fn probe(&mut self) {
         for number in 0..self.processes.len() {
             let process = &self.processes[number];
@@ -111,7 +113,8 @@
     }
 }
 
-/// Whether a process is a voter whose disk has what was committed; before there are members, every replica counts.
+/// Whether a process is an awake voter that has applied again what its disk lost. Before the cluster has members, every
+/// replica counts as a voter.
 fn can_work(process: &Process, newest: Option<&ClusterState>) -> bool {
     let Some(replica) = process.replica() else {
         return false;
@@ -125,7 +128,7 @@
     process.is_awake() && is_voter && is_whole
 }
 
-/// The mark that the change in force has left in the configuration.
+/// The id of the change that last marked the configuration, from its notes; empty if there is none.
 pub(super) fn change_mark(state: &ClusterState) -> String {
     state.config.notes.get("by").cloned().unwrap_or_default()
 }
--- a/testkit/src/simulator/world/process.rs
+++ b/testkit/src/simulator/world/process.rs
@@ -1,4 +1,4 @@
-//! A simulated process: the part that it runs, its machine, its clocks and its disk.
+//! Simulated processes, each with its part, machine, clocks and disk.
 
 use super::link::Link;
 use crate::simulator::disk::SimDisk;
@@ -10,7 +10,7 @@
 use landingdrift::worker_proxy::WorkerProxy;
 use std::collections::BTreeMap;
 
-/// The part that a process runs; none while it is down.
+/// The part that a process runs; the option is none while the process is down.
 pub(in crate::simulator) enum Part {
     Replica {
         replica: Option<Box<Replica>>,
@@ -43,28 +43,28 @@
     pub address: String,
     pub zone: usize,
     pub machine: Machine,
-    /// Counts its starts and ends: nothing that was on its way to an earlier incarnation counts.
+    /// Incremented at each start and end; actions for an earlier incarnation are dropped.
     pub incarnation: u64,
     pub is_frozen: bool,
-    /// It never starts again.
+    /// It is lost permanently.
     pub is_gone: bool,
-    /// What reached it while it was frozen.
+    /// Messages that arrived while it was frozen.
     pub inbox: Vec<Msg>,
-    /// How far its clock of the day is off, in milliseconds.
+    /// The error of its wall clock, in milliseconds.
     pub wall_offset_ms: i64,
-    /// How many times longer its messages take.
+    /// The factor on the latencies of its messages; 1 without a fault.
     pub slowness: u64,
-    /// What its steady clock showed at the beginning of the day, in milliseconds.
+    /// The time of its monotonic clock at the beginning of the day, in milliseconds.
     pub steady_offset_ms: u64,
-    /// The version of the configuration that it had in force when it was last ready.
+    /// The version of the configuration that was last recorded as in force while it was ready.
     pub config_version: u64,
-    /// What it sends may be late, doubled, out of order or lost.
+    /// Messages from and to it may be delayed, duplicated, reordered or lost.
     pub is_flaky: bool,
     /// The wire version that its build speaks.
     pub wire_version: u16,
-    /// Its disk has to get to this log index again before it counts as whole.
+    /// After a loss of data, the log index that the replica has to reach again before it counts as available.
     pub has_lost_up_to: u64,
-    /// The counters of all its incarnations that have ended.
+    /// The sums of its ended incarnations' counters, by role and name.
     pub counters: BTreeMap<String, u64>,
 }
 
@@ -104,12 +104,12 @@
         }
     }
 
-    /// Whether it runs and is neither frozen nor gone.
+    /// Whether it is up and not frozen.
     pub fn is_awake(&self) -> bool {
         self.is_up() && !self.is_frozen && !self.is_gone
     }
 
-    /// The replica that runs in it.
+    /// The running replica, if it is one.
     pub fn replica(&self) -> Option<&Replica> {
         match &self.part {
             Part::Replica { replica, .. } => replica.as_deref(),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The node that runs in it.
+    /// The running node, if it is one.
     pub fn node(&self) -> Option<&Node> {
         match &self.part {
             Part::Node(node) => node.as_deref(),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The disk of a replica.
+    /// The disk, if it is a replica; it exists also while the process is down.
     pub fn disk_mut(&mut self) -> Option<&mut SimDisk> {
         match &mut self.part {
             Part::Replica { disk, .. } => Some(disk),
@@ -133,12 +133,12 @@
         }
     }
 
-    /// Whether it is for a node.
+    /// Whether it is a node, up or down.
     pub fn is_node(&self) -> bool {
         matches!(self.part, Part::Node(_))
     }
 
-    /// Whether it is for a replica.
+    /// Whether it is a replica, up or down.
     pub fn is_replica(&self) -> bool {
         matches!(self.part, Part::Replica { .. })
     }
@@ -150,7 +150,7 @@
         self.inbox.clear();
     }
 
-    /// Adds the counters of the part that runs to those of earlier incarnations.
+    /// Adds the counters of the running part to the sums of earlier incarnations.
     pub fn keep_counters(&mut self) {
         let (role, counters) = match &self.part {
             Part::Replica { replica, .. } => {
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the system: how they are added, start, are killed and handle messages.
+//! The system's processes: adding, starting and killing them, and how they handle messages.
 
 use super::observe::change_mark;
 use super::process::{Machine, Part, Process};
@@ -12,17 +12,17 @@
 use landingdrift::settings::Settings;
 use landingdrift::worker_proxy::WorkerProxy;
 
-/// How often a write that a disk did not take is tried again, in milliseconds.
+/// The interval at which writes on a failing disk are retried, in milliseconds.
 const WRITE_RETRY_MS: u64 = 200;
-/// Writes take so much longer than the disk's own time at random, below this many milliseconds.
+/// The random part of a write's duration is below this, in milliseconds.
 const WRITE_JITTER_MS: u64 = 3;
-/// When a process is killed, fewer writes under way than this are on its disk afterwards.
+/// When a process is killed, a random number below this of its pending writes still reach the disk.
 const PERSISTED_WRITES: u64 = 3;
-/// Steady clocks start below this many milliseconds, each anywhere.
+/// Monotonic clocks start at a random time below this, in milliseconds.
 const CLOCK_START_MS: u64 = 1 << 40;
 
 impl World {
-    /// The addresses of the nodes that the platform names.
+    /// The addresses of all nodes that are not lost permanently, up or down, as the platform lists them.
     pub(in crate::simulator) fn node_addresses(&self) -> Vec<String> {
         let processes = self.processes.iter();
         processes
@@ -47,7 +47,7 @@
 
     /// Adds a replica with an empty disk, and starts it.
     pub(in crate::simulator) fn add_replica(&mut self, zone: usize, address: String) {
-        // Odd, as no disk has the number 0.
+        // The number of a disk must not be 0.
         let disk = SimDisk::new(self.rng.number() | 1);
         let part = Part::Replica {
             replica: None,
@@ -61,7 +61,7 @@
         self.add(Part::Node(None), zone, address, on);
     }
 
-    /// Adds the proxy beside a worker, and starts it.
+    /// Adds the proxy of a worker, and starts it.
     pub(in crate::simulator) fn add_worker_proxy(&mut self, zone: usize, address: String) {
         self.add(Part::WorkerProxy(None), zone, address, Machine::default());
     }
@@ -75,7 +75,7 @@
         self.start(number);
     }
 
-    /// What the clocks of a process show.
+    /// The times of a process's clocks.
     pub(super) fn clocks(&self, process: usize) -> Now {
         let process = &self.processes[process];
         Now {
@@ -111,7 +111,7 @@
         self.schedule_in(1 + jitter_ms, tick);
     }
 
-    /// Kills a process where it stands.
+    /// Kills a process without a graceful stop.
     pub(in crate::simulator) fn kill(&mut self, number: usize) {
         if !self.processes[number].is_up() {
             return;
@@ -134,12 +134,13 @@
         }
     }
 
-    /// A replica's disk is not whole until it has got again to what was committed.
+    /// Records that a replica's disk has lost data: it is not available until it has again applied all that was
+    /// committed.
     pub(in crate::simulator) fn note_loss(&mut self, process: usize) {
         self.processes[process].has_lost_up_to = self.committed;
     }
 
-    /// The replica that leads in the highest term.
+    /// The leader with the highest term that is not frozen.
     pub(in crate::simulator) fn leader(&self) -> Option<usize> {
         let leading_term = |process: &Process| {
             let replica = process.replica().filter(|replica| replica.is_leader())?;
@@ -151,7 +152,8 @@
         leaders.max().map(|(_, number)| number)
     }
 
-    /// A message reaches a process, or waits while that stands still.
+    /// Delivers a message to a process and applies the effects. If the process is frozen, the message waits; ticks are
+    /// dropped.
     pub(in crate::simulator) fn step(&mut self, number: usize, message: Msg) {
         let now = self.clocks(number);
         let process = &mut self.processes[number];
@@ -178,7 +180,7 @@
         self.observe_version(number, now);
     }
 
-    /// Records when a node that is ready has another version in force than before.
+    /// Records a new version of the configuration in force on a ready node.
     fn observe_version(&mut self, number: usize, now: Now) {
         let process = &mut self.processes[number];
         let Some(node) = process.node() else { return };
@@ -197,7 +199,7 @@
         });
     }
 
-    /// A disk that takes nothing is tried again.
+    /// Reports an error if the disk is full, and schedules the write again.
     pub(super) fn retry_write(&mut self, process: usize, incarnation: u64, write_id: u64) {
         let disk = self.processes[process].disk_mut();
         if disk.is_some_and(|disk| disk.condition == Condition::Full) {
@@ -222,7 +224,7 @@
                 self.log_line(&line);
             }
             Effect::Exit => {
-                // A graceful end: what was on its way to the disk arrives.
+                // A graceful exit: pending writes reach the disk.
                 if let Some(disk) = self.processes[number].disk_mut() {
                     disk.crash(usize::MAX);
                 }
--- a/testkit/src/simulator/world/report.rs
+++ b/testkit/src/simulator/world/report.rs
@@ -9,29 +9,30 @@
 use landingdrift::state::{AttemptState, ClusterState, JobState};
 use std::collections::BTreeMap;
 
-/// What a day left behind.
+/// The results of a day.
 pub struct Report {
     pub history: History,
     pub summary: Summary,
-    /// Milliseconds that each job took which was done, in the order of their ends.
+    /// The latency of each job that is done, in milliseconds, in the order of their ends.
     pub latencies_ms: Vec<u64>,
-    /// The same by the job's id.
+    /// The same, by job id.
     pub latency_of_job_ms: BTreeMap<String, u64>,
-    /// What the parts counted, by role and name.
+    /// The sums of all parts' counters, by role and name.
     pub counters: BTreeMap<String, u64>,
+    /// The faults of the scenario, with the sampled ones.
     pub faults: Vec<Fault>,
-    /// Log lines of the parts, the faults and the jobs that are still open.
+    /// The log: lines of the parts, the faults, and the jobs that are still open at the end.
     pub log: Vec<String>,
-    /// More happened than a day can hold: the parts keep each other busy.
+    /// The day exceeded the limit on actions: the parts keep each other busy without end.
     pub is_livelocked: bool,
-    /// Speculative copies that ended first.
+    /// The number of speculative copies that ended before the original run.
     pub copies_won: u64,
-    /// Messages between the system's own processes.
+    /// The number of messages between the system's processes.
     pub messages: u64,
 }
 
 impl World {
-    /// Ends the day with the state that the replicas came to.
+    /// Ends the day with the final state: the leader's, or that of the replica that has applied most.
     pub(super) fn into_report(mut self, is_livelocked: bool) -> Report {
         let mut counters: BTreeMap<String, u64> = BTreeMap::new();
         for process in &mut self.processes {
@@ -70,7 +71,7 @@
     }
 }
 
-/// A line for each job that is still open, with its attempts, for whoever looks for the cause.
+/// A log line for each job that is still open, with its attempts, for debugging.
 fn open_jobs(state: &ClusterState) -> Vec<String> {
     let jobs = state.open.iter().filter_map(|id| state.jobs.get(id));
     jobs.map(|job| {
--- a/testkit/src/simulator/world/schedule.rs
+++ b/testkit/src/simulator/world/schedule.rs
@@ -1,17 +1,17 @@
-//! The schedule of what is still to happen, and what each entry does when its time has come.
+//! The queue of scheduled actions, and how each is performed.
 
 use super::{Caller, Part, World, TICK_MS};
 use crate::simulator::disk::Condition;
 use landingdrift::sans_io::{Msg, Request, Response};
 use std::cmp::{Ordering, Reverse};
 
-/// How often the nodes are asked what they have in force, in milliseconds.
+/// The interval of probes of the nodes' versions and readiness, in milliseconds.
 pub(super) const PROBE_EVERY_MS: u64 = 500;
-/// How often it is looked which parts could work, in milliseconds.
+/// The interval of observations of the availability, in milliseconds.
 const OBSERVE_EVERY_MS: u64 = 100;
 
-/// What can happen at a moment of the day. Actions of a process or worker name its incarnation: those of an earlier
-/// one are dropped.
+/// An action at a time of the day. Actions for a process or worker include its incarnation, and are dropped if it has
+/// changed.
 pub(in crate::simulator) enum Action {
     TickProcess {
         process: usize,
@@ -24,13 +24,13 @@
         from: String,
         frame: Vec<u8>,
     },
-    /// A disk has had the time to write.
+    /// The duration of a write on a disk is over.
     CompleteWrite {
         process: usize,
         incarnation: u64,
         write_id: u64,
     },
-    /// A call arrives at the process of an address.
+    /// A call arrives at the process with an address.
     Call {
         to: String,
         caller: Caller,
@@ -47,21 +47,21 @@
         worker: usize,
         incarnation: u64,
     },
-    /// The client and the operators get their tick.
+    /// The client and the operators tick.
     TickCallers,
-    /// The fault of this number strikes.
+    /// The fault with this number begins.
     Strike(usize),
-    /// The fault of this number is over.
+    /// The fault with this number ends.
     Heal(usize),
     /// The load ends.
     EndLoad,
-    /// The nodes are asked what they have in force.
+    /// The versions and readiness of the nodes are recorded.
     Probe,
-    /// It is looked which parts could work.
+    /// The availability is observed.
     ObserveAvailability,
 }
 
-/// An entry of the schedule, ordered by its time, then by when it was entered.
+/// A scheduled action, ordered by time, then by the order of scheduling.
 pub(super) struct ScheduledAction {
     pub(super) at_ms: u64,
     sequence: u64,
--- a/testkit/src/simulator/world/setup.rs
+++ b/testkit/src/simulator/world/setup.rs
@@ -1,4 +1,4 @@
-//! Setting a world up at the beginning of a day.
+//! Setup of a world at the beginning of a day.
 
 use super::schedule::PROBE_EVERY_MS;
 use super::{Action, Availability, Link, Machine, PlannedJob, WorkerMachine, World};
@@ -13,13 +13,13 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-/// Every deployment has so many zones, and a replica in each.
+/// The number of zones in every deployment, each with one replica.
 const ZONES: usize = 3;
-/// The last part of the address of the first node; replicas have 1.
+/// The last part of the first node's address; that of replicas is 1.
 const FIRST_NODE_ADDRESS: usize = 10;
-/// Mixed into the seed for random faults, so that they depend on no other draw.
+/// Mixed into the seed for random faults, so that they do not depend on other samples.
 const FAULTS_SEED: u64 = 0xfa17;
-/// The quota of queues when policies are compared: no job is turned away.
+/// The quota of queues when policies are compared: large enough that no job is refused.
 const MEASURED_QUOTA: u64 = 20_000;
 
 impl World {
@@ -85,7 +85,7 @@
         world
     }
 
-    /// Starts the workers of the scenario. Services, labels and zones go round at different periods, so that most
+    /// Starts the workers of the scenario. Services, labels and zones repeat with different periods, so that most
     /// combinations occur.
     fn add_workers(&mut self, scenario: &Scenario) {
         let services = scenario.shape.mix().services;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Puts the client and the two operators in place of the ones that the world began with.
+    /// Creates the client, which replaces the placeholder of [`World::new`], and the two operators.
     fn add_callers(&mut self, scenario: &Scenario, nodes: Vec<String>) {
         let client_seed = self.rng.number();
         let operator_seeds = [self.rng.number(), self.rng.number()];
@@ -149,13 +149,14 @@
         self.schedule(scenario.seconds * 1000, Action::EndLoad);
     }
 
-    /// Makes this a day of planned jobs alone, each with its time in milliseconds, with free values of admission to be
-    /// measured.
+    /// Turns this into a day that measures a policy: only the planned jobs are offered, and scheduling and
+    /// speculation use the given parameters.
     pub fn measure(&mut self, jobs: Vec<PlannedJob>, hopper: Hopper, speculation_percent: u32) {
         let mut config = self.shape.config();
         let queues = config["queues"].as_object_mut().into_iter().flatten();
         for (_, queue) in queues {
-            // Promises that such a load can't keep would spend the queues' allowances, and with them all copies.
+            // With this load deadlines would be missed, which would use up the queues' allowances and so stop all
+            // speculative copies.
             queue["finishWithinMs"] = json!(0);
             queue["quota"] = json!(MEASURED_QUOTA);
             queue["speculationPercent"] = json!(speculation_percent);
@@ -179,7 +180,7 @@
     }
 }
 
-/// The faults of the scenario and the random ones, in the order of their times.
+/// The faults of the scenario and the random ones, ordered by time.
 fn planned_faults(scenario: &Scenario, seed: u64) -> Vec<Fault> {
     let mut rng = Rng::new(seed ^ FAULTS_SEED);
     let end_ms = scenario.seconds * 1000;
