--- a/testkit/src/fakes/client.rs
+++ b/testkit/src/fakes/client.rs
@@ -9,64 +9,66 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// The first job is submitted after the operator's first configuration, in milliseconds.
+/// When the first job is offered, in milliseconds: after the operator's first configuration.
 const FIRST_JOB_MS: u64 = 2000;
-/// How often a job that has ended is asked for again, in milliseconds.
+/// The interval of polls of jobs that have ended, in milliseconds.
 const ENDED_POLL_EVERY_MS: u64 = 250;
-/// The pause after an answer that names none, in milliseconds.
+/// The pause after an answer without a retry time, in milliseconds.
 const DEFAULT_RETRY_MS: u64 = 500;
-/// Whoever wants to know a state waits at most so long before asking again, in milliseconds.
+/// The longest pause between polls of a job's state, in milliseconds.
 const MAX_POLL_PAUSE_MS: u64 = 400;
-/// The pause after the cancel of a job that is not known yet, in milliseconds.
+/// The pause after the cancel of a job that the system does not know yet, in milliseconds.
 const CANCEL_RETRY_MS: u64 = 2000;
-/// A job that is to be cancelled is so within this time after it was made, in milliseconds.
+/// A job to be cancelled is cancelled within this time after its creation, in milliseconds.
 const CANCEL_WITHIN_MS: u64 = 4000;
-/// The share of jobs that are cancelled.
+/// The default share of jobs that are cancelled.
 const CANCELLED_SHARE: f64 = 0.05;
-/// Clients give a job up after fewer refusals than this.
+/// The number of refusals that a client retries after is random, below this.
 const PATIENCE: u64 = 4;
 
-/// What a client has observed of its jobs, for figures.
+/// Figures of a client's jobs.
 #[derive(Clone, Debug, Default)]
 pub struct ClientObservations {
+    /// Jobs with an accepted submission.
     pub accepted: u64,
+    /// Jobs that the client stopped submitting after a refusal.
     pub refused: u64,
-    /// Milliseconds from being offered to the end, of each job that is done, in the order of their ends.
+    /// The time from offer to end of each job that is done, in milliseconds, in the order of observation.
     pub latencies_ms: Vec<u64>,
-    /// The same by the job's id.
+    /// The same, by job id.
     pub latency_of_job_ms: BTreeMap<String, u64>,
 }
 
 /// A client with all its jobs.
 pub struct Client {
-    /// Addresses of the nodes that the platform names.
+    /// The addresses of all nodes, as the platform lists them.
     pub nodes: Vec<String>,
     rng: Rng,
     mix: Mix,
-    /// What the ids of its jobs begin with.
+    /// The prefix of the ids of its random jobs.
     prefix: String,
     jobs: BTreeMap<String, Job>,
-    /// The jobs that the open calls are about.
+    /// The job id of each open call, by call number.
     calls: BTreeMap<u64, String>,
     last_call: u64,
     jobs_made: u64,
     next_job_ms: u64,
-    /// Accepted jobs that have ended: they are asked for again every now and then.
+    /// Accepted jobs that have ended; they are polled again from time to time.
     ended: Vec<String>,
     next_ended_poll_ms: u64,
-    /// Nodes that the platform has found ready; clients are steered to them.
+    /// The addresses of the ready nodes, which the platform routes clients to; if empty, clients call any of `nodes`.
     pub ready_nodes: Vec<String>,
-    /// Whether it makes jobs of its own.
+    /// Whether it offers random jobs of its mix.
     pub is_offering: bool,
     pub observations: ClientObservations,
     /// The share of jobs that are cancelled.
     pub cancelled_share: f64,
-    /// What the system's clock showed at time 0 of this fake, in milliseconds since 1970.
+    /// The wall clock's time at time 0 of this fake, in milliseconds since 1970.
     epoch_ms: u64,
 }
 
 impl Client {
-    /// A client that offers a mix of jobs.
+    /// A client that offers random jobs of a mix.
     pub fn new(prefix: &str, nodes: Vec<String>, mix: Mix, seed: u64, epoch_ms: u64) -> Self {
         Self {
             nodes,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Offers a job that is neither cancelled nor given up.
+    /// Offers a job that is never cancelled, and is submitted again after any refusal that permits a retry.
     pub fn offer_surely(&mut self, now: u64, spec: JobSpec) -> Vec<Output> {
         let id = spec.id.clone();
         let outputs = self.offer(now, spec);
@@ -99,7 +101,7 @@
         outputs
     }
 
-    /// Offers a job made elsewhere.
+    /// Offers a given job.
     pub fn offer(&mut self, now: u64, spec: JobSpec) -> Vec<Output> {
         let is_cancelled = self.rng.unit() < self.cancelled_share;
         let cancel_at_ms = is_cancelled.then(|| now + self.rng.below(CANCEL_WITHIN_MS));
@@ -125,7 +127,7 @@
         vec![Output::Event(Event::Offered { spec })]
     }
 
-    /// Time has passed: offers new jobs and makes the calls that are due.
+    /// Offers new jobs and makes the calls that are due.
     pub fn tick(&mut self, now: u64) -> Vec<Output> {
         let mut outputs = Vec::new();
         while self.is_offering && self.mix.jobs_per_second > 0.0 && now >= self.next_job_ms {
@@ -146,7 +148,7 @@
     }
 
     fn offer_random_job(&mut self, now: u64) -> Vec<Output> {
-        // Exponential pauses, as of independent callers.
+        // Exponentially distributed pauses, as with independent callers.
         let pause_ms = -(1.0 - self.rng.unit()).ln() * 1000.0 / self.mix.jobs_per_second;
         self.next_job_ms += pause_ms as u64;
         self.jobs_made += 1;
@@ -155,7 +157,7 @@
         self.offer(now, spec)
     }
 
-    /// What has ended must not be forgotten: one of those jobs is asked for now and then.
+    /// Polls a random ended job at intervals, as the system must not forget those.
     fn poll_ended_job(&mut self, now: u64) {
         if now < self.next_ended_poll_ms || self.ended.is_empty() || !self.is_offering {
             return;
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Asks once more for every job that was accepted, as at the end of a day.
+    /// Polls every ended job once more, as at the end of a day.
     pub fn poll_all(&mut self, now: u64) {
         for id in std::mem::take(&mut self.ended) {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Makes the next call about a job, unless the last one is still waited for.
+    /// Makes the next call about a job, unless the previous one is open and has not timed out.
     fn next_call(&mut self, now: u64, id: &str) -> Vec<Output> {
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
@@ -210,7 +212,7 @@
         vec![Output::Event(event), Output::Call { to, call, request }]
     }
 
-    /// A node has answered a call.
+    /// Handles the response to a call.
     pub fn answer(&mut self, now: u64, call: u64, response: &Response) -> Vec<Output> {
         let Some(id) = self.calls.remove(&call) else {
             return Vec::new();
@@ -239,7 +241,7 @@
             return Vec::new();
         };
         let code = response.body["error"].as_str().unwrap_or("").to_string();
-        // Such an answer says nothing of the job: it may have been accepted.
+        // The outcome is unknown: the job may have been accepted.
         let is_uncertain = matches!(code.as_str(), "unsure" | "noCore");
         let answered = Output::Event(Event::SubmitAnswered {
             id: id.to_string(),
@@ -269,7 +271,7 @@
             return Vec::new();
         };
         if response.status != 200 {
-            // Not known yet: it is submitted first.
+            // The system may not know the job yet; go on submitting it first.
             job.cancel_at_ms = Some(now + CANCEL_RETRY_MS);
             return Vec::new();
         }
@@ -305,7 +307,7 @@
         })]
     }
 
-    /// Notes how long a job took, when that is seen for the first time.
+    /// Records a job's latency when its end is observed for the first time.
     fn job_done(&mut self, id: &str, latency_ms: u64) {
         let latencies = &mut self.observations;
         if !latencies.latency_of_job_ms.contains_key(id) {
@@ -316,14 +318,14 @@
         }
     }
 
-    /// Accepted jobs that it asks for and has no final answer about.
+    /// The ids of accepted jobs whose end has not been observed.
     pub fn unanswered(&self) -> Vec<String> {
         let jobs = self.jobs.iter();
         let unanswered = jobs.filter(|(_, job)| job.is_accepted && job.stage != Stage::Ended);
         unanswered.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Jobs that have not ended yet, as far as it knows.
+    /// The number of jobs, accepted or not, that have not ended as far as the client knows.
     pub fn waiting(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|job| job.stage != Stage::Ended).count()
--- a/testkit/src/fakes/client_job.rs
+++ b/testkit/src/fakes/client_job.rs
@@ -1,4 +1,4 @@
-//! A job as its client sees it, and the calls about it.
+//! The state of a job at its client, and the calls about it.
 
 use super::request;
 use crate::history::Event;
@@ -6,12 +6,12 @@
 use landingdrift::state::JobSpec;
 use serde_json::json;
 
-/// A call that submits or cancels is made again when it has no answer for so long, in milliseconds.
+/// The timeout of a submission or cancel, after which it is repeated, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 3000;
-/// How long an answer on a job's state is waited for before another node is asked, in milliseconds.
+/// The timeout of a poll, after which another node is called, in milliseconds.
 const STATE_TIMEOUT_MS: u64 = 1000;
 
-/// How far a client has come with a job.
+/// A stage in a job's life at its client.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Stage {
     Submitting,
@@ -45,17 +45,18 @@
     }
 }
 
+/// A job, with the progress of the calls about it.
 pub(super) struct Job {
     pub spec: JobSpec,
     pub stage: Stage,
-    /// When the next call is made.
+    /// When the next call is due.
     pub next_call_ms: u64,
     pub open_call: Option<OpenCall>,
     pub refusals: u32,
-    /// How many refusals it takes before the client gives up.
+    /// The number of refusals after which the client still retries.
     pub most_refusals: u32,
     pub cancel_at_ms: Option<u64>,
-    /// Cancels still to be made; some are repeated after they were acknowledged.
+    /// The number of cancels still to be acknowledged; some jobs are cancelled twice.
     pub cancels_left: u32,
     pub is_accepted: bool,
     pub offered_ms: u64,
@@ -65,7 +66,7 @@
     /// The purpose of the next call.
     pub fn next_purpose(&self, now: u64) -> Purpose {
         let cancel_is_due = self.cancel_at_ms.is_some_and(|at_ms| now >= at_ms);
-        // A cancel may race the very call that submits the job.
+        // A cancel may overtake the call that submits the job.
         let may_be_known = self.stage == Stage::Polling || now > self.offered_ms;
         if self.cancels_left > 0 && cancel_is_due && may_be_known {
             return Purpose::Cancel;
@@ -82,7 +83,7 @@
     }
 }
 
-/// The observation and the request of a call about a job.
+/// The event and the request of a call about a job.
 pub(super) fn call_for(purpose: Purpose, spec: &JobSpec) -> (Event, Request) {
     let id = spec.id.clone();
     let path = format!("/v1/jobs/{id}");
--- a/testkit/src/fakes/mod.rs
+++ b/testkit/src/fakes/mod.rs
@@ -1,6 +1,5 @@
-//! Fakes of what the system serves: workers, clients and operators. Each is a state machine without clock or socket, so
-//! that the simulator and the fleet of real processes use the same ones. All times are milliseconds since the beginning
-//! of the day.
+//! Fake workers, clients and operators. Each is a state machine without clocks or sockets, so that the simulator and
+//! the fleet of real processes can share them. All times are in milliseconds since the beginning of the day.
 
 pub mod client;
 mod client_job;
@@ -10,9 +9,9 @@
 use crate::history::Event;
 use landingdrift::sans_io::Request;
 
-/// What a fake wants to be done.
+/// An action that a fake requests from its driver.
 pub enum Output {
-    /// Call the node at this HTTP address; the number comes back with the response.
+    /// Make a call to the node at this HTTP address, and pass the response back with the call's number.
     Call {
         to: String,
         call: u64,
--- a/testkit/src/fakes/operator.rs
+++ b/testkit/src/fakes/operator.rs
@@ -1,4 +1,4 @@
-//! A fake operator: it applies configurations, whole or in part, and reads them back.
+//! A fake operator: it replaces or patches the configuration, and reads it back.
 
 use super::{request, Output};
 use crate::history::{Event, RuleSettings};
@@ -6,16 +6,16 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A change is asked for again when it has no answer for so long, in milliseconds.
+/// The timeout of a change, after which it is requested again, in milliseconds.
 const CHANGE_TIMEOUT_MS: u64 = 3000;
-/// A read is made at another node when it has no answer for so long, in milliseconds.
+/// The timeout of a read, after which another node is called, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 1000;
-/// A read that no node has answered for so long is noted, in milliseconds.
+/// A read that no node has answered for this long is recorded as unanswered, in milliseconds.
 const READ_WITHIN_MS: u64 = 4000;
 /// The longest pause after an answer, in milliseconds.
 const MAX_PAUSE_MS: u64 = 500;
 
-/// Something to be done.
+/// An operation to be carried out.
 #[derive(Clone, Debug)]
 enum Order {
     Apply(Change),
@@ -31,26 +31,26 @@
     }
 }
 
-/// A read of the configuration, at one node after the other until one answers.
+/// A read of the configuration, from one node after another until one answers.
 #[derive(Clone, Debug, Default)]
 struct Read {
-    /// When the first node was asked.
+    /// When the first node was called, in milliseconds.
     since_ms: Option<u64>,
-    /// It was noted that no answer has come in time.
+    /// The event that no answer came in time has been recorded.
     is_noted: bool,
 }
 
 /// A change of the configuration.
 #[derive(Clone, Debug)]
 struct Change {
-    /// Its identity: a repeated call carries the same one.
+    /// Identifies the change; repeated calls carry the same id.
     id: String,
     /// Whether it replaces only the parts that it names.
     is_patch: bool,
     value: Value,
-    /// The version that it is made on; where it is none, the newest one known when it is sent.
+    /// The version that it is based on; if none, the newest one known when it is first sent.
     base: Option<u64>,
-    /// Whether it is made again on the newer version when a rival came first.
+    /// Whether it is retried on the newer version after a conflict with a concurrent change.
     retries_after_rival: bool,
 }
 
@@ -61,26 +61,26 @@
     order: Order,
 }
 
-/// An operator, with what it still has to do.
+/// An operator with its queue of operations.
 pub struct Operator {
-    /// Addresses of the nodes that the platform names.
+    /// The addresses of all nodes, as the platform lists them.
     pub nodes: Vec<String>,
     rng: Rng,
     name: String,
     orders: VecDeque<Order>,
     open_call: Option<OpenCall>,
-    /// The node that has been named for the next order.
+    /// The node that the last answer redirected to.
     redirected_to: Option<String>,
     /// When the next call may be made.
     next_call_ms: u64,
     last_call: u64,
-    /// The newest version that it knows.
+    /// The newest version of the configuration that it knows.
     pub version: u64,
     changes_made: u64,
 }
 
 impl Operator {
-    /// An operator that has nothing to do.
+    /// An operator without operations.
     pub fn new(name: &str, nodes: Vec<String>, seed: u64) -> Self {
         Self {
             nodes,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Applies a configuration; where a rival comes first, on top of the rival's.
+    /// Queues a change of the configuration, which is retried on the newer version after a conflict.
     pub fn apply(&mut self, is_patch: bool, value: Value) {
         let id = self.next_change_id();
         self.orders.push_back(Order::Apply(Change {
@@ -108,7 +108,7 @@
         }));
     }
 
-    /// Patches the configuration on top of a fixed version; where a rival comes first, the patch is given up.
+    /// Queues a patch of a fixed version of the configuration, which is not retried after a conflict.
     pub fn race(&mut self, base: u64, value: Value) {
         let id = self.next_change_id();
         self.orders.push_back(Order::Apply(Change {
@@ -120,17 +120,17 @@
         }));
     }
 
-    /// Sets the state of a zone.
+    /// Queues a change of a zone's state.
     pub fn set_zone(&mut self, zone: &str, state: &str) {
         self.apply(true, json!({"zones": {zone: {"state": state}}}));
     }
 
-    /// Reads the configuration.
+    /// Queues a read of the configuration.
     pub fn read(&mut self) {
         self.orders.push_back(Order::Read(Read::default()));
     }
 
-    /// Whether nothing is left to be done.
+    /// Whether no operation is queued or open.
     pub fn is_idle(&self) -> bool {
         self.orders.is_empty() && self.open_call.is_none()
     }
@@ -140,13 +140,13 @@
         format!("{}-{}", self.name, self.changes_made)
     }
 
-    /// Time has passed: makes the next call.
+    /// Makes the next call, if it is due.
     pub fn tick(&mut self, now: u64) -> Vec<Output> {
         if let Some(open) = &self.open_call {
             if now < open.sent_ms + open.order.timeout_ms() {
                 return Vec::new();
             }
-            // The answer is missing: the same is asked for again, a change under the same identity.
+            // The call has timed out: repeat the operation, a change with the same id.
             self.orders.push_front(open.order.clone());
             self.open_call = None;
         }
@@ -187,14 +187,15 @@
         outputs
     }
 
-    /// Fixes the version that a change is made on, and has it leave its mark, so that content can be told from content.
+    /// Fixes the version that a change is based on, and adds the change's id to its notes, by which checkers recognize
+    /// the content.
     fn with_base_and_mark(&self, mut change: Change) -> Change {
         change.base = change.base.or(Some(self.version));
         change.value["notes"]["by"] = json!(change.id);
         change
     }
 
-    /// A node has answered a call.
+    /// Handles the response to a call.
     pub fn answer(&mut self, now: u64, call: u64, response: &Response) -> Vec<Output> {
         let Some(open) = self.open_call.take_if(|open| open.call == call) else {
             return Vec::new();
@@ -230,7 +231,7 @@
         let version = response.body["version"].as_u64().unwrap_or(0);
         self.version = self.version.max(version);
         if response.status == 409 && change.retries_after_rival {
-            // On another version it is another change.
+            // On another base it is another change, with its own id.
             let id = self.next_change_id();
             self.orders.push_front(Order::Apply(Change {
                 id,
@@ -248,7 +249,7 @@
     }
 }
 
-/// Notes a read that is made at a time, and for the first time that it has had no answer for too long.
+/// Sets the start of a read at its first call; when it first exceeds [`READ_WITHIN_MS`], returns the event.
 fn note_unanswered(now: u64, read: &mut Read) -> Option<Output> {
     let since_ms = *read.since_ms.get_or_insert(now);
     let is_late = now >= since_ms + READ_WITHIN_MS;
@@ -265,7 +266,7 @@
     request(method, "/v1/desired", &query, Some(&change.value))
 }
 
-/// The settings in a change that rules depend on.
+/// The settings in a change that the checkers' rules depend on.
 fn rule_settings(value: &Value) -> RuleSettings {
     let zones = value["zones"].as_object().into_iter().flatten();
     let zone_states = zones.map(|(name, zone)| {
@@ -279,7 +280,7 @@
     }
 }
 
-/// A limit of each queue that a change names it for.
+/// The values of one kind of limit in a change, by queue.
 fn queue_limits(value: &Value, key: &str) -> BTreeMap<String, u32> {
     let queues = value["queues"].as_object().into_iter().flatten();
     queues
--- a/testkit/src/fakes/worker/departure.rs
+++ b/testkit/src/fakes/worker/departure.rs
@@ -1,21 +1,21 @@
-//! Workers that report that they leave without having announced it, and run on: the report is sent until it is answered.
+//! Reports of workers that leave without an announcement and run on; a report is repeated until it is acknowledged.
 
 use super::{Worker, CALL_TIMEOUT_MS};
 use crate::fakes::{request, Output};
 use crate::history::Event;
 use landingdrift::sans_io::Response;
 
-/// The report that a worker leaves.
+/// The report that a worker has left, while it is not acknowledged.
 #[derive(Default)]
 pub(super) struct DepartureReport {
-    /// The newest call that carries it.
+    /// The number of the latest call that carries it.
     call: u64,
-    /// When the next one is sent, in milliseconds.
+    /// When the next call is due, in milliseconds.
     next_call_ms: u64,
 }
 
 impl Worker {
-    /// Begins to report that it leaves; it runs on as before.
+    /// Begins to report that it has left; its runs and heartbeats go on.
     pub fn leave_unannounced(&mut self, now: u64) -> Vec<Output> {
         self.departure = Some(DepartureReport::default());
         self.report_departure(now).into_iter().collect()
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Takes the answer to its report, if it is one.
+    /// Handles a response if it acknowledges the report.
     pub(super) fn departure_answered(&mut self, call: u64, response: &Response) -> Option<Output> {
         let is_acknowledged = response.status == 200;
         self.departure
--- a/testkit/src/fakes/worker/lease.rs
+++ b/testkit/src/fakes/worker/lease.rs
@@ -1,6 +1,6 @@
-//! Workers that run tasks for as long as their lease lasts, and identify runs by their names and not by the numbers of
-//! attempts. Such a worker forgets an end that was acknowledged, and refuses any run that is not above one that ended or
-//! was called off there.
+//! Workers with a lease, which kill their runs when it expires and identify runs by name instead of attempt number.
+//! Such a worker forgets acknowledged ends, and refuses each run whose number is not above that of the task's highest
+//! run that ended or was stopped there.
 
 use super::{OpenCall, Worker};
 use crate::fakes::Output;
@@ -9,21 +9,21 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A worker's clock may run so much slow: it takes its lease to last so many hundredths of its time.
+/// The duration for which a worker uses its lease, in percent of the granted one: it simulates a slow clock.
 const SLOW_CLOCK_PERCENT: u64 = 102;
 
-/// The lease of a worker, and what it knows of earlier runs. Times are milliseconds since the beginning of the day.
+/// The lease of a worker, and its record of earlier runs.
 #[derive(Default)]
 pub(super) struct WorkerLease {
-    /// When it runs out.
+    /// When it expires, in milliseconds.
     expires_ms: u64,
-    /// It was renewed, and has not run out since.
+    /// It was granted and has not expired since.
     is_held: bool,
-    /// The highest fencing token of an answer.
+    /// The highest fencing token received.
     fencing_token: u64,
-    /// The highest run of each task that ended or was called off, by the names of job and task.
+    /// The highest number of a run that ended or was stopped, by job and task.
     ended_runs: BTreeMap<(String, String), u32>,
-    /// How many ends the open heartbeat reports.
+    /// The number of ends that the open heartbeat reports.
     reported_ends: usize,
 }
 
@@ -41,20 +41,20 @@
 }
 
 impl Worker {
-    /// Remembers that a run has ended; returns its name if ends are reported by names.
+    /// Records the end of a run if the worker has a lease; returns the name to report it by.
     pub(super) fn note_ended_run(&mut self, name: RunName) -> Option<RunName> {
         let lease = self.lease.as_mut()?;
         lease.note_ended(&name);
         Some(name)
     }
 
-    /// Whether a run is turned away.
+    /// Whether the worker refuses to start a run.
     pub(super) fn refuses(&self, name: RunName) -> bool {
         let lease = self.lease.as_ref();
         lease.is_some_and(|lease| lease.has_ended(name))
     }
 
-    /// The body of a heartbeat that identifies runs by their names.
+    /// The body of a heartbeat that identifies runs by name.
     pub(super) fn named_heartbeat_body(&mut self, now: u64, call: u64) -> Value {
         let running = self.running.values();
         let running: Vec<Value> = running
@@ -71,7 +71,8 @@
         json!({"facts": self.info, "running": running, "ended": ended, "call": call, "named": true})
     }
 
-    /// Does as an answer says. One with a lower fencing token than before starts, stops and renews nothing.
+    /// Handles the answer to a heartbeat. If its fencing token is lower than an earlier one, it starts, stops and
+    /// renews nothing.
     pub(super) fn obey_named(&mut self, now: u64, open: OpenCall, body: &Value) -> Vec<Output> {
         let mut outputs = self.forget_acknowledged(body);
         let Some(lease) = &mut self.lease else {
@@ -97,7 +98,7 @@
         outputs
     }
 
-    /// Forgets the ends that an answer acknowledges.
+    /// Removes the ends that an answer acknowledges from those to report.
     fn forget_acknowledged(&mut self, body: &Value) -> Vec<Output> {
         let reported = self.lease.as_ref().map_or(0, |lease| lease.reported_ends);
         let settled = body["settledTo"].as_u64().unwrap_or(0) as usize;
@@ -113,7 +114,7 @@
         acknowledged.map(event).collect()
     }
 
-    /// Stops a run by its names; one that is not there yet is turned away from now on.
+    /// Stops a run by name; if it has not arrived yet, it will be refused.
     fn stop_named(&mut self, now: u64, stop: &Value) {
         let name = RunName {
             job: stop[0].as_str().unwrap_or("").into(),
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Kills what runs when the lease has run out.
+    /// Kills all runs if the lease has expired.
     pub(super) fn expire_lease(&mut self, now: u64) -> Vec<Output> {
         let lease = self.lease.as_mut();
         let Some(lease) = lease.filter(|lease| lease.is_held && now >= lease.expires_ms) else {
--- a/testkit/src/fakes/worker/mod.rs
+++ b/testkit/src/fakes/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A fake worker: it sends heartbeats, runs what it is told to and reports how that ended.
+//! A fake worker: it sends heartbeats, runs tasks as ordered by nodes, and reports their outcomes.
 
 mod departure;
 mod lease;
@@ -13,21 +13,21 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The pause between heartbeats until a node says otherwise, in milliseconds.
+/// The interval of heartbeats until a node sets another, in milliseconds.
 const DEFAULT_HEARTBEAT_MS: u64 = 250;
-/// A heartbeat without an answer is given up after this time, in milliseconds.
+/// The timeout of a heartbeat, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 800;
-/// Ends are reported this soon, so that the capacity is used again, in milliseconds.
+/// The delay of the heartbeat that reports an end, in milliseconds: short, so that the capacity is soon reused.
 const REPORT_END_WITHIN_MS: u64 = 20;
-/// The next node is tried after this pause, in milliseconds.
+/// The pause before a heartbeat to another node, in milliseconds.
 const NEXT_NODE_AFTER_MS: u64 = 20;
 
-/// How a worker behaves.
+/// The faults in a worker's behavior.
 #[derive(Clone, Debug)]
 pub struct Behavior {
-    /// Runs take this many times as long.
+    /// The factor on the durations of runs.
     pub slowdown: f64,
-    /// The share of runs that fail quietly.
+    /// The share of runs that fail, while heartbeats go on as usual.
     pub failing_share: f64,
 }
 
@@ -40,13 +40,15 @@
     }
 }
 
+/// A run of a task.
 struct Run {
     job: String,
     task: String,
-    /// Numbers the starts of the task.
+    /// The number of the run among those of its task.
     number: u32,
     started_ms: u64,
     ends_ms: u64,
+    /// The outcome that it will have when it ends.
     outcome: Outcome,
 }
 
@@ -59,14 +61,15 @@
         }
     }
 
-    /// How much of it is over, in thousandths.
+    /// The share of its duration that is over, in thousandths.
     fn progress(&self, now: u64) -> u64 {
         let duration_ms = (self.ends_ms - self.started_ms).max(1);
         (now - self.started_ms) * 1000 / duration_ms
     }
 }
 
-/// The random numbers of a run when policies are compared: each task and each copy has its own, under every policy.
+/// The random numbers of a run when policies are compared: they depend only on the task and on whether it is a copy, so
+/// that all policies see the same ones.
 pub fn paired_rng(seed: u64, job: &str, task: &str, copy: bool) -> Rng {
     Rng::new(seed ^ fnv1a(format!("{job}/{task}/{copy}").as_bytes()))
 }
@@ -82,27 +85,27 @@
 pub struct Worker {
     pub info: WorkerInfo,
     pub behavior: Behavior,
-    /// Addresses of the nodes that the platform names.
+    /// The addresses of all nodes, as the platform lists them.
     pub nodes: Vec<String>,
-    /// Which of the nodes it talks to.
+    /// The index of the node that it calls.
     current_node: usize,
     rng: Rng,
     seed: u64,
-    /// Where set, a run's duration and outcome depend on its job and task alone; see [`paired_rng`].
+    /// If set, a run's duration and outcome depend on its job and task only; see [`paired_rng`].
     pub paired_seed: Option<u64>,
-    /// Runs by the number of the attempt.
+    /// The current runs, by attempt number.
     running: BTreeMap<u64, Run>,
     /// Ends that no node has acknowledged.
     unreported_ends: Vec<EndReport>,
-    /// Attempts that ended or were called off before they came: never to be started.
+    /// Attempts that ended or were stopped before they arrived, and must never be started.
     finished: BTreeSet<u64>,
     heartbeat_ms: u64,
     next_heartbeat_ms: u64,
     open_call: Option<OpenCall>,
     last_call: u64,
-    /// Where set, it runs tasks for as long as its lease lasts, and identifies runs by their names.
+    /// The lease, if it works with one; it then identifies runs by name.
     lease: Option<WorkerLease>,
-    /// Its report that it leaves, until that is acknowledged.
+    /// The report that it has left without an announcement, until that is acknowledged.
     departure: Option<DepartureReport>,
 }
 
@@ -131,18 +134,18 @@
         }
     }
 
-    /// The same worker with a lease on what it runs.
+    /// The same worker, with a lease on its runs.
     pub fn with_lease(mut self) -> Self {
         self.lease = Some(WorkerLease::default());
         self
     }
 
-    /// Whether it has a lease on what it runs.
+    /// Whether it works with a lease.
     pub fn has_lease(&self) -> bool {
         self.lease.is_some()
     }
 
-    /// The observation that it has started.
+    /// The event that it has started.
     pub fn up_event(&self) -> Event {
         let info = &self.info;
         Event::WorkerUp {
@@ -166,12 +169,12 @@
         outputs
     }
 
-    /// The node that it talks to.
+    /// The address of the node that it calls.
     fn node(&self) -> String {
         self.nodes[self.current_node % self.nodes.len().max(1)].clone()
     }
 
-    /// Has other capacity or labels from now on; answers to older heartbeats are not obeyed any more.
+    /// Changes its capacity and labels; answers to earlier heartbeats are then ignored.
     pub fn change(&mut self, now: u64, cpu: u32, labels: BTreeSet<String>) -> Vec<Output> {
         self.info.cpu = cpu;
         self.info.labels = labels;
@@ -184,7 +187,7 @@
         })]
     }
 
-    /// Time has passed: ends runs and sends the heartbeat that is due.
+    /// Ends the runs and the lease that are over, and sends the calls that are due.
     pub fn tick(&mut self, now: u64) -> Vec<Output> {
         let mut outputs = self.end_runs(now);
         outputs.extend(self.expire_lease(now));
@@ -272,7 +275,7 @@
         }))
     }
 
-    /// How many runs there are.
+    /// The number of current runs.
     pub fn running(&self) -> usize {
         self.running.len()
     }
--- a/testkit/src/fakes/worker/orders.rs
+++ b/testkit/src/fakes/worker/orders.rs
@@ -1,4 +1,4 @@
-//! What a worker does with the answers to its heartbeats: it starts and stops runs.
+//! Handling of the answers to heartbeats: a worker starts and stops runs as ordered.
 
 use super::{paired_rng, Run, Worker, DEFAULT_HEARTBEAT_MS, REPORT_END_WITHIN_MS};
 use crate::fakes::Output;
@@ -7,16 +7,16 @@
 use landingdrift::state::{EndReport, Outcome, RunName};
 use serde_json::{json, Value};
 
-/// A run that is told to stop takes less than this to let go of its capacity, in milliseconds.
+/// A stopped run frees its capacity within this time, in milliseconds.
 const STOP_WITHIN_MS: u64 = 300;
-/// Starts are confirmed this soon, in milliseconds.
+/// The longest delay of the heartbeat that confirms a start, in milliseconds.
 const CONFIRM_START_WITHIN_MS: u64 = 50;
-/// A task whose payload says nothing runs so long, in milliseconds.
+/// The duration of a task whose payload gives none, in milliseconds.
 const DEFAULT_TASK_MS: f64 = 200.0;
-/// No run takes more than so many times its shortest duration.
+/// The longest duration of a run, as a multiple of its shortest.
 const MAX_TAIL_FACTOR: f64 = 20.0;
 
-/// A task that a node tells the worker to start.
+/// An order to start a run of a task.
 struct Order<'a> {
     attempt: u64,
     job: &'a str,
@@ -50,7 +50,7 @@
 }
 
 impl Worker {
-    /// A node has answered a heartbeat.
+    /// Handles the response to a heartbeat or to the report of a departure.
     pub fn answer(&mut self, now: u64, call: u64, response: &Response) -> Vec<Output> {
         if let Some(left) = self.departure_answered(call, response) {
             return vec![left];
@@ -74,7 +74,7 @@
         for attempt in numbers(&body["stops"]) {
             self.stop(now, attempt);
         }
-        // The orders of an answer that took too long may be out of date.
+        // Orders in an answer that took too long may be out of date.
         let took_ms = now.saturating_sub(open.sent_ms);
         if took_ms > body["obeyMs"].as_u64().unwrap_or(0) || self.info.leaving {
             return Vec::new();
@@ -82,7 +82,7 @@
         self.start_all(now, body)
     }
 
-    /// Starts what an answer tells it to.
+    /// Starts the runs that an answer orders.
     pub(super) fn start_all(&mut self, now: u64, body: &Value) -> Vec<Output> {
         let starts = body["starts"].as_array().into_iter().flatten();
         starts
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Has a run let go of its capacity.
+    /// Stops a run, which ends after a random delay.
     pub(super) fn stop_running(&mut self, now: u64, attempt: u64) {
         let Some(run) = self.running.get_mut(&attempt) else {
             return;
@@ -131,7 +131,7 @@
         };
         let duration_ms = self.random_duration_ms(&mut rng, order.payload);
         let outcome = self.random_outcome(&mut rng, order.payload);
-        // What fails may fail at any moment, the first one too.
+        // A failure may occur at any time of the run, even at once.
         let duration_ms = if self.lease.is_some() && outcome == Outcome::Failed {
             rng.below(duration_ms)
         } else {
@@ -157,7 +157,7 @@
         }))
     }
 
-    /// Reports a start that it does not obey.
+    /// Reports a refused order to start a run.
     fn report_refused(&mut self, now: u64, order: &Order) {
         self.finished.insert(order.attempt);
         self.unreported_ends.push(EndReport {
@@ -169,8 +169,8 @@
         self.next_heartbeat_ms = now + REPORT_END_WITHIN_MS;
     }
 
-    /// How long a run takes: Pareto distributed, as in the paper, where the payload names a shape for the tail; else as
-    /// long as the payload says.
+    /// The duration of a run: the payload's shortest duration, times a Pareto-distributed factor, as in the Hopper
+    /// paper, if the payload gives a shape for the tail.
     fn random_duration_ms(&self, rng: &mut Rng, payload: &Value) -> u64 {
         let shortest_ms = payload["ms"].as_f64().unwrap_or(DEFAULT_TASK_MS);
         let tail = payload["tail"].as_f64().unwrap_or(0.0);
@@ -195,7 +195,7 @@
     }
 }
 
-/// The whole numbers of an array.
+/// The unsigned integers in an array.
 fn numbers(values: &Value) -> Vec<u64> {
     let values = values.as_array().into_iter().flatten();
     values.filter_map(Value::as_u64).collect()
