--- a/landingdrift/src/consensus/client_requests.rs
+++ b/landingdrift/src/consensus/client_requests.rs
@@ -46,18 +46,18 @@
             && !self.is_transferring_leadership(now)
             && self.accepts_proposals(now);
         if !accepts {
-            return self.decline_proposal(from, request.token, PROPOSAL_NOT_APPENDED);
+            return self.reject_proposal(from, request.token, PROPOSAL_NOT_APPENDED);
         }
         let submitted = submitted_job(&request.command);
         let admitted = submitted.as_ref().and_then(|job| self.admit_job(now, job));
         if submitted.is_some() && admitted.is_none() {
             self.count("jobs_without_capacity", 1);
-            return self.decline_proposal(from, request.token, PROPOSAL_NO_CAPACITY);
+            return self.reject_proposal(from, request.token, PROPOSAL_NO_CAPACITY);
         }
         self.count("proposals", 1);
         let index = self.append_bytes(now, request.command);
         if let Some(job) = admitted {
-            self.job_admission.note_appended(index, job);
+            self.job_admission.record_appended(index, job);
         }
         let pending = PendingProposal {
             from: from.into(),
@@ -68,7 +68,7 @@
     }
 
     /// Answers a proposal that was not appended.
-    fn decline_proposal(&mut self, from: &str, token: RequestToken, outcome: u8) {
+    fn reject_proposal(&mut self, from: &str, token: RequestToken, outcome: u8) {
         let response = ProposeResponse {
             token,
             outcome,
--- a/landingdrift/src/consensus/clock.rs
+++ b/landingdrift/src/consensus/clock.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 /// So many clocks are enough to agree on a time at once.
-const ENOUGH_READINGS: usize = 5;
+const MIN_READINGS: usize = 5;
 /// So many are enough after the wait for more.
-const ENOUGH_READINGS_AFTER_WAIT: usize = 2;
+const MIN_READINGS_AFTER_WAIT: usize = 2;
 
 /// What a process says of the time.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,7 +26,7 @@
 }
 
 impl TimeBase {
-    fn carried_on(&self, now: Now) -> u64 {
+    fn extrapolate(&self, now: Now) -> u64 {
         self.time + now.mono.saturating_sub(self.mono)
     }
 }
@@ -86,7 +86,7 @@
     /// What this process says of the time.
     pub fn reading(&self, now: Now) -> ClockReading {
         ClockReading {
-            time: self.base.map_or(now.wall, |base| base.carried_on(now)),
+            time: self.base.map_or(now.wall, |base| base.extrapolate(now)),
             is_agreed: self.base.is_some(),
         }
     }
@@ -112,8 +112,8 @@
         let waited = now.mono.saturating_sub(self.leading_since) >= wait_ms;
         let some_agreed = readings.iter().any(|reading| reading.is_agreed);
         let enough = some_agreed
-            || readings.len() >= ENOUGH_READINGS
-            || (waited && readings.len() >= ENOUGH_READINGS_AFTER_WAIT);
+            || readings.len() >= MIN_READINGS
+            || (waited && readings.len() >= MIN_READINGS_AFTER_WAIT);
         if !enough {
             return;
         }
@@ -130,7 +130,7 @@
     /// The agreed time in milliseconds since 1970; never earlier than the last one that was read.
     pub fn read(&mut self, now: Now) -> u64 {
         if let Some(base) = self.base {
-            self.last_read = self.last_read.max(base.carried_on(now));
+            self.last_read = self.last_read.max(base.extrapolate(now));
         }
         self.last_read
     }
--- a/landingdrift/src/consensus/disk_health.rs
+++ b/landingdrift/src/consensus/disk_health.rs
@@ -58,7 +58,7 @@
     }
 
     /// Notes that a write was handed over.
-    pub fn write_submitted(&mut self, at: u64, write_id: u64) {
+    pub fn record_submitted(&mut self, at: u64, write_id: u64) {
         self.unconfirmed.push_back(UnconfirmedWrite {
             write_id,
             submitted_at: at,
@@ -66,19 +66,19 @@
     }
 
     /// Notes that all writes up to `write_id` are durable. Returns for how long the disk had taken none, if it had not.
-    pub fn confirmed(&mut self, at: u64, write_id: u64) -> Option<u64> {
+    pub fn record_confirmed(&mut self, at: u64, write_id: u64) -> Option<u64> {
         self.unconfirmed.retain(|write| write.write_id > write_id);
         if self.takes_writes() {
             return None;
         }
         let unusable_ms = at.saturating_sub(self.since);
         self.enter(Condition::Sound, at, String::new());
-        self.restart_wait(at);
+        self.restart_timeouts(at);
         Some(unusable_ms)
     }
 
     /// Notes that the disk refused a write. Returns whether it took writes, or only stalled, until now.
-    pub fn refused(&mut self, at: u64, reason: &str) -> bool {
+    pub fn record_refusal(&mut self, at: u64, reason: &str) -> bool {
         let is_news = self.condition != Condition::Refusing;
         if is_news {
             self.enter(Condition::Refusing, at, reason.into());
@@ -99,7 +99,7 @@
     }
 
     /// Starts all waits anew: the process itself stood still, not the disk.
-    pub fn restart_wait(&mut self, at: u64) {
+    pub fn restart_timeouts(&mut self, at: u64) {
         for write in &mut self.unconfirmed {
             write.submitted_at = at;
         }
@@ -125,7 +125,7 @@
 impl Replica {
     /// The disk refused a write.
     pub(super) fn on_disk_error(&mut self, now: Now, reason: &str) {
-        if !self.disk_health.refused(now.mono, reason) {
+        if !self.disk_health.record_refusal(now.mono, reason) {
             self.count("disk_retries", 1);
             return;
         }
@@ -133,7 +133,7 @@
         self.outbox.log(format!(
             "the disk refused ({reason}): this replica neither leads nor votes until a write succeeds; it tries by itself"
         ));
-        self.step_aside(now);
+        self.step_down(now);
     }
 
     /// Steps aside when the disk has confirmed nothing for too long.
@@ -146,12 +146,12 @@
         self.outbox.log(format!(
             "the disk has confirmed nothing for {timeout_ms} ms: this replica neither leads nor votes until it does"
         ));
-        self.step_aside(now);
+        self.step_down(now);
     }
 
     /// The disk has confirmed writes: if it took none before, the replica takes part in elections again.
     pub(super) fn on_write_confirmed(&mut self, now: Now, write_id: u64) {
-        if let Some(unusable_ms) = self.disk_health.confirmed(now.mono, write_id) {
+        if let Some(unusable_ms) = self.disk_health.record_confirmed(now.mono, write_id) {
             self.outbox.log(format!(
                 "the disk takes writes again, after {unusable_ms} ms"
             ));
@@ -160,7 +160,7 @@
     }
 
     /// Gives up leading, or standing for election; the best successor is asked to lead.
-    fn step_aside(&mut self, now: Now) {
+    fn step_down(&mut self, now: Now) {
         if self.role == Role::Leader {
             self.transfer_leadership(now);
         }
--- a/landingdrift/src/consensus/job_admission.rs
+++ b/landingdrift/src/consensus/job_admission.rs
@@ -16,7 +16,7 @@
 const DEFERRED_AFTER_MS: u64 = 60_000;
 
 /// Deferred jobs may take one part in so many of each limit.
-const DEFERRED_DIVISOR: u64 = 2;
+const DEFERRED_LIMIT_DIVISOR: u64 = 2;
 
 /// What some jobs take.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -73,7 +73,7 @@
         self.appended.retain(|job| job.index > applied_index);
     }
 
-    fn all(&self) -> JobUsage {
+    fn total(&self) -> JobUsage {
         self.counted.plus(self.appended_usage(|_| true))
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Notes that a job was appended at an index.
-    pub(super) fn note_appended(&mut self, index: u64, job: AdmittedJob) {
+    pub(super) fn record_appended(&mut self, index: u64, job: AdmittedJob) {
         if job.bytes > 0 {
             self.appended.push(AppendedJob { index, job });
         }
@@ -140,12 +140,12 @@
             bytes: limits.jobs_memory_bytes,
         };
         let deferred_limit = JobUsage {
-            jobs: limit.jobs / DEFERRED_DIVISOR,
-            bytes: limit.bytes / DEFERRED_DIVISOR,
+            jobs: limit.jobs / DEFERRED_LIMIT_DIVISOR,
+            bytes: limit.bytes / DEFERRED_LIMIT_DIVISOR,
         };
         let may_be_deferred = !admitted.is_deferred
             || has_capacity(deferred_limit, self.job_admission.deferred(), admitted);
-        let fits = may_be_deferred && has_capacity(limit, self.job_admission.all(), admitted);
+        let fits = may_be_deferred && has_capacity(limit, self.job_admission.total(), admitted);
         fits.then_some(admitted)
     }
 }
--- a/landingdrift/src/consensus/leadership.rs
+++ b/landingdrift/src/consensus/leadership.rs
@@ -41,7 +41,7 @@
         self.since = now.mono;
         self.last_command_index = 0;
         self.progress = progress;
-        self.rounds.forget();
+        self.rounds.reset();
     }
 }
 
--- a/landingdrift/src/consensus/lease_assignment.rs
+++ b/landingdrift/src/consensus/lease_assignment.rs
@@ -17,7 +17,7 @@
 const MOVE_WEIGHT_NUMERATOR: u64 = 2;
 const MOVE_WEIGHT_DENOMINATOR: u64 = 3;
 /// Leases are not moved to better holders for so many time-outs of a node after a change.
-const SETTLE_NODE_TIMEOUTS: u64 = 2;
+const MOVE_COOLDOWN_NODE_TIMEOUTS: u64 = 2;
 
 /// How badly a node suits a lease; the least is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -84,7 +84,7 @@
                 }
             }
         }
-        let settle_ms = SETTLE_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
+        let settle_ms = MOVE_COOLDOWN_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
         let last_change = self
             .leadership
             .since
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -94,10 +94,10 @@
         self.remove_replaced()
             .or_else(|| self.admit())
             .or_else(|| self.demote_surplus())
-            .or_else(|| self.demote_from_even())
+            .or_else(|| self.demote_from_even_count())
             .or_else(|| self.promote_missing())
-            .or_else(|| self.promote_for_exchange())
-            .or_else(|| self.remove_silent_standby())
+            .or_else(|| self.promote_replacement())
+            .or_else(|| self.remove_unreachable_standby())
     }
 
     /// Whether a standby could take the place of a voter now or soon.
@@ -229,7 +229,7 @@
     }
 
     /// Of an even number of voters, one that is silent or leaving is demoted: the majority gets smaller by it.
-    fn demote_from_even(&self) -> Option<MembershipChange> {
+    fn demote_from_even_count(&self) -> Option<MembershipChange> {
         let count = self.voters().len();
         if count <= 2 || !count.is_multiple_of(2) {
             return None;
@@ -266,7 +266,7 @@
     /// The other order, demoting first, can end for ever: of three voters one is silent and demoted, the second is lost
     /// before that is committed, and the first comes back; it may not be elected with its shorter log, and the leader
     /// that was counts on the lost one alone. Promoting first, whoever comes back counts.
-    fn promote_for_exchange(&self) -> Option<MembershipChange> {
+    fn promote_replacement(&self) -> Option<MembershipChange> {
         if self.voters().len() != self.target_voters {
             return None;
         }
@@ -283,7 +283,7 @@
         Some(MembershipChange::Promote(best.to_string()))
     }
 
-    fn remove_silent_standby(&self) -> Option<MembershipChange> {
+    fn remove_unreachable_standby(&self) -> Option<MembershipChange> {
         let long_silent = |address: &str| {
             self.observed
                 .get(address)
--- a/landingdrift/src/consensus/membership_state.rs
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 
 /// A standby this many entries behind the commit index still counts as caught up.
-const CAUGHT_UP_WITHIN: u64 = 64;
+const CAUGHT_UP_MAX_LAG_ENTRIES: u64 = 64;
 /// A standby that is silent for this many replacement spans is dropped from the membership.
-const STANDBY_SILENT_SPANS: u64 = 3;
+const STANDBY_REMOVAL_SPANS: u64 = 3;
 /// A replica repeats its request to be admitted after this many heartbeats.
 const JOIN_EVERY_HEARTBEATS: u64 = 4;
 
@@ -119,11 +119,7 @@
     }
 
     /// `own` for this replica and `value` for each other voter; 0 for one whose disk is not the member's.
-    pub(super) fn for_each_voter(
-        &mut self,
-        own: u64,
-        value: impl Fn(&Progress) -> u64,
-    ) -> Vec<u64> {
+    pub(super) fn voter_values(&mut self, own: u64, value: impl Fn(&Progress) -> u64) -> Vec<u64> {
         let mut values = Vec::new();
         for (address, member) in self.members() {
             if !member.voter {
@@ -203,7 +199,7 @@
     /// Calls `use_view` with what the leader knows of the members.
     fn with_view<T>(&mut self, now: Now, use_view: impl FnOnce(&MembershipView) -> T) -> T {
         let members = self.members();
-        let observed = self.observe(now, &members);
+        let observed = self.member_statuses(now, &members);
         let received = self.membership.join_requests.iter();
         let requests: BTreeMap<String, JoinRequest> = received
             .map(|(address, join)| (address.clone(), join.request.clone()))
@@ -217,14 +213,14 @@
         })
     }
 
-    fn observe(&self, now: Now, members: &Members) -> BTreeMap<String, MemberStatus> {
+    fn member_statuses(&self, now: Now, members: &Members) -> BTreeMap<String, MemberStatus> {
         let others = members.iter().filter(|(address, _)| **address != self.name);
         others
-            .map(|(address, member)| (address.clone(), self.observe_member(now, address, member)))
+            .map(|(address, member)| (address.clone(), self.member_status(now, address, member)))
             .collect()
     }
 
-    fn observe_member(&self, now: Now, address: &str, member: &ReplicaMember) -> MemberStatus {
+    fn member_status(&self, now: Now, address: &str, member: &ReplicaMember) -> MemberStatus {
         let progress = self
             .leadership
             .progress
@@ -249,11 +245,11 @@
         let answers =
             silence < self.settings.bounds.election_timeout() && progress.disk == member.disk;
         let has_most_entries = progress.match_index > 0
-            && progress.match_index + CAUGHT_UP_WITHIN >= self.log.commit_index;
+            && progress.match_index + CAUGHT_UP_MAX_LAG_ENTRIES >= self.log.commit_index;
         MemberStatus {
             health,
             caught_up: answers && has_most_entries,
-            long_unreachable: silence > STANDBY_SILENT_SPANS * self.settings.bounds.replace_ms,
+            long_unreachable: silence > STANDBY_REMOVAL_SPANS * self.settings.bounds.replace_ms,
         }
     }
 
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -58,7 +58,7 @@
 /// The role that replicas have in the peer sampler, as it goes over the wire.
 const PEER_ROLE: &str = "core";
 /// A gap between two ticks of more than this share of the election time-out means that the process stood still.
-const FROZEN_ELECTION_DIVISOR: u64 = 2;
+const PAUSE_ELECTION_DIVISOR: u64 = 2;
 
 /// What a replica finds on its disk when it starts.
 #[derive(Clone, Debug, Default)]
@@ -206,8 +206,8 @@
     fn on_tick(&mut self, now: Now) {
         let gap = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
-        if gap > self.settings.bounds.election_timeout() / FROZEN_ELECTION_DIVISOR {
-            self.on_thaw(now);
+        if gap > self.settings.bounds.election_timeout() / PAUSE_ELECTION_DIVISOR {
+            self.on_process_pause(now);
         }
         self.disk_health_tick(now);
         self.recovery_tick(now);
@@ -222,7 +222,7 @@
     }
 
     /// The process stood still: that it heard nothing meanwhile says nothing of others.
-    fn on_thaw(&mut self, now: Now) {
+    fn on_process_pause(&mut self, now: Now) {
         self.count("own_freezes", 1);
         self.election.last_leader_contact = now.mono;
         self.reset_election_timer(now);
@@ -232,7 +232,7 @@
         for watcher in self.watch.watchers.values_mut() {
             watcher.last_heard_at = now.mono;
         }
-        self.disk_health.restart_wait(now.mono);
+        self.disk_health.restart_timeouts(now.mono);
     }
 
     fn peer_sampler_tick(&mut self, now: Now) {
@@ -265,7 +265,7 @@
     fn on_shuffle(&mut self, from: &str, shuffle: crate::wire::Shuffle) {
         let members = self.members().into_keys().collect();
         self.peer_sampler.set_replicas(members);
-        if let Some(reply) = self.peer_sampler.take(shuffle, &mut self.rng) {
+        if let Some(reply) = self.peer_sampler.receive(shuffle, &mut self.rng) {
             self.send(from, Body::Shuffle(Box::new(reply)));
         }
     }
--- a/landingdrift/src/consensus/persistence.rs
+++ b/landingdrift/src/consensus/persistence.rs
@@ -154,7 +154,7 @@
         let last_index = self.log.last().index;
         let batch = self.persistence.take_batch(last_index, witnesses);
         self.disk_health
-            .write_submitted(self.last_tick, batch.write_id);
+            .record_submitted(self.last_tick, batch.write_id);
         self.count("disk_saves", 1);
         self.outbox.persist(batch);
         self.persistence.last_write
--- a/landingdrift/src/consensus/progress.rs
+++ b/landingdrift/src/consensus/progress.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// Rounds whose time of sending is remembered.
-const ROUNDS_REMEMBERED: usize = 1000;
+const MAX_REMEMBERED_ROUNDS: usize = 1000;
 
 /// A leader's view of another replica. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
@@ -42,7 +42,7 @@
     }
 
     /// Notes which disk answers. What an earlier disk at this address acknowledged is lost with it.
-    pub fn observe_disk(&mut self, disk: u64) {
+    pub fn record_disk(&mut self, disk: u64) {
         if self.disk != 0 && self.disk != disk {
             self.match_index = 0;
             self.acked_round_sent_at = 0;
@@ -89,7 +89,7 @@
             number: self.current,
             sent_at: now.mono,
         });
-        if self.sent.len() > ROUNDS_REMEMBERED {
+        if self.sent.len() > MAX_REMEMBERED_ROUNDS {
             self.sent.pop_front();
         }
         self.current
@@ -107,7 +107,7 @@
     }
 
     /// Forgets the rounds of an earlier leadership; their numbers are not used again.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         self.sent.clear();
         self.last_heartbeat_at = 0;
     }
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    fn take_answer(&mut self, from: &str, answer: &Hello, own_disk: u64) {
+    fn record_answer(&mut self, from: &str, answer: &Hello, own_disk: u64) {
         self.answered.insert(from.into(), answer.disk);
         self.highest_term = self.highest_term.max(answer.term);
         if answer.knows {
@@ -154,7 +154,7 @@
     /// A replica has started anew: what it acknowledged before may be lost.
     fn on_recovery_request(&mut self, from: &str, request: &Hello) {
         if let Some(progress) = self.leadership.progress.get_mut(from) {
-            progress.observe_disk(request.disk);
+            progress.record_disk(request.disk);
             progress.next_index = request.last_index + 1;
             progress.match_index = progress.match_index.min(request.last_index);
             progress.snapshot = None;
@@ -165,7 +165,7 @@
 
     fn on_recovery_answer(&mut self, now: Now, from: &str, answer: Hello) {
         if let Some(query) = self.recovery.query.as_mut() {
-            query.take_answer(from, &answer, self.disk);
+            query.record_answer(from, &answer, self.disk);
             let own_name = self.name.clone();
             let not_asked =
                 |member: &String| *member != own_name && !query.answered.contains_key(member);
--- a/landingdrift/src/consensus/replication.rs
+++ b/landingdrift/src/consensus/replication.rs
@@ -165,7 +165,7 @@
         let Some(progress) = self.leadership.progress.get_mut(from) else {
             return;
         };
-        if !note_response(progress, now, response, round_sent_at) {
+        if !record_response(progress, now, response, round_sent_at) {
             return;
         }
         // An answer to an older round says nothing about the batch in flight.
@@ -215,7 +215,7 @@
 
     /// Commits what a majority has on disk. Entries of earlier terms are committed by one of the current term only.
     pub(super) fn advance_commit(&mut self, now: Now) {
-        let match_indexes = self.for_each_voter(self.persistence.durable_index, |p| p.match_index);
+        let match_indexes = self.voter_values(self.persistence.durable_index, |p| p.match_index);
         let index = Self::reached_by_majority(match_indexes);
         let is_of_current_term = self.log.term_at(index) == Some(self.hard_state.term);
         if index <= self.log.commit_index || !is_of_current_term {
@@ -232,7 +232,7 @@
 }
 
 /// Takes note of what any answer tells of a replica. Returns false for a late answer of a disk that is gone.
-fn note_response(
+fn record_response(
     progress: &mut Progress,
     now: Now,
     response: &AppendResponse,
@@ -241,7 +241,7 @@
     if response.round >= progress.acked_round {
         progress.acked_round = response.round;
         progress.leaving = response.leaving;
-        progress.observe_disk(response.disk);
+        progress.record_disk(response.disk);
     }
     if progress.disk != response.disk {
         return false;
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -104,7 +104,7 @@
 impl Watcher {
     /// Whether a node that asks has not received all that was sent to it. One whose process or copy is another one by now
     /// has received nothing.
-    fn awaits_more_than(&self, request: &WatchRequest, light: bool) -> bool {
+    fn has_unreceived_entries(&self, request: &WatchRequest, light: bool) -> bool {
         let is_same_kind = self.light == light && request.light == light;
         self.is_same_process(request) && is_same_kind && self.sent_index > request.log_index
     }
@@ -128,7 +128,7 @@
     /// The latest time at which this leader surely led, in monotonic milliseconds: a majority has answered a round that
     /// was sent then.
     pub(super) fn last_quorum_contact(&mut self, now: Now) -> u64 {
-        let contacts = self.for_each_voter(now.mono, |progress| progress.acked_round_sent_at);
+        let contacts = self.voter_values(now.mono, |progress| progress.acked_round_sent_at);
         Self::reached_by_majority(contacts)
     }
 
@@ -156,7 +156,7 @@
         };
         self.clock.observe(now, &request.node, reading);
         let light = self.should_follow_light_copy(now, &request);
-        self.note_watcher(now, &request, light);
+        self.update_watcher(now, &request, light);
         // A node with a copy of the other kind starts over.
         let from_index = if light == request.light {
             request.log_index
@@ -182,7 +182,7 @@
         watcher.is_some_and(|watcher| watcher.sent_index > watcher.applied_index)
     }
 
-    fn note_watcher(&mut self, now: Now, request: &WatchRequest, light: bool) {
+    fn update_watcher(&mut self, now: Now, request: &WatchRequest, light: bool) {
         let known = self.watch.watchers.get(&request.node);
         let bounds = &self.settings.bounds;
         let mut sent_index = request.log_index;
@@ -191,10 +191,10 @@
         if let Some(known) = known.filter(|known| known.has_received_all(request)) {
             known.unacknowledged.acknowledged(now.mono, &mut rate);
         }
-        if let Some(known) = known.filter(|known| known.awaits_more_than(request, light)) {
+        if let Some(known) = known.filter(|known| known.has_unreceived_entries(request, light)) {
             unacknowledged = known.unacknowledged;
             if request.log_index > known.applied_index {
-                unacknowledged.progressed(now.mono);
+                unacknowledged.partially_acknowledged(now.mono);
             }
             if unacknowledged.is_in_flight(now.mono, rate, bounds) {
                 sent_index = known.sent_index;
@@ -222,7 +222,7 @@
         self.watch.watchers.insert(request.node.clone(), watcher);
     }
 
-    fn note_sent(&mut self, now: Now, node: &str, sent: &SentEntries) {
+    fn record_sent(&mut self, now: Now, node: &str, sent: &SentEntries) {
         let Some(watcher) = self.watch.watchers.get_mut(node) else {
             return;
         };
@@ -295,7 +295,7 @@
             Some(index) => self.entries_after(to, index),
             None => SentEntries::none(0),
         };
-        self.note_sent(now, to, &sent);
+        self.record_sent(now, to, &sent);
         self.send_entries(now, to, origin, leads, sent);
     }
 
--- a/landingdrift/src/consensus/watch_flow.rs
+++ b/landingdrift/src/consensus/watch_flow.rs
@@ -13,7 +13,7 @@
 /// A chunk that is acknowledged later than this is followed by a smaller one.
 const SLOW_CHUNK_HEARTBEATS: u64 = 4;
 /// What is smaller says nothing of a link: its acknowledgement waits for the next request.
-const MEASURED_BYTES: u64 = 4 << 10;
+const MIN_SAMPLE_BYTES: u64 = 4 << 10;
 /// The first chunk of a snapshot, in bytes; later ones grow while the node fetches them quickly.
 const FIRST_CHUNK_BYTES: usize = 32 << 10;
 /// The smallest chunk of a snapshot, in bytes.
@@ -32,8 +32,8 @@
 
 impl LinkRate {
     /// So many bytes were acknowledged after so many milliseconds.
-    pub fn measured(&mut self, bytes: u64, after_ms: u64) {
-        if bytes >= MEASURED_BYTES {
+    pub fn record_sample(&mut self, bytes: u64, after_ms: u64) {
+        if bytes >= MIN_SAMPLE_BYTES {
             self.0 = self.0.max(bytes / after_ms.max(1));
         }
     }
@@ -86,7 +86,7 @@
     }
 
     /// A part of it was acknowledged: the rest is waited for from now on.
-    pub fn progressed(&mut self, now_ms: u64) {
+    pub fn partially_acknowledged(&mut self, now_ms: u64) {
         *self = Self::new(0, now_ms);
     }
 
@@ -94,7 +94,7 @@
     pub fn acknowledged(&self, now_ms: u64, rate: &mut LinkRate) {
         // After a repetition it is not known which of the two was acknowledged.
         if self.repetitions == 0 {
-            rate.measured(self.bytes, now_ms.saturating_sub(self.sent_at));
+            rate.record_sample(self.bytes, now_ms.saturating_sub(self.sent_at));
         }
     }
 
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -12,7 +12,7 @@
 /// Light snapshots that are kept at once: they are small, and nodes on narrow links take long to fetch one.
 const MAX_KEPT_LIGHT: usize = 8;
 /// A snapshot that is not older than so many entries is given to the next node as well.
-const SHARED_FOR_ENTRIES: u64 = 256;
+const MAX_SHARED_LAG_ENTRIES: u64 = 256;
 
 #[derive(Clone)]
 struct KeptSnapshot {
@@ -181,7 +181,7 @@
         let is_begun = |kept: &KeptSnapshot| (kept.id().index, kept.id().checksum) == begun;
         let is_new_enough = |kept: &KeptSnapshot| {
             let index = kept.id().index;
-            index >= least_index && applied.saturating_sub(index) <= SHARED_FOR_ENTRIES
+            index >= least_index && applied.saturating_sub(index) <= MAX_SHARED_LAG_ENTRIES
         };
         let snapshots = &mut self.watch.snapshots;
         let resumes = snapshots
@@ -199,18 +199,18 @@
             kept.last_used_at = now.mono;
             return kept.snapshot.clone();
         }
-        let made = self.make_watch_snapshot(light, least_index);
+        let made = self.create_watch_snapshot(light, least_index);
         self.watch.snapshots.add(light, made.clone(), now);
         made
     }
 
-    fn make_watch_snapshot(&self, light: bool, least_index: u64) -> Arc<ChunkedSnapshot> {
+    fn create_watch_snapshot(&self, light: bool, least_index: u64) -> Arc<ChunkedSnapshot> {
         let applied = self.state.applied_index;
         let own = &self.snapshots.latest;
         let own_index = own.identity().index;
         let follows_log = own_index > 0 && own_index >= self.log.base().index;
         let is_usable = follows_log && own_index >= least_index;
-        if !light && is_usable && applied - own_index <= SHARED_FOR_ENTRIES {
+        if !light && is_usable && applied - own_index <= MAX_SHARED_LAG_ENTRIES {
             return own.clone();
         }
         let bytes = if light {
--- a/landingdrift/src/disk/directory.rs
+++ b/landingdrift/src/disk/directory.rs
@@ -40,7 +40,10 @@
 }
 
 /// Makes a folder, and makes sure that it is still there after a loss of power.
-pub(super) fn make_durable(directory: &dyn Directory, path: &Path) -> Result<(), StorageError> {
+pub(super) fn create_durable_folder(
+    directory: &dyn Directory,
+    path: &Path,
+) -> Result<(), StorageError> {
     fs::create_dir_all(path).map_err(io(path))?;
     let parent = path.parent().filter(|p| !p.as_os_str().is_empty());
     let parent = parent.unwrap_or(Path::new("."));
@@ -48,7 +51,7 @@
 }
 
 /// Writes a file whole: it is there with all its bytes, or as it was before.
-pub(super) fn write_whole(
+pub(super) fn write_atomically(
     directory: &dyn Directory,
     path: &Path,
     bytes: &[u8],
--- a/landingdrift/src/disk/frames.rs
+++ b/landingdrift/src/disk/frames.rs
@@ -5,15 +5,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     HardState(HardState),
-    Cut(u64),
+    Truncate(u64),
     Entry(Entry),
-    Notes(Vec<DurabilityWitness>),
+    Witnesses(Vec<DurabilityWitness>),
     Snapshot(Snapshot),
 }
 
-const HEAD: usize = 8;
+const FRAME_HEADER_BYTES: usize = 8;
 /// No frame is longer; a length beyond it is damage.
-const LONGEST: usize = 256 << 20;
+const MAX_FRAME_BYTES: usize = 256 << 20;
 
 impl Frame {
     /// Appends length, checksum and payload.
@@ -24,7 +24,7 @@
                 body.push(1);
                 body.extend(serde_json::to_vec(h).unwrap_or_default());
             }
-            Self::Cut(c) => {
+            Self::Truncate(c) => {
                 body.push(2);
                 body.extend(c.to_le_bytes());
             }
@@ -35,7 +35,7 @@
                     .for_each(|n| body.extend(n.to_le_bytes()));
                 body.extend(&e.command);
             }
-            Self::Notes(witnesses) => {
+            Self::Witnesses(witnesses) => {
                 body.push(4);
                 let plain: Vec<(&str, u64, u64, u64)> = witnesses
                     .iter()
@@ -60,9 +60,9 @@
     pub fn read(bytes: &[u8]) -> Option<(Self, usize)> {
         let len = u32::from_le_bytes(bytes.get(0..4)?.try_into().ok()?) as usize;
         let sum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
-        let body = (1..=LONGEST)
+        let body = (1..=MAX_FRAME_BYTES)
             .contains(&len)
-            .then(|| bytes.get(HEAD..HEAD + len))
+            .then(|| bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + len))
             .flatten()?;
         (crc32fast::hash(body) == sum).then_some(())?;
         let rest = &body[1..];
@@ -73,7 +73,7 @@
         };
         let frame = match body[0] {
             1 => Self::HardState(serde_json::from_slice(rest).ok()?),
-            2 => Self::Cut(num(0)?),
+            2 => Self::Truncate(num(0)?),
             3 => Self::Entry(Entry {
                 index: num(0)?,
                 term: num(1)?,
@@ -82,7 +82,7 @@
             }),
             4 => {
                 let plain: Vec<(String, u64, u64, u64)> = serde_json::from_slice(rest).ok()?;
-                Self::Notes(
+                Self::Witnesses(
                     plain
                         .into_iter()
                         .map(|(replica, disk, index, term)| DurabilityWitness {
@@ -101,11 +101,12 @@
             }),
             _ => return None,
         };
-        Some((frame, HEAD + len))
+        Some((frame, FRAME_HEADER_BYTES + len))
     }
 
     /// The next whole frame in `bytes` after damage: where it stands.
     pub fn resync(bytes: &[u8]) -> Option<usize> {
-        (1..bytes.len().saturating_sub(HEAD)).find(|i| Self::read(&bytes[*i..]).is_some())
+        (1..bytes.len().saturating_sub(FRAME_HEADER_BYTES))
+            .find(|i| Self::read(&bytes[*i..]).is_some())
     }
 }
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -7,7 +7,7 @@
 
 /// All that a folder holds.
 #[derive(Default)]
-pub struct Found {
+pub struct FolderContents {
     pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
@@ -15,7 +15,7 @@
     /// Something that was confirmed can't be read.
     pub damaged: bool,
     /// The last write was cut short, as a crash does.
-    pub torn: bool,
+    pub torn_tail: bool,
     /// Segments with the last index in each.
     pub segments: Vec<(u64, u64)>,
 }
@@ -41,9 +41,9 @@
     Ok(of)
 }
 
-/// Reads the newest whole snapshot and all segments. With `mend`, a torn tail is cut off.
-pub fn load(path: &Path, mend: bool) -> Result<Found, StorageError> {
-    let mut found = Found::default();
+/// Reads the newest whole snapshot and all segments. With `repair`, a torn tail is cut off.
+pub fn load(path: &Path, repair: bool) -> Result<FolderContents, StorageError> {
+    let mut found = FolderContents::default();
     for (_, p) in numbered(path, "capture-", ".capture")?.iter().rev() {
         let bytes = fs::read(p).map_err(io(p))?;
         match Frame::read(&bytes) {
@@ -62,13 +62,13 @@
         while at < bytes.len() {
             match Frame::read(&bytes[at..]) {
                 Some((frame, len)) => {
-                    found.take(frame, base);
+                    found.apply(frame, base);
                     at += len;
                 }
                 // Nothing whole follows: the last write was cut short and was never confirmed.
                 None if i + 1 == segments.len() && Frame::resync(&bytes[at..]).is_none() => {
-                    found.torn = true;
-                    if mend {
+                    found.torn_tail = true;
+                    if repair {
                         fs::OpenOptions::new()
                             .write(true)
                             .open(p)
@@ -94,12 +94,12 @@
     Ok(found)
 }
 
-impl Found {
-    fn take(&mut self, frame: Frame, base: u64) {
+impl FolderContents {
+    fn apply(&mut self, frame: Frame, base: u64) {
         match frame {
             Frame::HardState(h) => self.hard_state = h,
-            Frame::Cut(c) => self.entries.retain(|e| e.index < c),
-            Frame::Notes(n) => self.witnesses = n,
+            Frame::Truncate(c) => self.entries.retain(|e| e.index < c),
+            Frame::Witnesses(n) => self.witnesses = n,
             Frame::Entry(e) => match self.entries.last().map(|l| l.index) {
                 Some(last) if e.index == last + 1 => self.entries.push(e),
                 None if e.index <= base + 1 => self.entries.push(e),
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -11,7 +11,7 @@
 use crate::consensus::PersistedState;
 use crate::sans_io::{HardState, Snapshot, WriteBatch};
 use crate::wire::DurabilityWitness;
-use directory::{make_durable, write_whole};
+use directory::{create_durable_folder, write_atomically};
 use error::io;
 use frames::Frame;
 use serde::{Deserialize, Serialize};
@@ -34,14 +34,14 @@
 
 /// What each segment starts with, so that older ones can go: as of the last write that was synced.
 #[derive(Clone, Debug)]
-struct Head {
+struct SegmentHeader {
     hard_state: HardState,
     witnesses: Vec<DurabilityWitness>,
     /// The last index of the log; entries after it are void, in whichever older segment they are found.
     last: u64,
 }
 
-impl Head {
+impl SegmentHeader {
     /// Follows a save, and writes its frames.
     fn write(&mut self, s: &WriteBatch, bytes: &mut Vec<u8>) {
         s.hard_state.iter().for_each(|h| {
@@ -50,7 +50,7 @@
         });
         s.truncate_from.iter().for_each(|c| {
             self.last = self.last.min(c.saturating_sub(1));
-            Frame::Cut(*c).write(bytes);
+            Frame::Truncate(*c).write(bytes);
         });
         s.entries.iter().for_each(|e| {
             self.last = e.index;
@@ -58,7 +58,7 @@
         });
         if !s.witnesses.is_empty() {
             self.witnesses = s.witnesses.clone();
-            Frame::Notes(s.witnesses.clone()).write(bytes);
+            Frame::Witnesses(s.witnesses.clone()).write(bytes);
         }
     }
 }
@@ -71,7 +71,7 @@
     number: u64,
     size: u64,
     segment_bytes: u64,
-    head: Head,
+    head: SegmentHeader,
     /// Last index in every closed segment, by its number.
     closed: Vec<(u64, u64)>,
     _lock: File,
@@ -122,8 +122,8 @@
         segment_bytes: u64,
         fresh: u64,
     ) -> Result<(Self, PersistedState), StorageError> {
-        make_durable(directory.as_ref(), path)?;
-        let mark = own_mark(directory.as_ref(), path, cluster, fresh)?;
+        create_durable_folder(directory.as_ref(), path)?;
+        let mark = load_or_create_marker(directory.as_ref(), path, cluster, fresh)?;
         let lock = lock(path)?;
         let found = load::load(path, true)?;
         let loaded = PersistedState {
@@ -134,7 +134,7 @@
             witnesses: found.witnesses,
             damaged: found.damaged,
         };
-        let folder = Self::begin(
+        let folder = Self::start_segment(
             directory,
             path,
             segment_bytes,
@@ -146,7 +146,7 @@
     }
 
     /// Begins a new segment, with all that the older ones may be dropped for.
-    fn begin(
+    fn start_segment(
         directory: Box<dyn Directory>,
         path: &Path,
         segment_bytes: u64,
@@ -157,7 +157,7 @@
         let captured = loaded.snapshot.as_ref().map_or(0, |c| c.index);
         let last = loaded.entries.last().map_or(captured, |e| e.index);
         let number = closed.last().map_or(0, |(n, _)| *n) + 1;
-        let segment = create(directory.as_ref(), path, number)?;
+        let segment = create_segment(directory.as_ref(), path, number)?;
         let mut folder = Self {
             directory,
             path: path.into(),
@@ -165,7 +165,7 @@
             number,
             size: 0,
             segment_bytes,
-            head: Head {
+            head: SegmentHeader {
                 hard_state: loaded.hard_state.clone(),
                 witnesses: loaded.witnesses.clone(),
                 last,
@@ -205,7 +205,7 @@
         self.head = head;
         self.size += bytes.len() as u64;
         if let Some(c) = batch.iter().rev().find_map(|s| s.snapshot.as_ref()) {
-            self.drop_old(c.index)?;
+            self.remove_obsolete(c.index)?;
         }
         if self.size >= self.segment_bytes {
             self.roll()?;
@@ -215,7 +215,7 @@
 
     fn roll(&mut self) -> Result<(), StorageError> {
         let number = self.number + 1;
-        self.segment = create(self.directory.as_ref(), &self.path, number)?;
+        self.segment = create_segment(self.directory.as_ref(), &self.path, number)?;
         self.closed.push((self.number, self.head.last));
         self.number = number;
         self.size = 0;
@@ -232,7 +232,7 @@
     /// A sync that failed may have lost what it was to write, so nothing of that batch is believed; the caller writes
     /// the whole batch again.
     pub fn recover(&mut self) -> Result<(), StorageError> {
-        self.make_room()?;
+        self.free_space()?;
         let path = segment_path(&self.path, self.number);
         OpenOptions::new()
             .write(true)
@@ -243,7 +243,7 @@
     }
 
     /// Removes what a full disk can do without: snapshots that were not written whole, and all whole ones but the newest.
-    fn make_room(&self) -> Result<(), StorageError> {
+    fn free_space(&self) -> Result<(), StorageError> {
         let halves = load::numbered(&self.path, "capture-", ".new")?;
         let whole = load::numbered(&self.path, "capture-", ".capture")?;
         let older = whole.iter().rev().skip(1);
@@ -257,11 +257,11 @@
         let mut bytes = Vec::new();
         Frame::Snapshot(c.clone()).write(&mut bytes);
         let path = self.path.join(format!("capture-{:016}.capture", c.index));
-        write_whole(self.directory.as_ref(), &path, &bytes)
+        write_atomically(self.directory.as_ref(), &path, &bytes)
     }
 
     /// Segments that end before the snapshot, and all but the two newest snapshots, are not needed any more.
-    fn drop_old(&mut self, index: u64) -> Result<(), StorageError> {
+    fn remove_obsolete(&mut self, index: u64) -> Result<(), StorageError> {
         self.roll()?;
         let (old, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.closed)
             .into_iter()
@@ -279,7 +279,11 @@
 }
 
 /// Makes a segment, which is durable before anything in it counts.
-fn create(directory: &dyn Directory, folder: &Path, number: u64) -> Result<File, StorageError> {
+fn create_segment(
+    directory: &dyn Directory,
+    folder: &Path,
+    number: u64,
+) -> Result<File, StorageError> {
     let path = segment_path(folder, number);
     let segment = directory.append(&path).map_err(io(&path))?;
     directory.sync(folder).map_err(io(folder))?;
@@ -287,7 +291,7 @@
 }
 
 /// Reads the mark of a folder, and makes one where the folder is new.
-fn own_mark(
+fn load_or_create_marker(
     directory: &dyn Directory,
     path: &Path,
     cluster: &str,
@@ -308,9 +312,9 @@
             disk: fresh,
         };
         let bytes = serde_json::to_vec(&mark).unwrap_or_default();
-        write_whole(directory, &mark_path, &bytes)?;
+        write_atomically(directory, &mark_path, &bytes)?;
     }
-    let mark = read_mark(path)?;
+    let mark = read_marker(path)?;
     (mark.cluster == cluster)
         .then_some(())
         .ok_or_else(|| StorageError::Cluster {
@@ -334,7 +338,7 @@
     Ok(lock)
 }
 
-fn read_mark(path: &Path) -> Result<FolderMarker, StorageError> {
+fn read_marker(path: &Path) -> Result<FolderMarker, StorageError> {
     let p = path.join(MARKER_FILE);
     let bytes = fs::read(&p).map_err(io(&p))?;
     let mark: FolderMarker = serde_json::from_slice(&bytes)
@@ -346,17 +350,17 @@
 }
 
 /// Reads a data folder without changing it.
-fn look(path: &Path) -> Result<(FolderMarker, load::Found), StorageError> {
+fn read_contents(path: &Path) -> Result<(FolderMarker, load::FolderContents), StorageError> {
     path.join(MARKER_FILE)
         .exists()
         .then_some(())
         .ok_or_else(|| StorageError::NotADataFolder(path.to_path_buf()))?;
-    Ok((read_mark(path)?, load::load(path, false)?))
+    Ok((read_marker(path)?, load::load(path, false)?))
 }
 
 /// All that a data folder holds, with its cluster, without changing it.
 pub fn read_folder(path: &Path) -> Result<(String, PersistedState), StorageError> {
-    let (mark, f) = look(path)?;
+    let (mark, f) = read_contents(path)?;
     Ok((
         mark.cluster,
         PersistedState {
@@ -372,7 +376,7 @@
 
 /// Looks through a data folder without changing it.
 pub fn verify(path: &Path) -> Result<FolderReport, StorageError> {
-    let (mark, found) = look(path)?;
+    let (mark, found) = read_contents(path)?;
     Ok(FolderReport {
         cluster: mark.cluster,
         disk: mark.disk,
@@ -384,6 +388,6 @@
             .map_or(found.snapshot.as_ref().map_or(0, |c| c.index), |e| e.index),
         term: found.hard_state.term,
         damaged: found.damaged,
-        torn_tail: found.torn,
+        torn_tail: found.torn_tail,
     })
 }
--- a/landingdrift/src/node/gossip.rs
+++ b/landingdrift/src/node/gossip.rs
@@ -15,7 +15,7 @@
     }
 
     pub(super) fn on_shuffle(&mut self, from: &str, shuffle: Shuffle) {
-        let reply = self.peer_sampler.take(shuffle, &mut self.rng);
+        let reply = self.peer_sampler.receive(shuffle, &mut self.rng);
         if let Some(reply) = reply {
             self.send(from, Body::Shuffle(Box::new(reply)));
         }
--- a/landingdrift/src/peer_sampler/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -7,11 +7,11 @@
 /// How many other processes are in a view.
 pub const VIEW_SIZE: usize = 8;
 /// A peer that is older than this, in shuffles, is not taken into a view: it is probably gone.
-const MAX_AGE: u32 = 100;
+const MAX_AGE_SHUFFLES: u32 = 100;
 /// One of so many shuffles goes to a seed, so that a cluster whose parts have lost sight of each other rejoins.
 const SEED_SHUFFLE_ODDS: u64 = 8;
 /// Intervals vary by up to this part, so that processes do not shuffle in step.
-const JITTER_PART: u64 = 4;
+const JITTER_DIVISOR: u64 = 4;
 /// The role of replicas, as it is on the wire.
 const REPLICA_ROLE: &str = "core";
 
@@ -96,7 +96,7 @@
     /// Takes peers into the view, which keeps the youngest.
     fn merge(&mut self, received: Vec<PeerView>, rng: &mut Rng) {
         for peer in received {
-            if peer.addr == self.own_address || peer.age >= MAX_AGE {
+            if peer.addr == self.own_address || peer.age >= MAX_AGE_SHUFFLES {
                 continue;
             }
             let received = Peer {
@@ -135,7 +135,7 @@
         if now.mono < self.next_shuffle {
             return None;
         }
-        let jitter = rng.below(interval_ms / JITTER_PART + 1);
+        let jitter = rng.below(interval_ms / JITTER_DIVISOR + 1);
         self.next_shuffle = now.mono + interval_ms + jitter;
         for peer in self.view.values_mut() {
             peer.age += 1;
@@ -167,7 +167,7 @@
     }
 
     /// Takes a shuffle of a peer; returns the reply if it is none itself.
-    pub fn take(&mut self, shuffle: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
+    pub fn receive(&mut self, shuffle: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
         let reply = if shuffle.reply {
             None
         } else {
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -291,7 +291,7 @@
             Msg::Call(call, request) => self.on_call(now, call, request),
             Msg::Wire(_, Body::Shuffle(shuffle)) => {
                 // Its own view is not sent back.
-                let _ = self.peer_sampler.take(*shuffle, &mut self.rng);
+                let _ = self.peer_sampler.receive(*shuffle, &mut self.rng);
             }
             Msg::Wire(from, Body::ForwardResponse(forwarded)) => {
                 self.on_forward_response(now, &from, *forwarded)
