--- a/landingdrift/src/consensus/append.rs
+++ b/landingdrift/src/consensus/append.rs
@@ -1,11 +1,11 @@
-//! Appending by a follower: entries that the leader sends, and the acknowledgement of those that are durable.
+//! The follower's side of replication: appending the leader's entries and acknowledging the durable ones.
 
 use super::clock::ClockReading;
 use super::Replica;
 use crate::sans_io::Now;
 use crate::wire::{AppendRequest, AppendResponse, Body, Entry};
 
-/// Whom to tell which entries have become durable, and the round that it asked in.
+/// The leader to be notified when further entries become durable, and the round of its last request.
 #[derive(Clone, Debug)]
 pub(super) struct PendingAcknowledgement {
     pub leader: String,
@@ -13,7 +13,7 @@
 }
 
 impl Replica {
-    /// A leader sends entries, or a heartbeat.
+    /// Handles entries or a heartbeat from a leader.
     pub(super) fn on_append_request(&mut self, now: Now, from: &str, request: AppendRequest) {
         if request.term < self.hard_state.term {
             self.reject_stale_leader(now, from);
@@ -29,7 +29,7 @@
         let takes_writes = self.disk_health.takes_writes();
         let previous_matches = request.prev_index < self.log.base().index
             || self.log.term_at(request.prev_index) == Some(request.prev_term);
-        // Where the logs do not agree, the answer names the index at which they do not.
+        // If the logs do not match, the response names the index at which they differ.
         let mut matched = request.prev_index;
         if previous_matches {
             if takes_writes {
@@ -58,9 +58,9 @@
         self.send_when_term_durable(from, Body::AppendResponse(Box::new(response)));
     }
 
-    /// Appends the entries that are missing, in place of those that conflict; returns the index of the last one sent.
+    /// Appends the entries that are missing, replacing conflicting ones; returns the index of the last entry received.
     fn append_entries(&mut self, entries: Vec<Entry>) -> Option<u64> {
-        let last_sent = entries.last().map(|entry| entry.index);
+        let last_received = entries.last().map(|entry| entry.index);
         for entry in entries {
             let is_covered = entry.index <= self.log.base().index;
             if is_covered || self.log.term_at(entry.index) == Some(entry.term) {
@@ -75,10 +75,10 @@
                 self.membership.invalidate();
             }
         }
-        last_sent
+        last_received
     }
 
-    /// Removes the entries from `index` on, which conflict with the leader's.
+    /// Removes the entries from `index` on, which conflict with the leader's log.
     fn truncate_log(&mut self, index: u64) {
         self.log.truncate_from(index);
         self.persistence.truncate_from(index);
@@ -95,7 +95,7 @@
         self.send(from, Body::AppendResponse(Box::new(response)));
     }
 
-    /// Tells the leader which entries have become durable since its last request.
+    /// Notifies the leader of entries that have become durable since its last request.
     pub(super) fn acknowledge_durable(&mut self) {
         let Some(pending) = self.pending_acknowledgement.clone() else {
             return;
@@ -116,7 +116,7 @@
         self.send_when_term_durable(&pending.leader, Body::AppendResponse(Box::new(response)));
     }
 
-    /// What every answer to a request to append says of this replica.
+    /// The fields that all append responses of this replica have in common.
     fn append_response(&self, reading: ClockReading) -> AppendResponse {
         AppendResponse {
             term: self.hard_state.term,
--- a/landingdrift/src/consensus/client_requests.rs
+++ b/landingdrift/src/consensus/client_requests.rs
@@ -1,4 +1,4 @@
-//! What nodes ask of the leader: to propose a command, and for the index to read at.
+//! Requests of nodes to the leader: proposals of commands, and read indexes for linearizable reads.
 
 use super::job_admission::submitted_job;
 use super::{Replica, Role};
@@ -9,25 +9,25 @@
     PROPOSAL_APPLIED, PROPOSAL_NOT_APPENDED, PROPOSAL_NO_CAPACITY,
 };
 
-/// Who is to be answered once a proposal is applied.
+/// The node to answer once a proposal is applied.
 #[derive(Clone, Debug)]
 pub(super) struct PendingProposal {
     pub from: String,
     pub token: RequestToken,
 }
 
-/// A request for an index to read at, to be answered once this replica surely led after it came.
+/// A request for a read index, answered once this replica is known to have led after the request arrived.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRead {
     from: String,
     token: RequestToken,
-    /// When it came, in monotonic milliseconds.
+    /// The time of arrival, in monotonic milliseconds.
     received_at: u64,
     index: u64,
 }
 
 impl Replica {
-    /// Where a node should ask instead; empty where this replica leads but can't answer yet.
+    /// The replica that a node should ask instead; empty if this replica leads but can't answer yet.
     fn leader_hint(&self) -> String {
         if self.role == Role::Leader {
             String::new()
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A node proposes a command.
+    /// Handles a proposal of a command from a node.
     pub(super) fn on_propose_request(&mut self, now: Now, from: &str, request: ProposeRequest) {
         if !Command::may_be_proposed(&request.command) {
             self.count("proposals_unexpected", 1);
@@ -67,7 +67,7 @@
         self.leadership.round_requested = true;
     }
 
-    /// Answers a proposal that was not appended.
+    /// Tells the proposer that its proposal was not appended, and why.
     fn reject_proposal(&mut self, from: &str, token: RequestToken, outcome: u8) {
         let response = ProposeResponse {
             token,
@@ -79,7 +79,7 @@
         self.send(from, Body::ProposeResponse(Box::new(response)));
     }
 
-    /// Applies what is committed, and answers the proposals among it.
+    /// Applies the committed entries and answers the proposals among them.
     pub(super) fn apply_committed(&mut self) {
         while self.state.applied_index < self.log.commit_index {
             let index = self.state.applied_index + 1;
@@ -106,7 +106,8 @@
         self.take_snapshot_when_due();
     }
 
-    /// A node asks for an index such that a state that has applied it shows all that was acknowledged before.
+    /// Handles a request for a read index: a state that has applied this index reflects every change acknowledged
+    /// before the request.
     pub(super) fn on_read_index_request(&mut self, now: Now, from: &str, token: RequestToken) {
         if !self.is_ready_to_lead() {
             let response = ReadIndexResponse {
@@ -128,7 +129,7 @@
         self.leadership.round_requested = true;
     }
 
-    /// Answers the reads that came before a moment at which this replica surely led.
+    /// Answers the reads that arrived before the latest time at which this replica is known to have led.
     pub(super) fn answer_reads(&mut self, now: Now) {
         if self.leadership.pending_reads.is_empty() {
             return;
@@ -152,7 +153,8 @@
         }
     }
 
-    /// How far each live node has come. Nodes that are gone hold up no change.
+    /// The log index and configuration version that each live node has applied. Nodes that are gone are left out, so
+    /// that they do not block a configuration change.
     fn node_progress(&self, now: Now) -> Vec<NodeProgress> {
         let mut all = Vec::new();
         for (node, watcher) in &self.watch.watchers {
--- a/landingdrift/src/consensus/clock.rs
+++ b/landingdrift/src/consensus/clock.rs
@@ -1,24 +1,24 @@
-//! The cluster clock: a time that the replicas agree on.
+//! The cluster clock: a time on which the replicas agree.
 
 use crate::sans_io::Now;
 use std::collections::BTreeMap;
 
-/// So many clocks are enough to agree on a time at once.
+/// With this many clock readings the replicas agree on a time at once.
 const MIN_READINGS: usize = 5;
-/// So many are enough after the wait for more.
+/// The readings that suffice once the wait for more has ended.
 const MIN_READINGS_AFTER_WAIT: usize = 2;
 
-/// What a process says of the time.
+/// The time at a process, and whether it derives from the agreed time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
     /// Milliseconds since 1970.
     pub time: u64,
-    /// The process has heard the agreed time since it started and carries it on by durations. Otherwise `time` is that
-    /// of its machine.
+    /// The process has received the agreed time since it started and extrapolates it by its monotonic clock. Otherwise
+    /// `time` is the wall clock of its machine.
     pub is_agreed: bool,
 }
 
-/// A time, and when it was right.
+/// A cluster time and the monotonic time at which it was valid.
 #[derive(Clone, Copy, Debug)]
 struct TimeBase {
     mono: u64,
@@ -31,37 +31,38 @@
     }
 }
 
-/// A reading of another process, and when it was received.
+/// A clock reading of another process, and the monotonic time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReading {
     received_at: u64,
     reading: ClockReading,
 }
 
-/// The clock that the replicas agree on: agreed once, carried on by durations, never back.
+/// The clock on which the replicas agree: agreed on once, then extrapolated by monotonic clocks; it never goes back.
 ///
-/// Machines' clocks are asked only when nobody carries an agreed time, that is at the first start and after a total
-/// outage. A clock that jumps while its process runs moves nothing.
+/// Wall clocks are used only when no process has an agreed time, that is at the first start and after a total outage.
+/// A wall clock that jumps while its process runs has no effect.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterClock {
     base: Option<TimeBase>,
     /// The latest readings of other processes, by address.
     readings: BTreeMap<String, ReceivedReading>,
-    /// Since when this replica has led, in monotonic milliseconds.
+    /// The start of this replica's leadership, in monotonic milliseconds.
     leading_since: u64,
-    /// The latest time that was read, in milliseconds since 1970.
+    /// The latest time returned by [`Self::read`], in milliseconds since 1970.
     last_read: u64,
 }
 
 impl ClusterClock {
-    /// Begins to lead. A time that was agreed goes on; no entry so far is later than `last_entry_time`.
+    /// Prepares the clock for leadership. An agreed time is kept; the clock will not read earlier than
+    /// `last_entry_time`, the time of the last log entry.
     pub fn start_leading(&mut self, now: Now, last_entry_time: u64) {
         self.readings.clear();
         self.leading_since = now.mono;
         self.last_read = self.last_read.max(last_entry_time);
     }
 
-    /// Takes over the leader's time; 0 where the leader knows none.
+    /// Adopts the leader's time; 0 means that the leader has no agreed time.
     pub fn follow_leader(&mut self, now: Now, time: u64) {
         if time > 0 {
             let mono = now.mono;
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Keeps what another process says of the time.
+    /// Records the clock reading of another process.
     pub fn observe(&mut self, now: Now, process: &str, reading: ClockReading) {
         let received = ReceivedReading {
             received_at: now.mono,
@@ -83,7 +84,7 @@
         self.base.is_some()
     }
 
-    /// What this process says of the time.
+    /// The clock reading of this process: the agreed time, or its wall clock if there is none.
     pub fn reading(&self, now: Now) -> ClockReading {
         ClockReading {
             time: self.base.map_or(now.wall, |base| base.extrapolate(now)),
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Agrees on a time where there is none: the one that another process carries, else the lower median of the
-    /// machines' clocks, once there are enough of them or a few after `wait_ms`.
+    /// Sets the agreed time if there is none: the agreed time of another process, else the lower median of the wall
+    /// clocks, once there are `MIN_READINGS` or, after `wait_ms`, `MIN_READINGS_AFTER_WAIT`.
     pub fn agree_if_possible(&mut self, now: Now, wait_ms: u64) {
         if self.base.is_some() {
             return;
@@ -127,7 +128,7 @@
         });
     }
 
-    /// The agreed time in milliseconds since 1970; never earlier than the last one that was read.
+    /// The agreed time in milliseconds since 1970; never earlier than the last time returned.
     pub fn read(&mut self, now: Now) -> u64 {
         if let Some(base) = self.base {
             self.last_read = self.last_read.max(base.extrapolate(now));
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -1,24 +1,24 @@
-//! A replica of the cluster state: Raft with pre-vote, transfer of leadership, standbys and snapshots, and the leader's
-//! work on the state.
+//! A replica of the cluster state: Raft with pre-vote, leadership transfer, non-voting standbys and snapshots, and the
+//! leader's reconciliation of the cluster state.
 //!
-//! [`Replica`] holds no clock, socket or file: it takes one message at a time and returns effects (see
+//! [`Replica`] uses no clock, socket or file: it handles one message at a time and returns effects (see
 //! [`crate::sans_io`]). Each field is owned by one module:
 //!
 //! | Module | Owns |
 //! | --- | --- |
-//! | `log`, `position` | the entries in memory, what is committed |
-//! | `persistence`, `disk_health` | what was handed to the disk, what is durable, whether the disk works |
-//! | `election` | the election timer, votes, transfer of leadership |
-//! | `recovery` | what the disk had acknowledged before the process started |
-//! | `leadership`, `progress` | the leader's view of other replicas; its periodic work |
+//! | `log`, `position` | the log entries in memory and the commit index |
+//! | `persistence`, `disk_health` | pending and durable writes; the condition of the disk |
+//! | `election` | the election timer, votes, leadership transfer |
+//! | `recovery` | the entries that the disk had acknowledged before the process started |
+//! | `leadership`, `progress` | the leader's view of the other replicas; its periodic work |
 //! | `replication`, `append` | the leader's and the follower's side of appending entries |
-//! | `snapshot_transfer` | taking, sending and installing snapshots |
-//! | `membership`, `membership_state` | who is a member, who votes, and the changes of that |
-//! | `lease_assignment`, `node_registry` | which nodes are alive, and which leases they hold |
-//! | `watch`, `watch_snapshots`, `client_requests` | what nodes ask of the leader |
-//! | `job_admission` | which submitted jobs there is memory for |
-//! | `clock` | the time that all agree on |
-//! | `shutdown`, `status`, `inspect` | orderly shutdown; HTTP status and counters; access for tests |
+//! | `snapshot_transfer` | creating, sending and installing snapshots |
+//! | `membership`, `membership_state` | members, voters and membership changes |
+//! | `lease_assignment`, `node_registry` | live nodes and the leases that they hold |
+//! | `watch`, `watch_snapshots`, `watch_flow`, `client_requests` | requests of nodes to the leader |
+//! | `job_admission` | the memory limit for submitted jobs |
+//! | `clock` | the cluster clock |
+//! | `shutdown`, `status`, `inspect` | orderly shutdown; HTTP status and counters; read access for tests |
 
 mod append;
 mod client_requests;
@@ -55,38 +55,38 @@
 use position::LogPosition;
 use std::collections::BTreeMap;
 
-/// The role that replicas have in the peer sampler, as it goes over the wire.
+/// The role of replicas in the peer sampler, as written on the wire.
 const PEER_ROLE: &str = "core";
-/// A gap between two ticks of more than this share of the election time-out means that the process stood still.
+/// A gap between two ticks longer than the election timeout divided by this means that the process was paused.
 const PAUSE_ELECTION_DIVISOR: u64 = 2;
 
-/// What a replica finds on its disk when it starts.
+/// The state that a replica loads from its disk when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct PersistedState {
-    /// The identity of the disk, drawn at random when the data folder was made.
+    /// The identity of the disk, generated at random when the data folder was created.
     pub disk: u64,
-    /// The term and the vote given in it.
+    /// The current term and the vote cast in it.
     pub hard_state: HardState,
     /// The newest snapshot of the cluster state.
     pub snapshot: Option<Snapshot>,
-    /// The entries of the log after the snapshot, and perhaps some that it covers.
+    /// The log entries after the snapshot, possibly preceded by some that the snapshot covers.
     pub entries: Vec<Entry>,
-    /// What this replica remembered of the disks of others.
+    /// The log positions that other replicas' disks have acknowledged, as recorded by this replica.
     pub witnesses: Vec<DurabilityWitness>,
-    /// Something in the middle was damaged and left out.
+    /// Acknowledged data was unreadable and has been skipped.
     pub damaged: bool,
 }
 
 /// The role of a replica in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows the leader, if there is one.
+    /// Replicates from the leader, if there is one.
     Follower,
-    /// Asks whether it would win an election.
+    /// Collects pre-votes to find out whether it could win an election.
     PreCandidate,
-    /// Stands for election.
+    /// Collects votes in an election.
     Candidate,
-    /// Leads.
+    /// Appends entries to the log and replicates them.
     Leader,
 }
 
@@ -106,22 +106,22 @@
 #[derive(Clone)]
 pub struct Replica {
     settings: Settings,
-    /// Its address for other processes, which is its name as well.
+    /// The address at which other processes reach it, which also serves as its name.
     name: String,
-    /// The identity of its disk. A member is told by its name together with its disk.
+    /// The identity of its disk. A member is identified by its name together with its disk.
     disk: u64,
     rng: Rng,
     hard_state: HardState,
     role: Role,
-    /// The leader of the current term; empty where it isn't known.
+    /// The leader of the current term; empty if unknown.
     leader: String,
     log: log::ReplicatedLog,
     persistence: persistence::Persistence,
     disk_health: disk_health::DiskHealth,
     snapshots: snapshot_transfer::Snapshots,
-    /// The cluster state as far as the log was applied.
+    /// The cluster state after applying the committed log entries.
     state: ClusterState,
-    /// The farthest position that each disk of another replica may have acknowledged, by address and disk.
+    /// The highest log position that each other replica's disk may have acknowledged, by address and disk.
     witnesses: BTreeMap<(String, u64), DurabilityWitness>,
     recovery: recovery::RecoveryState,
     election: election::Election,
@@ -132,14 +132,15 @@
     pending_acknowledgement: Option<append::PendingAcknowledgement>,
     clock: ClusterClock,
     peer_sampler: PeerSampler,
-    /// When the last tick was, in monotonic milliseconds.
+    /// The time of the last tick, in monotonic milliseconds.
     last_tick: u64,
     shutdown: shutdown::Shutdown,
     outbox: Outbox,
 }
 
 impl Replica {
-    /// A replica from what its disk holds. Fails where the disk belongs to another cluster or can't be read.
+    /// Creates a replica from the state on its disk. Fails if the disk belongs to another cluster or its snapshot can't
+    /// be read.
     pub fn new(
         settings: Settings,
         loaded: PersistedState,
@@ -156,7 +157,7 @@
         let mut hard_state = loaded.hard_state;
         let is_fresh = log.is_empty() && hard_state == HardState::default();
         if is_fresh && !settings.join_only {
-            // A founder stays one after a restart, whatever the settings say then.
+            // Stored, so that a founder remains one after a restart even if the settings have changed.
             hard_state.founders = settings.founders();
             persistence.write_hard_state(&hard_state);
         }
@@ -221,7 +222,7 @@
         self.shutdown_tick(now);
     }
 
-    /// The process stood still: that it heard nothing meanwhile says nothing of others.
+    /// The process was paused and received nothing meanwhile, so all timeouts on other processes and the disk restart.
     fn on_process_pause(&mut self, now: Now) {
         self.count("own_freezes", 1);
         self.election.last_leader_contact = now.mono;
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Sends the round of messages that this step has asked for, if this replica leads.
+    /// Sends the round of messages requested during this step, if this replica leads.
     fn send_requested_round(&mut self, now: Now) {
         let leads = self.role == Role::Leader;
         if !leads || !std::mem::take(&mut self.leadership.round_requested) {
@@ -303,7 +304,7 @@
     }
 }
 
-/// The cluster state of the snapshot on disk, or an empty one.
+/// Loads the cluster state from the snapshot on disk; without a snapshot, the state is empty.
 fn load_state(settings: &Settings, snapshot: Option<&Snapshot>) -> Result<ClusterState, String> {
     let state = match snapshot {
         Some(snapshot) => ClusterState::unpack(&snapshot.bytes)?,
