--- a/landingdrift/src/consensus/disk_health.rs
+++ b/landingdrift/src/consensus/disk_health.rs
@@ -1,25 +1,25 @@
-//! What a replica knows of its own disk, and what it does while the disk takes no writes.
+//! The condition of a replica's disk, and the replica's behaviour while the disk accepts no writes.
 //!
-//! While the disk refuses or stalls, the replica does not lead, vote or accept entries. It still answers heartbeats,
-//! since those promise nothing that is not durable. The writing thread retries by itself, in order, everything that was
-//! handed over and not confirmed; the first confirmation makes the replica a full one again.
+//! While writes fail or stall, the replica does not lead, vote or accept entries. It still answers heartbeats, since
+//! their responses acknowledge only durable entries. The writer thread retries all unconfirmed writes in order; the
+//! first confirmed write restores the replica to full operation.
 
 use super::{Replica, Role};
 use crate::sans_io::Now;
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
-/// Election time-outs without a confirmed write after which the disk counts as stalled.
+/// Election timeouts after which an unconfirmed write makes the disk count as stalled.
 const STALL_ELECTION_TIMEOUTS: u64 = 2;
 
-/// Whether the disk takes what it is given.
+/// Whether the disk accepts and confirms writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Condition {
     #[default]
     Sound,
-    /// It answered the last write with an error.
+    /// A write failed with an error.
     Refusing,
-    /// It has confirmed nothing for too long.
+    /// A write has been unconfirmed for too long.
     Stalled,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A write that was handed over and not confirmed.
+/// A write that was submitted to the disk and is not confirmed yet.
 #[derive(Clone, Debug)]
 struct UnconfirmedWrite {
     write_id: u64,
@@ -45,19 +45,19 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct DiskHealth {
     condition: Condition,
-    /// When the disk came into this condition.
+    /// The time at which the disk entered this condition.
     since: u64,
     reason: String,
     unconfirmed: VecDeque<UnconfirmedWrite>,
 }
 
 impl DiskHealth {
-    /// Whether the replica may rely on its disk.
+    /// Whether the disk accepts writes, so that the replica may lead, vote and accept entries.
     pub fn takes_writes(&self) -> bool {
         self.condition == Condition::Sound
     }
 
-    /// Notes that a write was handed over.
+    /// Records a write submitted to the disk.
     pub fn record_submitted(&mut self, at: u64, write_id: u64) {
         self.unconfirmed.push_back(UnconfirmedWrite {
             write_id,
@@ -65,7 +65,8 @@
         });
     }
 
-    /// Notes that all writes up to `write_id` are durable. Returns for how long the disk had taken none, if it had not.
+    /// Records that all writes up to `write_id` are durable. If this ends an outage of the disk, returns its duration
+    /// in milliseconds.
     pub fn record_confirmed(&mut self, at: u64, write_id: u64) -> Option<u64> {
         self.unconfirmed.retain(|write| write.write_id > write_id);
         if self.takes_writes() {
@@ -77,35 +78,36 @@
         Some(unusable_ms)
     }
 
-    /// Notes that the disk refused a write. Returns whether it took writes, or only stalled, until now.
+    /// Records that a write failed. Returns whether the disk was in another condition until now.
     pub fn record_refusal(&mut self, at: u64, reason: &str) -> bool {
-        let is_news = self.condition != Condition::Refusing;
-        if is_news {
+        let has_changed = self.condition != Condition::Refusing;
+        if has_changed {
             self.enter(Condition::Refusing, at, reason.into());
         }
-        is_news
+        has_changed
     }
 
-    /// Checks whether a write has been unconfirmed for longer than `timeout_ms`. Returns whether that is news.
+    /// Checks whether a write has been unconfirmed for longer than `timeout_ms`. Returns whether the disk has just
+    /// become stalled.
     pub fn check_stalled(&mut self, at: u64, timeout_ms: u64) -> bool {
         let oldest = self.unconfirmed.front();
         let overdue = oldest.is_some_and(|write| write.submitted_at + timeout_ms < at);
-        let is_news = overdue && self.takes_writes();
-        if is_news {
-            let reason = format!("nothing was confirmed for {timeout_ms} ms");
+        let has_changed = overdue && self.takes_writes();
+        if has_changed {
+            let reason = format!("no write completed for {timeout_ms} ms");
             self.enter(Condition::Stalled, at, reason);
         }
-        is_news
+        has_changed
     }
 
-    /// Starts all waits anew: the process itself stood still, not the disk.
+    /// Restarts the timeouts of all unconfirmed writes.
     pub fn restart_timeouts(&mut self, at: u64) {
         for write in &mut self.unconfirmed {
             write.submitted_at = at;
         }
     }
 
-    /// The condition as `/v1/status` shows it.
+    /// The condition of the disk as shown by `/v1/status`.
     pub fn report(&self, at: u64) -> Value {
         json!({
             "state": self.condition.name(),
@@ -123,7 +125,7 @@
 }
 
 impl Replica {
-    /// The disk refused a write.
+    /// Handles a failed write.
     pub(super) fn on_disk_error(&mut self, now: Now, reason: &str) {
         if !self.disk_health.record_refusal(now.mono, reason) {
             self.count("disk_retries", 1);
@@ -131,12 +133,12 @@
         }
         self.count("disk_refused", 1);
         self.outbox.log(format!(
-            "the disk refused ({reason}): this replica neither leads nor votes until a write succeeds; it tries by itself"
+            "write to the data folder failed ({reason}): this replica neither leads nor votes until a write succeeds; it retries by itself"
         ));
         self.step_down(now);
     }
 
-    /// Steps aside when the disk has confirmed nothing for too long.
+    /// Steps down if the disk has stalled.
     pub(super) fn disk_health_tick(&mut self, now: Now) {
         let timeout_ms = STALL_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
         if !self.disk_health.check_stalled(now.mono, timeout_ms) {
@@ -144,22 +146,22 @@
         }
         self.count("disk_stalled", 1);
         self.outbox.log(format!(
-            "the disk has confirmed nothing for {timeout_ms} ms: this replica neither leads nor votes until it does"
+            "no write to the data folder completed for {timeout_ms} ms: this replica neither leads nor votes until one does"
         ));
         self.step_down(now);
     }
 
-    /// The disk has confirmed writes: if it took none before, the replica takes part in elections again.
+    /// Handles confirmed writes: if this ends an outage of the disk, the replica takes part in elections again.
     pub(super) fn on_write_confirmed(&mut self, now: Now, write_id: u64) {
         if let Some(unusable_ms) = self.disk_health.record_confirmed(now.mono, write_id) {
             self.outbox.log(format!(
-                "the disk takes writes again, after {unusable_ms} ms"
+                "the disk accepts writes again after {unusable_ms} ms"
             ));
             self.reset_election_timer(now);
         }
     }
 
-    /// Gives up leading, or standing for election; the best successor is asked to lead.
+    /// Becomes a follower; a leader first asks the best successor to take over.
     fn step_down(&mut self, now: Now) {
         if self.role == Role::Leader {
             self.transfer_leadership(now);
--- a/landingdrift/src/consensus/log.rs
+++ b/landingdrift/src/consensus/log.rs
@@ -1,16 +1,16 @@
-//! The entries of the replicated log that are kept in memory.
+//! The in-memory part of the replicated log.
 
 use super::position::LogPosition;
 use crate::wire::Entry;
 use std::collections::VecDeque;
 
-/// Bytes of commands in one message. A single entry that is larger goes out by itself.
+/// The maximum bytes of commands in one message. A larger entry is sent in a message of its own.
 const MAX_BATCH_BYTES: usize = 1 << 20;
 
-/// The tail of the replicated log: the entries after `base`, without gaps.
+/// The tail of the replicated log: all entries after `base`, without gaps.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicatedLog {
-    /// The entry before the first one in memory; everything up to it is covered by a snapshot.
+    /// The position before the first entry in memory; a snapshot covers all entries up to it.
     base: LogPosition,
     entries: VecDeque<Entry>,
     /// Entries up to this index are known to be committed.
@@ -20,7 +20,7 @@
 }
 
 impl ReplicatedLog {
-    /// The log as it was loaded from disk; entries that the snapshot at `base` covers are dropped.
+    /// Creates the log from entries loaded from disk; entries covered by the snapshot at `base` are dropped.
     pub fn new(base: LogPosition, loaded: Vec<Entry>) -> Self {
         let not_covered = |entry: &Entry| entry.index > base.index;
         Self {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Whether nothing was ever appended.
+    /// Whether no entry was ever appended.
     pub fn is_empty(&self) -> bool {
         self.last().index == 0
     }
 
-    /// The time of the last entry in memory, in milliseconds since 1970 by the cluster clock.
+    /// The cluster time of the last entry in memory, in milliseconds since 1970.
     pub fn last_entry_time(&self) -> Option<u64> {
         self.entries.back().map(|entry| entry.at)
     }
@@ -62,13 +62,13 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// An entry in memory.
+    /// The entry at an index, if it is in memory.
     pub fn entry(&self, index: u64) -> Option<&Entry> {
         let offset = index.checked_sub(self.base.index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// The entries from `first` on, at most `max_entries` and as many as fit into one message.
+    /// The entries from index `first` on: as many as fit into one message, at most `max_entries`.
     pub fn batch(&self, first: u64, max_entries: usize) -> Vec<Entry> {
         let skipped = first.saturating_sub(self.base.index + 1) as usize;
         let mut batch = Vec::new();
@@ -83,7 +83,7 @@
         batch
     }
 
-    /// All entries in memory, the oldest first.
+    /// All entries in memory, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Entry> {
         self.entries.iter()
     }
@@ -93,24 +93,24 @@
         self.entries.len()
     }
 
-    /// The bytes of commands in memory.
+    /// The total bytes of the commands in memory.
     pub fn bytes(&self) -> u64 {
         self.entries.iter().map(|e| e.command.len() as u64).sum()
     }
 
-    /// Appends the entry that follows the last one.
+    /// Appends an entry; its index must follow that of the last one.
     pub fn append(&mut self, entry: Entry) {
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `index` on: they conflict with those of the leader.
+    /// Drops the entries from `index` on, which conflict with the leader's log.
     pub fn truncate_from(&mut self, index: u64) {
         self.entries
             .truncate((index - self.base.index - 1) as usize);
         self.verified_index = self.verified_index.min(index - 1);
     }
 
-    /// Starts over after a snapshot that was installed.
+    /// Replaces the log by an empty one that follows an installed snapshot.
     pub fn reset(&mut self, snapshot: LogPosition) {
         self.entries.clear();
         self.base = snapshot;
@@ -118,7 +118,7 @@
         self.verified_index = snapshot.index;
     }
 
-    /// Drops the entries up to `index`, which a snapshot covers.
+    /// Drops the entries up to and including `index`, which a snapshot covers.
     pub fn compact_to(&mut self, index: u64) {
         while let Some(entry) = self.entries.pop_front_if(|entry| entry.index <= index) {
             self.base = LogPosition::new(entry.term, entry.index);
--- a/landingdrift/src/consensus/persistence.rs
+++ b/landingdrift/src/consensus/persistence.rs
@@ -1,22 +1,22 @@
-//! What this replica has handed to its disk, and what has become durable.
+//! Writes of this replica to its disk: pending, in flight and durable.
 //!
-//! Changes are gathered in a batch and handed over by [`Replica::flush`]. Messages that promise something durable wait
-//! for the write that makes it so.
+//! Changes are collected in a batch and submitted by [`Replica::flush`]. A message that acknowledges durable state is
+//! deferred until the write that makes the state durable is confirmed.
 
 use super::{Replica, Role};
 use crate::sans_io::{HardState, Now, Snapshot, WriteBatch};
 use crate::wire::{Body, DurabilityWitness, Entry};
 use std::collections::VecDeque;
 
-/// A write that was handed to the disk and is not confirmed.
+/// A write that was submitted to the disk and is not confirmed yet.
 #[derive(Clone, Debug)]
 struct InFlightWrite {
     write_id: u64,
-    /// The last index of the log once the write is durable.
+    /// The last index of the log on disk once the write is durable.
     last_index: u64,
 }
 
-/// A message that leaves once a write is durable.
+/// A message that is sent once a write is durable.
 #[derive(Clone, Debug)]
 struct DeferredMessage {
     after_write: u64,
@@ -27,9 +27,9 @@
 /// The state of this replica's writes.
 #[derive(Clone, Debug)]
 pub(super) struct Persistence {
-    /// Changes that are not handed to the disk yet.
+    /// Changes that are not submitted to the disk yet.
     batch: WriteBatch,
-    /// The newest write that was handed over, and the newest that is durable.
+    /// The newest write submitted, and the newest durable write.
     last_write: u64,
     durable_write: u64,
     /// The write that makes the current term and vote durable.
@@ -41,7 +41,7 @@
 }
 
 impl Persistence {
-    /// Nothing to write, and a log on disk up to an index.
+    /// No pending writes, and a log that is durable up to an index.
     pub fn new(durable_index: u64) -> Self {
         Self {
             batch: WriteBatch::default(),
@@ -64,12 +64,12 @@
         self.batch.entries.push(entry);
     }
 
-    /// Adds a snapshot of the state to the batch; the log stays as it is.
+    /// Adds a snapshot of the state to the batch; the log is not changed.
     pub fn write_snapshot(&mut self, snapshot: Snapshot) {
         self.batch.snapshot = Some(snapshot);
     }
 
-    /// Removes the entries from `index` on.
+    /// Adds the removal of the entries from `index` on to the batch.
     pub fn truncate_from(&mut self, index: u64) {
         self.batch.entries.retain(|entry| entry.index < index);
         let earlier = self.batch.truncate_from.unwrap_or(index);
@@ -77,7 +77,7 @@
         self.durable_index = self.durable_index.min(index - 1);
     }
 
-    /// Replaces the whole log by a snapshot that was received.
+    /// Adds the replacement of the whole log by a received snapshot to the batch.
     pub fn replace_log(&mut self, snapshot: Snapshot) {
         self.batch.entries.clear();
         self.batch.truncate_from = Some(1);
@@ -85,17 +85,17 @@
         self.durable_index = 0;
     }
 
-    /// Whether a snapshot waits to be handed over.
+    /// Whether the batch contains a snapshot.
     pub fn has_pending_snapshot(&self) -> bool {
         self.batch.snapshot.is_some()
     }
 
-    /// Whether every change so far is durable. A candidate's own vote counts only then.
+    /// Whether the hard state and all submitted writes are durable. A candidate's vote for itself counts only then.
     pub fn is_hard_state_durable(&self) -> bool {
         self.batch.hard_state.is_none() && self.durable_write >= self.last_write
     }
 
-    /// The newest write that is durable.
+    /// The newest durable write.
     pub fn durable_write(&self) -> u64 {
         self.durable_write
     }
@@ -107,7 +107,7 @@
             && self.batch.snapshot.is_none()
     }
 
-    /// Numbers the batch and hands it out to be written; `last_index` is that of the log in memory.
+    /// Numbers the batch and returns it to be submitted; `last_index` is the last index of the log in memory.
     fn take_batch(&mut self, last_index: u64, witnesses: Vec<DurabilityWitness>) -> WriteBatch {
         self.last_write += 1;
         let mut batch = std::mem::take(&mut self.batch);
@@ -117,7 +117,7 @@
             self.hard_state_write = self.last_write;
         }
         if let Some(first_removed) = batch.truncate_from {
-            // Writes in flight may make entries durable that this write removes again.
+            // Writes in flight may make entries durable that this write removes.
             let last_kept = first_removed.saturating_sub(1);
             self.durable_index = self.durable_index.min(last_kept);
             for write in &mut self.in_flight {
@@ -131,21 +131,21 @@
         batch
     }
 
-    /// Notes that all writes up to `write_id` are durable.
+    /// Advances the durable index: all writes up to `write_id` are durable.
     fn confirm(&mut self, write_id: u64) {
         while let Some(write) = self.in_flight.pop_front_if(|w| w.write_id <= write_id) {
             self.durable_index = self.durable_index.max(write.last_index);
         }
     }
 
-    /// The next message whose write is durable.
+    /// Removes and returns the next deferred message whose write is durable.
     fn next_released(&mut self, write_id: u64) -> Option<DeferredMessage> {
         self.deferred.pop_front_if(|m| m.after_write <= write_id)
     }
 }
 
 impl Replica {
-    /// Hands what has changed to the disk; returns the write that makes all changes so far durable.
+    /// Submits the batch to the disk; returns the write that makes all changes so far durable.
     pub(super) fn flush(&mut self) -> u64 {
         if self.persistence.is_batch_empty() {
             return self.persistence.last_write;
@@ -160,14 +160,14 @@
         self.persistence.last_write
     }
 
-    /// Sends a message once everything changed so far is durable.
+    /// Sends a message once all changes so far are durable.
     pub(super) fn send_when_durable(&mut self, to: &str, body: Body) {
         let write_id = self.flush();
         self.send_after_write(write_id, to, body);
     }
 
-    /// Sends a message once the current term and vote are durable. Entries are not waited for: a message that promises
-    /// some names how far they are durable.
+    /// Sends a message once the current term and vote are durable. It does not wait for entries: an acknowledgement of
+    /// entries states the index up to which they are durable.
     pub(super) fn send_when_term_durable(&mut self, to: &str, body: Body) {
         self.send_after_write(self.persistence.hard_state_write, to, body);
     }
@@ -184,7 +184,7 @@
         });
     }
 
-    /// The disk has confirmed all writes up to `write_id`.
+    /// Handles the disk's confirmation of all writes up to `write_id`.
     pub(super) fn on_persisted(&mut self, now: Now, write_id: u64) {
         self.persistence.durable_write = self.persistence.durable_write.max(write_id);
         self.on_write_confirmed(now, write_id);
--- a/landingdrift/src/consensus/position.rs
+++ b/landingdrift/src/consensus/position.rs
@@ -7,7 +7,7 @@
 pub(crate) struct LogPosition {
     /// The term; compared first.
     pub term: u64,
-    /// The index, counted from 1; 0 stands before the first entry.
+    /// The index, counted from 1; 0 is the position before the first entry.
     pub index: u64,
 }
 
@@ -15,7 +15,7 @@
     /// The position before the first entry.
     pub const ORIGIN: Self = Self { term: 0, index: 0 };
 
-    /// The position of an entry.
+    /// The position of the entry with this term and index.
     pub fn new(term: u64, index: u64) -> Self {
         Self { term, index }
     }
--- a/landingdrift/src/consensus/progress.rs
+++ b/landingdrift/src/consensus/progress.rs
@@ -1,30 +1,30 @@
-//! What a leader knows of each other replica, and the rounds of messages that it sends them.
+//! The leader's view of each other replica, and the numbered rounds of messages that it sends them.
 
 use super::snapshot_transfer::OutgoingSnapshot;
 use crate::sans_io::Now;
 use std::collections::VecDeque;
 
-/// Rounds whose time of sending is remembered.
+/// The number of newest rounds whose send time is kept.
 const MAX_REMEMBERED_ROUNDS: usize = 1000;
 
 /// A leader's view of another replica. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Progress {
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub next_index: u64,
     /// Entries up to this index are durable on the replica's disk.
     pub match_index: u64,
-    /// The disk that answered last; 0 before any did.
+    /// The identity of the disk that responded last; 0 before the first response.
     pub disk: u64,
-    /// The newest round that was answered, and when it was sent.
+    /// The newest round that was acknowledged, and when that round was sent.
     pub acked_round: u64,
     pub acked_round_sent_at: u64,
-    /// The replica is being shut down in an orderly way.
+    /// The replica is in an orderly shutdown.
     pub leaving: bool,
-    /// The replica's disk takes no writes: it gets heartbeats but no entries.
+    /// The replica's disk accepts no writes: the replica is sent heartbeats but no entries.
     pub disk_refuses_writes: bool,
     pub last_heard_at: u64,
-    /// When entries were last sent.
+    /// The time at which entries were last sent.
     pub last_sent_at: u64,
     /// The round of the batch of entries in flight; 0 for none.
     pub in_flight_round: u64,
@@ -32,7 +32,7 @@
 }
 
 impl Progress {
-    /// A replica that is expected to have everything before `next_index`.
+    /// The progress of a replica that is assumed to have all entries before `next_index`.
     pub fn new(next_index: u64, now: Now) -> Self {
         Self {
             next_index,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Notes which disk answers. What an earlier disk at this address acknowledged is lost with it.
+    /// Records the identity of the responding disk. A change resets the progress: what an earlier disk at this address
+    /// acknowledged is lost with it.
     pub fn record_disk(&mut self, disk: u64) {
         if self.disk != 0 && self.disk != disk {
             self.match_index = 0;
@@ -53,12 +54,12 @@
         self.disk = disk;
     }
 
-    /// Whether the replica gets no entries for now: a batch is in flight, or its disk takes none.
+    /// Whether the replica is sent no entries for now: a batch is in flight, or its disk accepts no writes.
     pub fn is_paused(&self) -> bool {
         self.in_flight_round > 0 || self.disk_refuses_writes
     }
 
-    /// Gives up on the batch in flight and goes on from the last entry known to match.
+    /// Abandons the batch in flight and continues after the last entry known to match.
     pub fn rewind(&mut self) {
         self.in_flight_round = 0;
         self.next_index = self.match_index + 1;
@@ -72,12 +73,12 @@
     sent_at: u64,
 }
 
-/// The rounds that a replica has sent while it led. An answered round proves that this replica led when it was sent.
+/// The rounds that a leader has sent. A round acknowledged by a majority proves that this replica led when it was sent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rounds {
     current: u64,
     sent: VecDeque<Round>,
-    /// When all others were last sent a heartbeat, in monotonic milliseconds.
+    /// The time of the last heartbeat to all other replicas, in monotonic milliseconds.
     pub last_heartbeat_at: u64,
 }
 
@@ -100,13 +101,13 @@
         self.current
     }
 
-    /// When a round was sent; 0 if that is not remembered.
+    /// The time at which a round was sent; 0 if it is no longer kept.
     pub fn sent_at(&self, number: u64) -> u64 {
         let round = self.sent.iter().find(|round| round.number == number);
         round.map_or(0, |round| round.sent_at)
     }
 
-    /// Forgets the rounds of an earlier leadership; their numbers are not used again.
+    /// Discards the rounds of an earlier leadership; their numbers are not reused.
     pub fn reset(&mut self) {
         self.sent.clear();
         self.last_heartbeat_at = 0;
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -1,8 +1,8 @@
-//! What a replica does after a start, before it takes part: it asks the others what its disk had acknowledged.
+//! Recovery after a start: before a replica takes part, it asks the others which entries its disk had acknowledged.
 //!
-//! A disk may lose writes that it confirmed. The other replicas remember how far each disk has acknowledged the log
-//! (see [`DurabilityWitness`]), so a replica that asks them learns whether its own disk has lost anything. Until it has
-//! caught up with what it had acknowledged (its *recovery floor*), it neither votes nor leads.
+//! A disk may lose writes that it confirmed. The other replicas record the log position that each disk has acknowledged
+//! (see [`DurabilityWitness`]), so a replica that asks them learns whether its own disk has lost entries. Until its log
+//! has caught up with the position it had acknowledged (its *recovery floor*), it neither votes nor leads.
 
 use super::position::LogPosition;
 use super::Replica;
@@ -10,31 +10,31 @@
 use crate::wire::{Body, DurabilityWitness, Hello};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The share of the bound on an outage for which a recovered replica leaves the lead to one with a longer log.
+/// A recovered replica defers to one with a longer log for `bounds.outage_ms` divided by this.
 const DEFERRAL_OUTAGE_DIVISOR: u64 = 6;
-/// Election time-outs after a recovery during which a replica that hears no leader stands for election sooner.
+/// Election timeouts after a recovery during which a replica without a leader uses the shorter election timeout.
 const FAST_ELECTION_TIMEOUTS: u64 = 4;
 
-/// What the other replicas have answered so far.
+/// The answers received from the other replicas so far.
 #[derive(Clone, Debug)]
 pub(super) struct RecoveryQuery {
-    /// When a majority of answers is enough, in monotonic milliseconds.
+    /// From when on answers of a majority suffice, in monotonic milliseconds.
     deadline: u64,
-    /// When the others are asked again.
+    /// When the others are asked next.
     next_request_at: u64,
-    /// The disks of those that answered, by address.
+    /// The disks of the replicas that have answered, by address.
     answered: BTreeMap<String, u64>,
-    /// Whether any of them has a log at all.
+    /// Whether any of them has log entries.
     anyone_has_log: bool,
     /// The longest log among them, and the highest term.
     longest_log: LogPosition,
     highest_term: u64,
-    /// How far this replica's disk had acknowledged the log, as far as anyone remembers.
+    /// The highest position that this replica's disk had acknowledged, as recorded by the others.
     witnessed: Option<LogPosition>,
 }
 
 impl RecoveryQuery {
-    /// A query that waits for all others, but not longer than `wait_ms`.
+    /// Creates a query that waits for answers from all others, but after `wait_ms` only for a majority.
     pub fn new(now: Now, wait_ms: u64) -> Self {
         Self {
             deadline: now.mono + wait_ms,
@@ -63,22 +63,22 @@
     }
 }
 
-/// A longer log that was heard of during recovery, and until when its owner is given the chance to lead.
+/// The end of a longer log found during recovery, and until when its owner is given the chance to become leader.
 #[derive(Clone, Copy, Debug, Default)]
 struct Deferral {
     position: LogPosition,
     until: u64,
 }
 
-/// What this replica has to make up for before it counts.
+/// The recovery of this replica: the query, and the restrictions until it has caught up.
 #[derive(Clone, Debug)]
 pub(super) struct RecoveryState {
-    /// The query after a start, while it goes on.
+    /// The query, until it is finished.
     query: Option<RecoveryQuery>,
-    /// The last position that this replica has acknowledged and lost; [`LogPosition::ORIGIN`] if it lost nothing.
+    /// The highest position that this replica acknowledged and lost; [`LogPosition::ORIGIN`] if it lost nothing.
     pub floor: LogPosition,
     deferral: Deferral,
-    /// Part of what was on the disk could not be read.
+    /// A part of the data on the disk could not be read.
     disk_damaged: bool,
 }
 
@@ -95,26 +95,27 @@
 }
 
 impl Replica {
-    /// Whether this replica still finds out what it had acknowledged before it started.
+    /// Whether this replica is still querying the others for what its disk had acknowledged before it started.
     pub(super) fn is_recovering(&self) -> bool {
         self.recovery.query.is_some()
     }
 
-    /// Asks another replica what this one's disk had acknowledged.
+    /// Asks another replica which position this replica's disk had acknowledged.
     fn send_recovery_request(&mut self, to: &str) {
         self.send_hello(to, None);
     }
 
-    /// Sends what this replica has; in an answer also what it remembers of the asking replica's disk.
+    /// Sends the position of this replica's log and its witnesses; an answer also contains the position acknowledged by
+    /// the asking_identity replica's disk.
     fn send_hello(&mut self, to: &str, answer_to_disk: Option<u64>) {
-        let asking = (to.to_string(), answer_to_disk.unwrap_or(0));
-        let nothing_known = DurabilityWitness {
+        let asking_identity = (to.to_string(), answer_to_disk.unwrap_or(0));
+        let no_witness = DurabilityWitness {
             replica: to.into(),
             disk: 0,
             index: 0,
             term: 0,
         };
-        let witnessed = self.witnesses.get(&asking).cloned();
+        let witnessed = self.witnesses.get(&asking_identity).cloned();
         let has_log = !self.log.is_empty();
         let members = if has_log {
             self.members().into_keys().collect()
@@ -130,16 +131,16 @@
             reply: answer_to_disk.is_some(),
             zone: self.settings.zone.clone(),
             knows: has_log,
-            witnessed: Box::new(witnessed.unwrap_or(nothing_known)),
+            witnessed: Box::new(witnessed.unwrap_or(no_witness)),
             members,
             witnesses: self.witnesses.values().cloned().collect(),
         };
         self.send(to, Body::Hello(Box::new(hello)));
     }
 
-    /// Another replica has started and asks, or answers this one's question.
+    /// Handles the recovery request of a replica that has started, or an answer to this replica's request.
     pub(super) fn on_hello(&mut self, now: Now, from: &str, mut hello: Hello) {
-        // Passed on, since whoever remembers may be out of reach when it counts.
+        // Witnesses are passed on, since the replica that recorded one may be unreachable when it is needed.
         self.remember_witnesses(std::mem::take(&mut hello.witnesses));
         self.membership
             .zones
@@ -151,7 +152,7 @@
         }
     }
 
-    /// A replica has started anew: what it acknowledged before may be lost.
+    /// Handles the request of a replica that has restarted: entries that it acknowledged before may be lost.
     fn on_recovery_request(&mut self, from: &str, request: &Hello) {
         if let Some(progress) = self.leadership.progress.get_mut(from) {
             progress.record_disk(request.disk);
@@ -167,9 +168,13 @@
         if let Some(query) = self.recovery.query.as_mut() {
             query.record_answer(from, &answer, self.disk);
             let own_name = self.name.clone();
-            let not_asked =
+            let has_not_answered =
                 |member: &String| *member != own_name && !query.answered.contains_key(member);
-            let others: Vec<String> = answer.members.into_iter().filter(not_asked).collect();
+            let others: Vec<String> = answer
+                .members
+                .into_iter()
+                .filter(has_not_answered)
+                .collect();
             if self.log.is_empty() {
                 for other in others {
                     self.send_recovery_request(&other);
@@ -179,7 +184,7 @@
         self.try_finish_recovery(now);
     }
 
-    /// Asks all other replicas again when it is time, and ends the recovery when it can.
+    /// Repeats the request to all other replicas when it is due, and ends the recovery if possible.
     pub(super) fn recovery_tick(&mut self, now: Now) {
         let next_request_at = self.recovery.query.as_ref().map(|q| q.next_request_at);
         if next_request_at.is_some_and(|at| now.mono >= at) {
@@ -194,7 +199,7 @@
         self.try_finish_recovery(now);
     }
 
-    /// All other replicas that this one has heard of, as members, seeds or from other processes.
+    /// All other replicas that are known as members, as seeds or from the peer sampler.
     pub(super) fn known_replicas(&mut self) -> BTreeSet<String> {
         let mut known: BTreeSet<String> = self.members().into_keys().collect();
         known.extend(self.settings.seeds.iter().cloned());
@@ -209,8 +214,9 @@
             return;
         };
         if query.anyone_has_log && self.log.is_empty() && !self.membership.joining {
-            self.outbox
-                .log("the disk is empty while others have a log: joins as a newcomer".into());
+            self.outbox.log(
+                "the disk is empty but other replicas have a log: joining as a new replica".into(),
+            );
             self.membership.joining = true;
             self.membership.invalidate();
         }
@@ -224,7 +230,8 @@
 
     fn finish_recovery(&mut self, now: Now, query: &RecoveryQuery) {
         let last = self.log.last();
-        // What others remember of this disk; where nobody does and it is damaged, the longest log that anyone has.
+        // The floor is the position that others have recorded for this disk; if none has and the disk is damaged, the
+        // end of the longest log.
         let damaged_floor =
             (query.anyone_has_log && self.recovery.disk_damaged).then_some(query.longest_log);
         let witnessed = query.witnessed.filter(|position| *position > last);
@@ -232,7 +239,7 @@
         if let Some(floor) = floor.filter(|floor| *floor > last) {
             self.enter_recovery_floor(floor, query.highest_term);
         }
-        // A longer log may hold entries that were acknowledged here and lost, with nobody to remember it.
+        // A longer log may contain entries that were acknowledged and lost here without any witness of it.
         if query.longest_log > last {
             self.recovery.deferral = Deferral {
                 position: query.longest_log,
@@ -245,14 +252,15 @@
             now.mono + FAST_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
         self.reset_election_timer(now);
         self.outbox.log(format!(
-            "recovered at index {} of term {}, {} other replicas heard",
+            "recovered at index {} of term {}; {} other replicas answered",
             last.index,
             last.term,
             query.answered.len()
         ));
     }
 
-    /// The disk has lost entries that it acknowledged, and perhaps votes: neither votes nor leads until caught up.
+    /// Handles the loss of acknowledged entries, and perhaps of votes: this replica neither votes nor leads until its
+    /// log has caught up, and never votes in the terms so far.
     fn enter_recovery_floor(&mut self, floor: LogPosition, highest_term: u64) {
         self.recovery.floor = floor;
         let hard_state = &mut self.hard_state;
@@ -264,7 +272,7 @@
         self.persistence.write_hard_state(&self.hard_state);
         self.count("disk_losses_seen", 1);
         self.outbox.log(format!(
-            "the disk has lost what it confirmed (has {}, had confirmed {} of term {}): no vote until caught up",
+            "the disk has lost acknowledged entries (last index {}, had acknowledged {} of term {}): not voting until caught up",
             self.log.last().index,
             floor.index,
             floor.term
@@ -273,13 +281,13 @@
 
     /// Whether a majority of the voters has answered, and either all others are accounted for or the wait is over. A
     /// voter that answers with another disk than the member's knows nothing of what that disk acknowledged and does not
-    /// count; but that disk is lost for good, so nobody waits for it.
+    /// count; but the member's disk is lost for good, so there is no need to wait for it.
     fn has_enough_answers(&mut self, now: Now) -> bool {
         let Some(query) = self.recovery.query.as_ref() else {
             return false;
         };
         let answered = query.answered.clone();
-        let waited = now.mono >= query.deadline;
+        let is_wait_over = now.mono >= query.deadline;
         let own_name = self.name.clone();
         let mut all_accounted_for = true;
         let mut votes = 1;
@@ -290,7 +298,7 @@
                 Some(_) => {}
             }
         }
-        votes >= self.majority() && (all_accounted_for || waited)
+        votes >= self.majority() && (all_accounted_for || is_wait_over)
     }
 
     /// Ends the restriction to the recovery floor once the log has caught up with it.
@@ -299,14 +307,14 @@
         if self.recovery.floor > LogPosition::ORIGIN && last >= self.recovery.floor {
             self.recovery.floor = LogPosition::ORIGIN;
             self.outbox.log(format!(
-                "caught up at {} of term {}: votes again",
+                "caught up at index {} of term {}: voting again",
                 last.index, last.term
             ));
         }
     }
 
-    /// The position that a log must have reached to get this replica's vote: its own, what it has acknowledged and
-    /// lost, and for a while the longest log that it heard of when it recovered.
+    /// The position that a candidate's log must have reached to get this replica's vote: the end of its own log, its
+    /// recovery floor and, for a while, the end of the longest log found during recovery.
     pub(super) fn required_position(&self, now: Now) -> LogPosition {
         let deferral = &self.recovery.deferral;
         let deferred_to = if now.mono < deferral.until {
@@ -317,7 +325,7 @@
         self.recovery.floor.max(self.log.last()).max(deferred_to)
     }
 
-    /// Keeps, for each disk of another replica, the farthest position that it may have acknowledged.
+    /// Records, for each disk of another replica, the highest position that it may have acknowledged.
     pub(super) fn remember_witnesses(&mut self, witnesses: Vec<DurabilityWitness>) {
         for witness in witnesses {
             if witness.replica != self.name {
@@ -326,7 +334,7 @@
         }
     }
 
-    /// Keeps a position that a disk has acknowledged, if it is farther than the one known.
+    /// Records a position acknowledged by a disk, if it is higher than the one known.
     pub(super) fn remember_witness(&mut self, witness: DurabilityWitness) {
         let identity = (witness.replica.clone(), witness.disk);
         let position = LogPosition::new(witness.term, witness.index);
