--- a/landingdrift/src/consensus/election.rs
+++ b/landingdrift/src/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and transfer of leadership.
+//! Elections: pre-vote, vote and leadership transfer.
 
 use super::position::LogPosition;
 use super::progress::Progress;
@@ -8,24 +8,24 @@
 use crate::wire::{Body, TransferLeadership, VoteRequest, VoteResponse};
 use std::collections::BTreeMap;
 
-/// Shortly after a start, with no leader heard of, the election time-out is shorter by this factor: there is most likely
+/// Shortly after a start, as long as no leader is known, the election timeout is divided by this: most likely there is
 /// no leader at all, as after a total outage.
 const FAST_ELECTION_DIVISOR: u64 = 4;
 
-/// The election timer and the votes that were received. Times are monotonic milliseconds.
+/// The election timer and the votes received. Times are monotonic milliseconds.
 #[derive(Clone, Debug)]
 pub(super) struct Election {
-    /// When this replica stands for election unless it hears a leader first.
+    /// When this replica starts a pre-vote unless a leader contacts it first.
     pub deadline: u64,
     pub last_leader_contact: u64,
-    /// Until when the election time-out is short.
+    /// Until when the shorter election timeout applies.
     pub fast_until: u64,
-    /// The disks of the replicas that gave their vote, by address.
+    /// The disks of the replicas that granted their vote, by address.
     pub votes: BTreeMap<String, u64>,
 }
 
 impl Election {
-    /// An election timer that has just been started.
+    /// Starts an election timer of `timeout_ms`; no votes are received yet.
     pub fn new(now: Now, timeout_ms: u64) -> Self {
         Self {
             deadline: now.mono + timeout_ms,
@@ -37,30 +37,30 @@
 }
 
 impl Replica {
-    /// Starts the election timer anew, with a random share so that replicas rarely stand at once.
+    /// Restarts the election timer, with a random part so that replicas rarely start elections at the same time.
     pub(super) fn reset_election_timer(&mut self, now: Now) {
         let mut timeout = self.settings.bounds.election_timeout();
         let is_fast = now.mono < self.election.fast_until && self.leader.is_empty();
         if is_fast {
             timeout /= FAST_ELECTION_DIVISOR;
         }
-        // A replica that is being shut down lets the others stand first.
-        let reserve = if self.shutdown.is_requested() {
+        // A replica that is shutting down waits longer, so that others are elected first.
+        let shutdown_delay = if self.shutdown.is_requested() {
             timeout
         } else {
             0
         };
-        self.election.deadline = now.mono + reserve + timeout + self.rng.below(timeout);
+        self.election.deadline = now.mono + shutdown_delay + timeout + self.rng.below(timeout);
     }
 
-    /// Whether a leader was heard within the election time-out, or this replica leads.
+    /// Whether this replica leads, or a leader has contacted it within the election timeout.
     fn has_live_leader(&self, now: Now) -> bool {
-        let silence = now.mono.saturating_sub(self.election.last_leader_contact);
+        let since_contact = now.mono.saturating_sub(self.election.last_leader_contact);
         self.role == Role::Leader
-            || (!self.leader.is_empty() && silence < self.settings.bounds.election_timeout())
+            || (!self.leader.is_empty() && since_contact < self.settings.bounds.election_timeout())
     }
 
-    /// Enters a term that is not older than the current one, as a follower. `leader` is empty where it isn't known.
+    /// Becomes a follower in `term`, which is not older than the current term. `leader` is empty if unknown.
     pub(super) fn become_follower(&mut self, now: Now, term: u64, leader: &str) {
         if term > self.hard_state.term {
             self.hard_state.term = term;
@@ -69,9 +69,11 @@
             self.persistence.write_hard_state(&self.hard_state);
         }
         if self.role == Role::Leader {
-            self.outbox
-                .log(format!("no longer leader, term {}", self.hard_state.term));
-            // A pending proposal may still commit under another leader, so nobody is told that it was rejected.
+            self.outbox.log(format!(
+                "lost leadership, now in term {}",
+                self.hard_state.term
+            ));
+            // A pending proposal may still be committed by another leader, so it must not be reported as rejected.
             self.leadership.pending_proposals.clear();
             self.leadership.pending_reads.clear();
             self.count("leaderships_lost", 1);
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Asks first whether an election would be won, so that a replica that was cut off disturbs nobody.
+    /// Starts a pre-vote, so that a replica that was partitioned does not disrupt a working leader with a new term.
     pub(super) fn start_pre_vote(&mut self, now: Now) {
         self.reset_election_timer(now);
         let may_lead = !self.is_recovering()
@@ -100,7 +102,7 @@
         self.request_votes(now, false);
     }
 
-    /// Stands for election in the next term.
+    /// Starts an election in the next term.
     fn campaign(&mut self, now: Now, leadership_transfer: bool) {
         self.role = Role::Candidate;
         self.hard_state.term += 1;
@@ -111,7 +113,7 @@
         self.request_votes(now, leadership_transfer);
     }
 
-    /// Asks all other voters for their vote, or their pre-vote.
+    /// Requests the vote, or as a pre-candidate the pre-vote, of all other voters.
     fn request_votes(&mut self, now: Now, leadership_transfer: bool) {
         let own_name = self.name.clone();
         let pre_vote = self.role == Role::PreCandidate;
@@ -136,13 +138,13 @@
         self.count_votes(now);
     }
 
-    /// Another replica asks for this one's vote.
+    /// Handles another replica's request for a vote or pre-vote.
     pub(super) fn on_vote_request(&mut self, now: Now, from: &str, request: &VoteRequest) {
         let stays_with_leader = self.has_live_leader(now) && !request.leadership_transfer;
         if self.is_recovering() || stays_with_leader || !self.disk_health.takes_writes() {
             return;
         }
-        // A candidate that is not known yet may be one promoted in entries that are missing here.
+        // An unknown candidate may have been promoted by entries that this replica lacks.
         let is_eligible =
             !self.members().contains_key(from) || self.is_identity(from, request.disk);
         let candidate_last = LogPosition::new(request.last_term, request.last_index);
@@ -171,9 +173,9 @@
         if term > self.hard_state.term {
             self.become_follower(now, term, "");
         }
-        let is_free = self.hard_state.vote.is_empty() || self.hard_state.vote == from;
+        let can_vote_for = self.hard_state.vote.is_empty() || self.hard_state.vote == from;
         let granted = may_vote
-            && is_free
+            && can_vote_for
             && term == self.hard_state.term
             && term > self.hard_state.no_vote_through;
         if granted {
@@ -190,7 +192,7 @@
         self.send_when_durable(from, Body::VoteResponse(Box::new(response)));
     }
 
-    /// Another replica has answered a request for its vote.
+    /// Handles another replica's answer to a request for its vote.
     pub(super) fn on_vote_response(&mut self, now: Now, from: &str, response: &VoteResponse) {
         if response.term > self.hard_state.term && !response.granted {
             self.become_follower(now, response.term, "");
@@ -207,7 +209,8 @@
         }
     }
 
-    /// Goes on to the election, or to lead, once a majority of the voters has given its vote.
+    /// Advances from pre-vote to election, or from election to leadership, once a majority of the voters has granted
+    /// its vote.
     pub(super) fn count_votes(&mut self, now: Now) {
         let voters = self.voters();
         let mut counted = 0;
@@ -239,18 +242,19 @@
         self.clock.start_leading(now, last_entry_time);
         self.count("leaderships", 1);
         self.outbox
-            .log(format!("leader of term {}", self.hard_state.term));
+            .log(format!("became leader of term {}", self.hard_state.term));
         let leader = self.name.clone();
         let first_index = self.append_command(now, &Command::TermStarted { leader });
         self.leadership.term_start_index = first_index;
         self.send_round(now, true);
     }
 
-    /// The voter that should lead next: it answers, stays, has a working disk, and has the most entries.
+    /// The voter that should lead next: of the reachable voters that are not leaving and have a working disk, the one
+    /// with the most entries.
     fn successor(&mut self, now: Now) -> Option<String> {
         let voters = self.voters();
         let timeout = self.settings.bounds.election_timeout();
-        let is_fit = |address: &String, progress: &Progress| {
+        let is_eligible = |address: &String, progress: &Progress| {
             voters.contains(address)
                 && !progress.leaving
                 && !progress.disk_refuses_writes
@@ -259,17 +263,17 @@
         self.leadership
             .progress
             .iter()
-            .filter(|(address, progress)| is_fit(address, progress))
+            .filter(|(address, progress)| is_eligible(address, progress))
             .max_by_key(|(_, progress)| (progress.match_index, progress.last_heard_at))
             .map(|(address, _)| address.clone())
     }
 
-    /// Whether this leader is being shut down and another can lead in its place.
+    /// Whether this leader is shutting down and another voter can lead in its place.
     pub(super) fn is_transferring_leadership(&mut self, now: Now) -> bool {
         self.shutdown.is_requested() && self.successor(now).is_some()
     }
 
-    /// Asks the best successor to lead, if there is one.
+    /// Asks the best successor, if there is one, to take over leadership.
     pub(super) fn transfer_leadership(&mut self, now: Now) {
         self.shutdown.transfer_offered_at = now.mono;
         let term = self.hard_state.term;
@@ -279,7 +283,7 @@
         }
     }
 
-    /// The leader of `term` asks this replica to lead in its place.
+    /// Handles the request of the leader of `term` to take over leadership.
     pub(super) fn on_transfer_leadership(&mut self, now: Now, term: u64) {
         let may_lead = term == self.hard_state.term
             && self.role == Role::Follower
--- a/landingdrift/src/consensus/inspect.rs
+++ b/landingdrift/src/consensus/inspect.rs
@@ -1,4 +1,4 @@
-//! What tests and the model checker may look at. Nothing here changes a replica.
+//! Read access to a replica's state for tests and the model checker.
 
 use super::{Replica, Role};
 use crate::state::ClusterState;
@@ -15,12 +15,12 @@
         self.role == Role::Leader
     }
 
-    /// Whether this replica still finds out what it had confirmed before it started.
+    /// Whether this replica is still querying the others for what its disk had acknowledged before it started.
     pub fn recovers(&self) -> bool {
         self.is_recovering()
     }
 
-    /// The term this replica is in.
+    /// The current term of this replica.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
@@ -43,7 +43,7 @@
             .take_while(move |entry| entry.index <= commit_index)
     }
 
-    /// A number that differs for states which differ in what the protocol depends on. Timers are left out.
+    /// A hash of the state that the protocol depends on; timers are left out.
     pub fn fingerprint(&self) -> u64 {
         use std::hash::{DefaultHasher, Hash, Hasher};
         let mut hasher = DefaultHasher::new();
--- a/landingdrift/src/consensus/job_admission.rs
+++ b/landingdrift/src/consensus/job_admission.rs
@@ -1,24 +1,26 @@
-//! Which jobs the leader takes into the log: those that the cluster state has memory for, on a machine like its own.
+//! Admission of submitted jobs by the leader: the cluster state must have memory for them on a machine with the
+//! leader's limits.
 //!
-//! Jobs that are due much later may take only a part of it, so that they keep nothing from jobs that are due now.
+//! Jobs that are due much later (deferred jobs) may use only a part of each limit, so that they never crowd out jobs
+//! that are due now.
 
 use super::Replica;
 use crate::sans_io::Now;
 use crate::state::{ClusterState, Command, JobSpec};
 
-/// The memory of the jobs is counted anew after this time, in milliseconds: retries add to it, and jobs are dropped.
+/// The memory of the jobs is recounted at this interval, in milliseconds: retries add to it, and removed jobs free it.
 const RECOUNT_MS: u64 = 1000;
 
-/// A job may take one part in so many of what is left, so that a few large ones do not keep the small ones out.
+/// A job may use at most the remaining memory divided by this, so that a few large jobs do not crowd out small ones.
 const LARGEST_JOB_DIVISOR: u64 = 4;
 
-/// A job whose last time is due later than this from now is deferred, in milliseconds.
+/// A job whose last due time is further ahead than this is deferred, in milliseconds.
 const DEFERRED_AFTER_MS: u64 = 60_000;
 
-/// Deferred jobs may take one part in so many of each limit.
+/// Deferred jobs may use each limit divided by this.
 const DEFERRED_LIMIT_DIVISOR: u64 = 2;
 
-/// What some jobs take.
+/// The number of some jobs and the memory that they use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct JobUsage {
     jobs: u64,
@@ -34,30 +36,30 @@
     }
 }
 
-/// A job that the leader may append.
+/// The share of the limits that an admitted job uses.
 #[derive(Clone, Copy)]
 pub(super) struct AdmittedJob {
     bytes: u64,
     is_deferred: bool,
 }
 
-/// A job that was appended at an index.
+/// An admitted job and the log index of its entry.
 #[derive(Clone, Copy)]
 struct AppendedJob {
     index: u64,
     job: AdmittedJob,
 }
 
-/// What the jobs take, as far as the leader knows.
+/// The usage of the limits by jobs: the result of the last count, plus the jobs appended since.
 #[derive(Clone, Default)]
 pub(super) struct JobAdmission {
-    /// The unfinished jobs in the cluster state when they were counted, and the bytes of the retained ones as well.
+    /// The number of unfinished jobs at the last count; the bytes include retained finished jobs.
     counted: JobUsage,
-    /// Those among them that were unfinished and deferred.
+    /// The unfinished deferred jobs among them.
     counted_deferred: JobUsage,
-    /// When they are counted next, in monotonic milliseconds.
+    /// When the jobs are counted next, in monotonic milliseconds.
     recount_at: u64,
-    /// The jobs that were appended and not yet applied when they were counted.
+    /// The jobs appended to the log that the last count does not include.
     appended: Vec<AppendedJob>,
 }
 
@@ -82,10 +84,10 @@
         self.counted_deferred.plus(appended)
     }
 
-    fn appended_usage(&self, is_meant: impl Fn(&AdmittedJob) -> bool) -> JobUsage {
+    fn appended_usage(&self, is_counted: impl Fn(&AdmittedJob) -> bool) -> JobUsage {
         let jobs = self.appended.iter().map(|appended| &appended.job);
-        let meant = jobs.filter(|job| is_meant(job));
-        meant.fold(JobUsage::default(), |sum, job| {
+        let counted = jobs.filter(|job| is_counted(job));
+        counted.fold(JobUsage::default(), |sum, job| {
             sum.plus(JobUsage {
                 jobs: 1,
                 bytes: job.bytes,
@@ -93,7 +95,7 @@
         })
     }
 
-    /// Notes that a job was appended at an index.
+    /// Records that a job was appended at a log index.
     pub(super) fn record_appended(&mut self, index: u64, job: AdmittedJob) {
         if job.bytes > 0 {
             self.appended.push(AppendedJob { index, job });
@@ -101,7 +103,7 @@
     }
 }
 
-/// What the unfinished jobs take that are deferred.
+/// The usage of the unfinished deferred jobs.
 fn deferred_usage(state: &ClusterState) -> JobUsage {
     let open = state.open.iter().filter_map(|id| state.jobs.get(id));
     let deferred = open.filter(|job| is_deferred(&job.spec, state.at));
@@ -113,13 +115,13 @@
     })
 }
 
-/// Whether the last time of a job is due much later than a time by the cluster clock.
+/// Whether the last due time of a job is much later than `at`, a time of the cluster clock.
 fn is_deferred(job: &JobSpec, at: u64) -> bool {
     job.last_due() > at.saturating_add(DEFERRED_AFTER_MS)
 }
 
 impl Replica {
-    /// The job as it counts once it is appended, if there is capacity for it; one that is known takes no more.
+    /// Checks the limits for a job; returns its usage if it is admitted. A job that is already known uses nothing more.
     pub(super) fn admit_job(&mut self, now: Now, job: &JobSpec) -> Option<AdmittedJob> {
         if self.state.jobs.contains_key(&job.id) || self.state.tombstones.contains_key(&job.id) {
             return Some(AdmittedJob {
@@ -150,13 +152,13 @@
     }
 }
 
-/// Whether one more job may be taken within a limit, beside what others take.
+/// Whether a limit leaves capacity for one more job beside what is already used.
 fn has_capacity(limit: JobUsage, used: JobUsage, job: AdmittedJob) -> bool {
     let bytes_left = limit.bytes.saturating_sub(used.bytes);
     used.jobs < limit.jobs && job.bytes <= bytes_left / LARGEST_JOB_DIVISOR
 }
 
-/// The job that a proposed command submits, if it is one.
+/// The job that a proposed command submits; none for other commands.
 pub(super) fn submitted_job(command: &[u8]) -> Option<JobSpec> {
     if !Command::submits_job(command) {
         return None;
--- a/landingdrift/src/consensus/leadership.rs
+++ b/landingdrift/src/consensus/leadership.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps for the time that it leads, and the leader's periodic work.
+//! The state of a leader, and its periodic work.
 
 use super::client_requests::{PendingProposal, PendingRead};
 use super::progress::{Progress, Rounds};
@@ -7,36 +7,36 @@
 use crate::state::Command;
 use std::collections::BTreeMap;
 
-/// A leader that no majority has answered for so many election time-outs steps down.
+/// A leader without a response from a majority for this many election timeouts steps down.
 const STEP_DOWN_ELECTION_TIMEOUTS: u64 = 2;
-/// For so many election time-outs a leader waits for more readings of clocks.
+/// The election timeouts for which a leader waits for more clock readings.
 const CLOCK_WAIT_ELECTION_TIMEOUTS: u64 = 2;
 
 /// The state of a leader. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leadership {
-    /// When this replica last became leader.
+    /// The time at which this replica last became leader.
     pub since: u64,
-    /// The first entry of its term. Once it is committed, all earlier ones are known to be.
+    /// The index of the first entry of its term. Once it is committed, all earlier entries are known to be committed.
     pub term_start_index: u64,
-    /// The entry of the leader's last command of its own; the next one is derived from what that one made.
+    /// The index of the last command from the leader's own reconciliation; the next one is derived from its result.
     pub last_command_index: u64,
-    /// When a lease was last moved to a better holder.
+    /// The time at which a lease was last moved to a better holder.
     pub last_lease_move_at: u64,
     /// The other replicas, by address.
     pub progress: BTreeMap<String, Progress>,
     pub rounds: Rounds,
-    /// Proposals to be answered once they are applied, by index.
+    /// Proposals to be answered once they are applied, by log index.
     pub pending_proposals: BTreeMap<u64, PendingProposal>,
     pub pending_reads: Vec<PendingRead>,
-    /// Entries are to be sent at the end of this step.
+    /// New entries are sent at the end of this step.
     pub round_requested: bool,
-    /// All others are to hear from the leader, whether there are entries for them or not.
+    /// All other replicas are sent a message, even those for which there are no entries.
     pub heartbeat_requested: bool,
 }
 
 impl Leadership {
-    /// Begins to lead replicas of which nothing is known yet.
+    /// Resets the state at the start of a leadership, with nothing known of the other replicas' logs.
     pub fn start(&mut self, now: Now, progress: BTreeMap<String, Progress>) {
         self.since = now.mono;
         self.last_command_index = 0;
@@ -46,13 +46,15 @@
 }
 
 impl Replica {
-    /// The leader's periodic work: keeps its majority, sends heartbeats, and reconciles the cluster state.
+    /// The leader's periodic work: checks that a majority still responds, sends heartbeats and reconciles the cluster
+    /// state.
     pub(super) fn leader_tick(&mut self, now: Now) {
         let election_timeout = self.settings.bounds.election_timeout();
         let last_contact = self.last_quorum_contact(now).max(self.leadership.since);
-        let silence = now.mono.saturating_sub(last_contact);
-        if silence > STEP_DOWN_ELECTION_TIMEOUTS * election_timeout {
-            self.outbox.log("no majority answers: steps down".into());
+        let since_contact = now.mono.saturating_sub(last_contact);
+        if since_contact > STEP_DOWN_ELECTION_TIMEOUTS * election_timeout {
+            self.outbox
+                .log("no response from a majority of the voters: stepping down as leader".into());
             self.become_follower(now, self.hard_state.term, "");
             return;
         }
@@ -67,14 +69,14 @@
         }
         self.report_resilience(now);
         if self.voters().len() == 1 {
-            // Nobody else answers, and its own disk is enough.
+            // A single voter is its own majority: it commits and answers reads without waiting for responses.
             self.advance_commit(now);
             self.answer_reads(now);
         }
         self.reconcile(now);
     }
 
-    /// Follows the progress of the members, and of no others.
+    /// Tracks the progress of exactly the current members.
     fn track_members(&mut self, now: Now) {
         let members = self.members();
         let next_index = self.log.last().index + 1;
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Proposes the next change that brings the cluster state closer to what it should be. One at a time, since the
-    /// next one is derived from what the last one made.
+    /// Proposes the next change that brings the cluster state closer to the desired state. Changes are made one at a
+    /// time, since each is derived from the result of the last one.
     fn reconcile(&mut self, now: Now) {
         let is_term_committed = self.log.commit_index >= self.leadership.term_start_index;
         let is_last_applied = self.state.applied_index >= self.leadership.last_command_index;
@@ -112,7 +114,7 @@
             .or_else(|| self.next_garbage_collection(now))
     }
 
-    /// Removes what was retained for its time.
+    /// Removes data whose retention time has passed, if there is any.
     fn next_garbage_collection(&mut self, now: Now) -> Option<Command> {
         let retain_ms = self.settings.limits.retain_ms;
         let identity_ms = self.settings.limits.identity_ms;
--- a/landingdrift/src/consensus/lease_assignment.rs
+++ b/landingdrift/src/consensus/lease_assignment.rs
@@ -1,5 +1,5 @@
-//! Which node holds which lease: every zone with workers or nodes has a node that schedules for it, every queue with
-//! unfinished jobs an owner, spread over the nodes by their share of a processor.
+//! Assignment of leases to nodes: every zone that is configured or has workers or nodes gets a node that schedules for
+//! it, every queue with unfinished jobs gets an owner. Leases are spread over the nodes by their CPU share.
 
 use super::Replica;
 use crate::sans_io::{fnv1a, Now};
@@ -7,31 +7,31 @@
 use crate::state::{queue_lease, zone_lease, Command};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The share of a node that has not said its own, in thousandths of a core.
+/// The CPU share assumed for a node that has not reported its own, in thousandths of a core.
 const DEFAULT_SHARE: u64 = 1000;
-/// A node beside a replica counts for its share divided by this: one loss should not hit both.
+/// The share of a node beside a replica is divided by this, so that one loss is less likely to hit both.
 const BESIDE_REPLICA_DIVISOR: u64 = 4;
-/// The load of one lease at a share of one thousandth of a core.
+/// The weight of one lease on a share of one thousandth of a core.
 const LEASE_WEIGHT: u64 = 1_000_000;
-/// A lease moves within a class of nodes only to one whose weight is under 2/3 of the holder's.
+/// Within a class of nodes, a lease moves only to a node whose weight is below 2/3 of the holder's.
 const MOVE_WEIGHT_NUMERATOR: u64 = 2;
 const MOVE_WEIGHT_DENOMINATOR: u64 = 3;
-/// Leases are not moved to better holders for so many time-outs of a node after a change.
+/// The node timeouts after a change of leader or of a lease holder during which no lease is moved to a better holder.
 const MOVE_COOLDOWN_NODE_TIMEOUTS: u64 = 2;
 
-/// How badly a node suits a lease; the least is the best.
+/// The cost of placing a lease on a node; the lowest cost is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PlacementCost {
-    /// 0 for a node in the zone that is large enough, 1 for a small one, 2 and 3 for those of other zones.
+    /// 0 for a large node and 1 for a small node in the lease's zone; 2 and 3 for a large and a small node elsewhere.
     class: u32,
-    /// The load of its leases relative to its share.
+    /// The number of the node's leases relative to its CPU share.
     weight: u64,
-    /// The same on every replica, and different for each node.
+    /// A hash of the node's name: the same on every replica, and different for each node.
     tie_break: u64,
 }
 
 impl PlacementCost {
-    /// Whether it is worth it to move a lease from a holder with another cost.
+    /// Whether this cost is so much lower than `other` that moving a lease is worthwhile.
     fn is_much_less_than(&self, other: &Self) -> bool {
         let is_lighter =
             self.weight * MOVE_WEIGHT_DENOMINATOR < other.weight * MOVE_WEIGHT_NUMERATOR;
@@ -39,30 +39,30 @@
     }
 }
 
-/// A lease that some node should hold.
+/// A lease that should have a holder.
 struct WantedLease {
     name: String,
-    /// The zone whose nodes should hold it; none for a queue.
+    /// The zone whose nodes are preferred as holders; none for a queue.
     zone: Option<String>,
 }
 
-/// What should become of a lease.
+/// The action that a lease needs.
 enum Assessment {
     Keep,
-    /// It has a live holder, and a much better one is there.
+    /// The lease has a live holder, but a much better one exists.
     Move(Command),
-    /// It has no holder that keeps it.
+    /// The lease has no holder, or one that must be replaced.
     Assign {
         command: Command,
         had_holder: bool,
     },
 }
 
-/// The leases that each node holds, for the nodes that may be given more.
+/// The number of leases held by each node that may be assigned more.
 type Loads = BTreeMap<String, usize>;
 
 impl Replica {
-    /// Assigns the next lease that needs a holder; where none does, moves one to a much better holder.
+    /// Assigns the next lease that needs a holder; if none does, moves one to a much better holder.
     pub(super) fn next_lease_command(&mut self, now: Now) -> Option<Command> {
         let loads = self.node_loads(now);
         if loads.is_empty() {
@@ -84,19 +84,19 @@
                 }
             }
         }
-        let settle_ms = MOVE_COOLDOWN_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
+        let cooldown_ms = MOVE_COOLDOWN_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
         let last_change = self
             .leadership
             .since
             .max(self.leadership.last_lease_move_at);
-        let is_settled = now.mono > last_change + settle_ms;
-        let command = best_move.filter(|_| is_settled)?;
+        let is_cooldown_over = now.mono > last_change + cooldown_ms;
+        let command = best_move.filter(|_| is_cooldown_over)?;
         self.leadership.last_lease_move_at = now.mono;
         self.count("leases_moved", 1);
         Some(command)
     }
 
-    /// Whether a node may be given leases: it is alive, stays, and follows the whole state.
+    /// Whether a node may be assigned leases: it is alive, is not leaving and has a full copy of the cluster state.
     fn may_hold_leases(&self, now: Now, node: &str) -> bool {
         let timeout = self.settings.bounds.queue_lease_timeout();
         let is_registered = self.state.nodes.get(node).is_some_and(|n| n.alive);
@@ -172,19 +172,20 @@
         }
     }
 
-    /// Whether the holder of a lease is alive and stays. The owner of a queue is given up sooner than that of a zone:
-    /// what it proposes is checked against its epoch where it is applied, while a zone's holder gives orders by itself.
+    /// Whether the holder of a lease is alive and not leaving. The owner of a queue is replaced after a shorter timeout
+    /// than the holder of a zone: the owner's proposals are checked against the lease epoch when they are applied,
+    /// while the holder of a zone issues orders to workers directly.
     fn keeps_lease(&self, now: Now, wanted: &WantedLease, holder: &str) -> bool {
         let is_alive = self.state.nodes.get(holder).is_some_and(|n| n.alive);
         let watcher = self.watch.watchers.get(holder);
         let is_leaving = watcher.is_some_and(|w| w.leaving);
         let last_heard_at = watcher.map_or(self.leadership.since, |w| w.last_heard_at);
         let is_queue = wanted.zone.is_none();
-        let is_silent = last_heard_at + self.settings.bounds.queue_lease_timeout() < now.mono;
-        is_alive && !is_leaving && !(is_queue && is_silent)
+        let is_timed_out = last_heard_at + self.settings.bounds.queue_lease_timeout() < now.mono;
+        is_alive && !is_leaving && !(is_queue && is_timed_out)
     }
 
-    /// The node that would be the best holder, with its cost once it holds the lease.
+    /// The node with the lowest cost if it held the lease, and that cost.
     fn best_holder(
         &self,
         wanted: &WantedLease,
@@ -199,7 +200,7 @@
         costs.min()
     }
 
-    /// The successor that a leaving holder has named, if it may hold leases.
+    /// The successor named by a leaving holder, if that node may hold leases.
     fn named_successor(&self, now: Now, holder: &str) -> Option<String> {
         let watcher = self.watch.watchers.get(holder)?;
         let may_succeed = watcher.leaving && self.may_hold_leases(now, &watcher.successor);
@@ -211,7 +212,7 @@
             let registered = self.state.nodes.get(node);
             registered.is_some_and(|n| n.zone == *zone)
         };
-        let is_away = wanted.zone.as_ref().is_some_and(|zone| !is_in_zone(zone));
+        let is_other_zone = wanted.zone.as_ref().is_some_and(|zone| !is_in_zone(zone));
         let watcher = self.watch.watchers.get(node);
         let share = watcher.map_or(DEFAULT_SHARE, |w| u64::from(w.share.max(1)));
         let is_beside_replica = watcher.is_some_and(|w| w.beside_replica);
@@ -221,7 +222,7 @@
             share
         };
         PlacementCost {
-            class: 2 * u32::from(is_away) + u32::from(share < u64::from(SMALL_NODE_SHARE)),
+            class: 2 * u32::from(is_other_zone) + u32::from(share < u64::from(SMALL_NODE_SHARE)),
             weight: (load as u64 * LEASE_WEIGHT) / usable_share.max(1),
             tie_break: fnv1a(node.as_bytes()),
         }
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -1,85 +1,85 @@
-//! Which replicas vote: a pure reconciler that derives the next single membership change from what the leader sees.
+//! A pure reconciler of the membership: it derives the next single change from the members and their observed status.
 //!
 //! A replica is identified by its address *and* its disk. Changes are made one at a time, each committed before the
-//! next is derived, so that every two majorities in force one after the other share a member.
+//! next is derived, so that any two successive majorities share a member.
 
 use crate::state::ReplicaMember;
 use std::collections::BTreeMap;
 
-/// How the leader sees a member at the moment.
+/// The condition of a member as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It answers.
+    /// It responds.
     Reachable,
-    /// It answers, and is being shut down in order.
+    /// It responds, and is in an orderly shutdown.
     Leaving,
-    /// It answers, and its disk takes nothing.
+    /// It responds, but its disk accepts no writes.
     Impaired,
-    /// It has not answered for longer than the span after which a voter is exchanged.
+    /// It has not responded for longer than the timeout after which a voter is replaced.
     Unreachable,
-    /// Another disk answers at its address: this identity will never answer again.
+    /// Another disk responds at its address: this identity will never respond again.
     Replaced,
 }
 
-/// What the leader knows of a member.
+/// The status of a member as observed by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Whether it can be relied on.
+    /// Its current condition.
     pub health: Health,
-    /// Its log reaches (nearly) the commit index, so that promoting it delays no commit.
+    /// Its log has (nearly) reached the commit index, so promoting it does not delay commits.
     pub caught_up: bool,
-    /// It has been silent for so long that a standby like this is dropped.
+    /// It has been unreachable for so long that, as a standby, it is removed.
     pub long_unreachable: bool,
 }
 
-/// A replica that asks to be admitted.
+/// A replica's request to be admitted to the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JoinRequest {
-    /// Its disk.
+    /// The identity of its disk.
     pub disk: u64,
     /// Its zone.
     pub zone: String,
-    /// It is not to vote as long as others can.
+    /// It must not become a voter as long as other members can.
     pub standby_only: bool,
 }
 
-/// One change of the membership.
+/// A single change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A newcomer becomes a standby, which receives the log and does not vote.
+    /// A new replica becomes a standby, which receives the log but does not vote.
     Admit(String, JoinRequest),
     /// A standby becomes a voter.
     Promote(String),
     /// A voter becomes a standby.
     Demote(String),
-    /// An identity leaves the membership.
+    /// A member is removed.
     Remove(String),
 }
 
-/// Everything the next change is derived from.
+/// The input from which the next change is derived.
 pub struct MembershipView<'a> {
     /// The address of the leader, which is a member.
     pub leader: &'a str,
-    /// The wanted number of voters: 2f+1 where f machines may be lost at once.
+    /// The desired number of voters: 2f+1 to survive the loss of f machines at once.
     pub target_voters: usize,
     /// The members by address.
     pub members: &'a BTreeMap<String, ReplicaMember>,
-    /// What the leader has observed of the others, by address.
+    /// The observed status of the members other than the leader, by address.
     pub observed: &'a BTreeMap<String, MemberStatus>,
     /// Requests to be admitted, by address.
     pub requests: &'a BTreeMap<String, JoinRequest>,
 }
 
-/// What may still be lost before no majority is left.
+/// The losses that the voters can survive while a majority remains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Resilience {
-    /// Replicas that vote.
+    /// The number of voters.
     pub voters: usize,
-    /// Replicas that stand by.
+    /// The number of standbys.
     pub standbys: usize,
-    /// Machines, whichever they are; below zero there is no majority.
+    /// The number of further machines that may be lost, whichever they are; below zero there is no majority.
     pub machine_losses_left: i64,
-    /// Whether any one zone may be lost.
+    /// Whether a majority would survive the loss of any single zone.
     pub zone_loss_survivable: bool,
 }
 
@@ -100,14 +100,14 @@
             .or_else(|| self.remove_unreachable_standby())
     }
 
-    /// Whether a standby could take the place of a voter now or soon.
+    /// Whether there is a reachable standby, which could replace a voter now or once it has caught up.
     pub fn has_standby(&self) -> bool {
         self.members
             .iter()
             .any(|(address, member)| !member.voter && self.health(address) == Health::Reachable)
     }
 
-    /// What may still be lost.
+    /// The losses that the current voters can survive.
     pub fn resilience(&self) -> Resilience {
         let voters = self.voters();
         let needed = majority(voters.len()) as i64;
@@ -198,7 +198,7 @@
         Some(MembershipChange::Admit(address.clone(), request.clone()))
     }
 
-    /// A disk that answers at another address already is a copy, and is not admitted.
+    /// A disk that already responds at another address is a copy, and is not admitted.
     fn may_admit(&self, address: &str, request: &JoinRequest) -> bool {
         let is_copy = |other: &String, member: &ReplicaMember| {
             member.disk == request.disk && self.health(other) != Health::Unreachable
@@ -207,7 +207,7 @@
             && !self.members.iter().any(|(other, m)| is_copy(other, m))
     }
 
-    /// Where there are more voters than wanted, the one that serves least is demoted.
+    /// If there are more voters than desired, demotes the most dispensable one.
     fn demote_surplus(&self) -> Option<MembershipChange> {
         let voters = self.voters();
         if voters.len() <= self.target_voters {
@@ -228,7 +228,8 @@
         Some(MembershipChange::Demote(worst.to_string()))
     }
 
-    /// Of an even number of voters, one that is silent or leaving is demoted: the majority gets smaller by it.
+    /// If the number of voters is even, demotes one that is unreachable, leaving or impaired, which makes the majority
+    /// smaller.
     fn demote_from_even_count(&self) -> Option<MembershipChange> {
         let count = self.voters().len();
         if count <= 2 || !count.is_multiple_of(2) {
@@ -238,15 +239,15 @@
         Some(MembershipChange::Demote(outgoing.to_string()))
     }
 
-    /// A voter whose place a standby should take.
+    /// A voter that a standby should replace.
     fn outgoing_voter(&self) -> Option<&str> {
         self.first_voter_with(Health::Unreachable)
             .or_else(|| self.first_voter_with(Health::Leaving))
             .or_else(|| self.first_voter_with(Health::Impaired))
     }
 
-    /// Where there are fewer voters than wanted, a standby is promoted; an odd number grows only by two, or where one
-    /// voter is demoted next.
+    /// If there are fewer voters than desired, promotes a standby. An odd number of voters grows only if two standbys
+    /// are ready, or if a voter is demoted next.
     fn promote_missing(&self) -> Option<MembershipChange> {
         let count = self.voters().len();
         if count >= self.target_voters {
@@ -261,11 +262,13 @@
         Some(MembershipChange::Promote(best.to_string()))
     }
 
-    /// A standby is promoted beside a voter that is silent, leaving, without a working disk or in a crowded zone, which is demoted next.
+    /// Promotes a standby to replace a voter that is unreachable, leaving, without a working disk or in a crowded zone;
+    /// that voter is demoted next.
     ///
-    /// The other order, demoting first, can end for ever: of three voters one is silent and demoted, the second is lost
-    /// before that is committed, and the first comes back; it may not be elected with its shorter log, and the leader
-    /// that was counts on the lost one alone. Promoting first, whoever comes back counts.
+    /// Demoting first could leave the cluster without a majority for good: of three voters, one becomes unreachable and
+    /// is demoted, the second is lost before that change is committed, and the first comes back. It can't be elected
+    /// because its log is shorter, and the leader by then counts only on the lost voter. With promotion first, any
+    /// voter that comes back counts.
     fn promote_replacement(&self) -> Option<MembershipChange> {
         if self.voters().len() != self.target_voters {
             return None;
@@ -284,15 +287,14 @@
     }
 
     fn remove_unreachable_standby(&self) -> Option<MembershipChange> {
-        let long_silent = |address: &str| {
+        let is_long_unreachable = |address: &str| {
             self.observed
                 .get(address)
                 .is_some_and(|o| o.long_unreachable)
         };
-        let (gone, _) = self
-            .members
-            .iter()
-            .find(|(address, m)| !m.voter && *address != self.leader && long_silent(address))?;
+        let (gone, _) = self.members.iter().find(|(address, m)| {
+            !m.voter && *address != self.leader && is_long_unreachable(address)
+        })?;
         Some(MembershipChange::Remove(gone.clone()))
     }
 }
--- a/landingdrift/src/consensus/membership_state.rs
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -1,4 +1,4 @@
-//! The membership as one replica knows it, and the leader's work of keeping it as wanted.
+//! The membership as known by one replica, and the leader's reconciliation of it.
 
 use super::membership::{
     majority, Health, JoinRequest, MemberStatus, MembershipChange, MembershipView, Resilience,
@@ -10,41 +10,43 @@
 use crate::wire::{Body, JoinCluster};
 use std::collections::BTreeMap;
 
-/// A standby this many entries behind the commit index still counts as caught up.
+/// The maximum number of entries behind the commit index at which a standby counts as caught up.
 const CAUGHT_UP_MAX_LAG_ENTRIES: u64 = 64;
-/// A standby that is silent for this many replacement spans is dropped from the membership.
+/// A standby that has been unreachable for this many times `bounds.replace_ms` is removed from the membership.
 const STANDBY_REMOVAL_SPANS: u64 = 3;
-/// A replica repeats its request to be admitted after this many heartbeats.
+/// The interval between a replica's join requests, in heartbeats.
 const JOIN_EVERY_HEARTBEATS: u64 = 4;
 
 /// Members by address.
 pub(super) type Members = BTreeMap<String, ReplicaMember>;
 
-/// A request to be admitted, and when it came, in monotonic milliseconds.
+/// A join request and the time at which it was received, in monotonic milliseconds.
 #[derive(Clone, Debug)]
 struct ReceivedJoinRequest {
     received_at: u64,
     request: JoinRequest,
 }
 
-/// What this replica knows of the membership beside the log.
+/// The membership state that is not part of the log.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MembershipState {
-    /// The members by the latest entries of the log, until one of those may have changed them.
+    /// The members as of the last log entry; none once an entry may have changed them.
     cache: Option<Members>,
     join_requests: BTreeMap<String, ReceivedJoinRequest>,
-    /// Zones of other replicas, as they said when they or this one started.
+    /// The zones of other replicas, as reported in their hello messages.
     pub zones: BTreeMap<String, String>,
-    /// When this replica last asked to be admitted, in monotonic milliseconds.
+    /// The time of this replica's last join request, in monotonic milliseconds.
     last_join_request_at: Option<u64>,
-    /// This replica's disk is empty while others have a log: it is a newcomer, whatever the settings say of founders.
+    /// This replica is not a founder of the cluster: it is configured to join, or its disk is empty while others have a
+    /// log. It then ignores the founders in the settings.
     pub joining: bool,
-    /// What may still be lost, as last reported.
+    /// The survivable losses as last reported.
     pub resilience: Resilience,
 }
 
 impl MembershipState {
-    /// The state after a start. Where the disk names no founders, this replica joins a cluster that there is.
+    /// The state after a start. `joining` is set if the disk names no founders: this replica then joins an existing
+    /// cluster.
     pub fn new(joining: bool) -> Self {
         Self {
             joining,
@@ -52,14 +54,14 @@
         }
     }
 
-    /// Forgets the members: an entry of the log may have changed them.
+    /// Discards the cached members, since an entry of the log may have changed them.
     pub fn invalidate(&mut self) {
         self.cache = None;
     }
 }
 
 impl Replica {
-    /// The members by the latest entries of the log, committed or not; before there are any, the founders.
+    /// The members as of the last log entry, committed or not; before the first members are recorded, the founders.
     pub(super) fn members(&mut self) -> Members {
         if let Some(members) = &self.membership.cache {
             return members.clone();
@@ -99,26 +101,27 @@
             .collect()
     }
 
-    /// How many voters are a majority.
+    /// The number of voters that form a majority.
     pub(super) fn majority(&mut self) -> usize {
         majority(self.voters().len())
     }
 
-    /// Whether this replica, with the disk that it has, is a voter.
+    /// Whether this replica, with its current disk, is a voter.
     pub(super) fn is_voter(&mut self) -> bool {
         let (name, disk) = (self.name.clone(), self.disk);
         self.is_identity(&name, disk) && self.members().get(&name).is_some_and(|m| m.voter)
     }
 
-    /// Whether an address is a member with this very disk (or with one not known yet, before the first members are
-    /// agreed on). What another disk at the same address says counts for nothing.
+    /// Whether the member at an address has this disk, or a disk that is not known yet because the first members are
+    /// not recorded. Responses of another disk at the same address do not count.
     pub(super) fn is_identity(&mut self, address: &str, disk: u64) -> bool {
         self.members()
             .get(address)
             .is_some_and(|member| member.disk == disk || member.disk == 0)
     }
 
-    /// `own` for this replica and `value` for each other voter; 0 for one whose disk is not the member's.
+    /// The values of all voters: `own` for this replica, `value` of its progress for each other one, and 0 for one
+    /// whose disk is not the member's.
     pub(super) fn voter_values(&mut self, own: u64, value: impl Fn(&Progress) -> u64) -> Vec<u64> {
         let mut values = Vec::new();
         for (address, member) in self.members() {
@@ -136,7 +139,7 @@
         values
     }
 
-    /// The largest value that a majority of the voters has reached.
+    /// The largest value reached by a majority of the voters.
     pub(super) fn reached_by_majority(mut values: Vec<u64>) -> u64 {
         values.sort_unstable();
         let needed = majority(values.len());
@@ -146,7 +149,7 @@
             .map_or(0, |index| values[index])
     }
 
-    /// The next change of the membership, as a command.
+    /// The command for the next membership change, if one is due.
     pub(super) fn next_membership_command(&mut self, now: Now) -> Option<Command> {
         if self.state.replicas.is_empty() {
             return self.found_cluster(now);
@@ -157,13 +160,14 @@
             .retain(|_, join| now.mono.saturating_sub(join.received_at) < expiry_ms);
         let members = self.members();
         let change = self.with_view(now, |view| view.next_change())?;
-        self.outbox.log(format!("membership: {change:?}"));
+        self.outbox.log(format!("membership change: {change:?}"));
         self.count("membership_changes", 1);
         Some(command_for(&members, change))
     }
 
-    /// The first members: the founders that were heard, with their disks. All are waited for during one election
-    /// time-out; one may then be left out, since any majority with it and any without it still meet.
+    /// Records the first members: the founders that have responded, with their disks. The leader waits for all founders
+    /// during one election timeout. After that one may be left out, since any majority with it and any majority without
+    /// it still share a member.
     fn found_cluster(&mut self, now: Now) -> Option<Command> {
         let founders = &self.hard_state.founders;
         let mut replicas = Members::new();
@@ -186,7 +190,7 @@
         (all_heard || (waited && all_but_one_heard)).then_some(Command::FoundCluster { replicas })
     }
 
-    /// The disk and the zone of a founder; 0 and empty where they aren't known.
+    /// The disk and the zone of a founder; 0 and empty if unknown.
     fn founder_identity(&self, address: &str) -> (u64, String) {
         if address == self.name {
             return (self.disk, self.settings.zone.clone());
@@ -196,7 +200,7 @@
         (progress.map_or(0, |p| p.disk), zone.unwrap_or_default())
     }
 
-    /// Calls `use_view` with what the leader knows of the members.
+    /// Calls `use_view` with the leader's view of the membership.
     fn with_view<T>(&mut self, now: Now, use_view: impl FnOnce(&MembershipView) -> T) -> T {
         let members = self.members();
         let observed = self.member_statuses(now, &members);
@@ -227,13 +231,13 @@
             .get(address)
             .cloned()
             .unwrap_or_default();
-        let silence = now.mono.saturating_sub(progress.last_heard_at);
+        let since_contact = now.mono.saturating_sub(progress.last_heard_at);
         let join = self.membership.join_requests.get(address);
         let requested_disk = join.map_or(0, |join| join.request.disk);
         let is_other_disk = |disk: u64| disk != 0 && disk != member.disk;
         let health = if is_other_disk(progress.disk) || is_other_disk(requested_disk) {
             Health::Replaced
-        } else if silence > self.settings.bounds.voter_replacement_timeout() {
+        } else if since_contact > self.settings.bounds.voter_replacement_timeout() {
             Health::Unreachable
         } else if progress.leaving {
             Health::Leaving
@@ -243,26 +247,27 @@
             Health::Reachable
         };
         let answers =
-            silence < self.settings.bounds.election_timeout() && progress.disk == member.disk;
+            since_contact < self.settings.bounds.election_timeout() && progress.disk == member.disk;
         let has_most_entries = progress.match_index > 0
             && progress.match_index + CAUGHT_UP_MAX_LAG_ENTRIES >= self.log.commit_index;
         MemberStatus {
             health,
             caught_up: answers && has_most_entries,
-            long_unreachable: silence > STANDBY_REMOVAL_SPANS * self.settings.bounds.replace_ms,
+            long_unreachable: since_contact
+                > STANDBY_REMOVAL_SPANS * self.settings.bounds.replace_ms,
         }
     }
 
-    /// Whether a replica that is leaving may end: no standby can take its place, or it is no voter any more.
+    /// Whether a replica that is leaving may exit without being replaced, because there is no reachable standby.
     pub(super) fn may_leave(&mut self, now: Now, address: &str) -> bool {
         let progress = self.leadership.progress.get(address);
         let is_leaving = progress.is_some_and(|p| p.leaving);
         is_leaving && !self.with_view(now, |view| view.has_standby())
     }
 
-    /// Whether proposals of nodes are accepted: before the first configuration is taken, not until a majority of the
-    /// voters holds as many disks as may be lost at once and one more. Where the machines do not give that, the leader
-    /// goes on with what there is once it has waited for long.
+    /// Whether proposals of nodes are accepted. Before the first configuration is accepted, a majority of the voters
+    /// must comprise one disk more than may be lost at once. If there are too few machines for that, the leader accepts
+    /// proposals nevertheless after `bounds.outage_ms`.
     pub(super) fn accepts_proposals(&mut self, now: Now) -> bool {
         if self.state.version > 0 {
             return true;
@@ -272,7 +277,7 @@
         self.majority() >= disks_needed || led_ms > self.settings.bounds.outage_ms
     }
 
-    /// Says in the log how much may still be lost, when that changes.
+    /// Logs the survivable losses whenever they change.
     pub(super) fn report_resilience(&mut self, now: Now) {
         let resilience = self.with_view(now, |view| view.resilience());
         if resilience == self.membership.resilience {
@@ -286,12 +291,12 @@
             zone_loss_survivable,
         } = resilience;
         self.outbox.log(format!(
-            "{voters} voters, {standbys} standbys: {machine_losses_left} more machines may be lost, any one zone {}",
-            if zone_loss_survivable { "too" } else { "not" }
+            "{voters} voters, {standbys} standbys: {machine_losses_left} more machine losses survivable, loss of any single zone {}",
+            if zone_loss_survivable { "survivable" } else { "not survivable" }
         ));
     }
 
-    /// A replica asks to be admitted.
+    /// Handles a join request.
     pub(super) fn on_join_request(&mut self, now: Now, from: &str, join: JoinCluster) {
         let received = ReceivedJoinRequest {
             received_at: now.mono,
@@ -304,12 +309,13 @@
         self.membership.join_requests.insert(from.into(), received);
     }
 
-    /// A replica that is no member, or hears no leader, asks to be admitted: it may have been removed meanwhile.
+    /// Sends join requests if this replica is not a member, or if no leader has contacted it for long: it may have been
+    /// removed meanwhile.
     pub(super) fn join_tick(&mut self, now: Now) {
         let name = self.name.clone();
-        let silence = now.mono.saturating_sub(self.election.last_leader_contact);
+        let since_contact = now.mono.saturating_sub(self.election.last_leader_contact);
         let is_admitted = self.is_identity(&name, self.disk);
-        let is_abandoned = silence > self.settings.bounds.voter_replacement_timeout();
+        let is_abandoned = since_contact > self.settings.bounds.voter_replacement_timeout();
         let interval = JOIN_EVERY_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let last_request_at = self.membership.last_join_request_at;
         let is_due = last_request_at.is_none_or(|at| now.mono >= at + interval);
@@ -333,7 +339,7 @@
     }
 }
 
-/// Applies a command to the members, if it changes them.
+/// Applies a command to the members; commands that do not change them are ignored.
 fn apply_to_members(members: &mut Members, command: Command) {
     match command {
         Command::FoundCluster { replicas } if members.is_empty() => *members = replicas,
@@ -349,7 +355,7 @@
     }
 }
 
-/// The command that makes a change of the membership.
+/// The command that carries out a membership change.
 fn command_for(members: &Members, change: MembershipChange) -> Command {
     let with_vote = |replica: String, voter: bool| {
         let known = members.get(&replica).cloned();
--- a/landingdrift/src/consensus/node_registry.rs
+++ b/landingdrift/src/consensus/node_registry.rs
@@ -1,11 +1,11 @@
-//! The leader's view of nodes: which are alive, and the commands that register and remove them.
+//! Registration of nodes by the leader: the commands that add live nodes to the cluster state and remove lost ones.
 
 use super::Replica;
 use crate::sans_io::Now;
 use crate::state::Command;
 
 impl Replica {
-    /// Registers a node that watches the log, or removes one that does so no longer.
+    /// Registers a node that follows the log, or removes one that is lost or has left.
     pub(super) fn next_node_command(&mut self, now: Now) -> Option<Command> {
         self.node_to_register(now)
             .or_else(|| self.node_to_remove(now))
@@ -14,8 +14,8 @@
     fn node_to_register(&self, now: Now) -> Option<Command> {
         let timeout = self.settings.bounds.node_timeout();
         for (name, watcher) in &self.watch.watchers {
-            let is_silent = now.mono.saturating_sub(watcher.last_heard_at) >= timeout;
-            if is_silent || watcher.leaving {
+            let is_timed_out = now.mono.saturating_sub(watcher.last_heard_at) >= timeout;
+            if is_timed_out || watcher.leaving {
                 continue;
             }
             let known = self.state.nodes.get(name);
@@ -39,8 +39,8 @@
         for (name, node) in &self.state.nodes {
             let is_gone = match self.watch.watchers.get(name) {
                 Some(watcher) => {
-                    let is_silent = now.mono.saturating_sub(watcher.last_heard_at) > timeout;
-                    is_silent || (watcher.leaving && !self.holds_lease(name))
+                    let is_timed_out = now.mono.saturating_sub(watcher.last_heard_at) > timeout;
+                    is_timed_out || (watcher.leaving && !self.holds_lease(name))
                 }
                 None => has_led_long,
             };
