--- a/landingdrift/src/state/rejection.rs
+++ b/landingdrift/src/state/rejection.rs
@@ -1,102 +1,106 @@
-//! Why an entry was rejected.
+//! Reasons for rejecting an entry.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why the cluster state has rejected an entry, or the leader did not append one. The messages name the remedy. Variants are
-/// packed by their position: new ones go to the end.
+/// Why the cluster state rejected an entry, or the leader did not append it. The messages include the remedy. Variants
+/// are encoded by position: append new ones at the end.
 #[derive(Clone, Debug, PartialEq, Error, Serialize, Deserialize)]
 pub enum Rejection {
-    /// The base version of a change is not the current one any more.
+    /// The base version of a configuration change is not the current one.
     #[error(
-        "another change came first: read version {current} and send the change again on top of it"
+        "another change was applied first: read version {current} and send the change again based on it"
     )]
     #[serde(rename = "Rival")]
     VersionConflict {
         /// The current version.
         current: u64,
     },
-    /// The same identity came with another body.
-    #[error("this id was used with another body: give the new request an id of its own")]
+    /// The same identity was used with a different body.
+    #[error("this id was already used with a different body: give the new request its own id")]
     #[serde(rename = "OtherBody")]
     BodyMismatch,
-    /// A value is missing, wrong or not allowed.
+    /// A value is missing, invalid or not allowed.
     #[error("{path}: {remedy}")]
     Invalid {
-        /// The path of the field at fault.
+        /// Path of the invalid field.
         path: String,
-        /// What to do about it.
+        /// How to correct it.
         remedy: String,
     },
-    /// Something that the entry names is not known.
-    #[error("{what} is not known: check the name")]
+    /// The entry refers to something unknown.
+    #[error("unknown {what}: check the name")]
     Unknown {
-        /// What is not known, with its name.
+        /// Kind and name of the unknown item.
         what: String,
     },
-    /// The queue holds as many unfinished jobs as its quota allows.
-    #[error("the queue holds its quota of {quota} unfinished jobs: come back later")]
+    /// The queue has as many unfinished jobs as its quota allows.
+    #[error("the queue has reached its quota of {quota} unfinished jobs: retry later")]
     OverQuota {
-        /// The quota, in unfinished jobs.
+        /// The quota: the maximum number of unfinished jobs.
         quota: u32,
     },
-    /// The same id was rejected after this request was made.
-    #[error("the same id was turned away while this call was under way: hand it in again")]
+    /// A job with the same id was rejected after this request was received.
+    #[error(
+        "a job with the same id was rejected while this request was in progress: submit it again"
+    )]
     #[serde(rename = "TurnedAway")]
     PreviouslyRejected,
-    /// This copy of an order entered the log after its deadline; an earlier one may have taken effect.
+    /// This copy of an order entered the log after its deadline; an earlier copy may have taken effect.
     #[error(
-        "the order came after its deadline: look whether it has taken effect, then give it again"
+        "the order was applied after its deadline: check whether an earlier copy took effect, then retry"
     )]
     #[serde(rename = "Late")]
     DeadlinePassed,
-    /// No change of configuration can be remembered beside those of the last day.
-    #[error("too many changes of configuration were made within a day: come back later")]
+    /// The configuration changes of the last day fill the table of remembered changes.
+    #[error("too many configuration changes within a day: retry later")]
     TooManyChanges,
-    /// The proposer's lease has passed to another.
-    #[error("the duty has passed to another node: propose again through its holder")]
+    /// The proposer's lease, or the worker's incarnation, is not the current one.
+    #[error("the lease has been granted to another node: propose again through its holder")]
     #[serde(rename = "StaleGrant")]
     StaleLease,
-    /// The job, the task or the founding has ended already.
-    #[error("it has ended already: nothing more can be done to it")]
+    /// The job or the task has already ended, or the cluster is already founded.
+    #[error("it has already ended: it can't be changed any more")]
     Ended,
-    /// The job is cancelled.
-    #[error("the job is cancelled: hand in a new one")]
+    /// The job has been cancelled.
+    #[error("the job has been cancelled: submit a new one")]
     Cancelled,
-    /// The task's time has not come.
-    #[error("its appointed time has not come: wait")]
+    /// The task is not due yet.
+    #[error("the task is not due yet: wait")]
     NotDue,
-    /// A task that it depends on is not done.
-    #[error("a step it depends on is not done: wait")]
+    /// A dependency of the task is not done.
+    #[error("a dependency of the task is not done: wait")]
     Waiting,
-    /// The worker has too little left.
-    #[error("the worker has no room left: offer another")]
+    /// The worker has too few free resources.
+    #[error("the worker has too few free resources: offer another worker")]
     #[serde(rename = "NoRoom")]
     InsufficientResources,
-    /// An attempt may be running, and the task may not be repeated, or not once more.
-    #[error("it may be running already and may not be repeated: wait for its end")]
+    /// An attempt may be running, and the task may not be repeated or has its maximum of parallel attempts.
+    #[error("an attempt may be running and the task may not be repeated: wait for its end")]
     #[serde(rename = "Repeat")]
     AlreadyRunning,
-    /// The task has failed as often as its queue permits.
-    #[error("it has failed as often as its queue permits: look at the defects")]
+    /// The task has failed as often as its queue allows.
+    #[error("the task has failed as often as its queue allows: check the reasons of its failures")]
     #[serde(rename = "Spent")]
     AttemptsExhausted,
-    /// The worker may not get the task.
-    #[error("the worker does not fit ({why}): offer another")]
+    /// The worker may not run the task.
+    #[error("unsuitable worker ({why}): offer another worker")]
     #[serde(rename = "Unfit")]
     UnsuitableWorker {
-        /// Which rule it breaks.
+        /// The rule that the placement violates.
         why: String,
     },
-    /// Not all members of a gang are placed.
-    #[error("the gang must be placed whole: propose all its members")]
+    /// Not all members of a gang are placed together.
+    #[error("the placement omits members of a gang: propose all of them")]
     #[serde(rename = "GangSplit")]
     GangIncomplete,
-    /// The queue has as many speculative copies as its budget allows.
-    #[error("the queue's speculation budget is in use: wait")]
+    /// The queue has as many speculative copies as its budget allows, or has exceeded its failure allowance.
+    #[error("the queue's speculation budget is exhausted: wait")]
     #[serde(rename = "Budget")]
     SpeculationBudgetExhausted,
-    /// The replicas have no memory for one more job, or for one as large.
-    #[error("the system has no memory for this job beside those that it holds: come back later, or split it")]
+    /// The job would exceed the limit on unfinished jobs or on their memory.
+    #[error(
+        "not enough capacity for this job beside the existing ones: retry later, or split the job"
+    )]
     InsufficientCapacity,
 }
