--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -3,38 +3,38 @@
 use super::{AttemptState, JobSpec, JobState, StepSpec, TaskSpec, TaskState};
 use serde::{Deserialize, Serialize};
 
-/// A task keeps at most so many attempts that have ended: a long-running one is started again as long as its job lives.
+/// Maximum number of ended attempts kept per task. Long-running tasks would otherwise accumulate them without limit.
 const MAX_ENDED_ATTEMPTS: usize = 64;
 
 /// One attempt to run a task on a worker. Times are milliseconds since 1970 by the cluster clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Attempt {
-    /// Its number, different for all attempts of all jobs.
+    /// Number of the attempt, unique across all jobs.
     pub no: u64,
-    /// Numbers the starts of the task from 1; the members of a gang share it.
+    /// Number of this run of the task, from 1; the members of a gang share it.
     pub run: u32,
-    /// The worker.
+    /// Name of the worker that it was placed on.
     pub worker: String,
-    /// The incarnation of the worker that it was placed on.
+    /// Incarnation of that worker.
     pub incarnation: u64,
-    /// What has become of it.
+    /// State of the attempt.
     pub state: AttemptState,
-    /// The worker is to stop it.
+    /// Whether the worker has been asked to stop it.
     pub stop: bool,
-    /// A speculative copy of a running one.
+    /// Whether it is a speculative copy of a running attempt.
     pub copy: bool,
     /// When it was placed.
     pub ordered: u64,
-    /// When it was reported as running; 0 before.
+    /// When it was first reported as running; 0 before that.
     pub started: u64,
-    /// When it ended, or since when its outcome is unknown; 0 before.
+    /// When it ended, or since when its outcome is unknown; 0 before that.
     pub ended: u64,
-    /// How long it ran by its worker, in milliseconds.
+    /// Run time reported by the worker, in milliseconds.
     pub ran_ms: u64,
-    /// What the worker said of its end.
+    /// Text about its end, usually from the worker.
     pub note: String,
-    /// The checkpoint it goes on from; empty for none.
+    /// Checkpoint that it resumes from; empty for none.
     pub checkpoint: String,
 }
 
@@ -42,34 +42,34 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Task {
-    /// What has become of it.
+    /// State of the task.
     pub state: TaskState,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     #[serde(rename = "defects")]
     pub failures: u32,
-    /// The attempts, the latest last: those that may be running, and the latest of the others.
+    /// All attempts that may be running and the most recent ended ones, the latest last.
     #[serde(rename = "sends")]
     pub attempts: Vec<Attempt>,
-    /// Numbers of the single tasks it waits for.
+    /// Indices of the single tasks it depends on.
     pub waits: Vec<u32>,
-    /// The newest checkpoint known of it; empty for none.
+    /// Newest known checkpoint; empty for none.
     pub checkpoint: String,
-    /// The number of its step; 0 in a job of single tasks, as the next two.
+    /// Index of its step; 0 in a job of single tasks, as are `time` and `index`.
     pub step: u32,
-    /// Which of the recurring times of the job it belongs to.
+    /// Which repetition of the job it belongs to, from 0.
     pub time: u32,
-    /// Its number in the step.
+    /// Index within the step.
     pub index: u32,
 }
 
 impl Task {
-    /// Attempts that may be running.
+    /// The attempts that may be running.
     pub fn live(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.state.live())
     }
 
-    /// Adds an attempt, and drops the oldest ended one if too many are kept. The last one that has begun stays: it shows that
-    /// the task has.
+    /// Adds an attempt, and drops the oldest ended one if there are too many. The last attempt that began is kept,
+    /// because [`Job::has_begun`] relies on it.
     pub(in crate::state) fn add_attempt(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
         if self.attempts.len() - self.live().count() <= MAX_ENDED_ATTEMPTS {
@@ -89,28 +89,28 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Job {
-    /// What the client submitted.
+    /// The job as the client submitted it.
     pub spec: JobSpec,
-    /// A hash of what the client sent.
+    /// Hash of the request body, to detect another job under the same id.
     pub hash: u64,
-    /// What has become of it, derived from its tasks.
+    /// State of the job, derived from its tasks.
     pub state: JobState,
     /// When it was accepted.
     pub accepted: u64,
-    /// When it ended; 0 before.
+    /// When it ended; 0 before that.
     pub ended: u64,
-    /// It was cancelled.
+    /// Whether it was cancelled.
     pub cancel: bool,
-    /// Its tasks: the single ones, or those of all steps, time by time.
+    /// The single tasks, or the tasks of all steps, ordered by repetition, step and index.
     pub tasks: Vec<Task>,
     /// Why it failed or was cancelled.
     pub reason: String,
-    /// Tasks done, by time and step.
+    /// Number of tasks done, by repetition and step.
     pub done: Vec<u32>,
 }
 
 impl Attempt {
-    /// Whether the worker has begun with it, as far as is known.
+    /// Whether the worker is known to have begun running it.
     fn has_begun(&self) -> bool {
         let by_state = matches!(
             self.state,
@@ -121,13 +121,13 @@
 }
 
 impl Job {
-    /// Whether a worker has begun with one of its tasks.
+    /// Whether a worker is known to have begun running any of its tasks.
     pub fn has_begun(&self) -> bool {
         let mut attempts = self.tasks.iter().flat_map(|task| &task.attempts);
         attempts.any(Attempt::has_begun)
     }
 
-    /// A job as it is accepted, from a spec that was checked; `waits` are the dependencies of its single tasks.
+    /// Creates a job from a checked spec; `waits` are the dependencies of its single tasks, from [`JobSpec::check`].
     pub fn new(spec: JobSpec, waits: Vec<Vec<u32>>) -> Self {
         let times = spec.times.max(1);
         let mut tasks = Vec::new();
@@ -160,7 +160,7 @@
         !self.spec.steps.is_empty()
     }
 
-    /// What was asked for a task.
+    /// The spec of a task.
     pub fn task_spec(&self, task: usize) -> &TaskSpec {
         if self.has_steps() {
             &self.step_of(task).task
@@ -169,12 +169,12 @@
         }
     }
 
-    /// The step that a task belongs to, in a job of steps.
+    /// The step that a task belongs to. The job must have steps.
     fn step_of(&self, task: usize) -> &StepSpec {
         &self.spec.steps[self.tasks[task].step as usize]
     }
 
-    /// A task's name within its job: its own, or TIME.STEP.INDEX.
+    /// Name of a task within its job: the submitted name, or TIME.STEP.INDEX for tasks of steps.
     pub fn name(&self, task: usize) -> String {
         if !self.has_steps() {
             return self.spec.tasks[task].name.clone();
@@ -185,7 +185,7 @@
         format!("{time}.{step}.{index}")
     }
 
-    /// The number of the task with a name.
+    /// Index of the task with a name.
     pub fn find(&self, name: &str) -> Option<usize> {
         if !self.has_steps() {
             let mut tasks = self.spec.tasks.iter();
@@ -201,7 +201,7 @@
         (exists && is_whole).then(|| self.first_task_of(time, step) + index as usize)
     }
 
-    /// The number of the first task of a step at a time.
+    /// Index of the first task of a step in a repetition.
     fn first_task_of(&self, time: u32, step: u32) -> usize {
         let count = |steps: &[StepSpec]| steps.iter().map(|s| s.count as usize).sum::<usize>();
         let tasks_per_time = count(&self.spec.steps);
@@ -209,7 +209,7 @@
         time as usize * tasks_per_time + before
     }
 
-    /// When a task is due.
+    /// When a task is due, in milliseconds since 1970.
     pub fn due(&self, task: usize) -> u64 {
         let time = u64::from(self.tasks[task].time);
         let after_first = time.saturating_mul(self.spec.period_ms);
@@ -217,7 +217,7 @@
         self.task_spec(task).due.max(job_due)
     }
 
-    /// Whether all that a task depends on is done.
+    /// Whether all dependencies of a task are done.
     pub fn are_dependencies_done(&self, task_no: usize) -> bool {
         let task = &self.tasks[task_no];
         if !self.has_steps() {
@@ -231,12 +231,12 @@
         self.step_of(task_no).depends_on.iter().all(is_step_done)
     }
 
-    /// The position of a step at a time in [`Job::done`].
+    /// Index into [`Job::done`] for a step in a repetition.
     fn done_index(&self, time: u32, step: u32) -> usize {
         time as usize * self.spec.steps.len() + step as usize
     }
 
-    /// Sets a task's state, and counts it for the steps that depend on it.
+    /// Sets the state of a task, and updates the number of tasks done in its step.
     pub fn set_task_state(&mut self, task_no: usize, state: TaskState) {
         let task = &mut self.tasks[task_no];
         let before = std::mem::replace(&mut task.state, state);
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Whether one success of a gang counts for all of it.
+    /// Whether the success of one member of the task's gang counts for all members.
     pub fn ends_as_one(&self, task: usize) -> bool {
         self.has_steps() && self.in_gang(task)
     }
@@ -262,7 +262,7 @@
         }
     }
 
-    /// All members of a task's gang, itself among them; nobody where it runs alone.
+    /// Indices of all members of a task's gang, including the task; empty if it is in no gang.
     pub fn gang(&self, task_no: usize) -> Vec<usize> {
         if !self.in_gang(task_no) {
             return Vec::new();
@@ -278,7 +278,8 @@
         (first..first + count).collect()
     }
 
-    /// Whether a task speaks for its gang: the first member, in a job of single tasks the first that is not done.
+    /// Whether a task is the one by which its gang is scheduled: the first member, or in a job of single tasks the
+    /// first member that is not done.
     pub fn leads_gang(&self, task: usize) -> bool {
         if self.has_steps() {
             return self.in_gang(task) && self.tasks[task].index == 0;
@@ -287,7 +288,7 @@
         self.gang(task).into_iter().find(is_open) == Some(task)
     }
 
-    /// Attempts of a task's step that may be running on a worker.
+    /// Number of live attempts of the task's step on a worker.
     pub fn step_attempts_on(&self, task: usize, worker: &str) -> u32 {
         let step = self.tasks[task].step;
         let of_step = self.tasks.iter().filter(|task| task.step == step);
--- a/landingdrift/src/state/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -1,26 +1,26 @@
-//! Checks of a job before it is accepted: its shape, and whether the configuration lets it run.
+//! Validation of a job before it is accepted: its structure, and whether the configuration can satisfy it.
 
 use super::{JobSpec, StepSpec, TaskSpec};
 use crate::config::{ClusterConfig, Service};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The most tasks that one job may have.
+/// Maximum number of single tasks in a job.
 pub const MAX_TASKS: usize = 2000;
 
-/// The most tasks that the steps of a job may have over all times.
+/// Maximum number of tasks of all steps of a job, over all repetitions.
 pub const MAX_STEP_TASKS: u64 = 20_000;
 
-/// The most characters of the name of a job or a task.
+/// Maximum length of the name of a job or a task, in characters.
 const MAX_NAME_CHARACTERS: usize = 128;
 const NAME_REMEDY: &str = "use 1 to 128 letters, digits, '-', '_', '.' or ':'";
 
-/// Why a job can't be taken as it is.
+/// Why a job spec is invalid.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpecError {
-    /// The path of the field at fault.
+    /// Path of the invalid field.
     pub path: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// An error, unless a condition holds; it is not made where none is needed.
+/// Returns an error unless a condition holds; the error is built only if needed.
 fn ensure(holds: bool, error: impl FnOnce() -> SpecError) -> Result<(), SpecError> {
     if holds {
         Ok(())
@@ -46,25 +46,25 @@
     }
 }
 
-/// What tasks of one kind ask for.
+/// A task spec to check: that of a single task, or that of a step's tasks.
 struct TaskKind<'a> {
-    /// Where it stands in the job.
+    /// Path of the spec within the job.
     path: String,
     task: &'a TaskSpec,
-    /// How many of its tasks are one gang.
+    /// Number of its tasks that form one gang; 1 for none.
     gang_size: u32,
 }
 
 impl JobSpec {
-    /// Reads a job, naming the field at fault.
+    /// Parses a job from JSON; an error names the invalid field.
     pub fn read(body: &[u8]) -> Result<Self, SpecError> {
         let json = &mut serde_json::Deserializer::from_slice(body);
         serde_path_to_error::deserialize(json)
             .map_err(|fault| error(fault.path().to_string(), fault.inner().to_string()))
     }
 
-    /// Checks the shape of the job: names, steps, cycles, gangs. Returns the numbers of the tasks that each single task waits
-    /// for.
+    /// Checks the structure of the job: names, steps, cycles, gangs. Returns the dependencies of each single task as
+    /// task indices.
     pub fn check(&self) -> Result<Vec<Vec<u32>>, SpecError> {
         ensure(is_name(&self.id), || error("id", NAME_REMEDY))?;
         if !self.steps.is_empty() {
@@ -81,7 +81,7 @@
         Ok(waits)
     }
 
-    /// Checks the single tasks one by one, and gives their numbers by their names.
+    /// Checks each single task, and returns the task indices by name.
     fn check_tasks(&self) -> Result<BTreeMap<&str, u32>, SpecError> {
         let mut by_name = BTreeMap::new();
         for (number, task) in self.tasks.iter().enumerate() {
@@ -95,7 +95,7 @@
         Ok(by_name)
     }
 
-    /// The numbers of the tasks that each task waits for.
+    /// Resolves the dependencies of each task to task indices.
     fn dependencies(&self, by_name: &BTreeMap<&str, u32>) -> Result<Vec<Vec<u32>>, SpecError> {
         let mut waits = Vec::new();
         for (number, task) in self.tasks.iter().enumerate() {
@@ -115,7 +115,7 @@
         Ok(waits)
     }
 
-    /// Checks the steps: how many tasks, and what each depends on.
+    /// Checks the number of tasks over all steps, and each step.
     fn check_steps(&self) -> Result<(), SpecError> {
         let remedy = "give single tasks or steps, not both";
         ensure(self.tasks.is_empty(), || error("tasks", remedy))?;
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    /// What its tasks ask for, each kind once.
+    /// The distinct task specs of the job: one per single task and one per step.
     fn task_kinds(&self) -> Vec<TaskKind<'_>> {
         let mut kinds = Vec::new();
         for (number, task) in self.tasks.iter().enumerate() {
@@ -148,7 +148,7 @@
         kinds
     }
 
-    /// Checks that no member of a gang waits for another, directly or not: members start together.
+    /// Checks that no member of a gang depends on another member, directly or indirectly, since members start together.
     fn check_gangs(&self, waits: &[Vec<u32>]) -> Result<(), SpecError> {
         for (number, task) in self.tasks.iter().enumerate() {
             if task.gang.is_empty() {
@@ -165,7 +165,7 @@
         Ok(())
     }
 
-    /// Checks that the configuration lets the job run at all.
+    /// Checks that the configuration declares the job's queue, services and labels, and allows the CPU that it needs.
     pub fn check_against(&self, config: &ClusterConfig) -> Result<(), SpecError> {
         let queue = &self.queue;
         ensure(config.queues.contains_key(queue), || {
@@ -187,7 +187,7 @@
 }
 
 impl StepSpec {
-    /// Checks the step with a number.
+    /// Checks the step at index `number`.
     fn check(&self, number: usize) -> Result<(), SpecError> {
         let at = |field: &str, remedy: &str| error(format!("steps[{number}].{field}"), remedy);
         ensure(self.count >= 1, || at("count", "give at least 1"))?;
@@ -202,12 +202,12 @@
 }
 
 impl TaskKind<'_> {
-    /// An error about one of its fields.
+    /// Builds an error about one of its fields.
     fn error(&self, field: &str, remedy: String) -> SpecError {
         error(format!("{}.{field}", self.path), remedy)
     }
 
-    /// The service whose workers run it.
+    /// The declared service whose workers run it.
     fn service<'a>(&self, config: &'a ClusterConfig) -> Result<&'a Service, SpecError> {
         let name = &self.task.service;
         config.services.get(name).ok_or_else(|| {
@@ -216,7 +216,7 @@
         })
     }
 
-    /// Checks that a single worker can run one of its tasks.
+    /// Checks that the service declares the task's labels and allows the CPU that it needs.
     fn check_task(&self, service: &Service) -> Result<(), SpecError> {
         let name = &self.task.service;
         for label in &self.task.labels {
@@ -237,7 +237,7 @@
         })
     }
 
-    /// The gang that its tasks belong to; none for single tasks.
+    /// The gang that its tasks belong to, if any.
     fn gang(&self) -> Option<String> {
         if self.gang_size > 1 {
             return Some(self.path.clone());
@@ -245,7 +245,7 @@
         Some(self.task.gang.clone()).filter(|gang| !gang.is_empty())
     }
 
-    /// Checks that a service gives a gang the processors that it asks for.
+    /// Checks that the service allows a gang the CPU that it needs in total.
     fn check_gang(&self, cpu: u32, service: &Service) -> Result<(), SpecError> {
         let (most, name) = (service.gang_cpu, &self.task.service);
         ensure(cpu <= most, || {
@@ -257,7 +257,7 @@
     }
 }
 
-/// Checks that no task waits for itself over others.
+/// Checks that the dependencies between tasks have no cycle.
 fn check_cycle(waits: &[Vec<u32>]) -> Result<(), SpecError> {
     let mut unmet: Vec<usize> = waits.iter().map(Vec::len).collect();
     let mut dependents: Vec<Vec<usize>> = vec![Vec::new(); waits.len()];
@@ -281,7 +281,7 @@
     ensure(reached == waits.len(), || error("tasks", remedy))
 }
 
-/// All tasks that a task waits for, directly or not.
+/// All direct and indirect dependencies of a task.
 fn all_dependencies(task: usize, waits: &[Vec<u32>]) -> Vec<usize> {
     let mut to_visit = waits[task].clone();
     let mut is_visited = vec![false; waits.len()];
@@ -297,7 +297,7 @@
     dependencies
 }
 
-/// Whether a name of a job or a task is allowed.
+/// Whether a text is a valid name of a job or a task.
 fn is_name(name: &str) -> bool {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
     !name.is_empty() && name.len() <= MAX_NAME_CHARACTERS && name.chars().all(is_allowed)
--- a/landingdrift/src/state/job/mod.rs
+++ b/landingdrift/src/state/job/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs: what a client asks for, its checks, and what has become of it.
+//! Jobs: their specs, the checks before acceptance, and the state of accepted jobs, tasks and attempts.
 
 mod accepted;
 mod check;
--- a/landingdrift/src/state/job/resources.rs
+++ b/landingdrift/src/state/job/resources.rs
@@ -1,27 +1,27 @@
-//! Resources of workers and tasks: processors, memory, accelerators.
+//! Resources of workers and tasks: CPU, memory, accelerators.
 
 use serde::{Deserialize, Serialize};
 
-/// Resources of a worker, or what a task needs of them; the units are the operator's choice.
+/// Resources that a worker has or a task needs, in units chosen by the operator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processors.
+    /// CPU, for example in cores or thousandths of a core.
     pub cpu: u32,
-    /// Memory.
+    /// Memory, for example in megabytes.
     pub memory: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Whether `other` fits into it.
+    /// Whether each component is at least that of `other`.
     pub fn covers(self, other: Self) -> bool {
         other.cpu <= self.cpu
             && other.memory <= self.memory
             && other.accelerators <= self.accelerators
     }
 
-    /// What is left of it without `other`.
+    /// The component-wise difference, at least 0.
     pub fn minus(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Both together.
+    /// The component-wise sum, saturating.
     pub fn plus(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The smaller of each.
+    /// The component-wise minimum.
     pub fn min_of_each(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.min(other.cpu),
--- a/landingdrift/src/state/job/spec.rs
+++ b/landingdrift/src/state/job/spec.rs
@@ -3,36 +3,36 @@
 use super::Resources;
 use serde::{Deserialize, Serialize};
 
-/// A job as a client submits it: single tasks, or steps of alike ones.
+/// A job as a client submits it: either single tasks or steps of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct JobSpec {
-    /// Made by the client; retries carry the same one.
+    /// Id chosen by the client; retries carry the same one.
     pub id: String,
     /// The queue it is submitted to.
     pub queue: String,
     /// Single tasks; empty in a job of steps.
     #[serde(default)]
     pub tasks: Vec<TaskSpec>,
-    /// Steps of alike tasks, kept once and not task by task.
+    /// Steps of identical tasks; each step is stored once, not once per task.
     #[serde(default)]
     pub steps: Vec<StepSpec>,
-    /// Passed to the workers of all steps as it is.
+    /// Passed unchanged to the workers of all steps.
     #[serde(default)]
     pub payload: String,
-    /// The steps run so many times (0 and 1: once), each time with a due time of its own.
+    /// Number of repetitions of the steps, each with its own due time; 0 and 1 both mean once.
     #[serde(default)]
     pub times: u32,
-    /// When the first time is due, in milliseconds since 1970.
+    /// When the first repetition is due, in milliseconds since 1970.
     #[serde(default)]
     pub first_due: u64,
-    /// The period between two times, in milliseconds.
+    /// Time between the due times of two repetitions, in milliseconds.
     #[serde(default)]
     pub period_ms: u64,
 }
 
 impl JobSpec {
-    /// When its last task is due, in milliseconds since 1970.
+    /// The latest due time of its tasks, in milliseconds since 1970.
     pub fn last_due(&self) -> u64 {
         let later_times = u64::from(self.times.max(1)) - 1;
         let after_first = later_times.saturating_mul(self.period_ms);
@@ -43,19 +43,19 @@
     }
 }
 
-/// A step: so many tasks that are alike. Its tasks are called TIME.STEP.INDEX, counted from 0.
+/// A step: a number of identical tasks. They are named TIME.STEP.INDEX, each counted from 0; TIME is the repetition.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct StepSpec {
-    /// How many tasks.
+    /// Number of tasks in the step.
     pub count: u32,
-    /// Numbers of earlier steps whose tasks must all be done before.
+    /// Indices of earlier steps whose tasks must all be done first.
     #[serde(default)]
     pub depends_on: Vec<u32>,
-    /// The tasks run as one group: they start together, and one good end counts for all.
+    /// Whether the tasks form a gang: they start together, and the success of one counts for all.
     #[serde(default)]
     pub gang: bool,
-    /// What each task asks for; its name is not used.
+    /// Spec of each task; its name is ignored.
     pub task: TaskSpec,
 }
 
@@ -63,60 +63,61 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct TaskSpec {
-    /// Its name, which no other task of the job has.
+    /// Name, unique within the job.
     #[serde(default)]
     pub name: String,
-    /// The service whose workers run it.
+    /// Service whose workers can run it.
     pub service: String,
-    /// Labels that the worker must have.
+    /// Labels that a worker must have to run it.
     #[serde(default)]
     pub labels: Vec<String>,
-    /// The processors it needs, in the units of the workers.
+    /// CPU that it needs, in the units of the workers.
     #[serde(rename = "room")]
     pub cpu: u32,
-    /// The memory it needs, in the units of the workers.
+    /// Memory that it needs, in the units of the workers.
     #[serde(default)]
     pub memory: u32,
-    /// The accelerators it needs.
+    /// Number of accelerators that it needs.
     #[serde(default)]
     pub accelerators: u32,
-    /// Names of tasks that must be done before.
+    /// Names of tasks that must be done first.
     #[serde(default)]
     pub depends_on: Vec<String>,
-    /// Running it twice does no harm: speculative copies are allowed, and new attempts while one is unsure.
+    /// Whether the task is safe to run more than once. If so, it may get speculative copies, and new attempts while the
+    /// outcome of another one is unknown.
     #[serde(default)]
     pub may_repeat: bool,
-    /// Not before this moment, in milliseconds since 1970.
+    /// Earliest start, in milliseconds since 1970.
     #[serde(default)]
     pub due: u64,
-    /// Tasks of one gang run together or not at all.
+    /// Name of its gang, whose tasks run together or not at all; empty for none.
     #[serde(default)]
     pub gang: String,
-    /// A zone, rack or worker where the task's data is near.
+    /// A zone, rack or worker that is near the task's data; empty for none.
     #[serde(default)]
     pub near: String,
-    /// Members of its gang belong on one rack.
+    /// Whether the members of its gang must be placed on one rack.
     #[serde(default)]
     pub same_rack: bool,
-    /// At most so many tasks of its step on one worker; 0 for any number.
+    /// Maximum number of tasks of its step on one worker; 0 for no limit.
     #[serde(default)]
     pub anti_affinity: u32,
-    /// It never ends well: however it ends it is started again, until the job is cancelled.
+    /// Whether the task runs until the job is cancelled; it is restarted however it ends.
     #[serde(default)]
     pub long_running: bool,
-    /// It keeps its progress, and goes on from there when it is started again.
+    /// Whether the task saves checkpoints and resumes from the newest one when it is restarted.
     #[serde(default)]
     pub checkpoints: bool,
-    /// A rough guess of how long it runs, in milliseconds.
+    /// Estimated run time in milliseconds.
     #[serde(default)]
     pub estimate_ms: u32,
-    /// Passed to the worker as it is.
+    /// Passed unchanged to the worker.
     #[serde(default, with = "crate::state::pack::json")]
     pub payload: serde_json::Value,
 }
 
 impl TaskSpec {
-    /// The resources it needs.
+    /// The resources that the task needs.
     pub fn needs(&self) -> Resources {
         Resources {
             cpu: self.cpu,
--- a/landingdrift/src/state/job/state.rs
+++ b/landingdrift/src/state/job/state.rs
@@ -2,70 +2,70 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What has become of a job.
+/// The state of a job, derived from its tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum JobState {
-    /// Nothing of it has started.
+    /// No attempt of it has been placed yet.
     #[default]
     Waiting,
-    /// Something of it has started.
+    /// At least one attempt has been placed.
     Running,
-    /// It is cancelled, and something of it may still run.
+    /// Cancelled, but attempts may still be running.
     Cancelling,
     /// All tasks are done.
     Done,
-    /// A task has failed for good.
+    /// A task has failed permanently, and no attempt is running.
     Failed,
-    /// It is cancelled, and nothing of it runs.
+    /// Cancelled, and no attempt is running.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether nothing more will happen to the job.
+    /// Whether the state is final.
     pub fn ended(self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
     }
 }
 
-/// What has become of a task.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum TaskState {
-    /// It is not done; an attempt may be running.
+    /// Not done; an attempt may be running.
     #[default]
     Waiting,
-    /// It is done.
+    /// An attempt has succeeded.
     Done,
-    /// It has failed as often as it may.
+    /// Failed permanently, usually after the maximum number of attempts.
     Failed,
-    /// Its job was cancelled, or has failed elsewhere.
+    /// Its job was cancelled, or has failed because of another task.
     Cancelled,
 }
 
-/// What has become of an attempt.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum AttemptState {
-    /// Placed; the worker has not said that it started.
+    /// Placed, but not yet reported as running.
     #[default]
     Ordered,
-    /// The worker has said that it started.
+    /// Reported as running by the worker.
     Running,
-    /// Its start may have been delivered, and its outcome is unknown.
+    /// Outcome unknown: the start order may have reached the worker, and the attempt may still be running.
     Unsure,
-    /// It has done its work.
+    /// Finished successfully.
     #[serde(rename = "well")]
     Succeeded,
-    /// It failed.
+    /// Failed.
     #[serde(rename = "defect")]
     Failed,
-    /// Killed on our order; it is not running any more.
+    /// Stopped on request of the scheduler.
     Stopped,
-    /// The worker says it never started it and never will.
+    /// The worker reports that it has not started the attempt and never will.
     #[serde(rename = "void")]
     NeverStarted,
-    /// Its lease ran out, its worker is gone or its gang broke up: dead, through no fault of its own.
+    /// Ended without a fault of its own: its lease expired, its worker is gone or its gang broke up.
     #[serde(rename = "lapsed")]
     Expired,
 }
