--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -4,122 +4,124 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A command that an entry of the log carries. Variants are packed by their position: new ones go to the end.
+/// The command in a log entry. Variants are encoded by position: append new ones at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// The first entry of a term.
+    /// Starts a term; the first entry that a new leader appends.
     #[serde(rename = "Opened")]
     TermStarted {
         /// The leader of the term.
         leader: String,
     },
-    /// The configuration changes.
+    /// Changes the configuration.
     #[serde(rename = "Configure")]
     UpdateConfig {
-        /// The identity of the change; copies of it carry the same one.
+        /// Identity of the change; retries carry the same one.
         change: String,
-        /// The version that it builds on.
+        /// Configuration version that the change is based on.
         base: u64,
-        /// It changes parts of the current configuration, and does not replace it.
+        /// Whether `value` is a merge patch; otherwise it replaces the whole configuration.
         patch: bool,
-        /// The version it becomes; 0 for the next.
+        /// Version that the new configuration gets; 0 for the next one.
         #[serde(default)]
         number: u64,
-        /// The configuration, or the patch.
+        /// The new configuration, or the patch.
         #[serde(with = "super::pack::json")]
         value: serde_json::Value,
     },
-    /// A client submits a job.
+    /// Submits a job.
     #[serde(rename = "Accept")]
     AcceptJob {
         /// The job.
         spec: JobSpec,
-        /// A hash of what the client sent.
+        /// Hash of the request body.
         hash: u64,
-        /// The index that the admitting node had applied when the request came.
+        /// Log index that the admitting node had applied when it received the request.
         seen: u64,
     },
-    /// A client cancels a job.
+    /// Cancels a job.
     #[serde(rename = "Cancel")]
     CancelJob {
         /// The id of the job.
         job: String,
     },
-    /// The owner of a queue starts attempts of a job, all or none.
+    /// Starts attempts of a job's tasks, all or none. Proposed by the owner of the job's queue.
     #[serde(rename = "Start")]
     StartAttempts {
         /// The id of the job.
         job: String,
-        /// The epoch of the queue's owner.
+        /// Epoch of the queue lease under which the owner proposes.
         owner_epoch: u64,
-        /// What is placed where.
+        /// The tasks to start, each with its worker.
         placements: Vec<Placement>,
     },
-    /// A worker is new, or what it says of itself has changed.
+    /// Registers a worker, or updates its description.
     #[serde(rename = "Facts")]
     UpdateWorker {
-        /// What it says of itself.
+        /// The worker's description of itself.
         #[serde(rename = "facts")]
         info: WorkerInfo,
-        /// The epoch of the zone's holder.
+        /// Epoch of the zone lease under which the entry is proposed.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
     },
-    /// What a worker has started and ended.
+    /// Reports attempts that a worker runs or has ended.
     #[serde(rename = "Report")]
     ReportAttempts {
         /// The worker's name.
         worker: String,
-        /// The incarnation of the worker that says so.
+        /// Incarnation of the reporting worker.
         incarnation: u64,
-        /// The attempts that run.
+        /// Numbers of the running attempts.
         running: Vec<u64>,
-        /// The attempts that have ended.
+        /// Ends of attempts.
         ends: Vec<EndReport>,
     },
-    /// A worker's heartbeats are missing.
+    /// Marks a worker as lost because its heartbeats stopped.
     #[serde(rename = "Lost")]
     WorkerLost {
         /// The worker's name.
         worker: String,
-        /// The incarnation that is lost.
+        /// Incarnation of the worker that is lost.
         incarnation: u64,
-        /// The epoch of the zone's holder.
+        /// Epoch of the zone lease under which the entry is proposed.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
     },
-    /// A worker's lease on these attempts has surely run out, or it is gone: they run no more.
+    /// Ends attempts that can no longer be running: the worker's lease on them has certainly expired, or the worker is
+    /// gone.
     #[serde(rename = "Lapse")]
     ExpireAttempts {
         /// The worker's name.
         worker: String,
-        /// The incarnation that ran them.
+        /// Incarnation of the worker that ran them.
         incarnation: u64,
-        /// The epoch of the zone's holder.
+        /// Epoch of the zone lease under which the entry is proposed.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
-        /// The attempts.
+        /// Numbers of the attempts.
         #[serde(rename = "sends")]
         attempts: Vec<u64>,
-        /// The newest checkpoints that were heard, by attempt.
+        /// Newest checkpoints that the worker reported, by attempt number.
         #[serde(default)]
         checkpoints: Vec<(u64, String)>,
     },
-    /// Attempts that do no good where they are are told to stop, so that they run elsewhere.
+    /// Stops attempts that should run on another worker instead.
     #[serde(rename = "Recall")]
     RescheduleAttempts {
         /// The worker's name.
         worker: String,
-        /// The epoch of the zone's holder.
+        /// Epoch of the zone lease under which the entry is proposed.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
-        /// The attempts.
+        /// Numbers of the attempts.
         #[serde(rename = "sends")]
         attempts: Vec<u64>,
-        /// The worker is at fault, and goes on probation.
+        /// Whether the worker is at fault and goes on probation.
         blame: bool,
     },
-    /// A zone is evacuated, or serves again; apart from the configuration, so that it races no change of that.
+    /// Evacuates a zone or returns it to service. Separate from the configuration, so that it can't conflict with a
+    /// configuration change.
     #[serde(rename = "Empty")]
     SetEvacuation {
         /// The zone.
@@ -127,7 +129,7 @@
         /// Whether it is evacuated.
         on: bool,
     },
-    /// The operator says how an attempt ended whose outcome is unknown.
+    /// Sets the outcome of a task's attempts whose outcome is unknown, by decision of the operator.
     #[serde(rename = "Resolve")]
     ResolveAttempt {
         /// The id of the job.
@@ -138,18 +140,18 @@
         #[serde(rename = "well")]
         succeeded: bool,
     },
-    /// The leader grants a lease to a node.
+    /// Grants a lease to a node. Proposed by the leader.
     #[serde(rename = "Grant")]
     GrantLease {
         /// The name of the lease, see [`super::zone_lease`] and [`super::queue_lease`].
         #[serde(rename = "duty")]
         lease: String,
-        /// The node that gets it; empty for nobody.
+        /// Node that gets the lease; empty for none.
         holder: String,
-        /// The epoch that it follows on; 0 for none.
+        /// Epoch of the grant that this one replaces; 0 if there is none.
         from_epoch: u64,
     },
-    /// A node is there.
+    /// Adds a node to the membership, or marks it as alive again.
     #[serde(rename = "Node")]
     RegisterNode {
         /// The node's name.
@@ -159,50 +161,50 @@
         /// Its address for HTTP.
         http: String,
     },
-    /// A node is gone.
+    /// Marks a node as gone.
     #[serde(rename = "NodeGone")]
     RemoveNode {
         /// The node's name.
         node: String,
     },
-    /// The first replicas, all at once; rejected where there are some already.
+    /// Sets the initial replicas; rejected if the cluster already has any.
     #[serde(rename = "Found")]
     FoundCluster {
         /// The replicas by address.
         #[serde(rename = "cores")]
         replicas: BTreeMap<String, ReplicaMember>,
     },
-    /// A replica is admitted, promoted or demoted.
+    /// Admits, promotes or demotes a replica.
     #[serde(rename = "Core")]
     UpdateReplica {
         /// Its address.
         #[serde(rename = "core")]
         replica: String,
-        /// What it is from now on.
+        /// The replica's new membership record.
         member: ReplicaMember,
     },
-    /// An identity (an address with its disk) leaves the membership.
+    /// Removes a replica, identified by its address and disk, from the membership.
     #[serde(rename = "CoreGone")]
     RemoveReplica {
         /// Its address.
         #[serde(rename = "core")]
         replica: String,
-        /// Its disk.
+        /// Its disk identity, see [`ReplicaMember::disk`].
         disk: u64,
     },
-    /// Lets bounds that have passed take effect, and drops what was retained for its time.
+    /// Enforces time bounds that have passed, and drops records whose retention period is over.
     #[serde(rename = "Sweep")]
     CollectGarbage {
-        /// How long ended jobs are retained, in milliseconds.
+        /// How long ended jobs are retained in full, in milliseconds.
         retain_ms: u64,
-        /// How long their identities are kept after that, in milliseconds.
+        /// How long their tombstones are kept after that, in milliseconds.
         identity_ms: u64,
     },
-    /// An order of an operator or caller, which takes effect at most once and not after its deadline.
+    /// An order of an operator or client, which takes effect at most once and not after its deadline.
     Order(Order),
 }
 
-/// The numbers of commands in packed entries: the positions of the variants of [`Command`].
+/// Discriminants of commands in packed entries: the positions of the variants of [`Command`].
 mod kind {
     pub const TERM_STARTED: u32 = 0;
     pub const UPDATE_CONFIG: u32 = 1;
@@ -214,25 +216,25 @@
     pub const ORDER: u32 = 19;
 }
 
-/// Reads the number of a command, and what follows it.
+/// Splits a packed command into its discriminant and the remaining bytes.
 fn take_kind(bytes: &[u8]) -> Option<(u32, &[u8])> {
     postcard::take_from_bytes::<u32>(bytes).ok()
 }
 
 impl Command {
-    /// The command as an entry of the log.
+    /// Encodes the command for a log entry.
     pub fn pack(&self) -> Vec<u8> {
         super::pack::pack(self)
     }
 
-    /// The command of an entry. Fails where a newer build has written it.
+    /// Decodes the command of a log entry. Fails on a command that only a newer build knows.
     pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
         super::pack::unpack(bytes)
     }
 
-    /// Whether an entry says something of the system as a whole (configuration, leases, members) and not of one job or
-    /// worker. This is what a light copy of the state follows. The entry is not read beyond its kind, or that of what it
-    /// orders.
+    /// Whether an entry concerns the whole cluster (configuration, leases, members) and not a single job or worker.
+    /// Light copies of the state apply only such entries. Only the discriminant is decoded, for an order also that of
+    /// its action.
     pub fn is_cluster_wide(bytes: &[u8]) -> bool {
         let (mut number, rest) = take_kind(bytes).unwrap_or((kind::TERM_STARTED, &[]));
         if number == kind::ORDER {
@@ -247,8 +249,8 @@
         of_the_whole.contains(&number) || of_members.contains(&number)
     }
 
-    /// Whether a command may come from outside the leader. Terms, leases and members are the leader's alone. The entry
-    /// is not read beyond its kind.
+    /// Whether a process other than the leader may propose the entry. Commands about terms, leases, members and garbage
+    /// collection are reserved for the leader. Only the discriminant is decoded.
     pub fn may_be_proposed(bytes: &[u8]) -> bool {
         match take_kind(bytes) {
             None | Some((kind::TERM_STARTED, _)) => false,
@@ -257,12 +259,12 @@
         }
     }
 
-    /// Whether an entry submits a job. It is not read beyond its kind.
+    /// Whether an entry submits a job. Only the discriminant is decoded.
     pub fn submits_job(bytes: &[u8]) -> bool {
         matches!(take_kind(bytes), Some((kind::ACCEPT_JOB, _)))
     }
 
-    /// Whether copies of this command must take effect at most once.
+    /// Whether the command must take effect at most once, and so must be proposed inside a [`Command::Order`].
     pub fn is_order(&self) -> bool {
         matches!(
             self,
@@ -273,7 +275,7 @@
         )
     }
 
-    /// What the command does: of an order, what is ordered.
+    /// The command itself, or the action of an order.
     pub fn action(&self) -> &Self {
         match self {
             Self::Order(order) => &order.action,
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -1,44 +1,44 @@
-//! What the scheduling policy (Hopper) needs to know, derived from the cluster state.
+//! Inputs of the scheduling policy (Hopper), derived from the cluster state.
 
 use super::{ClusterState, Job, QueueStats, Task, TaskState};
 
-/// So many durations give a median.
+/// Minimum number of durations for a median.
 const MIN_DURATIONS_FOR_MEDIAN: usize = 5;
-/// So many durations give a tail index.
+/// Minimum number of durations for an estimate of the tail index.
 const MIN_DURATIONS_FOR_BETA: usize = 20;
-/// Durations that are kept, the latest.
+/// Number of most recent durations kept per queue.
 const MAX_DURATIONS: usize = 256;
-/// Once there are enough, the estimates are refreshed after so many new durations.
+/// Number of new durations after which the estimates are refreshed, once there are enough for the tail index.
 const REFRESH_INTERVAL: usize = 8;
-/// The shortest durations, one in so many, are left out of the fit of the tail.
+/// The shortest 1/20 of the durations is left out of the tail fit.
 const TAIL_DIVISOR: usize = 20;
-/// The tail index β of a queue before there are enough durations, and its bounds afterwards.
+/// Tail index β of a queue until there are enough durations; the estimate is clamped to the two bounds below.
 const DEFAULT_BETA: f64 = 1.5;
 const MIN_BETA: f64 = 1.05;
 const MAX_BETA: f64 = 2.0;
-/// The bounds of α, the ratio of the work in later phases to that at hand.
+/// Bounds of α, the ratio of tasks in later phases to tasks that are ready.
 const MIN_ALPHA: f64 = 0.25;
 const MAX_ALPHA: f64 = 4.0;
 /// A task counts as ready this long before it is due, in milliseconds.
 const DUE_SOON_MS: u64 = 1000;
-/// A queue's allowance is not judged before so many jobs have ended within its window.
+/// Minimum number of jobs that must have ended within a queue's window before its failure allowance applies.
 const MIN_JOBS_FOR_ALLOWANCE: u32 = 20;
 
-/// What the policy knows of a job.
+/// The sizes by which the policy ranks a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sizing {
-    /// Tasks that are not done.
+    /// Number of tasks that are due and not done.
     pub remaining: u32,
-    /// The virtual size V.
+    /// Virtual size V of the tasks that are ready.
     pub size: f64,
-    /// What the job is ranked by: the larger of V and V of the later phases.
+    /// Ranking key: the larger of V and the virtual size of the later phases.
     pub rank: f64,
-    /// Attempts that may be running.
+    /// Number of attempts that may be running.
     pub occupied: u32,
 }
 
 impl QueueStats {
-    /// Adds the duration of a successful attempt, in milliseconds, and refreshes the estimates when it is time.
+    /// Adds the duration of a successful attempt in milliseconds, and refreshes the estimates if they are due.
     pub fn add_duration(&mut self, duration_ms: u32) {
         self.durations.push_back(duration_ms);
         if self.durations.len() > MAX_DURATIONS {
@@ -86,12 +86,12 @@
         is_known.then(|| f64::from(stats.median))
     }
 
-    /// The sizes of a job: V = (2/β)·T·√α over the phase at hand.
+    /// Computes the sizes of a job: V = (2/β)·T·√α, where T is the number of ready tasks.
     pub fn sizing(&self, job: &Job) -> Sizing {
         let (mut ready, mut later, mut occupied) = (0u32, 0u32, 0u32);
         for (i, task) in job.tasks.iter().enumerate() {
             occupied += task.live().count() as u32;
-            // What is not due yet asks for nothing.
+            // Tasks that are not due yet need no slots.
             let is_due = job.due(i) <= self.at + DUE_SOON_MS;
             if task.state != TaskState::Waiting || !is_due {
                 continue;
@@ -117,8 +117,8 @@
         }
     }
 
-    /// How many unfinished jobs could use a slot at a time, or hold one. Jobs whose tasks all wait for their time share
-    /// nothing.
+    /// Number of unfinished jobs that use a slot or could use one at time `at`. Jobs whose tasks are all not due yet
+    /// get no share.
     pub fn runnable(&self, at: u64) -> usize {
         let can_run = |job: &Job, i: usize, task: &Task| {
             let is_ready = task.state == TaskState::Waiting
@@ -134,14 +134,14 @@
         open.filter(is_runnable).count()
     }
 
-    /// The processors of all workers that take new work, in the workers' own units.
+    /// Total CPU of all workers that accept new tasks, in the workers' units.
     pub fn total_cpu(&self) -> u32 {
         let workers = self.workers.iter();
         let usable = workers.filter(|(name, worker)| self.accepts_new_tasks(name, worker));
         usable.map(|(_, worker)| worker.info.cpu).sum()
     }
 
-    /// Whether a queue has used up what it may miss of its promise within its window.
+    /// Whether a queue has exceeded its failure allowance within its window.
     pub fn is_allowance_exhausted(&self, name: &str) -> bool {
         let (Some(queue), Some(stats)) = (self.queue(name), self.queues.get(name)) else {
             return false;
--- a/landingdrift/src/state/idle_jobs.rs
+++ b/landingdrift/src/state/idle_jobs.rs
@@ -1,19 +1,21 @@
-//! Idle jobs: those that have nothing running although a task of theirs is due.
+//! Idle jobs: jobs with a due task but no running attempt.
 //!
-//! Probation keeps tasks from a worker, and a claim keeps workers from jobs. Both may delay a job, and neither may deny it what
-//! it needs: they don't hold against a job that has been idle for too long while its service has spare capacity.
+//! Probation restricts the tasks that a worker gets, and a gang's claim reserves workers against other jobs. Both may
+//! delay a job but must not starve it: neither applies to a job that has been idle for too long while its service has
+//! spare capacity.
 
 use super::{AttemptState, ClusterState, Job, TaskState};
 
-/// How long a job may be idle before probation and claims don't hold against it, in milliseconds.
+/// How long a job may be idle before probation and claims no longer apply to it, in milliseconds.
 const MAX_IDLE_MS: u64 = 2000;
 
-/// A service has spare capacity while at most this share of its CPU is in use, in percent. Above it jobs wait for each other.
+/// A service has spare capacity while at most this percentage of its CPU is in use. Above it, jobs wait for each other
+/// anyway.
 const SPARE_CAPACITY_PERCENT: u64 = 67;
 
 impl Job {
-    /// Since when the job has had nothing running although a task of it was due, by the cluster clock; none while something
-    /// runs, or where no task waits.
+    /// Since when the job has been idle, by the cluster clock; `None` while an attempt is surely running or if no task
+    /// waits.
     fn idle_since(&self) -> Option<u64> {
         let mut last_end = self.accepted;
         let mut first_due = None;
@@ -33,7 +35,7 @@
         first_due.map(|due| due.max(last_end))
     }
 
-    /// Whether the job has been idle for too long at a time by the cluster clock.
+    /// Whether the job has been idle for too long at time `at` of the cluster clock.
     pub fn is_idle_too_long(&self, at: u64) -> bool {
         let idle_since = self.idle_since();
         idle_since.is_some_and(|since| at >= since + MAX_IDLE_MS)
@@ -41,7 +43,7 @@
 }
 
 impl ClusterState {
-    /// Whether much of a service's CPU is free, on workers that take new work.
+    /// Whether a service has spare capacity on the workers that accept new tasks.
     pub fn has_spare_capacity(&self, service: &str) -> bool {
         let (mut used, mut total) = (0_u64, 0_u64);
         for (name, worker) in &self.workers {
--- a/landingdrift/src/state/members.rs
+++ b/landingdrift/src/state/members.rs
@@ -1,26 +1,26 @@
-//! Workers, nodes, replicas and leases, as the cluster state lists them.
+//! Records of workers, nodes, replicas and leases in the cluster state.
 
 use super::{Resources, WorkerInfo};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// A worker.
+/// A known worker, with the attempts placed on it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// What it says of itself.
+    /// The worker's description of itself.
     #[serde(rename = "facts")]
     pub info: WorkerInfo,
-    /// Its heartbeats are missing.
+    /// Whether its heartbeats have stopped, or a newer worker has replaced it.
     pub lost: bool,
-    /// Successes needed before it is trusted again; 0 when trusted.
+    /// Consecutive successes needed to end its probation; 0 if it is not on probation.
     pub probation: u32,
-    /// Its last ends, true for successes.
+    /// Outcomes of its most recent attempts; true for success.
     pub ends: VecDeque<bool>,
-    /// Since when it is known, or lost, in milliseconds since 1970 by the cluster clock.
+    /// When it became known, or lost; in milliseconds since 1970 by the cluster clock.
     pub since: u64,
-    /// The resources of attempts that may be running.
+    /// Resources of the attempts that may be running on it.
     pub used: Resources,
-    /// The numbers of attempts that may be running.
+    /// Numbers of the attempts that may be running on it.
     #[serde(rename = "sends")]
     pub attempts: BTreeSet<u64>,
 }
@@ -28,33 +28,34 @@
 /// A lease on a singleton role, such as scheduling for a zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The node that holds it; empty for none.
+    /// Node that holds the lease; empty for none.
     pub holder: String,
-    /// Differs for each grant of any lease. What a former holder proposes is rejected by it.
+    /// Unique for each grant of any lease. It fences former holders: their proposals are rejected.
     pub epoch: u64,
 }
 
-/// A node.
+/// A node that is or was a member of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeMember {
-    /// The zone it stands in.
+    /// Zone that it is in.
     pub zone: String,
-    /// Its address for HTTP.
+    /// HTTP address.
     pub http: String,
-    /// Whether it follows the log.
+    /// Whether the node is alive; one that is gone is remembered for a while.
     pub alive: bool,
 }
 
-/// A replica. Its identity is its address together with its disk.
+/// A replica. It is identified by its address together with its disk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaMember {
-    /// Whether it votes. Others stand by.
+    /// Whether it is a voter; otherwise it is a standby.
     pub voter: bool,
-    /// Drawn at random when the data folder was made; 0 only before the first members are agreed on.
+    /// Random identity of its data folder, generated when the folder was created; 0 only until the initial members are
+    /// agreed on.
     pub disk: u64,
-    /// The zone it stands in.
+    /// Zone that it is in.
     pub zone: String,
-    /// It does not vote as long as others can.
+    /// Whether it becomes a voter only if too few other replicas can vote.
     #[serde(default)]
     pub standby_only: bool,
 }
--- a/landingdrift/src/state/memory.rs
+++ b/landingdrift/src/state/memory.rs
@@ -1,16 +1,17 @@
-//! How many bytes of memory jobs take in one copy of the cluster state, by a bound that holds on 64-bit machines.
+//! Upper bounds, valid on 64-bit machines, on the memory that jobs take in one copy of the cluster state.
 
 use super::pack::json_bytes;
 use super::{Attempt, ClusterState, Job, JobSpec, StepSpec, Task, TaskSpec};
 use std::mem::size_of;
 
-/// The texts of an attempt or a small item with their overhead, in bytes: the name of a worker, a checkpoint.
+/// Allowance for the strings of an attempt or a job, such as a worker's name or a checkpoint, including allocation
+/// overhead, in bytes.
 const TEXT_BYTES: u64 = 96;
 
-/// An attempt.
+/// Memory of an attempt, in bytes.
 const ATTEMPT_BYTES: u64 = size_of::<Attempt>() as u64 + TEXT_BYTES;
 
-/// A task with its first attempt: it gets one sooner or later.
+/// Memory of a task and its first attempt, in bytes. Every task is expected to get at least one attempt.
 const TASK_BYTES: u64 = size_of::<Task>() as u64 + ATTEMPT_BYTES;
 
 fn text_bytes<'a>(texts: impl IntoIterator<Item = &'a String>) -> u64 {
@@ -43,7 +44,7 @@
 }
 
 impl JobSpec {
-    /// How many tasks the job has over all its times.
+    /// Number of tasks of the job over all repetitions.
     pub fn task_count(&self) -> u64 {
         let per_time: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
         let of_steps = per_time.saturating_mul(u64::from(self.times.max(1)));
@@ -56,7 +57,7 @@
         text_bytes([&self.id, &self.queue, &self.payload]) + tasks + steps
     }
 
-    /// How many bytes the job takes once it is accepted, with one attempt of each task.
+    /// Memory that the job takes once it is accepted, with one attempt per task, in bytes.
     pub fn memory_bytes(&self) -> u64 {
         let tasks = self.task_count().saturating_mul(TASK_BYTES);
         (size_of::<Job>() as u64 + TEXT_BYTES)
@@ -66,7 +67,7 @@
 }
 
 impl Job {
-    /// How many bytes the job takes, with one attempt of each task at least.
+    /// Memory that the job takes, counting at least one attempt per task, in bytes.
     pub fn memory_bytes(&self) -> u64 {
         let retries = |task: &Task| task.attempts.len().saturating_sub(1) as u64;
         let retries: u64 = self.tasks.iter().map(retries).sum();
@@ -75,7 +76,7 @@
 }
 
 impl ClusterState {
-    /// How many bytes all jobs take, unfinished and retained.
+    /// Memory that all unfinished and retained jobs take, in bytes.
     pub fn job_bytes(&self) -> u64 {
         self.jobs.values().map(Job::memory_bytes).sum()
     }
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -1,8 +1,8 @@
-//! The cluster state: the one replicated state, and the rules that every entry is checked against.
+//! The cluster state: the replicated state machine, and the rules that every log entry is checked against.
 //!
-//! Nodes propose, and the state decides: [`ClusterState::apply`] is the only place where anything changes, and it is the
-//! same code on replicas and nodes. Names on disk, over HTTP and in recordings are older than those of the code; `serde`
-//! attributes carry them.
+//! Nodes propose commands, and [`ClusterState::apply`] accepts or rejects them. It is the only code that changes the
+//! state, and it is the same on replicas and nodes. Some names on disk, over HTTP and in recordings are older than
+//! those in the code; `serde` attributes preserve them.
 
 pub mod command;
 pub mod derive;
@@ -35,45 +35,46 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Version of the format of the cluster state; another one is refused.
+/// Format version of a packed cluster state; snapshots of any other version are rejected.
 pub const STATE_VERSION: u16 = 3;
 
-/// How long, by the cluster clock, a change of configuration is known by its identity, in milliseconds; the newest one
-/// always is.
+/// How long the identity of a configuration change is remembered, in milliseconds by the cluster clock. The newest
+/// change is always remembered.
 pub const CHANGE_RETENTION_MS: u64 = 86_400_000;
 
-/// More changes than this within that time are rejected rather than forgotten.
+/// Maximum number of remembered configuration changes. Further changes are rejected, so that no identity is dropped
+/// before [`CHANGE_RETENTION_MS`] has passed.
 pub const MAX_CHANGES: usize = 50_000;
 
-/// The state that the replicas agree on. Times are milliseconds since 1970 by the cluster clock.
+/// The state that all replicas agree on. Times are milliseconds since 1970 by the cluster clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterState {
-    /// The version of the format; it stands first, so that another one is told apart before the rest is read.
+    /// The format version. It must stay the first field: [`ClusterState::unpack`] checks it before decoding the rest.
     pub format: u16,
     /// The name of the cluster.
     pub cluster: String,
-    /// The index of the last entry applied.
+    /// Log index of the last applied entry.
     #[serde(rename = "place")]
     pub applied_index: u64,
-    /// The time of the last entry applied; it never goes back.
+    /// Time of the last applied entry; never decreases.
     pub at: u64,
-    /// The version of the configuration in force; 0 before the first.
+    /// Version of the configuration in force; 0 before the first one.
     pub version: u64,
     /// The configuration in force.
     #[serde(rename = "desired")]
     pub config: ClusterConfig,
-    /// The changes of configuration that are known by their identity, the newest last.
+    /// Configuration changes whose identities are remembered, the newest last.
     pub changes: VecDeque<Change>,
-    /// The answers to orders whose deadline has not passed, by deadline and proposal, as they go over the wire.
+    /// Results of orders whose deadline has not passed, by deadline and proposal, in their wire encoding.
     pub orders: BTreeMap<(u64, ProposalId), Vec<u8>>,
-    /// Jobs by id, unfinished or retained.
+    /// Unfinished and retained jobs by id.
     pub jobs: BTreeMap<String, Job>,
-    /// What is left of jobs that are retained no more, by id.
+    /// Tombstones of jobs that are no longer retained in full, by job id.
     #[serde(rename = "tombs")]
     pub tombstones: BTreeMap<String, Tombstone>,
-    /// Ended jobs and tombstones by the time they ended or were made.
+    /// Ids of ended jobs and of tombstones, ordered by the time at which the job ended or the tombstone was created.
     pub expiry: BTreeSet<(u64, String)>,
-    /// Ids of rejected jobs: the index of the entry, and its time.
+    /// Ids of recently rejected jobs, with the log index and the time of the rejected entry.
     #[serde(rename = "refusals")]
     pub rejected_ids: BTreeMap<String, (u64, u64)>,
     /// Ids of unfinished jobs.
@@ -83,40 +84,41 @@
     /// Leases by name, see [`zone_lease`] and [`queue_lease`].
     #[serde(rename = "grants")]
     pub leases: BTreeMap<String, Lease>,
-    /// Zones that are evacuated, whatever the configuration says.
+    /// Zones evacuated by an operator's order, independently of the configuration.
     #[serde(rename = "emptied")]
     pub evacuated_zones: BTreeSet<String>,
-    /// Queues that were removed while they held unfinished jobs, until those end.
+    /// Queues that were removed from the configuration while they had unfinished jobs, kept until those jobs end.
     #[serde(rename = "retired")]
     pub retired_queues: BTreeMap<String, Queue>,
-    /// Nodes by name, alive or remembered.
+    /// Nodes by name: those alive, and some of those that are gone.
     pub nodes: BTreeMap<String, NodeMember>,
     /// Replicas by address.
     #[serde(rename = "cores")]
     pub replicas: BTreeMap<String, ReplicaMember>,
-    /// The history of each queue, by name.
+    /// Statistics of each queue, by queue name.
     pub queues: BTreeMap<String, QueueStats>,
-    /// The attempts that may be running, by number: the id of the job, and the number of the task in it.
+    /// Attempts that may be running, by attempt number, each with the id of its job and the index of its task in the
+    /// job.
     pub live: BTreeMap<u64, (String, u32)>,
-    /// The number of the next attempt.
+    /// Number that the next attempt will get.
     #[serde(rename = "next_send")]
     pub next_attempt: u64,
-    /// The epoch of the next lease.
+    /// Epoch that the next granted lease will get.
     pub next_epoch: u64,
 }
 
-/// The name of the lease on scheduling for a zone.
+/// Name of the lease for scheduling in a zone.
 pub fn zone_lease(zone: &str) -> String {
     format!("cell/{zone}")
 }
 
-/// The name of the lease on owning a queue.
+/// Name of the lease for ownership of a queue.
 pub fn queue_lease(queue: &str) -> String {
     format!("queue/{queue}")
 }
 
 impl ClusterState {
-    /// An empty state.
+    /// Creates an empty state for the named cluster.
     pub fn new(cluster: &str) -> Self {
         Self {
             format: STATE_VERSION,
@@ -127,25 +129,25 @@
         }
     }
 
-    /// The state as bytes for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn pack(&self) -> Vec<u8> {
         pack::pack(self)
     }
 
-    /// The state from a snapshot. Fails where another build has written it.
+    /// Decodes the state from a snapshot. Fails if the snapshot has another format version or is damaged.
     pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
         let format = postcard::take_from_bytes::<u16>(bytes).map_or(0, |(format, _)| format);
         if format != STATE_VERSION {
             return Err(format!(
-                "the capture has format {format}, this build reads {STATE_VERSION}: run the build that wrote it"
+                "unsupported snapshot format {format}, this build reads {STATE_VERSION}: run the build that wrote it"
             ));
         }
         pack::unpack(bytes).map_err(|e| {
-            format!("the capture can't be read ({e}): fetch it again from another core")
+            format!("failed to decode the snapshot: {e}; fetch it again from another core")
         })
     }
 
-    /// The state without jobs and workers: configuration, leases and members.
+    /// A copy of the state with configuration, leases and members only, as small nodes follow it.
     pub fn without_jobs_and_workers(&self) -> Self {
         Self {
             format: self.format,
@@ -166,40 +168,41 @@
         }
     }
 
-    /// The index of the entry that made the configuration in force; 0 where there is none.
+    /// Log index of the entry that put the current configuration into force; 0 if there is none.
     pub fn config_index(&self) -> u64 {
         self.changes.back().map_or(0, |change| change.log_index)
     }
 
-    /// The index of the entry that made the configuration which was in force at an index; 0 where it is not known any more.
+    /// Log index of the entry that put the configuration into force which was current at `index`; 0 if that entry is no
+    /// longer remembered.
     pub fn config_index_at(&self, index: u64) -> u64 {
         let mut changes = self.changes.iter().rev();
         let newest = changes.find(|change| change.log_index <= index);
         newest.map_or(0, |change| change.log_index)
     }
 
-    /// A queue by the configuration, or as it was when it was removed with jobs in it.
+    /// Looks up a queue in the configuration, or among the queues that were removed with unfinished jobs.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         let configured = self.config.queues.get(name);
         configured.or_else(|| self.retired_queues.get(name))
     }
 
-    /// Whether a worker of a zone may get new work.
+    /// Whether the configuration and evacuation orders allow new work on a worker of a zone.
     pub fn allows_new_work(&self, zone: &str, worker: &str) -> bool {
         !self.evacuated_zones.contains(zone) && self.config.allows_new_work(zone, worker)
     }
 
-    /// Whether new tasks may start on a worker.
+    /// Whether new tasks may start on a worker: it is neither lost nor leaving, and may get new work.
     pub fn accepts_new_tasks(&self, name: &str, worker: &Worker) -> bool {
         !worker.lost && !worker.info.leaving && self.allows_new_work(&worker.info.zone, name)
     }
 
-    /// The holder of a lease.
+    /// The current grant of a lease, by the lease's name.
     pub fn holder(&self, lease: &str) -> Option<&Lease> {
         self.leases.get(lease)
     }
 
-    /// Whether a live attempt is of a task that runs until its job is cancelled.
+    /// Whether a live attempt belongs to a long-running task, which runs until its job is cancelled.
     pub fn is_long_running(&self, attempt_no: u64) -> bool {
         let Some((job, task)) = self.live.get(&attempt_no) else {
             return false;
@@ -208,20 +211,20 @@
         job.is_some_and(|job| job.task_spec(*task as usize).long_running)
     }
 
-    /// Whether a worker has attempts that will end: one on probation proves itself by those.
+    /// Whether a worker has live attempts of tasks that end by themselves. Only these can bring a worker off probation.
     pub fn has_ending_attempts(&self, worker: &Worker) -> bool {
         let mut attempts = worker.attempts.iter();
         attempts.any(|attempt_no| !self.is_long_running(*attempt_no))
     }
 
-    /// A task by its job and number.
+    /// Looks up a task by the id of its job and its index in the job.
     pub fn task(&self, job: &str, task_no: u32) -> Option<(&Job, &Task)> {
         let job = self.jobs.get(job)?;
         let task = job.tasks.get(task_no as usize)?;
         Some((job, task))
     }
 
-    /// An attempt by its number, while it may be running.
+    /// Looks up a live attempt by its number.
     pub fn attempt(&self, attempt_no: u64) -> Option<(&Job, &Task, &Attempt)> {
         let (job, task_no) = self.live.get(&attempt_no)?;
         let (job, task) = self.task(job, *task_no)?;
@@ -230,7 +233,7 @@
         Some((job, task, attempt))
     }
 
-    /// The number of the live attempt that a worker calls by its names.
+    /// The number of the live attempt on a worker that matches a run name.
     pub fn live_attempt_by_name(&self, worker: &str, name: &RunName) -> Option<u64> {
         let job = self.jobs.get(&name.job)?;
         let task = job.tasks.get(job.find(&name.task)?)?;
--- a/landingdrift/src/state/order.rs
+++ b/landingdrift/src/state/order.rs
@@ -1,20 +1,20 @@
-//! Orders: commands of operators and callers that take effect at most once.
+//! Orders: commands of operators and clients that take effect at most once.
 //!
-//! A node sends a proposal again when its answer does not come, so several copies may reach the log. Every copy of
-//! an order carries the same identity and the same deadline; see `apply/orders.rs` for what becomes of them.
+//! A node retries a proposal when no response arrives, so several copies may enter the log. Every copy of an order
+//! carries the same identity and the same deadline; `apply/orders.rs` handles the duplicates.
 
 use super::Command;
 use serde::{Deserialize, Serialize};
 
-/// The identity of a proposal, the same on every copy of it.
+/// Identity of a proposal, the same on every copy of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ProposalId {
-    /// The address of the node that proposes.
+    /// Address of the proposing node.
     pub proposer: String,
-    /// The incarnation of that node's process.
+    /// Incarnation of that node's process.
     pub incarnation: u64,
-    /// The number of the proposal in that incarnation.
+    /// Sequence number of the proposal within that incarnation.
     pub number: u64,
 }
 
@@ -22,10 +22,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Order {
-    /// What is ordered; it stands first, so that its kind can be told without reading all of it.
+    /// The ordered command. It must stay the first field: its kind is read from the bytes without decoding the rest.
     pub action: Box<Command>,
-    /// The identity of the proposal.
+    /// Identity of the proposal.
     pub proposal: ProposalId,
-    /// By the cluster clock, in milliseconds since 1970: a copy that enters the log later has no effect.
+    /// Deadline in milliseconds since 1970 by the cluster clock; a copy that enters the log later has no effect.
     pub deadline: u64,
 }
--- a/landingdrift/src/state/pack.rs
+++ b/landingdrift/src/state/pack.rs
@@ -1,27 +1,27 @@
-//! Entries and records as bytes: compact in the log and between processes, JSON in recordings.
+//! Encoding of entries and records: compact (postcard) in the log and between processes, JSON in recordings.
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::io::{self, Write};
 
-/// A value as compact bytes.
+/// Encodes a value compactly.
 pub fn pack<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_allocvec(value).unwrap_or_default()
 }
 
-/// A value from compact bytes.
+/// Decodes a value that [`pack`] encoded.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
     postcard::from_bytes(bytes).map_err(|e| e.to_string())
 }
 
-/// How many bytes a value has as JSON; the text is not built.
+/// Size of a value as JSON text, in bytes, computed without building the text.
 pub fn json_bytes<T: Serialize>(value: &T) -> u64 {
     let mut counted = ByteCounter::default();
-    // A counter refuses nothing.
+    // Writing to a counter can't fail.
     let _ = serde_json::to_writer(&mut counted, value);
     counted.0
 }
 
-/// Counts what is written to it.
+/// A writer that only counts bytes.
 #[derive(Default)]
 struct ByteCounter(u64);
 
@@ -36,12 +36,12 @@
     }
 }
 
-/// Free JSON within a compact value: as text there, as itself where the format is JSON already.
+/// Serde module for free-form JSON: a string in compact encodings, plain JSON in human-readable formats.
 pub mod json {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use serde_json::Value;
 
-    /// Writes it.
+    /// Serializes a JSON value; `null` becomes the empty string in compact encodings.
     pub fn serialize<S: Serializer>(v: &Value, s: S) -> Result<S::Ok, S::Error> {
         if s.is_human_readable() {
             v.serialize(s)
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reads it.
+    /// Deserializes a JSON value; the inverse of [`serialize`].
     pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Value, D::Error> {
         if d.is_human_readable() {
             return Value::deserialize(d);
--- a/landingdrift/src/state/report.rs
+++ b/landingdrift/src/state/report.rs
@@ -1,75 +1,75 @@
-//! What nodes report to the cluster state: placements, and the ends of attempts.
+//! Placements of tasks and reports of ended attempts, as nodes propose them.
 
 use serde::{Deserialize, Serialize};
 
 /// A task placed on a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The number of the task in its job.
+    /// Index of the task in its job.
     pub task: u32,
-    /// The worker it is placed on, and the incarnation that was offered.
+    /// Name of the worker that it is placed on.
     pub worker: String,
-    /// The incarnation of the worker that was offered.
+    /// Incarnation of the worker that offered the slot.
     pub incarnation: u64,
-    /// The epoch of the zone's holder that has offered the slot.
+    /// Epoch of the zone lease under which the slot was offered.
     #[serde(rename = "cell_epoch")]
     pub zone_epoch: u64,
-    /// A speculative copy beside a running attempt.
+    /// Whether this is a speculative copy of a running attempt.
     pub copy: bool,
 }
 
-/// How an attempt ended, by its worker.
+/// How an attempt ended, as reported by its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Outcome {
-    /// It has done its work.
+    /// Finished successfully.
     #[serde(rename = "well")]
     Succeeded,
-    /// It failed, through its own fault or the worker's.
+    /// Failed, through a fault of its own or of the worker.
     #[default]
     #[serde(rename = "defect")]
     Failed,
-    /// It was killed.
+    /// Killed, normally on request of the scheduler.
     Stopped,
-    /// Never started, and never will be.
+    /// Not started, and never will be.
     #[serde(rename = "void")]
     NeverStarted,
-    /// Dead through no fault of its own: its lease ran out, or its gang broke up.
+    /// Ended without a fault of its own: its lease expired, or its gang broke up.
     #[serde(rename = "lapsed")]
     Expired,
 }
 
-/// A run by its names, for workers that do not keep the numbers of attempts.
+/// Identifies a run by names, for workers that do not store attempt numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct RunName {
-    /// The id of the job.
+    /// Id of the job.
     pub job: String,
-    /// The name of the task in its job.
+    /// Name of the task in its job.
     pub task: String,
-    /// The number of the run, see [`super::Attempt::run`].
+    /// Number of the run, see [`super::Attempt::run`].
     pub run: u32,
 }
 
-/// The end of an attempt.
+/// Report of an ended attempt.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndReport {
-    /// The number of the attempt.
+    /// Number of the attempt; 0 if `name` is given instead.
     #[serde(default)]
     pub no: u64,
-    /// In place of the number.
+    /// Name of the run, as an alternative to `no`.
     #[serde(default)]
     pub name: Option<RunName>,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long it ran, in milliseconds; 0 where that isn't known.
+    /// Run time in milliseconds; 0 if unknown.
     #[serde(default)]
     pub ran_ms: u64,
-    /// What the worker says of the end, for people.
+    /// The worker's explanation of the end, for people to read.
     #[serde(default)]
     pub note: String,
-    /// The newest checkpoint of the run; empty for none.
+    /// Newest checkpoint of the run; empty for none.
     #[serde(default)]
     pub checkpoint: String,
 }
--- a/landingdrift/src/state/retained.rs
+++ b/landingdrift/src/state/retained.rs
@@ -1,61 +1,61 @@
-//! What is kept of things that have ended: jobs, changes of configuration, the history of a queue.
+//! Records kept after the fact: tombstones of jobs, past configuration changes and queue statistics.
 
 use super::JobState;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What is left of a job after it was retained for its time.
+/// Replaces a job after its retention period, so that a late copy of its submission is still recognised.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tombstone {
-    /// The hash of what the client sent.
+    /// Hash of the request body that submitted the job.
     pub hash: u64,
-    /// How the job ended.
+    /// Final state of the job.
     pub state: JobState,
-    /// Until when it is kept, in milliseconds since 1970 by the cluster clock.
+    /// When the tombstone expires, in milliseconds since 1970 by the cluster clock.
     pub until: u64,
 }
 
-/// A change of configuration that was put into force.
+/// A configuration change that was put into force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its identity.
+    /// Identity of the change, chosen by the client.
     pub change: String,
-    /// The SHA-256 of what was asked for.
+    /// SHA-256 of the requested change.
     pub digest: [u8; 32],
-    /// The version that it became.
+    /// Configuration version that the change produced.
     pub version: u64,
-    /// The index of its entry.
+    /// Log index of its entry.
     #[serde(rename = "place")]
     pub log_index: u64,
     /// When it was applied, in milliseconds since 1970 by the cluster clock.
     pub at: u64,
 }
 
-/// The history of a queue.
+/// Statistics of a queue, on which sizing, speculation and the queue's promise are based.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueStats {
-    /// Durations of successful attempts in milliseconds, the latest last.
+    /// Durations of the most recent successful attempts in milliseconds, the latest last.
     pub durations: VecDeque<u32>,
-    /// The tail index of the durations, refreshed when some have come; 0 before there are enough.
+    /// Estimated tail index β of the durations, refreshed periodically; 0 until there are enough samples.
     pub beta: f64,
-    /// The median of the durations in milliseconds, refreshed likewise.
+    /// Median of the durations in milliseconds, refreshed together with `beta`.
     pub median: u32,
-    /// Successful attempts so far.
+    /// Number of durations added so far.
     pub seen: u32,
-    /// Ends of jobs within the window: when, and whether the promise was kept.
+    /// Ends of jobs within the queue's window: the time, and whether the promise was kept.
     pub promises: VecDeque<(u64, bool)>,
-    /// Jobs that have not ended.
+    /// Number of jobs that have not ended.
     pub unfinished: u32,
-    /// Jobs that kept the promise, ever.
+    /// Total number of jobs that kept the promise.
     pub kept: u64,
-    /// Jobs that missed it, ever.
+    /// Total number of jobs that missed the promise.
     pub missed: u64,
-    /// Attempts that may be running.
+    /// Number of attempts that may be running.
     pub running: u32,
-    /// Speculative copies among them.
+    /// Number of speculative copies among the running attempts.
     pub copies: u32,
-    /// Speculative copies, ever.
+    /// Total number of speculative copies started.
     pub copies_ever: u64,
-    /// Speculative copies that ended before the original, ever.
+    /// Total number of speculative copies that succeeded before the original.
     pub copies_won: u64,
 }
--- a/landingdrift/src/state/worker_info.rs
+++ b/landingdrift/src/state/worker_info.rs
@@ -1,44 +1,44 @@
-//! What a worker says of itself.
+//! A worker's description of itself.
 
 use super::{Resources, TaskSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What a worker says of itself in its heartbeats.
+/// A worker's description of itself, as sent in its heartbeats.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct WorkerInfo {
     /// The worker's name.
     pub worker: String,
-    /// Grows with each start of the worker's process.
+    /// Incarnation of the worker's process; increases with each start.
     pub incarnation: u64,
-    /// The service whose tasks it runs.
+    /// Service whose tasks it runs.
     pub service: String,
-    /// What a task may ask for beside the service.
+    /// Labels that tasks can require in addition to the service.
     pub labels: BTreeSet<String>,
-    /// The zone it stands in.
+    /// Zone that the worker is in.
     pub zone: String,
-    /// Its processors, in units of the operator's choice.
+    /// Total CPU, in units chosen by the operator.
     #[serde(rename = "room")]
     pub cpu: u32,
-    /// Its memory, in units of the operator's choice.
+    /// Total memory, in units chosen by the operator.
     #[serde(default)]
     pub memory: u32,
-    /// Its accelerators.
+    /// Total number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
-    /// The rack it stands in; empty where that doesn't matter.
+    /// Rack that the worker is in; empty if racks don't matter.
     #[serde(default)]
     pub rack: String,
-    /// Its address. A newer worker at the same address proves that this one is gone.
+    /// Network address. A newer worker at the same address proves that this one is gone.
     #[serde(default)]
     pub address: String,
-    /// It leaves soon and takes nothing new.
+    /// Whether the worker is about to leave and accepts no new work.
     pub leaving: bool,
 }
 
 impl WorkerInfo {
-    /// All that it has.
+    /// Total resources of the worker, used or not.
     pub fn total_resources(&self) -> Resources {
         Resources {
             cpu: self.cpu,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Whether data at a location (a zone, rack or worker) is near.
+    /// Whether the worker is at a location, given as the name of a zone, rack or worker.
     pub fn near(&self, location: &str) -> bool {
         let own = [&self.worker, &self.zone, &self.rack];
         !location.is_empty() && own.into_iter().any(|name| name == location)
     }
 
-    /// Whether it is of the task's service and carries its labels.
+    /// Whether the worker offers the task's service and has all its labels.
     pub fn serves(&self, task: &TaskSpec) -> bool {
         let has_label = |label: &String| self.labels.contains(label);
         self.service == task.service && task.labels.iter().all(has_label)
