--- a/landingdrift/src/config/check.rs
+++ b/landingdrift/src/config/check.rs
@@ -2,39 +2,39 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The most characters of a name.
+/// Maximum length of a name, in characters.
 const MAX_NAME_CHARACTERS: usize = 64;
 const NAME_REMEDY: &str = "use 1 to 64 letters, digits, '-', '_' or '.' for the name";
-/// The most attempts of a task.
+/// Upper limit of [`Queue::max_attempts`].
 const MAX_ATTEMPTS: u32 = 1_000_000;
-/// The highest priority.
+/// Upper limit of [`Queue::priority`].
 const MAX_PRIORITY: u32 = 100;
-/// The shortest window and the shortest bound on unsure attempts, in milliseconds.
+/// Minimum of [`Queue::window_ms`] and [`Queue::unsure_bound_ms`], in milliseconds.
 const MIN_WINDOW_MS: u64 = 1000;
-/// The states of a zone; empty is the first.
+/// Valid states of a zone; an empty state means `serving`.
 const ZONE_STATES: [&str; 4] = ["", "serving", "draining", "evacuated"];
 
-/// What is wrong with a declared configuration.
+/// Why a configuration is invalid.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigError {
     /// A field is unknown or of the wrong type.
     Shape {
-        /// The path of the field at fault.
+        /// Path of the invalid field.
         path: String,
-        /// What is wrong with it.
+        /// Description of the error.
         why: String,
     },
-    /// A value is out of its range or contradicts another.
+    /// A value is out of range or contradicts another.
     Value {
-        /// The path of the field at fault.
+        /// Path of the invalid field.
         path: String,
-        /// What to do about it.
+        /// How to correct it.
         remedy: String,
     },
 }
 
 impl ConfigError {
-    /// The path of the field at fault.
+    /// Path of the invalid field.
     pub fn path(&self) -> &str {
         match self {
             Self::Shape { path, .. } | Self::Value { path, .. } => path,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads a configuration from JSON, refusing unknown and wrong fields.
+/// Parses and validates a configuration from JSON; unknown fields and fields of the wrong type are errors.
 pub fn read(value: &serde_json::Value) -> Result<ClusterConfig, ConfigError> {
     serde_path_to_error::deserialize(value)
         .map_err(|error| ConfigError::Shape {
@@ -64,7 +64,7 @@
         .and_then(|config| check(&config).map(|()| config))
 }
 
-/// Checks the values of a configuration.
+/// Validates a configuration; returns the first error.
 pub fn check(config: &ClusterConfig) -> Result<(), ConfigError> {
     for (name, queue) in &config.queues {
         check_queue(name, queue)?;
@@ -89,13 +89,13 @@
     })
 }
 
-/// The path of an item and the checks of its fields.
+/// A queue, service or zone to validate, by its path.
 struct Item {
     path: String,
 }
 
 impl Item {
-    /// An item of a kind, whose name is checked.
+    /// Creates an item of a kind, after validating its name.
     fn named(kind: &str, name: &str) -> Result<Self, ConfigError> {
         let path = format!("{kind}.{name}");
         let is_usual = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
@@ -126,7 +126,7 @@
     item.ensure(unsure_bound, "unsureBoundMs", at_least)
 }
 
-/// No two queues have the same host and prefix, and each that has a prefix has a service.
+/// Checks that no two queues have the same host and prefix, and that each queue with a prefix has a declared service.
 fn check_routes(config: &ClusterConfig) -> Result<(), ConfigError> {
     let mut routes = BTreeMap::new();
     for (name, queue) in &config.queues {
--- a/landingdrift/src/config/mod.rs
+++ b/landingdrift/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: what operators declare.
+//! The cluster configuration that operators declare: queues, services and zones.
 
 mod check;
 mod hosts;
@@ -10,70 +10,71 @@
 
 use std::collections::BTreeMap;
 
-/// All that operators declare, taken and put into force as a whole.
+/// The complete configuration, validated and put into force as a whole.
 #[derive(Clone, PartialEq, prost::Message, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 pub struct ClusterConfig {
-    /// The queues by name.
+    /// Queues by name.
     #[prost(btree_map = "string, message", tag = "1")]
     pub queues: BTreeMap<String, Queue>,
-    /// The services by name.
+    /// Services by name.
     #[prost(btree_map = "string, message", tag = "2")]
     pub services: BTreeMap<String, Service>,
-    /// The zones by name.
+    /// Zones by name.
     #[prost(btree_map = "string, message", tag = "3")]
     pub zones: BTreeMap<String, Zone>,
-    /// Free text that travels with the configuration.
+    /// Free-form annotations, stored but not interpreted.
     #[prost(btree_map = "string, string", tag = "4")]
     pub notes: BTreeMap<String, String>,
-    /// A queue that is removed while it holds unfinished jobs runs them to their end; without this it can't be removed.
+    /// Whether queues with unfinished jobs may be removed; their jobs then run to their end. Otherwise a configuration
+    /// that removes such a queue is rejected.
     #[prost(bool, tag = "5")]
     pub retire_queues: bool,
 }
 
-/// A queue and its promise.
+/// A queue, its limits and its promise on completion times.
 #[derive(Clone, PartialEq, prost::Message, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 pub struct Queue {
-    /// Jobs should finish within this many milliseconds; 0 promises nothing.
+    /// Promised completion time of jobs, in milliseconds; 0 for no promise.
     #[prost(uint64, tag = "1")]
     pub finish_within_ms: u64,
-    /// How many jobs in a hundred may miss the promise or fail within the window.
+    /// Percentage of the jobs that end within the window which may fail or miss the promise.
     #[prost(uint32, tag = "2")]
     #[serde(rename = "defectAllowancePercent")]
     pub failure_allowance_percent: u32,
-    /// How often a task may fail before it is not tried again.
+    /// Number of failures after which a task is not retried.
     #[prost(uint32, tag = "3")]
     #[serde(rename = "tries")]
     pub max_attempts: u32,
-    /// How many unfinished jobs the queue may hold.
+    /// Maximum number of unfinished jobs in the queue.
     #[prost(uint32, tag = "4")]
     pub quota: u32,
-    /// Larger goes first where sizes are alike; weighs V.
+    /// Priority from 0 to 100; jobs of higher priority go first among jobs of similar size. Weighs the virtual size V.
     #[prost(uint32, tag = "5")]
     pub priority: u32,
-    /// Running spare copies, in a hundred of the queue's running attempts.
+    /// Maximum number of running speculative copies, in percent of the queue's running attempts.
     #[prost(uint32, tag = "6")]
     pub speculation_percent: u32,
-    /// The window over which the allowances are counted.
+    /// Length of the window over which the failure allowance is evaluated, in milliseconds.
     #[prost(uint64, tag = "7")]
     pub window_ms: u64,
-    /// How long an unsure attempt may stay unsure before it counts as a error.
+    /// How long the outcome of an attempt may stay unknown before it counts as a failure, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub unsure_bound_ms: u64,
-    /// The service that runs the tasks of jobs handed in by host and prefix.
+    /// Service that runs the tasks of jobs submitted by host and prefix.
     #[prost(string, tag = "9")]
     pub service: String,
-    /// Jobs handed in for this host, at a path that begins with the prefix, belong to the queue.
+    /// Requests to this host whose path begins with `prefix` are submitted to the queue as jobs.
     #[prost(string, tag = "10")]
     pub host: String,
-    /// The path prefix of its requests; the longest that fits wins.
+    /// Path prefix of its requests; the longest matching prefix wins. Empty if it gets no jobs by host and prefix.
     #[prost(string, tag = "11")]
     pub prefix: String,
-    /// A promise that grows with the job: so many times its longest chain of work, beside `finishWithinMs`.
+    /// Additional promise relative to the job: this many times the length of its longest dependency chain.
     #[prost(double, tag = "12")]
     pub stretch: f64,
-    /// Free text that travels with the queue.
+    /// Free-form annotation, stored but not interpreted.
     #[prost(string, tag = "13")]
     pub note: String,
 }
@@ -85,30 +86,31 @@
     /// Labels that workers of the service may carry.
     #[prost(string, repeated, tag = "1")]
     pub labels: Vec<String>,
-    /// The most capacity that one task may need.
+    /// Maximum CPU that one task may need.
     #[prost(uint32, tag = "2")]
     #[serde(rename = "taskRoom")]
     pub task_cpu: u32,
-    /// The most capacity that a gang may need altogether.
+    /// Maximum CPU that a gang may need in total.
     #[prost(uint32, tag = "3")]
     #[serde(rename = "gangRoom")]
     pub gang_cpu: u32,
-    /// Workers may carry any label; `labels` lists none.
+    /// Whether tasks may require labels that `labels` doesn't list.
     #[prost(bool, tag = "4")]
     pub any_label: bool,
-    /// Free text that travels with the service.
+    /// Free-form annotation, stored but not interpreted.
     #[prost(string, tag = "5")]
     pub note: String,
 }
 
-/// What is wanted of a zone.
+/// The desired state of a zone.
 #[derive(Clone, PartialEq, prost::Message, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 pub struct Zone {
-    /// `serving`, `draining` (running work ends) or `evacuated` (repeatable work is stopped as well).
+    /// `serving` (also if empty), `draining` (no new work; running work finishes) or `evacuated` (repeatable work is
+    /// also stopped).
     #[prost(string, tag = "1")]
     pub state: String,
-    /// Workers of the zone that take nothing new.
+    /// Workers of the zone that get no new work.
     #[prost(string, repeated, tag = "2")]
     pub drained_workers: Vec<String>,
 }
@@ -121,13 +123,13 @@
 }
 
 impl ClusterConfig {
-    /// Whether a worker of a zone may get new work.
+    /// Whether a worker of a zone may get new work: the zone is serving and the worker isn't drained.
     pub fn allows_new_work(&self, zone: &str, worker: &str) -> bool {
         self.zones
             .get(zone)
             .is_none_or(|z| z.serving() && !z.drained_workers.iter().any(|w| w == worker))
     }
-    /// Whether repeatable work in a zone is to be stopped.
+    /// Whether a zone is evacuated, so that repeatable work in it is stopped.
     pub fn evacuated(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(|z| z.state == "evacuated")
     }
--- a/landingdrift/src/config/patch.rs
+++ b/landingdrift/src/config/patch.rs
@@ -1,6 +1,6 @@
 use serde_json::Value;
 
-/// Merges a JSON merge patch into a value: null removes, objects merge, all else replaces.
+/// Applies a JSON merge patch (RFC 7396) to a value: null removes a field, objects are merged, anything else replaces.
 pub fn merge(into: &mut Value, patch: &Value) {
     match patch {
         Value::Object(fields) => {
