--- a/landingdrift/src/state/apply/attempts.rs
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -1,9 +1,9 @@
-//! What happens to attempts: requests to stop, ends, doubt about their outcome.
+//! Changes to attempts: stop requests, ends and unknown outcomes.
 
 use crate::state::{Attempt, AttemptState, ClusterState, Job, Task, TaskState};
 
 impl ClusterState {
-    /// The live attempt with a number, to change it.
+    /// Looks up a live attempt by its number for modification.
     pub(super) fn attempt_mut(&mut self, attempt_no: u64) -> Option<&mut Attempt> {
         let (job, task) = self.live.get(&attempt_no)?;
         let job = self.jobs.get_mut(job)?;
@@ -12,21 +12,21 @@
         attempts.find(|attempt| attempt.no == attempt_no)
     }
 
-    /// Asks the worker of a live attempt to stop it.
+    /// Marks a live attempt to be stopped by its worker.
     pub(super) fn request_stop(&mut self, attempt_no: u64) {
         if let Some(attempt) = self.attempt_mut(attempt_no) {
             attempt.stop = true;
         }
     }
 
-    /// Asks the workers of live attempts to stop them.
+    /// Marks live attempts to be stopped by their workers.
     pub(super) fn request_stops(&mut self, attempts: Vec<u64>) {
         for attempt_no in attempts {
             self.request_stop(attempt_no);
         }
     }
 
-    /// Ends a live attempt: frees its resources, and derives the state of its task.
+    /// Ends a live attempt: frees its resources, updates its queue's statistics, and derives the state of its task.
     pub(super) fn end_attempt(
         &mut self,
         attempt_no: u64,
@@ -80,7 +80,8 @@
         }
     }
 
-    /// When a member of a gang has to start again, the rest of the gang is stopped, so that it starts whole.
+    /// Stops the live attempts of a task's gang after one member failed to complete, so that all members restart
+    /// together.
     pub(super) fn reschedule_gang(&mut self, id: &str, task_no: u32) {
         let Some(job) = self.jobs.get(id) else { return };
         let mut to_stop = Vec::new();
@@ -104,14 +105,14 @@
         };
         if attempt.state != AttemptState::Unsure {
             attempt.state = AttemptState::Unsure;
-            // While the outcome is unknown, `ended` is the moment since when.
+            // While the outcome is unknown, `ended` is the time since when it is.
             attempt.ended = at;
         }
-        // The others of a gang don't wait for one that may never come.
+        // The other members must not wait for an attempt that may never end.
         self.reschedule_gang(&id, task_no);
     }
 
-    /// Keeps the newest checkpoint of an attempt; in a gang it is good for every member.
+    /// Stores the newest checkpoint of an attempt for its task, and for all members of its gang.
     pub(super) fn keep_checkpoint(&mut self, attempt_no: u64, checkpoint: &str) {
         if checkpoint.is_empty() {
             return;
@@ -130,11 +131,11 @@
     }
 }
 
-/// Derives the state of a task one of whose attempts has ended.
+/// Derives the state of a task after one of its attempts has ended.
 fn end_task(job: &mut Job, task: usize, is_first_success: bool, max_attempts: u32) {
     if is_first_success {
         if job.ends_as_one(task) {
-            // The members end together: this end counts for all of them.
+            // The members end together, so this success counts for all of them.
             for member in job.gang(task) {
                 job.set_task_state(member, TaskState::Done);
             }
@@ -158,7 +159,8 @@
     }
 }
 
-/// The attempts of a task that are of no use any more. Members of a gang that ends as one end by themselves.
+/// The live attempts of a finished task, which must be stopped. Gangs that end as one are exempt: their members end by
+/// themselves.
 fn superseded_attempts(job: &Job, task_no: usize, is_first_success: bool) -> Vec<u64> {
     let task: &Task = &job.tasks[task_no];
     let ends_by_itself = is_first_success && job.ends_as_one(task_no);
--- a/landingdrift/src/state/apply/config_update.rs
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, and evacuations of zones.
+//! Configuration changes, and evacuation of zones.
 
 use super::{ensure, ApplyResult};
 use crate::config::{merge, read, ClusterConfig, Queue};
@@ -9,21 +9,21 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// A change of the configuration.
+/// A proposed configuration change.
 pub(super) struct ConfigUpdate<'a> {
-    /// The identity of the change; copies of it carry the same one.
+    /// Identity of the change; retries carry the same one.
     pub change: &'a str,
-    /// The version that it builds on.
+    /// Configuration version that the change is based on.
     pub base_version: u64,
-    /// The version that it becomes; 0 for the next.
+    /// Version that the new configuration gets; 0 for the next one.
     pub version: u64,
-    /// It changes parts of the current configuration, and does not replace it.
+    /// Whether `value` is a merge patch; otherwise it replaces the whole configuration.
     pub is_patch: bool,
     pub value: &'a Value,
 }
 
 impl ConfigUpdate<'_> {
-    /// The SHA-256 of all that is asked for.
+    /// SHA-256 of the requested change, without its identity.
     fn digest(&self) -> [u8; 32] {
         let Self {
             base_version,
@@ -38,8 +38,8 @@
 }
 
 impl ClusterState {
-    /// Puts a change of the configuration into force. Only one change is taken on top of a version; a copy of one that
-    /// was taken gets the same answer again.
+    /// Puts a configuration change into force. Only one change can be based on each version; a retry of an accepted
+    /// change gets the same result again.
     pub(super) fn update_config(&mut self, update: &ConfigUpdate) -> ApplyResult {
         let digest = update.digest();
         let mut known = self.changes.iter();
@@ -78,7 +78,7 @@
         Ok(json!({"version": self.version, "place": self.applied_index}))
     }
 
-    /// The configuration that an update leads to.
+    /// Computes and validates the configuration that an update results in.
     fn read_update(&self, update: &ConfigUpdate) -> Result<ClusterConfig, Rejection> {
         let mut value = update.value.clone();
         if update.is_patch {
@@ -91,7 +91,8 @@
         })
     }
 
-    /// Keeps the queues that a new configuration drops while they hold unfinished jobs, if it allows that.
+    /// Retires the queues that a new configuration removes although they have unfinished jobs. Rejects such a
+    /// configuration unless it sets `retireQueues`.
     fn retire_queues(&mut self, config: &ClusterConfig) -> Result<(), Rejection> {
         let has_unfinished = |queue: &String| {
             let stats = self.queues.get(queue);
@@ -115,7 +116,8 @@
         Ok(())
     }
 
-    /// Drops the identities of changes made long ago, but never the newest: it is acknowledged again however late.
+    /// Drops the identities of changes older than the retention time, except the newest: its retries are acknowledged
+    /// however late they arrive.
     fn forget_old_changes(&mut self) {
         let kept_from = self.at.saturating_sub(CHANGE_RETENTION_MS);
         while self.changes.len() > 1 && self.changes[0].at < kept_from {
@@ -123,7 +125,8 @@
         }
     }
 
-    /// Where a limit of attempts was lowered: what has failed as often is not tried again, and does not wait for ever.
+    /// Fails the tasks that have reached a lowered limit of attempts; otherwise they would wait forever without being
+    /// retried.
     fn fail_exhausted_tasks(&mut self) {
         let open: Vec<String> = self.open.iter().cloned().collect();
         for id in open {
@@ -154,13 +157,13 @@
         }
     }
 
-    /// How often a task of a job may fail.
+    /// The number of failures after which a task of a job has failed permanently.
     pub(super) fn max_attempts_of(&self, job: &str) -> u32 {
         let queue = self.jobs.get(job).and_then(|j| self.queue(&j.spec.queue));
         queue.map_or(1, |queue| queue.max_attempts)
     }
 
-    /// Begins or ends the evacuation of a zone; asked twice it does no harm.
+    /// Starts or ends the evacuation of a zone; idempotent.
     pub(super) fn set_evacuation(&mut self, zone: &str, on: bool) -> ApplyResult {
         if on {
             self.evacuated_zones.insert(zone.into());
@@ -171,8 +174,8 @@
         Ok(json!({"zone": zone, "emptied": on}))
     }
 
-    /// Stops attempts that have not started in zones and on workers that get nothing new, and repeatable ones in
-    /// evacuated zones whether they have started or not.
+    /// Stops unstarted attempts on workers and in zones that may not get new work, and all attempts of repeatable tasks
+    /// in zones that the configuration evacuates.
     fn stop_disallowed_attempts(&mut self) {
         let attempts = self.live.keys().copied();
         let to_stop = attempts.filter(|no| self.is_disallowed(*no));
--- a/landingdrift/src/state/apply/garbage_collection.rs
+++ b/landingdrift/src/state/apply/garbage_collection.rs
@@ -1,18 +1,18 @@
-//! What time alone changes: unknown outcomes become failures, and what was retained for its time is dropped.
+//! Time-driven changes: attempts whose outcome stays unknown become failures, and expired records are dropped.
 
 use super::ApplyResult;
 use crate::state::{Attempt, AttemptState, ClusterState, Job, TaskState, Tombstone};
 use serde_json::Value;
 
-/// How long the id of a rejected job is remembered, in milliseconds: far longer than any request is worked on.
+/// How long the id of a rejected job is remembered, in milliseconds; far longer than any request is processed.
 const REJECTED_IDS_KEPT_MS: u64 = 60_000;
-/// Jobs and tombstones that one entry drops at most.
+/// Maximum number of jobs and tombstones that one entry drops.
 const MAX_DROPPED: usize = 1000;
-/// The bound on unknown outcomes for a queue that is not configured, in milliseconds.
+/// How long an outcome may stay unknown if the job's queue is not configured, in milliseconds.
 const DEFAULT_UNSURE_BOUND_MS: u64 = 60_000;
 
 impl ClusterState {
-    /// When there is something to collect next, by the cluster clock; none if nothing is retained.
+    /// When garbage collection is next needed, by the cluster clock; `None` if nothing will expire.
     pub fn next_garbage_collection_at(&self, retain_ms: u64, identity_ms: u64) -> Option<u64> {
         let unsure = self.unsure_attempts().map(|(due_at, _)| due_at).min();
         let expiry = self.expiry.first().map(|(since, id)| {
@@ -27,7 +27,7 @@
         [unsure, expiry, lost, rejected].into_iter().flatten().min()
     }
 
-    /// The attempts whose outcome is unknown, with the time at which they count as failed.
+    /// The attempts whose outcome is unknown: the time at which each counts as failed, and its number.
     fn unsure_attempts(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         let live = self.live.keys().filter_map(|no| self.attempt(*no));
         live.filter(|(_, _, attempt)| attempt.state == AttemptState::Unsure)
@@ -40,7 +40,8 @@
         attempt.ended + bound_ms
     }
 
-    /// Collects what is due. Ended jobs are retained for `retain_ms`, their identities for `identity_ms` after that.
+    /// Enforces expired bounds and drops expired records. Ended jobs are retained for `retain_ms`, their tombstones for
+    /// `identity_ms` after that.
     pub(super) fn collect_garbage(&mut self, retain_ms: u64, identity_ms: u64) -> ApplyResult {
         self.fail_unsure_attempts();
         self.drop_ended_jobs(retain_ms, identity_ms);
@@ -55,7 +56,7 @@
         Ok(Value::Null)
     }
 
-    /// Attempts whose outcome is unknown for longer than their bound count as failed.
+    /// Fails the attempts whose outcome has been unknown for longer than their queue's bound.
     fn fail_unsure_attempts(&mut self) {
         let at = self.at;
         let due = self.unsure_attempts().filter(|(due_at, _)| *due_at <= at);
@@ -68,7 +69,7 @@
             self.end_attempt(attempt_no, AttemptState::Failed, 0, note);
             let task = task as usize;
             if let Some(job) = self.jobs.get_mut(&id) {
-                // What may not be repeated is never started again, however many attempts are left.
+                // A task that may not be repeated is never restarted, however many attempts are left.
                 let is_final = !job.task_spec(task).may_repeat;
                 if is_final && job.tasks[task].state == TaskState::Waiting {
                     job.set_task_state(task, TaskState::Failed);
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Replaces ended jobs by tombstones, and drops tombstones, once their time is over.
+    /// Replaces ended jobs by tombstones, and drops tombstones, after their retention periods.
     fn drop_ended_jobs(&mut self, retain_ms: u64, identity_ms: u64) {
         let at = self.at;
         let expired = self.expiry.iter();
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Drops the ends of jobs that lie before the window of their queue.
+    /// Drops recorded ends of jobs that are older than their queue's window.
     fn drop_old_job_ends(&mut self) {
         for (name, queue) in &self.config.queues {
             let Some(stats) = self.queues.get_mut(name) else {
--- a/landingdrift/src/state/apply/job_state.rs
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -1,12 +1,12 @@
-//! The state of a job, derived from its tasks.
+//! Derives the state of jobs from their tasks.
 
 use crate::state::{ClusterState, Job, JobState, Task, TaskState};
 
-/// Ends of jobs that are kept for the promise of a queue.
+/// Maximum number of job ends recorded per queue for its promise.
 const MAX_PROMISES: usize = 4096;
 
 impl ClusterState {
-    /// Derives a job's state from its tasks, and closes the job when it has ended.
+    /// Derives a job's state from its tasks, and closes the job if it has ended.
     pub(super) fn update_job_state(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Closes a job that has ended: it is retained for its time, and counts for the promise of its queue.
+    /// Closes a job that has ended: starts its retention period, and counts it towards the promise of its queue.
     fn close_job(&mut self, id: &str) {
         let at = self.at;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Cancels the tasks that wait and have no live attempt.
+/// Cancels the waiting tasks that have no live attempt.
 fn cancel_idle_tasks(job: &mut Job) {
     for i in 0..job.tasks.len() {
         let task = &job.tasks[i];
@@ -95,7 +95,7 @@
     }
 }
 
-/// Why a job has failed: its first failed task, with the note of its last attempt.
+/// Describes why a job failed: its first failed task, with the note of that task's last attempt.
 fn failure_reason(job: &Job) -> String {
     let mut tasks = job.tasks.iter();
     let Some(i) = tasks.position(|t| t.state == TaskState::Failed) else {
--- a/landingdrift/src/state/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -1,12 +1,12 @@
-//! Accepting, cancelling and resolving jobs.
+//! Acceptance and cancellation of jobs, and resolution of unknown outcomes.
 
 use super::{ensure, ApplyResult};
 use crate::state::{AttemptState, ClusterState, Job, JobSpec, Rejection, Task};
 use serde_json::{json, Value};
 
 impl ClusterState {
-    /// Accepts a job. `seen` is the index that the admitting node had applied when the request came. A rejected id is
-    /// remembered, so that an older request with the same id can't bring the job in afterwards.
+    /// Accepts a job. `seen` is the log index that the admitting node had applied when it received the request. The id
+    /// of a rejected job is remembered, so that an older request with the same id can't be accepted afterwards.
     pub(super) fn accept_job(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> ApplyResult {
         let result = self.try_accept(spec, hash, seen);
         let is_known = self.jobs.contains_key(&spec.id) || self.tombstones.contains_key(&spec.id);
@@ -48,7 +48,7 @@
         Ok(json!({"known": false}))
     }
 
-    /// The hash of the job that has an id, retained or not.
+    /// The request hash of the job with an id, whether it is retained in full or as a tombstone.
     fn known_hash(&self, id: &str) -> Option<u64> {
         match self.jobs.get(id) {
             Some(job) => Some(job.hash),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Cancels a job; one that has ended stays as it is.
+    /// Cancels a job; a job that has ended is left unchanged.
     pub(super) fn cancel_job(&mut self, id: &str) -> ApplyResult {
         if let Some(tombstone) = self.tombstones.get(id) {
             return Ok(json!({"state": tombstone.state}));
@@ -77,7 +77,7 @@
         Ok(json!({"state": self.jobs.get(id).map(|job| job.state)}))
     }
 
-    /// The operator says how the attempts of a task ended whose outcome is unknown.
+    /// Ends the attempts of a task whose outcome is unknown, with the outcome that the operator gives.
     pub(super) fn resolve_attempt(
         &mut self,
         id: &str,
--- a/landingdrift/src/state/apply/membership.rs
+++ b/landingdrift/src/state/apply/membership.rs
@@ -1,17 +1,17 @@
-//! Leases, nodes and replicas.
+//! Grants of leases, and membership of nodes and replicas.
 //!
-//! The rules that need no view of who is reachable are checked here, whoever proposed a change.
+//! Rules that don't depend on reachability are checked here, regardless of the proposer.
 
 use super::{ensure, ApplyResult};
 use crate::state::{ClusterState, Lease, NodeMember, Rejection, ReplicaMember};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Nodes that are gone and still remembered.
+/// Maximum number of gone nodes that are remembered.
 const MAX_GONE_NODES: usize = 64;
 
 impl ClusterState {
-    /// Grants a lease to a node, with a new epoch. `from_epoch` is the epoch that it follows on, 0 for none.
+    /// Grants a lease to a node under a new epoch. `from_epoch` is the epoch of the grant that it replaces; 0 for none.
     pub(super) fn grant_lease(
         &mut self,
         lease: &str,
@@ -37,7 +37,7 @@
         Ok(json!({"epoch": epoch}))
     }
 
-    /// A node is there.
+    /// Adds a node, or marks it as alive again.
     pub(super) fn register_node(&mut self, node: &str, zone: &str, http: &str) -> ApplyResult {
         let member = NodeMember {
             zone: zone.into(),
@@ -48,7 +48,8 @@
         Ok(Value::Null)
     }
 
-    /// A node is gone. Some are remembered, so that the table stays bounded.
+    /// Marks a node as gone. Only a limited number of gone nodes is remembered, to bound the table; holders of leases
+    /// are never dropped.
     pub(super) fn remove_node(&mut self, node: &str) -> ApplyResult {
         if let Some(member) = self.nodes.get_mut(node) {
             member.alive = false;
@@ -64,7 +65,7 @@
         Ok(Value::Null)
     }
 
-    /// The first replicas; refused where there are some.
+    /// Sets the initial replicas; rejected if there already are any.
     pub(super) fn found_cluster(
         &mut self,
         replicas: &BTreeMap<String, ReplicaMember>,
@@ -74,13 +75,13 @@
         Ok(Value::Null)
     }
 
-    /// A replica is admitted, promoted or demoted.
+    /// Admits, promotes or demotes a replica.
     pub(super) fn update_replica(&mut self, replica: &str, member: &ReplicaMember) -> ApplyResult {
         self.replicas.insert(replica.into(), member.clone());
         Ok(Value::Null)
     }
 
-    /// A replica leaves the membership; refused where another disk is the member.
+    /// Removes a replica from the membership; rejected if the member has another disk.
     pub(super) fn remove_replica(&mut self, replica: &str, disk: u64) -> ApplyResult {
         let member = self.replicas.get(replica);
         ensure(
--- a/landingdrift/src/state/apply/mod.rs
+++ b/landingdrift/src/state/apply/mod.rs
@@ -1,8 +1,8 @@
-//! Applying committed entries to the cluster state: the only place where it changes.
+//! Applies committed entries to the cluster state; no other code modifies it.
 //!
-//! Every rule that the state alone can check is checked here, whoever proposed the entry. An entry that breaks one is
-//! rejected and changes nothing but what its rejection must leave behind. The same entries give the same state on every
-//! replica and node.
+//! Every rule that can be checked against the state alone is checked here, regardless of the proposer. An entry that
+//! violates a rule is rejected, and changes only what is needed to remember the rejection. Application is
+//! deterministic: the same entries produce the same state on every replica and node.
 
 mod attempts;
 mod config_update;
@@ -21,10 +21,10 @@
 use serde_json::{json, Value};
 use workers::ReportingWorker;
 
-/// The result of an entry: what its proposer is told, or why the entry was rejected.
+/// The result of an entry: the value returned to its proposer, or the reason for its rejection.
 pub type ApplyResult = Result<Value, Rejection>;
 
-/// Rejects an entry unless a condition holds.
+/// Returns a rejection unless a condition holds.
 fn ensure(condition: bool, rejection: Rejection) -> Result<(), Rejection> {
     if condition {
         Ok(())
@@ -34,14 +34,14 @@
 }
 
 impl ClusterState {
-    /// Applies the committed entry at an index; `at` is its time by the cluster clock, in milliseconds since 1970.
+    /// Applies the committed entry at a log index; `at` is its time by the cluster clock, in milliseconds since 1970.
     pub fn apply(&mut self, index: u64, at: u64, command: &Command) -> ApplyResult {
         self.applied_index = index;
         self.at = self.at.max(at);
         self.dispatch(command)
     }
 
-    /// Applies a committed entry from its bytes.
+    /// Decodes and applies a committed entry.
     pub fn apply_bytes(&mut self, index: u64, at: u64, command: &[u8]) -> ApplyResult {
         self.applied_index = index;
         let command = Command::unpack(command).map_err(|e| Rejection::Invalid {
@@ -142,7 +142,7 @@
     }
 }
 
-/// A result from its bytes; none where they are of another form.
+/// Decodes a result; `None` if the bytes have another format.
 pub fn unpack_apply_result(bytes: &[u8]) -> Option<ApplyResult> {
     let value: Value = serde_json::from_slice(bytes).ok()?;
     if let Some(done) = value.get("done") {
@@ -152,7 +152,7 @@
     serde_json::from_value(refused).ok().map(Err)
 }
 
-/// A result as bytes.
+/// Encodes a result.
 pub fn pack_apply_result(result: &ApplyResult) -> Vec<u8> {
     let value = match result {
         Ok(done) => json!({ "done": done }),
--- a/landingdrift/src/state/apply/orders.rs
+++ b/landingdrift/src/state/apply/orders.rs
@@ -1,10 +1,11 @@
-//! Orders take effect once: the first copy that enters the log in time does, the others get its answer.
+//! At-most-once execution of orders: the first copy that enters the log in time takes effect, and later copies get the
+//! same result.
 
 use super::{ensure, pack_apply_result, unpack_apply_result, ApplyResult};
 use crate::state::{ClusterState, Order, Rejection};
 
 impl ClusterState {
-    /// Applies one copy of an order. Its answer is kept until the deadline; copies after that have no effect.
+    /// Applies one copy of an order. The result is kept until the deadline, after which copies are rejected.
     pub(super) fn apply_order(&mut self, order: &Order) -> ApplyResult {
         self.forget_expired_answers();
         let key = (order.deadline, order.proposal.clone());
@@ -25,7 +26,7 @@
         result
     }
 
-    /// Drops answers whose deadline has passed: no copy that comes now takes effect any more.
+    /// Drops results of orders whose deadline has passed: further copies can't take effect.
     fn forget_expired_answers(&mut self) {
         while let Some(first) = self.orders.first_entry() {
             let (deadline, _) = first.key();
--- a/landingdrift/src/state/apply/placement_rules.rs
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -1,4 +1,4 @@
-//! The rules that a placement is checked against: when a task may start, and on which workers.
+//! Rules for placements: when a task may start, and on which workers.
 
 use super::ensure;
 use crate::config::Queue;
@@ -7,11 +7,11 @@
     Worker,
 };
 
-/// How many attempts of a task may be running.
+/// Number of attempts of a task that may be running.
 struct LiveAttempts {
-    /// Those that are surely ordered or running.
+    /// Attempts that are ordered or running.
     sure: u32,
-    /// Those whose outcome is unknown.
+    /// Attempts whose outcome is unknown.
     unsure: u32,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl ClusterState {
-    /// Whether a task may get an attempt at a time by the cluster clock, leaving the worker aside.
+    /// Checks whether a task may get an attempt at time `at` of the cluster clock, on any worker.
     pub fn may_start(&self, id: &str, task_no: u32, copy: bool, at: u64) -> Result<(), Rejection> {
         let unknown = |what: String| Rejection::Unknown { what };
         let found = self.task(id, task_no);
@@ -49,14 +49,14 @@
         ensure(job.are_dependencies_done(task_no), Rejection::Waiting)?;
         let live = LiveAttempts::of(task);
         let is_repeat = if spec.may_repeat {
-            // A first or next attempt, or one copy beside one that runs.
+            // A regular attempt requires that no other runs; a copy requires exactly one, outside a gang.
             live.sure != u32::from(copy) || (copy && job.in_gang(task_no))
         } else {
-            // Never again while an attempt may be running, and no copies at all.
+            // No attempt while another may be running, and no copies at all.
             copy || live.all() > 0
         };
         ensure(!is_repeat, Rejection::AlreadyRunning)?;
-        // What may be running may fail, or has failed where nobody saw it: it counts as an attempt.
+        // Attempts that may be running count as well: each may still fail, or may have failed unnoticed.
         let attempts = task.failures + live.all();
         let may_try_again = spec.long_running || attempts < queue.max_attempts;
         ensure(may_try_again, Rejection::AttemptsExhausted)?;
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// Whether a queue may have one more speculative copy.
+    /// Checks whether a queue may have one more speculative copy.
     fn ensure_speculation_budget(&self, name: &str, queue: &Queue) -> Result<(), Rejection> {
         let stats = self.queues.get(name);
         let running = stats.map_or(0, |stats| stats.running);
@@ -76,7 +76,7 @@
         ensure(has_budget, Rejection::SpeculationBudgetExhausted)
     }
 
-    /// Whether a worker may get a task of a job at a time by the cluster clock.
+    /// Checks whether the worker of a placement may get its task at time `at` of the cluster clock.
     pub fn fits(&self, id: &str, placement: &Placement, at: u64) -> Result<(), Rejection> {
         let unknown = |what: String| Rejection::Unknown { what };
         let job = self.jobs.get(id);
@@ -101,8 +101,9 @@
         ensure_apart(job, placement, 0)
     }
 
-    /// Whether a worker on probation may get a task. It gets one at a time, beside long-running ones: these never end, so that
-    /// they prove nothing and are no reason to wait.
+    /// Whether a worker on probation is free to get a task. It gets one task at a time, in addition to long-running
+    /// attempts, which never end and so neither prove the worker's health nor become free. A long-running task needs a
+    /// worker without any attempts.
     fn is_free_for_trial(&self, worker: &Worker, spec: &TaskSpec) -> bool {
         if spec.long_running {
             worker.attempts.is_empty()
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Whether a worker gets anything new at all.
+    /// Checks whether the worker of a placement may get new work at all.
     fn ensure_usable(&self, worker: &Worker, placement: &Placement) -> Result<(), Rejection> {
         let info = &worker.info;
         let is_same_process = info.incarnation == placement.incarnation;
@@ -127,7 +128,7 @@
     Rejection::UnsuitableWorker { why: why.into() }
 }
 
-/// Whether a worker is of the task's service and carries its labels.
+/// Checks whether a worker offers the task's service and has all its labels.
 fn ensure_served(worker: &Worker, spec: &TaskSpec) -> Result<(), Rejection> {
     let info = &worker.info;
     ensure(info.service == spec.service, unsuitable("another service"))?;
@@ -135,7 +136,8 @@
     ensure(has_labels, unsuitable("a label is missing"))
 }
 
-/// Whether a worker gets no more tasks of a step than the step allows, with `placed_beside` of the same entry.
+/// Checks that a worker gets no more tasks of a step than the step's anti-affinity allows. `placed_beside` is the
+/// number of such tasks that the same entry has already placed there.
 pub(super) fn ensure_apart(
     job: &Job,
     placement: &Placement,
--- a/landingdrift/src/state/apply/start_attempts.rs
+++ b/landingdrift/src/state/apply/start_attempts.rs
@@ -1,4 +1,4 @@
-//! Starting attempts: tasks of a job are placed on workers, all or none.
+//! Starts attempts: places tasks of a job on workers, all or none.
 
 use super::placement_rules::ensure_apart;
 use super::{ensure, ApplyResult};
@@ -8,15 +8,15 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The run that an attempt belongs to. Members of a gang share both.
+/// The run that an attempt belongs to. Members of a gang share its number and checkpoint.
 struct Run {
     number: u32,
-    /// The checkpoint it goes on from; empty for none.
+    /// Checkpoint that it resumes from; empty for none.
     checkpoint: String,
 }
 
 impl ClusterState {
-    /// Starts attempts of a job's tasks, all or none. Every rule that the state can check is checked here.
+    /// Starts attempts of a job's tasks, all or none, after checking every rule that the state can check.
     pub(super) fn start_attempts(
         &mut self,
         id: &str,
@@ -67,7 +67,7 @@
         )
     }
 
-    /// The resources of a worker that no live attempt uses.
+    /// The resources of a worker that are not used by live attempts.
     fn unused_resources(&self, worker: &str) -> Resources {
         let worker = self.workers.get(worker);
         worker.map_or(Resources::default(), |worker| {
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Adds an attempt whose placement was checked; returns its number.
+    /// Adds an attempt whose placement has been checked; returns its number.
     fn start_attempt(&mut self, id: &str, placement: &Placement, run: Run) -> u64 {
         let attempt_no = self.next_attempt;
         self.next_attempt += 1;
@@ -109,7 +109,7 @@
     }
 }
 
-/// Whether all members of each gang that are not done start in one entry.
+/// Whether the placements include, for each gang that they concern, all members that are not done.
 fn are_gangs_complete(job: &Job, placements: &[Placement]) -> bool {
     let placed: BTreeSet<usize> = placements.iter().map(|p| p.task as usize).collect();
     let mut checked = BTreeSet::new();
@@ -130,7 +130,7 @@
     true
 }
 
-/// How many tasks of the same step the same entry has placed on the same worker before.
+/// Number of tasks of the same step that the entry places on the same worker before this placement.
 fn placed_beside(job: &Job, placement: &Placement, before: &[Placement]) -> u32 {
     let step_of = |p: &Placement| job.tasks[p.task as usize].step;
     let is_beside =
--- a/landingdrift/src/state/apply/worker_trust.rs
+++ b/landingdrift/src/state/apply/worker_trust.rs
@@ -1,19 +1,20 @@
-//! Probation: a worker that fails far more often than the others gets one attempt at a time until it has done well.
+//! Probation: a worker that fails far more often than the others gets one attempt at a time until it has succeeded
+//! several times in a row.
 
 use crate::state::{AttemptState, ClusterState, Worker};
 
-/// Ends that are looked at when a worker is judged.
+/// Number of most recent ends per worker that its failure rate is based on.
 const MAX_TRUST_ENDS: usize = 12;
-/// Successes in a row that end a probation.
+/// Number of consecutive successes that end a probation.
 const PROBATION_SUCCESSES: u32 = 3;
-/// A worker with fewer failures than this among the ends that are looked at is trusted.
+/// Minimum number of failures among the recent ends for probation.
 const MIN_FAILURES: usize = 4;
-/// A worker is trusted while under one in so many of its ends is a failure.
+/// Minimum failure rate for probation, as a divisor: at least one in this many recent ends.
 const FAILURE_RATE_DIVISOR: usize = 3;
-/// A worker is trusted while its rate of failures is under so many times that of all others.
+/// Minimum ratio of the worker's failure rate to that of all other workers for probation.
 const FLEET_RATE_FACTOR: usize = 3;
 
-/// How many ends were looked at, and how many of them were failures.
+/// Failures among a number of recent ends.
 #[derive(Clone, Copy, Default)]
 struct FailureRate {
     failures: usize,
@@ -44,7 +45,7 @@
 }
 
 impl ClusterState {
-    /// Puts a worker on probation.
+    /// Puts a worker on probation, and clears its recent ends.
     pub(super) fn start_probation(&mut self, worker: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.probation = PROBATION_SUCCESSES;
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Takes an end into account that shows whether a worker can be trusted.
+    /// Records a success or failure of a worker, and starts, continues or ends its probation. Other ends say nothing
+    /// about the worker and are ignored.
     pub(super) fn update_worker_trust(&mut self, name: &str, state: AttemptState) {
         let has_succeeded = match state {
             AttemptState::Succeeded => true,
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -1,4 +1,4 @@
-//! What workers say of themselves, and what becomes of their attempts when they fall silent.
+//! Worker registration and reports, and handling of attempts on workers that are lost, restarted or replaced.
 
 use super::{ensure, ApplyResult};
 use crate::state::{
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// A worker's process: its name with the incarnation that an entry is about.
+/// The worker process that an entry is about: its name and incarnation.
 #[derive(Clone, Copy)]
 pub(super) struct ReportingWorker<'a> {
     pub name: &'a str,
@@ -15,7 +15,7 @@
 }
 
 impl ClusterState {
-    /// Rejects what another node than the holder of a zone's lease says of the zone's workers.
+    /// Checks that an entry about a zone's workers was proposed under the current lease of the zone.
     fn ensure_zone_epoch(&self, zone: &str, zone_epoch: u64) -> Result<(), Rejection> {
         let lease = self.holder(&zone_lease(zone));
         let is_current = lease.is_some_and(|lease| lease.epoch == zone_epoch);
@@ -28,8 +28,8 @@
         })
     }
 
-    /// The worker that an entry is about, if the entry comes from the holder of its zone and is not of an earlier or
-    /// later incarnation.
+    /// The worker that an entry is about. Fails unless the entry was proposed under the current lease of its zone and
+    /// is about the worker's current incarnation.
     fn current_worker(
         &self,
         worker: ReportingWorker,
@@ -42,7 +42,7 @@
         Ok(known)
     }
 
-    /// A worker is new, or what it says of itself has changed.
+    /// Registers a worker or updates its description.
     pub(super) fn update_worker(&mut self, info: &WorkerInfo, zone_epoch: u64) -> ApplyResult {
         self.ensure_zone_epoch(&info.zone, zone_epoch)?;
         let new_worker = Worker {
@@ -70,7 +70,8 @@
         Ok(Value::Null)
     }
 
-    /// Stops attempts that have not started on a worker that should not have them any more.
+    /// Stops unstarted attempts on a worker that may not get new work, is overcommitted or no longer serves their
+    /// tasks.
     fn stop_unstarted_where_unfit(&mut self, info: &WorkerInfo, attempts: Vec<u64>) {
         let is_closed = info.leaving || !self.allows_new_work(&info.zone, &info.worker);
         let worker = self.workers.get(&info.worker);
@@ -88,11 +89,11 @@
         self.request_stops(to_stop);
     }
 
-    /// Ends what the predecessors of a worker at its address ran, where what it reports proves that they are gone.
+    /// Expires the attempts of earlier workers at a worker's address, if its reports prove that they are gone.
     ///
-    /// Two workers at one address don't live at once, but the order in which they were first heard isn't that in which they
-    /// lived: a heartbeat can be long on its way. A worker that reports an attempt has lived after the attempt was placed; so
-    /// a worker that was known before that lived earlier.
+    /// Two workers never run at one address at the same time, but the order of their first heartbeats isn't the order
+    /// in which they ran, because heartbeats can be delayed. A worker that reports an attempt ran after the attempt was
+    /// placed, so another worker at the address that became known before that ran earlier.
     fn displace_predecessors(
         &mut self,
         worker: ReportingWorker,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// When the newest of the attempts was placed that a worker reports as received.
+    /// The latest placement time of the attempts that a worker reports as received.
     fn last_placement(&self, worker: &str, running: &[u64], ends: &[EndReport]) -> Option<u64> {
         let received = ends
             .iter()
@@ -129,7 +130,7 @@
         own.max()
     }
 
-    /// Nothing of what a worker ran runs any more, and it gets nothing new until it is heard again.
+    /// Expires all attempts of a displaced worker, and marks it as lost until its next heartbeat.
     fn remove_displaced(&mut self, name: &str) {
         if let Some(worker) = self.workers.get(name) {
             self.expire_all(worker.attempts.clone());
@@ -155,7 +156,8 @@
         }
     }
 
-    /// The worker's lease on its attempts has surely run out, or the worker is gone: they run no more.
+    /// Ends attempts that can no longer be running: the worker's lease on them has certainly expired, or the worker is
+    /// gone.
     pub(super) fn expire_attempts(
         &mut self,
         worker: ReportingWorker,
@@ -167,7 +169,7 @@
         for (attempt_no, checkpoint) in checkpoints {
             self.keep_checkpoint(*attempt_no, checkpoint);
         }
-        // A copy of the entry that comes late ends none but those that it names.
+        // A late copy of the entry must not end attempts that were placed since, so only the named ones are ended.
         let running = &self.workers[worker.name].attempts;
         let named = attempts.iter().copied();
         let own: BTreeSet<u64> = named.filter(|no| running.contains(no)).collect();
@@ -175,7 +177,7 @@
         Ok(Value::Null)
     }
 
-    /// Stops attempts that do no good where they are, so that they run elsewhere. With `blame`, the worker is at fault.
+    /// Stops attempts so that they are restarted elsewhere. With `blame`, the worker is at fault and goes on probation.
     pub(super) fn reschedule_attempts(
         &mut self,
         worker: &str,
@@ -195,7 +197,7 @@
         Ok(Value::Null)
     }
 
-    /// The worker's process is a new one: what ran in the old one runs no more, but may have succeeded.
+    /// Handles an attempt of a worker whose process has restarted: it no longer runs, but may have succeeded.
     fn end_after_restart(&mut self, attempt_no: u64, incarnation: u64) {
         let Some((id, task)) = self.live.get(&attempt_no).cloned() else {
             return;
@@ -216,7 +218,7 @@
         }
     }
 
-    /// A worker's heartbeats are missing: what it runs may end unseen.
+    /// Marks a worker as lost after missing heartbeats. The outcomes of its attempts become unknown.
     pub(super) fn worker_lost(&mut self, worker: ReportingWorker, zone_epoch: u64) -> ApplyResult {
         let known = self.current_worker(worker, zone_epoch)?;
         let attempts: BTreeSet<u64> = known.attempts.clone();
@@ -227,7 +229,7 @@
         Ok(Value::Null)
     }
 
-    /// What a worker has started and ended.
+    /// Applies a worker's report of running and ended attempts.
     pub(super) fn report_attempts(
         &mut self,
         worker: ReportingWorker,
@@ -235,7 +237,8 @@
         ends: &[EndReport],
     ) -> ApplyResult {
         self.displace_predecessors(worker, running, ends);
-        // That something runs may be told late: after its worker was lost or started anew it says nothing.
+        // Reports of running attempts can be delayed: they are ignored if the worker was lost or restarted in the
+        // meantime.
         let known = self.workers.get(worker.name);
         let is_current = known.is_some_and(|w| !w.lost && w.info.incarnation == worker.incarnation);
         if is_current {
@@ -279,13 +282,13 @@
         if attempt.worker != worker {
             return;
         }
-        // What is unsure was told to stop without an entry.
+        // Workers are asked to stop attempts with unknown outcome without a log entry.
         let was_asked_to_stop = attempt.stop || attempt.state == AttemptState::Unsure;
         self.keep_checkpoint(end.no, &end.checkpoint);
         let state = match end.outcome {
             Outcome::Succeeded => AttemptState::Succeeded,
             Outcome::Stopped if was_asked_to_stop => AttemptState::Stopped,
-            // Stopped without our order is the worker's own doing.
+            // A worker that stops an attempt without being asked is at fault.
             Outcome::Failed | Outcome::Stopped => AttemptState::Failed,
             Outcome::NeverStarted => AttemptState::NeverStarted,
             Outcome::Expired => AttemptState::Expired,
