--- a/testkit/src/checkers/conditions.rs
+++ b/testkit/src/checkers/conditions.rs
@@ -52,23 +52,28 @@
             } else if let Some(ended) = downtime.take() {
                 conditions.excuse(ended.from, now + ended.return_ms);
             }
-            conditions.note_nodes(&mut up_since, nodes, now);
+            conditions.record_nodes(&mut up_since, nodes, now);
         }
         if let Some(lasting) = downtime {
             conditions.excuse(lasting.from, u64::MAX);
         }
         for (node, from) in up_since {
-            conditions.note_up(node, from, u64::MAX);
+            conditions.record_up(node, from, u64::MAX);
         }
         conditions
     }
 
     /// Closes the up times of nodes that became unavailable and opens those of nodes that became available.
-    fn note_nodes(&mut self, up_since: &mut BTreeMap<&'a str, u64>, nodes: &'a [String], now: u64) {
+    fn record_nodes(
+        &mut self,
+        up_since: &mut BTreeMap<&'a str, u64>,
+        nodes: &'a [String],
+        now: u64,
+    ) {
         up_since.retain(|node, from| {
             let is_still_up = nodes.iter().any(|up| up == node);
             if !is_still_up {
-                self.note_up(node, *from, now);
+                self.record_up(node, *from, now);
             }
             is_still_up
         });
@@ -77,7 +82,7 @@
         }
     }
 
-    fn note_up(&mut self, node: &'a str, from: u64, to: u64) {
+    fn record_up(&mut self, node: &'a str, from: u64, to: u64) {
         let times = self.nodes.entry(node).or_default();
         times.push(Interval::new(from, to));
     }
--- a/testkit/src/checkers/configuration.rs
+++ b/testkit/src/checkers/configuration.rs
@@ -37,7 +37,7 @@
     }
 
     /// Describes why a version must not carry the mark of a change; none if it may.
-    fn wrong_content(&self, version: u64, change: &str) -> Option<String> {
+    fn content_mismatch(&self, version: u64, change: &str) -> Option<String> {
         if self.refused.contains(change) {
             return Some(format!(
                 "{change} was refused, but its content is in version {version}"
@@ -56,7 +56,7 @@
     let mut winner_on_base: BTreeMap<u64, &str> = BTreeMap::new();
     let mut winner_of_version: BTreeMap<u64, &str> = BTreeMap::new();
     let mut violations = Vec::new();
-    let mut violated = |at_ms, description| {
+    let mut add_violation = |at_ms, description| {
         violations.push(Violation::new("one of two rivals", at_ms, description));
     };
     for timed in &history.events {
@@ -76,7 +76,7 @@
                 if has_rival {
                     let description =
                         format!("{change} and another change were both accepted on version {base}");
-                    violated(timed.at_ms, description);
+                    add_violation(timed.at_ms, description);
                 }
             }
             Event::ConfigRead {
@@ -88,8 +88,8 @@
             | Event::DayEnded {
                 version, change, ..
             } if !change.is_empty() => {
-                if let Some(description) = changes.wrong_content(*version, change) {
-                    violated(timed.at_ms, description);
+                if let Some(description) = changes.content_mismatch(*version, change) {
+                    add_violation(timed.at_ms, description);
                 }
             }
             _ => {}
@@ -100,14 +100,14 @@
 
 /// The acknowledged versions with the times of their acknowledgements.
 #[derive(Default)]
-struct Accepted(Vec<AcceptedVersion>);
+struct AcceptedVersions(Vec<AcceptedVersion>);
 
 struct AcceptedVersion {
     at_ms: u64,
     version: u64,
 }
 
-impl Accepted {
+impl AcceptedVersions {
     fn add(&mut self, at_ms: u64, version: u64) {
         self.0.push(AcceptedVersion { at_ms, version });
     }
@@ -121,11 +121,11 @@
 
 /// An accepted change is never lost: reads return at least the newest version accepted before them, and versions on a
 /// node only increase.
-pub fn never_slides_back(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+pub fn never_reverts(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
-    let mut accepted = Accepted::default();
+    let mut accepted = AcceptedVersions::default();
     let mut on_node: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut violated = |at_ms, description| {
+    let mut add_violation = |at_ms, description| {
         let rule = "configuration never slides back";
         violations.push(Violation::new(rule, at_ms, description));
     };
@@ -146,7 +146,7 @@
                 if *version < expected {
                     let description =
                         format!("version {version} was read after version {expected} was accepted");
-                    violated(now, description);
+                    add_violation(now, description);
                 }
             }
             Event::NodeDown { node } => {
@@ -160,13 +160,13 @@
             } => {
                 let before = on_node.insert(node, *version);
                 if before.is_some_and(|before| before > *version) {
-                    violated(now, format!("{node} went back to version {version}"));
+                    add_violation(now, format!("{node} went back to version {version}"));
                 }
             }
             Event::DayEnded { version, .. } => {
                 let expected = accepted.newest_before(u64::MAX);
                 if *version < expected {
-                    violated(
+                    add_violation(
                         now,
                         format!(
                             "the day ended with version {version}, but {expected} was accepted"
@@ -186,7 +186,7 @@
     let mut nodes = NodeReadiness {
         conditions: Conditions::new(history, bounds),
         bounds,
-        accepted: Accepted::default(),
+        accepted: AcceptedVersions::default(),
         unready_since: BTreeMap::new(),
         violations: Vec::new(),
     };
@@ -221,13 +221,13 @@
 struct NodeReadiness<'a> {
     conditions: Conditions<'a>,
     bounds: &'a PromisedBounds,
-    accepted: Accepted,
+    accepted: AcceptedVersions,
     unready_since: BTreeMap<&'a str, u64>,
     violations: Vec<Violation>,
 }
 
 impl<'a> NodeReadiness<'a> {
-    fn violated(&mut self, at_ms: u64, description: String) {
+    fn add_violation(&mut self, at_ms: u64, description: String) {
         let violation = Violation::new("configuration takes hold", at_ms, description);
         self.violations.push(violation);
     }
@@ -238,7 +238,7 @@
             .accepted
             .newest_before(now.saturating_sub(self.bounds.config_ms));
         if version < expected {
-            self.violated(now, format!("{node} reports ready with version {version}, but version {expected} was accepted long before"));
+            self.add_violation(now, format!("{node} reports ready with version {version}, but version {expected} was accepted long before"));
         }
     }
 
@@ -248,7 +248,7 @@
         let is_late = now > since + self.bounds.ready_ms;
         if is_late && self.conditions.node_could_work(node, since, now) {
             let duration_ms = now - since;
-            self.violated(
+            self.add_violation(
                 now,
                 format!("{node} was up and connected but not ready for {duration_ms} ms"),
             );
--- a/testkit/src/checkers/interval.rs
+++ b/testkit/src/checkers/interval.rs
@@ -14,7 +14,7 @@
     }
 
     /// Whether the two intervals share a moment.
-    pub fn touches(&self, other: &Self) -> bool {
+    pub fn overlaps(&self, other: &Self) -> bool {
         self.from <= other.to && self.to >= other.from
     }
 
--- a/testkit/src/checkers/jobs.rs
+++ b/testkit/src/checkers/jobs.rs
@@ -70,7 +70,7 @@
 }
 
 impl<'a> KnownJobs<'a> {
-    fn violated(&mut self, at_ms: u64, description: String) {
+    fn add_violation(&mut self, at_ms: u64, description: String) {
         let violation = Violation::new("never forgotten", at_ms, description);
         self.violations.push(violation);
     }
@@ -78,7 +78,7 @@
     fn check_unknown(&mut self, id: &str, at_ms: u64, state_ms: u64) {
         let accepted = self.accepted.get(id);
         if accepted.is_some_and(|accepted_ms| at_ms >= accepted_ms + state_ms) {
-            self.violated(at_ms, format!("job {id} was accepted but is unknown"));
+            self.add_violation(at_ms, format!("job {id} was accepted but is unknown"));
         }
     }
 
@@ -86,7 +86,7 @@
         match self.ends.get(id) {
             Some(end) if *end != state && !stale => {
                 let description = format!("job {id} was reported as {end} but is {state} now");
-                self.violated(at_ms, description);
+                self.add_violation(at_ms, description);
             }
             None if has_ended(state) => {
                 self.ends.insert(id, state);
@@ -114,23 +114,23 @@
             }
         }
         for description in descriptions {
-            self.violated(at_ms, description);
+            self.add_violation(at_ms, description);
         }
     }
 }
 
 /// From acceptance on, clients that poll ready nodes get the job's state within its bound.
 pub fn state_in_time(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
-    unknown_times(history, bounds)
+    unanswered_times(history, bounds)
         .into_iter()
-        .filter(|unknown| unknown.duration_ms > bounds.state_ms)
-        .map(|unknown| {
+        .filter(|time| time.duration_ms > bounds.state_ms)
+        .map(|time| {
             Violation::new(
                 "state within its bound",
-                unknown.until,
+                time.until,
                 format!(
                     "the state of job {} was unavailable for {} ms",
-                    unknown.job, unknown.duration_ms
+                    time.job, time.duration_ms
                 ),
             )
         })
@@ -138,7 +138,7 @@
 }
 
 /// A time in which a client polled an accepted job without getting its state.
-pub struct UnknownTime<'a> {
+pub struct UnansweredTime<'a> {
     pub job: &'a str,
     /// When it ended, in milliseconds.
     pub until: u64,
@@ -147,10 +147,13 @@
 }
 
 /// All times in which clients polled accepted jobs without getting their states.
-pub fn unknown_times<'a>(history: &'a History, bounds: &PromisedBounds) -> Vec<UnknownTime<'a>> {
+pub fn unanswered_times<'a>(
+    history: &'a History,
+    bounds: &PromisedBounds,
+) -> Vec<UnansweredTime<'a>> {
     let mut conditions = Conditions::new(history, bounds);
     excuse_lost_answers(&mut conditions, history);
-    let unknown_time = |job: &'a str, from: u64, until: u64| UnknownTime {
+    let unanswered_time = |job: &'a str, from: u64, until: u64| UnansweredTime {
         job,
         until,
         duration_ms: conditions.unexcused_ms(from, until),
@@ -171,7 +174,7 @@
                 id, status: 200, ..
             } => {
                 if let Some(from) = asking_since.remove(id.as_str()) {
-                    times.push(unknown_time(id, from, now));
+                    times.push(unanswered_time(id, from, now));
                 }
             }
             // The client stops polling when it cancels.
@@ -180,7 +183,7 @@
             }
             Event::DayEnded { .. } => {
                 for (id, from) in &asking_since {
-                    times.push(unknown_time(id, *from, now));
+                    times.push(unanswered_time(id, *from, now));
                 }
             }
             _ => {}
--- a/testkit/src/checkers/mod.rs
+++ b/testkit/src/checkers/mod.rs
@@ -126,7 +126,7 @@
     checker("one of two rivals", configuration::one_winner),
     checker(
         "configuration never slides back",
-        configuration::never_slides_back,
+        configuration::never_reverts,
     ),
     checker("configuration takes hold", configuration::takes_effect),
     checker("back after an outage", outage::service_returns),
--- a/testkit/src/checkers/quotas.rs
+++ b/testkit/src/checkers/quotas.rs
@@ -28,9 +28,9 @@
 
 impl Jobs<'_> {
     /// The number of other jobs in the queue that were certainly unfinished throughout a call that accepted a job.
-    fn unfinished_beside(&self, acceptance: &Acceptance) -> usize {
+    fn other_unfinished(&self, acceptance: &Acceptance) -> usize {
         let queue = self.queues.get(acceptance.job);
-        let is_beside = |job: &str, accepted_ms: u64| {
+        let is_other = |job: &str, accepted_ms: u64| {
             let unfinished_ms = self.unfinished_ms.get(job);
             job != acceptance.job
                 && accepted_ms <= acceptance.call.from
@@ -39,7 +39,7 @@
         };
         let others = self.accepted_ms.iter();
         others
-            .filter(|(job, accepted_ms)| is_beside(job, **accepted_ms))
+            .filter(|(job, accepted_ms)| is_other(job, **accepted_ms))
             .count()
     }
 }
@@ -99,7 +99,7 @@
     if quota >= jobs.accepted_ms.len() {
         return None;
     }
-    let unfinished = jobs.unfinished_beside(acceptance);
+    let unfinished = jobs.other_unfinished(acceptance);
     (unfinished >= quota).then(|| {
         Violation::new(
             "configuration takes hold",
--- a/testkit/src/checkers/runs/gangs.rs
+++ b/testkit/src/checkers/runs/gangs.rs
@@ -37,12 +37,12 @@
 pub fn gangs(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     for alone in alone_times(history, bounds) {
-        let (most_ms, cause) = if alone.in_fault {
+        let (max_ms, cause) = if alone.in_fault {
             (bounds.alone_in_fault_ms, " during a fault")
         } else {
             (bounds.alone_ms, "")
         };
-        if alone.duration_ms > most_ms {
+        if alone.duration_ms > max_ms {
             let description = format!(
                 "{} ran without a partner for {} ms{cause}",
                 alone.member, alone.duration_ms
@@ -125,7 +125,7 @@
             from: run.from,
             // Without a majority of replicas no stop order can be given.
             duration_ms: self.conditions.unexcused_ms(run.from, until.max(run.from)),
-            in_fault: self.faults.iter().any(|fault| fault.touches(&alone)),
+            in_fault: self.faults.iter().any(|fault| fault.overlaps(&alone)),
         }
     }
 
@@ -136,7 +136,7 @@
         let first_unreachable = self
             .unreachable
             .iter()
-            .filter(|time| time.worker == run.worker && time.interval.touches(&whole))
+            .filter(|time| time.worker == run.worker && time.interval.overlaps(&whole))
             .map(|time| time.interval.from)
             .min();
         first_unreachable.map_or(to, |from| to.min(from.max(run.from)))
--- a/testkit/src/checkers/summary.rs
+++ b/testkit/src/checkers/summary.rs
@@ -1,6 +1,6 @@
 //! Summary figures of a day.
 
-use super::jobs::unknown_times;
+use super::jobs::unanswered_times;
 use super::runs::alone_times;
 use super::PromisedBounds;
 use crate::history::{is_serving, Event, FinalState, History, RuleSettings};
@@ -53,9 +53,9 @@
     }
     let mut summary = summarizer.summary;
     summary.accepted = summarizer.accepted.len();
-    let unknown = unknown_times(history, bounds).into_iter();
-    let unknown_ms = unknown.map(|unknown| unknown.duration_ms);
-    summary.longest_unknown_state_ms = unknown_ms.max().unwrap_or(0);
+    let times = unanswered_times(history, bounds).into_iter();
+    let unanswered_ms = times.map(|time| time.duration_ms);
+    summary.longest_unknown_state_ms = unanswered_ms.max().unwrap_or(0);
     for alone in alone_times(history, bounds) {
         let longest = if alone.in_fault {
             &mut summary.longest_alone_struck_ms
