--- a/testkit/src/cli/mod.rs
+++ b/testkit/src/cli/mod.rs
@@ -140,7 +140,7 @@
     let Some(path) = arguments.text("history") else {
         return Ok(());
     };
-    std::fs::write(path, history.text())
+    std::fs::write(path, history.json_lines())
         .map_err(|error| format!("'{path}' can't be written ({error})"))
 }
 
--- a/testkit/src/fakes/client.rs
+++ b/testkit/src/fakes/client.rs
@@ -20,11 +20,11 @@
 /// The pause after the cancel of a job that the system does not know yet, in milliseconds.
 const CANCEL_RETRY_MS: u64 = 2000;
 /// A job to be cancelled is cancelled within this time after its creation, in milliseconds.
-const CANCEL_WITHIN_MS: u64 = 4000;
+const MAX_CANCEL_DELAY_MS: u64 = 4000;
 /// The default share of jobs that are cancelled.
 const CANCELLED_SHARE: f64 = 0.05;
 /// The number of refusals that a client retries after is random, below this.
-const PATIENCE: u64 = 4;
+const RETRIED_REFUSALS_BOUND: u64 = 4;
 
 /// Figures of a client's jobs.
 #[derive(Clone, Debug, Default)]
@@ -91,12 +91,12 @@
     }
 
     /// Offers a job that is never cancelled, and is submitted again after any refusal that permits a retry.
-    pub fn offer_surely(&mut self, now: u64, spec: JobSpec) -> Vec<Output> {
+    pub fn offer_until_accepted(&mut self, now: u64, spec: JobSpec) -> Vec<Output> {
         let id = spec.id.clone();
         let outputs = self.offer(now, spec);
         if let Some(job) = self.jobs.get_mut(&id) {
             job.cancel_at_ms = None;
-            job.most_refusals = u32::MAX;
+            job.max_refusals = u32::MAX;
         }
         outputs
     }
@@ -104,8 +104,8 @@
     /// Offers a given job.
     pub fn offer(&mut self, now: u64, spec: JobSpec) -> Vec<Output> {
         let is_cancelled = self.rng.unit() < self.cancelled_share;
-        let cancel_at_ms = is_cancelled.then(|| now + self.rng.below(CANCEL_WITHIN_MS));
-        let most_refusals = self.rng.below(PATIENCE) as u32;
+        let cancel_at_ms = is_cancelled.then(|| now + self.rng.below(MAX_CANCEL_DELAY_MS));
+        let max_refusals = self.rng.below(RETRIED_REFUSALS_BOUND) as u32;
         let cancels_left = if is_cancelled {
             1 + self.rng.below(2) as u32
         } else {
@@ -117,7 +117,7 @@
             next_call_ms: now,
             open_call: None,
             refusals: 0,
-            most_refusals,
+            max_refusals,
             cancel_at_ms,
             cancels_left,
             is_accepted: false,
@@ -166,7 +166,7 @@
         let chosen = self.rng.below(self.ended.len() as u64) as usize;
         let id = self.ended.swap_remove(chosen);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.ask_again(now);
+            job.poll_again(now);
         }
     }
 
@@ -174,7 +174,7 @@
     pub fn poll_all(&mut self, now: u64) {
         for id in std::mem::take(&mut self.ended) {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.ask_again(now);
+                job.poll_again(now);
             }
         }
     }
@@ -255,7 +255,7 @@
                 self.observations.accepted += u64::from(!was_accepted);
             }
             503 if is_uncertain => {}
-            429 | 503 if job.refusals < job.most_refusals => job.refusals += 1,
+            429 | 503 if job.refusals < job.max_refusals => job.refusals += 1,
             _ => {
                 job.stage = Stage::Ended;
                 self.observations.refused += 1;
@@ -319,14 +319,14 @@
     }
 
     /// The ids of accepted jobs whose end has not been observed.
-    pub fn unanswered(&self) -> Vec<String> {
+    pub fn unfinished_accepted_jobs(&self) -> Vec<String> {
         let jobs = self.jobs.iter();
         let unanswered = jobs.filter(|(_, job)| job.is_accepted && job.stage != Stage::Ended);
         unanswered.map(|(id, _)| id.clone()).collect()
     }
 
     /// The number of jobs, accepted or not, that have not ended as far as the client knows.
-    pub fn waiting(&self) -> usize {
+    pub fn unfinished_jobs(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|job| job.stage != Stage::Ended).count()
     }
--- a/testkit/src/fakes/client_job.rs
+++ b/testkit/src/fakes/client_job.rs
@@ -54,7 +54,7 @@
     pub open_call: Option<OpenCall>,
     pub refusals: u32,
     /// The number of refusals after which the client still retries.
-    pub most_refusals: u32,
+    pub max_refusals: u32,
     pub cancel_at_ms: Option<u64>,
     /// The number of cancels still to be acknowledged; some jobs are cancelled twice.
     pub cancels_left: u32,
@@ -77,7 +77,7 @@
         }
     }
 
-    pub fn ask_again(&mut self, now: u64) {
+    pub fn poll_again(&mut self, now: u64) {
         self.stage = Stage::Polling;
         self.next_call_ms = now;
     }
--- a/testkit/src/fakes/operator.rs
+++ b/testkit/src/fakes/operator.rs
@@ -11,18 +11,18 @@
 /// The timeout of a read, after which another node is called, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 1000;
 /// A read that no node has answered for this long is recorded as unanswered, in milliseconds.
-const READ_WITHIN_MS: u64 = 4000;
+const READ_DEADLINE_MS: u64 = 4000;
 /// The longest pause after an answer, in milliseconds.
 const MAX_PAUSE_MS: u64 = 500;
 
 /// An operation to be carried out.
 #[derive(Clone, Debug)]
-enum Order {
+enum Operation {
     Apply(Change),
     Read(Read),
 }
 
-impl Order {
+impl Operation {
     fn timeout_ms(&self) -> u64 {
         match self {
             Self::Apply(_) => CHANGE_TIMEOUT_MS,
@@ -37,7 +37,7 @@
     /// When the first node was called, in milliseconds.
     since_ms: Option<u64>,
     /// The event that no answer came in time has been recorded.
-    is_noted: bool,
+    is_recorded: bool,
 }
 
 /// A change of the configuration.
@@ -51,14 +51,14 @@
     /// The version that it is based on; if none, the newest one known when it is first sent.
     base: Option<u64>,
     /// Whether it is retried on the newer version after a conflict with a concurrent change.
-    retries_after_rival: bool,
+    retries_after_conflict: bool,
 }
 
 /// A call that waits for its answer.
 struct OpenCall {
     call: u64,
     sent_ms: u64,
-    order: Order,
+    operation: Operation,
 }
 
 /// An operator with its queue of operations.
@@ -67,7 +67,7 @@
     pub nodes: Vec<String>,
     rng: Rng,
     name: String,
-    orders: VecDeque<Order>,
+    operations: VecDeque<Operation>,
     open_call: Option<OpenCall>,
     /// The node that the last answer redirected to.
     redirected_to: Option<String>,
@@ -86,7 +86,7 @@
             nodes,
             rng: Rng::new(seed),
             name: name.into(),
-            orders: VecDeque::new(),
+            operations: VecDeque::new(),
             open_call: None,
             redirected_to: None,
             next_call_ms: 0,
@@ -99,24 +99,24 @@
     /// Queues a change of the configuration, which is retried on the newer version after a conflict.
     pub fn apply(&mut self, is_patch: bool, value: Value) {
         let id = self.next_change_id();
-        self.orders.push_back(Order::Apply(Change {
+        self.operations.push_back(Operation::Apply(Change {
             id,
             is_patch,
             value,
             base: None,
-            retries_after_rival: true,
+            retries_after_conflict: true,
         }));
     }
 
     /// Queues a patch of a fixed version of the configuration, which is not retried after a conflict.
-    pub fn race(&mut self, base: u64, value: Value) {
+    pub fn patch_version(&mut self, base: u64, value: Value) {
         let id = self.next_change_id();
-        self.orders.push_back(Order::Apply(Change {
+        self.operations.push_back(Operation::Apply(Change {
             id,
             is_patch: true,
             value,
             base: Some(base),
-            retries_after_rival: false,
+            retries_after_conflict: false,
         }));
     }
 
@@ -127,12 +127,12 @@
 
     /// Queues a read of the configuration.
     pub fn read(&mut self) {
-        self.orders.push_back(Order::Read(Read::default()));
+        self.operations.push_back(Operation::Read(Read::default()));
     }
 
     /// Whether no operation is queued or open.
     pub fn is_idle(&self) -> bool {
-        self.orders.is_empty() && self.open_call.is_none()
+        self.operations.is_empty() && self.open_call.is_none()
     }
 
     fn next_change_id(&mut self) -> String {
@@ -143,44 +143,47 @@
     /// Makes the next call, if it is due.
     pub fn tick(&mut self, now: u64) -> Vec<Output> {
         if let Some(open) = &self.open_call {
-            if now < open.sent_ms + open.order.timeout_ms() {
+            if now < open.sent_ms + open.operation.timeout_ms() {
                 return Vec::new();
             }
             // The call has timed out: repeat the operation, a change with the same id.
-            self.orders.push_front(open.order.clone());
+            self.operations.push_front(open.operation.clone());
             self.open_call = None;
         }
         if now < self.next_call_ms {
             return Vec::new();
         }
-        let Some(order) = self.orders.pop_front() else {
+        let Some(operation) = self.operations.pop_front() else {
             return Vec::new();
         };
         self.last_call += 1;
         let call = self.last_call;
         let mut outputs = Vec::new();
-        let named_node = self.redirected_to.take();
-        let (order, request) = match order {
-            Order::Read(mut read) => {
-                outputs.extend(note_unanswered(now, &mut read));
-                (Order::Read(read), request("GET", "/v1/desired", "", None))
+        let redirect_target = self.redirected_to.take();
+        let (operation, request) = match operation {
+            Operation::Read(mut read) => {
+                outputs.extend(record_unanswered(now, &mut read));
+                (
+                    Operation::Read(read),
+                    request("GET", "/v1/desired", "", None),
+                )
             }
-            Order::Apply(change) => {
+            Operation::Apply(change) => {
                 let change = self.with_base_and_mark(change);
                 outputs.push(Output::Event(Event::ConfigRequested {
                     change: change.id.clone(),
                     settings: rule_settings(&change.value),
                 }));
                 let request = apply_request(&change);
-                (Order::Apply(change), request)
+                (Operation::Apply(change), request)
             }
         };
         self.open_call = Some(OpenCall {
             call,
             sent_ms: now,
-            order,
+            operation,
         });
-        let Some(to) = named_node.or_else(|| self.rng.pick(&self.nodes).cloned()) else {
+        let Some(to) = redirect_target.or_else(|| self.rng.pick(&self.nodes).cloned()) else {
             return Vec::new();
         };
         outputs.push(Output::Call { to, call, request });
@@ -201,16 +204,20 @@
             return Vec::new();
         };
         self.next_call_ms = now + response.retry_ms.min(MAX_PAUSE_MS);
-        match open.order {
-            Order::Read(_) if response.status == 200 => self.read_answered(open.sent_ms, response),
-            order if response.status == 307 => {
+        match open.operation {
+            Operation::Read(_) if response.status == 200 => {
+                self.read_answered(open.sent_ms, response)
+            }
+            operation if response.status == 307 => {
                 self.redirected_to = response.location.split('/').next().map(String::from);
-                self.orders.push_front(order);
+                self.operations.push_front(operation);
                 Vec::new()
             }
-            Order::Apply(change) if response.status != 503 => self.apply_answered(change, response),
-            order => {
-                self.orders.push_front(order);
+            Operation::Apply(change) if response.status != 503 => {
+                self.apply_answered(change, response)
+            }
+            operation => {
+                self.operations.push_front(operation);
                 Vec::new()
             }
         }
@@ -230,10 +237,10 @@
     fn apply_answered(&mut self, change: Change, response: &Response) -> Vec<Output> {
         let version = response.body["version"].as_u64().unwrap_or(0);
         self.version = self.version.max(version);
-        if response.status == 409 && change.retries_after_rival {
+        if response.status == 409 && change.retries_after_conflict {
             // On another base it is another change, with its own id.
             let id = self.next_change_id();
-            self.orders.push_front(Order::Apply(Change {
+            self.operations.push_front(Operation::Apply(Change {
                 id,
                 base: None,
                 ..change.clone()
@@ -249,11 +256,11 @@
     }
 }
 
-/// Sets the start of a read at its first call; when it first exceeds [`READ_WITHIN_MS`], returns the event.
-fn note_unanswered(now: u64, read: &mut Read) -> Option<Output> {
+/// Sets the start of a read at its first call; when it first exceeds [`READ_DEADLINE_MS`], returns the event.
+fn record_unanswered(now: u64, read: &mut Read) -> Option<Output> {
     let since_ms = *read.since_ms.get_or_insert(now);
-    let is_late = now >= since_ms + READ_WITHIN_MS;
-    if !is_late || std::mem::replace(&mut read.is_noted, true) {
+    let is_late = now >= since_ms + READ_DEADLINE_MS;
+    if !is_late || std::mem::replace(&mut read.is_recorded, true) {
         return None;
     }
     Some(Output::Event(Event::ConfigReadUnanswered { since_ms }))
--- a/testkit/src/fakes/worker/lease.rs
+++ b/testkit/src/fakes/worker/lease.rs
@@ -18,7 +18,7 @@
     /// When it expires, in milliseconds.
     expires_ms: u64,
     /// It was granted and has not expired since.
-    is_held: bool,
+    is_active: bool,
     /// The highest fencing token received.
     fencing_token: u64,
     /// The highest number of a run that ended or was stopped, by job and task.
@@ -28,7 +28,7 @@
 }
 
 impl WorkerLease {
-    fn note_ended(&mut self, name: &RunName) {
+    fn record_ended(&mut self, name: &RunName) {
         let key = (name.job.clone(), name.task.clone());
         let highest = self.ended_runs.entry(key).or_default();
         *highest = name.run.max(*highest);
@@ -42,9 +42,9 @@
 
 impl Worker {
     /// Records the end of a run if the worker has a lease; returns the name to report it by.
-    pub(super) fn note_ended_run(&mut self, name: RunName) -> Option<RunName> {
+    pub(super) fn record_ended_run(&mut self, name: RunName) -> Option<RunName> {
         let lease = self.lease.as_mut()?;
-        lease.note_ended(&name);
+        lease.record_ended(&name);
         Some(name)
     }
 
@@ -55,16 +55,16 @@
     }
 
     /// The body of a heartbeat that identifies runs by name.
-    pub(super) fn named_heartbeat_body(&mut self, now: u64, call: u64) -> Value {
+    pub(super) fn lease_heartbeat_body(&mut self, now: u64, call: u64) -> Value {
         let running = self.running.values();
         let running: Vec<Value> = running
             .map(|run| json!({"name": run.name(), "progress": run.progress(now)}))
             .collect();
-        let nameless = |end: &EndReport| EndReport {
+        let without_number = |end: &EndReport| EndReport {
             no: 0,
             ..end.clone()
         };
-        let ended: Vec<EndReport> = self.unreported_ends.iter().map(nameless).collect();
+        let ended: Vec<EndReport> = self.unreported_ends.iter().map(without_number).collect();
         if let Some(lease) = &mut self.lease {
             lease.reported_ends = ended.len();
         }
@@ -73,7 +73,12 @@
 
     /// Handles the answer to a heartbeat. If its fencing token is lower than an earlier one, it starts, stops and
     /// renews nothing.
-    pub(super) fn obey_named(&mut self, now: u64, open: OpenCall, body: &Value) -> Vec<Output> {
+    pub(super) fn handle_lease_answer(
+        &mut self,
+        now: u64,
+        open: OpenCall,
+        body: &Value,
+    ) -> Vec<Output> {
         let mut outputs = self.forget_acknowledged(body);
         let Some(lease) = &mut self.lease else {
             return outputs;
@@ -88,9 +93,9 @@
         lease.fencing_token = token;
         let expires_ms = open.sent_ms + lease_ms * SLOW_CLOCK_PERCENT / 100;
         lease.expires_ms = lease.expires_ms.max(expires_ms);
-        lease.is_held = true;
+        lease.is_active = true;
         for stop in body["stopRuns"].as_array().into_iter().flatten() {
-            self.stop_named(now, stop);
+            self.stop_by_name(now, stop);
         }
         if !self.info.leaving {
             outputs.extend(self.start_all(now, body));
@@ -101,8 +106,10 @@
     /// Removes the ends that an answer acknowledges from those to report.
     fn forget_acknowledged(&mut self, body: &Value) -> Vec<Output> {
         let reported = self.lease.as_ref().map_or(0, |lease| lease.reported_ends);
-        let settled = body["settledTo"].as_u64().unwrap_or(0) as usize;
-        let count = settled.min(reported).min(self.unreported_ends.len());
+        let acknowledged_count = body["settledTo"].as_u64().unwrap_or(0) as usize;
+        let count = acknowledged_count
+            .min(reported)
+            .min(self.unreported_ends.len());
         let acknowledged = self.unreported_ends.drain(..count);
         let worker = &self.info.worker;
         let event = |end: EndReport| {
@@ -115,7 +122,7 @@
     }
 
     /// Stops a run by name; if it has not arrived yet, it will be refused.
-    fn stop_named(&mut self, now: u64, stop: &Value) {
+    fn stop_by_name(&mut self, now: u64, stop: &Value) {
         let name = RunName {
             job: stop[0].as_str().unwrap_or("").into(),
             task: stop[1].as_str().unwrap_or("").into(),
@@ -126,17 +133,17 @@
         if let Some(attempt) = meant.map(|(attempt, _)| *attempt) {
             self.stop_running(now, attempt);
         } else if let Some(lease) = &mut self.lease {
-            lease.note_ended(&name);
+            lease.record_ended(&name);
         }
     }
 
     /// Kills all runs if the lease has expired.
     pub(super) fn expire_lease(&mut self, now: u64) -> Vec<Output> {
         let lease = self.lease.as_mut();
-        let Some(lease) = lease.filter(|lease| lease.is_held && now >= lease.expires_ms) else {
+        let Some(lease) = lease.filter(|lease| lease.is_active && now >= lease.expires_ms) else {
             return Vec::new();
         };
-        lease.is_held = false;
+        lease.is_active = false;
         let attempts: Vec<u64> = self.running.keys().copied().collect();
         let mut outputs = Vec::new();
         for attempt in attempts {
--- a/testkit/src/fakes/worker/mod.rs
+++ b/testkit/src/fakes/worker/mod.rs
@@ -18,9 +18,9 @@
 /// The timeout of a heartbeat, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 800;
 /// The delay of the heartbeat that reports an end, in milliseconds: short, so that the capacity is soon reused.
-const REPORT_END_WITHIN_MS: u64 = 20;
+const END_REPORT_DELAY_MS: u64 = 20;
 /// The pause before a heartbeat to another node, in milliseconds.
-const NEXT_NODE_AFTER_MS: u64 = 20;
+const NODE_SWITCH_PAUSE_MS: u64 = 20;
 
 /// The faults in a worker's behavior.
 #[derive(Clone, Debug)]
@@ -195,7 +195,7 @@
         let open = self.open_call;
         if open.is_some_and(|open| now >= open.sent_ms + CALL_TIMEOUT_MS) {
             self.open_call = None;
-            self.choose_next_node(now);
+            self.switch_node(now);
         }
         if self.open_call.is_none() && now >= self.next_heartbeat_ms {
             outputs.push(self.heartbeat(now));
@@ -203,11 +203,11 @@
         outputs
     }
 
-    fn choose_next_node(&mut self, now: u64) {
+    fn switch_node(&mut self, now: u64) {
         let others = self.nodes.len().max(2) as u64 - 1;
         let step = 1 + self.rng.below(others) as usize;
         self.current_node = (self.current_node + step) % self.nodes.len().max(1);
-        self.next_heartbeat_ms = now + NEXT_NODE_AFTER_MS;
+        self.next_heartbeat_ms = now + NODE_SWITCH_PAUSE_MS;
     }
 
     fn heartbeat(&mut self, now: u64) -> Output {
@@ -215,7 +215,7 @@
         let call = self.last_call;
         self.open_call = Some(OpenCall { call, sent_ms: now });
         let body = if self.lease.is_some() {
-            self.named_heartbeat_body(now, call)
+            self.lease_heartbeat_body(now, call)
         } else {
             self.heartbeat_body(now)
         };
@@ -256,7 +256,7 @@
         } else {
             ""
         };
-        let name = self.note_ended_run(run.name());
+        let name = self.record_ended_run(run.name());
         self.unreported_ends.push(EndReport {
             no: attempt,
             name,
@@ -265,7 +265,7 @@
             note: note.into(),
             ..EndReport::default()
         });
-        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now + REPORT_END_WITHIN_MS);
+        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now + END_REPORT_DELAY_MS);
         Some(Output::Event(Event::RunEnded {
             worker: self.info.worker.clone(),
             attempt,
--- a/testkit/src/fakes/worker/orders.rs
+++ b/testkit/src/fakes/worker/orders.rs
@@ -1,6 +1,6 @@
 //! Handling of the answers to heartbeats: a worker starts and stops runs as ordered.
 
-use super::{paired_rng, Run, Worker, DEFAULT_HEARTBEAT_MS, REPORT_END_WITHIN_MS};
+use super::{paired_rng, Run, Worker, DEFAULT_HEARTBEAT_MS, END_REPORT_DELAY_MS};
 use crate::fakes::Output;
 use crate::history::Event;
 use landingdrift::sans_io::{Response, Rng};
@@ -8,16 +8,16 @@
 use serde_json::{json, Value};
 
 /// A stopped run frees its capacity within this time, in milliseconds.
-const STOP_WITHIN_MS: u64 = 300;
+const MAX_STOP_MS: u64 = 300;
 /// The longest delay of the heartbeat that confirms a start, in milliseconds.
-const CONFIRM_START_WITHIN_MS: u64 = 50;
+const START_REPORT_DELAY_MS: u64 = 50;
 /// The duration of a task whose payload gives none, in milliseconds.
 const DEFAULT_TASK_MS: f64 = 200.0;
 /// The longest duration of a run, as a multiple of its shortest.
 const MAX_TAIL_FACTOR: f64 = 20.0;
 
 /// An order to start a run of a task.
-struct Order<'a> {
+struct StartOrder<'a> {
     attempt: u64,
     job: &'a str,
     task: &'a str,
@@ -27,7 +27,7 @@
     payload: &'a Value,
 }
 
-impl<'a> Order<'a> {
+impl<'a> StartOrder<'a> {
     fn new(start: &'a Value) -> Self {
         Self {
             attempt: start["no"].as_u64().unwrap_or(0),
@@ -60,13 +60,13 @@
         };
         self.next_heartbeat_ms = now + self.heartbeat_ms;
         if response.status != 200 {
-            self.choose_next_node(now);
+            self.switch_node(now);
             return Vec::new();
         }
         let body = &response.body;
         self.heartbeat_ms = body["beatMs"].as_u64().unwrap_or(DEFAULT_HEARTBEAT_MS);
         if self.lease.is_some() {
-            return self.obey_named(now, open, body);
+            return self.handle_lease_answer(now, open, body);
         }
         let acknowledged = numbers(&body["settled"]);
         self.unreported_ends
@@ -86,7 +86,7 @@
     pub(super) fn start_all(&mut self, now: u64, body: &Value) -> Vec<Output> {
         let starts = body["starts"].as_array().into_iter().flatten();
         starts
-            .filter_map(|start| self.start(now, &Order::new(start)))
+            .filter_map(|start| self.start(now, &StartOrder::new(start)))
             .collect()
     }
 
@@ -100,7 +100,7 @@
                 ran_ms: 0,
                 ..EndReport::default()
             });
-            self.next_heartbeat_ms = now + REPORT_END_WITHIN_MS;
+            self.next_heartbeat_ms = now + END_REPORT_DELAY_MS;
         }
     }
 
@@ -109,14 +109,14 @@
         let Some(run) = self.running.get_mut(&attempt) else {
             return;
         };
-        let ends_ms = now + self.rng.below(STOP_WITHIN_MS);
+        let ends_ms = now + self.rng.below(MAX_STOP_MS);
         if ends_ms < run.ends_ms {
             run.ends_ms = ends_ms;
             run.outcome = Outcome::Stopped;
         }
     }
 
-    fn start(&mut self, now: u64, order: &Order) -> Option<Output> {
+    fn start(&mut self, now: u64, order: &StartOrder) -> Option<Output> {
         let attempt = order.attempt;
         if self.running.contains_key(&attempt) || self.finished.contains(&attempt) {
             return None;
@@ -146,7 +146,7 @@
             outcome,
         };
         self.running.insert(attempt, run);
-        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now + CONFIRM_START_WITHIN_MS);
+        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now + START_REPORT_DELAY_MS);
         Some(Output::Event(Event::RunStarted {
             worker: self.info.worker.clone(),
             attempt,
@@ -158,7 +158,7 @@
     }
 
     /// Reports a refused order to start a run.
-    fn report_refused(&mut self, now: u64, order: &Order) {
+    fn report_refused(&mut self, now: u64, order: &StartOrder) {
         self.finished.insert(order.attempt);
         self.unreported_ends.push(EndReport {
             no: order.attempt,
@@ -166,7 +166,7 @@
             outcome: Outcome::NeverStarted,
             ..EndReport::default()
         });
-        self.next_heartbeat_ms = now + REPORT_END_WITHIN_MS;
+        self.next_heartbeat_ms = now + END_REPORT_DELAY_MS;
     }
 
     /// The duration of a run: the payload's shortest duration, times a Pareto-distributed factor, as in the Hopper
--- a/testkit/src/fleet/drive.rs
+++ b/testkit/src/fleet/drive.rs
@@ -264,7 +264,7 @@
     }
 
     fn is_settled(&self) -> bool {
-        self.client.waiting() == 0 && self.operator.is_idle()
+        self.client.unfinished_jobs() == 0 && self.operator.is_idle()
     }
 
     /// All fakes get their tick.
--- a/testkit/src/fleet/drive/close.rs
+++ b/testkit/src/fleet/drive/close.rs
@@ -89,7 +89,7 @@
 
     /// Every job that was accepted has been asked for once more, and each has been answered for.
     fn check_all_answered(&mut self) {
-        for id in self.client.unanswered() {
+        for id in self.client.unfinished_accepted_jobs() {
             let description = format!("no answer came about job {id} at the end of the day");
             let violation = Violation::new("every job is answered for", self.now(), description);
             self.violations.push(violation);
--- a/testkit/src/history.rs
+++ b/testkit/src/history.rs
@@ -199,7 +199,7 @@
     }
 
     /// The history as JSON, one event per line.
-    pub fn text(&self) -> String {
+    pub fn json_lines(&self) -> String {
         self.events
             .iter()
             .map(|timed| serde_json::to_string(timed).unwrap_or_default() + "\n")
@@ -208,6 +208,6 @@
 
     /// A hash of the history's JSON lines.
     pub fn digest(&self) -> u64 {
-        landingdrift::sans_io::fnv1a(self.text().as_bytes())
+        landingdrift::sans_io::fnv1a(self.json_lines().as_bytes())
     }
 }
--- a/testkit/src/measure/mod.rs
+++ b/testkit/src/measure/mod.rs
@@ -106,7 +106,7 @@
     };
     let mut world = World::new(&scenario, seed);
     let hopper = values.hopper.clone();
-    world.measure(load.jobs.clone(), hopper, values.speculation_percent);
+    world.prepare_measurement(load.jobs.clone(), hopper, values.speculation_percent);
     world
 }
 
--- a/testkit/src/scenario/fault.rs
+++ b/testkit/src/scenario/fault.rs
@@ -178,7 +178,7 @@
 
     /// Whether it destroys a replica's data. Three replicas survive one such fault at a time, with time to recover in
     /// between.
-    fn takes_data(self) -> bool {
+    fn destroys_data(self) -> bool {
         matches!(self, Self::LoseTail | Self::ReplaceCore | Self::Outage)
     }
 
@@ -274,7 +274,7 @@
     }
 
     /// Whether the later of two faults begins before the replicas have recovered from the earlier one.
-    fn is_too_near(&self, other: &Self) -> bool {
+    fn is_too_close(&self, other: &Self) -> bool {
         let (first, second) = if other.at_ms <= self.at_ms {
             (other, self)
         } else {
@@ -287,19 +287,19 @@
 /// Random faults that begin between two times in milliseconds. They may overlap, but three replicas can survive them.
 pub fn random_faults(rng: &mut Rng, count: usize, from: u64, to: u64) -> Vec<Fault> {
     use FaultKind::*;
-    let more_often = [Kill, Kill, Freeze, WorkerCrash, WorkerCut, LoseTail, Outage];
+    let more_likely = [Kill, Kill, Freeze, WorkerCrash, WorkerCut, LoseTail, Outage];
     // Upgrades follow an order and so can't be random; failing disks have scenarios of their own.
     let kinds: Vec<FaultKind> = FaultKind::ALL
         .iter()
-        .chain(&more_often)
+        .chain(&more_likely)
         .filter(|kind| !matches!(kind, Upgrade | DiskFull | DiskStall))
         .copied()
         .collect();
     let mut faults: Vec<Fault> = Vec::new();
     while faults.len() < count {
         let mut fault = random_fault(rng, &kinds, from, to);
-        let mut data_faults = faults.iter().filter(|other| other.kind.takes_data());
-        if fault.kind.takes_data() && data_faults.any(|other| fault.is_too_near(other)) {
+        let mut data_faults = faults.iter().filter(|other| other.kind.destroys_data());
+        if fault.kind.destroys_data() && data_faults.any(|other| fault.is_too_close(other)) {
             // Replaced, not sampled again: on short days no later sample might fit, and the loop would not end.
             fault.kind = Kill;
         }
--- a/testkit/src/scenario/mix.rs
+++ b/testkit/src/scenario/mix.rs
@@ -7,11 +7,11 @@
 /// The share of runs that fail, for tasks of jobs that can succeed.
 const FAILING_SHARE: f64 = 0.01;
 /// The most tasks of a gang.
-const MAX_GANG: usize = 4;
+const MAX_GANG_TASKS: usize = 4;
 /// The shortest time from the creation of a job to the due time of one of its tasks, in milliseconds.
-const MIN_APPOINTMENT_MS: u64 = 1000;
+const MIN_DUE_DELAY_MS: u64 = 1000;
 /// The spread of due times above the earliest, in milliseconds.
-const APPOINTMENT_SPREAD_MS: u64 = 3000;
+const DUE_DELAY_SPREAD_MS: u64 = 3000;
 /// The number of zones in every deployment.
 const ZONES: u64 = 3;
 
@@ -34,7 +34,7 @@
     /// The most tasks of a job.
     pub max_tasks: u64,
     /// All jobs have a single task.
-    pub is_plain: bool,
+    pub has_single_task: bool,
 }
 
 impl Default for Mix {
@@ -48,14 +48,14 @@
             doomed_share: 0.0,
             repeatable_share: 0.5,
             max_tasks: 8,
-            is_plain: false,
+            has_single_task: false,
         }
     }
 }
 
 /// The structure of a job: how its tasks relate to each other.
 #[derive(Clone, Copy, PartialEq)]
-enum Form {
+enum JobForm {
     Single,
     /// Several independent tasks.
     Parallel,
@@ -63,21 +63,21 @@
     Steps,
     Gang,
     /// Each task has a due time.
-    Appointed,
+    Due,
     /// The first task needs a label, the others prefer a zone.
     Labelled,
 }
 
-impl Form {
+impl JobForm {
     fn random(rng: &mut Rng, mix: &Mix) -> Self {
-        if mix.is_plain {
+        if mix.has_single_task {
             return Self::Single;
         }
         match rng.below(10) {
             0..=2 => Self::Single,
             5 | 6 => Self::Steps,
             7 => Self::Gang,
-            8 => Self::Appointed,
+            8 => Self::Due,
             9 => Self::Labelled,
             _ => Self::Parallel,
         }
@@ -90,16 +90,16 @@
     let service = rng.pick(&mix.services).cloned().unwrap_or_default();
     let may_repeat = rng.unit() < mix.repeatable_share;
     let is_doomed = rng.unit() < mix.doomed_share;
-    let form = Form::random(rng, mix);
-    let drawn = match form {
-        Form::Single => 1,
+    let form = JobForm::random(rng, mix);
+    let sampled = match form {
+        JobForm::Single => 1,
         _ => 2 + rng.below(mix.max_tasks.max(3) - 2) as usize,
     };
-    // Dependencies follow the sampled number, of which gangs use at most `MAX_GANG`.
-    let count = if form == Form::Gang {
-        drawn.min(MAX_GANG)
+    // Dependencies follow the sampled number, of which gangs use at most `MAX_GANG_TASKS`.
+    let count = if form == JobForm::Gang {
+        sampled.min(MAX_GANG_TASKS)
     } else {
-        drawn
+        sampled
     };
     let tasks = (0..count).map(|index| {
         let task_ms = mix.task_ms * (0.5 + rng.unit());
@@ -116,7 +116,7 @@
             }),
             ..TaskSpec::default()
         };
-        shape_task(&mut task, rng, form, index, drawn, now);
+        shape_task(&mut task, rng, form, index, sampled, now);
         task
     });
     JobSpec {
@@ -135,24 +135,24 @@
 fn shape_task(
     task: &mut TaskSpec,
     rng: &mut Rng,
-    form: Form,
+    form: JobForm,
     index: usize,
     count: usize,
     now: u64,
 ) {
     match form {
-        Form::Steps => task.depends_on = dependencies(index, count),
-        Form::Gang => task.gang = "g".into(),
-        Form::Appointed => {
-            task.due = now + MIN_APPOINTMENT_MS + rng.below(APPOINTMENT_SPREAD_MS);
+        JobForm::Steps => task.depends_on = dependencies(index, count),
+        JobForm::Gang => task.gang = "g".into(),
+        JobForm::Due => {
+            task.due = now + MIN_DUE_DELAY_MS + rng.below(DUE_DELAY_SPREAD_MS);
         }
-        Form::Labelled if index == 0 => task.labels = vec!["ssd".into()],
-        Form::Labelled => task.near = format!("z{}", rng.below(ZONES)),
-        Form::Single | Form::Parallel => {}
+        JobForm::Labelled if index == 0 => task.labels = vec!["ssd".into()],
+        JobForm::Labelled => task.near = format!("z{}", rng.below(ZONES)),
+        JobForm::Single | JobForm::Parallel => {}
     }
 }
 
-/// The dependencies of a task in [`Form::Steps`]: all depend on the first task, and the last on all in between.
+/// The dependencies of a task in [`JobForm::Steps`]: all depend on the first task, and the last on all in between.
 fn dependencies(index: usize, count: usize) -> Vec<String> {
     let is_last = index + 1 == count;
     match index {
--- a/testkit/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -21,14 +21,14 @@
 /// The share of answers that are lost during a fault that loses answers, in percent.
 const LOST_ANSWERS_PERCENT: u64 = 50;
 /// The limit on attempts of every queue in the shapes' configurations.
-const USUAL_ATTEMPTS: u32 = 3;
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 /// The quota of every queue in the shapes' configurations.
-const USUAL_QUOTA: u32 = 2000;
+const DEFAULT_QUOTA: u32 = 2000;
 /// The number of zones, and of queues, in every deployment.
 const ZONES: usize = 3;
 
 /// The part of the world that a fault affects.
-enum Area {
+enum FaultDomain {
     /// Processes, disks and clocks.
     Machines,
     /// The network between processes.
@@ -39,12 +39,14 @@
 }
 
 /// The part that faults of a kind affect.
-fn area(kind: FaultKind) -> Area {
+fn fault_domain(kind: FaultKind) -> FaultDomain {
     use FaultKind::*;
     match kind {
         Kill | Freeze | LoseZone | SlowDisk | DiskFull | DiskStall | LoseTail | ReplaceCore
-        | SwapNode | Outage | ClockJump | Restart | Upgrade | HangUp => Area::Machines,
-        Cut | CutOneWay | SplitCore | CutCores | SlowLink | FlakyLink | LostAnswers => Area::Links,
+        | SwapNode | Outage | ClockJump | Restart | Upgrade | HangUp => FaultDomain::Machines,
+        Cut | CutOneWay | SplitCore | CutCores | SlowLink | FlakyLink | LostAnswers => {
+            FaultDomain::Links
+        }
         WorkerCrash
         | WorkerGone
         | WorkerFreeze
@@ -53,9 +55,9 @@
         | WorkerCut
         | WorkerLeaves
         | WorkerLeavesUnannounced
-        | WorkerChange => Area::Workers,
+        | WorkerChange => FaultDomain::Workers,
         Crowd | Huge | Doomed | Urgent | Wrong | Storm | Rivals | LargeConfig | HugeConfig
-        | Drain | Evacuate | Tries | Quota => Area::Load,
+        | Drain | Evacuate | Tries | Quota => FaultDomain::Load,
     }
 }
 
@@ -115,19 +117,21 @@
             SplitCore | SlowDisk | LoseTail | ReplaceCore | DiskFull | DiskStall => self.replicas(),
             SwapNode => self.nodes(),
             Tries | Quota | LoseZone | Drain | Evacuate => (0..ZONES).collect(),
-            _ if matches!(area(kind), Area::Workers) => (0..self.workers.len()).collect(),
+            _ if matches!(fault_domain(kind), FaultDomain::Workers) => {
+                (0..self.workers.len()).collect()
+            }
             _ => [self.replicas(), self.nodes()].concat(),
         }
     }
 
     /// Injects the fault with a number, and schedules its end.
-    pub(super) fn strike(&mut self, number: usize) {
+    pub(super) fn inject_fault(&mut self, number: usize) {
         let fault = self.faults[number].clone();
-        if self.is_calm && fault.at_ms < self.now {
+        if self.has_load_ended && fault.at_ms < self.now {
             return;
         }
         let target = self.target(&fault);
-        self.struck.insert(number, vec![target]);
+        self.active_faults.insert(number, vec![target]);
         self.log_line(&format!(
             "fault {:?} {target} for {} ms, {} {}",
             fault.kind, fault.duration_ms, fault.amount, fault.clock_jump_ms
@@ -135,21 +139,21 @@
         self.record(Event::FaultBegan {
             description: format!("{:?} {target} {number}", fault.kind),
         });
-        match area(fault.kind) {
-            Area::Machines => {
-                let struck = self.strike_machines(&fault, target);
-                self.struck.insert(number, struck);
+        match fault_domain(fault.kind) {
+            FaultDomain::Machines => {
+                let affected = self.inject_machine_fault(&fault, target);
+                self.active_faults.insert(number, affected);
             }
-            Area::Links => self.strike_links(fault.kind, target),
-            Area::Workers => self.strike_workers(&fault, target),
-            Area::Load => self.strike_load(&fault, target),
+            FaultDomain::Links => self.inject_link_fault(fault.kind, target),
+            FaultDomain::Workers => self.inject_worker_fault(&fault, target),
+            FaultDomain::Load => self.inject_load_fault(&fault, target),
         }
         self.observe_availability();
-        self.schedule_in(fault.duration_ms, Action::Heal(number));
+        self.schedule_in(fault.duration_ms, Action::HealFault(number));
     }
 
     /// Injects a fault of processes, disks or clocks; returns the affected processes.
-    fn strike_machines(&mut self, fault: &Fault, target: usize) -> Vec<usize> {
+    fn inject_machine_fault(&mut self, fault: &Fault, target: usize) -> Vec<usize> {
         use FaultKind::*;
         match fault.kind {
             Kill => self.kill(target),
@@ -177,13 +181,13 @@
         vec![target]
     }
 
-    fn strike_links(&mut self, kind: FaultKind, target: usize) {
+    fn inject_link_fault(&mut self, kind: FaultKind, target: usize) {
         use FaultKind::*;
         match kind {
-            Cut => self.cut_off(target, &self.all_processes()),
-            CutOneWay => self.cut_off_outgoing(target, &self.all_processes()),
-            SplitCore => self.cut_off(target, &self.replicas()),
-            CutCores => self.cut_replicas_from_nodes(),
+            Cut => self.partition(target, &self.all_processes()),
+            CutOneWay => self.block_outgoing(target, &self.all_processes()),
+            SplitCore => self.partition(target, &self.replicas()),
+            CutCores => self.partition_replicas_from_nodes(),
             SlowLink => self.processes[target].slowness = SLOW_LINK_FACTOR,
             FlakyLink => self.processes[target].is_flaky = true,
             LostAnswers => self.lost_answers_percent = LOST_ANSWERS_PERCENT,
@@ -191,14 +195,14 @@
         }
     }
 
-    fn strike_workers(&mut self, fault: &Fault, target: usize) {
+    fn inject_worker_fault(&mut self, fault: &Fault, target: usize) {
         use FaultKind::*;
         match fault.kind {
             WorkerCrash | WorkerGone => self.crash_worker(target),
             WorkerFreeze => self.freeze_worker(target),
             WorkerSlow => self.set_slowdown(target, SLOW_WORKER_FACTOR),
             WorkerFailing => self.fail_runs(target, fault.amount),
-            WorkerCut => self.cut_worker(target, true),
+            WorkerCut => self.set_worker_partitioned(target, true),
             WorkerLeaves => self.with_worker(target, |worker, now| worker.leave(now)),
             WorkerLeavesUnannounced => {
                 self.with_worker(target, |worker, now| worker.leave_unannounced(now));
@@ -214,7 +218,7 @@
     }
 
     /// Injects a fault by offering jobs or changing the configuration.
-    fn strike_load(&mut self, fault: &Fault, target: usize) {
+    fn inject_load_fault(&mut self, fault: &Fault, target: usize) {
         use FaultKind::*;
         match fault.kind {
             Crowd => self.offer_crowd(fault.amount, &self.shape.mix()),
@@ -222,8 +226,8 @@
             Doomed => self.offer_doomed_jobs(),
             Urgent => self.offer_urgent_jobs(fault.amount),
             Wrong => self.offer_invalid_jobs(),
-            Storm => self.change_often(),
-            Rivals => self.change_as_rivals(),
+            Storm => self.change_in_turn(),
+            Rivals => self.change_concurrently(),
             LargeConfig => self.apply_large_configuration(fault.amount),
             HugeConfig => self.apply_huge_configuration(),
             Drain => self.set_zone(target, "draining"),
@@ -235,37 +239,37 @@
     }
 
     /// Heals the fault with a number, if it is active.
-    pub(super) fn heal(&mut self, number: usize) {
-        let Some(struck) = self.struck.remove(&number) else {
+    pub(super) fn heal_fault(&mut self, number: usize) {
+        let Some(affected) = self.active_faults.remove(&number) else {
             return;
         };
         let fault = self.faults[number].clone();
-        let target = struck.first().copied().unwrap_or(0);
+        let target = affected.first().copied().unwrap_or(0);
         self.log_line(&format!("healed {:?} {target}", fault.kind));
         self.record(Event::FaultEnded {
             description: format!("{:?} {target} {number}", fault.kind),
         });
-        match area(fault.kind) {
-            Area::Machines => self.heal_machines(&fault, &struck, target),
-            Area::Links => self.heal_links(fault.kind, target),
-            Area::Workers => self.heal_workers(fault.kind, target),
-            Area::Load => self.heal_load(&fault, target),
+        match fault_domain(fault.kind) {
+            FaultDomain::Machines => self.heal_machine_fault(&fault, &affected, target),
+            FaultDomain::Links => self.heal_link_fault(fault.kind, target),
+            FaultDomain::Workers => self.heal_worker_fault(fault.kind, target),
+            FaultDomain::Load => self.heal_load_fault(&fault, target),
         }
         self.observe_availability();
     }
 
-    fn heal_machines(&mut self, fault: &Fault, struck: &[usize], target: usize) {
+    fn heal_machine_fault(&mut self, fault: &Fault, affected: &[usize], target: usize) {
         use FaultKind::*;
         match fault.kind {
             Kill | LoseTail | Restart => self.start(target),
             Upgrade => self.upgrade(target),
-            Freeze => self.thaw(target),
-            LoseZone => self.regain_zone(struck),
+            Freeze => self.resume(target),
+            LoseZone => self.restore_zone(affected),
             SlowDisk => self.set_disk_delays(target, fault, SOUND_DELAY_MS),
             DiskFull | DiskStall => self.set_disk_conditions(target, fault, Condition::Sound),
             Outage => self.end_outage(),
             ClockJump => {
-                for process in struck {
+                for process in affected {
                     self.processes[*process].wall_offset_ms = 0;
                 }
             }
@@ -273,7 +277,7 @@
         }
     }
 
-    fn heal_links(&mut self, kind: FaultKind, target: usize) {
+    fn heal_link_fault(&mut self, kind: FaultKind, target: usize) {
         use FaultKind::*;
         match kind {
             Cut | CutOneWay => self.reconnect(target, &self.all_processes()),
@@ -286,14 +290,14 @@
         }
     }
 
-    fn heal_workers(&mut self, kind: FaultKind, target: usize) {
+    fn heal_worker_fault(&mut self, kind: FaultKind, target: usize) {
         use FaultKind::*;
         match kind {
             WorkerCrash if self.workers[target].worker.is_none() => self.start_worker(target),
-            WorkerFreeze => self.thaw_worker(target),
+            WorkerFreeze => self.resume_worker(target),
             WorkerSlow => self.set_slowdown(target, 1.0),
             WorkerFailing => self.set_failing_share(target, 0.0),
-            WorkerCut => self.cut_worker(target, false),
+            WorkerCut => self.set_worker_partitioned(target, false),
             WorkerLeaves | WorkerLeavesUnannounced => {
                 self.crash_worker(target);
                 self.start_worker(target);
@@ -308,11 +312,13 @@
         }
     }
 
-    fn heal_load(&mut self, fault: &Fault, target: usize) {
+    fn heal_load_fault(&mut self, fault: &Fault, target: usize) {
         use FaultKind::*;
         match fault.kind {
-            Tries if fault.amount == 0 => self.set_queue(target, json!({"tries": USUAL_ATTEMPTS})),
-            Quota => self.set_queue(target, json!({"quota": USUAL_QUOTA})),
+            Tries if fault.amount == 0 => {
+                self.set_queue(target, json!({"tries": DEFAULT_MAX_ATTEMPTS}))
+            }
+            Quota => self.set_queue(target, json!({"quota": DEFAULT_QUOTA})),
             HugeConfig => self.remove_huge_configuration(),
             Drain | Evacuate => self.set_zone(target, "serving"),
             _ => {}
--- a/testkit/src/simulator/faults/links.rs
+++ b/testkit/src/simulator/faults/links.rs
@@ -4,14 +4,14 @@
 
 impl World {
     /// Partitions a process from others, in both directions.
-    pub(super) fn cut_off(&mut self, process: usize, others: &[usize]) {
+    pub(super) fn partition(&mut self, process: usize, others: &[usize]) {
         for other in others {
             self.block(process, *other);
         }
     }
 
     /// Blocks messages from a process to others; messages in the other direction arrive.
-    pub(super) fn cut_off_outgoing(&mut self, process: usize, others: &[usize]) {
+    pub(super) fn block_outgoing(&mut self, process: usize, others: &[usize]) {
         for other in others.iter().filter(|other| **other != process) {
             self.blocked.insert((process, *other));
         }
@@ -24,7 +24,7 @@
         }
     }
 
-    pub(super) fn cut_replicas_from_nodes(&mut self) {
+    pub(super) fn partition_replicas_from_nodes(&mut self) {
         for replica in self.replicas() {
             for node in self.nodes() {
                 self.block(replica, node);
--- a/testkit/src/simulator/faults/load.rs
+++ b/testkit/src/simulator/faults/load.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Map, Value};
 
 /// The number of jobs in a crowd, unless the fault gives an amount.
-const CROWD: u64 = 60;
+const CROWD_JOBS: u64 = 60;
 /// The number of jobs that can never succeed, in one fault.
 const DOOMED_JOBS: u64 = 40;
 /// The mean of the shortest durations of an urgent job's tasks, in milliseconds.
@@ -31,9 +31,9 @@
 const HUGE_NOTE_BYTES: usize = 3900;
 
 impl World {
-    /// Offers `amount` jobs at once, [`CROWD`] if 0.
+    /// Offers `amount` jobs at once, [`CROWD_JOBS`] if 0.
     pub(super) fn offer_crowd(&mut self, amount: u64, mix: &Mix) {
-        let count = if amount > 0 { amount } else { CROWD };
+        let count = if amount > 0 { amount } else { CROWD_JOBS };
         for index in 0..count {
             let id = format!("crowd-{}-{index}", self.now);
             let spec = self.random_job(mix, &id);
@@ -59,13 +59,13 @@
 
     pub(super) fn offer_huge_job(&mut self) {
         let id = format!("huge-{}", self.now);
-        let spec = self.random_job(&self.plain_mix(), &id);
+        let spec = self.random_job(&self.single_task_mix(), &id);
         self.offer(repeat_first_task(spec, HUGE_JOB_TASKS));
     }
 
     /// Offers invalid jobs: with a task that depends on itself, with an unknown queue, and with an oversized body.
     pub(super) fn offer_invalid_jobs(&mut self) {
-        let mix = self.plain_mix();
+        let mix = self.single_task_mix();
         for index in 0..INVALID_JOBS {
             let id = format!("wrong-{}-{index}", self.now);
             let mut spec = self.random_job(&mix, &id);
@@ -79,9 +79,9 @@
         }
     }
 
-    fn plain_mix(&self) -> Mix {
+    fn single_task_mix(&self) -> Mix {
         Mix {
-            is_plain: true,
+            has_single_task: true,
             ..self.shape.mix()
         }
     }
@@ -91,7 +91,7 @@
     }
 
     /// Has two operators change the configuration in turn.
-    pub(super) fn change_often(&mut self) {
+    pub(super) fn change_in_turn(&mut self) {
         for index in 0..STORM_CHANGES {
             let change = json!({"notes": {"storm": index.to_string()}});
             self.operators[index % 2].apply(true, change);
@@ -99,10 +99,10 @@
     }
 
     /// Has two operators submit changes based on the same version.
-    pub(super) fn change_as_rivals(&mut self) {
+    pub(super) fn change_concurrently(&mut self) {
         let base = self.operators[0].version.max(self.operators[1].version);
-        self.operators[0].race(base, json!({"notes": {"rival": "a"}}));
-        self.operators[1].race(base, json!({"notes": {"rival": "b"}}));
+        self.operators[0].patch_version(base, json!({"notes": {"rival": "a"}}));
+        self.operators[1].patch_version(base, json!({"notes": {"rival": "b"}}));
     }
 
     /// Applies a large configuration of `amount` notes, [`LARGE_NOTES`] if 0.
--- a/testkit/src/simulator/faults/machines.rs
+++ b/testkit/src/simulator/faults/machines.rs
@@ -9,7 +9,7 @@
 /// The size of a clock jump, unless the fault gives one, in milliseconds: an hour.
 const CLOCK_JUMP_MS: i64 = 3_600_000;
 /// The last part of the first address for replacements, above the addresses that a day starts with.
-const FIRST_NEW_ADDRESS: usize = 50;
+const FIRST_REPLACEMENT_ADDRESS: usize = 50;
 /// The most confirmed batches that a disk loses in one fault.
 const MAX_LOST_BATCHES: u64 = 4;
 
@@ -36,10 +36,10 @@
         self.observe_availability();
         self.kill(replaced);
         self.processes[replaced].is_gone = true;
-        let newcomer = self.processes.len();
+        let replacement = self.processes.len();
         let zone = self.processes[replaced].zone;
-        self.add_replica(zone, new_address(zone, newcomer));
-        self.note_loss(newcomer);
+        self.add_replica(zone, new_address(zone, replacement));
+        self.record_disk_loss(replacement);
     }
 
     /// Removes a node permanently, adds another in its zone, and updates the callers' lists of nodes, as the platform
@@ -47,13 +47,13 @@
     pub(super) fn replace_node(&mut self, replaced: usize) {
         self.kill(replaced);
         self.processes[replaced].is_gone = true;
-        let newcomer = self.processes.len();
+        let replacement = self.processes.len();
         let zone = self.processes[replaced].zone;
         let machine = Machine {
             share: self.processes[replaced].machine.share,
             link: self.processes[replaced].machine.link.clone(),
         };
-        self.add_node(zone, new_address(zone, newcomer), machine);
+        self.add_node(zone, new_address(zone, replacement), machine);
         let nodes = self.node_addresses();
         self.client.nodes = nodes.clone();
         for operator in &mut self.operators {
@@ -81,7 +81,7 @@
 
     /// Has a replica's disk lose the last batches that it had confirmed.
     pub(super) fn lose_confirmed(&mut self, replica: usize) {
-        self.note_loss(replica);
+        self.record_disk_loss(replica);
         let batches = 1 + self.rng.below(MAX_LOST_BATCHES) as usize;
         let process = &mut self.processes[replica];
         let lost = process
@@ -99,17 +99,17 @@
             0 => -CLOCK_JUMP_MS,
             jump_ms => jump_ms,
         };
-        let struck = self.struck_replicas(target, fault);
-        for (index, process) in struck.iter().enumerate() {
+        let affected = self.affected_replicas(target, fault);
+        for (index, process) in affected.iter().enumerate() {
             // An odd jump is reversed for every second process, so that their clocks diverge.
             let is_opposite = index % 2 == 1 && jump_ms % 2 != 0;
             self.processes[*process].wall_offset_ms = if is_opposite { -jump_ms } else { jump_ms };
         }
-        struck
+        affected
     }
 
     /// The target, and further replicas up to the fault's amount.
-    fn struck_replicas(&self, target: usize, fault: &Fault) -> Vec<usize> {
+    fn affected_replicas(&self, target: usize, fault: &Fault) -> Vec<usize> {
         let others = self.replicas().into_iter();
         let others = others.filter(|replica| *replica != target);
         let count = fault.amount.max(1) as usize;
@@ -117,7 +117,7 @@
     }
 
     pub(super) fn set_disk_delays(&mut self, target: usize, fault: &Fault, delay_ms: u64) {
-        for replica in self.struck_replicas(target, fault) {
+        for replica in self.affected_replicas(target, fault) {
             if let Some(disk) = self.processes[replica].disk_mut() {
                 disk.delay_ms = delay_ms;
             }
@@ -130,7 +130,7 @@
         fault: &Fault,
         condition: Condition,
     ) {
-        for replica in self.struck_replicas(target, fault) {
+        for replica in self.affected_replicas(target, fault) {
             if let Some(disk) = self.processes[replica].disk_mut() {
                 disk.condition = condition;
             }
@@ -153,7 +153,7 @@
     }
 
     /// Starts the processes of a lost zone, and all workers that are down.
-    pub(super) fn regain_zone(&mut self, lost: &[usize]) {
+    pub(super) fn restore_zone(&mut self, lost: &[usize]) {
         for process in lost {
             self.start(*process);
         }
@@ -165,7 +165,7 @@
     }
 
     /// Resumes a frozen process, which then handles the messages that arrived in the meantime.
-    pub(super) fn thaw(&mut self, number: usize) {
+    pub(super) fn resume(&mut self, number: usize) {
         let process = &mut self.processes[number];
         if !std::mem::replace(&mut process.is_frozen, false) {
             return;
@@ -182,5 +182,5 @@
 }
 
 fn new_address(zone: usize, process: usize) -> String {
-    format!("10.0.{zone}.{}:7000", FIRST_NEW_ADDRESS + process)
+    format!("10.0.{zone}.{}:7000", FIRST_REPLACEMENT_ADDRESS + process)
 }
--- a/testkit/src/simulator/faults/workers.rs
+++ b/testkit/src/simulator/faults/workers.rs
@@ -13,7 +13,7 @@
     }
 
     /// Resumes a frozen worker, which then handles the answers that arrived in the meantime.
-    pub(super) fn thaw_worker(&mut self, number: usize) {
+    pub(super) fn resume_worker(&mut self, number: usize) {
         self.workers[number].is_frozen = false;
         self.record_reachable(number, true);
         for waiting in std::mem::take(&mut self.workers[number].inbox) {
@@ -24,9 +24,9 @@
     }
 
     /// Partitions a worker from all processes, or reconnects it.
-    pub(super) fn cut_worker(&mut self, number: usize, is_cut: bool) {
-        self.workers[number].is_cut = is_cut;
-        self.record_reachable(number, !is_cut);
+    pub(super) fn set_worker_partitioned(&mut self, number: usize, is_partitioned: bool) {
+        self.workers[number].is_partitioned = is_partitioned;
+        self.record_reachable(number, !is_partitioned);
     }
 
     /// Kills a worker's process, if it runs.
--- a/testkit/src/simulator/world/callers.rs
+++ b/testkit/src/simulator/world/callers.rs
@@ -28,7 +28,7 @@
     pub zone: usize,
     pub is_frozen: bool,
     /// It is partitioned from all processes.
-    pub is_cut: bool,
+    pub is_partitioned: bool,
     /// Answers that arrived while it was frozen.
     pub inbox: Vec<WaitingAnswer>,
     /// Incremented at each start and end of the worker.
@@ -130,7 +130,7 @@
         for output in outputs {
             match output {
                 Output::Event(event) => self.record(event),
-                Output::Call { to, call, request } if !self.is_cut(caller) => {
+                Output::Call { to, call, request } if !self.is_partitioned(caller) => {
                     let latency_ms = 1 + self.rng.below(CALL_LATENCY_SPREAD_MS);
                     let arrival = Action::Call {
                         to,
@@ -145,8 +145,8 @@
         }
     }
 
-    fn is_cut(&self, caller: Caller) -> bool {
-        matches!(caller, Caller::Worker { worker, .. } if self.workers[worker].is_cut)
+    fn is_partitioned(&self, caller: Caller) -> bool {
+        matches!(caller, Caller::Worker { worker, .. } if self.workers[worker].is_partitioned)
     }
 
     /// Delivers an answer to its caller.
@@ -158,7 +158,7 @@
                 incarnation,
             } => {
                 let machine = &mut self.workers[worker];
-                if machine.incarnation != incarnation || machine.is_cut {
+                if machine.incarnation != incarnation || machine.is_partitioned {
                     return;
                 }
                 if machine.is_frozen {
@@ -184,7 +184,7 @@
         for queue in &mix.queues {
             for service in &mix.services {
                 let spec = self.recovery_job(&mix, queue, service);
-                let outputs = self.client.offer_surely(self.now, spec);
+                let outputs = self.client.offer_until_accepted(self.now, spec);
                 self.handle_outputs(Caller::Client, outputs);
             }
         }
@@ -194,7 +194,7 @@
         let mix = Mix {
             queues: vec![queue.into()],
             services: vec![service.into()],
-            is_plain: true,
+            has_single_task: true,
             tail: 0.0,
             repeatable_share: 1.0,
             ..mix.clone()
--- a/testkit/src/simulator/world/day.rs
+++ b/testkit/src/simulator/world/day.rs
@@ -23,42 +23,42 @@
         let end_ms = seconds * 1000;
         let max_actions = seconds * MAX_ACTIONS_PER_SECOND;
         while let Some(Reverse(next)) = self.queue.pop() {
-            if next.at_ms > end_ms || self.scheduled > max_actions {
+            if next.at_ms > end_ms || self.actions_scheduled > max_actions {
                 break;
             }
             self.now = next.at_ms;
             self.perform(next.action);
-            if !self.has_settled() {
+            if !self.is_quiescent() {
                 continue;
             }
             if self.is_closing {
                 break;
             }
-            self.begin_closing();
+            self.begin_closing_reads();
         }
-        let is_livelocked = self.scheduled > max_actions;
+        let is_livelocked = self.actions_scheduled > max_actions;
         self.into_report(is_livelocked)
     }
 
     /// Whether the load has ended and no job, change or fault is open, so that the day may end early.
-    fn has_settled(&self) -> bool {
+    fn is_quiescent(&self) -> bool {
         let earliest_ms = (self.scenario.seconds + MIN_SETTLE_SECONDS) * 1000;
-        self.is_calm
+        self.has_load_ended
             && self.now.is_multiple_of(END_CHECK_EVERY_MS)
             && self.now > earliest_ms
-            && self.client.waiting() == 0
+            && self.client.unfinished_jobs() == 0
             && self.operators.iter().all(Operator::is_idle)
-            && self.struck.is_empty()
+            && self.active_faults.is_empty()
     }
 
     /// Begins the closing reads of the configuration and of every accepted job, after the last fault if the scenario
     /// has one.
-    fn begin_closing(&mut self) {
+    fn begin_closing_reads(&mut self) {
         self.is_closing = true;
         if self.scenario.has_last_fault {
             let mut rng = Rng::new(self.seed ^ LAST_FAULT_SEED);
             self.faults.push(last_fault(&mut rng, self.now));
-            self.strike(self.faults.len() - 1);
+            self.inject_fault(self.faults.len() - 1);
         }
         self.client.poll_all(self.now);
         self.operators.iter_mut().for_each(Operator::read);
@@ -66,10 +66,10 @@
 
     /// Ends the load, heals all faults, and starts all processes and workers that are down.
     pub(super) fn end_load(&mut self) {
-        self.is_calm = true;
+        self.has_load_ended = true;
         self.client.is_offering = false;
         for fault in 0..self.faults.len() {
-            self.heal(fault);
+            self.heal_fault(fault);
         }
         self.blocked.clear();
         for process in 0..self.processes.len() {
--- a/testkit/src/simulator/world/link.rs
+++ b/testkit/src/simulator/world/link.rs
@@ -36,12 +36,12 @@
 
     /// Sends bytes at a time; returns when the last one has left, or none if the queue is full.
     pub fn send(&mut self, at_ms: u64, bytes: u64) -> Option<u64> {
-        self.outgoing.pass(at_ms, bytes, self.bytes_per_ms)
+        self.outgoing.transmit(at_ms, bytes, self.bytes_per_ms)
     }
 
     /// Receives bytes that arrive from a time on; returns when the last one is there, or none if the queue is full.
     pub fn receive(&mut self, at_ms: u64, bytes: u64) -> Option<u64> {
-        self.incoming.pass(at_ms, bytes, self.bytes_per_ms)
+        self.incoming.transmit(at_ms, bytes, self.bytes_per_ms)
     }
 
     /// Empties the queues, as when the connections of the process are closed.
@@ -52,7 +52,7 @@
 }
 
 impl Direction {
-    fn pass(&mut self, at_ms: u64, bytes: u64, bytes_per_ms: u64) -> Option<u64> {
+    fn transmit(&mut self, at_ms: u64, bytes: u64, bytes_per_ms: u64) -> Option<u64> {
         if bytes_per_ms == 0 {
             return Some(at_ms);
         }
--- a/testkit/src/simulator/world/links.rs
+++ b/testkit/src/simulator/world/links.rs
@@ -7,23 +7,23 @@
 /// The spread of message latencies above 1 ms, in milliseconds; multiplied by the slowness of the sender.
 const LATENCY_SPREAD_MS: u64 = 3;
 /// The latency that each unit of slowness above 1 adds, in milliseconds.
-const SLOW_LINK_MS: u64 = 20;
+const SLOW_LINK_LATENCY_MS: u64 = 20;
 /// The share of messages over a flaky link that are lost, in percent.
 const FLAKY_LOSS_PERCENT: u64 = 15;
 /// The share of messages over a flaky link that are delayed, in percent.
-const FLAKY_LATE_PERCENT: u64 = 40;
+const FLAKY_DELAY_PERCENT: u64 = 40;
 /// The additional delay of such a message is below this, in milliseconds.
-const FLAKY_LATE_MS: u64 = 400;
+const MAX_FLAKY_DELAY_MS: u64 = 400;
 /// The share of messages over a flaky link that arrive twice, in percent.
 const FLAKY_DUPLICATE_PERCENT: u64 = 10;
 /// The delay of the duplicate is below this, in milliseconds.
-const FLAKY_DUPLICATE_MS: u64 = 500;
+const MAX_DUPLICATE_DELAY_MS: u64 = 500;
 
 impl World {
     /// A random latency for a message from a process, in milliseconds.
     fn latency_ms(&mut self, process: usize) -> u64 {
         let slowness = self.processes[process].slowness;
-        1 + self.rng.below(LATENCY_SPREAD_MS) * slowness + (slowness - 1) * SLOW_LINK_MS
+        1 + self.rng.below(LATENCY_SPREAD_MS) * slowness + (slowness - 1) * SLOW_LINK_LATENCY_MS
     }
 
     /// Sends a message from a process to the one at an address; it is lost if that one is down or unreachable.
@@ -35,7 +35,7 @@
             return;
         }
         let receiver_slowness = self.processes[to].slowness;
-        let latency_ms = self.latency_ms(from) + (receiver_slowness - 1) * SLOW_LINK_MS;
+        let latency_ms = self.latency_ms(from) + (receiver_slowness - 1) * SLOW_LINK_LATENCY_MS;
         let is_flaky = self.processes[from].is_flaky || self.processes[to].is_flaky;
         let arrival = if is_flaky {
             self.flaky_arrival(latency_ms)
@@ -51,7 +51,7 @@
             &sender.address,
             body,
         );
-        let Some(mut at_ms) = self.pass_links(from, to, at_ms, frame.len() as u64) else {
+        let Some(mut at_ms) = self.transmit(from, to, at_ms, frame.len() as u64) else {
             return;
         };
         if !is_flaky {
@@ -61,7 +61,7 @@
             *last = at_ms;
         }
         if is_flaky && self.rng.below(100) < FLAKY_DUPLICATE_PERCENT {
-            let again_ms = at_ms + self.rng.below(FLAKY_DUPLICATE_MS);
+            let again_ms = at_ms + self.rng.below(MAX_DUPLICATE_DELAY_MS);
             self.schedule_delivery(again_ms, from, to, frame.clone());
         }
         self.schedule_delivery(at_ms, from, to, frame);
@@ -69,7 +69,7 @@
 
     /// The arrival time of a frame, given the bandwidths of sender and receiver; none if it is dropped. `at_ms` is the
     /// arrival time with unlimited bandwidth.
-    fn pass_links(&mut self, from: usize, to: usize, at_ms: u64, bytes: u64) -> Option<u64> {
+    fn transmit(&mut self, from: usize, to: usize, at_ms: u64, bytes: u64) -> Option<u64> {
         let latency_ms = at_ms.saturating_sub(self.now);
         let sent_ms = self.processes[from].machine.link.send(self.now, bytes)?;
         let arrival_ms = sent_ms + latency_ms;
@@ -81,8 +81,8 @@
         if self.rng.below(100) < FLAKY_LOSS_PERCENT {
             return None;
         }
-        let late_ms = if self.rng.below(100) < FLAKY_LATE_PERCENT {
-            self.rng.below(FLAKY_LATE_MS)
+        let late_ms = if self.rng.below(100) < FLAKY_DELAY_PERCENT {
+            self.rng.below(MAX_FLAKY_DELAY_MS)
         } else {
             0
         };
@@ -140,7 +140,7 @@
         if lost_percent > 0 && self.rng.below(100) < lost_percent {
             return;
         }
-        let Some(sent_ms) = self.pass_answer(from, &response) else {
+        let Some(sent_ms) = self.transmit_answer(from, &response) else {
             return;
         };
         let latency_ms = sent_ms.saturating_sub(self.now) + self.latency_ms(from);
@@ -153,7 +153,7 @@
     }
 
     /// When an answer has left a process's machine through the limited bandwidth of its link; none if it is dropped.
-    fn pass_answer(&mut self, from: usize, response: &Response) -> Option<u64> {
+    fn transmit_answer(&mut self, from: usize, response: &Response) -> Option<u64> {
         let now = self.now;
         let link = &mut self.processes[from].machine.link;
         if !link.is_limited() {
--- a/testkit/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -62,14 +62,14 @@
     /// Milliseconds since the beginning of the day.
     pub(in crate::simulator) now: u64,
     /// The number of actions scheduled so far.
-    scheduled: u64,
+    actions_scheduled: u64,
     queue: BinaryHeap<Reverse<ScheduledAction>>,
     pub(in crate::simulator) rng: Rng,
     pub(in crate::simulator) shape: Shape,
     scenario: Scenario,
     pub(in crate::simulator) faults: Vec<Fault>,
     /// The active faults by number, each with the processes, workers or zones that it affects.
-    pub(in crate::simulator) struck: BTreeMap<usize, Vec<usize>>,
+    pub(in crate::simulator) active_faults: BTreeMap<usize, Vec<usize>>,
     pub(in crate::simulator) processes: Vec<Process>,
     /// The numbers of the processes, by address.
     pub(in crate::simulator) by_address: BTreeMap<String, usize>,
@@ -84,7 +84,7 @@
     last_call: u64,
     pub(in crate::simulator) settings: Settings,
     /// The load has ended: no more jobs are offered and no more scheduled faults begin.
-    pub(in crate::simulator) is_calm: bool,
+    pub(in crate::simulator) has_load_ended: bool,
     pub(in crate::simulator) seed: u64,
     planned_jobs: VecDeque<PlannedJob>,
     /// The number of messages sent between processes.
--- a/testkit/src/simulator/world/observe.rs
+++ b/testkit/src/simulator/world/observe.rs
@@ -25,7 +25,7 @@
         }
         if self.now.is_multiple_of(READY_EVERY_MS) {
             let processes = 0..self.processes.len();
-            let ready = processes.filter(|number| self.takes_clients(*number));
+            let ready = processes.filter(|number| self.is_open_to_clients(*number));
             let ready = ready.map(|number| self.processes[number].address.clone());
             self.client.ready_nodes = ready.collect();
         }
@@ -56,7 +56,7 @@
     fn largest_group(&self, newest: Option<&ClusterState>) -> Vec<usize> {
         let processes = 0..self.processes.len();
         let replicas: Vec<usize> = processes
-            .filter(|number| can_work(&self.processes[*number], newest))
+            .filter(|number| is_available(&self.processes[*number], newest))
             .collect();
         let group_of = |replica: &usize| -> Vec<usize> {
             let others = replicas.iter().copied();
@@ -76,7 +76,7 @@
     }
 
     /// Whether the platform routes clients to a process: a ready node, or any running node if the scenario says so.
-    fn takes_clients(&self, number: usize) -> bool {
+    fn is_open_to_clients(&self, number: usize) -> bool {
         let process = &self.processes[number];
         if self.scenario.clients_call_any_node {
             process.is_node() && process.is_awake()
@@ -115,7 +115,7 @@
 
 /// Whether a process is an awake voter that has applied again what its disk lost. Before the cluster has members, every
 /// replica counts as a voter.
-fn can_work(process: &Process, newest: Option<&ClusterState>) -> bool {
+fn is_available(process: &Process, newest: Option<&ClusterState>) -> bool {
     let Some(replica) = process.replica() else {
         return false;
     };
@@ -124,7 +124,7 @@
         let member = members.get(&process.address);
         members.is_empty() || member.is_some_and(|member| member.voter)
     });
-    let is_whole = replica.state().applied_index >= process.has_lost_up_to;
+    let is_whole = replica.state().applied_index >= process.recovery_index;
     process.is_awake() && is_voter && is_whole
 }
 
--- a/testkit/src/simulator/world/process.rs
+++ b/testkit/src/simulator/world/process.rs
@@ -63,7 +63,7 @@
     /// The wire version that its build speaks.
     pub wire_version: u16,
     /// After a loss of data, the log index that the replica has to reach again before it counts as available.
-    pub has_lost_up_to: u64,
+    pub recovery_index: u64,
     /// The sums of its ended incarnations' counters, by role and name.
     pub counters: BTreeMap<String, u64>,
 }
@@ -91,7 +91,7 @@
             config_version: 0,
             is_flaky: false,
             wire_version: WIRE_VERSION,
-            has_lost_up_to: 0,
+            recovery_index: 0,
             counters: BTreeMap::new(),
         }
     }
@@ -151,7 +151,7 @@
     }
 
     /// Adds the counters of the running part to the sums of earlier incarnations.
-    pub fn keep_counters(&mut self) {
+    pub fn accumulate_counters(&mut self) {
         let (role, counters) = match &self.part {
             Part::Replica { replica, .. } => {
                 ("core", replica.as_ref().map(|replica| replica.counters()))
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -118,7 +118,7 @@
         }
         let persisted = self.rng.below(PERSISTED_WRITES) as usize;
         let process = &mut self.processes[number];
-        process.keep_counters();
+        process.accumulate_counters();
         process.begin_incarnation();
         match &mut process.part {
             Part::Replica { replica, disk } => {
@@ -136,8 +136,8 @@
 
     /// Records that a replica's disk has lost data: it is not available until it has again applied all that was
     /// committed.
-    pub(in crate::simulator) fn note_loss(&mut self, process: usize) {
-        self.processes[process].has_lost_up_to = self.committed;
+    pub(in crate::simulator) fn record_disk_loss(&mut self, process: usize) {
+        self.processes[process].recovery_index = self.committed;
     }
 
     /// The leader with the highest term that is not frozen.
--- a/testkit/src/simulator/world/report.rs
+++ b/testkit/src/simulator/world/report.rs
@@ -36,7 +36,7 @@
     pub(super) fn into_report(mut self, is_livelocked: bool) -> Report {
         let mut counters: BTreeMap<String, u64> = BTreeMap::new();
         for process in &mut self.processes {
-            process.keep_counters();
+            process.accumulate_counters();
             for (name, value) in &process.counters {
                 *counters.entry(name.clone()).or_default() += value;
             }
--- a/testkit/src/simulator/world/schedule.rs
+++ b/testkit/src/simulator/world/schedule.rs
@@ -50,9 +50,9 @@
     /// The client and the operators tick.
     TickCallers,
     /// The fault with this number begins.
-    Strike(usize),
+    InjectFault(usize),
     /// The fault with this number ends.
-    Heal(usize),
+    HealFault(usize),
     /// The load ends.
     EndLoad,
     /// The versions and readiness of the nodes are recorded.
@@ -92,10 +92,10 @@
 impl World {
     /// Schedules an action at a time in milliseconds.
     pub(in crate::simulator) fn schedule(&mut self, at_ms: u64, action: Action) {
-        self.scheduled += 1;
+        self.actions_scheduled += 1;
         self.queue.push(Reverse(ScheduledAction {
             at_ms,
-            sequence: self.scheduled,
+            sequence: self.actions_scheduled,
             action,
         }));
     }
@@ -142,8 +142,8 @@
                 incarnation,
             } => self.tick_worker(worker, incarnation),
             Action::TickCallers => self.tick_callers(),
-            Action::Strike(fault) => self.strike(fault),
-            Action::Heal(fault) => self.heal(fault),
+            Action::InjectFault(fault) => self.inject_fault(fault),
+            Action::HealFault(fault) => self.heal_fault(fault),
             Action::EndLoad => self.end_load(),
             Action::Probe => {
                 self.probe();
--- a/testkit/src/simulator/world/setup.rs
+++ b/testkit/src/simulator/world/setup.rs
@@ -37,7 +37,7 @@
         };
         let mut world = Self {
             now: 0,
-            scheduled: 0,
+            actions_scheduled: 0,
             queue: BinaryHeap::new(),
             client: Client::new("j", Vec::new(), scenario.mix(), rng.number(), EPOCH),
             operators: Vec::new(),
@@ -45,7 +45,7 @@
             shape: scenario.shape,
             scenario: scenario.clone(),
             faults: planned_faults(scenario, seed),
-            struck: BTreeMap::new(),
+            active_faults: BTreeMap::new(),
             processes: Vec::new(),
             by_address: BTreeMap::new(),
             workers: Vec::new(),
@@ -55,7 +55,7 @@
             open_calls: BTreeMap::new(),
             last_call: 0,
             settings,
-            is_calm: false,
+            has_load_ended: false,
             seed,
             planned_jobs: VecDeque::new(),
             messages: 0,
@@ -112,7 +112,7 @@
                 info,
                 zone,
                 is_frozen: false,
-                is_cut: false,
+                is_partitioned: false,
                 inbox: Vec::new(),
                 incarnation: 0,
                 proxy: None,
@@ -141,7 +141,7 @@
     /// Schedules the faults, the first ticks and probes, and the end of the load.
     fn schedule_first_actions(&mut self, scenario: &Scenario) {
         for fault in 0..self.faults.len() {
-            self.schedule(self.faults[fault].at_ms, Action::Strike(fault));
+            self.schedule(self.faults[fault].at_ms, Action::InjectFault(fault));
         }
         self.schedule(1, Action::TickCallers);
         self.schedule(PROBE_EVERY_MS, Action::Probe);
@@ -151,7 +151,12 @@
 
     /// Turns this into a day that measures a policy: only the planned jobs are offered, and scheduling and
     /// speculation use the given parameters.
-    pub fn measure(&mut self, jobs: Vec<PlannedJob>, hopper: Hopper, speculation_percent: u32) {
+    pub fn prepare_measurement(
+        &mut self,
+        jobs: Vec<PlannedJob>,
+        hopper: Hopper,
+        speculation_percent: u32,
+    ) {
         let mut config = self.shape.config();
         let queues = config["queues"].as_object_mut().into_iter().flatten();
         for (_, queue) in queues {
--- a/testkit/tests/simulator.rs
+++ b/testkit/tests/simulator.rs
@@ -13,7 +13,7 @@
 fn the_same_seed_gives_the_same_history_byte_for_byte() {
     let (first, _) = simulate(&storm(), 11);
     let (second, _) = simulate(&storm(), 11);
-    assert_eq!(first.history.text(), second.history.text());
+    assert_eq!(first.history.json_lines(), second.history.json_lines());
     assert_eq!(first.counters, second.counters);
     let (other, _) = simulate(&storm(), 12);
     assert_ne!(first.history.digest(), other.history.digest());
