--- a/landingdrift/src/consensus/replication.rs
+++ b/landingdrift/src/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Replication by the leader: appending to the log, sending entries, and committing what a majority holds.
+//! The leader's side of replication: appending to the log, sending entries, and committing those that a majority has.
 
 use super::clock::ClockReading;
 use super::position::LogPosition;
@@ -8,13 +8,13 @@
 use crate::state::Command;
 use crate::wire::{AppendRequest, AppendResponse, Body, DurabilityWitness, Entry};
 
-/// Entries in one message to a replica.
+/// The maximum number of entries in one message to a replica.
 const MAX_BATCH_ENTRIES: usize = 512;
-/// A batch without an answer counts as lost after so many heartbeats.
+/// A batch without a response counts as lost after this many heartbeat intervals.
 const RESEND_AFTER_HEARTBEATS: u64 = 4;
 
 impl Replica {
-    /// Appends a command of the leader's own to the log; returns its index.
+    /// Appends a command of the leader itself to the log; returns its index.
     pub(super) fn append_command(&mut self, now: Now, command: &Command) -> u64 {
         let changes_membership = matches!(
             command,
@@ -44,14 +44,14 @@
         index
     }
 
-    /// The time of the last entry, applied or not, by the cluster clock.
+    /// The cluster time of the last entry, applied or not.
     pub(super) fn last_entry_time(&self) -> u64 {
         let in_log = self.log.last_entry_time().unwrap_or(0);
         in_log.max(self.state.at)
     }
 
-    /// Sends new entries to all other replicas. With `heartbeat`, replicas for which there is nothing new, or whose
-    /// batch is in flight, hear from the leader as well.
+    /// Sends new entries to all other replicas. With `heartbeat`, replicas that lack no entries or have a batch in
+    /// flight are sent a message as well.
     pub(super) fn send_round(&mut self, now: Now, heartbeat: bool) {
         self.leadership.rounds.begin(now);
         if heartbeat {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sends a replica the entries that it lacks. One batch is in flight at a time; heartbeats go out beside it.
+    /// Sends a replica the entries that it lacks. Only one batch is in flight at a time; heartbeats are sent meanwhile.
     pub(super) fn replicate(&mut self, now: Now, to: &str, heartbeat: bool) {
         let resend_after = RESEND_AFTER_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let Some(progress) = self.leadership.progress.get_mut(to) else {
@@ -84,7 +84,7 @@
         };
         let previous_term = self.log.term_at(previous_index);
         if previous_term.is_none() && !is_paused {
-            // The log does not reach back that far: a snapshot goes first, beside the heartbeats.
+            // The log does not reach back that far: a snapshot must be installed first. Heartbeats are sent meanwhile.
             self.send_snapshot(now, to);
             if !heartbeat {
                 return;
@@ -133,7 +133,8 @@
         self.send(to, Body::AppendRequest(Box::new(request)));
     }
 
-    /// What is known of all disks. The leader's own counts towards the majority, so the others remember it as well.
+    /// The witnesses for all disks, including the leader's own: it counts towards the majority, so the others must
+    /// record its position as well.
     fn witnesses_with_own(&self) -> Vec<DurabilityWitness> {
         let index = self.persistence.durable_index;
         let own = DurabilityWitness {
@@ -145,7 +146,7 @@
         self.witnesses.values().cloned().chain([own]).collect()
     }
 
-    /// A replica has answered a request to append.
+    /// Handles a replica's response to an append request.
     pub(super) fn on_append_response(&mut self, now: Now, from: &str, response: &AppendResponse) {
         if response.term > self.hard_state.term {
             self.become_follower(now, response.term, "");
@@ -168,7 +169,7 @@
         if !record_response(progress, now, response, round_sent_at) {
             return;
         }
-        // An answer to an older round says nothing about the batch in flight.
+        // A response to an older round says nothing about the batch in flight.
         let is_current = response.round >= progress.in_flight_round;
         if is_current {
             progress.in_flight_round = 0;
@@ -176,7 +177,7 @@
         if response.ok {
             self.on_entries_matched(now, from, response, is_current);
         } else if is_current {
-            // Back to where the logs may agree. A log shorter than acknowledged before means that its disk lost some.
+            // Goes back to where the logs may match. A log shorter than acknowledged means that the disk lost entries.
             progress.match_index = progress.match_index.min(response.last_index);
             progress.next_index = (response.last_index + 1).min(response.matched).max(1);
             self.replicate(now, from, true);
@@ -184,7 +185,7 @@
         self.answer_reads(now);
     }
 
-    /// The replica's log agrees with this one's up to `response.matched`.
+    /// Records that the replica's log matches this one's up to `response.matched`.
     fn on_entries_matched(
         &mut self,
         now: Now,
@@ -213,7 +214,8 @@
         }
     }
 
-    /// Commits what a majority has on disk. Entries of earlier terms are committed by one of the current term only.
+    /// Commits the entries that a majority has on disk. Entries of earlier terms are committed only together with one
+    /// of the current term.
     pub(super) fn advance_commit(&mut self, now: Now) {
         let match_indexes = self.voter_values(self.persistence.durable_index, |p| p.match_index);
         let index = Self::reached_by_majority(match_indexes);
@@ -223,7 +225,8 @@
         }
         self.log.commit_index = index;
         self.apply_committed();
-        // The others hear at once what was acknowledged, so that they remember it should this disk lose it.
+        // The others are notified at once, so that they have recorded what this disk acknowledged should it lose
+        // entries.
         self.leadership.round_requested = true;
         self.leadership.heartbeat_requested = true;
         self.push_to_watchers(now);
@@ -231,7 +234,7 @@
     }
 }
 
-/// Takes note of what any answer tells of a replica. Returns false for a late answer of a disk that is gone.
+/// Updates a replica's progress from any response. Returns false for a late response from a disk that was replaced.
 fn record_response(
     progress: &mut Progress,
     now: Now,
@@ -250,7 +253,7 @@
     progress.acked_round_sent_at = progress.acked_round_sent_at.max(round_sent_at);
     let refused_before = std::mem::replace(&mut progress.disk_refuses_writes, response.refuses);
     if response.refuses || refused_before {
-        // From the last entry that is known to be durable again, once its disk takes writes.
+        // Sending resumes after the last entry known to be durable, once the disk accepts writes.
         progress.rewind();
     }
     true
--- a/landingdrift/src/consensus/shutdown.rs
+++ b/landingdrift/src/consensus/shutdown.rs
@@ -1,4 +1,5 @@
-//! Orderly shutdown of a replica: it transfers the lead, lets a standby vote in its place, and answers meanwhile.
+//! Orderly shutdown of a replica: it transfers leadership and waits until a standby votes in its place, still answering
+//! requests meanwhile.
 
 use super::{Replica, Role};
 use crate::sans_io::Now;
@@ -6,23 +7,23 @@
 /// The state of an orderly shutdown. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Shutdown {
-    /// When the replica ends in any case; none before it is asked to stop.
+    /// When the replica exits in any case; none before a shutdown is requested.
     deadline: Option<u64>,
-    /// The leader lets it end.
+    /// The leader permits the replica to exit.
     pub leave_permitted: bool,
-    /// When the lead was last offered to another.
+    /// The time at which leadership was last offered to another replica.
     pub transfer_offered_at: u64,
 }
 
 impl Shutdown {
-    /// Whether the replica was asked to stop.
+    /// Whether a shutdown was requested.
     pub fn is_requested(&self) -> bool {
         self.deadline.is_some()
     }
 }
 
 impl Replica {
-    /// The process is asked to stop.
+    /// Handles the request to shut down.
     pub(super) fn on_stop(&mut self, now: Now) {
         if self.shutdown.is_requested() {
             return;
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Ends once a standby votes in this replica's place, or the leader says that none can, or the time is over. Until
-    /// then a leader offers the lead to others.
+    /// Exits once a standby votes in this replica's place, once the leader reports that none can, or at the deadline.
+    /// Until then a leader offers leadership to others.
     pub(super) fn shutdown_tick(&mut self, now: Now) {
         let Some(deadline) = self.shutdown.deadline else {
             return;
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -1,8 +1,8 @@
-//! Snapshots: taking them, and transferring one to a replica that is behind the leader's log, a chunk at a time.
+//! Snapshots: creating them, and transferring them in chunks to replicas that the leader's log no longer reaches.
 //!
-//! The next chunk goes out when the last one is acknowledged; a chunk without an answer is repeated after a silence.
-//! The receiver answers with how much it has, so that either side may start anew and go on from there. It installs the
-//! snapshot only once it is whole and its checksum is right.
+//! The next chunk is sent when the last one is acknowledged; an unacknowledged chunk is repeated after a timeout. The
+//! receiver answers with the number of bytes it has, so that the transfer resumes from there after either side
+//! restarts. It installs the snapshot only once it is complete and its checksum matches.
 
 use super::append::PendingAcknowledgement;
 use super::position::LogPosition;
@@ -13,22 +13,22 @@
 use crate::wire::{Body, InstallSnapshot, InstallSnapshotResponse};
 use std::sync::Arc;
 
-/// A chunk without an answer is repeated after so many heartbeats.
+/// An unacknowledged chunk is repeated after this many heartbeat intervals.
 pub(super) const REPEAT_AFTER_HEARTBEATS: u64 = 5;
-/// The log is kept for receivers of a snapshot over at most so many times the entries between two snapshots.
+/// For receivers of a snapshot, the log is kept over at most this many times the entries between two snapshots.
 const RETAINED_SNAPSHOT_INTERVALS: u64 = 4;
-/// A snapshot is due when the entries since the last one fill this share of the log's limit in bytes.
+/// A snapshot is due when the entries since the last one reach the log's byte limit divided by this.
 const DUE_LOG_BYTES_DIVISOR: u64 = 2;
-/// The share of the entries between two snapshots that the log keeps for replicas that are a little behind.
+/// For replicas that are slightly behind, the log keeps the entries between two snapshots divided by this.
 const KEPT_TAIL_DIVISOR: u64 = 2;
 
-/// A snapshot that is being sent to another replica.
+/// A snapshot being sent to another replica.
 #[derive(Clone, Debug)]
 pub(super) struct OutgoingSnapshot {
     snapshot: Arc<ChunkedSnapshot>,
-    /// The bytes that the receiver has acknowledged.
+    /// The number of bytes that the receiver has acknowledged.
     acked_bytes: u64,
-    /// When the chunk after those was sent, in monotonic milliseconds.
+    /// The time at which the chunk after those was sent, in monotonic milliseconds.
     sent_at: u64,
 }
 
@@ -46,18 +46,18 @@
     }
 }
 
-/// The newest snapshot of this replica, and the one that it receives.
+/// The newest snapshot of this replica, and the one that it is receiving.
 #[derive(Clone, Debug)]
 pub(super) struct Snapshots {
     pub latest: Arc<ChunkedSnapshot>,
-    /// The last entry that a snapshot covers, and the bytes of the entries applied since.
+    /// The last entry covered by the newest snapshot, and the bytes of the entries applied since.
     pub latest_index: u64,
     pub bytes_since_latest: u64,
     incoming: SnapshotAssembly,
 }
 
 impl Snapshots {
-    /// The snapshot that was loaded from disk, if there is one.
+    /// Starts with the snapshot loaded from disk, if there is one.
     pub fn new(loaded: Option<Snapshot>) -> Self {
         let latest_index = loaded.as_ref().map_or(0, |snapshot| snapshot.index);
         let latest = loaded.map_or_else(ChunkedSnapshot::default, ChunkedSnapshot::from);
@@ -71,7 +71,7 @@
 }
 
 impl Replica {
-    /// Starts to send a snapshot, or repeats a chunk that got no answer.
+    /// Starts sending a snapshot, or repeats an unacknowledged chunk.
     pub(super) fn send_snapshot(&mut self, now: Now, to: &str) {
         let latest = self.snapshots.latest.clone();
         let log_base = self.log.base().index;
@@ -82,11 +82,11 @@
         if progress.disk_refuses_writes {
             return;
         }
-        let is_silent = now.mono.saturating_sub(progress.last_heard_at) > repeat_after;
+        let is_timed_out = now.mono.saturating_sub(progress.last_heard_at) > repeat_after;
         let counter = match &progress.snapshot {
             Some(outgoing) if now.mono < outgoing.sent_at + repeat_after => return,
-            // The log still follows on this snapshot.
-            Some(outgoing) if outgoing.id().index >= log_base && !is_silent => {
+            // The log still reaches back to this snapshot.
+            Some(outgoing) if outgoing.id().index >= log_base && !is_timed_out => {
                 "snapshot_chunks_repeated"
             }
             _ => {
@@ -121,7 +121,7 @@
         self.send(to, Body::InstallSnapshot(Box::new(chunk)));
     }
 
-    /// A replica has answered a chunk.
+    /// Handles a replica's response to a chunk.
     pub(super) fn on_install_snapshot_response(
         &mut self,
         now: Now,
@@ -150,7 +150,7 @@
             return;
         }
         if response.refused {
-            // It starts over after a silence, so that a lasting error does not fill the link.
+            // The transfer starts over after the timeout, so that a persistent error does not saturate the link.
             outgoing.acked_bytes = 0;
         } else if response.received >= id.total {
             progress.snapshot = None;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// A leader sends a chunk of a snapshot.
+    /// Handles a chunk of a snapshot from the leader.
     pub(super) fn on_install_snapshot(&mut self, now: Now, from: &str, chunk: InstallSnapshot) {
         let id = snapshot_id(&chunk);
         if chunk.term < self.hard_state.term {
@@ -187,7 +187,7 @@
                     return self.answer_chunk(from, id, received, false);
                 }
                 ChunkOutcome::Corrupt => {
-                    return self.refuse_snapshot(from, id, "its checksum is wrong");
+                    return self.refuse_snapshot(from, id, "checksum mismatch");
                 }
                 ChunkOutcome::Complete(bytes) => {
                     if let Err(reason) = self.install_snapshot(id, bytes) {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Whether the log already holds all that a snapshot does. What was acknowledged after it must not be thrown away.
+    /// Whether the log already contains everything in a snapshot. Entries acknowledged after it must not be discarded.
     fn is_covered(&mut self, id: SnapshotId) -> bool {
         if id.index <= self.log.commit_index {
             return true;
@@ -221,7 +221,7 @@
         is_in_log
     }
 
-    /// Replaces the state and the log by a snapshot.
+    /// Replaces the state and the log by a received snapshot.
     fn install_snapshot(&mut self, id: SnapshotId, bytes: Vec<u8>) -> Result<(), String> {
         self.state = ClusterState::unpack(&bytes)?;
         self.log.reset(LogPosition::new(id.term, id.index));
@@ -238,7 +238,7 @@
     fn refuse_snapshot(&mut self, from: &str, id: SnapshotId, reason: &str) {
         self.count("snapshots_refused", 1);
         self.outbox.log(format!(
-            "a snapshot at index {} refused: {reason}",
+            "rejected the snapshot at index {}: {reason}",
             id.index
         ));
         self.answer_chunk(from, id, 0, true);
@@ -256,7 +256,7 @@
         self.send(to, Body::InstallSnapshotResponse(Box::new(response)));
     }
 
-    /// Takes a snapshot of the state once enough was applied since the last one, and compacts the log.
+    /// Takes a snapshot of the state once enough entries were applied since the last one, and compacts the log.
     pub(super) fn take_snapshot_when_due(&mut self) {
         let limits = &self.settings.limits;
         let applied = self.state.applied_index;
@@ -281,8 +281,8 @@
         self.flush();
     }
 
-    /// Drops entries that the latest snapshot covers, but for a tail for replicas that are a little behind and the
-    /// entries after snapshots that are being sent; both within the limit in bytes.
+    /// Drops entries covered by the latest snapshot, except for a tail for replicas that are slightly behind and the
+    /// entries after snapshots that are being sent; both within the log's byte limit.
     fn compact_log(&mut self) {
         let interval = self.settings.limits.snapshot_every;
         let latest_index = self.snapshots.latest_index;
@@ -303,7 +303,7 @@
         self.log.compact_to(drop_to);
     }
 
-    /// How many of the newest entries fit into the limit on the log's bytes.
+    /// The number of newest entries that fit into the log's byte limit.
     fn newest_entries_within_limit(&self) -> u64 {
         let mut bytes = 0;
         let mut entries = 0;
@@ -318,7 +318,7 @@
     }
 }
 
-/// Which snapshot a chunk belongs to. An older build sends a snapshot whole, without its length and checksum.
+/// The snapshot that a chunk belongs to. Older builds send a snapshot as a whole, without its length and checksum.
 fn snapshot_id(chunk: &InstallSnapshot) -> SnapshotId {
     let is_whole = chunk.total == 0;
     let (total, checksum) = if is_whole {
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -1,10 +1,10 @@
-//! What a replica says of itself: over HTTP, and in counters.
+//! Status and metrics of a replica: its HTTP routes and counters.
 
 use super::{Replica, Role};
 use crate::sans_io::{Now, Part, Request, Response};
 use serde_json::json;
 
-/// A replica that has heard no leader for so many election time-outs is not ready.
+/// A replica that no leader has contacted for this many election timeouts is not ready.
 const READY_ELECTION_TIMEOUTS: u64 = 2;
 
 impl Replica {
@@ -18,7 +18,7 @@
             _ => Response::error(
                 404,
                 "noSuchRoute",
-                "a core serves /live, /ready, /metrics and /v1/status: send all else to a node",
+                "a core serves only /live, /ready, /metrics and /v1/status: send other requests to a node",
             ),
         };
         self.outbox.respond(call, response);
@@ -31,13 +31,13 @@
     }
 
     fn is_ready(&self, now: Now) -> bool {
-        let silence = now.mono.saturating_sub(self.election.last_leader_contact);
-        let hears_leader =
-            silence < READY_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
+        let since_contact = now.mono.saturating_sub(self.election.last_leader_contact);
+        let has_leader_contact =
+            since_contact < READY_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
         self.disk_health.takes_writes()
             && !self.is_recovering()
             && !self.shutdown.is_requested()
-            && (self.role == Role::Leader || hears_leader)
+            && (self.role == Role::Leader || has_leader_contact)
     }
 
     fn status_response(&mut self, now: Now) -> Response {
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -1,7 +1,9 @@
-//! The watch: nodes follow the committed log from an index on, and start from a snapshot.
+//! The watch: nodes follow the committed log, starting from a snapshot.
 //!
-//! A node asks at intervals and says how far it has come; the leader answers with what follows. Nodes that hold leases
-//! are sent new entries as soon as they are committed, without asking.
+//! A node polls with the index that it has applied, and the leader answers with the entries that follow. To nodes that
+//! hold leases, new entries are pushed as soon as they are committed.
+//!
+//! Nodes with a small CPU share follow a *light copy* of the state, without jobs and workers.
 
 use super::clock::ClockReading;
 use super::watch_flow::{LinkRate, Unacknowledged};
@@ -13,15 +15,15 @@
 use crate::wire::{Body, Entry, WatchBatch, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node that lacks more entries than this starts over from a snapshot, which is smaller than all that made it.
+/// A node that lacks more entries than this starts over from a snapshot, which is smaller than the entries behind it.
 const MAX_ENTRIES_BEHIND: u64 = 1024;
-/// Entries in one message to a node.
+/// The maximum number of entries in one message to a node.
 const MAX_BATCH_ENTRIES: u64 = 512;
-/// Bytes of entries in one message to a node with a light copy; a single entry may be larger.
+/// The maximum bytes of entries in one message to a node with a light copy; a single entry may be larger.
 const MAX_LIGHT_BATCH_BYTES: u64 = 64 << 10;
-/// Snapshots that no node has fetched for so many time-outs of a node are dropped.
+/// Snapshots that no node has fetched for this many node timeouts are dropped.
 const UNUSED_SNAPSHOT_NODE_TIMEOUTS: u64 = 2;
-/// For so many time-outs of a node a new leader assumes that nodes with enough of a processor will yet be heard.
+/// For this many node timeouts, a new leader assumes that nodes with a large enough CPU share will still contact it.
 const NODES_EXPECTED_NODE_TIMEOUTS: u64 = 2;
 
 /// A leader's view of a node that follows the log. Times are monotonic milliseconds.
@@ -31,34 +33,34 @@
     pub applied_index: u64,
     /// The last entry that was sent to it.
     pub sent_index: u64,
-    /// The entries that were sent to it and not acknowledged yet.
+    /// The entries sent to it and not acknowledged yet.
     unacknowledged: Unacknowledged,
     pub rate: LinkRate,
     pub last_heard_at: u64,
-    /// The node's last request.
+    /// The origin of the node's last request.
     pub last_request: RequestOrigin,
     pub zone: String,
     pub http: String,
     pub leaving: bool,
-    /// The node that should get its leases when it leaves; empty for any.
+    /// The node that should take over its leases when it leaves; empty for any.
     pub successor: String,
-    /// Its share of a processor, in thousandths of a core.
+    /// Its CPU share, in thousandths of a core.
     pub share: u32,
     pub beside_replica: bool,
     /// It follows a light copy of the state, without jobs and workers.
     pub light: bool,
-    /// The last chunk of a snapshot that it was sent.
+    /// The last snapshot chunk sent to it.
     pub last_chunk: SentChunk,
-    /// The index of the snapshot that it fetches or has fetched; 0 for none.
+    /// The index of the snapshot that it is fetching or has fetched; 0 for none.
     pub fetched_index: u64,
 }
 
-/// Which process asked, and when: sent back with what answers it.
+/// The process that sent a request, and when; returned with the response.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RequestOrigin {
-    /// The asking process; 0 where an older build did not say.
+    /// The incarnation of the requesting process; 0 if it is an older build, which does not send it.
     pub incarnation: u64,
-    /// When it asked, by its own clock: it knows by that how fresh an answer is.
+    /// When it sent the request, by its own clock, from which it derives the age of the response.
     pub sent_at: u64,
 }
 
@@ -79,18 +81,18 @@
     pub snapshots: WatchSnapshots,
 }
 
-/// The entries in one message to a node.
+/// The entries in one message to a node, and the range of the log that they represent.
 struct SentEntries {
     entries: Vec<Entry>,
     bytes: u64,
-    /// The index that a node has come to which they are for.
+    /// The index that the receiving node must have reached.
     follows: u64,
-    /// The index that a node comes to which applies them.
+    /// The index that the node has reached once it has applied them.
     reached: u64,
 }
 
 impl SentEntries {
-    /// No entries for a node that has come to an index.
+    /// An empty message for a node that has reached an index.
     fn none(index: u64) -> Self {
         Self {
             entries: Vec::new(),
@@ -102,21 +104,21 @@
 }
 
 impl Watcher {
-    /// Whether a node that asks has not received all that was sent to it. One whose process or copy is another one by now
-    /// has received nothing.
+    /// Whether a requesting node has not received everything sent to it. This does not hold if the node's process or
+    /// kind of copy has changed: nothing is on its way to the new one.
     fn has_unreceived_entries(&self, request: &WatchRequest, light: bool) -> bool {
         let is_same_kind = self.light == light && request.light == light;
         self.is_same_process(request) && is_same_kind && self.sent_index > request.log_index
     }
 
-    /// Whether a node that asks has just received all that was sent to it.
+    /// Whether a requesting node has just received everything sent to it.
     fn has_received_all(&self, request: &WatchRequest) -> bool {
         let had_more = self.sent_index > self.applied_index;
         had_more && self.is_same_process(request) && request.log_index >= self.sent_index
     }
 
-    /// Whether a request is of the process that sent the last one, or may be where an older build doesn't say, and of no
-    /// copy that has started over.
+    /// Whether a request comes from the process that sent the last one, and its copy has not started over. Older builds
+    /// send no incarnation, so for them the process may be another one.
     fn is_same_process(&self, request: &WatchRequest) -> bool {
         request.incarnation == self.last_request.incarnation
             && request.sent >= self.last_request.sent_at
@@ -125,14 +127,14 @@
 }
 
 impl Replica {
-    /// The latest time at which this leader surely led, in monotonic milliseconds: a majority has answered a round that
-    /// was sent then.
+    /// The latest time at which this replica is known to have led, in monotonic milliseconds: a majority has
+    /// acknowledged a round that was sent then.
     pub(super) fn last_quorum_contact(&mut self, now: Now) -> u64 {
         let contacts = self.voter_values(now.mono, |progress| progress.acked_round_sent_at);
         Self::reached_by_majority(contacts)
     }
 
-    /// Whether this replica leads and has applied all that was committed before its term.
+    /// Whether this replica leads and has applied all entries committed before its term.
     pub(super) fn is_ready_to_lead(&self) -> bool {
         let first_index = self.leadership.term_start_index;
         self.role == Role::Leader
@@ -141,7 +143,7 @@
             && self.state.applied_index >= first_index
     }
 
-    /// A node asks for what follows the entries that it has applied.
+    /// Handles a node's request for the entries that follow those it has applied.
     pub(super) fn on_watch_request(&mut self, now: Now, from: &str, request: WatchRequest) {
         if !self.is_ready_to_lead() {
             self.watch.snapshots.clear();
@@ -157,7 +159,7 @@
         self.clock.observe(now, &request.node, reading);
         let light = self.should_follow_light_copy(now, &request);
         self.update_watcher(now, &request, light);
-        // A node with a copy of the other kind starts over.
+        // A node whose copy is of the other kind (light or full) starts over.
         let from_index = if light == request.light {
             request.log_index
         } else {
@@ -175,8 +177,8 @@
         self.send_watch_batch(now, from, origin, Some(from_index));
     }
 
-    /// Whether entries are on their way to a node. It is not sent further ones meanwhile: a light copy can't tell
-    /// whether it has missed some, and a narrow link is not to be filled.
+    /// Whether entries are in flight to a node. It is not sent further ones meanwhile: a node with a light copy can't
+    /// detect a gap, and a narrow link must not be saturated.
     fn has_entries_in_flight(&self, node: &str) -> bool {
         let watcher = self.watch.watchers.get(node);
         watcher.is_some_and(|watcher| watcher.sent_index > watcher.applied_index)
@@ -236,7 +238,7 @@
         watcher.sent_index = watcher.sent_index.max(sent.reached);
     }
 
-    /// Whether a node is to follow a light copy: it has too little of a processor for leases, and others have enough.
+    /// Whether a node should follow a light copy: its CPU share is too small for leases, and others are large enough.
     fn should_follow_light_copy(&self, now: Now, request: &WatchRequest) -> bool {
         let is_small = |share: u32| share < SMALL_NODE_SHARE;
         let expected_until = self.leadership.since
@@ -246,7 +248,7 @@
             && (now.mono < expected_until || watchers.any(|w| !is_small(w.share)))
     }
 
-    /// Sends new entries to the nodes that hold leases as soon as they are committed; the others get them when they ask.
+    /// Pushes newly committed entries to the nodes that hold leases; other nodes receive them when they poll.
     pub(super) fn push_to_watchers(&mut self, now: Now) {
         let leases = self.state.leases.values();
         let holders: BTreeSet<String> = leases.map(|lease| lease.holder.clone()).collect();
@@ -266,9 +268,9 @@
         }
     }
 
-    /// Whether a node that has applied entries up to an index starts over from a snapshot: the log does not reach back
-    /// to it, or not that far (as after a total loss), or it lacks too many. One that has just fetched a snapshot goes
-    /// on with the log, however much was added meanwhile.
+    /// Whether a node that has applied entries up to an index must start over from a snapshot: the log does not reach
+    /// back to that index, ends before it (as after a total loss), or the node lacks too many entries. A node that has
+    /// just fetched a snapshot continues with the log, however many entries were added meanwhile.
     fn needs_snapshot(&self, node: &str, index: u64) -> bool {
         let watcher = self.watch.watchers.get(node);
         let light = watcher.is_some_and(|w| w.light);
@@ -280,8 +282,8 @@
         index < self.log.base().index || index > commit_index || is_far_behind
     }
 
-    /// Sends the entries that follow `from_index`, as far as the log has them. Without an index, the message says that
-    /// this replica does not lead, and who does.
+    /// Sends the entries after `from_index` that the log has. Without an index, the message states that this replica
+    /// does not lead, and names the leader.
     fn send_watch_batch(
         &mut self,
         now: Now,
@@ -299,7 +301,7 @@
         self.send_entries(now, to, origin, leads, sent);
     }
 
-    /// The entries after an index that one message to a node holds.
+    /// The entries after an index that fit into one message to a node.
     fn entries_after(&self, node: &str, index: u64) -> SentEntries {
         let light = self.watch.watchers.get(node).is_some_and(|w| w.light);
         let wanted = (self.log.commit_index - index).min(MAX_BATCH_ENTRIES);
@@ -343,7 +345,7 @@
             quorum_age,
             clock: self.clock.read(now),
             commit: self.log.commit_index,
-            // Older builds sent snapshots here, whole.
+            // Older builds sent whole snapshots in this field.
             snapshot: Vec::new(),
             snapshot_index: 0,
             entries: sent.entries,
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -1,4 +1,4 @@
-//! The snapshots that nodes fetch: a few, shared by all that fetch them, and dropped when nobody does.
+//! The snapshots that nodes fetch: a few are kept, shared by all nodes, and dropped when no node fetches them any more.
 
 use super::watch_flow::{ChunkSize, Unacknowledged};
 use super::Replica;
@@ -7,19 +7,19 @@
 use crate::wire::{Body, WatchRequest, WatchSnapshotChunk};
 use std::sync::Arc;
 
-/// Full snapshots that are kept at once: one that is being fetched, and a newer one.
+/// The maximum number of full snapshots kept: one that is being fetched, and a newer one.
 const MAX_KEPT_FULL: usize = 2;
-/// Light snapshots that are kept at once: they are small, and nodes on narrow links take long to fetch one.
+/// The maximum number of light snapshots kept: they are small, and nodes on narrow links take long to fetch one.
 const MAX_KEPT_LIGHT: usize = 8;
-/// A snapshot that is not older than so many entries is given to the next node as well.
+/// A snapshot is shared with further nodes as long as it is at most this many entries behind the state.
 const MAX_SHARED_LAG_ENTRIES: u64 = 256;
 
 #[derive(Clone)]
 struct KeptSnapshot {
-    /// Of the light copy of the state, without jobs and workers.
+    /// The snapshot is of the light copy of the state, without jobs and workers.
     light: bool,
     snapshot: Arc<ChunkedSnapshot>,
-    /// When a chunk of it was last sent, in monotonic milliseconds.
+    /// The time at which a chunk of it was last sent, in monotonic milliseconds.
     last_used_at: u64,
 }
 
@@ -34,29 +34,28 @@
 pub(super) struct WatchSnapshots(Vec<KeptSnapshot>);
 
 impl WatchSnapshots {
-    /// The indexes of the snapshots.
+    /// The log indexes of the kept snapshots.
     pub fn indexes(&self) -> impl Iterator<Item = u64> + '_ {
         self.0.iter().map(|kept| kept.id().index)
     }
 
-    /// Drops those that nobody has fetched for `unused_ms`.
+    /// Drops the snapshots that no node has fetched for `unused_ms`.
     pub fn expire(&mut self, now: Now, unused_ms: u64) {
         self.0
             .retain(|kept| now.mono <= kept.last_used_at + unused_ms);
     }
 
-    /// Drops all.
+    /// Drops all snapshots.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// The newest one that fits.
+    /// The newest snapshot that satisfies a condition.
     fn find(&mut self, fits: impl Fn(&KeptSnapshot) -> bool) -> Option<&mut KeptSnapshot> {
         self.0.iter_mut().rev().find(|kept| fits(kept))
     }
 
-    /// Adds a snapshot; where there are too many of its kind, it takes the place of the one that was not used for the
-    /// longest time.
+    /// Adds a snapshot; if too many of its kind are kept, it replaces the least recently used one.
     fn add(&mut self, light: bool, snapshot: Arc<ChunkedSnapshot>, now: Now) {
         let max_kept = if light { MAX_KEPT_LIGHT } else { MAX_KEPT_FULL };
         while self.0.iter().filter(|kept| kept.light == light).count() >= max_kept {
@@ -74,32 +73,32 @@
     }
 }
 
-/// The last chunk that was sent to a node, and the size of the next.
+/// The last snapshot chunk sent to a node, and the size of the next one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct SentChunk {
     index: u64,
     checksum: u32,
     offset: u64,
-    /// When it was sent first, in monotonic milliseconds.
+    /// The time at which it was first sent, in monotonic milliseconds.
     first_sent_at: u64,
     unacknowledged: Unacknowledged,
     size: ChunkSize,
 }
 
 impl SentChunk {
-    /// Whether it is the one that a node asks for now.
+    /// Whether this is the chunk that a node requests now.
     fn is_at(&self, id: &SnapshotId, offset: u64) -> bool {
         (self.index, self.checksum, self.offset) == (id.index, id.checksum, offset)
     }
 
-    /// Whether the one that a node asks for follows it: then it was received.
+    /// Whether the chunk that a node requests follows this one, which means that this one was received.
     fn is_before(&self, id: &SnapshotId, offset: u64) -> bool {
         (self.index, self.checksum) == (id.index, id.checksum) && self.offset < offset
     }
 }
 
 impl Replica {
-    /// Sends the chunk that a node lacks, unless it may still be on its way.
+    /// Sends the chunk that a node requests, unless the last one may still be in flight.
     pub(super) fn send_watch_chunk(&mut self, now: Now, to: &str, request: &WatchRequest) {
         let Some(watcher) = self.watch.watchers.get(to) else {
             return;
@@ -113,7 +112,7 @@
         let is_repeated = sent.is_at(&id, offset);
         let is_acknowledged = sent.is_before(&id, offset);
         let bounds = &self.settings.bounds;
-        // One chunk at a time, of whichever snapshot.
+        // Only one chunk is in flight at a time, of whichever snapshot.
         if !is_acknowledged && sent.unacknowledged.is_in_flight(now.mono, rate, bounds) {
             return;
         }
@@ -155,8 +154,8 @@
         self.send(to, Body::WatchSnapshotChunk(Box::new(body)));
     }
 
-    /// The snapshot that a node has a part of, or was sent a part of, if the log still follows on it; else one that is new
-    /// enough.
+    /// The snapshot that a node has received or been sent a part of, if the log still reaches back to it; else one that
+    /// is recent enough.
     fn watch_snapshot(
         &mut self,
         now: Now,
@@ -167,29 +166,31 @@
         let log_base = self.log.base().index;
         let applied = self.state.applied_index;
         let is_usable = |kept: &KeptSnapshot| kept.light == light && kept.id().index >= log_base;
-        // A node that has applied more than this replica has lost what the others did not keep.
-        let least_index = if request.log_index <= applied {
+        // A node that has applied more than this replica has entries that the replicas have lost, so any snapshot will
+        // do.
+        let min_index = if request.log_index <= applied {
             request.log_index
         } else {
             0
         };
-        let begun = if request.part_received > 0 {
+        let in_progress = if request.part_received > 0 {
             (request.part_index, request.part_checksum)
         } else {
             (sent.index, sent.checksum)
         };
-        let is_begun = |kept: &KeptSnapshot| (kept.id().index, kept.id().checksum) == begun;
+        let is_in_progress =
+            |kept: &KeptSnapshot| (kept.id().index, kept.id().checksum) == in_progress;
         let is_new_enough = |kept: &KeptSnapshot| {
             let index = kept.id().index;
-            index >= least_index && applied.saturating_sub(index) <= MAX_SHARED_LAG_ENTRIES
+            index >= min_index && applied.saturating_sub(index) <= MAX_SHARED_LAG_ENTRIES
         };
         let snapshots = &mut self.watch.snapshots;
         let resumes = snapshots
-            .find(|kept| is_usable(kept) && is_begun(kept) && kept.id().index >= least_index)
+            .find(|kept| is_usable(kept) && is_in_progress(kept) && kept.id().index >= min_index)
             .is_some();
         let fits = |kept: &KeptSnapshot| {
             let is_wanted = if resumes {
-                is_begun(kept)
+                is_in_progress(kept)
             } else {
                 is_new_enough(kept)
             };
@@ -199,17 +200,17 @@
             kept.last_used_at = now.mono;
             return kept.snapshot.clone();
         }
-        let made = self.create_watch_snapshot(light, least_index);
-        self.watch.snapshots.add(light, made.clone(), now);
-        made
+        let created = self.create_watch_snapshot(light, min_index);
+        self.watch.snapshots.add(light, created.clone(), now);
+        created
     }
 
-    fn create_watch_snapshot(&self, light: bool, least_index: u64) -> Arc<ChunkedSnapshot> {
+    fn create_watch_snapshot(&self, light: bool, min_index: u64) -> Arc<ChunkedSnapshot> {
         let applied = self.state.applied_index;
         let own = &self.snapshots.latest;
         let own_index = own.identity().index;
         let follows_log = own_index > 0 && own_index >= self.log.base().index;
-        let is_usable = follows_log && own_index >= least_index;
+        let is_usable = follows_log && own_index >= min_index;
         if !light && is_usable && applied - own_index <= MAX_SHARED_LAG_ENTRIES {
             return own.clone();
         }
