--- a/landingdrift/src/disk/directory.rs
+++ b/landingdrift/src/disk/directory.rs
@@ -3,22 +3,22 @@
 use std::io::{self as std_io, Write};
 use std::path::Path;
 
-/// What changes the names in a folder. Each change may be kept or lost by itself when the power goes, until the folder
-/// is synced; tests put a model of that in place of the file system.
+/// Operations that change directory entries. Until the folder is synced, a power failure may keep or lose each change
+/// independently; tests model this in place of the file system.
 pub trait Directory: Send {
-    /// Makes a file, or empties the one that is there.
+    /// Creates a file, or truncates an existing one.
     fn create(&self, path: &Path) -> std_io::Result<File>;
-    /// Opens a file to write at its end, and makes it if it is not there.
+    /// Opens a file for appending, and creates it if it does not exist.
     fn append(&self, path: &Path) -> std_io::Result<File>;
-    /// Gives a file another name, in place of the file that has it.
+    /// Renames a file, replacing any file of the new name.
     fn rename(&self, from: &Path, to: &Path) -> std_io::Result<()>;
     /// Removes a file.
     fn remove(&self, path: &Path) -> std_io::Result<()>;
-    /// Makes all changes of names in a folder durable.
+    /// Makes all changes of directory entries in a folder durable.
     fn sync(&self, folder: &Path) -> std_io::Result<()>;
 }
 
-/// The file system.
+/// Directory operations of the operating system's file system.
 pub struct FileSystem;
 
 impl Directory for FileSystem {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Makes a folder, and makes sure that it is still there after a loss of power.
+/// Creates a folder that survives a power failure.
 pub(super) fn create_durable_folder(
     directory: &dyn Directory,
     path: &Path,
@@ -50,7 +50,7 @@
     directory.sync(parent).map_err(io(parent))
 }
 
-/// Writes a file whole: it is there with all its bytes, or as it was before.
+/// Replaces a file atomically and durably: after a failure it has either all the new bytes or its previous content.
 pub(super) fn write_atomically(
     directory: &dyn Directory,
     path: &Path,
--- a/landingdrift/src/disk/error.rs
+++ b/landingdrift/src/disk/error.rs
@@ -2,36 +2,36 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with a data folder.
+/// An error in opening, reading or writing a data folder.
 #[derive(Debug)]
 pub enum StorageError {
-    /// The file system refused.
+    /// A file system operation failed.
     Io {
-        /// The file or folder.
+        /// The file or folder concerned.
         path: PathBuf,
-        /// What the file system said.
+        /// The error of the file system.
         source: std::io::Error,
     },
-    /// The folder holds something else.
+    /// The folder contains other files and no marker of a data folder.
     NotADataFolder(PathBuf),
-    /// Another build's folder.
+    /// The folder has a format that this build does not read.
     Version {
-        /// The format of the folder.
+        /// The format version of the folder.
         found: u16,
     },
-    /// Another cluster's folder.
+    /// The folder belongs to another cluster.
     Cluster {
-        /// The cluster that the folder belongs to.
+        /// The cluster to which the folder belongs.
         found: String,
-        /// The cluster of the settings.
+        /// The cluster named in the settings.
         wanted: String,
     },
-    /// Another process uses it.
+    /// Another process has locked the folder.
     InUse(PathBuf),
 }
 
 impl StorageError {
-    /// Whether the folder may become usable without anybody changing the settings.
+    /// Whether the folder may become usable without a change of the settings.
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::Io { .. })
     }
@@ -40,20 +40,20 @@
 impl fmt::Display for StorageError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Io { path, source: why } if why.kind() == std::io::ErrorKind::StorageFull => write!(f, "{}: the disk is full: free some of it", path.display()),
-            Self::Io { path, source: why } => write!(f, "{}: {why}: check the folder's rights and its disk", path.display()),
-            Self::NotADataFolder(p) => write!(f, "{} holds files of something else: name an empty folder or the one this core used before", p.display()),
-            Self::Version { found } => write!(f, "the data folder has format {found}, this build reads {FOLDER_VERSION}: run the build that wrote it"),
-            Self::Cluster { found, wanted } => write!(f, "the data folder belongs to cluster '{found}', not '{wanted}': correct 'cluster' or 'data'"),
-            Self::InUse(p) => write!(f, "{} is in use by another process: stop that one first", p.display()),
+            Self::Io { path, source } if source.kind() == std::io::ErrorKind::StorageFull => write!(f, "{}: the disk is full: free some disk space", path.display()),
+            Self::Io { path, source } => write!(f, "{}: {source}: check the folder's permissions and its disk", path.display()),
+            Self::NotADataFolder(path) => write!(f, "{} is not a data folder but contains files: specify an empty folder or the one that this core used before", path.display()),
+            Self::Version { found } => write!(f, "the data folder has format {found}, but this build reads format {FOLDER_VERSION}: run the build that wrote it"),
+            Self::Cluster { found, wanted } => write!(f, "the data folder belongs to cluster '{found}', not '{wanted}': correct 'cluster' or 'data' in the settings"),
+            Self::InUse(path) => write!(f, "{} is in use by another process: stop that process first", path.display()),
         }
     }
 }
 
-/// An error of the file system, with the file that it concerns.
+/// Wraps an error of the file system with the path that it concerns.
 pub(super) fn io(path: &Path) -> impl Fn(std::io::Error) -> StorageError + '_ {
-    move |why| StorageError::Io {
+    move |source| StorageError::Io {
         path: path.to_path_buf(),
-        source: why,
+        source,
     }
 }
--- a/landingdrift/src/disk/frames.rs
+++ b/landingdrift/src/disk/frames.rs
@@ -1,22 +1,25 @@
 use crate::sans_io::{HardState, Snapshot};
 use crate::wire::{DurabilityWitness, Entry};
 
-/// One piece of a segment or snapshot file.
+/// One record of a segment or snapshot file: length, CRC-32 and a payload whose first byte is the kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     HardState(HardState),
+    /// Removes the entries from this index on.
     Truncate(u64),
     Entry(Entry),
+    /// Replaces all witnesses recorded earlier.
     Witnesses(Vec<DurabilityWitness>),
     Snapshot(Snapshot),
 }
 
+/// The length and the checksum, four bytes each, little-endian.
 const FRAME_HEADER_BYTES: usize = 8;
-/// No frame is longer; a length beyond it is damage.
+/// The maximum length of a payload; a larger length field means damage.
 const MAX_FRAME_BYTES: usize = 256 << 20;
 
 impl Frame {
-    /// Appends length, checksum and payload.
+    /// Appends the frame's length, checksum and payload to `out`.
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut body = Vec::new();
         match self {
@@ -56,7 +59,8 @@
         out.extend(body);
     }
 
-    /// Reads the frame at the start of `bytes`; also how long it was.
+    /// Reads the frame at the start of `bytes`, and returns it with its length in bytes. `None` if it is incomplete or
+    /// damaged.
     pub fn read(bytes: &[u8]) -> Option<(Self, usize)> {
         let len = u32::from_le_bytes(bytes.get(0..4)?.try_into().ok()?) as usize;
         let sum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
@@ -104,7 +108,7 @@
         Some((frame, FRAME_HEADER_BYTES + len))
     }
 
-    /// The next whole frame in `bytes` after damage: where it stands.
+    /// The offset of the next intact frame in `bytes` after damage.
     pub fn resync(bytes: &[u8]) -> Option<usize> {
         (1..bytes.len().saturating_sub(FRAME_HEADER_BYTES))
             .find(|i| Self::read(&bytes[*i..]).is_some())
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -5,23 +5,27 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// All that a folder holds.
+/// The contents of a data folder.
 #[derive(Default)]
 pub struct FolderContents {
     pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
     pub witnesses: Vec<DurabilityWitness>,
-    /// Something that was confirmed can't be read.
+    /// Confirmed data can't be read.
     pub damaged: bool,
-    /// The last write was cut short, as a crash does.
+    /// The last write is incomplete, as after a crash.
     pub torn_tail: bool,
-    /// Segments with the last index in each.
+    /// The numbers of the segments, each with the last index of the log at its end.
     pub segments: Vec<(u64, u64)>,
 }
 
-/// Files of a folder by the number in their names.
-pub fn numbered(path: &Path, head: &str, tail: &str) -> Result<Vec<(u64, PathBuf)>, StorageError> {
+/// The files of a folder whose names consist of `prefix`, a number and `suffix`, sorted by that number.
+pub fn numbered(
+    path: &Path,
+    prefix: &str,
+    suffix: &str,
+) -> Result<Vec<(u64, PathBuf)>, StorageError> {
     let mut of: Vec<(u64, PathBuf)> = fs::read_dir(path)
         .map_err(io(path))?
         .filter_map(Result::ok)
@@ -30,8 +34,8 @@
                 .into_string()
                 .ok()
                 .and_then(|n| {
-                    n.strip_prefix(head)
-                        .and_then(|n| n.strip_suffix(tail))
+                    n.strip_prefix(prefix)
+                        .and_then(|n| n.strip_suffix(suffix))
                         .and_then(|n| n.parse().ok())
                 })
                 .map(|n| (n, e.path()))
@@ -41,7 +45,7 @@
     Ok(of)
 }
 
-/// Reads the newest whole snapshot and all segments. With `repair`, a torn tail is cut off.
+/// Reads the newest intact snapshot and all segments. With `repair`, truncates an incomplete write at the end.
 pub fn load(path: &Path, repair: bool) -> Result<FolderContents, StorageError> {
     let mut found = FolderContents::default();
     for (_, p) in numbered(path, "capture-", ".capture")?.iter().rev() {
@@ -65,7 +69,7 @@
                     found.apply(frame, base);
                     at += len;
                 }
-                // Nothing whole follows: the last write was cut short and was never confirmed.
+                // No intact frame follows: the last write was interrupted and never confirmed.
                 None if i + 1 == segments.len() && Frame::resync(&bytes[at..]).is_none() => {
                     found.torn_tail = true;
                     if repair {
@@ -78,7 +82,8 @@
                     break;
                 }
                 None => {
-                    // An older segment's torn end was cut when it was opened next, so this is damage.
+                    // An incomplete end of an older segment was truncated when the folder was next opened, so this is
+                    // damage.
                     found.damaged = true;
                     match Frame::resync(&bytes[at..]) {
                         Some(skip) => at += skip,
@@ -103,7 +108,7 @@
             Frame::Entry(e) => match self.entries.last().map(|l| l.index) {
                 Some(last) if e.index == last + 1 => self.entries.push(e),
                 None if e.index <= base + 1 => self.entries.push(e),
-                // After a gap: what lies beyond it can't be used.
+                // Entries after a gap can't be used.
                 Some(last) if e.index > last + 1 => {
                     if last >= base {
                         self.damaged = true;
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -1,4 +1,4 @@
-//! The data folder: a log in segments with snapshots beside it; only what is synced counts.
+//! The data folder of a replica: log segments and snapshots. A write is confirmed only after it was synced.
 
 mod directory;
 mod error;
@@ -19,9 +19,10 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// Version of the folder's format; another one is refused.
+/// The version of the folder's format; folders of other versions are rejected.
 pub const FOLDER_VERSION: u16 = 1;
 
+/// The file that identifies a data folder.
 const MARKER_FILE: &str = "landingdrift.json";
 
 #[derive(Serialize, Deserialize)]
@@ -32,17 +33,17 @@
     disk: u64,
 }
 
-/// What each segment starts with, so that older ones can go: as of the last write that was synced.
+/// The state written at the start of each segment, so that older segments can be removed: as of the last synced write.
 #[derive(Clone, Debug)]
 struct SegmentHeader {
     hard_state: HardState,
     witnesses: Vec<DurabilityWitness>,
-    /// The last index of the log; entries after it are void, in whichever older segment they are found.
+    /// The last index of the log; entries after it in older segments are void.
     last: u64,
 }
 
 impl SegmentHeader {
-    /// Follows a save, and writes its frames.
+    /// Updates the state with a write batch, and appends the frames of the batch to `bytes`.
     fn write(&mut self, s: &WriteBatch, bytes: &mut Vec<u8>) {
         s.hard_state.iter().for_each(|h| {
             self.hard_state = h.clone();
@@ -63,7 +64,7 @@
     }
 }
 
-/// An open data folder.
+/// A data folder opened and locked for writing.
 pub struct DataFolder {
     directory: Box<dyn Directory>,
     path: PathBuf,
@@ -72,7 +73,7 @@
     size: u64,
     segment_bytes: u64,
     head: SegmentHeader,
-    /// Last index in every closed segment, by its number.
+    /// The closed segments: number, and last index of the log at its end.
     closed: Vec<(u64, u64)>,
     _lock: File,
 }
@@ -81,53 +82,53 @@
     folder.join(format!("log-{number:016}.segment"))
 }
 
-/// What an offline look at a data folder finds.
+/// The result of checking a data folder offline.
 #[derive(Debug, Serialize)]
 pub struct FolderReport {
-    /// The cluster that it belongs to.
+    /// The cluster to which it belongs.
     pub cluster: String,
     /// The identity of the disk.
     pub disk: u64,
-    /// The last entry that the newest snapshot covers; 0 for none.
+    /// The last index covered by the newest snapshot; 0 for none.
     #[serde(rename = "capture_index")]
     pub snapshot_index: u64,
-    /// The first entry of the log; 0 for none.
+    /// The index of the first entry of the log; 0 for none.
     pub first: u64,
-    /// The last entry of the log or of the snapshot.
+    /// The index of the last entry of the log, or of the snapshot if the log is empty.
     pub last: u64,
     /// The current term.
     pub term: u64,
-    /// Something that was confirmed can't be read.
+    /// Confirmed data can't be read.
     pub damaged: bool,
-    /// The last write was cut short, as a crash does.
+    /// The last write is incomplete, as after a crash.
     pub torn_tail: bool,
 }
 
 impl DataFolder {
-    /// Opens a folder, or makes one, and reads all it holds. `fresh` names a new disk.
+    /// Opens or creates a data folder and loads its contents. A new folder gets `new_disk` as the identity of its disk.
     pub fn open(
         path: &Path,
         cluster: &str,
         segment_bytes: u64,
-        fresh: u64,
+        new_disk: u64,
     ) -> Result<(Self, PersistedState), StorageError> {
-        Self::open_with(Box::new(FileSystem), path, cluster, segment_bytes, fresh)
+        Self::open_with(Box::new(FileSystem), path, cluster, segment_bytes, new_disk)
     }
 
-    /// The same, with a file system of the caller's.
+    /// Like [`Self::open`], with the directory operations of the caller.
     pub fn open_with(
         directory: Box<dyn Directory>,
         path: &Path,
         cluster: &str,
         segment_bytes: u64,
-        fresh: u64,
+        new_disk: u64,
     ) -> Result<(Self, PersistedState), StorageError> {
         create_durable_folder(directory.as_ref(), path)?;
-        let mark = load_or_create_marker(directory.as_ref(), path, cluster, fresh)?;
+        let marker = load_or_create_marker(directory.as_ref(), path, cluster, new_disk)?;
         let lock = lock(path)?;
         let found = load::load(path, true)?;
         let loaded = PersistedState {
-            disk: mark.disk,
+            disk: marker.disk,
             hard_state: found.hard_state,
             snapshot: found.snapshot,
             entries: found.entries,
@@ -145,7 +146,7 @@
         Ok((folder, loaded))
     }
 
-    /// Begins a new segment, with all that the older ones may be dropped for.
+    /// Starts a new segment with the loaded state, so that older segments can be removed.
     fn start_segment(
         directory: Box<dyn Directory>,
         path: &Path,
@@ -154,8 +155,8 @@
         loaded: &PersistedState,
         closed: Vec<(u64, u64)>,
     ) -> Result<Self, StorageError> {
-        let captured = loaded.snapshot.as_ref().map_or(0, |c| c.index);
-        let last = loaded.entries.last().map_or(captured, |e| e.index);
+        let snapshot_index = loaded.snapshot.as_ref().map_or(0, |c| c.index);
+        let last = loaded.entries.last().map_or(snapshot_index, |e| e.index);
         let number = closed.last().map_or(0, |(n, _)| *n) + 1;
         let segment = create_segment(directory.as_ref(), path, number)?;
         let mut folder = Self {
@@ -187,13 +188,13 @@
         Ok(folder)
     }
 
-    /// Writes a batch of saves and syncs once for all of them. Where this fails, nothing of the batch counts: it is to
-    /// be written again after [`DataFolder::recover`].
+    /// Writes several batches and syncs once for all of them. If this fails, none of them is confirmed: all must be
+    /// written again after [`DataFolder::recover`].
     pub fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError> {
         let mut head = self.head.clone();
         let mut bytes = Vec::new();
         batch.iter().for_each(|s| head.write(s, &mut bytes));
-        // A snapshot goes first: a cut that relies on it must not be seen without it.
+        // Snapshots are written first: a truncation that relies on one must not become durable without it.
         for c in batch.iter().filter_map(|s| s.snapshot.as_ref()) {
             self.write_snapshot(c)?;
         }
@@ -228,9 +229,8 @@
         self.save(&[first])
     }
 
-    /// Makes the folder usable after a write that failed: what was not confirmed is cut off, and a new segment begun.
-    /// A sync that failed may have lost what it was to write, so nothing of that batch is believed; the caller writes
-    /// the whole batch again.
+    /// Makes the folder usable after a failed write: truncates unconfirmed data and starts a new segment. A failed sync
+    /// may have lost any of the data, so none of the batch is kept; the caller writes the complete batch again.
     pub fn recover(&mut self) -> Result<(), StorageError> {
         self.free_space()?;
         let path = segment_path(&self.path, self.number);
@@ -242,12 +242,12 @@
         self.roll()
     }
 
-    /// Removes what a full disk can do without: snapshots that were not written whole, and all whole ones but the newest.
+    /// Frees space on a full disk: removes incomplete snapshots and all complete ones but the newest.
     fn free_space(&self) -> Result<(), StorageError> {
-        let halves = load::numbered(&self.path, "capture-", ".new")?;
-        let whole = load::numbered(&self.path, "capture-", ".capture")?;
-        let older = whole.iter().rev().skip(1);
-        halves.iter().chain(older).for_each(|(_, p)| {
+        let incomplete = load::numbered(&self.path, "capture-", ".new")?;
+        let complete = load::numbered(&self.path, "capture-", ".capture")?;
+        let older = complete.iter().rev().skip(1);
+        incomplete.iter().chain(older).for_each(|(_, p)| {
             let _ = self.directory.remove(p);
         });
         Ok(())
@@ -260,7 +260,7 @@
         write_atomically(self.directory.as_ref(), &path, &bytes)
     }
 
-    /// Segments that end before the snapshot, and all but the two newest snapshots, are not needed any more.
+    /// Removes segments that the snapshot at `index` covers, and all but the two newest snapshots.
     fn remove_obsolete(&mut self, index: u64) -> Result<(), StorageError> {
         self.roll()?;
         let (old, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.closed)
@@ -278,7 +278,7 @@
     }
 }
 
-/// Makes a segment, which is durable before anything in it counts.
+/// Creates a segment file and makes its directory entry durable before anything is written to it.
 fn create_segment(
     directory: &dyn Directory,
     folder: &Path,
@@ -290,41 +290,41 @@
     Ok(segment)
 }
 
-/// Reads the mark of a folder, and makes one where the folder is new.
+/// Reads the marker of a folder, or creates one if the folder is new.
 fn load_or_create_marker(
     directory: &dyn Directory,
     path: &Path,
     cluster: &str,
-    fresh: u64,
+    new_disk: u64,
 ) -> Result<FolderMarker, StorageError> {
-    let mark_path = path.join(MARKER_FILE);
-    if !mark_path.exists() {
+    let marker_path = path.join(MARKER_FILE);
+    if !marker_path.exists() {
         let names = fs::read_dir(path).map_err(io(path))?;
-        let strange = names
+        let has_other_files = names
             .filter_map(|e| e.ok().and_then(|e| e.file_name().into_string().ok()))
             .any(|n| !n.ends_with(".new") && n != "lock");
-        (!strange)
+        (!has_other_files)
             .then_some(())
             .ok_or_else(|| StorageError::NotADataFolder(path.to_path_buf()))?;
-        let mark = FolderMarker {
+        let marker = FolderMarker {
             format: FOLDER_VERSION,
             cluster: cluster.into(),
-            disk: fresh,
+            disk: new_disk,
         };
-        let bytes = serde_json::to_vec(&mark).unwrap_or_default();
-        write_atomically(directory, &mark_path, &bytes)?;
+        let bytes = serde_json::to_vec(&marker).unwrap_or_default();
+        write_atomically(directory, &marker_path, &bytes)?;
     }
-    let mark = read_marker(path)?;
-    (mark.cluster == cluster)
+    let marker = read_marker(path)?;
+    (marker.cluster == cluster)
         .then_some(())
         .ok_or_else(|| StorageError::Cluster {
-            found: mark.cluster.clone(),
+            found: marker.cluster.clone(),
             wanted: cluster.into(),
         })?;
-    Ok(mark)
+    Ok(marker)
 }
 
-/// Keeps other processes away for as long as the file is open.
+/// Locks the folder against other processes for as long as the returned file is open.
 fn lock(folder: &Path) -> Result<File, StorageError> {
     let path = folder.join("lock");
     let lock = OpenOptions::new()
@@ -341,15 +341,17 @@
 fn read_marker(path: &Path) -> Result<FolderMarker, StorageError> {
     let p = path.join(MARKER_FILE);
     let bytes = fs::read(&p).map_err(io(&p))?;
-    let mark: FolderMarker = serde_json::from_slice(&bytes)
+    let marker: FolderMarker = serde_json::from_slice(&bytes)
         .map_err(|_| StorageError::NotADataFolder(path.to_path_buf()))?;
-    (mark.format == FOLDER_VERSION)
+    (marker.format == FOLDER_VERSION)
         .then_some(())
-        .ok_or(StorageError::Version { found: mark.format })?;
-    Ok(mark)
+        .ok_or(StorageError::Version {
+            found: marker.format,
+        })?;
+    Ok(marker)
 }
 
-/// Reads a data folder without changing it.
+/// Reads the marker and contents of a data folder without changing it.
 fn read_contents(path: &Path) -> Result<(FolderMarker, load::FolderContents), StorageError> {
     path.join(MARKER_FILE)
         .exists()
@@ -358,13 +360,13 @@
     Ok((read_marker(path)?, load::load(path, false)?))
 }
 
-/// All that a data folder holds, with its cluster, without changing it.
+/// Loads the cluster and the persisted state from a data folder without changing it.
 pub fn read_folder(path: &Path) -> Result<(String, PersistedState), StorageError> {
-    let (mark, f) = read_contents(path)?;
+    let (marker, f) = read_contents(path)?;
     Ok((
-        mark.cluster,
+        marker.cluster,
         PersistedState {
-            disk: mark.disk,
+            disk: marker.disk,
             hard_state: f.hard_state,
             snapshot: f.snapshot,
             entries: f.entries,
@@ -374,12 +376,12 @@
     ))
 }
 
-/// Looks through a data folder without changing it.
+/// Checks a data folder without changing it.
 pub fn verify(path: &Path) -> Result<FolderReport, StorageError> {
-    let (mark, found) = read_contents(path)?;
+    let (marker, found) = read_contents(path)?;
     Ok(FolderReport {
-        cluster: mark.cluster,
-        disk: mark.disk,
+        cluster: marker.cluster,
+        disk: marker.disk,
         snapshot_index: found.snapshot.as_ref().map_or(0, |c| c.index),
         first: found.entries.first().map_or(0, |e| e.index),
         last: found
