--- a/landingdrift/src/peer_sampler/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -1,18 +1,19 @@
-//! The peer sampler: each process keeps a partial view of the others and shuffles it with its peers.
+//! The peer sampler: each process keeps a partial view of the others and exchanges parts of it with its peers
+//! (shuffles).
 
 use crate::sans_io::{Now, Rng};
 use crate::wire::{PeerView, Shuffle};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many other processes are in a view.
+/// The maximum number of other processes in a view.
 pub const VIEW_SIZE: usize = 8;
-/// A peer that is older than this, in shuffles, is not taken into a view: it is probably gone.
+/// Peers of this age or older, in shuffles, are not added to a view: they are probably gone.
 const MAX_AGE_SHUFFLES: u32 = 100;
-/// One of so many shuffles goes to a seed, so that a cluster whose parts have lost sight of each other rejoins.
+/// One in this many shuffles goes to a seed, so that parts of a cluster that no longer know each other reconnect.
 const SEED_SHUFFLE_ODDS: u64 = 8;
-/// Intervals vary by up to this part, so that processes do not shuffle in step.
+/// Intervals are extended at random by up to the interval divided by this, so that processes do not shuffle in step.
 const JITTER_DIVISOR: u64 = 4;
-/// The role of replicas, as it is on the wire.
+/// The role of replicas, as written on the wire.
 const REPLICA_ROLE: &str = "core";
 
 /// A process in view.
@@ -20,7 +21,7 @@
 struct Peer {
     role: String,
     zone: String,
-    /// How many shuffles ago it was heard from.
+    /// The number of shuffles since it was last heard from.
     age: u32,
 }
 
@@ -32,13 +33,13 @@
     zone: String,
     seeds: Vec<String>,
     view: BTreeMap<String, Peer>,
-    /// The replicas that are known from the watch or from peers.
+    /// The replicas known from the watch or from peers.
     pub replicas: BTreeSet<String>,
     next_shuffle: u64,
 }
 
 impl PeerSampler {
-    /// An empty view, which starts from the seeds.
+    /// Creates an empty view, which is first filled from the seeds.
     pub fn new(own_address: &str, role: &str, zone: &str, seeds: &[String]) -> Self {
         Self {
             own_address: own_address.into(),
@@ -49,29 +50,29 @@
         }
     }
 
-    /// How many processes are in view.
+    /// The number of processes in the view.
     pub fn len(&self) -> usize {
         self.view.len()
     }
 
-    /// Whether no process is in view.
+    /// Whether the view is empty.
     pub fn is_empty(&self) -> bool {
         self.view.is_empty()
     }
 
-    /// The processes in view that have a role.
+    /// The addresses of the processes in the view that have the given role.
     pub fn with_role(&self, role: &str) -> Vec<String> {
         let peers = self.view.iter();
         let of_role = peers.filter(|(_, peer)| peer.role == role);
         of_role.map(|(address, _)| address.clone()).collect()
     }
 
-    /// All processes in view.
+    /// The addresses of all processes in the view.
     pub fn addresses(&self) -> Vec<String> {
         self.view.keys().cloned().collect()
     }
 
-    /// This process itself and half a view of others, drawn at random.
+    /// A random sample of up to half a view, preceded by this process itself.
     fn sample(&self, rng: &mut Rng) -> Vec<PeerView> {
         let mut left: Vec<(&String, &Peer)> = self.view.iter().collect();
         let mut sample = vec![PeerView {
@@ -81,8 +82,8 @@
             age: 0,
         }];
         while sample.len() <= VIEW_SIZE / 2 && !left.is_empty() {
-            let drawn = rng.below(left.len() as u64) as usize;
-            let (address, peer) = left.swap_remove(drawn);
+            let index = rng.below(left.len() as u64) as usize;
+            let (address, peer) = left.swap_remove(index);
             sample.push(PeerView {
                 addr: address.clone(),
                 role: peer.role.clone(),
@@ -93,7 +94,7 @@
         sample
     }
 
-    /// Takes peers into the view, which keeps the youngest.
+    /// Merges received peers into the view, which keeps the youngest ones.
     fn merge(&mut self, received: Vec<PeerView>, rng: &mut Rng) {
         for peer in received {
             if peer.addr == self.own_address || peer.age >= MAX_AGE_SHUFFLES {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Removes the oldest peer, or one of them at random.
+    /// Removes the oldest peer, or a random one of several.
     fn remove_oldest(&mut self, rng: &mut Rng) {
         let greatest_age = self.view.values().map(|peer| peer.age).max().unwrap_or(0);
         let peers = self.view.iter();
@@ -142,7 +143,7 @@
         }
         let to = self.shuffle_target(rng)?;
         let view = self.sample(rng);
-        // It comes back into the view with its reply, if it is alive.
+        // If it is alive, its reply adds it to the view again.
         self.view.remove(&to);
         let shuffle = Shuffle {
             reply: false,
@@ -152,7 +153,7 @@
         Some((to, shuffle))
     }
 
-    /// The oldest peer; now and then, or where there is none, a seed.
+    /// The oldest peer; a seed in one of [`SEED_SHUFFLE_ODDS`] cases, or if the view is empty.
     fn shuffle_target(&self, rng: &mut Rng) -> Option<String> {
         let oldest = self.view.iter().max_by_key(|(_, peer)| peer.age);
         if let Some((address, _)) = oldest {
@@ -166,7 +167,7 @@
         rng.pick(&seeds).cloned()
     }
 
-    /// Takes a shuffle of a peer; returns the reply if it is none itself.
+    /// Handles a shuffle from a peer; returns a reply unless the shuffle is itself a reply.
     pub fn receive(&mut self, shuffle: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
         let reply = if shuffle.reply {
             None
--- a/landingdrift/src/snapshot_chunks/mod.rs
+++ b/landingdrift/src/snapshot_chunks/mod.rs
@@ -1,16 +1,16 @@
-//! Snapshots of the cluster state in chunks: sent one after another, put together and checked at the other end.
+//! Chunked transfer of snapshots of the cluster state: the receiver assembles the chunks and verifies the checksum.
 
 use crate::sans_io::Snapshot;
 
-/// The most bytes of one chunk.
+/// The maximum size of a chunk, in bytes.
 pub const CHUNK_BYTES: usize = 256 << 10;
-/// No snapshot is taken that says it is longer.
+/// Snapshots announced as larger than this, in bytes, are rejected.
 pub const MAX_SNAPSHOT_BYTES: u64 = 1 << 30;
 
-/// What tells one snapshot from another.
+/// The identity of a snapshot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotId {
-    /// The place of the last entry in it, and that entry's term.
+    /// The log index of the last entry that it covers.
     pub index: u64,
     /// The term of that entry.
     pub term: u64,
@@ -20,7 +20,7 @@
     pub checksum: u32,
 }
 
-/// A snapshot that is sent.
+/// A snapshot to be sent in chunks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChunkedSnapshot {
     identity: SnapshotId,
@@ -28,7 +28,7 @@
 }
 
 impl ChunkedSnapshot {
-    /// A snapshot of the cluster state as it was after the entry at an index.
+    /// Creates a snapshot from the packed cluster state after the entry at an index.
     pub fn new(index: u64, term: u64, bytes: Vec<u8>) -> Self {
         let identity = SnapshotId {
             index,
@@ -39,24 +39,24 @@
         Self { identity, bytes }
     }
 
-    /// What tells it from others.
+    /// The identity of this snapshot.
     pub fn identity(&self) -> SnapshotId {
         self.identity
     }
 
-    /// The largest chunk that starts at an offset; empty behind the end.
+    /// The chunk of maximum size that starts at an offset; empty past the end.
     pub fn chunk(&self, offset: u64) -> &[u8] {
         self.chunk_up_to(offset, CHUNK_BYTES)
     }
 
-    /// The chunk of at most so many bytes that starts at an offset; empty behind the end.
+    /// The chunk of at most `max_bytes` that starts at an offset; empty past the end.
     pub fn chunk_up_to(&self, offset: u64, max_bytes: usize) -> &[u8] {
         let from = (offset as usize).min(self.bytes.len());
         let to = (from + max_bytes.min(CHUNK_BYTES)).min(self.bytes.len());
         &self.bytes[from..to]
     }
 
-    /// The same as it goes to the disk.
+    /// The snapshot in the form in which it is written to disk.
     pub fn to_snapshot(&self) -> Snapshot {
         Snapshot {
             index: self.identity.index,
@@ -72,18 +72,18 @@
     }
 }
 
-/// What has become of a snapshot with a chunk taken.
+/// The result of adding a chunk to a snapshot.
 #[derive(Debug, PartialEq)]
 pub enum ChunkOutcome {
-    /// More is to come.
+    /// Further chunks are missing.
     Incomplete,
-    /// It is whole, and its checksum is right.
+    /// The snapshot is complete and its checksum matches.
     Complete(Vec<u8>),
-    /// It can't be what was sent: all of it is thrown away.
+    /// The snapshot is too large or its checksum does not match: everything received of it is discarded.
     Corrupt,
 }
 
-/// A snapshot that is being received; at most one at a time.
+/// A snapshot being received; at most one at a time.
 #[derive(Clone, Debug, Default)]
 pub struct SnapshotAssembly {
     identity: SnapshotId,
@@ -91,47 +91,48 @@
 }
 
 impl SnapshotAssembly {
-    /// The snapshot that is being put together.
+    /// The identity of the snapshot being received.
     pub fn identity(&self) -> SnapshotId {
         self.identity
     }
 
-    /// How many of its bytes are there.
+    /// The number of bytes received.
     pub fn received(&self) -> u64 {
         self.bytes.len() as u64
     }
 
-    /// Takes a chunk. One of another snapshot starts over; one that does not follow what is there changes nothing.
+    /// Adds a chunk. A chunk of another snapshot starts over with that one; a chunk that does not follow the received
+    /// bytes is ignored.
     pub fn add_chunk(&mut self, of: SnapshotId, offset: u64, chunk: &[u8]) -> ChunkOutcome {
         if of != self.identity {
             self.identity = of;
             self.bytes = Vec::new();
         }
-        let most = of.total.min(MAX_SNAPSHOT_BYTES);
-        if offset == self.received() && offset + chunk.len() as u64 <= most {
+        let max_bytes = of.total.min(MAX_SNAPSHOT_BYTES);
+        if offset == self.received() && offset + chunk.len() as u64 <= max_bytes {
             self.bytes.extend_from_slice(chunk);
         }
         if self.received() < of.total {
-            return if of.total > most {
-                self.spoilt()
+            return if of.total > max_bytes {
+                self.discard_corrupt()
             } else {
                 ChunkOutcome::Incomplete
             };
         }
         if crc32fast::hash(&self.bytes) != of.checksum {
-            return self.spoilt();
+            return self.discard_corrupt();
         }
-        let whole = std::mem::take(&mut self.bytes);
+        let complete = std::mem::take(&mut self.bytes);
         self.identity = SnapshotId::default();
-        ChunkOutcome::Complete(whole)
+        ChunkOutcome::Complete(complete)
     }
 
-    /// Forgets what is there.
+    /// Discards everything received.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    fn spoilt(&mut self) -> ChunkOutcome {
+    fn discard_corrupt(&mut self) -> ChunkOutcome {
         self.clear();
         ChunkOutcome::Corrupt
     }
--- a/landingdrift/src/wire/mod.rs
+++ b/landingdrift/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's own processes, as flatbuffers.
+//! The wire format of messages between the processes of a cluster: FlatBuffers envelopes with a version.
 
 #[allow(warnings, clippy::all)]
 mod generated {
@@ -12,19 +12,19 @@
 /// The version of the wire format that this build speaks.
 pub const WIRE_VERSION: u16 = 4;
 
-/// The outcome of a proposal: it was applied, and `response` says with which result.
+/// The outcome of a proposal: it was applied, and `response` contains the result.
 pub const PROPOSAL_APPLIED: u8 = 0;
-/// The outcome of a proposal: the replica does not lead, or not yet, and has appended nothing.
+/// The outcome of a proposal: the replica does not lead or is not ready to, and has appended nothing.
 pub const PROPOSAL_NOT_APPENDED: u8 = 1;
 /// The outcome of a proposal: the leader has no memory for the job and has appended nothing.
 pub const PROPOSAL_NO_CAPACITY: u8 = 2;
 
-/// Why a frame was refused.
+/// The reason for which a frame was rejected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireError {
-    /// The bytes are no envelope.
+    /// The bytes are not a valid envelope.
     Malformed(String),
-    /// The sender speaks another version.
+    /// The sender uses another version of the wire format.
     Version(u16),
     /// The sender belongs to another cluster.
     Cluster(String),
@@ -33,22 +33,22 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Malformed(why) => write!(f, "not a frame of this system ({why}): point the sender at this process's HTTP address instead"),
+            Self::Malformed(reason) => write!(f, "not a valid landingdrift frame ({reason}): an HTTP client must use this process's HTTP address instead"),
             Self::Version(v) => write!(
                 f,
-                "the sender speaks wire version {v}, this build does not: upgrade the older of the two, as docs/operators/rollouts.md says"
+                "the sender uses wire version {v}, which this build does not support: upgrade the older of the two processes, see docs/operators/rollouts.md"
             ),
-            Self::Cluster(c) => write!(f, "the sender belongs to cluster '{c}': correct `cluster` or `seeds` in one of the two settings"),
+            Self::Cluster(c) => write!(f, "the sender belongs to cluster '{c}': correct `cluster` or `seeds` in the settings of one of the two processes"),
         }
     }
 }
 
-/// Turns an envelope into bytes.
+/// Encodes a message in an envelope of this build's version.
 pub fn pack(cluster: &str, from: &str, body: &Body) -> Vec<u8> {
     pack_with_version(WIRE_VERSION, cluster, from, body)
 }
 
-/// The same, as a build that speaks another version would.
+/// Like [`pack`], as a build with another wire version would.
 pub fn pack_with_version(version: u16, cluster: &str, from: &str, body: &Body) -> Vec<u8> {
     let env = Envelope {
         version,
@@ -59,12 +59,12 @@
     planus::Builder::new().finish(env, None).to_vec()
 }
 
-/// Reads an envelope and checks its version and cluster.
+/// Decodes an envelope and checks its version and cluster.
 pub fn unpack(cluster: &str, bytes: &[u8]) -> Result<Envelope, WireError> {
     unpack_with_version(WIRE_VERSION, cluster, bytes)
 }
 
-/// The same, as a build that speaks another version would.
+/// Like [`unpack`], as a build with another wire version would.
 pub fn unpack_with_version(
     version: u16,
     cluster: &str,
