--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -1,4 +1,4 @@
-//! The sans-IO core: what every part of the system is, and what it may ask for.
+//! The sans-IO core: every part of the system is a state machine that takes messages and returns effects.
 
 mod outbox;
 pub mod roles;
@@ -9,45 +9,45 @@
 use crate::wire::{Body, DurabilityWitness, Entry};
 use serde_json::Value;
 
-/// The time a step is taken at: durations come from `mono`, appointed times from `wall`.
+/// The time at which a step is taken. Durations are measured by `mono`, points in time by `wall`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// Milliseconds of a clock that never jumps.
+    /// Milliseconds by a monotonic clock.
     pub mono: u64,
-    /// Milliseconds since 1970 by this machine's clock, which may jump.
+    /// Milliseconds since 1970 by this machine's wall clock, which may jump.
     pub wall: u64,
 }
 
-/// A call over HTTP, already read by the library.
+/// A parsed HTTP request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// The method, as `GET`.
+    /// The method, for example `GET`.
     pub method: String,
     /// The path, without the query.
     pub path: String,
-    /// The query, without the question mark.
+    /// The query string, without the question mark.
     pub query: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// The response on a call.
+/// The response to an HTTP request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
-    /// When the caller should come back, in milliseconds; 0 for never.
+    /// When the client should retry, in milliseconds from now; 0 for no such hint.
     pub retry_ms: u64,
     /// The body.
     pub body: Value,
-    /// The node that gave it, where another passed it on.
+    /// Node that produced the response, if another node forwarded it.
     pub by: String,
-    /// With status 307, where to call instead, as `ADDRESS/PATH`; empty otherwise.
+    /// Target of a redirect (status 307), as `ADDRESS/PATH`; empty otherwise.
     pub location: String,
 }
 
 impl Response {
-    /// A response with a body.
+    /// Creates a response with a status and a body.
     pub fn new(status: u16, body: Value) -> Self {
         Self {
             status,
@@ -55,14 +55,14 @@
             ..Self::default()
         }
     }
-    /// A refusal or error whose message names the remedy.
+    /// Creates an error response of a kind; the message should name the remedy.
     pub fn error(status: u16, kind: &str, message: impl Into<String>) -> Self {
         Self::new(
             status,
             serde_json::json!({"error": kind, "message": message.into()}),
         )
     }
-    /// Sends the caller to another address for the same path.
+    /// Creates a redirect to the same path at another address.
     pub fn redirect(address: &str, path: &str) -> Self {
         Self {
             status: 307,
@@ -71,97 +71,97 @@
             ..Self::default()
         }
     }
-    /// The same response, telling the caller when to come back.
+    /// Sets when the client should retry, in milliseconds from now.
     pub fn retry(mut self, ms: u64) -> Self {
         self.retry_ms = ms;
         self
     }
 }
 
-/// Everything that can happen to a part.
+/// The inputs of a part.
 #[derive(Clone, Debug)]
 pub enum Msg {
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
-    /// A message came from another process, at the address named.
+    /// A message from the process at an address.
     Wire(String, Body),
-    /// All that was handed to the disk up to this ticket is durable.
+    /// Every batch up to this [`WriteBatch::write_id`] is durable.
     Persisted(u64),
-    /// The disk refused.
+    /// A write to the disk failed, with the reason.
     DiskFailed(String),
-    /// Somebody calls.
+    /// An HTTP request, with the number of the call that its response must carry.
     Call(u64, Request),
-    /// Settings that can change live have changed.
+    /// Settings that can change at run time have changed.
     SettingsChanged(Box<Settings>),
-    /// The process is asked to stop in an orderly way.
+    /// The process has been asked to shut down gracefully.
     Stop,
 }
 
-/// What goes to the disk in one piece.
+/// A batch of changes that is written to the disk atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WriteBatch {
-    /// The number of the batch, by which it is confirmed.
+    /// Number of the batch, by which [`Msg::Persisted`] confirms it.
     pub write_id: u64,
     /// The term and the vote, if they have changed.
     pub hard_state: Option<HardState>,
-    /// Entries from this index on are void.
+    /// Log index from which on existing entries are discarded.
     pub truncate_from: Option<u64>,
     /// Entries to append, after the truncation.
     pub entries: Vec<Entry>,
-    /// What this replica remembers of the disks of others.
+    /// Durability witnesses: how far the logs of other replicas' disks are known to reach.
     pub witnesses: Vec<DurabilityWitness>,
-    /// A snapshot to keep beside the log.
+    /// A snapshot to store beside the log.
     pub snapshot: Option<Snapshot>,
 }
 
-/// The term and the vote given in it.
+/// The Raft hard state: the current term and the vote in it.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct HardState {
     /// The current term.
     pub term: u64,
-    /// Who got the vote in it; empty for nobody.
+    /// Candidate that got this replica's vote in the term; empty for none.
     pub vote: String,
-    /// Votes in terms up to this one may have been given and forgotten.
+    /// This replica must not vote in terms up to this one: it may have voted in them and lost the record.
     #[serde(rename = "silent_to")]
     pub no_vote_through: u64,
-    /// The first members of the cluster, for a replica that was started as one of them.
+    /// Initial members of the cluster, if this replica was started as one of them.
     #[serde(default)]
     pub founders: Vec<String>,
 }
 
-/// The cluster state as it was at an index.
+/// The cluster state as of a log index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The last entry that it covers.
+    /// Index of the last entry that it covers.
     pub index: u64,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: u64,
     /// The packed state.
     pub bytes: Vec<u8>,
 }
 
-/// What a part asks of its surroundings.
+/// The outputs of a part, which its runtime carries out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send to the process at an address.
+    /// Sends a message to the process at an address.
     Send(String, Body),
-    /// Write, and sync.
+    /// Writes a batch to the disk and syncs it.
     Persist(WriteBatch),
-    /// Give a call its response.
+    /// Sends the response to a call.
     Answer(u64, Response),
-    /// A change of state worth a line.
+    /// Writes a line to the process's log.
     Log(String),
-    /// The part is done and the process may end.
+    /// Reports that the part has finished, so that the process may end.
     Exit,
 }
 
-/// A part: one message in, effects out; it holds no clock, no socket, no file.
+/// A state machine that takes one message per step and returns effects. It has no access to clocks, sockets or files.
 pub trait Part: Send {
-    /// Takes one step.
+    /// Processes one message.
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect>;
-    /// Counters, by name.
+    /// Current values of the counters, by name.
     fn counters(&self) -> Vec<(String, u64)>;
-    /// The counters as text for `/metrics`.
+    /// The counters as a text response for `/metrics`.
     fn metrics(&self) -> Response {
         let text = self
             .counters()
@@ -172,45 +172,46 @@
     }
 }
 
-/// A small generator whose numbers follow from its seed alone.
+/// A deterministic pseudo-random number generator (SplitMix64).
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
 impl Rng {
-    /// A generator from a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
         Self(seed ^ 0x9e37_79b9_7f4a_7c15)
     }
-    /// The next number.
+    /// Returns the next 64-bit number.
     pub fn number(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         z ^ (z >> 31)
     }
-    /// A number below `n`, or 0 when `n` is 0.
+    /// Returns a number below `n`, or 0 if `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
         self.number().checked_rem(n).unwrap_or(0)
     }
-    /// A number in [0, 1).
+    /// Returns a number in [0, 1).
     pub fn unit(&mut self) -> f64 {
         (self.number() >> 11) as f64 / (1u64 << 53) as f64
     }
-    /// Picks one of a slice.
+    /// Returns a random item of a slice; `None` if it is empty.
     pub fn pick<'a, T>(&mut self, of: &'a [T]) -> Option<&'a T> {
         of.get(self.below(of.len() as u64) as usize)
     }
 }
 
-/// Links are assumed to carry at least so many bytes in a millisecond; narrower ones cost repetitions.
+/// Assumed minimum bandwidth of a link, in bytes per millisecond; slower links cause needless retransmissions.
 pub const MIN_LINK_BYTES_PER_MS: u64 = 128;
 
-/// How long bytes may take on the narrowest link, in milliseconds: what was sent is not taken for lost sooner.
+/// Maximum transfer time of a number of bytes on the slowest assumed link, in milliseconds. Messages are not considered
+/// lost before it has passed.
 pub fn transfer_ms(bytes: u64) -> u64 {
     bytes / MIN_LINK_BYTES_PER_MS
 }
 
-/// A number from a text, the same on every machine.
+/// The 64-bit FNV-1a hash of bytes; the same on every machine.
 pub fn fnv1a(text: &[u8]) -> u64 {
     text.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
--- a/landingdrift/src/sans_io/outbox.rs
+++ b/landingdrift/src/sans_io/outbox.rs
@@ -1,10 +1,10 @@
-//! What a part gathers while it takes a step: its effects, and its counters.
+//! Collects the effects of a part's step, and its counters.
 
 use super::{Effect, Response, WriteBatch};
 use crate::wire::Body;
 use std::collections::BTreeMap;
 
-/// The effects of the current step, in order, and the counters of all steps so far.
+/// The effects of the current step, in order, and the counters accumulated over all steps.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
     effects: Vec<Effect>,
@@ -17,32 +17,32 @@
         self.effects.push(Effect::Send(to.into(), body));
     }
 
-    /// Answers an HTTP request.
+    /// Sends the response to an HTTP request, identified by the number of its call.
     pub fn respond(&mut self, call: u64, response: Response) {
         self.effects.push(Effect::Answer(call, response));
     }
 
-    /// Hands a batch to the disk.
+    /// Writes a batch to the disk.
     pub fn persist(&mut self, batch: WriteBatch) {
         self.effects.push(Effect::Persist(batch));
     }
 
-    /// Writes a line to the log.
+    /// Writes a line to the process's log.
     pub fn log(&mut self, text: String) {
         self.effects.push(Effect::Log(text));
     }
 
-    /// Lets the process end.
+    /// Reports that the part has finished.
     pub fn exit(&mut self) {
         self.effects.push(Effect::Exit);
     }
 
-    /// Adds to a counter.
+    /// Adds `n` to a counter.
     pub fn count(&mut self, name: &'static str, n: u64) {
         *self.counters.entry(name).or_default() += n;
     }
 
-    /// Takes the effects of the current step.
+    /// Returns the effects collected so far, and clears them.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
