--- a/landingdrift/src/settings/bounds.rs
+++ b/landingdrift/src/settings/bounds.rs
@@ -1,35 +1,35 @@
-//! The time bounds that operators are promised, and the internal durations derived from them, all in milliseconds.
+//! Time bounds that the system promises to operators, and internal durations derived from them, all in milliseconds.
 
 use serde::{Deserialize, Serialize};
 
-/// The bounds that operators are promised; every internal duration is a ratio of one of them.
+/// Time bounds that the system promises to operators. Every internal duration is a fixed fraction or multiple of one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// A job's state can be asked for within this time of its acceptance.
+    /// Time after a job's acceptance within which its state can be queried.
     pub state_ms: u64,
-    /// Nothing of a cancelled job starts after this time.
+    /// Time after a job's cancellation after which none of its tasks start.
     pub cancel_ms: u64,
-    /// A leaving worker gets nothing new after this time.
+    /// Time after a worker announces that it leaves after which it gets no new work.
     pub leave_ms: u64,
-    /// An evacuated zone gets nothing new after this time.
+    /// Time after the evacuation of a zone after which the zone gets no new work.
     #[serde(rename = "empty_ms")]
     pub evacuate_ms: u64,
-    /// A change of the configuration is in force within this time.
+    /// Time within which a configuration change is in force.
     #[serde(rename = "desired_ms")]
     pub config_ms: u64,
-    /// Service returns within this time after a total outage.
+    /// Time within which service is restored after a total outage.
     pub outage_ms: u64,
-    /// A standby that is silent for three times as long is dropped from the membership.
+    /// A standby that has not been heard for three times this long is removed from the membership.
     pub replace_ms: u64,
-    /// The lease of a worker on what it runs lasts this long after each heartbeat, then the worker kills it; 0 is for
-    /// ever.
+    /// Duration of a worker's lease on its attempts after each heartbeat; when it expires, the worker kills them. 0 for
+    /// no expiry.
     #[serde(rename = "hold_ms")]
     pub lease_ms: u64,
-    /// How often workers heartbeat; 0 for an eighth of `leave_ms`.
+    /// Interval of workers' heartbeats; 0 for an eighth of `leave_ms`.
     #[serde(rename = "beat_ms")]
     pub heartbeat_ms: u64,
-    /// How long a process that is asked to stop may take before it is killed.
+    /// Time that a process has to stop gracefully before it is killed.
     pub grace_ms: u64,
 }
 
@@ -51,65 +51,68 @@
 }
 
 impl Bounds {
-    /// The interval of a part's ticks.
+    /// Interval of a part's ticks.
     pub fn tick_interval(&self) -> u64 {
         self.config_ms / 100
     }
 
-    /// The interval of a leader's heartbeats.
+    /// Interval of a leader's heartbeats.
     pub fn heartbeat_interval(&self) -> u64 {
         self.config_ms / 20
     }
 
-    /// The shortest silence after which a replica stands for election.
+    /// Minimum time without contact to a leader after which a replica starts an election.
     pub fn election_timeout(&self) -> u64 {
         self.config_ms / 4
     }
 
-    /// The silence after which a voter is exchanged for a standby that is caught up, and becomes a standby itself.
+    /// Time without contact after which a voter is replaced by a standby that is caught up, and becomes a standby
+    /// itself.
     pub fn voter_replacement_timeout(&self) -> u64 {
         4 * self.election_timeout()
     }
 
-    /// How long a replica that is asked to stop waits for a standby to vote in its place.
+    /// How long a stopping replica waits for a standby to replace it as a voter.
     pub fn leave_timeout(&self) -> u64 {
         self.grace_ms * 5 / 8
     }
 
-    /// How long a recovering replica waits for all others.
+    /// How long a recovering replica waits for responses of all other replicas.
     pub fn recovery_wait(&self) -> u64 {
         self.outage_ms / 8
     }
 
-    /// How old a node's watch may be while it answers callers from it: it shows cancels and configurations in time.
+    /// Maximum age of a node's watch for answering clients from it, so that responses reflect cancellations and
+    /// configuration changes within their bounds.
     pub fn max_watch_age(&self) -> u64 {
         (self.cancel_ms / 3).min(self.config_ms * 2 / 3)
     }
 
-    /// How old the watch of a node may be while it acts as a zone scheduler: gives orders to workers and renews their
+    /// Maximum age of a node's watch for acting as a zone scheduler, which sends orders to workers and renews their
     /// leases.
     pub fn max_watch_age_for_zones(&self) -> u64 {
         self.cancel_ms / 6
     }
 
-    /// How old the response to a heartbeat may be when its worker obeys a start order.
+    /// Maximum age of a heartbeat response for the worker to still obey a start order in it.
     pub fn max_start_order_age(&self) -> u64 {
         self.cancel_ms / 3
     }
 
-    /// The silence after which the zone leases of a node are granted to others; longer than `fresh_for_zones` and
-    /// `obey` together.
+    /// Time without contact to a node after which its zone leases are granted to others; longer than
+    /// [`Bounds::max_watch_age_for_zones`] and [`Bounds::max_start_order_age`] together, so that none of the node's
+    /// start orders is obeyed later.
     pub fn node_timeout(&self) -> u64 {
         self.cancel_ms * 11 / 20
     }
 
-    /// The silence after which the queue leases of a node are granted to others: the cluster state alone fences their
-    /// starts.
+    /// Time without contact to a node after which its queue leases are granted to others. It can be short, because the
+    /// cluster state alone fences the starts that their holders propose.
     pub fn queue_lease_timeout(&self) -> u64 {
         self.cancel_ms / 4
     }
 
-    /// The interval of workers' heartbeats.
+    /// Interval of workers' heartbeats.
     pub fn worker_heartbeat_interval(&self) -> u64 {
         if self.heartbeat_ms > 0 {
             self.heartbeat_ms
@@ -118,62 +121,63 @@
         }
     }
 
-    /// When a worker's lease has certainly expired by its own clock, which may run 2 % slow.
+    /// Time after which a worker's lease has certainly expired, even if the worker's clock runs 2 % slow.
     pub fn lease_expired_after(&self) -> u64 {
         self.lease_ms + self.lease_ms * 3 / 100
     }
 
-    /// The silence after which a worker is lost.
+    /// Time without heartbeats after which a worker is marked as lost.
     pub fn worker_timeout(&self) -> u64 {
         self.cancel_ms
     }
 
-    /// How long a call is worked on before its response is "unsure".
+    /// How long a request is processed before it is answered with `unsure`.
     pub fn request_timeout(&self) -> u64 {
         self.state_ms * 4 / 5
     }
 
-    /// How long an offer waits for its response.
+    /// How long an offer of a slot waits for its response.
     pub fn offer_timeout(&self) -> u64 {
         self.config_ms / 4
     }
 
-    /// The interval of a peer sampler's shuffles.
+    /// Interval of a peer sampler's shuffles.
     pub fn shuffle_interval(&self) -> u64 {
         self.config_ms / 4
     }
 
-    /// The interval after which reservations are placed again.
+    /// Interval after which reservations are placed again.
     pub fn reservation_interval(&self) -> u64 {
         self.config_ms / 2
     }
 
-    /// How long a process that is asked to stop keeps serving, so that callers find out that it is not ready.
+    /// How long a stopping process keeps serving, so that clients and load balancers notice that it is not ready.
     pub fn serving_time_after_stop(&self) -> u64 {
         self.grace_ms * 5 / 12
     }
 
-    /// When the parts of a process that was asked to stop are ended, even if they are not done.
+    /// Time after a stop request at which the parts of a process are ended, even if they have not finished.
     pub fn parts_deadline(&self) -> u64 {
         self.grace_ms * 2 / 3
     }
 
-    /// When a process that was asked to stop has ended; the rest of the grace period is for a slow machine.
+    /// Time after a stop request at which the process must have ended; the rest of the grace period is reserved for a
+    /// slow machine.
     pub fn process_deadline(&self) -> u64 {
         self.grace_ms * 4 / 5
     }
 
-    /// How long the last responses may take to be transmitted.
+    /// How long the transmission of the last responses may take.
     pub fn flush_timeout(&self) -> u64 {
         self.grace_ms / 60
     }
 
-    /// The longest pause before a disk that refused is tried again.
+    /// Maximum pause before a failed disk write is retried.
     pub fn max_disk_retry_interval(&self) -> u64 {
         self.config_ms / 2
     }
 
-    /// The usual pause before a caller that was told to come back does so.
+    /// Default pause after which clients are asked to retry.
     pub fn retry_after(&self) -> u64 {
         self.state_ms / 3
     }
--- a/landingdrift/src/settings/check.rs
+++ b/landingdrift/src/settings/check.rs
@@ -1,19 +1,19 @@
-//! Checks settings: each error names the setting and the remedy.
+//! Validation of settings; each error names the setting and the remedy.
 
 use super::read::SettingsError;
 use super::{Bounds, Hopper, Limits, Settings};
 use std::net::SocketAddr;
 
-/// The most bytes of a job or a configuration.
+/// Upper limit of the settings for the size of a job or a configuration, in bytes.
 const MAX_BODY_BYTES: u64 = 32 << 20;
-/// The most replicas that vote: each entry is sent to all of them.
+/// Maximum number of voting replicas; limited because each log entry is sent to all of them.
 const MAX_VOTERS: u32 = 15;
-/// The least memory for jobs, in bytes.
+/// Minimum memory for jobs, in bytes.
 const MIN_JOBS_MEMORY_BYTES: u64 = 1 << 20;
-/// The shortest bound, in milliseconds: parts tick every hundredth of one.
+/// Minimum of a time bound, in milliseconds; parts tick every hundredth of one.
 const MIN_BOUND_MS: u64 = 400;
 
-/// Checks all settings; returns the first error.
+/// Validates all settings; returns the first error.
 pub(super) fn check(settings: &Settings, is_replica: bool) -> Result<(), SettingsError> {
     check_addresses(settings)?;
     check_process(settings, is_replica)?;
@@ -22,7 +22,7 @@
     check_hopper(&settings.hopper)
 }
 
-/// An error about a setting, unless it is `ok`.
+/// Returns an error about a setting unless it is `ok`.
 fn ensure(ok: bool, setting: &'static str, remedy: &str) -> Result<(), SettingsError> {
     if ok {
         return Ok(());
@@ -33,7 +33,7 @@
     })
 }
 
-/// Whether other processes can connect to an address.
+/// Whether a text is an address that other processes can connect to: an IP address, not unspecified, and a port.
 fn is_reachable(address: &str) -> bool {
     let parsed = address.parse::<SocketAddr>();
     parsed.is_ok_and(|address| address.port() != 0 && !address.ip().is_unspecified())
@@ -48,12 +48,12 @@
     ensure(
         is_reachable(&settings.listen),
         "listen",
-        "give an IP number and port that other processes can reach, as in 10.0.0.1:7000",
+        "give an IP address and port that other processes can reach, for example 10.0.0.1:7000",
     )?;
     ensure(
         is_reachable(&settings.http),
         "http",
-        "give an IP number and port that callers can reach, as in 10.0.0.1:8000",
+        "give an IP address and port that clients can reach, for example 10.0.0.1:8000",
     )?;
     ensure(
         settings.listen != settings.http,
@@ -76,7 +76,7 @@
             .iter()
             .all(|address| is_reachable(address)),
         "founders",
-        "give IP:PORT addresses of the first cores",
+        "give the IP:PORT addresses of the initial cores",
     )?;
     Ok(())
 }
@@ -85,12 +85,12 @@
     ensure(
         !is_replica || !settings.data.is_empty(),
         "data",
-        "a core needs a data folder: give one",
+        "a core requires a data folder: give one",
     )?;
     ensure(
         is_replica || settings.data.is_empty(),
         "data",
-        "a node keeps nothing on disk: leave this out",
+        "a node stores nothing on disk: remove this setting",
     )?;
     ensure(
         ["error", "warn", "info", "debug"].contains(&settings.log.as_str()),
@@ -100,7 +100,7 @@
     ensure(
         (1..=MAX_VOTERS).contains(&settings.voters) && settings.voters % 2 == 1,
         "voters",
-        "give an odd number from 1 to 15: 2f+1 where f machines may be lost at once",
+        "give an odd number from 1 to 15: 2f+1 to tolerate the loss of f machines at once",
     )?;
     Ok(())
 }
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings of a process, from a file and from flags, checked as a whole. Names that end in `_ms` are in
-//! milliseconds, in `_bytes` in bytes.
+//! The settings of a process, read from a file and from flags and validated as a whole. Names that end in `_ms` are in
+//! milliseconds, names that end in `_bytes` in bytes.
 
 mod bounds;
 mod check;
@@ -10,36 +10,37 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A node with less than so many thousandths of a core is small: it follows a light copy of the cluster state, and its link is
-/// taken for narrow.
+/// A node with less CPU than this, in thousandths of a core, is small: it follows a light copy of the cluster state,
+/// without jobs and workers, and its link is assumed to be slow.
 pub const SMALL_NODE_SHARE: u32 = 100;
 
 /// Limits on what a cluster stores and accepts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The largest job, in bytes.
+    /// Maximum size of a job, in bytes.
     pub job_bytes: u64,
-    /// The largest configuration, in bytes.
+    /// Maximum size of the configuration, in bytes.
     #[serde(rename = "desired_bytes")]
     pub config_bytes: u64,
-    /// The most unfinished jobs in the cluster.
+    /// Maximum number of unfinished jobs in the cluster.
     pub open_jobs: u64,
-    /// How many bytes of memory the jobs may take in one copy of the cluster state, unfinished and retained; a process has
-    /// up to two copies.
+    /// Maximum memory for unfinished and retained jobs in one copy of the cluster state, in bytes; a process holds up
+    /// to two copies.
     pub jobs_memory_bytes: u64,
-    /// The most calls that one node works on at once.
+    /// Maximum number of requests that one node processes at once.
     pub calls: u64,
-    /// How long a finished job is kept in full, in milliseconds.
+    /// How long a finished job is retained in full, in milliseconds.
     pub retain_ms: u64,
-    /// How long a finished job's identity is kept after that, in milliseconds, so that a late copy of it is recognised.
+    /// How long a finished job's identity is kept after that, in milliseconds, so that late retries of its submission
+    /// are recognised.
     pub identity_ms: u64,
-    /// The number of entries between two snapshots.
+    /// Number of log entries between two snapshots.
     #[serde(rename = "capture_every")]
     pub snapshot_every: u64,
-    /// How many bytes of entries a replica keeps in memory; a snapshot is taken after half of them.
+    /// Maximum size of the log entries that a replica keeps in memory, in bytes; a snapshot is taken after half of it.
     pub log_bytes: u64,
-    /// The size at which a log segment is closed, in bytes.
+    /// Size at which a log segment is closed, in bytes.
     pub segment_bytes: u64,
 }
 
@@ -60,19 +61,19 @@
     }
 }
 
-/// The parameters of scheduling, as Hopper names them.
+/// Parameters of the scheduling policy, named after the Hopper paper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Hopper {
-    /// The number of reservations for each waiting task.
+    /// Number of reservations for each waiting task.
     pub probe_ratio: u32,
-    /// The number of refusals after which the next offer of a slot can't be refused.
+    /// Number of refusals after which the next offer of a slot can't be refused.
     pub refusals: u32,
     /// ε of the fairness guarantee: each job gets at least 1 - ε of its fair share.
     pub epsilon: f64,
-    /// The share of the smallest jobs, from 0 to 1, among which one with its data near goes first.
+    /// Fraction of the smallest jobs, from 0 to 1, among which a job whose data is near goes first.
     pub locality: f64,
-    /// An attempt is slow when it has run for this many times the median of its queue.
+    /// An attempt counts as slow once it has run for this many times the median duration of its queue.
     pub slow_factor: f64,
 }
 
@@ -92,38 +93,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// The name of the cluster: processes of different clusters ignore each other.
+    /// Name of the cluster; processes of different clusters ignore each other.
     pub cluster: String,
-    /// The address for the cluster's other processes; it is also this process's name.
+    /// Address for the cluster's other processes; also the name of this process.
     pub listen: String,
-    /// The address for callers, workers and operators.
+    /// Address of the HTTP interface for clients, workers and operators.
     pub http: String,
-    /// The zone of this machine.
+    /// Zone of this machine.
     pub zone: String,
-    /// The addresses of other processes to start from.
+    /// Addresses of other processes through which this one finds the cluster.
     pub seeds: Vec<String>,
-    /// The first replicas of a new cluster; the seeds when left empty.
+    /// Initial replicas of a new cluster; the seeds if empty.
     pub founders: Vec<String>,
-    /// This replica founds no cluster: it asks the replicas of a running one to join. For an empty disk.
+    /// Whether this replica only joins an existing cluster and never founds one. For a replica with an empty disk.
     pub join_only: bool,
-    /// How many replicas vote: 2f+1 if f machines may be lost at once. Further ones are standbys.
+    /// Number of voting replicas: 2f+1 to tolerate the loss of f machines at once. Further replicas are standbys.
     pub voters: u32,
-    /// This replica does not vote as long as enough others can: its machine does not count among those that may be
+    /// Whether this replica votes only if too few others can. Its machine then doesn't count among those that may be
     /// lost.
     pub standby_only: bool,
-    /// The CPU that this process may use, in thousandths of a core; leases are rather granted where there is more.
+    /// CPU that this process may use, in thousandths of a core; nodes with more are preferred for leases.
     pub share: u32,
-    /// A replica runs on the same machine: leases are rather granted elsewhere, so that one loss does not hit both.
+    /// Whether a replica runs on the same machine. Other nodes are then preferred for leases, so that the loss of one
+    /// machine does not take both.
     pub beside_core: bool,
-    /// The data folder of a replica.
+    /// Data folder of a replica; empty for a node.
     pub data: String,
-    /// The log level: `error`, `warn`, `info` or `debug`.
+    /// Log level: `error`, `warn`, `info` or `debug`.
     pub log: String,
-    /// Bounds that operators are promised.
+    /// Time bounds that the system promises to operators.
     pub bounds: Bounds,
-    /// Limits on what is held and taken.
+    /// Limits on what a cluster stores and accepts.
     pub limits: Limits,
-    /// Free values of the scheduling policy.
+    /// Parameters of the scheduling policy.
     pub hopper: Hopper,
 }
 
@@ -151,7 +153,7 @@
 }
 
 impl Settings {
-    /// The first replicas of a new cluster.
+    /// The replicas that found a new cluster; empty for a process that only joins one.
     pub fn founders(&self) -> Vec<String> {
         if self.join_only {
             Vec::new()
@@ -162,8 +164,8 @@
         }
     }
 
-    /// These settings, with those of `new` that can change while the process runs; and the names of those that differ
-    /// but can't change.
+    /// Returns these settings with the reloadable ones taken from `new`, and the names of the other settings that
+    /// differ in `new` and need a restart.
     pub fn with_reloadable_from(&self, new: &Settings) -> (Settings, Vec<&'static str>) {
         let fixed = [
             ("cluster", self.cluster != new.cluster),
--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -1,11 +1,11 @@
-//! Reads settings from a file and from flags, which take precedence.
+//! Reads settings from a TOML file and from flags, which take precedence.
 
 use super::check::check;
 use super::Settings;
 use std::ffi::OsString;
 use std::fmt;
 
-/// The flags that override the settings file, each with its help.
+/// Flags that override the settings file, each with its help text.
 pub const FLAGS: &[(&str, &str)] = &[
     ("settings", "FILE  read settings from this TOML file"),
     ("cluster", "NAME  name of the cluster"),
@@ -24,30 +24,30 @@
     ("log", "LEVEL  error, warn, info or debug"),
 ];
 
-/// What is wrong with the settings.
+/// Why the settings are invalid.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SettingsError {
-    /// The command line can't be read.
+    /// The command line is invalid.
     Flag(String),
-    /// The file can't be opened.
+    /// The file can't be read.
     File {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What the file system said.
+        /// Error of the file system.
         why: String,
     },
-    /// The file's text is wrong.
+    /// The file's content is invalid.
     Text {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What is wrong with the text.
+        /// Error of the TOML parser.
         why: String,
     },
-    /// A value is missing, wrong or contradicts another.
+    /// A value is missing, invalid or contradicts another.
     Value {
-        /// The name of the setting.
+        /// Name of the setting.
         setting: &'static str,
-        /// What to do about it.
+        /// How to correct it.
         remedy: String,
     },
 }
@@ -56,21 +56,21 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Flag(why) => write!(formatter, "{why}: see --help for the flags"),
-            Self::File { file, why } => write!(formatter, "settings file '{file}' can't be read ({why}): correct --settings or the file's rights"),
-            Self::Text { file, why } => write!(formatter, "settings file '{file}' is wrong: {why}; docs/operators/settings.md lists all settings"),
+            Self::File { file, why } => write!(formatter, "failed to read settings file '{file}': {why}; correct --settings or the file's permissions"),
+            Self::Text { file, why } => write!(formatter, "invalid settings file '{file}': {why}; docs/operators/settings.md lists all settings"),
             Self::Value { setting, remedy } => write!(formatter, "setting '{setting}': {remedy}"),
         }
     }
 }
 
-/// The parsed command line after a role's name.
+/// The result of parsing the command line after a role's name.
 pub struct ParsedArguments {
     pub settings: Settings,
     pub check_only: bool,
     pub help: bool,
 }
 
-/// The flags, before the file is read.
+/// The flags given on the command line.
 #[derive(Default)]
 struct Flags {
     check_only: bool,
@@ -121,9 +121,9 @@
             lexopt::Arg::Long(name) if is_known(name) => {
                 let name = name.to_string();
                 let value = parser.value().map_err(wrong)?;
-                let value = value
-                    .into_string()
-                    .map_err(|_| SettingsError::Flag(format!("--{name} takes text in UTF-8")))?;
+                let value = value.into_string().map_err(|_| {
+                    SettingsError::Flag(format!("the value of --{name} must be valid UTF-8"))
+                })?;
                 flags.given.push(GivenFlag { name, value });
             }
             other => return Err(wrong(other.unexpected())),
