--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -1,4 +1,4 @@
-//! The control thread of a part: it steps the part and carries out its effects.
+//! The control thread of a part: steps the part and executes its effects.
 
 use super::disk_writer::DiskWriter;
 use super::input::Input;
@@ -10,19 +10,19 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The most inputs in one round, so that effects are carried out in time even under a flood of inputs.
+/// The most inputs in one round. Bounds the delay of effects while inputs arrive faster than they are handled.
 const MAX_INPUTS_PER_ROUND: usize = 256;
 
-/// The process's clocks.
+/// The monotonic and the wall clock of the process.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Clocks whose monotonic time counts from now.
+    /// Starts the monotonic clock at 1 ms.
     pub fn start() -> Self {
         Self(Instant::now())
     }
-    /// The time.
+    /// The current time of both clocks, in milliseconds.
     pub fn now(&self) -> Now {
         Now {
             mono: 1 + self.0.elapsed().as_millis() as u64,
@@ -33,27 +33,27 @@
     }
 }
 
-/// A control thread: in each round the part is stepped through all inputs that wait, then their effects are carried
-/// out.
-pub struct Control {
-    /// The part whose steps the thread takes.
+/// The state of a control thread. In each round it steps the part once for each waiting input, then executes the
+/// effects.
+pub struct ControlThread {
+    /// The part that the thread steps.
     pub part: Box<dyn Part>,
-    /// The clocks of the process.
+    /// The clocks of the process, which the part reads in each step.
     pub clock: Clock,
     /// Sends messages to other processes.
     pub transport: Transport,
-    /// Writes to the disk; none for parts that keep nothing there.
+    /// Writes to the data folder; `None` for parts without one.
     pub disk: Option<DiskWriter>,
-    /// HTTP requests that wait for their response.
+    /// HTTP calls that wait for their response.
     pub calls: PendingCalls,
-    /// The interval between two ticks.
+    /// The interval between [`Msg::Tick`] inputs.
     pub tick: Duration,
-    /// When the part ends after it was told to.
+    /// Decides when the thread ends after a request to stop.
     pub shutdown_timer: ShutdownTimer,
 }
 
-impl Control {
-    /// The control thread of a part that got no input yet.
+impl ControlThread {
+    /// A control thread for a part that has received no input yet.
     pub fn new(
         part: Box<dyn Part>,
         clock: Clock,
@@ -69,11 +69,11 @@
             disk,
             calls,
             tick: Duration::from_millis(settings.bounds.tick_interval()),
-            shutdown_timer: ShutdownTimer::new(GracePeriods::of(&settings.bounds)),
+            shutdown_timer: ShutdownTimer::new(GracePeriods::from_bounds(&settings.bounds)),
         }
     }
 
-    /// Runs until the part has ended, or no input can reach it any more.
+    /// Runs until the part has ended, or every sender of inputs is gone.
     pub fn run(mut self, inputs: &Receiver<Input>) {
         let mut next_tick = Instant::now();
         let mut effects = Vec::new();
@@ -91,23 +91,23 @@
             }
             let msgs = first.into_iter().chain(inputs.try_iter()).map(Msg::from);
             let mut round = tick.into_iter().chain(msgs.take(MAX_INPUTS_PER_ROUND));
-            let is_over = round.any(|msg| self.step(msg, &mut effects));
+            let is_last_step = round.any(|msg| self.step(msg, &mut effects));
             for effect in effects.drain(..) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
-            if is_over {
+            if is_last_step {
                 self.calls.close();
                 return self.log_end();
             }
         }
     }
 
-    /// Steps the part once; returns whether that was the last step.
+    /// Steps the part once; returns whether this was the last step.
     fn step(&mut self, msg: Msg, effects: &mut Vec<Effect>) -> bool {
         match &msg {
             Msg::SettingsChanged(settings) => {
                 self.tick = Duration::from_millis(settings.bounds.tick_interval());
-                self.shutdown_timer.periods = GracePeriods::of(&settings.bounds);
+                self.shutdown_timer.periods = GracePeriods::from_bounds(&settings.bounds);
             }
             Msg::Stop => self.shutdown_timer.stop_requested(Instant::now()),
             _ => {}
@@ -118,13 +118,13 @@
             .iter()
             .any(|effect| matches!(effect, Effect::Exit))
         {
-            self.shutdown_timer.part_is_done();
+            self.shutdown_timer.part_done();
         }
         self.shutdown_timer
-            .is_over(Instant::now(), self.calls.is_empty())
+            .should_end(Instant::now(), self.calls.is_empty())
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Send(to, body) => self.transport.send(&to, &body),
             Effect::Persist(batch) => {
@@ -146,7 +146,7 @@
             .map(|(name, number)| format!("{name}={number}"))
             .collect();
         log::info!(
-            "ends; frames_dropped={} counters: {}",
+            "control thread ended; frames_dropped={} counters: {}",
             self.transport.dropped,
             counters.join(" ")
         );
--- a/landingdrift/src/daemon/disk_writer.rs
+++ b/landingdrift/src/daemon/disk_writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a replica's data folder, and tries again while its disk refuses.
+//! The thread that writes a replica's data folder, and retries while the disk returns errors.
 
 use super::error::ProcessError;
 use super::input::Input;
@@ -10,11 +10,11 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// What the disk writer needs of a data folder.
+/// Storage that the disk writer writes to; a [`DataFolder`] outside of tests.
 pub trait Store: Send {
-    /// Writes a batch and syncs once; nothing of it counts unless this succeeds.
+    /// Writes a batch and syncs once. The batch is durable only if this succeeds.
     fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError>;
-    /// Makes the store usable after a failure: it keeps what was confirmed, and no part of the batch that failed.
+    /// Makes the store usable after a failed write: keeps all acknowledged data, and nothing of the failed batch.
     fn recover(&mut self) -> Result<(), StorageError>;
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// The pauses before a disk that refused is tried again; each is twice the one before.
+/// Exponential backoff between attempts to write to a failing disk: each pause is twice as long as the one before.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     /// The pause before the next attempt.
@@ -37,8 +37,8 @@
 }
 
 impl Backoff {
-    /// The pauses that the bounds allow for.
-    pub fn of(bounds: &Bounds) -> Self {
+    /// Backoff from one heartbeat interval up to the longest pause that the time bounds allow for a disk.
+    pub fn from_bounds(bounds: &Bounds) -> Self {
         Self {
             next: Duration::from_millis(bounds.heartbeat_interval()),
             longest: Duration::from_millis(bounds.max_disk_retry_interval()),
@@ -55,7 +55,7 @@
     }
 }
 
-/// The thread that writes: all that is queued is written together and synced once.
+/// A handle to the disk thread, which writes all queued batches together and syncs once (group commit).
 pub struct DiskWriter(Sender<WriteBatch>);
 
 impl DiskWriter {
@@ -66,19 +66,19 @@
         backoff: Backoff,
     ) -> Result<Self, ProcessError> {
         let (queue, queued) = channel::<WriteBatch>();
-        threads::spawn("disk", threads::SMALL, move || {
+        threads::spawn("disk", threads::DEFAULT_STACK_BYTES, move || {
             write_all(store, &queued, &inputs, backoff);
         })?;
         Ok(Self(queue))
     }
 
-    /// Queues a batch to be written.
+    /// Queues a batch; the control thread receives [`Msg::Persisted`] once it is durable.
     pub fn save(&self, batch: WriteBatch) {
         let _ = self.0.send(batch);
     }
 }
 
-/// Writes until the queue is closed, or the control thread has ended.
+/// Writes queued batches until the queue is closed or the control thread has ended.
 fn write_all(
     mut store: impl Store,
     queued: &Receiver<WriteBatch>,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Tries until the batch is durable; `None` if the control thread has ended.
+/// Retries until the batch is durable; `None` if the control thread has ended.
 fn save_with_retries(
     store: &mut impl Store,
     batch: &[WriteBatch],
@@ -104,11 +104,11 @@
     mut backoff: Backoff,
 ) -> Option<()> {
     let mut written = store.save(batch);
-    while let Err(why) = written {
-        let failure = Msg::DiskFailed(why.to_string());
+    while let Err(error) = written {
+        let failure = Msg::DiskFailed(error.to_string());
         inputs.send(Input::Msg(failure)).ok()?;
         sleep(backoff.next().unwrap_or_default());
-        // What was written of the batch is cut off first, then all of it is written again in order.
+        // A partly written batch is truncated first, then the whole batch is written again in order.
         written = store.recover().and_then(|()| store.save(batch));
     }
     Some(())
--- a/landingdrift/src/daemon/error.rs
+++ b/landingdrift/src/daemon/error.rs
@@ -1,63 +1,65 @@
-//! Errors of a process.
+//! Errors that keep a process from starting or that end it.
 
 use crate::disk::StorageError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a process can't start, or has ended without being asked to; each message names the remedy.
+/// Why a process failed to start, or ended without being asked to. Messages name the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// A thread could not be started.
-    #[error("no thread can be started ({0}): raise the limit on threads or on memory")]
+    #[error("failed to start a thread: {0}; raise the limit on threads or on memory")]
     Thread(io::Error),
     /// Sockets could not be set up.
-    #[error("no sockets can be had ({0}): raise the limit on open files")]
+    #[error("failed to set up sockets: {0}; raise the limit on open files")]
     Sockets(io::Error),
-    /// Signals could not be listened for.
-    #[error("can't listen for signals ({0}): raise the limit on open files")]
+    /// Signal handlers could not be registered.
+    #[error("failed to register signal handlers: {0}; raise the limit on open files")]
     Signals(io::Error),
-    #[error("can't listen at {at} ({why}): free the address or name another with --listen")]
-    /// An address can't be listened at.
+    /// The address for other processes could not be bound.
+    #[error("failed to listen at {at}: {error}; free the address or choose another with --listen")]
     Listen {
-        /// The address.
+        /// The address to bind.
         at: String,
-        /// Why it could not be listened at.
-        why: io::Error,
+        /// The error of the bind.
+        error: io::Error,
     },
-    #[error("can't serve HTTP at {at} ({why}): free the address or name another with --http")]
-    /// HTTP can't be served.
+    /// The HTTP server could not be started.
+    #[error(
+        "failed to serve HTTP at {at}: {error}; free the address or choose another with --http"
+    )]
     Http {
-        /// The address.
+        /// The address to serve.
         at: SocketAddr,
-        /// Why HTTP could not be served at it.
-        why: String,
+        /// The error of the HTTP server.
+        error: String,
     },
-    /// The text is no address.
-    #[error("'{0}' is no address: correct --http")]
-    NoAddress(String),
+    /// The HTTP address in the settings can't be parsed.
+    #[error("'{0}' is not an address (IP:PORT): correct --http")]
+    InvalidAddress(String),
     /// The data folder could not be opened.
     #[error("{0}")]
     Disk(StorageError),
     /// The replica can't start from the contents of the data folder.
     #[error("{0}")]
     Replica(String),
-    /// A thread has panicked.
-    #[error("a control thread panicked: start the process again")]
+    /// A control thread has panicked.
+    #[error("a control thread panicked; restart the process")]
     Panicked,
-    /// A part has ended by itself.
-    #[error("a part ended by itself: start the process again")]
+    /// A part has ended without being asked to.
+    #[error("a part ended without being asked to; restart the process")]
     PartEnded,
 }
 
 impl From<StorageError> for ProcessError {
-    fn from(why: StorageError) -> Self {
-        Self::Disk(why)
+    fn from(error: StorageError) -> Self {
+        Self::Disk(error)
     }
 }
 
-/// For programs that only print the error.
+/// Lets programs that only print the error use `String` as their error type.
 impl From<ProcessError> for String {
-    fn from(why: ProcessError) -> Self {
-        why.to_string()
+    fn from(error: ProcessError) -> Self {
+        error.to_string()
     }
 }
--- a/landingdrift/src/daemon/input.rs
+++ b/landingdrift/src/daemon/input.rs
@@ -1,12 +1,12 @@
-//! Inputs of a control thread. This module has no dependency on those that send or receive them.
+//! Inputs of a control thread. Senders and receivers both import this module, so it must not depend on either.
 
 use crate::sans_io::{Msg, Request};
 
 /// An input of a control thread.
 pub enum Input {
-    /// A message for the part.
+    /// A message for the part that the thread runs.
     Msg(Msg),
-    /// A call with its number among the pending calls.
+    /// An HTTP call, and its number in [`PendingCalls`](super::PendingCalls).
     Call(Request, u64),
 }
 
--- a/landingdrift/src/daemon/logs.rs
+++ b/landingdrift/src/daemon/logs.rs
@@ -1,8 +1,8 @@
-//! Logging to standard error.
+//! Logging to standard error, one line per record.
 
 use flexi_logger::{LogSpecification, Logger, LoggerHandle};
 
-/// Starts logging to standard error.
+/// Starts logging to standard error at a level; `None` if a logger is installed already.
 pub fn start(level: &str) -> Option<LoggerHandle> {
     Logger::with(spec(level))
         .log_to_stderr()
@@ -11,7 +11,7 @@
         .ok()
 }
 
-/// The specification for a level: it applies to landingdrift itself; libraries log warnings only.
+/// The log specification for a level. The level applies to landingdrift itself; libraries log warnings only.
 pub fn spec(level: &str) -> LogSpecification {
     LogSpecification::parse(format!("warn,landingdrift={level},rocket=off,_=off"))
         .unwrap_or_else(|_| LogSpecification::info())
--- a/landingdrift/src/daemon/mod.rs
+++ b/landingdrift/src/daemon/mod.rs
@@ -1,8 +1,8 @@
-//! The environment of the parts in a real process: threads, sockets, files, signals.
+//! Runs parts in a real process: threads, sockets, files and signals.
 //!
-//! - `process` starts and stops the parts, `roles` are the commands that run one,
-//! - `control` is the thread that steps a part, `disk_writer` the one that writes a replica's data folder,
-//! - `traffic` is the thread of all sockets, `pending_calls` connects its HTTP calls with the control threads.
+//! - `process` starts and stops the parts; `roles` has the subcommands that run one of them.
+//! - `control` is the thread that steps a part; `disk_writer` is the one that writes a replica's data folder.
+//! - `traffic` is the thread that serves all sockets; `pending_calls` matches its HTTP calls with responses.
 
 mod control;
 mod disk_writer;
@@ -20,7 +20,7 @@
 mod threads;
 mod traffic;
 
-pub use control::{Clock, Control};
+pub use control::{Clock, ControlThread};
 pub use disk_writer::{Backoff, DiskWriter, Store};
 pub use error::ProcessError;
 pub use input::Input;
@@ -29,5 +29,6 @@
 pub use running_part::PartHandle;
 pub use shutdown_timer::{GracePeriods, ShutdownTimer};
 pub use traffic::{
-    Frames, HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Traffic, Transport,
+    FrameOptions, HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Traffic,
+    Transport,
 };
--- a/landingdrift/src/daemon/open_folder.rs
+++ b/landingdrift/src/daemon/open_folder.rs
@@ -1,4 +1,4 @@
-//! Opens a replica's data folder, and tries again while its disk refuses.
+//! Opens a replica's data folder, and retries while the disk returns errors that may pass.
 
 use super::disk_writer::Backoff;
 use super::input::Input;
@@ -12,12 +12,12 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// When a caller should come back, in milliseconds.
+/// How long callers should wait before they retry, in milliseconds.
 const RETRY_MS: u64 = 1000;
 
 /// Opens the data folder that the settings name.
 pub fn open(settings: &Settings, seed: u64) -> Result<(DataFolder, PersistedState), StorageError> {
-    // 0 would mean that the disk has no identity.
+    // A disk ID of 0 means that the disk has none, so the lowest bit is always set.
     let disk_id = seed | 1;
     let path = Path::new(&settings.data);
     DataFolder::open(
@@ -28,53 +28,57 @@
     )
 }
 
-/// Tries to open a data folder whose disk refuses, with growing pauses; `None` if the part is told to stop before.
+/// Retries opening a data folder after `last_error`, with growing pauses; `None` if the part is asked to stop before.
+///
+/// Errors that can't pass by themselves end the retries.
 pub fn open_with_retries(
     settings: &Settings,
     seed: u64,
-    mut why: StorageError,
+    mut last_error: StorageError,
     calls: &PendingCalls,
     inputs: &Receiver<Input>,
 ) -> Result<Option<(DataFolder, PersistedState)>, StorageError> {
-    for (retries, pause) in Backoff::of(&settings.bounds).enumerate() {
-        log::warn!("the data folder can't be opened ({why}): tried again in {pause:?}");
-        if !wait(pause, calls, inputs, &why, retries as u64) {
+    for (retries, pause) in Backoff::from_bounds(&settings.bounds).enumerate() {
+        log::warn!("failed to open the data folder: {last_error}; retrying in {pause:?}");
+        if !wait(pause, calls, inputs, &last_error, retries as u64) {
             return Ok(None);
         }
         match open(settings, seed) {
             Ok(opened) => {
-                log::info!("the data folder was opened after {} tries", retries + 1);
+                log::info!("opened the data folder after {} retries", retries + 1);
                 return Ok(Some(opened));
             }
-            Err(error) if error.is_transient() => why = error,
+            Err(error) if error.is_transient() => last_error = error,
             Err(error) => return Err(error),
         }
     }
     Ok(None)
 }
 
-/// Answers calls during a pause; false if the part is told to stop.
+/// Answers calls during a pause between retries; returns false if the part is asked to stop.
 fn wait(
     pause: Duration,
     calls: &PendingCalls,
     inputs: &Receiver<Input>,
-    why: &StorageError,
+    error: &StorageError,
     retries: u64,
 ) -> bool {
     let until = Instant::now() + pause;
     loop {
         match inputs.recv_timeout(until.saturating_duration_since(Instant::now())) {
-            Ok(Input::Call(request, call)) => calls.answer(call, response(&request, why, retries)),
+            Ok(Input::Call(request, call)) => {
+                calls.answer(call, response(&request, error, retries))
+            }
             Ok(Input::Msg(Msg::Stop)) | Err(RecvTimeoutError::Disconnected) => return false,
-            // Messages of other processes are repeated; they count once there is a replica.
+            // Other processes repeat their messages, so those that come before the replica runs can be dropped.
             Ok(Input::Msg(_)) => {}
             Err(RecvTimeoutError::Timeout) => return true,
         }
     }
 }
 
-/// What callers are answered while the folder is not open.
-fn response(request: &Request, why: &StorageError, retries: u64) -> Response {
+/// The response to a call while the data folder is not open.
+fn response(request: &Request, error: &StorageError, retries: u64) -> Response {
     match request.path.as_str() {
         "/live" => Response::new(200, json!({"live": true})),
         "/ready" => Response::new(503, json!({"ready": false})),
@@ -84,8 +88,8 @@
         ),
         "/v1/status" => Response::new(
             200,
-            json!({"role": "Opening", "disk": {"state": "refusing", "why": why.to_string()}}),
+            json!({"role": "Opening", "disk": {"state": "refusing", "why": error.to_string()}}),
         ),
-        _ => Response::error(503, "noDisk", why.to_string()).retry(RETRY_MS),
+        _ => Response::error(503, "noDisk", error.to_string()).retry(RETRY_MS),
     }
 }
--- a/landingdrift/src/daemon/pending_calls.rs
+++ b/landingdrift/src/daemon/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Calls whose callers wait for a response.
+//! HTTP calls that wait for a response of the control thread.
 
 use crate::sans_io::Response;
 use dashmap::DashMap;
@@ -6,15 +6,15 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// The map is divided for few threads: the traffic thread and one control thread use it.
+/// Shards of the map. Only two threads use it: the traffic thread and one control thread.
 const SHARDS: usize = 2;
 
-/// Calls whose callers wait for a response. One control thread answers them; any number of addresses may open them.
+/// HTTP calls that wait for a response. One control thread answers them; any number of HTTP addresses may open them.
 #[derive(Clone)]
 pub struct PendingCalls {
     pending: Arc<DashMap<u64, Sender<Response>>>,
     next_number: Arc<AtomicU64>,
-    /// The control thread has ended: no call is answered any more.
+    /// Whether the control thread has ended, so that no call will be answered any more.
     closed: Arc<AtomicBool>,
 }
 
@@ -29,35 +29,35 @@
 }
 
 impl PendingCalls {
-    /// Sends a call's response to its caller, if it still waits.
+    /// Sends the response to the caller, if it still waits.
     pub fn answer(&self, call: u64, response: Response) {
         if let Some((_, caller)) = self.pending.remove(&call) {
             let _ = caller.send(response);
         }
     }
 
-    /// Whether no caller waits.
+    /// Whether no call waits for a response.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// No call is answered any more: waiting callers, and new ones, learn so at once.
+    /// Fails all waiting calls, and every later one, at once: the control thread has ended.
     pub(super) fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
         self.pending.clear();
     }
 
-    /// Whether no call is answered any more.
+    /// Whether the control thread has ended, so that no call is answered any more.
     pub(super) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Adds a call, whose caller waits on what is returned.
+    /// Adds a call; the caller awaits the response on the returned value.
     pub(super) fn open(&self) -> PendingCall {
         let call = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (caller, response) = channel();
         self.pending.insert(call, caller);
-        // Where the calls were closed meanwhile, dropping the sender tells the caller so.
+        // If the calls were closed in the meantime, dropping the sender fails the call.
         if self.is_closed() {
             self.pending.remove(&call);
         }
@@ -69,7 +69,7 @@
     }
 }
 
-/// The caller's end of a call; a caller that hangs up is removed at once.
+/// The caller's end of a call. Dropping it removes the call, as when the caller hangs up.
 pub(super) struct PendingCall {
     pub number: u64,
     pub response: Receiver<Response>,
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -1,13 +1,13 @@
-//! A process of one or more parts, from its start to its graceful shutdown.
+//! A process that runs one or more parts, from its start to its graceful shutdown.
 
-use super::control::{Clock, Control};
+use super::control::{Clock, ControlThread};
 use super::error::ProcessError;
 use super::input::Input;
 use super::pending_calls::PendingCalls;
 use super::replica_start::ReplicaStart;
 use super::running_part::{PartHandle, RunningPart};
 use super::signals::CloseSignalsOnDrop;
-use super::traffic::{Frames, HttpAdapter, HttpLimits, ServingState, Traffic, Transport};
+use super::traffic::{FrameOptions, HttpAdapter, HttpLimits, ServingState, Traffic, Transport};
 use super::{logs, open_folder, signals, threads};
 use crate::sans_io::{fnv1a, Msg, Now, Part};
 use crate::settings::{Bounds, Settings};
@@ -18,10 +18,11 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often a process that shuts down checks whether its calls are answered and its parts have ended.
+/// How often a process that is shutting down checks whether all calls are answered and all parts have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A process of one or more parts: each has a control thread and an address of its own, all share the traffic thread.
+/// A process that runs one or more parts. Each part has its own control thread and address; all share the traffic
+/// thread.
 pub struct Process {
     clock: Clock,
     traffic: Traffic,
@@ -30,8 +31,8 @@
     parts: Vec<RunningPart>,
 }
 
-/// The transport of a part, and the queue of its inputs.
-struct Listening {
+/// The transport of a part, and both ends of its input queue.
+struct PartChannels {
     transport: Transport,
     inputs: Sender<Input>,
     received: Receiver<Input>,
@@ -49,44 +50,46 @@
         })
     }
 
-    /// The time.
+    /// The current monotonic and wall-clock time.
     pub fn now(&self) -> Now {
         self.clock.now()
     }
 
-    /// A seed for the part with a name. It distinguishes incarnations of processes and disks, so it comes from the
-    /// operating system's randomness, and only where that is missing from the clock and the process id.
+    /// A random seed for the named part. It distinguishes incarnations of processes and disks, so it comes from the
+    /// operating system's random numbers. If those are unavailable, the clock and the process ID are used instead.
     pub fn seed(&self, name: &str) -> u64 {
-        let drawn = getrandom::u64()
+        let random = getrandom::u64()
             .unwrap_or_else(|_| self.now().wall ^ (u64::from(std::process::id()) << 40));
-        fnv1a(name.as_bytes()) ^ drawn
+        fnv1a(name.as_bytes()) ^ random
     }
 
-    /// Starts a part.
-    pub fn part(
+    /// Starts a part that has no disk: listens at its address and spawns its control thread.
+    pub fn start_part(
         &mut self,
         part: Box<dyn Part>,
         settings: &Settings,
     ) -> Result<PartHandle, ProcessError> {
-        let Listening {
+        let PartChannels {
             transport,
             inputs,
             received,
         } = self.listen(settings)?;
         let calls = PendingCalls::default();
-        let control = Control::new(part, self.clock, transport, None, calls.clone(), settings);
+        let control =
+            ControlThread::new(part, self.clock, transport, None, calls.clone(), settings);
         self.spawn_control(settings, inputs, calls, move || control.run(&received))
     }
 
-    /// Starts a replica on its data folder. If the disk refuses, opening it is retried while the other parts serve.
-    pub fn replica(&mut self, settings: &Settings) -> Result<PartHandle, ProcessError> {
+    /// Starts a replica on its data folder. If the disk returns an error that may pass, opening the folder is retried in
+    /// the background while the other parts of the process serve.
+    pub fn start_replica(&mut self, settings: &Settings) -> Result<PartHandle, ProcessError> {
         let seed = self.seed(&settings.listen);
         let opened = open_folder::open(settings, seed);
         let opened = match opened {
-            Err(why) if !why.is_transient() => return Err(why.into()),
+            Err(error) if !error.is_transient() => return Err(error.into()),
             opened => opened,
         };
-        let Listening {
+        let PartChannels {
             transport,
             inputs,
             received,
@@ -102,32 +105,32 @@
         };
         match opened {
             Ok(opened) => {
-                let control = start.control(opened)?;
+                let control = start.control_thread(opened)?;
                 self.spawn_control(settings, inputs, calls, move || control.run(&received))
             }
-            Err(why) => {
-                self.spawn_control(settings, inputs, calls, move || start.run(why, &received))
+            Err(error) => {
+                self.spawn_control(settings, inputs, calls, move || start.run(error, &received))
             }
         }
     }
 
-    fn listen(&self, settings: &Settings) -> Result<Listening, ProcessError> {
+    fn listen(&self, settings: &Settings) -> Result<PartChannels, ProcessError> {
         let (inputs, received) = channel::<Input>();
-        let frames = Frames {
+        let options = FrameOptions {
             cluster: settings.cluster.clone(),
             own_address: settings.listen.clone(),
             timeout: Duration::from_millis(settings.bounds.election_timeout()),
-            max_frame_bytes: Frames::max_frame_bytes(&settings.limits),
+            max_frame_bytes: FrameOptions::max_frame_bytes(&settings.limits),
         };
-        let transport = self.traffic.listen(frames, inputs.clone())?;
-        Ok(Listening {
+        let transport = self.traffic.listen(options, inputs.clone())?;
+        Ok(PartChannels {
             transport,
             inputs,
             received,
         })
     }
 
-    /// Starts the control thread of a part.
+    /// Spawns the control thread of a part.
     fn spawn_control(
         &mut self,
         settings: &Settings,
@@ -136,7 +139,7 @@
         run: impl FnOnce() + Send + 'static,
     ) -> Result<PartHandle, ProcessError> {
         let close_signals = CloseSignalsOnDrop(self.signals.handle());
-        let thread = threads::spawn("control", threads::CONTROL, move || {
+        let thread = threads::spawn("control", threads::CONTROL_STACK_BYTES, move || {
             let _close_signals = close_signals;
             run();
         })?;
@@ -150,8 +153,8 @@
         Ok(handle)
     }
 
-    /// Serves HTTP at an address for a part.
-    pub fn http(
+    /// Starts serving HTTP at an address; the part answers the requests.
+    pub fn serve_http(
         &self,
         addr: SocketAddr,
         limits: HttpLimits,
@@ -160,22 +163,23 @@
     ) -> Result<(), ProcessError> {
         let (calls, inputs) = (part.calls.clone(), part.inputs.clone());
         self.traffic
-            .http(addr, limits, http_adapter, calls, inputs)?;
+            .serve_http(addr, limits, http_adapter, calls, inputs)?;
         Ok(())
     }
 
-    /// Runs until it is asked to stop, or a part ends by itself; then it shuts down gracefully.
+    /// Runs until the process is asked to stop or a part ends by itself, then shuts down gracefully. `reread` returns the
+    /// parts' settings in the order in which the parts were started; it is called on SIGHUP.
     pub fn run(
         mut self,
         reread: &dyn Fn() -> Result<Vec<Settings>, String>,
     ) -> Result<(), ProcessError> {
         let asked_to_stop = self.wait_for_stop(reread);
-        let why = if asked_to_stop {
+        let reason = if asked_to_stop {
             "asked to stop"
         } else {
             "a part has ended"
         };
-        log::info!("{why}");
+        log::info!("shutting down: {reason}");
         let panicked = self.stop();
         drop(self.logger);
         if panicked {
@@ -187,7 +191,7 @@
         Ok(())
     }
 
-    /// Waits for the signal to stop, and rereads the settings when it is signalled to; false if a part ends before.
+    /// Waits for a signal to stop, and reloads the settings on each SIGHUP; returns false if a part ends first.
     fn wait_for_stop(&mut self, reread: &dyn Fn() -> Result<Vec<Settings>, String>) -> bool {
         let logger = self.logger.as_ref();
         for signal in self.signals.forever() {
@@ -200,19 +204,22 @@
                         part.update_settings(settings, logger);
                     }
                 }
-                Err(why) => log::error!("settings not reread: {why}"),
+                Err(error) => log::error!(
+                    "failed to reload the settings: {error}; the previous ones stay in force"
+                ),
             }
         }
         false
     }
 
-    /// Tells all parts to stop and keeps serving for a while, so that callers find out that it is not ready; then
-    /// refuses calls and ends once those in flight are answered. Returns whether a control thread panicked.
+    /// Asks all parts to stop and keeps serving for a while, so that callers notice that the process is not ready any
+    /// more. Then refuses new calls, and returns once those in flight are answered or the grace period is over. Returns
+    /// whether a control thread panicked.
     fn stop(&mut self) -> bool {
         let stop_requested_at = Instant::now();
-        let serve_on = self.longest(Bounds::serving_time_after_stop);
-        let end_by = self.longest(Bounds::process_deadline);
-        let flush = self.longest(Bounds::flush_timeout);
+        let serve_on = self.longest_bound(Bounds::serving_time_after_stop);
+        let end_by = self.longest_bound(Bounds::process_deadline);
+        let flush = self.longest_bound(Bounds::flush_timeout);
         let serving = self.traffic.serving().clone();
         serving.leave();
         for part in &self.parts {
@@ -224,26 +231,32 @@
             sleep(POLL_INTERVAL);
         }
         if self.is_busy(&serving) {
-            log::warn!("ends with {} calls in hand", serving.in_flight());
+            log::warn!(
+                "grace period is over: ending with {} calls unanswered",
+                serving.in_flight()
+            );
         }
-        // The last responses get a moment to be transmitted.
+        // Leaves time to transmit the last responses.
         sleep(flush);
         self.join_ended()
     }
 
-    /// The longest of a duration among the parts.
-    fn longest(&self, span: fn(&Bounds) -> u64) -> Duration {
-        let spans = self.parts.iter().map(|part| span(&part.settings.bounds));
-        Duration::from_millis(spans.max().unwrap_or(0))
+    /// The largest value of a bound among the parts.
+    fn longest_bound(&self, bound_ms: fn(&Bounds) -> u64) -> Duration {
+        let bounds_ms = self
+            .parts
+            .iter()
+            .map(|part| bound_ms(&part.settings.bounds));
+        Duration::from_millis(bounds_ms.max().unwrap_or(0))
     }
 
-    /// Whether a call is in flight or a part runs.
+    /// Whether a call is in flight or a part still runs.
     fn is_busy(&self, serving: &ServingState) -> bool {
         serving.in_flight() > 0 || !self.parts.iter().all(RunningPart::has_ended)
     }
 
-    /// Joins the threads that have ended, up to the first that panicked; returns whether one did. Those that still run
-    /// end with the process.
+    /// Joins the threads that have ended, up to the first that panicked; returns whether one did. Threads that still
+    /// run end with the process.
     fn join_ended(&mut self) -> bool {
         self.parts
             .drain(..)
--- a/landingdrift/src/daemon/replica_start.rs
+++ b/landingdrift/src/daemon/replica_start.rs
@@ -1,6 +1,6 @@
-//! The start of a replica, which may have to wait until its data folder can be opened.
+//! Starts a replica, retrying for as long as its data folder can't be opened.
 
-use super::control::{Clock, Control};
+use super::control::{Clock, ControlThread};
 use super::disk_writer::{Backoff, DiskWriter};
 use super::error::ProcessError;
 use super::input::Input;
@@ -12,7 +12,7 @@
 use crate::settings::Settings;
 use std::sync::mpsc::{Receiver, Sender};
 
-/// All that a replica needs to start, except for its data folder.
+/// Everything that a replica needs to start, except for its open data folder.
 pub struct ReplicaStart {
     pub settings: Settings,
     pub seed: u64,
@@ -23,41 +23,46 @@
 }
 
 impl ReplicaStart {
-    /// Tries again to open the folder, and runs the replica.
-    pub fn run(self, why: StorageError, received: &Receiver<Input>) {
+    /// Retries opening the data folder after `error`, then runs the replica until it ends.
+    pub fn run(self, error: StorageError, received: &Receiver<Input>) {
         let calls = self.calls.clone();
-        match self.control_with_retries(why, received) {
+        match self.control_thread_with_retries(error, received) {
             Ok(Some(control)) => control.run(received),
             Ok(None) => {}
-            Err(why) => log::error!("the core ends: {why}"),
+            Err(error) => log::error!("failed to start the core: {error}"),
         }
         calls.close();
     }
 
-    /// The control thread's state once the folder is open; `None` if the replica is told to stop before.
-    fn control_with_retries(
+    /// Builds the control thread once the folder is open; `None` if the replica is asked to stop before that.
+    fn control_thread_with_retries(
         self,
-        why: StorageError,
+        error: StorageError,
         received: &Receiver<Input>,
-    ) -> Result<Option<Control>, ProcessError> {
-        let opened =
-            open_folder::open_with_retries(&self.settings, self.seed, why, &self.calls, received)?;
+    ) -> Result<Option<ControlThread>, ProcessError> {
+        let opened = open_folder::open_with_retries(
+            &self.settings,
+            self.seed,
+            error,
+            &self.calls,
+            received,
+        )?;
         match opened {
-            Some(opened) => self.control(opened).map(Some),
+            Some(opened) => self.control_thread(opened).map(Some),
             None => Ok(None),
         }
     }
 
-    /// The control thread's state, given the open folder and what was loaded from it.
-    pub fn control(
+    /// Builds the control thread from the open folder and the data that was loaded from it.
+    pub fn control_thread(
         self,
         (folder, loaded): (DataFolder, PersistedState),
-    ) -> Result<Control, ProcessError> {
+    ) -> Result<ControlThread, ProcessError> {
         let settings = &self.settings;
         let replica = Replica::new(settings.clone(), loaded, self.clock.now(), self.seed)
             .map_err(ProcessError::Replica)?;
-        let disk = DiskWriter::start(folder, self.inputs, Backoff::of(&settings.bounds))?;
-        Ok(Control::new(
+        let disk = DiskWriter::start(folder, self.inputs, Backoff::from_bounds(&settings.bounds))?;
+        Ok(ControlThread::new(
             Box::new(replica),
             self.clock,
             self.transport,
--- a/landingdrift/src/daemon/roles.rs
+++ b/landingdrift/src/daemon/roles.rs
@@ -1,4 +1,4 @@
-//! The commands that run a replica, a node or a worker proxy as a process of its own.
+//! The subcommands that run a replica, a node or a worker proxy, each in its own process.
 
 use super::error::ProcessError;
 use super::process::Process;
@@ -10,20 +10,19 @@
 use std::ffi::OsString;
 use std::time::Duration;
 
-/// The role of a process that runs a replica.
-const CORE: &str = "core";
-/// The role of a process that runs a node.
+/// The subcommand that runs a replica.
+const REPLICA: &str = "core";
+/// The subcommand that runs a node.
 const NODE: &str = "node";
+/// The subcommand that runs a worker proxy.
+const WORKER_PROXY: &str = "proxy";
 
-/// The role of a process that runs a worker proxy.
-const PROXY: &str = "proxy";
-
-inventory::submit! { Role { name: CORE, summary: "keeps the record on disk, with two others", run: run_replica } }
-inventory::submit! { Role { name: NODE, summary: "serves callers, workers and operators; places jobs", run: run_node } }
-inventory::submit! { Role { name: PROXY, summary: "beside a worker: passes its calls to the node of its zone", run: run_worker_proxy } }
+inventory::submit! { Role { name: REPLICA, summary: "keeps the replicated log on disk, with the other cores", run: run_replica } }
+inventory::submit! { Role { name: NODE, summary: "serves clients, workers and operators; schedules jobs", run: run_node } }
+inventory::submit! { Role { name: WORKER_PROXY, summary: "runs beside a worker and forwards its calls to the node of its zone", run: run_worker_proxy } }
 
 fn run_replica(arguments: Vec<OsString>) -> i32 {
-    run(CORE, arguments)
+    run(REPLICA, arguments)
 }
 
 fn run_node(arguments: Vec<OsString>) -> i32 {
@@ -31,26 +30,26 @@
 }
 
 fn run_worker_proxy(arguments: Vec<OsString>) -> i32 {
-    run(PROXY, arguments)
+    run(WORKER_PROXY, arguments)
 }
 
 fn usage(role: &str) {
-    crate::outln!("landingdrift {role} [flags]\n\nFlags win over the settings file.\n");
+    crate::outln!("landingdrift {role} [flags]\n\nFlags override the settings file.\n");
     for (flag, help) in FLAGS {
         // Only a replica has a data folder.
-        if role == CORE || *flag != "data" {
+        if role == REPLICA || *flag != "data" {
             crate::outln!("  --{flag} {help}");
         }
     }
-    crate::outln!("  --check  check the settings and end\n  --help");
+    crate::outln!("  --check  check the settings and exit\n  --help");
 }
 
 fn run(role: &'static str, arguments: Vec<OsString>) -> i32 {
-    let is_replica = role == CORE;
+    let is_replica = role == REPLICA;
     let parsed = match from_arguments(arguments.clone(), is_replica) {
         Ok(parsed) => parsed,
-        Err(why) => {
-            eprintln!("landingdrift {role}: {why}");
+        Err(error) => {
+            eprintln!("landingdrift {role}: {error}");
             return 2;
         }
     };
@@ -59,11 +58,11 @@
         return 0;
     }
     if parsed.check_only {
-        crate::outln!("settings are right");
+        crate::outln!("settings are valid");
         return 0;
     }
-    start(role, parsed.settings, arguments).unwrap_or_else(|why| {
-        eprintln!("landingdrift {role}: {why}");
+    start(role, parsed.settings, arguments).unwrap_or_else(|error| {
+        eprintln!("landingdrift {role}: {error}");
         1
     })
 }
@@ -73,48 +72,49 @@
     settings: Settings,
     arguments: Vec<OsString>,
 ) -> Result<i32, ProcessError> {
-    let is_replica = role == CORE;
+    let is_replica = role == REPLICA;
     let mut process = Process::start(&settings.log)?;
     let (seed, now) = (process.seed(&settings.listen), process.now());
     let part = match role {
-        CORE => process.replica(&settings)?,
-        PROXY => {
+        REPLICA => process.start_replica(&settings)?,
+        WORKER_PROXY => {
             let proxy = WorkerProxy::new(settings.clone(), seed);
-            process.part(Box::new(proxy), &settings)?
+            process.start_part(Box::new(proxy), &settings)?
         }
         _ => {
             let node = Node::new(settings.clone(), now, seed);
-            process.part(Box::new(node), &settings)?
+            process.start_part(Box::new(node), &settings)?
         }
     };
     let addr = settings
         .http
         .parse()
-        .map_err(|_| ProcessError::NoAddress(settings.http.clone()))?;
-    process.http(addr, limits(&settings), HttpAdapter::default(), &part)?;
+        .map_err(|_| ProcessError::InvalidAddress(settings.http.clone()))?;
+    process.serve_http(addr, limits(&settings), HttpAdapter::default(), &part)?;
     log::info!(
-        "{role} {} serves HTTP at {}",
+        "{role} {} is serving HTTP at {}",
         settings.listen,
         settings.http
     );
     let reread = || {
         from_arguments(arguments.clone(), is_replica)
             .map(|parsed| vec![parsed.settings])
-            .map_err(|why| why.to_string())
+            .map_err(|error| error.to_string())
     };
     process.run(&reread).map(|()| 0)
 }
 
-/// How many HTTP calls are served at once, as a multiple of the limit that the part itself applies: the rest is for the
-/// heartbeats and probes that it always takes.
+/// Concurrent HTTP calls, as a multiple of the limit that the part itself enforces. The margin is for heartbeats and
+/// probes, which the part always accepts.
 const HTTP_CALLS_FACTOR: u64 = 2;
-/// What a body may have beside a job or a configuration, in bytes.
-const BODY_OVERHEAD: u64 = 1024;
+/// The largest part of a request body that is neither job nor configuration.
+const BODY_OVERHEAD_BYTES: u64 = 1024;
 
 fn limits(settings: &Settings) -> HttpLimits {
     HttpLimits {
         timeout: Duration::from_millis(settings.bounds.state_ms),
-        body_bytes: settings.limits.job_bytes.max(settings.limits.config_bytes) + BODY_OVERHEAD,
+        body_bytes: settings.limits.job_bytes.max(settings.limits.config_bytes)
+            + BODY_OVERHEAD_BYTES,
         calls: settings.limits.calls.saturating_mul(HTTP_CALLS_FACTOR),
     }
 }
--- a/landingdrift/src/daemon/running_part.rs
+++ b/landingdrift/src/daemon/running_part.rs
@@ -1,4 +1,4 @@
-//! A part that runs in this process: its handle, its thread and its settings.
+//! A part that runs in this process, with its handle, thread and settings.
 
 use super::input::Input;
 use super::logs;
@@ -9,14 +9,14 @@
 use std::sync::mpsc::Sender;
 use std::thread::JoinHandle;
 
-/// A handle to a part of this process, through which calls reach it.
+/// A handle to a part of this process, for passing it HTTP calls and messages.
 #[derive(Clone)]
 pub struct PartHandle {
     pub(super) calls: PendingCalls,
     pub(super) inputs: Sender<Input>,
 }
 
-/// A part with its control thread and its settings.
+/// A part with its control thread and the settings in force.
 pub(super) struct RunningPart {
     pub handle: PartHandle,
     pub thread: JoinHandle<()>,
@@ -24,26 +24,26 @@
 }
 
 impl RunningPart {
-    /// Sends the part a message; one that has ended gets none.
+    /// Sends the part a message; has no effect if the part has ended.
     pub fn send(&self, msg: Msg) {
         let _ = self.handle.inputs.send(Input::Msg(msg));
     }
 
-    /// Whether the part's thread has ended.
+    /// Whether the control thread of the part has ended.
     pub fn has_ended(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Applies the settings that can change while the process runs.
+    /// Applies the settings that can change while the process runs, and warns about the others.
     pub fn update_settings(&mut self, new: &Settings, logger: Option<&LoggerHandle>) {
         let (updated, fixed) = self.settings.with_reloadable_from(new);
         for setting in fixed {
-            log::warn!("setting '{setting}' can't change while the process runs: restart it");
+            log::warn!("setting '{setting}' can't change while the process runs; restart the process to apply it");
         }
         if updated == self.settings {
             return;
         }
-        log::info!("settings reread");
+        log::info!("settings reloaded");
         if let Some(logger) = logger {
             logger.set_new_spec(logs::spec(&updated.log));
         }
--- a/landingdrift/src/daemon/shutdown_timer.rs
+++ b/landingdrift/src/daemon/shutdown_timer.rs
@@ -1,20 +1,20 @@
-//! When a part that was told to stop is ended.
+//! Decides when a part that was asked to stop is ended.
 
 use crate::settings::Bounds;
 use std::time::{Duration, Instant};
 
-/// How long a part keeps running after it was told to stop.
+/// How long a part keeps running after it was asked to stop.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GracePeriods {
-    /// It runs for at least so long, even if it is done before: its callers need time to leave.
+    /// The part runs at least this long, even if it is done earlier, so that its callers can move to another process.
     pub min: Duration,
-    /// It is ended after so long, even if it is not done.
+    /// The part is ended after this time, even if it is not done.
     pub max: Duration,
 }
 
 impl GracePeriods {
-    /// The grace periods that follow from the bounds.
-    pub fn of(bounds: &Bounds) -> Self {
+    /// The grace periods that the time bounds in the settings allow.
+    pub fn from_bounds(bounds: &Bounds) -> Self {
         Self {
             min: Duration::from_millis(bounds.serving_time_after_stop()),
             max: Duration::from_millis(bounds.parts_deadline()),
@@ -22,18 +22,18 @@
     }
 }
 
-/// Decides when the thread of a part ends. A part that was told to stop runs until its callers have found another
-/// process and none waits any more; one that ends by itself ends at once.
+/// Decides when the control thread of a part ends. A part that was asked to stop keeps running until its callers had
+/// time to find another process and no caller waits any more. A part that exits by itself ends at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShutdownTimer {
-    /// How long each phase of the shutdown lasts.
+    /// The shortest and the longest time that the shutdown may take.
     pub periods: GracePeriods,
     stop_requested_at: Option<Instant>,
     done: bool,
 }
 
 impl ShutdownTimer {
-    /// A timer of a part that was not told to stop.
+    /// A timer for a part that was not asked to stop yet.
     pub fn new(periods: GracePeriods) -> Self {
         Self {
             periods,
@@ -41,23 +41,23 @@
         }
     }
 
-    /// The part is told to stop; only the first time counts.
+    /// Starts the grace periods; later calls have no effect.
     pub fn stop_requested(&mut self, now: Instant) {
         self.stop_requested_at.get_or_insert(now);
     }
 
-    /// The part has said that it is done.
-    pub fn part_is_done(&mut self) {
+    /// Records that the part has emitted [`Effect::Exit`](crate::sans_io::Effect::Exit).
+    pub fn part_done(&mut self) {
         self.done = true;
     }
 
-    /// Whether the part ends now.
-    pub fn is_over(&self, now: Instant, no_caller_waits: bool) -> bool {
+    /// Whether the control thread should end now.
+    pub fn should_end(&self, now: Instant, no_pending_calls: bool) -> bool {
         let Some(stop_requested_at) = self.stop_requested_at else {
             return self.done;
         };
-        let since = now.saturating_duration_since(stop_requested_at);
-        let min_passed = since >= self.periods.min;
-        (self.done && min_passed && no_caller_waits) || since >= self.periods.max
+        let elapsed = now.saturating_duration_since(stop_requested_at);
+        let min_passed = elapsed >= self.periods.min;
+        (self.done && min_passed && no_pending_calls) || elapsed >= self.periods.max
     }
 }
--- a/landingdrift/src/daemon/signals.rs
+++ b/landingdrift/src/daemon/signals.rs
@@ -1,11 +1,11 @@
-//! The signals of the process.
+//! Handling of Unix signals.
 
 use super::error::ProcessError;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::{Handle, Signals};
 
-/// Ends the wait for signals when it is dropped: a control thread owns one, so that the process learns of its end even
-/// if it panics.
+/// Ends the wait for signals when it is dropped. Each control thread owns one, so that the main thread notices the end
+/// of a control thread even if it panicked.
 pub struct CloseSignalsOnDrop(pub Handle);
 
 impl Drop for CloseSignalsOnDrop {
@@ -14,7 +14,7 @@
     }
 }
 
-/// Registers for the signals to stop and to reread the settings.
+/// Registers for SIGTERM and SIGINT (stop), and SIGHUP (reload the settings).
 pub fn register() -> Result<Signals, ProcessError> {
     Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ProcessError::Signals)
 }
--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -1,4 +1,4 @@
-//! Frames between the cluster's own processes over TCP: a length, then an envelope.
+//! Frames between the processes of a cluster over TCP: a 32-bit little-endian length, then an envelope.
 
 mod queue;
 mod receive;
@@ -18,66 +18,66 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// No frame is longer than this, whatever the settings say, in bytes.
-const FRAME_BYTES_CAP: u64 = 256 << 20;
-/// What a frame may have beside jobs and the configuration, in bytes.
-const FRAME_OVERHEAD: u64 = 16 << 20;
+/// The upper limit of a frame's length, whatever the settings say.
+const MAX_FRAME_BYTES_CAP: u64 = 256 << 20;
+/// The largest part of a frame that is neither jobs nor configuration.
+const FRAME_OVERHEAD_BYTES: u64 = 16 << 20;
 
-/// A connection is idle after so many times the timeout of a write.
-const IDLE_TIMEOUTS: u32 = 30;
+/// The idle timeout of a connection, as a multiple of the write timeout.
+const IDLE_TIMEOUT_FACTOR: u32 = 30;
 
-/// How a process exchanges frames.
+/// Options for exchanging frames with other processes.
 #[derive(Clone, Debug)]
-pub struct Frames {
-    /// The cluster that this process belongs to; frames of others are refused.
+pub struct FrameOptions {
+    /// The cluster that this process belongs to; frames of other clusters are rejected.
     pub cluster: String,
-    /// Where to listen; also the sender of all frames.
+    /// The address to listen at, which is also the sender address in all frames.
     pub own_address: String,
-    /// How long connecting or a write may take.
+    /// The timeout of a single write. Connecting gets a quarter of it.
     pub timeout: Duration,
-    /// The longest frame in bytes.
+    /// The longest frame that is sent or received, in bytes.
     pub max_frame_bytes: u32,
 }
 
-impl Frames {
-    /// The longest frame that the limits require: one with the whole cluster state, up to a cap.
+impl FrameOptions {
+    /// The longest frame that the limits require: a frame with the whole cluster state, up to a cap.
     pub fn max_frame_bytes(limits: &Limits) -> u32 {
         limits
             .open_jobs
             .saturating_mul(limits.job_bytes)
             .saturating_add(limits.config_bytes)
-            .saturating_add(FRAME_OVERHEAD)
-            .min(FRAME_BYTES_CAP) as u32
+            .saturating_add(FRAME_OVERHEAD_BYTES)
+            .min(MAX_FRAME_BYTES_CAP) as u32
     }
 
-    /// A sender closes a connection on which it has sent nothing for this long.
+    /// How long a sender keeps a connection open without sending a frame.
     fn idle_timeout(&self) -> Duration {
-        self.timeout * IDLE_TIMEOUTS
+        self.timeout * IDLE_TIMEOUT_FACTOR
     }
 }
 
-/// Sends frames. Each receiver has a queue and a task of its own, so that a slow one does not delay the others.
+/// Sends frames. Each receiver has its own queue and task, so that a slow receiver does not delay the others.
 pub struct Transport {
-    frames: Frames,
+    options: FrameOptions,
     handle: Handle,
     queues: HashMap<String, Queue>,
     listener: AbortHandle,
-    /// How many frames were dropped because a queue was full or they were too long.
+    /// The number of frames that were dropped since a queue was full or they were too long.
     pub dropped: u64,
 }
 
-/// Listens, and returns the transport that sends from the same address.
+/// Starts listening; returns the transport that sends from the same address.
 pub fn listen(
     handle: &Handle,
-    mut frames: Frames,
+    mut options: FrameOptions,
     inputs: Sender<Input>,
 ) -> Result<Transport, ProcessError> {
-    let at = frames.own_address.clone();
-    let listen_error = |why| ProcessError::Listen {
+    let at = options.own_address.clone();
+    let listen_error = |error| ProcessError::Listen {
         at: at.clone(),
-        why,
+        error,
     };
-    let listener = std::net::TcpListener::bind(&frames.own_address)
+    let listener = std::net::TcpListener::bind(&options.own_address)
         .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
         .map_err(listen_error)?;
     let bound = listener.local_addr().map_err(listen_error)?;
@@ -85,10 +85,10 @@
         let _runtime = handle.enter();
         TcpListener::from_std(listener).map_err(listen_error)?
     };
-    frames.own_address = bound.to_string();
-    let accepting = receive::accept(listener, frames.clone(), inputs);
+    options.own_address = bound.to_string();
+    let accepting = receive::accept(listener, options.clone(), inputs);
     Ok(Transport {
-        frames,
+        options,
         handle: handle.clone(),
         queues: HashMap::new(),
         listener: handle.spawn(accepting).abort_handle(),
@@ -97,22 +97,22 @@
 }
 
 impl Transport {
-    /// The address that others reach this one at.
+    /// The address at which other processes reach this one.
     pub fn own_address(&self) -> &str {
-        &self.frames.own_address
+        &self.options.own_address
     }
 
-    /// Queues a frame; it is dropped if the queue is full, as a network would do.
+    /// Queues a frame for a receiver. Like a network, drops it if the queue is full or the address is invalid.
     pub fn send(&mut self, to: &str, body: &Body) {
         let Ok(addr) = to.parse::<SocketAddr>() else {
             return;
         };
-        let bytes = pack(&self.frames.cluster, &self.frames.own_address, body);
-        if bytes.len() > self.frames.max_frame_bytes as usize {
+        let bytes = pack(&self.options.cluster, &self.options.own_address, body);
+        if bytes.len() > self.options.max_frame_bytes as usize {
             log::error!(
-                "a frame of {} bytes for {to} is longer than {} and was not sent: lower limits.open_jobs, limits.job_bytes or limits.retain_ms",
+                "dropped a frame of {} bytes for {to}, as the limit is {}; lower limits.open_jobs, limits.job_bytes or limits.retain_ms",
                 bytes.len(),
-                self.frames.max_frame_bytes
+                self.options.max_frame_bytes
             );
             self.dropped += 1;
             return;
@@ -126,14 +126,14 @@
             Err(PushError::Full) => self.dropped += 1,
             Err(PushError::Closed(bytes)) => {
                 self.queues.retain(|_, queue| !queue.is_closed());
-                let queue = send::start(&self.handle, addr, &self.frames);
+                let queue = send::start(&self.handle, addr, &self.options);
                 let _ = queue.push(bytes);
                 self.queues.insert(to.into(), queue);
             }
         }
     }
 
-    /// The bytes that are queued for all receivers.
+    /// The total size of the frames in all queues, in bytes.
     pub fn queued_bytes(&self) -> usize {
         self.queues.values().map(Queue::bytes).sum()
     }
--- a/landingdrift/src/daemon/traffic/frames/receive.rs
+++ b/landingdrift/src/daemon/traffic/frames/receive.rs
@@ -1,6 +1,6 @@
-//! Receives frames on the connections of other processes.
+//! Accepts connections from other processes and receives their frames.
 
-use super::{socket, Frames};
+use super::{socket, FrameOptions};
 use crate::daemon::input::Input;
 use crate::sans_io::Msg;
 use crate::wire::unpack;
@@ -11,10 +11,10 @@
 use std::io;
 use std::sync::mpsc::Sender;
 
-/// The read buffer of a connection, in bytes.
-const READ_BUFFER: usize = 4 << 10;
+/// The size of a connection's read buffer.
+const READ_BUFFER_BYTES: usize = 4 << 10;
 
-/// Why no further frame is read from a connection.
+/// Why reading frames from a connection ended.
 enum ReceiveError {
     FrameTooLong(u32),
     Disconnected,
@@ -32,70 +32,74 @@
     }
 }
 
-/// Accepts connections until the task is aborted.
-pub async fn accept(listener: TcpListener, frames: Frames, inputs: Sender<Input>) {
+/// Accepts connections, and spawns a task for each, until this task is aborted.
+pub async fn accept(listener: TcpListener, options: FrameOptions, inputs: Sender<Input>) {
     loop {
         match listener.accept().await {
             Ok((connection, _)) => {
-                let (frames, inputs) = (frames.clone(), inputs.clone());
+                let (options, inputs) = (options.clone(), inputs.clone());
                 rocket::tokio::spawn(async move {
-                    if let Ok(connection) = socket::prepare(connection, frames.timeout) {
-                        receive(&frames, connection, &inputs).await;
+                    if let Ok(connection) = socket::configure(connection, options.timeout) {
+                        receive(&options, connection, &inputs).await;
                     }
                 });
             }
-            Err(why) => {
-                log::warn!("no connection can be taken ({why}): raise the limit on open files");
-                sleep(frames.timeout).await;
+            Err(error) => {
+                log::warn!("failed to accept a connection: {error}; raise the limit on open files");
+                sleep(options.timeout).await;
             }
         }
     }
 }
 
-/// Receives frames until the connection ends or the control thread has ended.
-async fn receive(frames: &Frames, connection: impl AsyncRead + Unpin, inputs: &Sender<Input>) {
-    let mut reader = BufReader::with_capacity(READ_BUFFER, connection);
-    let mut refusal_logged = false;
+/// Receives frames until the connection or the control thread ends.
+async fn receive(
+    options: &FrameOptions,
+    connection: impl AsyncRead + Unpin,
+    inputs: &Sender<Input>,
+) {
+    let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, connection);
+    let mut rejection_logged = false;
     loop {
-        let bytes = match read_frame(frames, &mut reader).await {
+        let bytes = match read_frame(options, &mut reader).await {
             Ok(bytes) => bytes,
             Err(ReceiveError::FrameTooLong(length)) => {
-                log::warn!("a connection announced a frame of {length} bytes, more than {}: closed; point it at the HTTP address if it speaks HTTP, else give both processes the same limits", frames.max_frame_bytes);
+                log::warn!("closing a connection that announced a frame of {length} bytes, as the limit is {}; if the peer speaks HTTP, point it at the HTTP address, otherwise give both processes the same limits", options.max_frame_bytes);
                 return;
             }
             Err(ReceiveError::Disconnected) => return,
         };
-        match unpack(&frames.cluster, &bytes) {
+        match unpack(&options.cluster, &bytes) {
             Ok(envelope) => {
                 let msg = Msg::Wire(envelope.from, envelope.body);
                 if inputs.send(Input::Msg(msg)).is_err() {
                     return;
                 }
             }
-            // Logged once: a process of another version would fill the log.
-            Err(why) if !refusal_logged => {
-                refusal_logged = true;
-                log::warn!("frame refused: {why}");
+            // Logged once per connection, since a process of another version would flood the log.
+            Err(error) if !rejection_logged => {
+                rejection_logged = true;
+                log::warn!("rejected a frame: {error}");
             }
             Err(_) => {}
         }
     }
 }
 
-/// Reads the next frame. Memory grows with the bytes received, not with the length announced.
+/// Reads the next frame. Memory is allocated as bytes arrive, not for the announced length.
 async fn read_frame(
-    frames: &Frames,
+    options: &FrameOptions,
     reader: &mut (impl AsyncRead + Unpin),
 ) -> Result<Vec<u8>, ReceiveError> {
-    // A sender closes an idle connection itself; one that is silent for twice as long is dead.
-    let dead_after = frames.idle_timeout() * 2;
+    // A sender closes its idle connections itself; one that is still open after twice that time is dead.
+    let dead_after = options.idle_timeout() * 2;
     let mut length = [0; 4];
     timeout(dead_after, reader.read_exact(&mut length)).await??;
     let length = u32::from_le_bytes(length);
-    if length > frames.max_frame_bytes {
+    if length > options.max_frame_bytes {
         return Err(ReceiveError::FrameTooLong(length));
     }
-    let mut bytes = Vec::with_capacity((length as usize).min(READ_BUFFER));
+    let mut bytes = Vec::with_capacity((length as usize).min(READ_BUFFER_BYTES));
     let mut rest = reader.take(u64::from(length));
     while rest.limit() > 0 {
         let received = timeout(dead_after, rest.read_buf(&mut bytes)).await??;
--- a/landingdrift/src/daemon/traffic/frames/send.rs
+++ b/landingdrift/src/daemon/traffic/frames/send.rs
@@ -1,7 +1,7 @@
-//! Sends the frames of one receiver's queue, over a connection that is opened as needed.
+//! Sends the frames in one receiver's queue, over a connection that is opened when needed.
 
-use super::queue::{queue, Queue, Queued};
-use super::{socket, Frames};
+use super::queue::{queue, Queue, QueuedFrame};
+use super::{socket, FrameOptions};
 use rocket::tokio::io::AsyncWriteExt;
 use rocket::tokio::net::TcpStream;
 use rocket::tokio::runtime::Handle;
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Small frames are written together, up to this many bytes.
-const WRITE_BUFFER: usize = 16 << 10;
+/// Small frames are combined into one write of up to this size.
+const WRITE_BUFFER_BYTES: usize = 16 << 10;
 
-/// Starts the task that sends to one receiver; it ends when its queue has been empty for long.
-pub fn start(handle: &Handle, addr: SocketAddr, frames: &Frames) -> Queue {
+/// Starts the task that sends to one receiver. The task ends when its queue was empty for the idle timeout.
+pub fn start(handle: &Handle, addr: SocketAddr, options: &FrameOptions) -> Queue {
     let (queue, queued) = queue();
-    let (timeout, idle_timeout) = (frames.timeout, frames.idle_timeout());
+    let (timeout, idle_timeout) = (options.timeout, options.idle_timeout());
     handle.spawn(send_all(addr, timeout, idle_timeout, queued));
     queue
 }
@@ -26,7 +26,7 @@
     addr: SocketAddr,
     write_timeout: Duration,
     idle_timeout: Duration,
-    mut queued: Receiver<Queued>,
+    mut queued: Receiver<QueuedFrame>,
 ) {
     let mut connection: Option<TcpStream> = None;
     loop {
@@ -34,7 +34,7 @@
             Ok(Some(frame)) => frame,
             Ok(None) => return,
             Err(_) => {
-                // What was queued in the meantime is still sent, then the queue ends.
+                // Frames that were queued in the meantime are still sent, then the task ends.
                 queued.close();
                 continue;
             }
@@ -44,8 +44,8 @@
             None => connect(addr, write_timeout).await,
         };
         let Some(mut open) = connection.take() else {
-            // The receiver can't be reached: what was queued meanwhile is outdated, and its senders repeat what
-            // matters.
+            // The receiver can't be reached. QueuedFrame frames are outdated by the time it can be; senders repeat those that
+            // matter.
             while queued.try_recv().is_ok() {}
             continue;
         };
@@ -54,39 +54,39 @@
     }
 }
 
-/// Connects, with a short timeout: TCP repeats a lost SYN only after a second, so that a new try reaches a machine that
+/// Connects with a short timeout. TCP repeats a lost SYN only after a second, so a new attempt reaches a machine that
 /// just came up sooner.
 async fn connect(addr: SocketAddr, write_timeout: Duration) -> Option<TcpStream> {
     let connected = timeout(write_timeout / 4, TcpStream::connect(addr)).await;
     let connection = connected.ok()?.ok()?;
-    socket::prepare(connection, write_timeout).ok()
+    socket::configure(connection, write_timeout).ok()
 }
 
-/// Whether a connection is still open. Nothing is ever received on it, so anything that can be read is its end.
+/// Whether a connection is still open. The peer never sends data on it, so a successful read means that it was closed.
 fn is_open(connection: &TcpStream) -> bool {
     connection
         .try_read(&mut [0])
-        .is_err_and(|why| why.kind() == io::ErrorKind::WouldBlock)
+        .is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Writes a frame, and those queued after it that fit into the write buffer.
+/// Writes a frame, and further queued frames until the write buffer is full.
 async fn write(
     connection: &mut TcpStream,
     write_timeout: Duration,
-    first: Queued,
-    queued: &mut Receiver<Queued>,
+    first: QueuedFrame,
+    queued: &mut Receiver<QueuedFrame>,
 ) -> io::Result<()> {
-    let mut out = Vec::with_capacity(first.bytes().len().min(WRITE_BUFFER) + 4);
+    let mut out = Vec::with_capacity(first.bytes().len().min(WRITE_BUFFER_BYTES) + 4);
     let mut next = Some(first);
     while let Some(frame) = next {
         let bytes = frame.bytes();
         out.extend((bytes.len() as u32).to_le_bytes());
-        if bytes.len() > WRITE_BUFFER {
+        if bytes.len() > WRITE_BUFFER_BYTES {
             write_all(connection, write_timeout, &out).await?;
             return write_all(connection, write_timeout, bytes).await;
         }
         out.extend(bytes);
-        next = if out.len() < WRITE_BUFFER {
+        next = if out.len() < WRITE_BUFFER_BYTES {
             queued.try_recv().ok()
         } else {
             None
@@ -95,7 +95,7 @@
     write_all(connection, write_timeout, &out).await
 }
 
-/// Writes all bytes; the timeout is for each write by itself.
+/// Writes all bytes; the timeout applies to each single write.
 async fn write_all(
     connection: &mut TcpStream,
     write_timeout: Duration,
--- a/landingdrift/src/daemon/traffic/frames/socket.rs
+++ b/landingdrift/src/daemon/traffic/frames/socket.rs
@@ -1,12 +1,12 @@
-//! Options of the sockets between processes.
+//! Socket options of the TCP connections between processes.
 
 use rocket::tokio::net::TcpStream;
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
 use std::time::Duration;
 
-/// Makes a connection send without delay, and fail when the network to its peer is cut.
-pub fn prepare(connection: TcpStream, timeout: Duration) -> io::Result<TcpStream> {
+/// Disables Nagle's algorithm, and enables timeouts so that a connection fails when its peer can't be reached.
+pub fn configure(connection: TcpStream, timeout: Duration) -> io::Result<TcpStream> {
     let second = Duration::from_secs(1);
     let socket = SockRef::from(&connection);
     socket.set_tcp_nodelay(true)?;
--- a/landingdrift/src/daemon/traffic/http/http_adapter.rs
+++ b/landingdrift/src/daemon/traffic/http/http_adapter.rs
@@ -1,58 +1,58 @@
-//! The translation between HTTP and the requests and responses of a part.
+//! Translates between HTTP and the requests and responses of a part.
 
 use crate::sans_io::{Request, Response};
 use serde_json::Value;
 use std::sync::Arc;
 
-/// A request as it came over HTTP.
+/// A request as received over HTTP.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HttpRequest {
-    /// The method, as `GET`.
+    /// The method in capitals, such as `GET`.
     pub method: String,
-    /// The path, without the query.
+    /// The percent-decoded path, without the query.
     pub path: String,
     /// The query, without the question mark.
     pub query: String,
-    /// The headers in the order in which they came.
+    /// The headers, in the order in which they were received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body, complete and within the limit.
     pub body: Vec<u8>,
 }
 
-/// A response as it is sent over HTTP.
+/// A response to be sent over HTTP.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HttpResponse {
-    /// The HTTP status.
+    /// The status code.
     pub status: u16,
-    /// The headers.
+    /// The headers; the server itself adds `Content-Length`.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body; empty for none.
     pub body: Vec<u8>,
 }
 
-/// What is done with a request.
+/// What the server does with a request.
 pub enum HandlerAction {
-    /// The part is called; its response is translated by the function.
+    /// Passes the request to the part, and translates the part's response with the function.
     Call(Request, Box<dyn FnOnce(Response) -> HttpResponse + Send>),
-    /// It is answered without calling the part.
+    /// Sends this response without calling the part.
     Respond(HttpResponse),
 }
 
-/// How HTTP requests at an address become requests to the part, and its responses HTTP responses.
+/// Translates HTTP requests at one address into requests to the part, and the part's responses into HTTP responses.
 #[derive(Clone)]
 pub struct HttpAdapter {
     pub(super) read: Arc<dyn Fn(HttpRequest) -> HandlerAction + Send + Sync>,
 }
 
 impl HttpAdapter {
-    /// An adapter of one's own.
+    /// An adapter with a custom translation.
     pub fn new(read: Arc<dyn Fn(HttpRequest) -> HandlerAction + Send + Sync>) -> Self {
         Self { read }
     }
 }
 
 impl Default for HttpAdapter {
-    /// The adapter of landingdrift's own API: JSON, and text where the body is a string.
+    /// The adapter for landingdrift's own API: JSON bodies, and plain text where the body is a string.
     fn default() -> Self {
         Self::new(Arc::new(read))
     }
@@ -68,7 +68,7 @@
     HandlerAction::Call(request, Box::new(write))
 }
 
-/// A response of landingdrift's own API.
+/// Formats a response of landingdrift's own API.
 pub(super) fn write(mut response: Response) -> HttpResponse {
     let retry_ms = response.retry_ms;
     if let Value::Object(fields) = &mut response.body {
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP for callers, workers and operators, by `rocket`: requests are passed to a control thread, which responds.
+//! The HTTP server for clients, workers and operators, based on `rocket`. It passes requests to a control thread and
+//! returns the responses.
 
 mod http_adapter;
 mod request_handler;
@@ -22,18 +23,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The limits of one address.
+/// The limits of one HTTP address.
 #[derive(Clone, Debug)]
 pub struct HttpLimits {
-    /// How long reading a body may take, and then waiting for a response.
+    /// The timeout of reading a request body, and again of waiting for the response of the part.
     pub timeout: Duration,
-    /// The longest body in bytes.
+    /// The longest request body, in bytes.
     pub body_bytes: u64,
-    /// The most calls at once; more are told to come back.
+    /// The most concurrent calls; further calls are rejected and may be retried.
     pub calls: u64,
 }
 
-/// Longer than any process takes to shut down, in seconds.
+/// The grace period of `rocket` itself. It is longer than any process takes to shut down, so it never applies.
 const SHUTDOWN_SECONDS: u32 = 600;
 
 const METHODS: [Method; 7] = [
@@ -46,7 +47,7 @@
     Method::Head,
 ];
 
-/// Serves an address; returns the one that was bound.
+/// Starts serving HTTP at an address; returns the bound address.
 pub fn serve(
     handle: &Handle,
     serving: &ServingState,
@@ -65,17 +66,17 @@
         serving: serving.clone(),
         permits: Arc::new(Semaphore::new(permits)),
     };
-    // One message tells that it listens, one that it has ended.
+    // One message when the server listens, one when it has ended.
     let (launched, launch_result) = sync_channel(2);
-    let http_error = move |why: String| ProcessError::Http { at: addr, why };
+    let http_error = move |error: String| ProcessError::Http { at: addr, error };
     handle.spawn(launch(addr, request_handler, launched));
     let bound = launch_result
         .recv()
-        .map_err(|why| http_error(why.to_string()))?;
+        .map_err(|error| http_error(error.to_string()))?;
     bound.map_err(http_error)
 }
 
-/// The address that was bound, or why none was.
+/// The bound address, or error the server failed to start.
 type LaunchResult = Result<SocketAddr, String>;
 
 async fn launch(
@@ -101,9 +102,9 @@
         .attach(on_liftoff)
         .launch()
         .await;
-    let why = ended.map_or_else(|why| why.to_string(), |_| "it was shut down".into());
-    if launched.try_send(Err(why.clone())).is_err() && !serving.is_refusing() {
-        log::error!("HTTP at {addr} ended ({why}): the process ends, start it again");
+    let error = ended.map_or_else(|error| error.to_string(), |_| "it was shut down".into());
+    if launched.try_send(Err(error.clone())).is_err() && !serving.is_refusing() {
+        log::error!("the HTTP server at {addr} ended: {error}; the process exits, restart it");
         std::process::exit(1);
     }
 }
@@ -118,7 +119,7 @@
         shutdown: Shutdown {
             ctrlc: false,
             signals: Default::default(),
-            // The process bounds its own shutdown: no connection is cut before that.
+            // The process bounds its own shutdown, and no connection may be closed before that.
             grace: SHUTDOWN_SECONDS,
             ..Default::default()
         },
--- a/landingdrift/src/daemon/traffic/http/request_handler.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -1,4 +1,4 @@
-//! Handles the HTTP requests of one address.
+//! Handles the HTTP requests that arrive at one address.
 
 use super::http_adapter::write;
 use super::serving::{Body, InFlight, ServingState};
@@ -17,10 +17,10 @@
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 
-/// When a caller that got no response of the part should come back, in milliseconds.
+/// How long a caller should wait before it retries a call that the part did not answer, in milliseconds.
 const RETRY_MS: u64 = 1000;
 
-/// The handler of all requests at one address.
+/// Handles all requests at one address.
 #[derive(Clone)]
 pub struct RequestHandler {
     pub limits: HttpLimits,
@@ -38,7 +38,7 @@
         };
         let body = match self.read_body(data).await {
             Ok(body) => body,
-            Err(refusal) => return write(refusal),
+            Err(error_response) => return write(error_response),
         };
         match (self.http_adapter.read)(http_request(request, body)) {
             HandlerAction::Call(request, translate) => translate(self.call(request).await),
@@ -48,8 +48,8 @@
 
     async fn read_body(&self, data: Data<'_>) -> Result<Vec<u8>, Response> {
         let max_bytes = self.limits.body_bytes;
-        let unread = |why: String| {
-            let message = format!("the body could not be read ({why}): send it again");
+        let unreadable = |error: String| {
+            let message = format!("failed to read the request body: {error}; send it again");
             Response::error(400, "noBody", message)
         };
         let whole = timeout(
@@ -57,28 +57,28 @@
             data.open(max_bytes.bytes()).into_bytes(),
         )
         .await
-        .map_err(|_| unread("it came too slowly".into()))?
-        .map_err(|why| unread(why.to_string()))?;
+        .map_err(|_| unreadable("timed out".into()))?
+        .map_err(|error| unreadable(error.to_string()))?;
         if !whole.is_complete() {
-            let message = format!("no body may have more than {max_bytes} bytes: send less");
+            let message = format!("the request body is longer than the limit of {max_bytes} bytes: send a shorter one");
             return Err(Response::error(413, "tooLarge", message));
         }
         Ok(whole.into_inner())
     }
 
-    /// Passes a request to the control thread, and waits for the response.
+    /// Passes a request to the control thread and waits for its response.
     async fn call(&self, request: crate::sans_io::Request) -> Response {
         if self.serving.is_refusing() || self.calls.is_closed() {
-            return leaving();
+            return shutting_down();
         }
         let mut pending = self.calls.open();
         let input = Input::Call(request, pending.number);
         if self.inputs.send(input).is_err() {
-            return unsure();
+            return outcome_unknown();
         }
         match timeout(self.limits.timeout, &mut pending.response).await {
             Ok(Ok(response)) => response,
-            _ => unsure(),
+            _ => outcome_unknown(),
         }
     }
 
@@ -97,21 +97,23 @@
     }
 }
 
-/// The response to a call that exceeds the limit of calls at once.
+/// The response to a call that exceeds the limit of concurrent calls.
 fn busy() -> Response {
-    let message = "this process works on as many calls as it may and took nothing of this one: come back later, or go to another node";
+    let message = "this process has reached its limit of concurrent calls and rejected this one without any effect: retry later, or call another node";
     Response::error(503, "busy", message).retry(RETRY_MS)
 }
 
-/// The response to a call that was not passed on because the process shuts down.
-fn leaving() -> Response {
-    let message = "this process ends and took nothing of this call: go to another one";
+/// The response to a call that was not passed to the part, since the process is shutting down.
+fn shutting_down() -> Response {
+    let message =
+        "this process is shutting down and rejected this call without any effect: call another one";
     Response::error(503, "leaving", message).retry(RETRY_MS)
 }
 
-/// The response to a call that was passed on and got no response: its outcome is unknown.
-fn unsure() -> Response {
-    let message = "this process gave no verdict: ask again, here or at another node";
+/// The response to a call that was passed to the part but not answered in time, so that its outcome is unknown.
+fn outcome_unknown() -> Response {
+    let message =
+        "the call was not answered, so its outcome is unknown: ask again, here or at another node";
     Response::error(503, "unsure", message).retry(RETRY_MS)
 }
 
@@ -142,11 +144,11 @@
     }
 }
 
-/// What the library refuses by itself is answered in the same form.
+/// Requests that the HTTP library itself rejects get an error response in the same form.
 #[rocket::async_trait]
 impl catcher::Handler for RequestHandler {
     async fn handle<'r>(&self, status: Status, _: &'r Request<'_>) -> catcher::Result<'r> {
-        let message = format!("the request is no HTTP that is served here ({}): docs/operators/api.md lists methods and routes", status.reason_lossy());
+        let message = format!("this HTTP request can't be served ({}): docs/operators/api.md lists the methods and routes", status.reason_lossy());
         let response = Response::error(status.code, "wrongRequest", message);
         Ok(self.respond(write(response), self.serving.enter()))
     }
--- a/landingdrift/src/daemon/traffic/http/serving.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -1,4 +1,4 @@
-//! Whether HTTP calls are served, and how many are in flight.
+//! The serving state of a process: the phase of its shutdown, and the number of HTTP calls in flight.
 
 use rocket::tokio::io::{AsyncRead, AsyncSeek, ReadBuf};
 use rocket::Shutdown;
@@ -8,14 +8,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
 
-/// How far the shutdown of a process is, as its callers see it; phases only advance.
+/// The phase of a process's shutdown, as callers see it. Phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 enum ServingPhase {
     Serving,
-    /// Calls are served; each response closes its connection.
+    /// Calls are served, and each response closes its connection.
     Leaving,
-    /// New calls are refused at once, and no connection is accepted any more.
+    /// New calls are rejected at once, and no connection is accepted any more.
     Refusing,
 }
 
@@ -40,12 +40,12 @@
 }
 
 impl ServingState {
-    /// From now on each response closes its connection, so that none is idle when the process ends.
+    /// Makes each response close its connection from now on, so that no idle connection is left when the process ends.
     pub fn leave(&self) {
         self.advance(ServingPhase::Leaving);
     }
 
-    /// From now on calls are refused at once, and no connection is accepted.
+    /// Rejects calls and stops accepting connections from now on.
     pub fn refuse(&self) {
         self.advance(ServingPhase::Refusing);
         let mut servers = self.servers();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How many calls were read and their responses not written yet.
+    /// The number of calls that were read and whose responses are not written yet.
     pub fn in_flight(&self) -> u64 {
         self.0.in_flight.load(Ordering::SeqCst)
     }
@@ -64,12 +64,12 @@
         self.reached(ServingPhase::Leaving)
     }
 
-    /// Whether new calls are refused.
+    /// Whether new calls are rejected.
     pub fn is_refusing(&self) -> bool {
         self.reached(ServingPhase::Refusing)
     }
 
-    /// Adds a server, which stops listening when calls are refused.
+    /// Registers a server, which stops listening in the refusing phase.
     pub(super) fn add(&self, server: Shutdown) {
         if self.is_refusing() {
             server.notify();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Counts a call as in flight until the guard is dropped.
+    /// Counts a call as in flight until the returned guard is dropped.
     pub(super) fn enter(&self) -> InFlight {
         self.0.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight(self.clone())
@@ -100,7 +100,7 @@
     }
 }
 
-/// A call in flight; dropped once its response was written, or its caller has hung up.
+/// A guard that counts a call as in flight. It is dropped once the response is written or the caller has hung up.
 pub struct InFlight(ServingState);
 
 impl Drop for InFlight {
@@ -109,14 +109,14 @@
     }
 }
 
-/// The body of a response; the call counts as in flight until it was read to its end.
+/// The body of a response. Keeps the call counted as in flight until the body is dropped.
 pub struct Body {
     bytes: io::Cursor<Vec<u8>>,
     _in_flight: InFlight,
 }
 
 impl Body {
-    /// The body of the response to a call.
+    /// The body of the response to the call that `in_flight` counts.
     pub fn new(bytes: Vec<u8>, in_flight: InFlight) -> Self {
         Self {
             bytes: io::Cursor::new(bytes),
--- a/landingdrift/src/daemon/traffic/mod.rs
+++ b/landingdrift/src/daemon/traffic/mod.rs
@@ -1,9 +1,9 @@
-//! The one thread that serves all sockets of a process.
+//! The traffic thread, which serves all sockets of a process.
 
 mod frames;
 mod http;
 
-pub use frames::{Frames, Transport};
+pub use frames::{FrameOptions, Transport};
 pub use http::{HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, ServingState};
 
 use super::error::ProcessError;
@@ -16,7 +16,7 @@
 use std::sync::mpsc::Sender;
 use std::thread::JoinHandle;
 
-/// The traffic thread; it ends, and every socket with it, when this is dropped.
+/// A handle to the traffic thread. Dropping it ends the thread and closes all its sockets.
 pub struct Traffic {
     handle: Handle,
     serving: ServingState,
@@ -25,17 +25,17 @@
 }
 
 impl Traffic {
-    /// Starts the thread.
+    /// Starts the traffic thread.
     pub fn start() -> Result<Self, ProcessError> {
         let runtime = Builder::new_current_thread()
             .enable_all()
             .max_blocking_threads(1)
-            .thread_stack_size(threads::SMALL)
+            .thread_stack_size(threads::DEFAULT_STACK_BYTES)
             .build()
             .map_err(ProcessError::Sockets)?;
         let handle = runtime.handle().clone();
         let (stop, stopped) = oneshot::channel::<()>();
-        let thread = threads::spawn("traffic", threads::SMALL, move || {
+        let thread = threads::spawn("traffic", threads::DEFAULT_STACK_BYTES, move || {
             let _ = runtime.block_on(stopped);
             runtime.shutdown_background();
         })?;
@@ -47,19 +47,23 @@
         })
     }
 
-    /// Listens for frames, whose messages go to `inputs`; returns the transport that sends frames from the same
+    /// Listens for frames and passes their messages to `inputs`. Returns the transport that sends frames from the same
     /// address.
-    pub fn listen(&self, frames: Frames, inputs: Sender<Input>) -> Result<Transport, ProcessError> {
-        frames::listen(&self.handle, frames, inputs)
+    pub fn listen(
+        &self,
+        options: FrameOptions,
+        inputs: Sender<Input>,
+    ) -> Result<Transport, ProcessError> {
+        frames::listen(&self.handle, options, inputs)
     }
 
-    /// The serving state of all HTTP addresses.
+    /// The serving state that all HTTP addresses of the process share.
     pub fn serving(&self) -> &ServingState {
         &self.serving
     }
 
-    /// Serves HTTP at an address until the thread ends; returns the address that was bound.
-    pub fn http(
+    /// Serves HTTP at an address until the thread ends; returns the bound address.
+    pub fn serve_http(
         &self,
         addr: SocketAddr,
         limits: HttpLimits,
--- a/landingdrift/tests/control_thread.rs
+++ b/landingdrift/tests/control_thread.rs
@@ -1,6 +1,8 @@
 //! The thread of control state steps its part no more often than it must.
 
-use landingdrift::daemon::{Clock, Control, Frames, Input, PendingCalls, ShutdownTimer, Traffic};
+use landingdrift::daemon::{
+    Clock, ControlThread, FrameOptions, Input, PendingCalls, ShutdownTimer, Traffic,
+};
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
@@ -31,14 +33,14 @@
 fn run(tick: Duration, inputs: Vec<Input>) -> Vec<&'static str> {
     let traffic = Traffic::start().expect("starts");
     let (tx, rx) = channel();
-    let frames = Frames {
+    let frames = FrameOptions {
         cluster: "tests".into(),
         own_address: "127.0.0.1:0".into(),
         timeout: Duration::from_secs(1),
         max_frame_bytes: 1 << 20,
     };
     let witnessed = Arc::new(Mutex::new(Vec::new()));
-    let control = Control {
+    let control = ControlThread {
         part: Box::new(Noting(witnessed.clone())),
         clock: Clock::start(),
         transport: traffic.listen(frames, tx.clone()).expect("listens"),
--- a/landingdrift/tests/opening_data_folder.rs
+++ b/landingdrift/tests/opening_data_folder.rs
@@ -44,7 +44,7 @@
     };
     let mut process = Process::start("error").expect("starts");
     let replica = process
-        .replica(&settings)
+        .start_replica(&settings)
         .expect("starts without its folder");
     let at = free_address();
     let limits = HttpLimits {
@@ -53,7 +53,7 @@
         calls: 10,
     };
     process
-        .http(at, limits, HttpAdapter::default(), &replica)
+        .serve_http(at, limits, HttpAdapter::default(), &replica)
         .expect("serves");
     let running = spawn(move || process.run(&|| Ok(Vec::new())));
     sleep(Duration::from_millis(500));
@@ -86,6 +86,9 @@
         ..Settings::default()
     };
     let mut process = Process::start("error").expect("starts");
-    let why = process.replica(&settings).map(|_| ()).expect_err("refused");
+    let why = process
+        .start_replica(&settings)
+        .map(|_| ())
+        .expect_err("refused");
     assert!(why.to_string().contains("something else"), "{why}");
 }
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -175,13 +175,15 @@
     );
     let mut process = Process::start("error").expect("starts");
     let serving = process
-        .part(Box::new(Slow::default()), &settings())
+        .start_part(Box::new(Slow::default()), &settings())
         .expect("starts");
     let other = Slow {
         ends_itself: own_end.then(|| ends.clone()),
         ..Slow::default()
     };
-    process.part(Box::new(other), &settings()).expect("starts");
+    process
+        .start_part(Box::new(other), &settings())
+        .expect("starts");
     let at = free_address();
     let limits = HttpLimits {
         timeout: Duration::from_secs(3),
@@ -189,7 +191,7 @@
         calls: 1000,
     };
     process
-        .http(at, limits, counting(&counts), &serving)
+        .serve_http(at, limits, counting(&counts), &serving)
         .expect("serves");
     let running = spawn(move || process.run(&|| Ok(vec![settings(), settings()])));
     let callers: Vec<_> = (0..2 * CALLERS)
@@ -286,7 +288,9 @@
         ends_itself: Some(ends),
         ..Slow::default()
     };
-    let handle = process.part(Box::new(part), &settings()).expect("starts");
+    let handle = process
+        .start_part(Box::new(part), &settings())
+        .expect("starts");
     let at = free_address();
     let limits = HttpLimits {
         timeout: Duration::from_secs(30),
@@ -294,7 +298,7 @@
         calls: 1000,
     };
     process
-        .http(at, limits, counting(&counts), &handle)
+        .serve_http(at, limits, counting(&counts), &handle)
         .expect("serves");
     sleep(Duration::from_millis(200));
     let since = Instant::now();
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -2,7 +2,7 @@
 
 mod traffic_common;
 
-use landingdrift::daemon::{Frames, HttpAdapter, Input, PendingCalls, Traffic, Transport};
+use landingdrift::daemon::{FrameOptions, HttpAdapter, Input, PendingCalls, Traffic, Transport};
 use landingdrift::sans_io::Msg;
 use landingdrift::settings::Limits;
 use landingdrift::wire::{pack, unpack, Body, ForwardResponse, ReadIndexRequest, RequestToken};
@@ -14,8 +14,8 @@
 
 const LONGEST: u32 = 1 << 20;
 
-fn frames(me: &str) -> Frames {
-    Frames {
+fn frames(me: &str) -> FrameOptions {
+    FrameOptions {
         cluster: "tests".into(),
         own_address: me.into(),
         timeout: Duration::from_secs(2),
@@ -246,7 +246,7 @@
     assert!(why.to_string().contains("--listen"), "{why}");
     let taken = a.own_address().parse().expect("an address");
     let why = traffic
-        .http(
+        .serve_http(
             taken,
             limits(),
             HttpAdapter::default(),
@@ -259,12 +259,12 @@
 
 #[test]
 fn the_longest_frame_follows_the_limits_up_to_a_top() {
-    assert_eq!(Frames::max_frame_bytes(&Limits::default()), 256 << 20);
+    assert_eq!(FrameOptions::max_frame_bytes(&Limits::default()), 256 << 20);
     let small = Limits {
         open_jobs: 10,
         job_bytes: 1 << 20,
         config_bytes: 4 << 20,
         ..Limits::default()
     };
-    assert_eq!(Frames::max_frame_bytes(&small), 30 << 20);
+    assert_eq!(FrameOptions::max_frame_bytes(&small), 30 << 20);
 }
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -25,7 +25,7 @@
     let calls = PendingCalls::default();
     let any = "127.0.0.1:0".parse().expect("an address");
     let at = traffic
-        .http(any, limits, http_adapter, calls.clone(), tx)
+        .serve_http(any, limits, http_adapter, calls.clone(), tx)
         .expect("serves");
     Served { at, calls, inputs }
 }
