--- a/landingdrift/tests/job_memory.rs
+++ b/landingdrift/tests/job_memory.rs
@@ -10,7 +10,7 @@
     Body, ProposeRequest, ProposeResponse, PROPOSAL_APPLIED, PROPOSAL_NO_CAPACITY,
 };
 use node_harness::{NodeHarness, REPLICA};
-use replicas::Cores;
+use replicas::TestCluster;
 use serde_json::json;
 
 const CALL: u64 = 1000;
@@ -39,7 +39,7 @@
 }
 
 /// Submits a job to the leader; the outcome.
-fn submit(cores: &mut Cores, spec: JobSpec) -> u8 {
+fn submit(cores: &mut TestCluster, spec: JobSpec) -> u8 {
     let leader = cores.leader().expect("somebody leads");
     let seen = cores.replica(leader).state().applied_index;
     let command = Command::AcceptJob {
@@ -48,19 +48,19 @@
         seen,
     };
     let token = cores.propose_command(leader, &command);
-    assert!(cores.until(2000, |cores| cores.proposed(token).is_some()));
-    cores.proposed(token).expect("an answer").outcome
+    assert!(cores.run_until(2000, |cores| cores.proposal_response(token).is_some()));
+    cores.proposal_response(token).expect("an answer").outcome
 }
 
-fn cores_with_memory() -> Cores {
+fn cores_with_memory() -> TestCluster {
     cores_with_a_queue(Limits {
         jobs_memory_bytes: MEMORY_BYTES,
         ..Limits::default()
     })
 }
 
-fn cores_with_a_queue(limits: Limits) -> Cores {
-    let mut cores = Cores::start(limits);
+fn cores_with_a_queue(limits: Limits) -> TestCluster {
+    let mut cores = TestCluster::start(limits);
     let leader = cores.leader().expect("somebody leads");
     let command = Command::UpdateConfig {
         change: "c".into(),
@@ -71,7 +71,7 @@
             "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
     };
     let token = cores.propose_command(leader, &command);
-    assert!(cores.until(2000, |cores| cores.confirmed(token)));
+    assert!(cores.run_until(2000, |cores| cores.is_confirmed(token)));
     cores
 }
 
@@ -107,7 +107,7 @@
         })
         .collect();
     let last = *tokens.last().expect("a token");
-    assert!(cores.until(2000, |cores| cores.proposed(last).is_some()));
+    assert!(cores.run_until(2000, |cores| cores.proposal_response(last).is_some()));
     cores.run(1000);
     let bytes = cores.replica(leader).state().job_bytes();
     assert!(bytes <= MEMORY_BYTES, "{bytes} bytes of {MEMORY_BYTES}");
--- a/landingdrift/tests/replicas/disk.rs
+++ b/landingdrift/tests/replicas/disk.rs
@@ -7,8 +7,8 @@
 /// How a disk behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    Sound,
-    Refuses,
+    Works,
+    Fails,
     Hangs,
 }
 
@@ -29,12 +29,12 @@
         Self {
             durable,
             pending: VecDeque::new(),
-            behaviour: Behaviour::Sound,
+            behaviour: Behaviour::Works,
             next_retry: 0,
         }
     }
 
-    pub(super) fn write_all(&mut self) -> Option<u64> {
+    pub(super) fn complete_writes(&mut self) -> Option<u64> {
         let last = self.pending.back().map(|s| s.write_id);
         for s in std::mem::take(&mut self.pending) {
             write(&mut self.durable, s);
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -26,28 +26,28 @@
 
 /// A message on its way, or arrived at somebody who is no replica.
 #[derive(Clone, Debug)]
-pub struct Carried {
+pub struct SentMessage {
     pub from: String,
     pub to: String,
     pub body: Body,
 }
 
-pub struct Cores {
-    pub t: u64,
+pub struct TestCluster {
+    pub now_ms: u64,
     pub replicas: Vec<Option<Replica>>,
     pub disks: Vec<TestDisk>,
     pub settings: Vec<Settings>,
     /// Messages by when they arrive, in the order in which they were sent.
-    wires: VecDeque<(u64, Carried)>,
+    in_flight: VecDeque<(u64, SentMessage)>,
     /// Says which messages are lost.
-    pub loses: Box<dyn Fn(&Carried) -> bool>,
+    pub drops_message: Box<dyn Fn(&SentMessage) -> bool>,
     /// All that was sent to nobody here.
-    pub outside: Vec<Carried>,
+    pub external_messages: Vec<SentMessage>,
     /// All that was sent between replicas, oldest first.
-    pub sent: Vec<(u64, Carried)>,
-    pub lines: Vec<String>,
+    pub sent: Vec<(u64, SentMessage)>,
+    pub log_lines: Vec<String>,
     pub exits: usize,
-    answers: BTreeMap<u64, Response>,
+    responses: BTreeMap<u64, Response>,
     next: u64,
 }
 
@@ -55,7 +55,7 @@
     format!("10.0.0.{i}:7000")
 }
 
-impl Cores {
+impl TestCluster {
     pub fn start(limits: Limits) -> Self {
         let names: Vec<String> = (0..3).map(name).collect();
         let settings: Vec<Settings> = (0..3)
@@ -67,47 +67,50 @@
                 ..Settings::default()
             })
             .collect();
-        let mut all = Self {
-            t: 0,
+        let mut cluster = Self {
+            now_ms: 0,
             replicas: (0..3).map(|_| None).collect(),
             disks: (0..3).map(|i| TestDisk::new(i + 1)).collect(),
             settings,
-            wires: VecDeque::new(),
-            loses: Box::new(|_| false),
-            outside: Vec::new(),
+            in_flight: VecDeque::new(),
+            drops_message: Box::new(|_| false),
+            external_messages: Vec::new(),
             sent: Vec::new(),
-            lines: Vec::new(),
+            log_lines: Vec::new(),
             exits: 0,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             next: 0,
         };
-        (0..3).for_each(|i| all.boot(i));
-        assert!(all.until(20_000, |c| c.leader().is_some()), "nobody leads");
-        all.run(1000);
-        all
+        (0..3).for_each(|i| cluster.start_replica(i));
+        assert!(
+            cluster.run_until(20_000, |c| c.leader().is_some()),
+            "nobody leads"
+        );
+        cluster.run(1000);
+        cluster
     }
 
     fn now(&self) -> Now {
         Now {
-            mono: self.t + 1,
-            wall: 1_700_000_000_000 + self.t,
+            mono: self.now_ms + 1,
+            wall: 1_700_000_000_000 + self.now_ms,
         }
     }
 
     /// Starts a replica from what its disk holds.
-    pub fn boot(&mut self, i: usize) {
+    pub fn start_replica(&mut self, i: usize) {
         let (settings, now) = (self.settings[i].clone(), self.now());
         let loaded = self.disks[i].durable.clone();
-        let replica = Replica::new(settings, loaded, now, 77 + i as u64 + self.t);
+        let replica = Replica::new(settings, loaded, now, 77 + i as u64 + self.now_ms);
         self.replicas[i] = Some(replica.expect("a sound disk loads"));
     }
 
     /// The power of a core goes: what was not durable is lost.
-    pub fn kill(&mut self, i: usize) {
+    pub fn crash(&mut self, i: usize) {
         self.replicas[i] = None;
         self.disks[i].pending.clear();
         let gone = name(i);
-        self.wires.retain(|(_, c)| c.to != gone);
+        self.in_flight.retain(|(_, c)| c.to != gone);
     }
 
     pub fn replica(&self, i: usize) -> &Replica {
@@ -127,43 +130,43 @@
     }
 
     pub fn run(&mut self, ms: u64) {
-        let end = self.t + ms;
-        while self.t < end {
-            self.pass();
+        let end = self.now_ms + ms;
+        while self.now_ms < end {
+            self.advance_one_ms();
         }
     }
 
     /// Runs until something holds; false where it does not within so many milliseconds.
-    pub fn until(&mut self, ms: u64, holds: impl Fn(&Self) -> bool) -> bool {
-        let end = self.t + ms;
-        while self.t < end && !holds(self) {
-            self.pass();
+    pub fn run_until(&mut self, ms: u64, holds: impl Fn(&Self) -> bool) -> bool {
+        let end = self.now_ms + ms;
+        while self.now_ms < end && !holds(self) {
+            self.advance_one_ms();
         }
         holds(self)
     }
 
     /// One millisecond passes.
-    fn pass(&mut self) {
-        self.t += 1;
-        while let Some((_, c)) = self.wires.pop_front_if(|(at, _)| *at <= self.t) {
+    fn advance_one_ms(&mut self) {
+        self.now_ms += 1;
+        while let Some((_, c)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.now_ms) {
             match (0..3).find(|i| name(*i) == c.to) {
                 Some(i) => self.step(i, Msg::Wire(c.from, c.body)),
-                None => self.outside.push(c),
+                None => self.external_messages.push(c),
             }
         }
         for i in 0..3 {
-            self.disk(i);
-            if (self.t + i as u64 * 7).is_multiple_of(TICK_MS) {
+            self.step_disk(i);
+            if (self.now_ms + i as u64 * 7).is_multiple_of(TICK_MS) {
                 self.step(i, Msg::Tick);
             }
         }
     }
 
-    fn disk(&mut self, i: usize) {
-        let (t, disk) = (self.t, &mut self.disks[i]);
+    fn step_disk(&mut self, i: usize) {
+        let (t, disk) = (self.now_ms, &mut self.disks[i]);
         let msg = match disk.behaviour {
-            Behaviour::Sound => disk.write_all().map(Msg::Persisted),
-            Behaviour::Refuses if !disk.pending.is_empty() && t >= disk.next_retry => {
+            Behaviour::Works => disk.complete_writes().map(Msg::Persisted),
+            Behaviour::Fails if !disk.pending.is_empty() && t >= disk.next_retry => {
                 disk.next_retry = t + RETRY_MS;
                 Some(Msg::DiskFailed("the disk is full".into()))
             }
@@ -181,28 +184,31 @@
             match effect {
                 Effect::Send(to, body) => {
                     let from = name(i);
-                    self.carry(i, Carried { from, to, body });
+                    self.send(i, SentMessage { from, to, body });
                 }
                 Effect::Persist(save) => self.disks[i].pending.push_back(save),
                 Effect::Answer(call, v) => {
-                    self.answers.insert(call, v);
+                    self.responses.insert(call, v);
+                }
+                Effect::Log(text) => {
+                    self.log_lines
+                        .push(format!("{} {}: {text}", self.now_ms, name(i)))
                 }
-                Effect::Log(text) => self.lines.push(format!("{} {}: {text}", self.t, name(i))),
                 Effect::Exit => self.exits += 1,
             }
         }
     }
 
-    fn carry(&mut self, i: usize, c: Carried) {
-        self.check_promise(i, &c);
-        self.sent.push((self.t, c.clone()));
-        if !(self.loses)(&c) {
-            self.wires.push_back((self.t + LINK_MS, c));
+    fn send(&mut self, i: usize, c: SentMessage) {
+        self.check_durability(i, &c);
+        self.sent.push((self.now_ms, c.clone()));
+        if !(self.drops_message)(&c) {
+            self.in_flight.push_back((self.now_ms + LINK_MS, c));
         }
     }
 
     /// Nothing is confirmed, and no vote given, that is not durable.
-    fn check_promise(&self, i: usize, c: &Carried) {
+    fn check_durability(&self, i: usize, c: &SentMessage) {
         let disk = &self.disks[i];
         match &c.body {
             Body::AppendResponse(v) if v.ok => {
@@ -219,7 +225,7 @@
     }
 
     /// A message from somebody who is no replica.
-    pub fn tell(&mut self, i: usize, from: &str, body: Body) {
+    pub fn deliver(&mut self, i: usize, from: &str, body: Body) {
         self.step(i, Msg::Wire(from.into(), body));
     }
 
@@ -244,37 +250,38 @@
             token: request(token),
             command: command.pack(),
         };
-        self.tell(i, CLIENT, Body::ProposeRequest(Box::new(propose)));
+        self.deliver(i, CLIENT, Body::ProposeRequest(Box::new(propose)));
         token
     }
 
-    pub fn proposed(&self, token: u64) -> Option<ProposeResponse> {
-        self.outside.iter().find_map(|c| match &c.body {
+    pub fn proposal_response(&self, token: u64) -> Option<ProposeResponse> {
+        self.external_messages.iter().find_map(|c| match &c.body {
             Body::ProposeResponse(p) if p.token == request(token) => Some((**p).clone()),
             _ => None,
         })
     }
 
-    pub fn confirmed(&self, token: u64) -> bool {
-        self.proposed(token).is_some_and(|p| p.outcome == 0)
+    pub fn is_confirmed(&self, token: u64) -> bool {
+        self.proposal_response(token)
+            .is_some_and(|p| p.outcome == 0)
     }
 
     /// Proposes to the leader until it takes it, and waits until it is confirmed.
-    pub fn change(&mut self, bytes: usize) {
-        let end = self.t + 5000;
-        while self.t < end {
+    pub fn commit_change(&mut self, bytes: usize) {
+        let end = self.now_ms + 5000;
+        while self.now_ms < end {
             let leader = self.leader().expect("somebody leads");
             let token = self.propose(leader, bytes);
-            self.until(1000, |c| c.proposed(token).is_some());
-            if self.confirmed(token) {
+            self.run_until(1000, |c| c.proposal_response(token).is_some());
+            if self.is_confirmed(token) {
                 return;
             }
             self.run(50);
         }
-        panic!("not confirmed: {:#?}", self.lines);
+        panic!("not confirmed: {:#?}", self.log_lines);
     }
 
-    pub fn ask(&mut self, i: usize, path: &str) -> Response {
+    pub fn get(&mut self, i: usize, path: &str) -> Response {
         self.next += 1;
         let call = self.next;
         let req = Request {
@@ -283,22 +290,22 @@
             ..Request::default()
         };
         self.step(i, Msg::Call(call, req));
-        self.answers.remove(&call).expect("an answer at once")
+        self.responses.remove(&call).expect("an answer at once")
     }
 
     /// A node asks the leader for what follows a log_index.
     pub fn watch_request(&mut self, node: &str, log_index: u64) {
-        self.pull_from(Self::pull_of(node, log_index));
+        self.send_watch_request(Self::watch_request_of(node, log_index));
     }
 
-    pub fn pull_from(&mut self, watch_request: WatchRequest) {
+    pub fn send_watch_request(&mut self, watch_request: WatchRequest) {
         let leader = self.leader().expect("somebody leads");
         let node = watch_request.node.clone();
-        self.tell(leader, &node, Body::WatchRequest(Box::new(watch_request)));
+        self.deliver(leader, &node, Body::WatchRequest(Box::new(watch_request)));
     }
 
     /// What a node asks.
-    pub fn pull_of(node: &str, log_index: u64) -> WatchRequest {
+    pub fn watch_request_of(node: &str, log_index: u64) -> WatchRequest {
         WatchRequest {
             node: node.into(),
             zone: "z".into(),
@@ -321,11 +328,11 @@
 
     /// Replicas that a node has asked for the first time, after a change; the index that the leader has applied. The node is
     /// registered, and what that gives cause for is settled.
-    pub fn start_followed() -> (Self, u64) {
+    pub fn start_with_node() -> (Self, u64) {
         let mut cores = Self::start(Limits::default());
-        assert!(cores.until(5000, |cores| cores.leader().is_some()));
-        cores.change(10);
-        cores.pull_from(Self::pull_of(NODE, 0));
+        assert!(cores.run_until(5000, |cores| cores.leader().is_some()));
+        cores.commit_change(10);
+        cores.send_watch_request(Self::watch_request_of(NODE, 0));
         cores.run(3000);
         let leader = cores.leader().expect("somebody leads");
         let applied = cores.replica(leader).state().applied_index;
@@ -333,7 +340,7 @@
     }
 
     pub fn batches(&self, node: &str) -> Vec<WatchBatch> {
-        let of = self.outside.iter().filter(|c| c.to == node);
+        let of = self.external_messages.iter().filter(|c| c.to == node);
         of.filter_map(|c| match &c.body {
             Body::WatchBatch(b) => Some((**b).clone()),
             _ => None,
@@ -345,7 +352,7 @@
         self.replica(i).state().version
     }
 
-    pub fn all_alike(&self) -> bool {
+    pub fn all_in_sync(&self) -> bool {
         let log_index = |i: usize| self.replicas[i].as_ref().map(|c| c.state().applied_index);
         log_index(0).is_some() && log_index(0) == log_index(1) && log_index(1) == log_index(2)
     }
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -5,14 +5,14 @@
 use landingdrift::settings::Limits;
 use landingdrift::snapshot_chunks::{ChunkOutcome, ChunkedSnapshot, SnapshotAssembly, CHUNK_BYTES};
 use landingdrift::wire::{AppendRequest, Body, InstallSnapshot, InstallSnapshotResponse};
-use replicas::behind::{limits, one_behind, EVERY};
-use replicas::{name, Carried, Cores};
+use replicas::behind::{limits, start_with_lagging_replica, SNAPSHOT_EVERY_ENTRIES};
+use replicas::{name, SentMessage, TestCluster};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-fn installs(all: &Cores, to: usize) -> Vec<(u64, InstallSnapshot)> {
-    let of = all.sent.iter().filter(|(_, c)| c.to == name(to));
+fn installs(cluster: &TestCluster, to: usize) -> Vec<(u64, InstallSnapshot)> {
+    let of = cluster.sent.iter().filter(|(_, c)| c.to == name(to));
     of.filter_map(|(t, c)| match &c.body {
         Body::InstallSnapshot(m) => Some((*t, (**m).clone())),
         _ => None,
@@ -20,32 +20,32 @@
     .collect()
 }
 
-fn heartbeats(all: &Cores, to: usize) -> Vec<u64> {
-    let of = all.sent.iter().filter(|(_, c)| c.to == name(to));
+fn heartbeats(cluster: &TestCluster, to: usize) -> Vec<u64> {
+    let of = cluster.sent.iter().filter(|(_, c)| c.to == name(to));
     of.filter_map(|(t, c)| matches!(&c.body, Body::AppendRequest(_)).then_some(*t))
         .collect()
 }
 
-fn catches_up(all: &mut Cores, behind: usize) {
-    let caught_up = all.until(10_000, Cores::all_alike);
-    assert!(caught_up, "{:#?}", all.lines);
-    assert!(all.counter(behind, "snapshots_installed") >= 1);
-    all.run(200);
-    let last = all.disks[behind].last();
+fn catches_up(cluster: &mut TestCluster, behind: usize) {
+    let caught_up = cluster.run_until(10_000, TestCluster::all_in_sync);
+    assert!(caught_up, "{:#?}", cluster.log_lines);
+    assert!(cluster.counter(behind, "snapshots_installed") >= 1);
+    cluster.run(200);
+    let last = cluster.disks[behind].last();
     assert_eq!(
         last,
-        all.replica(behind).state().applied_index,
+        cluster.replica(behind).state().applied_index,
         "all is on its disk"
     );
 }
 
 #[test]
 fn a_core_that_is_far_behind_gets_each_chunk_once_beside_heartbeats() {
-    let (mut all, leader, behind) = one_behind();
-    all.boot(behind);
-    let since = all.t;
-    catches_up(&mut all, behind);
-    let sent = installs(&all, behind);
+    let (mut cluster, leader, behind) = start_with_lagging_replica();
+    cluster.start_replica(behind);
+    let since = cluster.now_ms;
+    catches_up(&mut cluster, behind);
+    let sent = installs(&cluster, behind);
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     let total = sent[0].1.total as usize;
     assert!(total > 3 * CHUNK_BYTES, "{total} bytes");
@@ -54,61 +54,65 @@
         .collect();
     assert_eq!(offsets, want);
     assert!(sent.iter().all(|(_, m)| m.snapshot.len() <= CHUNK_BYTES));
-    assert_eq!(all.counter(leader, "snapshots_sent"), 1);
-    assert_eq!(all.counter(leader, "snapshot_chunks_repeated"), 0);
-    let first_beat = heartbeats(&all, behind)[0];
+    assert_eq!(cluster.counter(leader, "snapshots_sent"), 1);
+    assert_eq!(cluster.counter(leader, "snapshot_chunks_repeated"), 0);
+    let first_beat = heartbeats(&cluster, behind)[0];
     assert!(first_beat <= since + 200, "its heartbeats go on");
 }
 
 #[test]
 fn a_snapshot_waits_for_its_acknowledgement_and_heartbeats_do_not() {
-    let (mut all, leader, behind) = one_behind();
+    let (mut cluster, leader, behind) = start_with_lagging_replica();
     let me = name(behind);
-    all.loses = Box::new(move |c: &Carried| {
+    cluster.drops_message = Box::new(move |c: &SentMessage| {
         c.from == me && matches!(&c.body, Body::InstallSnapshotResponse(_))
     });
-    all.boot(behind);
-    all.run(4000);
-    let sent = installs(&all, behind);
+    cluster.start_replica(behind);
+    cluster.run(4000);
+    let sent = installs(&cluster, behind);
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     assert!(offsets.iter().all(|o| *o == 0), "{offsets:?}");
     assert!((2..=12).contains(&offsets.len()), "{offsets:?}");
-    let beaten = heartbeats(&all, behind);
+    let beaten = heartbeats(&cluster, behind);
     let gaps = beaten.windows(2).map(|w| w[1] - w[0]);
     assert!(gaps.max().is_some_and(|g| g <= 200), "{beaten:?}");
-    assert_eq!(all.leader(), Some(leader), "nobody stands for election");
-    all.loses = Box::new(|_| false);
-    catches_up(&mut all, behind);
+    assert_eq!(cluster.leader(), Some(leader), "nobody stands for election");
+    cluster.drops_message = Box::new(|_| false);
+    catches_up(&mut cluster, behind);
 }
 
 #[test]
 fn lost_chunks_are_sent_again_and_nothing_else() {
-    let (mut all, _, behind) = one_behind();
+    let (mut cluster, _, behind) = start_with_lagging_replica();
     let seen = Rc::new(Cell::new(0));
-    all.loses = Box::new(move |c: &Carried| {
+    cluster.drops_message = Box::new(move |c: &SentMessage| {
         let chunk = matches!(&c.body, Body::InstallSnapshot(_));
         seen.set(seen.get() + u64::from(chunk));
         chunk && seen.get().is_multiple_of(3)
     });
-    all.boot(behind);
-    catches_up(&mut all, behind);
-    assert_eq!(all.counter(behind, "snapshots_installed"), 1);
-    assert_eq!(all.counter(behind, "snapshots_refused"), 0);
+    cluster.start_replica(behind);
+    catches_up(&mut cluster, behind);
+    assert_eq!(cluster.counter(behind, "snapshots_installed"), 1);
+    assert_eq!(cluster.counter(behind, "snapshots_refused"), 0);
 }
 
 #[test]
 fn a_sender_that_dies_in_the_middle_is_followed_by_another() {
-    let (mut all, leader, behind) = one_behind();
-    all.boot(behind);
-    assert!(all.until(5000, |c| installs(c, behind).len() >= 2));
-    assert_eq!(all.counter(behind, "snapshots_installed"), 0);
-    all.kill(leader);
-    let led = all.until(10_000, |c| c.leader().is_some_and(|l| l != leader));
-    assert!(led, "{:#?}", all.lines);
-    assert_ne!(all.leader(), Some(behind), "it has less than was confirmed");
-    all.run(3000);
-    all.boot(leader);
-    catches_up(&mut all, behind);
+    let (mut cluster, leader, behind) = start_with_lagging_replica();
+    cluster.start_replica(behind);
+    assert!(cluster.run_until(5000, |c| installs(c, behind).len() >= 2));
+    assert_eq!(cluster.counter(behind, "snapshots_installed"), 0);
+    cluster.crash(leader);
+    let led = cluster.run_until(10_000, |c| c.leader().is_some_and(|l| l != leader));
+    assert!(led, "{:#?}", cluster.log_lines);
+    assert_ne!(
+        cluster.leader(),
+        Some(behind),
+        "it has less than was confirmed"
+    );
+    cluster.run(3000);
+    cluster.start_replica(leader);
+    catches_up(&mut cluster, behind);
 }
 
 #[test]
@@ -151,8 +155,12 @@
     }
 }
 
-fn last_verdict(all: &Cores, from: usize) -> InstallSnapshotResponse {
-    let mut of = all.sent.iter().rev().filter(|(_, c)| c.from == name(from));
+fn last_verdict(cluster: &TestCluster, from: usize) -> InstallSnapshotResponse {
+    let mut of = cluster
+        .sent
+        .iter()
+        .rev()
+        .filter(|(_, c)| c.from == name(from));
     let found = of.find_map(|(_, c)| match &c.body {
         Body::InstallSnapshotResponse(m) => Some((**m).clone()),
         _ => None,
@@ -162,14 +170,14 @@
 
 #[test]
 fn a_spoilt_a_cut_and_an_outdated_snapshot_change_nothing() {
-    let mut all = Cores::start(limits());
-    (0..5).for_each(|_| all.change(10));
-    all.run(300);
-    let leader = all.leader().expect("somebody leads");
+    let mut cluster = TestCluster::start(limits());
+    (0..5).for_each(|_| cluster.commit_change(10));
+    cluster.run(300);
+    let leader = cluster.leader().expect("somebody leads");
     let to = (leader + 1) % 3;
-    let term = all.replica(leader).term();
-    let log_index = all.replica(to).state().applied_index;
-    let version = all.version(to);
+    let term = cluster.replica(leader).term();
+    let log_index = cluster.replica(to).state().applied_index;
+    let version = cluster.version(to);
     let bytes = landingdrift::state::ClusterState::new("landingdrift").pack();
     let good = install(term, log_index + 10, &bytes);
     let spoilt = InstallSnapshot {
@@ -191,27 +199,27 @@
         (outdated, true),
         (no_record, true),
     ] {
-        all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(m)));
-        assert_eq!(last_verdict(&all, to).refused, refused);
-        assert_eq!(all.replica(to).state().applied_index, log_index);
+        cluster.deliver(to, &name(leader), Body::InstallSnapshot(Box::new(m)));
+        assert_eq!(last_verdict(&cluster, to).refused, refused);
+        assert_eq!(cluster.replica(to).state().applied_index, log_index);
     }
-    assert_eq!(all.version(to), version);
-    assert_eq!(all.counter(to, "snapshots_installed"), 0);
-    all.change(10);
-    all.run(300);
-    assert!(all.all_alike());
+    assert_eq!(cluster.version(to), version);
+    assert_eq!(cluster.counter(to, "snapshots_installed"), 0);
+    cluster.commit_change(10);
+    cluster.run(300);
+    assert!(cluster.all_in_sync());
 }
 
 #[test]
 fn a_late_snapshot_takes_nothing_away_that_was_confirmed() {
-    let mut all = Cores::start(limits());
-    (0..5).for_each(|_| all.change(10));
-    all.run(300);
-    let leader = all.leader().expect("somebody leads");
+    let mut cluster = TestCluster::start(limits());
+    (0..5).for_each(|_| cluster.commit_change(10));
+    cluster.run(300);
+    let leader = cluster.leader().expect("somebody leads");
     let to = (leader + 1) % 3;
     // Entries that this replica has confirmed and does not know to be committed.
-    let last = all.disks[to].last();
-    let tail: Vec<_> = all.disks[to].durable.entries.clone();
+    let last = cluster.disks[to].last();
+    let tail: Vec<_> = cluster.disks[to].durable.entries.clone();
     let term = tail.last().expect("entries").term;
     let mut more = tail.last().expect("entries").clone();
     let entries = [1, 2].map(|n| {
@@ -229,79 +237,90 @@
         clock: 0,
         may_leave: false,
     };
-    all.tell(to, &name(leader), Body::AppendRequest(Box::new(append)));
-    all.run(3);
-    assert_eq!(all.disks[to].last(), last + 2);
-    let bytes = all.replica(to).state().pack();
+    cluster.deliver(to, &name(leader), Body::AppendRequest(Box::new(append)));
+    cluster.run(3);
+    assert_eq!(cluster.disks[to].last(), last + 2);
+    let bytes = cluster.replica(to).state().pack();
     let late = install(term, last + 1, &bytes);
-    all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(late)));
-    all.run(3);
-    assert_eq!(all.disks[to].last(), last + 2, "what it confirmed is gone");
-    assert_eq!(all.counter(to, "snapshots_installed"), 0);
+    cluster.deliver(to, &name(leader), Body::InstallSnapshot(Box::new(late)));
+    cluster.run(3);
+    assert_eq!(
+        cluster.disks[to].last(),
+        last + 2,
+        "what it confirmed is gone"
+    );
+    assert_eq!(cluster.counter(to, "snapshots_installed"), 0);
 }
 
 #[test]
 fn a_core_killed_while_it_installs_never_leads_with_less_than_it_confirmed() {
     for at in [1, 3, 8, 15, 25, 60] {
-        let (mut all, leader, behind) = one_behind();
-        let confirmed = all.version(leader);
-        all.boot(behind);
-        assert!(all.until(5000, |c| !installs(c, behind).is_empty()));
-        all.run(at);
-        let whole = all.disks[behind].last() >= all.replica(leader).state().applied_index;
-        all.kill(behind);
-        all.kill(leader);
-        all.boot(behind);
-        all.run(2000);
-        let lead = all.leader();
+        let (mut cluster, leader, behind) = start_with_lagging_replica();
+        let confirmed = cluster.version(leader);
+        cluster.start_replica(behind);
+        assert!(cluster.run_until(5000, |c| !installs(c, behind).is_empty()));
+        cluster.run(at);
+        let whole = cluster.disks[behind].last() >= cluster.replica(leader).state().applied_index;
+        cluster.crash(behind);
+        cluster.crash(leader);
+        cluster.start_replica(behind);
+        cluster.run(2000);
+        let lead = cluster.leader();
         assert!(
             whole || lead != Some(behind),
             "killed after {at} ms: {:#?}",
-            all.lines
+            cluster.log_lines
         );
-        assert!(lead.is_none_or(|l| all.version(l) >= confirmed));
-        all.boot(leader);
-        assert!(all.until(10_000, Cores::all_alike), "{:#?}", all.lines);
-        assert_eq!(all.version(behind), confirmed);
+        assert!(lead.is_none_or(|l| cluster.version(l) >= confirmed));
+        cluster.start_replica(leader);
+        assert!(
+            cluster.run_until(10_000, TestCluster::all_in_sync),
+            "{:#?}",
+            cluster.log_lines
+        );
+        assert_eq!(cluster.version(behind), confirmed);
     }
 }
 
 #[test]
 fn the_log_is_kept_for_a_core_that_catches_up_while_changes_go_on() {
-    let (mut all, leader, behind) = one_behind();
+    let (mut cluster, leader, behind) = start_with_lagging_replica();
     // A narrow link: every chunk takes its time, and a change comes with each.
     let seen = Rc::new(Cell::new(0));
-    all.loses = Box::new(move |c: &Carried| {
+    cluster.drops_message = Box::new(move |c: &SentMessage| {
         let chunk = matches!(&c.body, Body::InstallSnapshot(_));
         seen.set(seen.get() + u64::from(chunk));
         chunk && seen.get() % 2 == 1
     });
-    all.boot(behind);
+    cluster.start_replica(behind);
     for _ in 0..100 {
-        all.change(200);
-        all.run(100);
+        cluster.commit_change(200);
+        cluster.run(100);
     }
-    all.loses = Box::new(|_| false);
-    all.run(1000);
-    assert!(all.all_alike(), "{:#?}", all.lines);
-    let sent = installs(&all, behind);
+    cluster.drops_message = Box::new(|_| false);
+    cluster.run(1000);
+    assert!(cluster.all_in_sync(), "{:#?}", cluster.log_lines);
+    let sent = installs(&cluster, behind);
     let places: BTreeSet<u64> = sent.iter().map(|(_, m)| m.index).collect();
     assert_eq!(places.len(), 1, "it chased the tail: {places:?}");
-    assert!(all.replica(leader).state().applied_index > 2 * EVERY + places.iter().sum::<u64>());
+    assert!(
+        cluster.replica(leader).state().applied_index
+            > 2 * SNAPSHOT_EVERY_ENTRIES + places.iter().sum::<u64>()
+    );
 }
 
 #[test]
 fn the_log_in_memory_is_bounded_in_bytes() {
-    let mut all = Cores::start(Limits {
+    let mut cluster = TestCluster::start(Limits {
         log_bytes: 200_000,
         ..Limits::default()
     });
     let mut most = 0;
     for _ in 0..100 {
-        all.change(10_000);
-        let held = (0..3).map(|i| all.counter(i, "log_bytes_in_memory"));
+        cluster.commit_change(10_000);
+        let held = (0..3).map(|i| cluster.counter(i, "log_bytes_in_memory"));
         most = most.max(held.max().unwrap_or(0));
     }
     assert!(most <= 330_000, "{most} bytes");
-    assert!(all.counter(0, "snapshots") > 3);
+    assert!(cluster.counter(0, "snapshots") > 3);
 }
--- a/landingdrift/tests/snapshots_to_nodes.rs
+++ b/landingdrift/tests/snapshots_to_nodes.rs
@@ -4,11 +4,11 @@
 
 use landingdrift::snapshot_chunks::{ChunkOutcome, SnapshotAssembly, CHUNK_BYTES};
 use landingdrift::wire::{Body, WatchRequest, WatchSnapshotChunk};
-use replicas::behind::one_behind;
-use replicas::{Cores, NODE};
+use replicas::behind::start_with_lagging_replica;
+use replicas::{TestCluster, NODE};
 
-fn snapshot_chunks(all: &Cores) -> Vec<WatchSnapshotChunk> {
-    let of = all.outside.iter().filter(|c| c.to == NODE);
+fn snapshot_chunks(cluster: &TestCluster) -> Vec<WatchSnapshotChunk> {
+    let of = cluster.external_messages.iter().filter(|c| c.to == NODE);
     of.filter_map(|c| match &c.body {
         Body::WatchSnapshotChunk(m) => Some((**m).clone()),
         _ => None,
@@ -18,25 +18,25 @@
 
 #[test]
 fn a_node_fetches_a_snapshot_a_chunk_at_a_time() {
-    let (mut all, leader, _) = one_behind();
+    let (mut cluster, leader, _) = start_with_lagging_replica();
     let mut assembly = SnapshotAssembly::default();
     let mut whole = None;
     for _ in 0..200 {
-        let before = snapshot_chunks(&all).len();
+        let before = snapshot_chunks(&cluster).len();
         let part = assembly.identity();
-        let ask = |all: &mut Cores| {
-            all.pull_from(WatchRequest {
+        let ask = |cluster: &mut TestCluster| {
+            cluster.send_watch_request(WatchRequest {
                 part_index: part.index,
                 part_checksum: part.checksum,
                 part_received: assembly.received(),
-                ..Cores::pull_of(NODE, 0)
+                ..TestCluster::watch_request_of(NODE, 0)
             });
         };
         // Asked again and again, a chunk is sent once while it may be on its way.
-        (0..3).for_each(|_| ask(&mut all));
-        all.change(100);
-        all.run(20);
-        let got = snapshot_chunks(&all);
+        (0..3).for_each(|_| ask(&mut cluster));
+        cluster.commit_change(100);
+        cluster.run(20);
+        let got = snapshot_chunks(&cluster);
         assert_eq!(got.len(), before + 1, "one chunk for each");
         let m = got.last().expect("a chunk");
         assert!(m.bytes.len() <= CHUNK_BYTES);
@@ -57,25 +57,25 @@
     }
     let (index, bytes) = whole.expect("whole");
     landingdrift::state::ClusterState::unpack(&bytes).expect("a record");
-    assert_eq!(all.counter(leader, "watch_snapshots"), 1);
+    assert_eq!(cluster.counter(leader, "watch_snapshots"), 1);
     // It goes on with entries from there, and no further snapshot.
-    let before = snapshot_chunks(&all).len();
-    all.watch_request(NODE, index);
-    all.run(5);
-    assert_eq!(snapshot_chunks(&all).len(), before);
-    let batch = all.batches(NODE).pop().expect("a batch");
+    let before = snapshot_chunks(&cluster).len();
+    cluster.watch_request(NODE, index);
+    cluster.run(5);
+    assert_eq!(snapshot_chunks(&cluster).len(), before);
+    let batch = cluster.batches(NODE).pop().expect("a batch");
     assert_eq!(batch.entries.first().map(|e| e.index), Some(index + 1));
 }
 
 #[test]
 fn nodes_that_fetch_at_once_share_one_snapshot() {
-    let (mut all, leader, _) = one_behind();
+    let (mut cluster, leader, _) = start_with_lagging_replica();
     for n in 0..20 {
-        all.watch_request(&format!("10.8.8.{n}:1"), 0);
+        cluster.watch_request(&format!("10.8.8.{n}:1"), 0);
     }
-    all.run(10);
-    let sent: Vec<(u64, u32, usize)> = all
-        .outside
+    cluster.run(10);
+    let sent: Vec<(u64, u32, usize)> = cluster
+        .external_messages
         .iter()
         .filter_map(|c| match &c.body {
             Body::WatchSnapshotChunk(m) => Some((m.index, m.checksum, m.bytes.len())),
@@ -86,5 +86,5 @@
     assert!(sent.windows(2).all(|w| w[0] == w[1]), "{sent:?}");
     let bytes: usize = sent.iter().map(|s| s.2).sum();
     assert!(bytes <= 20 * CHUNK_BYTES);
-    assert_eq!(all.counter(leader, "watch_chunks"), 20);
+    assert_eq!(cluster.counter(leader, "watch_chunks"), 20);
 }
--- a/landingdrift/tests/watch_flow.rs
+++ b/landingdrift/tests/watch_flow.rs
@@ -7,22 +7,22 @@
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, WatchBatch, WatchRequest, WatchSnapshotChunk};
 use node_harness::{NodeHarness, REPLICA};
-use replicas::{Cores, NODE};
+use replicas::{TestCluster, NODE};
 
 const HEARTBEAT_MS: u64 = 100;
 
 /// Three replicas that a node follows, and the index that it has applied.
-fn followed() -> (Cores, u64) {
-    let (mut cores, applied) = Cores::start_followed();
-    cores.pull_from(Cores::pull_of(NODE, applied));
+fn followed() -> (TestCluster, u64) {
+    let (mut cores, applied) = TestCluster::start_with_node();
+    cores.send_watch_request(TestCluster::watch_request_of(NODE, applied));
     (cores, applied)
 }
 
 /// The node asks every tenth of a heartbeat, as if nothing had arrived since; returns how often entries were sent.
-fn times_sent(cores: &mut Cores, request: &WatchRequest, for_ms: u64) -> usize {
+fn times_sent(cores: &mut TestCluster, request: &WatchRequest, for_ms: u64) -> usize {
     let before = cores.batches(NODE).len();
     for _ in 0..for_ms / 10 {
-        cores.pull_from(request.clone());
+        cores.send_watch_request(request.clone());
         cores.run(10);
     }
     let batches = cores.batches(NODE).split_off(before);
@@ -33,8 +33,8 @@
 #[test]
 fn entries_on_their_way_are_not_sent_again_for_each_request() {
     let (mut cores, applied) = followed();
-    cores.change(200_000);
-    let request = Cores::pull_of(NODE, applied);
+    cores.commit_change(200_000);
+    let request = TestCluster::watch_request_of(NODE, applied);
     // 200 kB take a link of 2 Mbit/s 800 ms.
     assert_eq!(times_sent(&mut cores, &request, 800), 1);
     // The pause doubles each time.
@@ -45,8 +45,8 @@
 #[test]
 fn entries_that_were_lost_are_sent_again_soon() {
     let (mut cores, applied) = followed();
-    cores.change(10);
-    let request = Cores::pull_of(NODE, applied);
+    cores.commit_change(10);
+    let request = TestCluster::watch_request_of(NODE, applied);
     let times = times_sent(&mut cores, &request, 4 * HEARTBEAT_MS);
     assert_eq!(times, 2);
 }
@@ -56,16 +56,16 @@
     let (mut cores, applied) = followed();
     // Beside a larger node.
     cores.watch_request("10.8.8.9:1", applied);
-    cores.change(10);
+    cores.commit_change(10);
     let request = WatchRequest {
         share: 50,
         light: true,
-        ..Cores::pull_of(NODE, applied)
+        ..TestCluster::watch_request_of(NODE, applied)
     };
-    cores.pull_from(request.clone());
+    cores.send_watch_request(request.clone());
     cores.run(5);
-    cores.change(10);
-    cores.pull_from(request);
+    cores.commit_change(10);
+    cores.send_watch_request(request);
     cores.run(5);
     let last = cores.batches(NODE).pop().expect("a batch");
     assert!(last.light);
@@ -76,14 +76,14 @@
 #[test]
 fn a_node_that_has_restarted_is_sent_what_its_predecessor_was_sent() {
     let (mut cores, applied) = followed();
-    cores.change(200_000);
+    cores.commit_change(200_000);
     let request = WatchRequest {
         sent: 500,
-        ..Cores::pull_of(NODE, applied)
+        ..TestCluster::watch_request_of(NODE, applied)
     };
     assert_eq!(times_sent(&mut cores, &request, 20), 1);
     // A process that has just started: its clock is another one, and it has applied nothing.
-    let restarted = Cores::pull_of(NODE, 1);
+    let restarted = TestCluster::watch_request_of(NODE, 1);
     assert_eq!(times_sent(&mut cores, &restarted, 20), 1);
 }
 
--- a/landingdrift/tests/watch_identity.rs
+++ b/landingdrift/tests/watch_identity.rs
@@ -8,7 +8,7 @@
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, Entry, WatchBatch, WatchRequest};
 use node_harness::{NodeHarness, REPLICA};
-use replicas::{Cores, NODE};
+use replicas::{TestCluster, NODE};
 use serde_json::json;
 
 /// After so many milliseconds without a batch no copy is fresh.
@@ -145,9 +145,9 @@
 
 #[test]
 fn a_replica_says_for_which_process_and_copy_a_batch_is() {
-    let mut cores = Cores::start(Limits::default());
-    assert!(cores.until(5000, |cores| cores.leader().is_some()));
-    cores.change(10);
+    let mut cores = TestCluster::start(Limits::default());
+    assert!(cores.run_until(5000, |cores| cores.leader().is_some()));
+    cores.commit_change(10);
     cores.run(3000);
     let leader = cores.leader().expect("somebody leads");
     let state = cores.replica(leader).state();
@@ -155,9 +155,9 @@
     assert!(config_index > 0);
     let request = WatchRequest {
         incarnation: 77,
-        ..Cores::pull_of(NODE, applied)
+        ..TestCluster::watch_request_of(NODE, applied)
     };
-    cores.pull_from(request);
+    cores.send_watch_request(request);
     cores.run(5);
     let batch = cores.batches(NODE).pop().expect("a batch");
     assert_eq!((batch.incarnation, batch.follows), (77, applied));
@@ -166,24 +166,24 @@
 
 #[test]
 fn what_was_sent_to_an_earlier_process_is_not_in_flight_to_its_successor() {
-    let (mut cores, applied) = Cores::start_followed();
-    let with_entries = |cores: &Cores| {
+    let (mut cores, applied) = TestCluster::start_with_node();
+    let with_entries = |cores: &TestCluster| {
         let batches = cores.batches(NODE);
         let of_change = batches.iter().filter(|batch| batch.follows == applied);
         of_change.filter(|batch| !batch.entries.is_empty()).count()
     };
-    let ask = |cores: &mut Cores, incarnation: u64| {
+    let ask = |cores: &mut TestCluster, incarnation: u64| {
         let request = WatchRequest {
             incarnation,
-            ..Cores::pull_of(NODE, applied)
+            ..TestCluster::watch_request_of(NODE, applied)
         };
-        cores.pull_from(request);
+        cores.send_watch_request(request);
         cores.run(5);
         with_entries(cores)
     };
     ask(&mut cores, 1);
     let before = with_entries(&cores);
-    cores.change(200_000);
+    cores.commit_change(200_000);
     let sent = ask(&mut cores, 1);
     assert!(sent > before);
 
