--- a/landingdrift/src/main.rs
+++ b/landingdrift/src/main.rs
@@ -1,9 +1,9 @@
-//! The program `landingdrift`: one subcommand per role.
+//! The program `landingdrift`, with one subcommand per role.
 
 use landingdrift::sans_io::roles;
 use std::ffi::OsString;
 
-/// The exit code for a wrong command line.
+/// The exit code for an invalid command line.
 const EXIT_USAGE: i32 = 2;
 
 fn main() {
@@ -14,7 +14,7 @@
     std::process::exit(code);
 }
 
-/// Runs the role with a name; the result is the exit code.
+/// Runs the named role; returns the exit code.
 fn run(name: &str, arguments: Vec<OsString>) -> i32 {
     if let Some(role) = roles::all().into_iter().find(|role| role.name == name) {
         return (role.run)(arguments);
@@ -33,7 +33,7 @@
             EXIT_USAGE
         }
         _ => {
-            eprintln!("no role is called '{name}'\n\n{}", usage());
+            eprintln!("unknown role '{name}'\n\n{}", usage());
             EXIT_USAGE
         }
     }
@@ -44,5 +44,5 @@
     for role in roles::all() {
         text += &format!("  {:<10} {}\n", role.name, role.summary);
     }
-    text + "\n'landingdrift ROLE --help' lists a role's flags."
+    text + "\nRun 'landingdrift ROLE --help' for the flags of a role."
 }
--- a/landingdrift/src/operator/apply.rs
+++ b/landingdrift/src/operator/apply.rs
@@ -1,11 +1,11 @@
-//! The command `apply`: puts a configuration into force, whole or as a patch.
+//! The command `apply`: replaces or patches the configuration.
 
-use super::change::{change_id, change_path, wait_in_force};
+use super::change::{change_path, new_change_id, wait_in_force};
 use super::client::{ClientError, ControlClient};
 use super::command_line::Arguments;
 use serde_json::Value;
 
-/// Applies a configuration on top of the version that was named, or of the current one.
+/// Applies the configuration or patch in `value` on top of the version given with `--base`, or of the current one.
 pub(super) fn apply(
     client: &ControlClient,
     arguments: &Arguments,
@@ -18,12 +18,12 @@
             current["version"].as_u64().unwrap_or(0)
         }
     };
-    // One identity for all attempts: if a response is lost, the change is still made only once.
-    let change = change_id();
+    // All attempts carry the same ID, so that the change is made only once even if a response is lost.
+    let change = new_change_id();
     let method = if arguments.patch { "PATCH" } else { "PUT" };
-    let done = client.call(method, &change_path(base, &change), Some(value))?;
+    let response = client.call(method, &change_path(base, &change), Some(value))?;
     if arguments.wait {
-        return wait_in_force(client, &change, arguments.within);
+        return wait_in_force(client, &change, arguments.timeout_s);
     }
-    Ok(done)
+    Ok(response)
 }
--- a/landingdrift/src/operator/client.rs
+++ b/landingdrift/src/operator/client.rs
@@ -1,4 +1,5 @@
-//! The operator's HTTP client: it repeats only what may be repeated, and never implicitly.
+//! The operator's HTTP client. It sends a request again only if that request may be repeated, and leaves no such decision
+//! to the HTTP library.
 
 use crate::worker_proxy::may_repeat;
 use reqwest::blocking::{Client, RequestBuilder, Response};
@@ -8,60 +9,60 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// How long one request may take.
+/// The timeout of a single request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a call follows a redirect.
+/// The most redirects that a call follows.
 const MAX_REDIRECTS: usize = 2;
-/// The pause before the nodes are called again, unless one says otherwise.
-const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
+/// The pause before all nodes are tried again, unless a node's response names another one.
+const DEFAULT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Why a command of the operator failed.
+/// Why an operator's command failed.
 #[derive(Debug)]
 pub enum ClientError {
-    /// The command line can't be read.
+    /// The command line is invalid.
     Usage(String),
-    /// No node has answered.
+    /// No node accepted the request within the timeout.
     Unreachable {
-        /// The nodes that were asked.
-        at: Vec<String>,
-        /// What the last one came to.
-        why: String,
+        /// The addresses of the nodes that were called.
+        nodes: Vec<String>,
+        /// The error of the last attempt.
+        error: String,
     },
-    /// The system has refused.
+    /// A node rejected the request.
     Refused {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// The body of the response.
+        /// The body of the response, with the error and a message.
         body: Value,
     },
-    /// It may have had its effect, and may not be sent again.
-    Unsure {
-        /// The node that was asked.
-        at: String,
-        /// What went wrong after it may have taken the order.
-        why: String,
+    /// The request may have taken effect, and must not be sent again.
+    OutcomeUnknown {
+        /// The address of the node that was called.
+        node: String,
+        /// The error that hides the outcome.
+        error: String,
     },
-    /// A roll-out was halted, and the configuration before it is in force again, as a new version.
+    /// A roll-out was halted and rolled back: the previous configuration is in force again, as a new version.
     Halted {
-        /// The stage at which the roll-out halted.
+        /// The stage that was halted.
         stage: String,
-        /// Why it halted.
-        why: String,
-        /// The version that is in force again.
+        /// Why the roll-out was halted.
+        reason: String,
+        /// The new version, which has the previous content.
         version: u64,
     },
 }
 
 impl ClientError {
-    /// The exit code, by which scripts distinguish the kinds.
-    pub fn code(&self) -> i32 {
+    /// The exit code of the command, by which scripts distinguish the errors.
+    pub fn exit_code(&self) -> i32 {
         match self {
             Self::Usage(_) => 2,
             Self::Unreachable { .. } => 3,
             Self::Halted { .. } => 5,
             Self::Refused { status: 409, .. } => 4,
             Self::Refused { .. } => 1,
-            Self::Unsure { .. } => 6,
+            Self::OutcomeUnknown { .. } => 6,
         }
     }
 }
@@ -69,44 +70,49 @@
 impl fmt::Display for ClientError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Usage(why) => write!(formatter, "{why}: see 'landingdrift operator --help'"),
-            Self::Unreachable { at, why } => write!(formatter, "no node answered at {} ({why}): check --at, or name other nodes", at.join(", ")),
-            Self::Unsure { at, why } => write!(formatter, "it is not known whether {at} has taken this ({why}): look, then give the order again if need be"),
-            Self::Halted { stage, why, version } => write!(
+            Self::Usage(error) => write!(formatter, "{error}: see 'landingdrift operator --help'"),
+            Self::Unreachable { nodes, error } => write!(formatter, "no node accepted the request at {}: {error}; check --at, or name other nodes", nodes.join(", ")),
+            Self::OutcomeUnknown { node, error } => write!(formatter, "unknown whether {node} executed the command: {error}; check the state, and repeat the command if it had no effect"),
+            Self::Halted { stage, reason, version } => write!(
                 formatter,
-                "halted at stage '{stage}' ({why}); the former state is in force again as version {version}: look at status, then roll out anew"
+                "roll-out halted at stage '{stage}': {reason}; the previous configuration is in force again as version {version}; check 'status' before the next roll-out"
             ),
-            Self::Refused { status, body } => write!(formatter, "refused ({status}): {}", body["message"].as_str().unwrap_or(&body.to_string())),
+            Self::Refused { status, body } => write!(formatter, "request rejected with status {status}: {}", body["message"].as_str().unwrap_or(&body.to_string())),
         }
     }
 }
 
-/// Calls nodes, one after the other, until one responds or the time is over.
+/// Calls the nodes one after the other, until one accepts or rejects the request or the timeout is over.
 pub struct ControlClient {
     /// The addresses of the nodes.
-    at: Vec<String>,
-    within: Duration,
+    nodes: Vec<String>,
+    /// How long a call is retried.
+    timeout: Duration,
     client: Client,
 }
 
 impl ControlClient {
-    /// A client of the nodes at these addresses, which tries each call for the given time.
-    pub fn new(at: Vec<String>, within: Duration) -> Result<Self, ClientError> {
+    /// A client for the nodes at these addresses, which retries each call for up to `timeout`.
+    pub fn new(nodes: Vec<String>, timeout: Duration) -> Result<Self, ClientError> {
         let client = Client::builder()
             .timeout(REQUEST_TIMEOUT)
             .no_proxy()
-            // The library would resend a request when a pooled connection turns out to be closed, and follow redirects:
-            // whether anything is sent twice is decided here alone.
+            // By default the library resends a request if a pooled connection turns out to be closed, and follows
+            // redirects. Only this module may decide to send a request twice.
             .pool_max_idle_per_host(0)
             .retry(retry::never())
             .redirect(redirect::Policy::none())
             .build()
-            .map_err(|why| ClientError::Usage(why.to_string()))?;
-        Ok(Self { at, within, client })
+            .map_err(|error| ClientError::Usage(error.to_string()))?;
+        Ok(Self {
+            nodes,
+            timeout,
+            client,
+        })
     }
 
-    /// Calls nodes until one responds. A call that may not be repeated is sent to the next node only while it is
-    /// certain that it had no effect at an earlier one.
+    /// Calls nodes until one accepts or rejects the request. A request that must not be repeated is sent to the next node
+    /// only if it certainly had no effect at the earlier ones.
     pub fn call(
         &self,
         method: &str,
@@ -115,58 +121,58 @@
     ) -> Result<Value, ClientError> {
         let start = Instant::now();
         let (route, query) = path.split_once('?').unwrap_or((path, ""));
-        let repeatable = may_repeat(method, route, query);
+        let is_repeatable = may_repeat(method, route, query);
         let method = Method::from_bytes(method.as_bytes())
-            .map_err(|why| ClientError::Usage(why.to_string()))?;
-        let mut why = String::from("none was named");
+            .map_err(|error| ClientError::Usage(error.to_string()))?;
+        let mut last_error = String::from("no node was named");
         loop {
-            let mut pause = DEFAULT_PAUSE;
-            for at in &self.at {
-                match outcome(self.send(&method, at, path, body, repeatable)) {
+            let mut pause = DEFAULT_RETRY_PAUSE;
+            for node in &self.nodes {
+                match outcome(self.send(&method, node, path, body, is_repeatable)) {
                     Outcome::Done(body) => return Ok(body),
                     Outcome::Refused { status, body } => {
                         return Err(ClientError::Refused { status, body })
                     }
-                    Outcome::Unsure(why) if !repeatable => {
-                        let at = at.clone();
-                        return Err(ClientError::Unsure { at, why });
+                    Outcome::Unknown(error) if !is_repeatable => {
+                        let node = node.clone();
+                        return Err(ClientError::OutcomeUnknown { node, error });
                     }
-                    Outcome::Unsure(message) => why = message,
-                    Outcome::NotTaken {
+                    Outcome::Unknown(message) => last_error = message,
+                    Outcome::NoEffect {
                         message,
                         retry_after,
                     } => {
-                        why = message;
+                        last_error = message;
                         pause = retry_after;
                     }
                 }
             }
-            if start.elapsed() + pause > self.within {
+            if start.elapsed() + pause > self.timeout {
                 return Err(ClientError::Unreachable {
-                    at: self.at.clone(),
-                    why,
+                    nodes: self.nodes.clone(),
+                    error: last_error,
                 });
             }
             std::thread::sleep(pause);
         }
     }
 
-    /// Sends a request to a node. A call that may be repeated follows redirects, up to a limit.
+    /// Sends a request to a node. A request that may be repeated follows redirects, up to a limit.
     fn send(
         &self,
         method: &Method,
-        at: &str,
+        node: &str,
         path: &str,
         body: Option<&Value>,
-        repeatable: bool,
+        is_repeatable: bool,
     ) -> reqwest::Result<Response> {
-        let url = format!("http://{at}{path}");
+        let url = format!("http://{node}{path}");
         let mut response = self.request(method, &url, body).send()?;
         for _ in 0..MAX_REDIRECTS {
             let location = response.headers().get(LOCATION);
             let location = location.and_then(|location| location.to_str().ok());
             let is_redirect = response.status() == StatusCode::TEMPORARY_REDIRECT;
-            let Some(location) = location.filter(|_| is_redirect && repeatable) else {
+            let Some(location) = location.filter(|_| is_redirect && is_repeatable) else {
                 break;
             };
             let location = location.to_string();
@@ -186,7 +192,7 @@
     }
 }
 
-/// The outcome of one request.
+/// The outcome of a single request.
 enum Outcome {
     Done(Value),
     Refused {
@@ -194,30 +200,32 @@
         body: Value,
     },
     /// The request certainly had no effect.
-    NotTaken {
+    NoEffect {
         message: String,
         retry_after: Duration,
     },
-    /// The request may have had its effect.
-    Unsure(String),
+    /// The request may have taken effect.
+    Unknown(String),
 }
 
 fn outcome(sent: reqwest::Result<Response>) -> Outcome {
     let response = match sent {
         Ok(response) => response,
-        Err(why) if why.is_connect() => {
-            return Outcome::NotTaken {
-                message: why.without_url().to_string(),
-                retry_after: DEFAULT_PAUSE,
+        Err(error) if error.is_connect() => {
+            return Outcome::NoEffect {
+                message: error.without_url().to_string(),
+                retry_after: DEFAULT_RETRY_PAUSE,
             }
         }
-        Err(why) => return Outcome::Unsure(why.without_url().to_string()),
+        Err(error) => return Outcome::Unknown(error.without_url().to_string()),
     };
     let status = response.status().as_u16();
     let body: Option<Value> = response.json().ok();
     match (status, body) {
         (200..=299, Some(body)) => Outcome::Done(body),
-        (200..=299 | 503, None) => Outcome::Unsure("its answer broke off".into()),
+        (200..=299 | 503, None) => {
+            Outcome::Unknown("the response was incomplete or not JSON".into())
+        }
         (503, Some(body)) => unavailable(&body),
         (_, body) => Outcome::Refused {
             status,
@@ -226,15 +234,15 @@
     }
 }
 
-/// The outcome that a node means by status 503.
+/// The outcome of a request that a node answered with status 503.
 fn unavailable(body: &Value) -> Outcome {
     let message = body["message"].as_str().unwrap_or("not ready").to_string();
     if body["error"] == "unsure" {
-        return Outcome::Unsure(message);
+        return Outcome::Unknown(message);
     }
     let retry_ms = body["retryMs"].as_u64();
-    Outcome::NotTaken {
+    Outcome::NoEffect {
         message,
-        retry_after: retry_ms.map_or(DEFAULT_PAUSE, Duration::from_millis),
+        retry_after: retry_ms.map_or(DEFAULT_RETRY_PAUSE, Duration::from_millis),
     }
 }
--- a/landingdrift/src/operator/commands.rs
+++ b/landingdrift/src/operator/commands.rs
@@ -1,8 +1,8 @@
-//! The operator's commands, each a call to a node.
+//! Executes the operator's commands.
 
 use super::apply::apply;
 use super::client::{ClientError, ControlClient};
-use super::command_line::{help, read_arguments, Arguments};
+use super::command_line::{help, parse_arguments, Arguments};
 use super::rollout::rollout;
 use super::show::show;
 use super::zones::change_zone;
@@ -11,20 +11,20 @@
 use std::ffi::OsString;
 use std::time::Duration;
 
-inventory::submit! { Role { name: "operator", summary: "declares, watches and steers", run } }
+inventory::submit! { Role { name: "operator", summary: "changes the configuration, manages zones and jobs, prints the status", run } }
 
 fn run(arguments: Vec<OsString>) -> i32 {
-    let done = read_arguments(arguments).and_then(|arguments| execute(&arguments));
-    match done {
+    let result = parse_arguments(arguments).and_then(|arguments| execute(&arguments));
+    match result {
         Ok(()) => 0,
-        Err(why) => {
-            eprintln!("landingdrift operator: {why}");
-            why.code()
+        Err(error) => {
+            eprintln!("landingdrift operator: {error}");
+            error.exit_code()
         }
     }
 }
 
-/// Executes a command, and prints the response.
+/// Executes a command and prints the response.
 fn execute(arguments: &Arguments) -> Result<(), ClientError> {
     let command = arguments.command();
     if arguments.help || command.is_empty() {
@@ -32,9 +32,9 @@
         if arguments.help {
             return Ok(());
         }
-        return Err(ClientError::Usage("no command was given".into()));
+        return Err(ClientError::Usage("no command given".into()));
     }
-    let response = perform(command, arguments)?;
+    let response = call_nodes(command, arguments)?;
     let text = if arguments.json {
         response.to_string()
     } else {
@@ -44,18 +44,21 @@
     Ok(())
 }
 
-fn perform(command: &str, arguments: &Arguments) -> Result<Value, ClientError> {
-    let client = ControlClient::new(arguments.at.clone(), Duration::from_secs(arguments.within))?;
+fn call_nodes(command: &str, arguments: &Arguments) -> Result<Value, ClientError> {
+    let client = ControlClient::new(
+        arguments.nodes.clone(),
+        Duration::from_secs(arguments.timeout_s),
+    )?;
     let get = |path: &str| client.call("GET", path, None);
     match command {
         "apply" => apply(&client, arguments, &read_file(arguments)?),
         "rollout" => {
-            let watch = Duration::from_secs(arguments.watch);
+            let watch = Duration::from_secs(arguments.watch_s);
             rollout(
                 &client,
                 &arguments.stages,
                 watch,
-                arguments.within,
+                arguments.timeout_s,
                 &read_file(arguments)?,
             )
         }
@@ -77,22 +80,20 @@
         }
         "resolve" => resolve(&client, arguments),
         "workers" => get("/v1/workers"),
-        other => Err(ClientError::Usage(format!(
-            "no command is called '{other}'"
-        ))),
+        other => Err(ClientError::Usage(format!("unknown command '{other}'"))),
     }
 }
 
-/// The JSON of the file that a command names.
+/// Parses the JSON file that the command's first argument names.
 fn read_file(arguments: &Arguments) -> Result<Value, ClientError> {
     let path = arguments.argument(1, "a FILE")?;
     let text = std::fs::read_to_string(path)
-        .map_err(|why| ClientError::Usage(format!("'{path}' can't be read ({why})")))?;
+        .map_err(|error| ClientError::Usage(format!("failed to read '{path}': {error}")))?;
     serde_json::from_str(&text)
-        .map_err(|why| ClientError::Usage(format!("'{path}' is no JSON ({why})")))
+        .map_err(|error| ClientError::Usage(format!("'{path}' is not valid JSON: {error}")))
 }
 
-/// The query for a list of jobs, with the flags that were given.
+/// The query of a request for a list of jobs, with the filters that were given as flags.
 fn jobs_query(arguments: &Arguments) -> String {
     let given = [
         ("queue", &arguments.queue),
@@ -107,7 +108,7 @@
     query.join("&")
 }
 
-/// Resolves an attempt whose outcome is unknown.
+/// Sets the outcome of an attempt whose outcome is unknown.
 fn resolve(client: &ControlClient, arguments: &Arguments) -> Result<Value, ClientError> {
     let job = arguments.argument(1, "a JOB")?;
     let task = arguments.argument(2, "a TASK")?;
--- a/landingdrift/src/operator/mod.rs
+++ b/landingdrift/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's command line: each command is a call, or a few, to the HTTP API of the nodes.
+//! The operator's command-line client. Each command makes one or a few calls to the HTTP API of the nodes.
 
 mod apply;
 mod change;
--- a/landingdrift/src/operator/rollout.rs
+++ b/landingdrift/src/operator/rollout.rs
@@ -1,13 +1,13 @@
-//! The command `rollout`: a configuration comes into force queue by queue, and is rolled back if a stage does harm.
+//! The command `rollout`: applies a configuration queue by queue, and rolls it back if a stage makes a queue fail.
 
-use super::change::{change_id, change_path, wait_in_force};
+use super::change::{change_path, new_change_id, wait_in_force};
 use super::client::{ClientError, ControlClient};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often the queues are checked while a stage is watched.
+/// How often the queues are polled while a stage is watched.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One stage of a roll-out.
@@ -17,41 +17,41 @@
     body: Value,
 }
 
-/// Why a roll-out is halted.
+/// Why a roll-out was halted.
 #[derive(Debug, thiserror::Error)]
 enum HaltReason {
-    #[error("it is not in force everywhere: {0}")]
+    #[error("the change is not in force on all nodes: {0}")]
     NotInForce(ClientError),
-    #[error("{0}")]
+    #[error("failed to read the status: {0}")]
     NoStatus(ClientError),
-    #[error("queue '{0}' has spent its allowance")]
-    AllowanceSpent(String),
+    #[error("queue '{0}' has exceeded its failure allowance")]
+    AllowanceExceeded(String),
 }
 
-/// Puts a configuration into force queue by queue, the rest last. Each stage is watched; if a queue spends its failure
-/// allowance or a node does not follow, the earlier configuration is put into force again as a new version.
+/// Applies a configuration queue by queue, the rest last. Each stage is watched for `watch`. If a queue exceeds its
+/// failure allowance or a node does not follow, the previous configuration is applied again as a new version.
 pub fn rollout(
     client: &ControlClient,
     stages: &[String],
     watch: Duration,
-    within: u64,
+    timeout_s: u64,
     value: &Value,
 ) -> Result<Value, ClientError> {
     let stages = stages_of(stages, value)?;
-    let earlier = client.call("GET", "/v1/desired", None)?;
-    let spent = spent_queues(&client.call("GET", "/v1/status", None)?);
-    let mut version = earlier["version"].as_u64().unwrap_or(0);
+    let previous = client.call("GET", "/v1/desired", None)?;
+    let exceeded = queues_over_allowance(&client.call("GET", "/v1/status", None)?);
+    let mut version = previous["version"].as_u64().unwrap_or(0);
     for stage in &stages {
-        let change = change_id();
+        let change = new_change_id();
         let path = change_path(version, &change);
         let applied = client.call(stage.method, &path, Some(&stage.body))?;
         version = applied["version"].as_u64().unwrap_or(version);
-        if let Err(why) = watch_stage(client, &change, &spent, watch, within) {
-            let path = change_path(version, &change_id());
-            let rolled_back = client.call("PUT", &path, Some(&earlier["desired"]))?;
+        if let Err(reason) = watch_stage(client, &change, &exceeded, watch, timeout_s) {
+            let path = change_path(version, &new_change_id());
+            let rolled_back = client.call("PUT", &path, Some(&previous["desired"]))?;
             return Err(ClientError::Halted {
                 stage: stage.name.into(),
-                why: why.to_string(),
+                reason: reason.to_string(),
                 version: rolled_back["version"].as_u64().unwrap_or(0),
             });
         }
@@ -59,14 +59,14 @@
     Ok(json!({"version": version, "stages": stages.len()}))
 }
 
-/// The stages in the order they are named, then the rest.
+/// One stage for each named queue in the given order, then one for the rest of the configuration.
 fn stages_of<'a>(names: &'a [String], value: &Value) -> Result<Vec<Stage<'a>>, ClientError> {
     let mut stages = Vec::new();
     for name in names {
         let name = name.as_str();
         let Some(queue) = value["queues"].get(name) else {
             return Err(ClientError::Usage(format!(
-                "--stages names queue '{name}', which the file does not have"
+                "--stages names queue '{name}', which is not in the file"
             )));
         };
         stages.push(Stage {
@@ -83,34 +83,34 @@
     Ok(stages)
 }
 
-/// The queues whose failure allowance is spent.
-fn spent_queues(status: &Value) -> BTreeSet<String> {
-    let mut spent = BTreeSet::new();
+/// The queues that have exceeded their failure allowance.
+fn queues_over_allowance(status: &Value) -> BTreeSet<String> {
+    let mut exceeded = BTreeSet::new();
     if let Some(queues) = status["queues"].as_object() {
         for (name, queue) in queues {
             if queue["window"]["spent"] == json!(true) {
-                spent.insert(name.clone());
+                exceeded.insert(name.clone());
             }
         }
     }
-    spent
+    exceeded
 }
 
-/// Watches a stage: it has to come into force on all nodes, and no further queue may spend its failure allowance.
+/// Watches a stage: the change has to be in force on all nodes, and no further queue may exceed its failure allowance.
 fn watch_stage(
     client: &ControlClient,
     change: &str,
-    spent_before: &BTreeSet<String>,
+    exceeded_before: &BTreeSet<String>,
     watch: Duration,
-    within: u64,
+    timeout_s: u64,
 ) -> Result<(), HaltReason> {
-    wait_in_force(client, change, within).map_err(HaltReason::NotInForce)?;
+    wait_in_force(client, change, timeout_s).map_err(HaltReason::NotInForce)?;
     let start = Instant::now();
     while start.elapsed() < watch {
         let status = client.call("GET", "/v1/status", None);
-        let spent_now = spent_queues(&status.map_err(HaltReason::NoStatus)?);
-        if let Some(queue) = spent_now.difference(spent_before).next() {
-            return Err(HaltReason::AllowanceSpent(queue.clone()));
+        let exceeded_now = queues_over_allowance(&status.map_err(HaltReason::NoStatus)?);
+        if let Some(queue) = exceeded_now.difference(exceeded_before).next() {
+            return Err(HaltReason::AllowanceExceeded(queue.clone()));
         }
         sleep(WATCH_INTERVAL);
     }
--- a/landingdrift/src/operator/show.rs
+++ b/landingdrift/src/operator/show.rs
@@ -1,8 +1,8 @@
-//! Responses as text for a person.
+//! Formats responses as text for people.
 
 use serde_json::Value;
 
-/// The response to a command as text.
+/// Formats the response to a command: tables for lists and the status, otherwise indented JSON.
 pub fn show(command: &str, response: &Value) -> String {
     match command {
         "workers" => table(
@@ -36,7 +36,7 @@
     let id = text(&response["id"]);
     let state = text(&response["state"]);
     let unsure = if response["unsure"] == true {
-        " (unsure)"
+        " (outcome unknown)"
     } else {
         ""
     };
@@ -49,7 +49,7 @@
     format!("{id} {state}{unsure}{reason}\n{tasks}")
 }
 
-/// A value as text: strings without quotes, and a dash for none.
+/// Formats a value: strings without quotes, and a dash for null.
 fn text(value: &Value) -> String {
     match value {
         Value::String(string) => string.clone(),
@@ -58,7 +58,7 @@
     }
 }
 
-/// A table of some fields of the rows, with a header; each column is as wide as its widest cell.
+/// A table of the given fields of the rows, with a header. Each column is as wide as its widest cell.
 fn table(rows: Option<&Vec<Value>>, columns: &[&str]) -> String {
     let mut lines: Vec<Vec<String>> = vec![columns.iter().map(|name| name.to_string()).collect()];
     for row in rows.into_iter().flatten() {
@@ -84,7 +84,7 @@
 
 fn status(response: &Value) -> String {
     format!(
-        "cluster {}  version {}  place {}  open jobs {}  unsure sends {}\n\n{}\n{}\n{}\nnodes\n{}\n\nchanges\n{}",
+        "cluster {}  version {}  log index {}  open jobs {}  attempts with unknown outcome {}\n\n{}\n{}\n{}\nnodes\n{}\n\nchanges\n{}",
         text(&response["cluster"]),
         response["version"],
         response["place"],
@@ -98,7 +98,7 @@
     )
 }
 
-/// A section of the status: a table of named items.
+/// A section of the status: a table of items by name.
 fn section(response: &Value, key: &str, columns: &[&str]) -> String {
     let mut rows = Vec::new();
     for (name, item) in response[key].as_object().into_iter().flatten() {
--- a/landingdrift/src/operator/verify.rs
+++ b/landingdrift/src/operator/verify.rs
@@ -1,11 +1,11 @@
-//! The command `verify`: checks the data folder of a stopped replica.
+//! The command `verify`: checks the data folder of a stopped replica for damage.
 
 use crate::disk;
 use crate::sans_io::roles::Role;
 use std::ffi::OsString;
 use std::path::Path;
 
-inventory::submit! { Role { name: "verify", summary: "looks through a core's data folder while the core is stopped", run } }
+inventory::submit! { Role { name: "verify", summary: "checks the data folder of a stopped core for damage", run } }
 
 fn run(arguments: Vec<OsString>) -> i32 {
     let folder = arguments
@@ -16,19 +16,19 @@
         let help = arguments
             .first()
             .is_some_and(|word| word == "--help" || word == "-h");
-        crate::outln!("landingdrift verify FOLDER\n\nPrints what the data folder of a stopped core holds, as JSON.\nExit codes: 0 whole, 1 damaged, 2 wrong command line or no data folder.");
+        crate::outln!("landingdrift verify FOLDER\n\nChecks the data folder of a stopped core and prints the findings as JSON.\nExit codes: 0 intact, 1 damaged, 2 invalid command line or not a data folder.");
         return if help { 0 } else { 2 };
     };
     match disk::verify(Path::new(folder)) {
         Ok(findings) => {
             crate::outln!("{}", serde_json::to_string(&findings).unwrap_or_default());
             if findings.damaged {
-                eprintln!("landingdrift verify: confirmed entries can't be read: start the core, it fetches them from the other two, or replace it by an empty one");
+                eprintln!("landingdrift verify: acknowledged entries can't be read: start the core, which fetches them from the other cores, or replace it by an empty one");
             }
             i32::from(findings.damaged)
         }
-        Err(why) => {
-            eprintln!("landingdrift verify: {why}");
+        Err(error) => {
+            eprintln!("landingdrift verify: {error}");
             2
         }
     }
--- a/landingdrift/src/operator/zones.rs
+++ b/landingdrift/src/operator/zones.rs
@@ -1,28 +1,28 @@
 //! The commands `drain`, `evacuate` and `restore`, for zones and workers.
 
-use super::change::{change_id, change_path, wait, Progress};
+use super::change::{change_path, new_change_id, wait, Progress};
 use super::client::{ClientError, ControlClient};
 use super::command_line::Arguments;
 use serde_json::{json, Value};
 
-/// How often a change is retried on top of a conflicting one before the conflict is reported.
+/// How often a change is retried after a conflict with another change before the conflict is reported.
 const MAX_CONFLICT_RETRIES: u32 = 20;
 
-/// Changes the state of a zone, or of one of its workers, and waits until nothing runs there if that is asked for.
+/// Changes the state of a zone, or of one of its workers. With `--wait`, waits until nothing runs in the zone.
 pub(super) fn change_zone(
     client: &ControlClient,
     arguments: &Arguments,
     command: &str,
     zone: &str,
 ) -> Result<Value, ClientError> {
-    let done = patch_zone(client, arguments, command, zone)?;
+    let response = patch_zone(client, arguments, command, zone)?;
     if arguments.wait && command != "restore" {
-        return wait_empty(client, zone, arguments.within);
+        return wait_empty(client, zone, arguments.timeout_s);
     }
-    Ok(done)
+    Ok(response)
 }
 
-/// Patches the zone alone; after a conflicting change the patch is tried again on top of it.
+/// Patches only the zone; after a conflict, retries the patch on top of the newer version.
 fn patch_zone(
     client: &ControlClient,
     arguments: &Arguments,
@@ -38,7 +38,7 @@
             worker_patch(command, zone, &arguments.worker, &current)
         };
         let base = current["version"].as_u64().unwrap_or(0);
-        match client.call("PATCH", &change_path(base, &change_id()), Some(&patch)) {
+        match client.call("PATCH", &change_path(base, &new_change_id()), Some(&patch)) {
             Err(ClientError::Refused { status: 409, .. }) if retries < MAX_CONFLICT_RETRIES => {
                 retries += 1;
             }
@@ -47,7 +47,7 @@
     }
 }
 
-/// The patch that gives a whole zone the state that a command asks for.
+/// The patch that sets the state of a whole zone as the command requires.
 fn zone_patch(command: &str, zone: &str) -> Value {
     let state = match command {
         "drain" => "draining",
@@ -57,7 +57,7 @@
     json!({"zones": {zone: {"state": state}}})
 }
 
-/// The patch that adds a worker to its zone's drained workers, or removes it.
+/// The patch that adds a worker to the drained workers of its zone, or removes it.
 fn worker_patch(command: &str, zone: &str, worker: &str, current: &Value) -> Value {
     let listed = current["desired"]["zones"][zone]["drainedWorkers"].clone();
     let mut drained: Vec<String> = serde_json::from_value(listed).unwrap_or_default();
@@ -69,13 +69,13 @@
 }
 
 /// Waits until nothing runs in a zone any more.
-fn wait_empty(client: &ControlClient, zone: &str, within: u64) -> Result<Value, ClientError> {
-    wait(within, || {
+fn wait_empty(client: &ControlClient, zone: &str, timeout_s: u64) -> Result<Value, ClientError> {
+    wait(timeout_s, || {
         let status = client.call("GET", "/v1/status", None)?;
-        let of_zone = &status["zones"][zone];
+        let zone_status = &status["zones"][zone];
         Ok(Progress {
-            done: of_zone["empty"] == json!(true),
-            status: json!({"zone": zone, "status": of_zone}),
+            done: zone_status["empty"] == json!(true),
+            status: json!({"zone": zone, "status": zone_status}),
         })
     })
 }
--- a/landingdrift/tests/control_client.rs
+++ b/landingdrift/tests/control_client.rs
@@ -111,7 +111,7 @@
         let (done, arrived) = call(broken, "DELETE", "/v1/jobs/j");
         assert_eq!(arrived, 1, "break {number}: it was sent again");
         assert!(
-            matches!(done, Err(ClientError::Unsure { .. })),
+            matches!(done, Err(ClientError::OutcomeUnknown { .. })),
             "break {number}: {done:?}"
         );
     }
