--- a/landingdrift/src/replay/command.rs
+++ b/landingdrift/src/replay/command.rs
@@ -1,4 +1,4 @@
-//! The command line of replay: it makes recordings, checks them with this build, and reruns them.
+//! The command `replay`: makes recordings, checks them against this build, and reruns them.
 
 use super::{rerun, Difference, Recording, RecordingError, Summary};
 use crate::config::{self, ClusterConfig};
@@ -9,51 +9,54 @@
 use std::ffi::OsString;
 use std::path::Path;
 
-inventory::submit! { Role { name: "replay", summary: "records days and decides them anew", run } }
+inventory::submit! { Role { name: "replay", summary: "records a cluster's log and reruns its decisions", run } }
 
-const HELP: &str = "landingdrift replay record FOLDER OUT    record what a stopped core's data folder holds
-landingdrift replay check DAY           apply a day's entries with this build; differing verdicts are listed
-landingdrift replay run DAY [--desired FILE] [--settings FILE] [--json]
-                                        decide a day anew in virtual time and compare
+const HELP: &str = "landingdrift replay record FOLDER OUT   record the log in the data folder of a stopped core
+landingdrift replay check RECORDING     apply the recorded entries with this build and list differing results
+landingdrift replay run RECORDING [--desired FILE] [--settings FILE] [--json]
+                                        rerun the scheduler's decisions in virtual time and compare
 
-Exit codes: 0 done, 1 verdicts differ (check), 2 wrong command line, recording or file.";
+Exit codes: 0 done, 1 results differ (check), 2 invalid command line, recording or file.";
 
-/// How many differences are printed; the rest is only counted.
+/// The most differences that are printed; the rest is only counted.
 const MAX_SHOWN: usize = 20;
 
-/// Why a command failed.
+/// Why a replay command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error("{0}\n\n{help}", help = HELP)]
     Arguments(lexopt::Error),
-    #[error("a word is missing\n\n{help}", help = HELP)]
-    WordMissing,
-    #[error("'{0}' is no word of replay\n\n{help}", help = HELP)]
-    UnknownWord(String),
-    #[error("flags take text in UTF-8")]
-    FlagNotText,
-    #[error("arguments are text in UTF-8")]
-    ArgumentNotText,
-    #[error("'{file}' can't be written ({why}): name another file")]
-    Write { file: String, why: std::io::Error },
-    #[error("'{file}' can't be read ({why}): name another file")]
-    Read { file: String, why: std::io::Error },
-    #[error("'{file}' is no JSON ({why}): correct it")]
-    NoJson {
+    #[error("missing argument\n\n{help}", help = HELP)]
+    MissingArgument,
+    #[error("unknown command '{0}'\n\n{help}", help = HELP)]
+    UnknownCommand(String),
+    #[error("values of flags must be valid UTF-8")]
+    FlagNotUtf8,
+    #[error("arguments must be valid UTF-8")]
+    ArgumentNotUtf8,
+    #[error("failed to write '{file}': {error}; name another file")]
+    Write { file: String, error: std::io::Error },
+    #[error("failed to read '{file}': {error}; name another file")]
+    Read { file: String, error: std::io::Error },
+    #[error("'{file}' is not valid JSON: {error}; correct it")]
+    InvalidJson {
         file: String,
-        why: serde_json::Error,
+        error: serde_json::Error,
+    },
+    #[error("invalid settings in '{file}': {error}")]
+    InvalidSettings {
+        file: String,
+        error: toml::de::Error,
     },
-    #[error("'{file}' is wrong: {why}")]
-    WrongSettings { file: String, why: toml::de::Error },
     #[error("{0}")]
-    WrongDesired(String),
+    InvalidConfig(String),
     #[error("{0}")]
     Recording(RecordingError),
 }
 
 impl From<RecordingError> for CommandError {
-    fn from(why: RecordingError) -> Self {
-        Self::Recording(why)
+    fn from(error: RecordingError) -> Self {
+        Self::Recording(error)
     }
 }
 
@@ -69,32 +72,32 @@
 }
 
 impl Arguments {
-    /// An argument that the command requires.
+    /// The argument at an index, which the command requires.
     fn argument(&self, index: usize) -> Result<&str, CommandError> {
         let word = self.positional.get(index).map(String::as_str);
-        word.ok_or(CommandError::WordMissing)
+        word.ok_or(CommandError::MissingArgument)
     }
 }
 
 fn run(arguments: Vec<OsString>) -> i32 {
-    let done = read_arguments(arguments).and_then(|arguments| perform(&arguments));
-    match done {
+    let result = parse_arguments(arguments).and_then(|arguments| execute(&arguments));
+    match result {
         Ok(code) => code,
-        Err(why) => {
-            eprintln!("landingdrift replay: {why}");
+        Err(error) => {
+            eprintln!("landingdrift replay: {error}");
             2
         }
     }
 }
 
-fn read_arguments(words: Vec<OsString>) -> Result<Arguments, CommandError> {
+fn parse_arguments(words: Vec<OsString>) -> Result<Arguments, CommandError> {
     let mut arguments = Arguments::default();
     let mut parser = lexopt::Parser::from_args(words);
     while let Some(arg) = parser.next().map_err(CommandError::Arguments)? {
         match arg {
             Arg::Long("help") | Arg::Short('h') => {
                 arguments.help = true;
-                // What follows is ignored.
+                // Further arguments are ignored.
                 return Ok(arguments);
             }
             Arg::Long("desired") => arguments.config = Some(text(&mut parser)?),
@@ -104,7 +107,7 @@
                 let word = value.into_string();
                 arguments
                     .positional
-                    .push(word.map_err(|_| CommandError::ArgumentNotText)?);
+                    .push(word.map_err(|_| CommandError::ArgumentNotUtf8)?);
             }
             other => return Err(CommandError::Arguments(other.unexpected())),
         }
@@ -112,15 +115,15 @@
     Ok(arguments)
 }
 
-/// The value of the flag that was read last.
+/// The value of the flag that was parsed last.
 fn text(parser: &mut lexopt::Parser) -> Result<String, CommandError> {
     let value = parser.value().map_err(CommandError::Arguments)?;
     let value = value.into_string();
-    value.map_err(|_| CommandError::FlagNotText)
+    value.map_err(|_| CommandError::FlagNotUtf8)
 }
 
 /// Executes a command; returns the exit code.
-fn perform(arguments: &Arguments) -> Result<i32, CommandError> {
+fn execute(arguments: &Arguments) -> Result<i32, CommandError> {
     if arguments.help {
         crate::outln!("{HELP}");
         return Ok(0);
@@ -128,24 +131,24 @@
     match arguments.argument(0)? {
         "record" => record(arguments),
         "check" => check(arguments),
-        "run" => run_again(arguments),
-        other => Err(CommandError::UnknownWord(other.to_string())),
+        "run" => compare_rerun(arguments),
+        other => Err(CommandError::UnknownCommand(other.to_string())),
     }
 }
 
-/// Records what a stopped replica's data folder holds.
+/// Writes a recording of the log in a stopped replica's data folder.
 fn record(arguments: &Arguments) -> Result<i32, CommandError> {
-    let recording = Recording::of_folder(Path::new(arguments.argument(1)?))?;
+    let recording = Recording::from_data_folder(Path::new(arguments.argument(1)?))?;
     let file = arguments.argument(2)?;
-    std::fs::write(file, recording.text()).map_err(|why| CommandError::Write {
+    std::fs::write(file, recording.text()).map_err(|error| CommandError::Write {
         file: file.to_string(),
-        why,
+        error,
     })?;
     crate::outln!("{} entries recorded", recording.entries.len());
     Ok(0)
 }
 
-/// Applies the recorded entries with this build, and lists the results that differ.
+/// Applies the recorded entries with this build and lists the results that differ.
 fn check(arguments: &Arguments) -> Result<i32, CommandError> {
     let recording = Recording::read(arguments.argument(1)?)?;
     let differences = recording.differences();
@@ -155,100 +158,103 @@
             recorded,
             now,
         } = difference;
-        crate::outln!("place {log_index}: recorded {recorded}, now {now}");
+        crate::outln!("log index {log_index}: recorded {recorded}, now {now}");
     }
     crate::outln!(
-        "{} entries, {} verdicts differ",
+        "{} entries, {} results differ",
         recording.entries.len(),
         differences.len()
     );
     Ok(i32::from(!differences.is_empty()))
 }
 
-/// Reruns a recording in virtual time, and compares.
-fn run_again(arguments: &Arguments) -> Result<i32, CommandError> {
+/// Reruns a recording in virtual time and compares the summaries.
+fn compare_rerun(arguments: &Arguments) -> Result<i32, CommandError> {
     let recording = Recording::read(arguments.argument(1)?)?;
-    let config = arguments.config.as_deref().map(read_desired).transpose()?;
+    let config = arguments.config.as_deref().map(read_config).transpose()?;
     let settings = arguments
         .settings
         .as_deref()
         .map(read_settings)
         .transpose()?;
-    let recorded = Summary::of(&recording.end());
+    let recorded = Summary::from_state(&recording.final_state());
     let now = rerun(&recording, config.as_ref(), &settings.unwrap_or_default());
     print_comparison(&recorded, &now, arguments.json);
     Ok(0)
 }
 
 fn read(file: &str) -> Result<String, CommandError> {
-    std::fs::read_to_string(file).map_err(|why| CommandError::Read {
+    std::fs::read_to_string(file).map_err(|error| CommandError::Read {
         file: file.to_string(),
-        why,
+        error,
     })
 }
 
-fn read_desired(file: &str) -> Result<ClusterConfig, CommandError> {
-    let value = serde_json::from_str(&read(file)?).map_err(|why| CommandError::NoJson {
+fn read_config(file: &str) -> Result<ClusterConfig, CommandError> {
+    let value = serde_json::from_str(&read(file)?).map_err(|error| CommandError::InvalidJson {
         file: file.to_string(),
-        why,
+        error,
     })?;
-    config::read(&value).map_err(|why| CommandError::WrongDesired(why.to_string()))
+    config::read(&value).map_err(|error| CommandError::InvalidConfig(error.to_string()))
 }
 
 fn read_settings(file: &str) -> Result<Settings, CommandError> {
-    toml::from_str(&read(file)?).map_err(|why| CommandError::WrongSettings {
+    toml::from_str(&read(file)?).map_err(|error| CommandError::InvalidSettings {
         file: file.to_string(),
-        why,
+        error,
     })
 }
 
-/// Prints the recorded summary beside that of the rerun.
+/// Prints the summary of the recording and that of the rerun.
 fn print_comparison(recorded: &Summary, now: &Summary, as_json: bool) {
-    let other_ends = other_ends(recorded, now);
-    let tasks = recorded.placed.len();
+    let jobs_ending_differently = jobs_ending_differently(recorded, now);
+    let tasks = recorded.workers_by_task.len();
     let moved = moved_tasks(recorded, now);
     if as_json {
         crate::outln!(
             "{}",
-            json!({"recorded": summary(recorded), "now": summary(now), "otherEnds": other_ends, "otherWorkers": moved, "tasks": tasks})
+            json!({"recorded": summary(recorded), "now": summary(now), "otherEnds": jobs_ending_differently, "otherWorkers": moved, "tasks": tasks})
         );
         return;
     }
     crate::outln!("recorded {}\nnow      {}", summary(recorded), summary(now));
     crate::outln!("{moved} of {tasks} tasks ended on another worker");
-    crate::outln!("{} jobs ended otherwise", other_ends.len());
-    for end in other_ends.iter().take(MAX_SHOWN) {
+    crate::outln!(
+        "{} jobs ended in another state",
+        jobs_ending_differently.len()
+    );
+    for end in jobs_ending_differently.iter().take(MAX_SHOWN) {
         crate::outln!("  {end}");
     }
 }
 
-/// The jobs that end in another state in the rerun.
-fn other_ends(recorded: &Summary, now: &Summary) -> Vec<Value> {
+/// The jobs that ended in another state in the rerun than in the recording.
+fn jobs_ending_differently(recorded: &Summary, now: &Summary) -> Vec<Value> {
     let ends = recorded.states.iter();
     ends.filter(|(job, state)| now.states.get(*job) != Some(state))
         .map(|(job, state)| json!({"job": job, "recorded": state, "now": now.states.get(job)}))
         .collect()
 }
 
-/// How many tasks end on another worker in the rerun.
+/// The number of tasks that succeeded on another worker in the rerun than in the recording.
 fn moved_tasks(recorded: &Summary, now: &Summary) -> usize {
     let moved = |task: &String, worker: &String| {
-        let now = now.placed.get(task);
+        let now = now.workers_by_task.get(task);
         now.is_some_and(|other| other != worker)
     };
-    let placed = recorded.placed.iter();
+    let placed = recorded.workers_by_task.iter();
     placed.filter(|(task, worker)| moved(task, worker)).count()
 }
 
 fn summary(summary: &Summary) -> Value {
-    json!({"jobs": summary.states.len(), "done": summary.took.len(), "medianMs": quantile(summary, 0.5), "p95Ms": quantile(summary, 0.95), "kept": summary.kept, "missed": summary.missed, "copies": summary.copies})
+    json!({"jobs": summary.states.len(), "done": summary.turnaround_ms.len(), "medianMs": quantile(summary, 0.5), "p95Ms": quantile(summary, 0.95), "kept": summary.kept, "missed": summary.missed, "copies": summary.copies})
 }
 
-/// A quantile of the times that jobs took, in milliseconds; 0 where none was done.
+/// A quantile of the turnaround times of jobs, in milliseconds; 0 if no job succeeded.
 fn quantile(summary: &Summary, quantile: f64) -> u64 {
-    let mut took: Vec<u64> = summary.took.values().copied().collect();
-    took.sort_unstable();
-    let last = took.len().saturating_sub(1);
-    let at = (last as f64 * quantile) as usize;
-    took.get(at).copied().unwrap_or(0)
+    let mut times_ms: Vec<u64> = summary.turnaround_ms.values().copied().collect();
+    times_ms.sort_unstable();
+    let last = times_ms.len().saturating_sub(1);
+    let index = (last as f64 * quantile) as usize;
+    times_ms.get(index).copied().unwrap_or(0)
 }
--- a/landingdrift/src/replay/mod.rs
+++ b/landingdrift/src/replay/mod.rs
@@ -1,4 +1,5 @@
-//! Replay: recordings of a cluster's log, and what another build, configuration or settings would have decided.
+//! Replay: makes recordings of a cluster's log, and shows what another build, configuration or settings would have
+//! decided.
 
 mod command;
 mod recording;
--- a/landingdrift/src/replay/recording.rs
+++ b/landingdrift/src/replay/recording.rs
@@ -1,4 +1,4 @@
-//! Recordings: the log of a cluster with the results, as a text file with a JSON object per line.
+//! Recordings: the log of a cluster with the result of each entry, as a text file with one JSON object per line.
 
 use crate::disk::{read_folder, StorageError};
 use crate::state::{pack_apply_result, ClusterState, Command};
@@ -7,57 +7,57 @@
 use std::fmt;
 use std::path::Path;
 
-/// The version of the recording's format.
+/// The version of the file format; recordings of other versions are rejected.
 pub const FORMAT_VERSION: u16 = 1;
 
-/// What is wrong with a recording.
+/// Why a recording could not be read or made.
 #[derive(Debug)]
 pub enum RecordingError {
     /// The file can't be read.
     Read {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// What the file system said.
-        why: String,
+        /// The error of the file system.
+        error: String,
     },
-    /// The file is no recording.
-    Foreign {
-        /// The file.
+    /// The file is not a recording.
+    NotARecording {
+        /// The path of the file.
         file: String,
     },
-    /// Another build's recording.
-    Version {
-        /// The version of the recording.
+    /// The recording has a format that this build does not support.
+    UnsupportedVersion {
+        /// The format version of the recording.
         found: u64,
     },
-    /// A line can't be read.
-    Line {
-        /// The number of the line, counted from 1.
+    /// A line can't be parsed.
+    InvalidLine {
+        /// The line number, from 1. If made from a data folder: the log index of the entry.
         line: usize,
-        /// What is wrong with it.
-        why: String,
+        /// The parser's error.
+        error: String,
     },
-    /// The file ends early.
+    /// The file ends before its closing line.
     Truncated {
-        /// The lines that are there.
+        /// The number of lines before the end.
         lines: usize,
     },
     /// The data folder can't be read.
     Disk(StorageError),
-    /// The folder has no readable state from which its log could be applied.
+    /// The log or the snapshot in the data folder is damaged.
     Damaged,
 }
 
 impl fmt::Display for RecordingError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Read { file, why } => write!(formatter, "'{file}' can't be read ({why}): name a recording made with 'landingdrift replay record'"),
-            Self::Foreign { file } => write!(formatter, "'{file}' is no recording (line 1 has no 'landingdriftDay'): make one with 'landingdrift replay record'"),
-            Self::Version { found } => write!(formatter, "the recording has format {found}, this build reads {FORMAT_VERSION}: use the build that made it"),
-            Self::Line { line, why } => write!(formatter, "line {line} is wrong ({why}): make the recording again"),
-            Self::Truncated { lines } => write!(formatter, "the recording ends after line {lines} without its closing line: copy it again, whole"),
-            Self::Disk(why) => write!(formatter, "{why}"),
-            Self::Damaged => write!(formatter, "the folder is damaged: record from another core's folder"),
+            Self::Read { file, error } => write!(formatter, "failed to read '{file}': {error}; name a recording made with 'landingdrift replay record'"),
+            Self::NotARecording { file } => write!(formatter, "'{file}' is not a recording, as line 1 has no 'landingdriftDay'; make one with 'landingdrift replay record'"),
+            Self::UnsupportedVersion { found } => write!(formatter, "the recording has format version {found}, but this build supports only {FORMAT_VERSION}; use the build that made it"),
+            Self::InvalidLine { line, error } => write!(formatter, "line {line} is invalid: {error}; make the recording again"),
+            Self::Truncated { lines } => write!(formatter, "the recording ends after line {lines} without its closing line; copy the whole file again"),
+            Self::Disk(error) => write!(formatter, "{error}"),
+            Self::Damaged => write!(formatter, "the data folder is damaged; record from the folder of another core"),
         }
     }
 }
@@ -65,30 +65,30 @@
 /// An entry of the log with its result.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedEntry {
-    /// The index of the entry.
+    /// The log index of the entry.
     #[serde(rename = "place")]
     pub log_index: u64,
-    /// Its time, in milliseconds since 1970 by the cluster clock.
+    /// The time of the entry by the cluster clock, in milliseconds since 1970.
     pub at: u64,
-    /// The command.
+    /// The command of the entry.
     pub entry: Command,
-    /// The result when it was applied.
+    /// The result of applying the entry, as JSON.
     #[serde(rename = "ruled")]
     pub result: Value,
 }
 
-/// An entry whose result by this build differs from the recorded one.
+/// An entry whose result in this build differs from the recorded one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The index of the entry.
+    /// The log index of the entry.
     pub log_index: u64,
-    /// The result that was recorded.
+    /// The recorded result.
     pub recorded: Value,
     /// The result that this build gives.
     pub now: Value,
 }
 
-/// A recording: the cluster state at its beginning, and every entry since.
+/// A recording: the cluster state at its beginning, and all log entries since.
 #[derive(Clone, Debug)]
 pub struct Recording {
     /// The state before the first entry.
@@ -98,8 +98,8 @@
 }
 
 impl Recording {
-    /// Records the contents of the data folder of a stopped replica.
-    pub fn of_folder(folder: &Path) -> Result<Self, RecordingError> {
+    /// Makes a recording from the data folder of a stopped replica: its snapshot and all entries after it.
+    pub fn from_data_folder(folder: &Path) -> Result<Self, RecordingError> {
         let (cluster, loaded) = read_folder(folder).map_err(RecordingError::Disk)?;
         if loaded.damaged {
             return Err(RecordingError::Damaged);
@@ -113,10 +113,11 @@
         let mut state = start.clone();
         let mut entries = Vec::new();
         for logged in loaded.entries {
-            let entry = Command::unpack(&logged.command).map_err(|why| RecordingError::Line {
-                line: logged.index as usize,
-                why,
-            })?;
+            let entry =
+                Command::unpack(&logged.command).map_err(|error| RecordingError::InvalidLine {
+                    line: logged.index as usize,
+                    error,
+                })?;
             let result = apply(&mut state, logged.index, logged.at, &entry);
             entries.push(RecordedEntry {
                 log_index: logged.index,
@@ -128,7 +129,7 @@
         Ok(Self { start, entries })
     }
 
-    /// The recording as text.
+    /// The recording in the file format.
     pub fn text(&self) -> String {
         let mut text = json!({"landingdriftDay": FORMAT_VERSION, "start": self.start}).to_string();
         text.push('\n');
@@ -143,29 +144,33 @@
 
     /// Reads a recording from a file.
     pub fn read(file: &str) -> Result<Self, RecordingError> {
-        let text = std::fs::read_to_string(file).map_err(|why| RecordingError::Read {
+        let text = std::fs::read_to_string(file).map_err(|error| RecordingError::Read {
             file: file.into(),
-            why: why.to_string(),
+            error: error.to_string(),
         })?;
         let mut lines = text.lines().enumerate();
         let start = match lines.next() {
             Some((_, head)) => read_start(file, head)?,
-            None => return Err(RecordingError::Foreign { file: file.into() }),
+            None => return Err(RecordingError::NotARecording { file: file.into() }),
         };
         let mut entries: Vec<RecordedEntry> = Vec::new();
         for (index, line) in lines {
-            let wrong = |why: String| RecordingError::Line {
+            let invalid = |error: String| RecordingError::InvalidLine {
                 line: index + 1,
-                why,
+                error,
             };
-            let value: Value = serde_json::from_str(line).map_err(|why| wrong(why.to_string()))?;
+            let value: Value =
+                serde_json::from_str(line).map_err(|error| invalid(error.to_string()))?;
             if let Some(number) = value.get("end") {
                 if number.as_u64() != Some(entries.len() as u64) {
-                    return Err(wrong("entries are missing".into()));
+                    return Err(invalid(
+                        "the number of entries differs from the closing line".into(),
+                    ));
                 }
                 return Ok(Self { start, entries });
             }
-            let entry = serde_json::from_value(value).map_err(|why| wrong(why.to_string()))?;
+            let entry =
+                serde_json::from_value(value).map_err(|error| invalid(error.to_string()))?;
             entries.push(entry);
         }
         Err(RecordingError::Truncated {
@@ -173,7 +178,7 @@
         })
     }
 
-    /// The entries whose result by this build differs from the recorded one.
+    /// Applies all entries; returns those whose result in this build differs from the recorded one.
     pub fn differences(&self) -> Vec<Difference> {
         let mut state = self.start.clone();
         let mut differences = Vec::new();
@@ -190,8 +195,8 @@
         differences
     }
 
-    /// The cluster state at the end of the recording.
-    pub fn end(&self) -> ClusterState {
+    /// The cluster state at the end of the recording, as this build computes it.
+    pub fn final_state(&self) -> ClusterState {
         let mut state = self.start.clone();
         for recorded in &self.entries {
             let _ = state.apply(recorded.log_index, recorded.at, &recorded.entry);
@@ -202,15 +207,17 @@
 
 /// The cluster state in the first line of a recording.
 fn read_start(file: &str, head: &str) -> Result<ClusterState, RecordingError> {
-    let foreign = || RecordingError::Foreign { file: file.into() };
-    let head: Value = serde_json::from_str(head).map_err(|_| foreign())?;
-    let version = head["landingdriftDay"].as_u64().ok_or_else(foreign)?;
+    let not_a_recording = || RecordingError::NotARecording { file: file.into() };
+    let head: Value = serde_json::from_str(head).map_err(|_| not_a_recording())?;
+    let version = head["landingdriftDay"]
+        .as_u64()
+        .ok_or_else(not_a_recording)?;
     if version != u64::from(FORMAT_VERSION) {
-        return Err(RecordingError::Version { found: version });
+        return Err(RecordingError::UnsupportedVersion { found: version });
     }
-    serde_json::from_value(head["start"].clone()).map_err(|why| RecordingError::Line {
+    serde_json::from_value(head["start"].clone()).map_err(|error| RecordingError::InvalidLine {
         line: 1,
-        why: why.to_string(),
+        error: error.to_string(),
     })
 }
 
--- a/landingdrift/src/replay/rerun/mod.rs
+++ b/landingdrift/src/replay/rerun/mod.rs
@@ -1,10 +1,10 @@
-//! Reruns a recording in virtual time: jobs, cancels, changes and workers are as recorded, every decision is made
-//! again.
+//! Reruns a recording in virtual time. Jobs, cancellations, configuration changes and workers come as recorded; all
+//! scheduling decisions are made again.
 //!
-//! - `simulation` has the only node, and plays the replica and the workers around it,
-//! - `simulated_worker` is one worker,
-//! - `recorded_runs` says how each task's runs went in the recording,
-//! - `summary` is what a recording or a rerun comes to.
+//! - `simulation` runs the only node and simulates the replica and the workers around it.
+//! - `simulated_worker` is one worker.
+//! - `recorded_runs` has the outcomes and durations of each task's runs in the recording.
+//! - `summary` is the summary of a recording or a rerun.
 
 mod recorded_runs;
 mod simulated_worker;
@@ -21,12 +21,12 @@
 use simulation::Simulation;
 use std::collections::VecDeque;
 
-/// Virtual milliseconds from one step to the next: a part's tick by the default bounds.
+/// Virtual milliseconds between two steps: the tick interval under the default bounds.
 const STEP_MS: u64 = 20;
-/// Virtual milliseconds for which a rerun continues after the last recorded entry, so that what runs can end.
-const AFTER_LAST_ENTRY_MS: u64 = 120_000;
+/// Virtual milliseconds for which a rerun continues after the last recorded entry, so that running jobs can end.
+const TIME_AFTER_LAST_ENTRY_MS: u64 = 120_000;
 
-/// Reruns a recording, under another configuration or other settings where they are given.
+/// Reruns a recording with the given settings, and with another configuration if one is given; returns the summary.
 pub fn rerun(
     recording: &Recording,
     config: Option<&ClusterConfig>,
@@ -38,7 +38,7 @@
     }
     let mut entries: VecDeque<&RecordedEntry> = recording.entries.iter().collect();
     let last = recording.entries.last();
-    let until = last.map_or(0, |last| simulation.since_start(last.at)) + AFTER_LAST_ENTRY_MS;
+    let until = last.map_or(0, |last| simulation.since_start(last.at)) + TIME_AFTER_LAST_ENTRY_MS;
     while simulation.elapsed() < until {
         simulation.advance(STEP_MS);
         while let Some(recorded) =
@@ -57,11 +57,12 @@
     simulation.summary()
 }
 
-/// Replays an entry that came from outside: a change, a job, a cancel or what became of a worker. The cluster's own
-/// decisions are made again, and changes are left out (`with_changes`) where another configuration is tried.
-fn replay_entry(simulation: &mut Simulation, entry: &Command, with_changes: bool) {
+/// Replays an entry with an external cause: a configuration change, a job, a cancellation or a change of a worker. Entries
+/// with the cluster's own decisions are skipped, as they are made again. `with_config_changes` is false if the rerun uses
+/// another configuration.
+fn replay_entry(simulation: &mut Simulation, entry: &Command, with_config_changes: bool) {
     match entry.action() {
-        Command::UpdateConfig { .. } if with_changes => {
+        Command::UpdateConfig { .. } if with_config_changes => {
             simulation.append(entry);
         }
         Command::CancelJob { .. } => {
@@ -76,7 +77,7 @@
             });
         }
         Command::UpdateWorker { info, .. } => simulation.update_worker(info),
-        Command::WorkerLost { worker, .. } => simulation.silence_worker(worker),
+        Command::WorkerLost { worker, .. } => simulation.stop_heartbeats(worker),
         _ => {}
     }
 }
--- a/landingdrift/src/replay/rerun/recorded_runs.rs
+++ b/landingdrift/src/replay/rerun/recorded_runs.rs
@@ -1,30 +1,30 @@
-//! How the runs of each task went in the recording.
+//! The outcomes and durations of each task's runs in the recording.
 
 use crate::state::{Attempt, AttemptState, ClusterState, Job, Outcome};
 use std::collections::BTreeMap;
 
-/// Milliseconds that a run takes whose task never succeeded in the recording: nothing is known of it, so it is short.
-const UNKNOWN_RUN_MS: u64 = 100;
+/// The duration of a run whose task never succeeded in the recording. As its real duration is unknown, it is short.
+const DEFAULT_RUN_MS: u64 = 100;
 
-/// How a run ended, and after how long.
+/// The outcome and the duration of a run.
 #[derive(Clone, Copy)]
 pub(super) struct RecordedRun {
     pub outcome: Outcome,
     pub ran_ms: u64,
 }
 
-/// A job and the index of one of its tasks.
+/// The ID of a job and the index of one of its tasks.
 type TaskKey = (String, u32);
 
-/// The recorded runs of all tasks, and how many of each the rerun has used.
+/// The recorded runs of all tasks, and the number of runs of each task in the rerun so far.
 pub(super) struct RecordedRuns {
     runs: BTreeMap<TaskKey, Vec<RecordedRun>>,
     used: BTreeMap<TaskKey, usize>,
 }
 
 impl RecordedRuns {
-    /// The runs in the cluster state at the end of a recording.
-    pub fn of(end: &ClusterState) -> Self {
+    /// Collects the runs from the cluster state at the end of a recording.
+    pub fn from_state(end: &ClusterState) -> Self {
         let mut runs = BTreeMap::new();
         for (id, job) in &end.jobs {
             for task in 0..job.tasks.len() {
@@ -37,22 +37,23 @@
         }
     }
 
-    /// The next run of a task: its n-th run goes as recorded, and beyond those like the last one that succeeded.
+    /// The next run of a task. The n-th run in the rerun is the n-th recorded one; further runs repeat the last successful
+    /// one.
     pub fn next(&mut self, key: TaskKey) -> RecordedRun {
         let recorded = self.runs.get(&key).map_or(&[][..], Vec::as_slice);
         let used = self.used.entry(key).or_default();
         let next = recorded.get(*used).copied();
         *used += 1;
-        next.unwrap_or_else(|| like_last_success(recorded))
+        next.unwrap_or_else(|| last_success(recorded))
     }
 }
 
-fn like_last_success(recorded: &[RecordedRun]) -> RecordedRun {
+fn last_success(recorded: &[RecordedRun]) -> RecordedRun {
     let mut latest_first = recorded.iter().rev();
     let success = latest_first.find(|run| run.outcome == Outcome::Succeeded);
     success.copied().unwrap_or(RecordedRun {
         outcome: Outcome::Succeeded,
-        ran_ms: UNKNOWN_RUN_MS,
+        ran_ms: DEFAULT_RUN_MS,
     })
 }
 
--- a/landingdrift/src/replay/rerun/simulated_worker.rs
+++ b/landingdrift/src/replay/rerun/simulated_worker.rs
@@ -1,4 +1,4 @@
-//! The workers of a rerun: they send heartbeats, obey the responses, and end their runs as recorded.
+//! The workers of a rerun: they send heartbeats, follow the orders in the responses, and end their runs as recorded.
 
 use super::recorded_runs::RecordedRun;
 use crate::node::{Heartbeat, RunningAttempt};
@@ -6,38 +6,38 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Virtual milliseconds between the heartbeats of a worker: a little less than the default bounds demand.
+/// Virtual milliseconds between two heartbeats of a worker: slightly less than the default bounds require.
 const HEARTBEAT_INTERVAL_MS: u64 = 240;
 
-/// A running attempt, in virtual milliseconds.
+/// A running attempt; its times are virtual milliseconds since the beginning.
 struct Execution {
     started_at: u64,
     ends_at: u64,
     outcome: Outcome,
 }
 
-/// A worker of a rerun.
+/// A simulated worker of a rerun.
 pub(super) struct SimulatedWorker {
     info: WorkerInfo,
     running: BTreeMap<u64, Execution>,
-    /// Ends that were not acknowledged yet.
+    /// Reports of ended attempts that were not acknowledged yet.
     ended: Vec<EndReport>,
-    /// Attempts that have ended here or were never started.
-    over: BTreeSet<u64>,
-    next_heartbeat: u64,
-    silent: bool,
+    /// Attempts that have ended on this worker or were stopped before they started.
+    finished: BTreeSet<u64>,
+    next_heartbeat_ms: u64,
+    heartbeats_stopped: bool,
 }
 
 impl SimulatedWorker {
-    /// A worker that runs nothing yet.
+    /// A worker that has no running attempts yet.
     pub fn new(info: WorkerInfo) -> Self {
         Self {
             info,
             running: BTreeMap::new(),
             ended: Vec::new(),
-            over: BTreeSet::new(),
-            next_heartbeat: 0,
-            silent: false,
+            finished: BTreeSet::new(),
+            next_heartbeat_ms: 0,
+            heartbeats_stopped: false,
         }
     }
 
@@ -45,29 +45,29 @@
         &self.info.zone
     }
 
-    /// Joins or comes back with these facts: a new incarnation of the worker runs nothing.
+    /// Updates the registration and resumes heartbeats. A new incarnation of the worker starts without running attempts.
     pub fn update(&mut self, info: &WorkerInfo) {
         if info.incarnation > self.info.incarnation {
             self.running.clear();
         }
         self.info = info.clone();
-        self.silent = false;
+        self.heartbeats_stopped = false;
     }
 
-    /// Sends no heartbeats until it comes back.
-    pub fn fall_silent(&mut self) {
-        self.silent = true;
+    /// Stops sending heartbeats until the next update.
+    pub fn stop_heartbeats(&mut self) {
+        self.heartbeats_stopped = true;
     }
 
-    /// Whether it sends a heartbeat now: one is due, or a run has ended.
+    /// Whether the worker sends a heartbeat now: the interval has passed, or a run has ended.
     pub fn is_due(&self, now_ms: u64) -> bool {
         let has_ended = || self.running.values().any(|run| now_ms >= run.ends_at);
-        !self.silent && (now_ms >= self.next_heartbeat || has_ended())
+        !self.heartbeats_stopped && (now_ms >= self.next_heartbeat_ms || has_ended())
     }
 
-    /// Ends the runs whose time is over, and returns the heartbeat that reports them.
+    /// Ends the runs that are due to end, and returns the heartbeat that reports them.
     pub fn heartbeat(&mut self, now_ms: u64) -> Heartbeat {
-        self.next_heartbeat = now_ms + HEARTBEAT_INTERVAL_MS;
+        self.next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
         self.end_runs(now_ms);
         let running = self.running.keys().map(|attempt| RunningAttempt {
             attempt: *attempt,
@@ -82,9 +82,9 @@
     }
 
     fn end_runs(&mut self, now_ms: u64) {
-        let over = self.running.iter().filter(|(_, run)| now_ms >= run.ends_at);
-        let over: Vec<u64> = over.map(|(attempt, _)| *attempt).collect();
-        for attempt in over {
+        let due = self.running.iter().filter(|(_, run)| now_ms >= run.ends_at);
+        let due: Vec<u64> = due.map(|(attempt, _)| *attempt).collect();
+        for attempt in due {
             if let Some(run) = self.running.remove(&attempt) {
                 self.report_end(attempt, run.outcome, now_ms - run.started_at);
             }
@@ -92,7 +92,7 @@
     }
 
     fn report_end(&mut self, attempt: u64, outcome: Outcome, ran_ms: u64) {
-        self.over.insert(attempt);
+        self.finished.insert(attempt);
         self.ended.push(EndReport {
             no: attempt,
             outcome,
@@ -101,27 +101,27 @@
         });
     }
 
-    /// Drops the ends that were acknowledged, and stops runs as ordered.
-    pub fn obey(&mut self, response: &Value) {
-        let settled = numbers(&response["settled"]);
-        self.ended.retain(|end| !settled.contains(&end.no));
+    /// Drops acknowledged end reports, and stops runs as ordered.
+    pub fn apply_orders(&mut self, response: &Value) {
+        let acknowledged = numbers(&response["settled"]);
+        self.ended.retain(|end| !acknowledged.contains(&end.no));
         for attempt in numbers(&response["stops"]) {
             if self.running.remove(&attempt).is_some() {
                 self.report_end(attempt, Outcome::Stopped, 0);
-            } else if !self.over.contains(&attempt) {
+            } else if !self.finished.contains(&attempt) {
                 self.report_end(attempt, Outcome::NeverStarted, 0);
             }
         }
     }
 
-    /// Whether an attempt was started here, or is over.
-    pub fn knows(&self, attempt: u64) -> bool {
-        self.running.contains_key(&attempt) || self.over.contains(&attempt)
+    /// Whether an attempt runs or has finished on this worker.
+    pub fn has_seen(&self, attempt: u64) -> bool {
+        self.running.contains_key(&attempt) || self.finished.contains(&attempt)
     }
 
-    /// Starts an attempt, which ends as recorded.
+    /// Starts an attempt, which will end as recorded.
     pub fn start(&mut self, attempt: u64, now_ms: u64, run: RecordedRun) {
-        // Ends are checked before starts in a step, so a run of no time ends with the next one.
+        // At least 1 ms: a step handles ends before starts, so even a run of no duration ends in the next step.
         let ends_at = now_ms + run.ran_ms.max(1);
         let execution = Execution {
             started_at: now_ms,
@@ -132,8 +132,8 @@
     }
 }
 
-/// The numbers of the attempts that a response orders to start.
-pub(super) fn starts(response: &Value) -> Vec<u64> {
+/// The numbers of the attempts that the response to a heartbeat orders to start.
+pub(super) fn start_orders(response: &Value) -> Vec<u64> {
     let starts = response["starts"].as_array();
     let starts = starts.into_iter().flatten();
     starts.filter_map(|start| start["no"].as_u64()).collect()
--- a/landingdrift/src/replay/rerun/simulation.rs
+++ b/landingdrift/src/replay/rerun/simulation.rs
@@ -1,7 +1,7 @@
-//! The simulation of a rerun: the only node, with the replica and the workers that it talks to.
+//! The simulation of a rerun: one node, and the replica and workers that it talks to.
 
 use super::recorded_runs::RecordedRuns;
-use super::simulated_worker::{starts, SimulatedWorker};
+use super::simulated_worker::{start_orders, SimulatedWorker};
 use super::summary::Summary;
 use crate::config::ClusterConfig;
 use crate::node::Node;
@@ -14,45 +14,46 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The only node of a rerun.
+/// The address of the only node of a rerun.
 const NODE: &str = "10.0.0.1:1";
-/// The only replica of a rerun.
+/// The address of the only replica of a rerun.
 const REPLICA: &str = "10.0.0.2:1";
+/// The zone of the node.
 const ZONE: &str = "replay";
-/// The only term of a rerun.
+/// The term of all log entries of a rerun, in which there are no elections.
 const TERM: u64 = 1;
-/// The seed of the node: fixed, so that reruns of the same recording give the same summary.
+/// The random seed of the node. Fixed, so that reruns of the same recording give the same summary.
 const SEED: u64 = 1;
-/// Ended jobs are kept for longer than any recording, since the summary is made from them; a quarter of the range, so
-/// that sums with it don't overflow.
+/// The retention time of ended jobs. Longer than any recording, since the summary is made from ended jobs; a quarter of
+/// the range, so that sums with it don't overflow.
 const RETAIN_ALL_MS: u64 = u64::MAX / 4;
 
-/// An applied command: its place in the log, and its packed result.
+/// An applied command: its log index and its encoded result.
 struct Applied {
     log_index: u64,
     result: Vec<u8>,
 }
 
-/// A node with the replica and the workers that it talks to.
+/// A node, with a simulated replica and simulated workers.
 pub(super) struct Simulation {
-    /// The replica's cluster state.
+    /// The cluster state of the replica.
     state: ClusterState,
-    /// Entries that were not sent to the node yet.
+    /// Log entries that were not sent to the node yet.
     log: VecDeque<Entry>,
     node: Node,
-    /// Virtual milliseconds since the beginning.
+    /// Virtual milliseconds since the beginning of the rerun.
     elapsed_ms: u64,
     /// The cluster time at the beginning.
     started_at: u64,
     workers: BTreeMap<String, SimulatedWorker>,
     runs: RecordedRuns,
-    /// The workers whose heartbeats wait for a response, by call.
+    /// The workers whose heartbeats wait for a response, by call number.
     calls: BTreeMap<u64, String>,
     next_call: u64,
 }
 
 impl Simulation {
-    /// The beginning of a recording, with the workers that there were.
+    /// A simulation at the beginning of a recording, with the workers that were registered then.
     pub fn new(recording: &Recording, settings: &Settings) -> Self {
         let started_at = start_time(recording);
         let settings = Settings {
@@ -74,7 +75,7 @@
             elapsed_ms: 0,
             started_at,
             workers: BTreeMap::new(),
-            runs: RecordedRuns::of(&recording.end()),
+            runs: RecordedRuns::from_state(&recording.final_state()),
             calls: BTreeMap::new(),
             next_call: 0,
         };
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The cluster time.
+    /// The current cluster time, in milliseconds since 1970.
     pub fn cluster_time(&self) -> u64 {
         self.started_at + self.elapsed_ms
     }
@@ -111,24 +112,24 @@
         at.saturating_sub(self.started_at)
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time.
     pub fn advance(&mut self, ms: u64) {
         self.elapsed_ms += ms;
     }
 
-    /// The index of the last entry.
+    /// The log index of the last applied entry.
     pub fn applied_index(&self) -> u64 {
         self.state.applied_index
     }
 
-    /// Whether no job is open.
+    /// Whether all jobs have ended.
     pub fn all_jobs_ended(&self) -> bool {
         self.state.open.is_empty()
     }
 
-    /// What the rerun comes to.
+    /// The summary of the rerun so far.
     pub fn summary(&self) -> Summary {
-        Summary::of(&self.state)
+        Summary::from_state(&self.state)
     }
 
     /// Appends a command to the log and applies it.
@@ -149,7 +150,7 @@
         Applied { log_index, result }
     }
 
-    /// Puts a configuration into force.
+    /// Appends a change that replaces the configuration.
     pub fn configure(&mut self, config: &ClusterConfig) {
         let base = self.state.version;
         let value = serde_json::to_value(config).unwrap_or_default();
@@ -162,7 +163,7 @@
         });
     }
 
-    /// A worker joins, comes back or changes its facts.
+    /// Adds a worker, or updates one that came back or changed its registration.
     pub fn update_worker(&mut self, info: &WorkerInfo) {
         let name = info.worker.clone();
         let worker = self.workers.entry(name);
@@ -170,14 +171,14 @@
         worker.update(info);
     }
 
-    /// A worker falls silent.
-    pub fn silence_worker(&mut self, worker: &str) {
+    /// Stops the heartbeats of a worker until its next update.
+    pub fn stop_heartbeats(&mut self, worker: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.fall_silent();
+            worker.stop_heartbeats();
         }
     }
 
-    /// Grants the leases of all zones and queues to the node, and collects garbage where that is due.
+    /// Grants the leases of all zones and queues to the node, and collects garbage if that is due.
     pub fn grant_leases(&mut self) {
         let workers = self.workers.values();
         let zones: BTreeSet<String> = workers.map(|worker| zone_lease(worker.zone())).collect();
@@ -210,8 +211,8 @@
         });
     }
 
-    /// Sends the node the entries since the last batch, or a snapshot where it has nothing and the entries don't reach
-    /// back to the beginning.
+    /// Sends the node the entries since the last batch. Sends a snapshot instead if the node has no state yet and the
+    /// entries don't go back to the first one.
     pub fn send_watch_batch(&mut self) {
         let entries: Vec<Entry> = std::mem::take(&mut self.log).into();
         let is_empty = self.node.state().applied_index == 0;
@@ -248,7 +249,7 @@
         self.step(Msg::Wire(REPLICA.into(), body));
     }
 
-    /// Steps the node, and carries out its effects.
+    /// Steps the node and executes its effects.
     pub fn step(&mut self, msg: Msg) {
         let now = self.now();
         for effect in self.node.step(now, msg) {
@@ -291,7 +292,7 @@
         self.send(Body::ReadIndexResponse(Box::new(response)));
     }
 
-    /// Steps the workers: runs end as recorded, and heartbeats are sent.
+    /// Sends the heartbeats that are due; each reports the runs that have ended.
     pub fn step_workers(&mut self) {
         let now_ms = self.elapsed_ms;
         let workers = self.workers.iter();
@@ -315,14 +316,14 @@
         }
     }
 
-    /// A worker obeys the response to its heartbeat.
+    /// A worker applies the orders in the response to its heartbeat.
     fn on_heartbeat_response(&mut self, worker: &str, response: &Response) {
         let Some(worker) = self.workers.get_mut(worker) else {
             return;
         };
-        worker.obey(&response.body);
-        for attempt in starts(&response.body) {
-            if worker.knows(attempt) {
+        worker.apply_orders(&response.body);
+        for attempt in start_orders(&response.body) {
+            if worker.has_seen(attempt) {
                 continue;
             }
             let Some(key) = self.state.live.get(&attempt).cloned() else {
@@ -333,7 +334,8 @@
     }
 }
 
-/// The cluster time at the beginning of a recording; the first entries of a new cluster come before its clock is set.
+/// The cluster time at the beginning of a recording. The first entries of a new cluster have time 0, as its clock is not
+/// set yet; they are skipped.
 fn start_time(recording: &Recording) -> u64 {
     let mut times = recording.entries.iter().map(|recorded| recorded.at);
     times.find(|at| *at > 0).unwrap_or(0)
--- a/landingdrift/src/replay/rerun/summary.rs
+++ b/landingdrift/src/replay/rerun/summary.rs
@@ -1,29 +1,31 @@
-//! The summary of a recording or a rerun.
+//! The summary of a recording or a rerun, for comparing the two.
 
 use crate::state::{AttemptState, ClusterState, Job, JobState};
 use std::collections::BTreeMap;
 
-/// What a recording or a rerun came to.
+/// The results of a recording or a rerun.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Summary {
-    /// The final states of the jobs.
+    /// The final state of each job, by job ID.
     pub states: BTreeMap<String, JobState>,
-    /// Milliseconds from acceptance to the end, of jobs that succeeded.
-    pub took: BTreeMap<String, u64>,
-    /// The workers on which tasks succeeded.
-    pub placed: BTreeMap<String, String>,
-    /// Jobs that kept the promise of their queue.
+    /// The time from acceptance to the end of each job that succeeded, in milliseconds.
+    #[serde(rename = "took")]
+    pub turnaround_ms: BTreeMap<String, u64>,
+    /// The worker on which each task succeeded, by `JOB/TASK`.
+    #[serde(rename = "placed")]
+    pub workers_by_task: BTreeMap<String, String>,
+    /// The number of jobs that met the deadline of their queue.
     pub kept: u64,
-    /// Jobs that missed it.
+    /// The number of jobs that missed the deadline of their queue.
     pub missed: u64,
-    /// Speculative copies.
+    /// The number of speculative copies that were started.
     pub copies: u64,
 }
 
 impl Summary {
-    /// The summary of a cluster state.
-    pub fn of(state: &ClusterState) -> Self {
+    /// Summarizes the final state of a cluster.
+    pub fn from_state(state: &ClusterState) -> Self {
         let mut summary = Self {
             kept: state.queues.values().map(|queue| queue.kept).sum(),
             missed: state.queues.values().map(|queue| queue.missed).sum(),
@@ -33,26 +35,26 @@
         for (id, job) in &state.jobs {
             summary.states.insert(id.clone(), job.state);
             if job.state == JobState::Done {
-                let took = job.ended.saturating_sub(job.accepted);
-                summary.took.insert(id.clone(), took);
+                let turnaround_ms = job.ended.saturating_sub(job.accepted);
+                summary.turnaround_ms.insert(id.clone(), turnaround_ms);
             }
-            summary.placed.extend(placed(id, job));
+            summary.workers_by_task.extend(workers_by_task(id, job));
         }
         summary
     }
 }
 
 /// The tasks of a job that succeeded, each with its worker.
-fn placed(id: &str, job: &Job) -> BTreeMap<String, String> {
-    let mut placed = BTreeMap::new();
+fn workers_by_task(id: &str, job: &Job) -> BTreeMap<String, String> {
+    let mut workers = BTreeMap::new();
     for (i, task) in job.tasks.iter().enumerate() {
         let succeeded = task
             .attempts
             .iter()
             .find(|attempt| attempt.state == AttemptState::Succeeded);
         if let Some(attempt) = succeeded {
-            placed.insert(format!("{id}/{}", job.name(i)), attempt.worker.clone());
+            workers.insert(format!("{id}/{}", job.name(i)), attempt.worker.clone());
         }
     }
-    placed
+    workers
 }
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -74,8 +74,8 @@
         })
         .collect();
     drop(stored::write_log(&log, &lines));
-    let recording = Recording::of_folder(&log).expect("a sound folder");
-    assert_eq!(recording.end(), history.state);
+    let recording = Recording::from_data_folder(&log).expect("a sound folder");
+    assert_eq!(recording.final_state(), history.state);
     fs::create_dir_all(fixture("wire")).expect("made");
     fs::write(fixture(LOG), recording.text()).expect("written");
     let state = stored::recording_of(&history.state);
@@ -229,7 +229,7 @@
     assert_eq!(recording.text(), stored::text(LOG));
     assert_eq!(recording.differences(), Vec::new());
     let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
-    assert_eq!(recording.end(), state);
+    assert_eq!(recording.final_state(), state);
     let kinds: BTreeSet<usize> = recording
         .entries
         .iter()
