--- a/testkit/tests/checkers.rs
+++ b/testkit/tests/checkers.rs
@@ -1,4 +1,5 @@
-//! Each checker is shown a history that violates its rule, and one that doesn't.
+//! Tests of the checkers on small histories: each must report a violation of its rule, and nothing in a history without
+//! one.
 
 mod checkers_cases;
 
@@ -16,11 +17,11 @@
 }
 
 #[test]
-fn each_checker_sees_its_rule_violated_and_nothing_else() {
+fn each_checker_reports_violations_of_its_rule_and_nothing_else() {
     for Case {
         rule,
         violating,
-        sound,
+        conforming,
     } in cases()
     {
         let rules: BTreeSet<&str> = check(&history(violating), &PromisedBounds::default())
@@ -28,17 +29,20 @@
             .map(|violation| violation.rule)
             .collect();
         assert_eq!(rules, [rule].into(), "the violating history of '{rule}'");
-        let none = check(&history(sound), &PromisedBounds::default());
-        assert!(none.is_empty(), "the sound history of '{rule}': {none:?}");
+        let none = check(&history(conforming), &PromisedBounds::default());
+        assert!(
+            none.is_empty(),
+            "the conforming history of '{rule}': {none:?}"
+        );
     }
 }
 
 #[test]
-fn no_checker_is_left_without_a_case() {
-    let shown: BTreeSet<&str> = cases().iter().map(|case| case.rule).collect();
+fn every_checker_has_a_case() {
+    let tested: BTreeSet<&str> = cases().iter().map(|case| case.rule).collect();
     let all: BTreeSet<&str> = ALL.iter().map(|checker| checker.rule).collect();
-    assert_eq!(shown, all);
-    // The end of a day without jobs violates nothing.
+    assert_eq!(tested, all);
+    // A day without jobs violates no rule.
     let empty = BTreeMap::new();
     assert!(check(
         &history(vec![(
--- a/testkit/tests/checkers_cases/configuration.rs
+++ b/testkit/tests/checkers_cases/configuration.rs
@@ -1,8 +1,9 @@
-//! Changes of configuration: one of two rivals, never back, in force in time.
+//! Cases for the configuration: one of two concurrent changes wins, none is lost, all take effect in time.
 
 use super::events::{
-    able, accepted, acked, asked, closed, closed_by, configured, handed, node, one, polled, read,
-    refused, rule_settings, submitted, task,
+    availability, config_acknowledged, config_read, config_refused, config_requested, day_ended,
+    day_ended_with, node_version, one_task_job_offered, rule_settings, state_answered,
+    submit_accepted, submit_answered, submit_requested, task, zone_config_acknowledged,
 };
 use super::Case;
 use landingdrift::state::JobSpec;
@@ -13,39 +14,39 @@
         Case {
             rule: "one of two rivals",
             violating: vec![
-                (0, configured("c", 0, 1, "")),
-                (1, configured("d", 0, 2, "")),
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (1, zone_config_acknowledged("d", 0, 2, "")),
             ],
-            sound: vec![
-                (0, configured("c", 0, 1, "")),
-                (1, configured("d", 1, 2, "")),
+            conforming: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (1, zone_config_acknowledged("d", 1, 2, "")),
             ],
         },
-        // Content counts, not the number alone.
+        // The content is checked, not only the version number.
         Case {
             rule: "one of two rivals",
             violating: vec![
-                (0, configured("c", 0, 1, "")),
-                (1, refused("d", 0)),
-                (6, read(1, "d")),
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (1, config_refused("d", 0)),
+                (6, config_read(1, "d")),
             ],
-            sound: vec![
-                (0, configured("c", 0, 1, "")),
-                (1, refused("d", 0)),
-                (6, read(1, "c")),
+            conforming: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (1, config_refused("d", 0)),
+                (6, config_read(1, "c")),
             ],
         },
         Case {
             rule: "one of two rivals",
             violating: vec![
-                (0, configured("c", 0, 1, "")),
-                (1, configured("d", 1, 2, "")),
-                (6, closed_by("done", 2, "c")),
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (1, zone_config_acknowledged("d", 1, 2, "")),
+                (6, day_ended_with("done", 2, "c")),
             ],
-            sound: vec![
-                (0, configured("c", 0, 1, "")),
-                (1, configured("d", 1, 2, "")),
-                (6, closed_by("done", 2, "d")),
+            conforming: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (1, zone_config_acknowledged("d", 1, 2, "")),
+                (6, day_ended_with("done", 2, "d")),
             ],
         },
     ]
@@ -55,35 +56,41 @@
     vec![
         Case {
             rule: "configuration takes hold",
-            violating: vec![(0, configured("c", 0, 1, "")), (5000, node(0, "", true))],
-            sound: vec![(0, configured("c", 0, 1, "")), (5000, node(1, "c", true))],
+            violating: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (5000, node_version(0, "", true)),
+            ],
+            conforming: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (5000, node_version(1, "c", true)),
+            ],
         },
-        // Nobody escapes the bound by saying that it is not ready.
+        // A node must not escape the bound by reporting not ready.
         Case {
             rule: "configuration takes hold",
             violating: vec![
-                (0, able(3)),
-                (1, node(0, "", false)),
-                (6000, node(0, "", false)),
+                (0, availability(3)),
+                (1, node_version(0, "", false)),
+                (6000, node_version(0, "", false)),
             ],
-            sound: vec![
-                (0, able(3)),
-                (1, node(0, "", false)),
-                (3000, able(1)),
-                (3500, able(3)),
-                (6000, node(0, "", false)),
+            conforming: vec![
+                (0, availability(3)),
+                (1, node_version(0, "", false)),
+                (3000, availability(1)),
+                (3500, availability(3)),
+                (6000, node_version(0, "", false)),
             ],
         },
     ]
 }
 
-pub(super) fn takes_hold_in_effect() -> Vec<Case> {
+pub(super) fn quota_takes_effect() -> Vec<Case> {
     vec![
-        // The effect counts, not the number shown.
+        // The effect is checked, not only the version that nodes report.
         Case {
             rule: "configuration takes hold",
             violating: vec![
-                (0, one()),
+                (0, one_task_job_offered()),
                 (
                     0,
                     Event::Offered {
@@ -95,16 +102,16 @@
                         },
                     },
                 ),
-                (1, handed("j")),
-                (2, accepted()),
-                (3, asked("c", rule_settings("", 2, 1))),
-                (4, acked("c", 0, 1, rule_settings("", 2, 1))),
-                (3000, handed("k")),
-                (3001, submitted("k", 202, "")),
-                (3500, polled(200, "running")),
-            ],
-            sound: vec![
-                (0, one()),
+                (1, submit_requested("j")),
+                (2, submit_accepted()),
+                (3, config_requested("c", rule_settings("", 2, 1))),
+                (4, config_acknowledged("c", 0, 1, rule_settings("", 2, 1))),
+                (3000, submit_requested("k")),
+                (3001, submit_answered("k", 202, "")),
+                (3500, state_answered(200, "running")),
+            ],
+            conforming: vec![
+                (0, one_task_job_offered()),
                 (
                     0,
                     Event::Offered {
@@ -116,13 +123,13 @@
                         },
                     },
                 ),
-                (1, handed("j")),
-                (2, accepted()),
-                (3, asked("c", rule_settings("", 2, 1))),
-                (4, acked("c", 0, 1, rule_settings("", 2, 1))),
-                (3000, handed("k")),
-                (3001, submitted("k", 429, "overQuota")),
-                (3500, polled(200, "running")),
+                (1, submit_requested("j")),
+                (2, submit_accepted()),
+                (3, config_requested("c", rule_settings("", 2, 1))),
+                (4, config_acknowledged("c", 0, 1, rule_settings("", 2, 1))),
+                (3000, submit_requested("k")),
+                (3001, submit_answered("k", 429, "overQuota")),
+                (3500, state_answered(200, "running")),
             ],
         },
     ]
@@ -132,18 +139,36 @@
     vec![
         Case {
             rule: "configuration never slides back",
-            violating: vec![(0, node(2, "", true)), (1, node(1, "", true))],
-            sound: vec![(0, node(1, "", true)), (1, node(2, "", true))],
+            violating: vec![
+                (0, node_version(2, "", true)),
+                (1, node_version(1, "", true)),
+            ],
+            conforming: vec![
+                (0, node_version(1, "", true)),
+                (1, node_version(2, "", true)),
+            ],
         },
         Case {
             rule: "configuration never slides back",
-            violating: vec![(0, configured("c", 0, 1, "")), (9, closed("done", 0))],
-            sound: vec![(0, configured("c", 0, 1, "")), (9, closed("done", 1))],
+            violating: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (9, day_ended("done", 0)),
+            ],
+            conforming: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (9, day_ended("done", 1)),
+            ],
         },
         Case {
             rule: "configuration never slides back",
-            violating: vec![(0, configured("c", 0, 1, "")), (9, read(0, ""))],
-            sound: vec![(0, configured("c", 0, 1, "")), (9, read(1, "c"))],
+            violating: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (9, config_read(0, "")),
+            ],
+            conforming: vec![
+                (0, zone_config_acknowledged("c", 0, 1, "")),
+                (9, config_read(1, "c")),
+            ],
         },
     ]
 }
--- a/testkit/tests/checkers_cases/events.rs
+++ b/testkit/tests/checkers_cases/events.rs
@@ -1,4 +1,4 @@
-//! Events of small histories.
+//! Events for small histories of job `j` with queue `q`, worker `w` and node `n`.
 
 use landingdrift::state::{JobSpec, Outcome, TaskSpec};
 use landingdrift_testkit::history::{Event, FinalState, RuleSettings};
@@ -23,7 +23,7 @@
     }
 }
 
-pub fn up(worker: &str) -> Event {
+pub fn worker_up(worker: &str) -> Event {
     Event::WorkerUp {
         worker: worker.into(),
         incarnation: 1,
@@ -34,7 +34,7 @@
     }
 }
 
-pub fn started(worker: &str, no: u64, task: &str) -> Event {
+pub fn run_started(worker: &str, no: u64, task: &str) -> Event {
     Event::RunStarted {
         worker: worker.into(),
         attempt: no,
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn ended(worker: &str, no: u64, task: &str, outcome: Outcome) -> Event {
+pub fn run_ended(worker: &str, no: u64, task: &str, outcome: Outcome) -> Event {
     Event::RunEnded {
         worker: worker.into(),
         attempt: no,
@@ -63,14 +63,14 @@
     }
 }
 
-pub fn asked(change: &str, settings: RuleSettings) -> Event {
+pub fn config_requested(change: &str, settings: RuleSettings) -> Event {
     Event::ConfigRequested {
         change: change.into(),
         settings,
     }
 }
 
-pub fn acked(change: &str, base: u64, version: u64, settings: RuleSettings) -> Event {
+pub fn config_acknowledged(change: &str, base: u64, version: u64, settings: RuleSettings) -> Event {
     Event::ConfigAnswered {
         change: change.into(),
         base,
@@ -80,11 +80,11 @@
     }
 }
 
-pub fn configured(change: &str, base: u64, version: u64, state: &str) -> Event {
-    acked(change, base, version, rule_settings(state, 2, 100))
+pub fn zone_config_acknowledged(change: &str, base: u64, version: u64, state: &str) -> Event {
+    config_acknowledged(change, base, version, rule_settings(state, 2, 100))
 }
 
-pub fn refused(change: &str, base: u64) -> Event {
+pub fn config_refused(change: &str, base: u64) -> Event {
     Event::ConfigAnswered {
         change: change.into(),
         base,
@@ -94,7 +94,7 @@
     }
 }
 
-pub fn node(version: u64, by: &str, ready: bool) -> Event {
+pub fn node_version(version: u64, by: &str, ready: bool) -> Event {
     Event::NodeVersion {
         node: "n".into(),
         version,
@@ -103,7 +103,7 @@
     }
 }
 
-pub fn read(version: u64, by: &str) -> Event {
+pub fn config_read(version: u64, by: &str) -> Event {
     Event::ConfigRead {
         version,
         change: by.into(),
@@ -111,7 +111,7 @@
     }
 }
 
-pub fn closed_by(state: &str, version: u64, by: &str) -> Event {
+pub fn day_ended_with(state: &str, version: u64, by: &str) -> Event {
     Event::DayEnded {
         version,
         change: by.into(),
@@ -126,15 +126,15 @@
     }
 }
 
-pub fn closed(state: &str, version: u64) -> Event {
-    closed_by(state, version, "")
+pub fn day_ended(state: &str, version: u64) -> Event {
+    day_ended_with(state, version, "")
 }
 
-pub fn handed(id: &str) -> Event {
+pub fn submit_requested(id: &str) -> Event {
     Event::SubmitRequested { id: id.into() }
 }
 
-pub fn submitted(id: &str, status: u16, code: &str) -> Event {
+pub fn submit_answered(id: &str, status: u16, code: &str) -> Event {
     Event::SubmitAnswered {
         id: id.into(),
         status,
@@ -142,11 +142,11 @@
     }
 }
 
-pub fn accepted() -> Event {
-    submitted("j", 202, "")
+pub fn submit_accepted() -> Event {
+    submit_answered("j", 202, "")
 }
 
-pub fn polled(status: u16, state: &str) -> Event {
+pub fn state_answered(status: u16, state: &str) -> Event {
     Event::StateAnswered {
         id: "j".into(),
         status,
@@ -156,18 +156,18 @@
     }
 }
 
-pub fn able(replicas: usize) -> Event {
+pub fn availability(replicas: usize) -> Event {
     Event::Availability {
         replicas,
         nodes: vec!["n".into()],
     }
 }
 
-pub fn ask() -> Event {
+pub fn state_requested() -> Event {
     Event::StateRequested { id: "j".into() }
 }
 
-pub fn changed(cpu: u32, labels: &[&str]) -> Event {
+pub fn worker_changed(cpu: u32, labels: &[&str]) -> Event {
     Event::WorkerChanged {
         worker: "w".into(),
         labels: labels.iter().map(ToString::to_string).collect(),
@@ -175,21 +175,21 @@
     }
 }
 
-/// A job of one task is handed in.
-pub fn one() -> Event {
+/// Offers a job with one task, `a`.
+pub fn one_task_job_offered() -> Event {
     offered(vec![task("a")])
 }
 
-/// A member of the only gang.
-pub fn gang(name: &str) -> TaskSpec {
+/// A task in gang `g`.
+pub fn gang_member(name: &str) -> TaskSpec {
     TaskSpec {
         gang: "g".into(),
         ..task(name)
     }
 }
 
-/// A task that waits for another.
-pub fn after(name: &str, of: &str) -> TaskSpec {
+/// A task that depends on another.
+pub fn dependent_task(name: &str, of: &str) -> TaskSpec {
     TaskSpec {
         depends_on: vec![of.into()],
         ..task(name)
--- a/testkit/tests/checkers_cases/jobs.rs
+++ b/testkit/tests/checkers_cases/jobs.rs
@@ -1,6 +1,9 @@
-//! What becomes of jobs: none is forgotten, none runs that was rejected, all come to an end.
+//! Cases for the answers that clients get: jobs are not forgotten, refused ones never run, all end.
 
-use super::events::{able, accepted, ask, closed, handed, one, polled, started, submitted, up};
+use super::events::{
+    availability, day_ended, one_task_job_offered, run_started, state_answered, state_requested,
+    submit_accepted, submit_answered, submit_requested, worker_up,
+};
 use super::Case;
 use landingdrift_testkit::history::Event;
 
@@ -8,22 +11,30 @@
     vec![
         Case {
             rule: "never forgotten",
-            violating: vec![(0, one()), (1, accepted()), (4000, polled(404, ""))],
-            sound: vec![(0, one()), (1, accepted()), (4000, polled(200, "running"))],
+            violating: vec![
+                (0, one_task_job_offered()),
+                (1, submit_accepted()),
+                (4000, state_answered(404, "")),
+            ],
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, submit_accepted()),
+                (4000, state_answered(200, "running")),
+            ],
         },
         Case {
             rule: "never forgotten",
             violating: vec![
-                (0, one()),
-                (1, accepted()),
-                (4000, polled(200, "done")),
-                (5000, polled(200, "running")),
+                (0, one_task_job_offered()),
+                (1, submit_accepted()),
+                (4000, state_answered(200, "done")),
+                (5000, state_answered(200, "running")),
             ],
-            sound: vec![
-                (0, one()),
-                (1, accepted()),
-                (4000, polled(200, "running")),
-                (5000, polled(200, "done")),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, submit_accepted()),
+                (4000, state_answered(200, "running")),
+                (5000, state_answered(200, "done")),
             ],
         },
     ]
@@ -31,101 +42,101 @@
 
 pub(super) fn state_within_its_bound() -> Vec<Case> {
     vec![
-        // Silence and 503 count as much as a wrong word, but for the time in which the replica had no majority, and its return.
+        // Missing answers and 503 count as unavailable, except while the replicas have no majority or recover from it.
         Case {
             rule: "state within its bound",
             violating: vec![
-                (0, one()),
-                (0, able(3)),
-                (1, accepted()),
-                (2, ask()),
-                (1000, polled(503, "")),
-                (3100, polled(200, "running")),
+                (0, one_task_job_offered()),
+                (0, availability(3)),
+                (1, submit_accepted()),
+                (2, state_requested()),
+                (1000, state_answered(503, "")),
+                (3100, state_answered(200, "running")),
             ],
-            sound: vec![
-                (0, one()),
-                (0, able(3)),
-                (1, accepted()),
-                (2, ask()),
-                (3, able(1)),
-                (1000, polled(503, "")),
-                (1001, able(3)),
-                (8000, polled(200, "running")),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (0, availability(3)),
+                (1, submit_accepted()),
+                (2, state_requested()),
+                (3, availability(1)),
+                (1000, state_answered(503, "")),
+                (1001, availability(3)),
+                (8000, state_answered(200, "running")),
             ],
         },
         Case {
             rule: "state within its bound",
             violating: vec![
-                (0, one()),
-                (1, accepted()),
-                (2, ask()),
-                (3100, closed("done", 0)),
+                (0, one_task_job_offered()),
+                (1, submit_accepted()),
+                (2, state_requested()),
+                (3100, day_ended("done", 0)),
             ],
-            sound: vec![
-                (0, one()),
-                (1, accepted()),
-                (2, ask()),
-                (2100, closed("done", 0)),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, submit_accepted()),
+                (2, state_requested()),
+                (2100, day_ended("done", 0)),
             ],
         },
     ]
 }
 
-pub(super) fn turned_away_never_runs() -> Vec<Case> {
+pub(super) fn refused_never_runs() -> Vec<Case> {
     vec![
         Case {
             rule: "turned away never runs",
             violating: vec![
-                (0, one()),
-                (1, handed("j")),
-                (2, submitted("j", 429, "overQuota")),
-                (3, up("w")),
-                (4, started("w", 1, "a")),
+                (0, one_task_job_offered()),
+                (1, submit_requested("j")),
+                (2, submit_answered("j", 429, "overQuota")),
+                (3, worker_up("w")),
+                (4, run_started("w", 1, "a")),
             ],
-            sound: vec![
-                (0, one()),
-                (1, handed("j")),
-                (2, submitted("j", 429, "overQuota")),
-                (3, handed("j")),
-                (3, up("w")),
-                (4, started("w", 1, "a")),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, submit_requested("j")),
+                (2, submit_answered("j", 429, "overQuota")),
+                (3, submit_requested("j")),
+                (3, worker_up("w")),
+                (4, run_started("w", 1, "a")),
             ],
         },
-        // A refusal of one call says nothing of an earlier call without an answer; a refusal of the job does.
+        // A refusal of one call does not settle the outcome of an earlier unanswered call; a refusal of the job does.
         Case {
             rule: "turned away never runs",
             violating: vec![
-                (0, one()),
-                (1, handed("j")),
-                (2, submitted("j", 503, "busy")),
-                (3, up("w")),
-                (4, started("w", 1, "a")),
+                (0, one_task_job_offered()),
+                (1, submit_requested("j")),
+                (2, submit_answered("j", 503, "busy")),
+                (3, worker_up("w")),
+                (4, run_started("w", 1, "a")),
             ],
-            sound: vec![
-                (0, one()),
-                (1, handed("j")),
-                (2, handed("j")),
-                (3, submitted("j", 503, "busy")),
-                (3, up("w")),
-                (4, started("w", 1, "a")),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, submit_requested("j")),
+                (2, submit_requested("j")),
+                (3, submit_answered("j", 503, "busy")),
+                (3, worker_up("w")),
+                (4, run_started("w", 1, "a")),
             ],
         },
         Case {
             rule: "turned away never runs",
             violating: vec![
-                (0, one()),
-                (1, handed("j")),
-                (2, handed("j")),
-                (3, submitted("j", 400, "wrongJob")),
-                (3, up("w")),
-                (4, started("w", 1, "a")),
+                (0, one_task_job_offered()),
+                (1, submit_requested("j")),
+                (2, submit_requested("j")),
+                (3, submit_answered("j", 400, "wrongJob")),
+                (3, worker_up("w")),
+                (4, run_started("w", 1, "a")),
             ],
-            sound: vec![
-                (0, one()),
-                (1, handed("j")),
-                (2, submitted("j", 503, "unsure")),
-                (3, up("w")),
-                (4, started("w", 1, "a")),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, submit_requested("j")),
+                (2, submit_answered("j", 503, "unsure")),
+                (3, worker_up("w")),
+                (4, run_started("w", 1, "a")),
             ],
         },
     ]
@@ -135,16 +146,16 @@
     vec![Case {
         rule: "cancelled stays cancelled",
         violating: vec![
-            (0, one()),
-            (1, up("w")),
+            (0, one_task_job_offered()),
+            (1, worker_up("w")),
             (2, Event::CancelAcknowledged { id: "j".into() }),
-            (4000, started("w", 1, "a")),
+            (4000, run_started("w", 1, "a")),
         ],
-        sound: vec![
-            (0, one()),
-            (1, up("w")),
+        conforming: vec![
+            (0, one_task_job_offered()),
+            (1, worker_up("w")),
             (2, Event::CancelAcknowledged { id: "j".into() }),
-            (2000, started("w", 1, "a")),
+            (2000, run_started("w", 1, "a")),
         ],
     }]
 }
@@ -152,7 +163,15 @@
 pub(super) fn all_come_to_an_end() -> Vec<Case> {
     vec![Case {
         rule: "all come to an end",
-        violating: vec![(0, one()), (1, accepted()), (2, closed("running", 0))],
-        sound: vec![(0, one()), (1, accepted()), (2, closed("done", 0))],
+        violating: vec![
+            (0, one_task_job_offered()),
+            (1, submit_accepted()),
+            (2, day_ended("running", 0)),
+        ],
+        conforming: vec![
+            (0, one_task_job_offered()),
+            (1, submit_accepted()),
+            (2, day_ended("done", 0)),
+        ],
     }]
 }
--- a/testkit/tests/checkers_cases/mod.rs
+++ b/testkit/tests/checkers_cases/mod.rs
@@ -1,4 +1,4 @@
-//! For each rule: histories that violate it, and the same ones as they should have been.
+//! For each rule: histories that violate it, and similar ones that conform.
 
 mod configuration;
 mod events;
@@ -9,14 +9,14 @@
 
 use landingdrift_testkit::history::Event;
 
-/// Events with the moments at which they come, in milliseconds.
+/// Events with their times in milliseconds.
 pub type Day = Vec<(u64, Event)>;
 
-/// A rule, a history that violates it and no other, and one that violates none.
+/// A rule, a history that violates only this rule, and one that conforms to all rules.
 pub struct Case {
     pub rule: &'static str,
     pub violating: Day,
-    pub sound: Day,
+    pub conforming: Day,
 }
 
 /// All cases.
@@ -24,11 +24,11 @@
     let all = [
         jobs::never_forgotten(),
         jobs::state_within_its_bound(),
-        jobs::turned_away_never_runs(),
+        jobs::refused_never_runs(),
         runs::no_repeat_without_leave(),
         runs::steps_in_order(),
         runs::not_before_its_time(),
-        workers::cpu(),
+        workers::capacity(),
         workers::fitting_workers(),
         runs::max_attempts(),
         jobs::cancelled_stays_cancelled(),
@@ -37,7 +37,7 @@
         runs::gangs_together(),
         configuration::one_of_two_rivals(),
         configuration::takes_effect(),
-        configuration::takes_hold_in_effect(),
+        configuration::quota_takes_effect(),
         configuration::never_slides_back(),
         outage::back_after_an_outage(),
         jobs::all_come_to_an_end(),
--- a/testkit/tests/checkers_cases/outage.rs
+++ b/testkit/tests/checkers_cases/outage.rs
@@ -1,11 +1,12 @@
-//! Normal service after an outage.
+//! Cases for normal service after an outage.
 
-use super::events::{able, node, started, submitted, task, up};
+use super::events::{availability, node_version, run_started, submit_answered, task, worker_up};
 use super::{Case, Day};
 use landingdrift::state::JobSpec;
 use landingdrift_testkit::history::Event;
 
-fn recovery_job(ends: &str) -> Day {
+/// An outage and a recovery job whose last observed state is `state`.
+fn recovery_job(state: &str) -> Day {
     let id = "muster-1".to_string();
     let spec = JobSpec {
         id: id.clone(),
@@ -13,47 +14,48 @@
         tasks: vec![task("a")],
         ..JobSpec::default()
     };
-    let mut run = started("w", 1, "a");
+    let mut run = run_started("w", 1, "a");
     if let Event::RunStarted { job, .. } = &mut run {
         *job = id.clone();
     }
     vec![
-        (0, up("w")),
+        (0, worker_up("w")),
         (0, Event::OutageEnded),
-        (0, able(3)),
+        (0, availability(3)),
         (1, Event::Offered { spec }),
-        (2, submitted(&id, 202, "")),
+        (2, submit_answered(&id, 202, "")),
         (3, run),
         (
             9000,
             Event::StateAnswered {
                 id,
                 status: 200,
-                state: ends.into(),
+                state: state.into(),
                 unsure: false,
                 stale: false,
             },
         ),
-        (9500, node(0, "", true)),
+        (9500, node_version(0, "", true)),
         (13_000, Event::LoadEnded),
     ]
 }
 
 pub(super) fn back_after_an_outage() -> Vec<Case> {
     vec![
-        // One accepted job and one start don't make normal service.
+        // An accepted job and a start are not enough: recovery jobs have to end.
         Case {
             rule: "back after an outage",
             violating: recovery_job("running"),
-            sound: recovery_job("done"),
+            conforming: recovery_job("done"),
         },
+        // The node does not report ready within the bound.
         Case {
             rule: "back after an outage",
             violating: recovery_job("done")
                 .into_iter()
                 .filter(|(t, _)| *t != 9500)
                 .collect(),
-            sound: recovery_job("done"),
+            conforming: recovery_job("done"),
         },
     ]
 }
--- a/testkit/tests/checkers_cases/runs.rs
+++ b/testkit/tests/checkers_cases/runs.rs
@@ -1,7 +1,9 @@
-//! How tasks run: in order, in time, not more often than they may, gangs together.
+//! Cases for runs: dependencies, due times, limits on attempts, gangs.
 
 use super::events::{
-    acked, after, asked, configured, ended, gang, offered, one, rule_settings, started, task, up,
+    config_acknowledged, config_requested, dependent_task, gang_member, offered,
+    one_task_job_offered, rule_settings, run_ended, run_started, task, worker_up,
+    zone_config_acknowledged,
 };
 use super::Case;
 use landingdrift::state::{Outcome, TaskSpec};
@@ -12,35 +14,35 @@
         Case {
             rule: "no repeat without leave",
             violating: vec![
-                (0, one()),
-                (1, up("w")),
-                (1, up("v")),
-                (2, started("w", 1, "a")),
-                (3, started("v", 2, "a")),
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (1, worker_up("v")),
+                (2, run_started("w", 1, "a")),
+                (3, run_started("v", 2, "a")),
             ],
-            sound: vec![
-                (0, one()),
-                (1, up("w")),
-                (1, up("v")),
-                (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Failed)),
-                (4, started("v", 2, "a")),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (1, worker_up("v")),
+                (2, run_started("w", 1, "a")),
+                (3, run_ended("w", 1, "a", Outcome::Failed)),
+                (4, run_started("v", 2, "a")),
             ],
         },
         Case {
             rule: "no repeat without leave",
             violating: vec![
-                (0, one()),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Succeeded)),
-                (4, started("w", 2, "a")),
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, run_ended("w", 1, "a", Outcome::Succeeded)),
+                (4, run_started("w", 2, "a")),
             ],
-            sound: vec![
-                (0, one()),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Succeeded)),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, run_ended("w", 1, "a", Outcome::Succeeded)),
             ],
         },
     ]
@@ -50,16 +52,16 @@
     vec![Case {
         rule: "steps in order",
         violating: vec![
-            (0, offered(vec![task("a"), after("b", "a")])),
-            (1, up("w")),
-            (2, started("w", 1, "b")),
+            (0, offered(vec![task("a"), dependent_task("b", "a")])),
+            (1, worker_up("w")),
+            (2, run_started("w", 1, "b")),
         ],
-        sound: vec![
-            (0, offered(vec![task("a"), after("b", "a")])),
-            (1, up("w")),
-            (2, started("w", 1, "a")),
-            (3, ended("w", 1, "a", Outcome::Succeeded)),
-            (4, started("w", 2, "b")),
+        conforming: vec![
+            (0, offered(vec![task("a"), dependent_task("b", "a")])),
+            (1, worker_up("w")),
+            (2, run_started("w", 1, "a")),
+            (3, run_ended("w", 1, "a", Outcome::Succeeded)),
+            (4, run_started("w", 2, "b")),
         ],
     }]
 }
@@ -75,10 +77,10 @@
                     ..task("a")
                 }]),
             ),
-            (1, up("w")),
-            (2, started("w", 1, "a")),
+            (1, worker_up("w")),
+            (2, run_started("w", 1, "a")),
         ],
-        sound: vec![
+        conforming: vec![
             (
                 0,
                 offered(vec![TaskSpec {
@@ -86,8 +88,8 @@
                     ..task("a")
                 }]),
             ),
-            (1, up("w")),
-            (9001, started("w", 1, "a")),
+            (1, worker_up("w")),
+            (9001, run_started("w", 1, "a")),
         ],
     }]
 }
@@ -97,49 +99,49 @@
         Case {
             rule: "tries",
             violating: vec![
-                (0, asked("c", rule_settings("serving", 2, 100))),
-                (0, configured("c", 0, 1, "serving")),
-                (0, one()),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Failed)),
-                (4, started("w", 2, "a")),
-                (5, ended("w", 2, "a", Outcome::Failed)),
-                (6, started("w", 3, "a")),
+                (0, config_requested("c", rule_settings("serving", 2, 100))),
+                (0, zone_config_acknowledged("c", 0, 1, "serving")),
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, run_ended("w", 1, "a", Outcome::Failed)),
+                (4, run_started("w", 2, "a")),
+                (5, run_ended("w", 2, "a", Outcome::Failed)),
+                (6, run_started("w", 3, "a")),
             ],
-            sound: vec![
-                (0, asked("c", rule_settings("serving", 2, 100))),
-                (0, configured("c", 0, 1, "serving")),
-                (0, one()),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Failed)),
-                (4, started("w", 2, "a")),
+            conforming: vec![
+                (0, config_requested("c", rule_settings("serving", 2, 100))),
+                (0, zone_config_acknowledged("c", 0, 1, "serving")),
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, run_ended("w", 1, "a", Outcome::Failed)),
+                (4, run_started("w", 2, "a")),
             ],
         },
-        // The limit in force counts, not the largest there ever was.
+        // The limit in force counts, not the largest of the day.
         Case {
             rule: "tries",
             violating: vec![
-                (0, asked("c", rule_settings("", 3, 9))),
-                (0, acked("c", 0, 1, rule_settings("", 3, 9))),
-                (0, one()),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Failed)),
-                (4, asked("d", rule_settings("", 1, 9))),
-                (5, acked("d", 1, 2, rule_settings("", 1, 9))),
-                (2100, started("w", 2, "a")),
+                (0, config_requested("c", rule_settings("", 3, 9))),
+                (0, config_acknowledged("c", 0, 1, rule_settings("", 3, 9))),
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, run_ended("w", 1, "a", Outcome::Failed)),
+                (4, config_requested("d", rule_settings("", 1, 9))),
+                (5, config_acknowledged("d", 1, 2, rule_settings("", 1, 9))),
+                (2100, run_started("w", 2, "a")),
             ],
-            sound: vec![
-                (0, asked("c", rule_settings("", 1, 9))),
-                (0, acked("c", 0, 1, rule_settings("", 1, 9))),
-                (0, one()),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Failed)),
-                (4, asked("d", rule_settings("", 3, 9))),
-                (2100, started("w", 2, "a")),
+            conforming: vec![
+                (0, config_requested("c", rule_settings("", 1, 9))),
+                (0, config_acknowledged("c", 0, 1, rule_settings("", 1, 9))),
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, run_ended("w", 1, "a", Outcome::Failed)),
+                (4, config_requested("d", rule_settings("", 3, 9))),
+                (2100, run_started("w", 2, "a")),
             ],
         },
     ]
@@ -150,44 +152,44 @@
         Case {
             rule: "gangs together",
             violating: vec![
-                (0, offered(vec![gang("a"), gang("b")])),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (9000, ended("w", 1, "a", Outcome::Succeeded)),
+                (0, offered(vec![gang_member("a"), gang_member("b")])),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (9000, run_ended("w", 1, "a", Outcome::Succeeded)),
             ],
-            sound: vec![
-                (0, offered(vec![gang("a"), gang("b")])),
-                (1, up("w")),
-                (1, up("v")),
-                (2, started("w", 1, "a")),
-                (50, started("v", 2, "b")),
-                (9000, ended("w", 1, "a", Outcome::Succeeded)),
+            conforming: vec![
+                (0, offered(vec![gang_member("a"), gang_member("b")])),
+                (1, worker_up("w")),
+                (1, worker_up("v")),
+                (2, run_started("w", 1, "a")),
+                (50, run_started("v", 2, "b")),
+                (9000, run_ended("w", 1, "a", Outcome::Succeeded)),
             ],
         },
-        // Half a second alone is nothing, two seconds are too long unless a fault struck.
+        // Two seconds without the partner exceed the bound, unless a fault was active.
         Case {
             rule: "gangs together",
             violating: vec![
-                (0, offered(vec![gang("a"), gang("b")])),
-                (1, up("w")),
-                (1, up("v")),
-                (2, started("w", 1, "a")),
-                (2000, started("v", 2, "b")),
-                (9000, ended("w", 1, "a", Outcome::Succeeded)),
+                (0, offered(vec![gang_member("a"), gang_member("b")])),
+                (1, worker_up("w")),
+                (1, worker_up("v")),
+                (2, run_started("w", 1, "a")),
+                (2000, run_started("v", 2, "b")),
+                (9000, run_ended("w", 1, "a", Outcome::Succeeded)),
             ],
-            sound: vec![
-                (0, offered(vec![gang("a"), gang("b")])),
+            conforming: vec![
+                (0, offered(vec![gang_member("a"), gang_member("b")])),
                 (
                     0,
                     Event::FaultBegan {
                         description: "WorkerCut 1".into(),
                     },
                 ),
-                (1, up("w")),
-                (1, up("v")),
-                (2, started("w", 1, "a")),
-                (2000, started("v", 2, "b")),
-                (9000, ended("w", 1, "a", Outcome::Succeeded)),
+                (1, worker_up("w")),
+                (1, worker_up("v")),
+                (2, run_started("w", 1, "a")),
+                (2000, run_started("v", 2, "b")),
+                (9000, run_ended("w", 1, "a", Outcome::Succeeded)),
             ],
         },
     ]
--- a/testkit/tests/checkers_cases/workers.rs
+++ b/testkit/tests/checkers_cases/workers.rs
@@ -1,42 +1,45 @@
-//! Where tasks run: in capacity and on workers and in zones that may have them.
+//! Cases for placement: capacity, services and labels, leaving workers, emptied zones.
 
-use super::events::{changed, configured, ended, offered, one, started, task, up};
+use super::events::{
+    offered, one_task_job_offered, run_ended, run_started, task, worker_changed, worker_up,
+    zone_config_acknowledged,
+};
 use super::Case;
 use landingdrift::state::{Outcome, TaskSpec};
 use landingdrift_testkit::history::Event;
 
-pub(super) fn cpu() -> Vec<Case> {
+pub(super) fn capacity() -> Vec<Case> {
     vec![
         Case {
             rule: "room",
             violating: vec![
                 (0, offered(vec![task("a"), task("b")])),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, started("w", 2, "b")),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, run_started("w", 2, "b")),
             ],
-            sound: vec![
+            conforming: vec![
                 (0, offered(vec![task("a"), task("b")])),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, ended("w", 1, "a", Outcome::Succeeded)),
-                (4, started("w", 2, "b")),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, run_ended("w", 1, "a", Outcome::Succeeded)),
+                (4, run_started("w", 2, "b")),
             ],
         },
-        // Room and labels may change under way.
+        // A reduced capacity applies to later starts only.
         Case {
             rule: "room",
             violating: vec![
-                (0, one()),
-                (1, up("w")),
-                (2, changed(1, &["l"])),
-                (3, started("w", 1, "a")),
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (2, worker_changed(1, &["l"])),
+                (3, run_started("w", 1, "a")),
             ],
-            sound: vec![
-                (0, one()),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
-                (3, changed(1, &["l"])),
+            conforming: vec![
+                (0, one_task_job_offered()),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
+                (3, worker_changed(1, &["l"])),
             ],
         },
     ]
@@ -54,11 +57,11 @@
                         ..task("a")
                     }]),
                 ),
-                (1, up("w")),
-                (2, changed(3, &[])),
-                (3, started("w", 1, "a")),
+                (1, worker_up("w")),
+                (2, worker_changed(3, &[])),
+                (3, run_started("w", 1, "a")),
             ],
-            sound: vec![
+            conforming: vec![
                 (
                     0,
                     offered(vec![TaskSpec {
@@ -66,9 +69,9 @@
                         ..task("a")
                     }]),
                 ),
-                (1, up("w")),
-                (2, changed(3, &["l"])),
-                (3, started("w", 1, "a")),
+                (1, worker_up("w")),
+                (2, worker_changed(3, &["l"])),
+                (3, run_started("w", 1, "a")),
             ],
         },
         Case {
@@ -81,10 +84,10 @@
                         ..task("a")
                     }]),
                 ),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
             ],
-            sound: vec![
+            conforming: vec![
                 (
                     0,
                     offered(vec![TaskSpec {
@@ -92,8 +95,8 @@
                         ..task("a")
                     }]),
                 ),
-                (1, up("w")),
-                (2, started("w", 1, "a")),
+                (1, worker_up("w")),
+                (2, run_started("w", 1, "a")),
             ],
         },
     ]
@@ -103,16 +106,16 @@
     vec![Case {
         rule: "leaving workers",
         violating: vec![
-            (0, one()),
-            (1, up("w")),
+            (0, one_task_job_offered()),
+            (1, worker_up("w")),
             (2, Event::WorkerLeaving { worker: "w".into() }),
-            (2500, started("w", 1, "a")),
+            (2500, run_started("w", 1, "a")),
         ],
-        sound: vec![
-            (0, one()),
-            (1, up("w")),
+        conforming: vec![
+            (0, one_task_job_offered()),
+            (1, worker_up("w")),
             (2, Event::WorkerLeaving { worker: "w".into() }),
-            (1500, started("w", 1, "a")),
+            (1500, run_started("w", 1, "a")),
         ],
     }]
 }
@@ -121,17 +124,17 @@
     vec![Case {
         rule: "emptied zones",
         violating: vec![
-            (0, one()),
-            (1, up("w")),
-            (2, configured("c", 0, 1, "evacuated")),
-            (6000, started("w", 1, "a")),
+            (0, one_task_job_offered()),
+            (1, worker_up("w")),
+            (2, zone_config_acknowledged("c", 0, 1, "evacuated")),
+            (6000, run_started("w", 1, "a")),
         ],
-        sound: vec![
-            (0, one()),
-            (1, up("w")),
-            (2, configured("c", 0, 1, "evacuated")),
-            (3, configured("d", 1, 2, "serving")),
-            (6000, started("w", 1, "a")),
+        conforming: vec![
+            (0, one_task_job_offered()),
+            (1, worker_up("w")),
+            (2, zone_config_acknowledged("c", 0, 1, "evacuated")),
+            (3, zone_config_acknowledged("d", 1, 2, "serving")),
+            (6000, run_started("w", 1, "a")),
         ],
     }]
 }
