--- a/testkit/tests/bad_input.rs
+++ b/testkit/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Wrong scenarios and command lines: a message with the remedy and exit code 2; nothing panics or hangs.
+//! Invalid scenario files and command lines end with exit code 2 and a message that names the remedy, without a panic
+//! or a hang.
 
 use std::process::{Command, Output};
 
@@ -6,11 +7,11 @@
     Command::new(env!("CARGO_BIN_EXE_testkit"))
         .args(arguments)
         .output()
-        .expect("the program runs")
+        .expect("failed to run the testkit program")
 }
 
 #[test]
-fn wrong_scenarios_are_refused_with_the_field_and_the_remedy() {
+fn invalid_scenarios_are_rejected_with_the_field_and_the_remedy() {
     let cases = [
         ("", "missing field `shape`"),
         ("shape = 'round'\nseconds = 5", "unknown variant"),
@@ -25,10 +26,10 @@
         ("shape = 'odvoza'\nseconds = 5\n[[faults]]\nat = -1\nkind = 'kill'", "invalid value"),
     ];
     let folder = std::env::temp_dir().join(format!("landingdrift-bad-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder for the cases");
+    std::fs::create_dir_all(&folder).expect("failed to create the folder for the cases");
     let file = folder.join("case.toml");
     for (text, remedy) in cases {
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("failed to write the scenario file");
         for command in ["run", "sweep", "fleet"] {
             let path = file.to_string_lossy().into_owned();
             let arguments = if command == "fleet" {
@@ -45,7 +46,7 @@
             );
             assert!(
                 message.contains(remedy),
-                "{command} of {text:?} should say '{remedy}': {message}"
+                "{command} of {text:?}: the message lacks '{remedy}': {message}"
             );
         }
     }
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn wrong_arguments_are_refused() {
+fn invalid_arguments_are_rejected() {
     let file = "scenarios/plain.toml";
     let cases: [&[&str]; 6] = [
         &["run", "no-such-file.toml"],
@@ -71,15 +72,15 @@
             "{arguments:?}: {}",
             String::from_utf8_lossy(&out.stderr)
         );
-        assert!(!out.stderr.is_empty(), "{arguments:?}");
+        assert!(!out.stderr.is_empty(), "{arguments:?}: no message");
     }
 }
 
 #[test]
-fn the_flags_of_the_soak_are_taken() {
+fn soak_accepts_its_flags() {
     let arguments = ["soak", "--seeds", "0", "--faults", "3", "--small", "2"];
     let out = testkit(&arguments);
-    let said = String::from_utf8_lossy(&out.stdout).into_owned();
-    assert_eq!(out.status.code(), Some(0), "{said}");
-    assert!(said.starts_with("0 seeds from 1"), "{said}");
+    let stdout = String::from_utf8_lossy(&out.stdout).into_owned();
+    assert_eq!(out.status.code(), Some(0), "{stdout}");
+    assert!(stdout.starts_with("0 seeds from 1"), "{stdout}");
 }
--- a/testkit/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -1,12 +1,12 @@
-//! Source files stay small: one that has grown large is split into modules, not let grow.
+//! Limits the length of source files: longer ones have to be split into modules.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// The most lines of a source file.
+/// The limit on the lines of a source file.
 const MAX_LINES: usize = 400;
 
-/// Files that are larger, with the lines that they may have. Entries go or shrink; none is added and none grows.
+/// Exceptions with their own limits. Entries may only be removed or lowered.
 const LARGE_FILES: &[(&str, usize)] = &[];
 
 /// The root of the workspace.
@@ -14,11 +14,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// Adds the source files of a folder, by their paths from the root, with their numbers of lines.
+/// Adds the line counts of the source files in a folder and its subfolders, by path from the root.
 fn add_sources(root: &Path, folder: &str, sources: &mut BTreeMap<String, usize>) {
     let entries = std::fs::read_dir(root.join(folder)).unwrap_or_else(|e| panic!("{folder}: {e}"));
     for entry in entries {
-        let entry = entry.expect("an entry of the folder can be read");
+        let entry = entry.expect("failed to read a folder's entry");
         let name = entry.file_name().to_string_lossy().into_owned();
         let path = format!("{folder}/{name}");
         if entry.path().is_dir() {
@@ -26,50 +26,59 @@
                 add_sources(root, &path, sources);
             }
         } else if name.ends_with(".rs") {
-            let text = std::fs::read_to_string(entry.path()).expect("a source file is text");
+            let text = std::fs::read_to_string(entry.path()).expect("failed to read a source file");
             sources.insert(path, text.lines().count());
         }
     }
 }
 
-/// All source files of the workspace's members.
+/// The line counts of all source files of the workspace's members, by path from the root.
 fn sources() -> BTreeMap<String, usize> {
     let root = workspace();
-    let manifest = std::fs::read_to_string(root.join("Cargo.toml")).expect("the manifest is there");
-    let manifest: toml::Table = manifest.parse().expect("the manifest is TOML");
+    let manifest =
+        std::fs::read_to_string(root.join("Cargo.toml")).expect("failed to read Cargo.toml");
+    let manifest: toml::Table = manifest.parse().expect("failed to parse Cargo.toml");
     let mut sources = BTreeMap::new();
-    for member in manifest["workspace"]["members"].as_array().expect("a list") {
-        add_sources(&root, member.as_str().expect("a folder"), &mut sources);
+    for member in manifest["workspace"]["members"]
+        .as_array()
+        .expect("members is a list")
+    {
+        add_sources(
+            &root,
+            member.as_str().expect("a member is a path"),
+            &mut sources,
+        );
     }
     sources
 }
 
-/// What is wrong with the sizes of source files, given the large ones that are let be.
+/// Messages on files above their limits and on exceptions that are no longer needed.
 fn failures(sources: &BTreeMap<String, usize>, large: &[(&str, usize)]) -> Vec<String> {
     let large: BTreeMap<&str, usize> = large.iter().copied().collect();
-    let grown = sources.iter().filter_map(|(path, lines)| {
-        let most = large.get(path.as_str()).copied().unwrap_or(MAX_LINES);
-        (*lines > most).then(|| format!("{path} has {lines} lines, more than {most}: split it"))
+    let too_long = sources.iter().filter_map(|(path, lines)| {
+        let max = large.get(path.as_str()).copied().unwrap_or(MAX_LINES);
+        (*lines > max).then(|| format!("{path} has {lines} lines, the limit is {max}: split it"))
     });
     let needless = large.keys().filter_map(|path| {
         let lines = sources.get(*path).copied().unwrap_or(0);
-        (lines <= MAX_LINES).then(|| format!("{path} isn't large any more: take it off the list"))
+        (lines <= MAX_LINES)
+            .then(|| format!("{path} no longer exceeds the limit: remove it from the list"))
     });
-    grown.chain(needless).collect()
+    too_long.chain(needless).collect()
 }
 
 #[test]
-fn no_source_file_is_large_that_was_not_before() {
+fn no_source_file_exceeds_its_limit() {
     let sources = sources();
     assert!(
         sources.contains_key("testkit/tests/code_shape.rs"),
-        "this very file is found"
+        "the search must find this file"
     );
     assert_eq!(failures(&sources, LARGE_FILES), Vec::<String>::new());
 }
 
 #[test]
-fn files_that_grow_and_needless_entries_are_reported() {
+fn long_files_and_needless_exceptions_are_reported() {
     let sources = BTreeMap::from([
         ("small.rs".to_string(), MAX_LINES),
         ("new.rs".to_string(), MAX_LINES + 1),
@@ -86,10 +95,10 @@
     assert_eq!(
         failures(&sources, &large),
         [
-            "grown.rs has 501 lines, more than 500: split it",
-            "new.rs has 401 lines, more than 400: split it",
-            "gone.rs isn't large any more: take it off the list",
-            "shrunk.rs isn't large any more: take it off the list",
+            "grown.rs has 501 lines, the limit is 500: split it",
+            "new.rs has 401 lines, the limit is 400: split it",
+            "gone.rs no longer exceeds the limit: remove it from the list",
+            "shrunk.rs no longer exceeds the limit: remove it from the list",
         ]
     );
 }
--- a/testkit/tests/module_imports.rs
+++ b/testkit/tests/module_imports.rs
@@ -1,9 +1,9 @@
-//! The modules of `landingdrift` import one way only, in the order that docs/architecture.md shows.
+//! The modules of `landingdrift` form layers without upward imports, in the order of docs/architecture.md.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The modules from the bottom up. Each may import those before it, and no others.
+/// The modules from the bottom layer up. Each may import only the modules before it.
 const LAYERS: &[&str] = &[
     "settings",
     "wire",
@@ -25,12 +25,12 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../landingdrift/src")
 }
 
-/// The Rust files of a folder and its folders.
+/// The Rust files in a folder and its subfolders.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(folder).expect("the folder can be read");
+    let entries = std::fs::read_dir(folder).expect("failed to read a folder");
     let mut files = Vec::new();
     for entry in entries {
-        let path = entry.expect("an entry of the folder can be read").path();
+        let path = entry.expect("failed to read a folder's entry").path();
         if path.is_dir() {
             files.extend(rust_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -40,7 +40,7 @@
     files
 }
 
-/// The modules of the crate that a text names by `crate::`.
+/// The modules that a source text names by `crate::`.
 fn imported_modules(text: &str) -> BTreeSet<&str> {
     let after_crate = text.split("crate::").skip(1);
     let names = after_crate.filter_map(|rest| {
@@ -50,26 +50,26 @@
     names.filter(|name| LAYERS.contains(name)).collect()
 }
 
-/// What a module imports although it stands below it.
+/// A message for each import of a higher module in a module's source text.
 fn forbidden_imports(module: &str, text: &str) -> Vec<String> {
     let layer = LAYERS.iter().position(|name| *name == module);
-    let below = &LAYERS[..layer.expect("a module of the list")];
+    let below = &LAYERS[..layer.expect("the module is not in LAYERS")];
     let imported = imported_modules(text).into_iter();
     let forbidden = imported.filter(|name| *name != module && !below.contains(name));
     forbidden
-        .map(|name| format!("{module} imports {name}, which stands above it"))
+        .map(|name| format!("{module} imports {name}, which is in a higher layer"))
         .collect()
 }
 
 #[test]
-fn every_module_imports_only_those_below_it() {
+fn every_module_imports_only_lower_layers() {
     let mut found = Vec::new();
     for module in LAYERS {
         let folder = source_root().join(module);
         let files = rust_files(&folder);
-        assert!(!files.is_empty(), "{module} has sources");
+        assert!(!files.is_empty(), "no sources found for {module}");
         for file in files {
-            let text = std::fs::read_to_string(&file).expect("a source file is text");
+            let text = std::fs::read_to_string(&file).expect("failed to read a source file");
             found.extend(forbidden_imports(module, &text));
         }
     }
@@ -77,19 +77,19 @@
 }
 
 #[test]
-fn every_module_has_its_place() {
-    let lib = std::fs::read_to_string(source_root().join("lib.rs")).expect("lib.rs is there");
+fn every_module_has_a_layer() {
+    let lib = std::fs::read_to_string(source_root().join("lib.rs")).expect("failed to read lib.rs");
     let modules = lib.lines().filter_map(|line| line.strip_prefix("pub mod "));
     let modules: BTreeSet<&str> = modules.filter_map(|m| m.strip_suffix(';')).collect();
     assert_eq!(modules, LAYERS.iter().copied().collect());
 }
 
 #[test]
-fn an_import_of_a_module_above_is_found() {
+fn an_import_of_a_higher_layer_is_reported() {
     let upward = "use crate::daemon::Process;\nuse crate::wire::Body;";
     assert_eq!(
         forbidden_imports("state", upward),
-        ["state imports daemon, which stands above it"]
+        ["state imports daemon, which is in a higher layer"]
     );
     assert!(forbidden_imports("daemon", upward).is_empty());
 }
--- a/testkit/tests/narrow_links.rs
+++ b/testkit/tests/narrow_links.rs
@@ -1,12 +1,14 @@
-//! Nodes on narrow links: what they are asked for arrives before the caller gives up.
+//! Nodes on narrow links must redirect reads of a large configuration: sent over their own links, the answer would come
+//! after the caller's timeout.
 
 use landingdrift_testkit::history::Event;
 use landingdrift_testkit::scenario::Scenario;
 use landingdrift_testkit::simulator::simulate;
 
 #[test]
-fn a_large_configuration_is_read_back_in_time_though_most_nodes_have_narrow_links() {
-    let scenario = Scenario::load("scenarios/large-config.toml").expect("the scenario is there");
+fn reads_of_a_large_configuration_are_answered_in_time_despite_narrow_links() {
+    let scenario =
+        Scenario::load("scenarios/large-config.toml").expect("failed to load the scenario");
     let mut redirected = 0;
     for seed in &scenario.seeds {
         let (report, _) = simulate(&scenario, *seed);
@@ -14,15 +16,18 @@
         let reads = events
             .clone()
             .filter(|e| matches!(e, Event::ConfigRead { .. }));
-        assert!(reads.count() > 0, "seed {seed}: nothing was read");
+        assert!(reads.count() > 0, "seed {seed}: no read was answered");
         let unanswered = events.filter(|e| matches!(e, Event::ConfigReadUnanswered { .. }));
         let unanswered: Vec<&Event> = unanswered.collect();
-        assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}");
+        assert!(
+            unanswered.is_empty(),
+            "seed {seed}: unanswered reads: {unanswered:?}"
+        );
         redirected += report
             .counters
             .get("node_reads_redirected")
             .copied()
             .unwrap_or(0);
     }
-    assert!(redirected > 0, "no read came to a node with a narrow link");
+    assert!(redirected > 0, "no node redirected a read");
 }
--- a/testkit/tests/promises.rs
+++ b/testkit/tests/promises.rs
@@ -1,11 +1,11 @@
-//! The table of promises names what is there, and leaves nothing out.
+//! docs/promises.md lists exactly the existing scenarios, checkers, kinds of faults and test files.
 
 use landingdrift_testkit::checkers::ALL;
 use landingdrift_testkit::scenario::FaultKind;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The names of the files of a folder that end with `suffix`.
+/// The names of the files in a folder that end with `suffix`.
 fn file_names(folder: &str, suffix: &str) -> BTreeSet<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     std::fs::read_dir(&path)
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn every_row_names_what_is_there_and_nothing_is_without_a_row() {
+fn the_table_lists_every_existing_item_and_no_other() {
     let text =
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/promises.md"))
-            .expect("docs/promises.md is there");
+            .expect("failed to read docs/promises.md");
     let named = |kind: &str| -> BTreeSet<String> {
         text.split('`')
             .skip(1)
--- a/testkit/tests/simulator.rs
+++ b/testkit/tests/simulator.rs
@@ -1,16 +1,16 @@
-//! The simulator itself: the same seed gives the same history, another one another.
+//! Tests of the simulator itself: a seed determines the history, and faults have their effects.
 
 use landingdrift_testkit::scenario::Scenario;
 use landingdrift_testkit::simulator::simulate;
 
 fn storm() -> Scenario {
-    let mut scenario = Scenario::load("scenarios/storm.toml").expect("the scenario is there");
+    let mut scenario = Scenario::load("scenarios/storm.toml").expect("failed to load the scenario");
     scenario.seconds = 10;
     scenario
 }
 
 #[test]
-fn the_same_seed_gives_the_same_history_byte_for_byte() {
+fn the_same_seed_gives_identical_histories() {
     let (first, _) = simulate(&storm(), 11);
     let (second, _) = simulate(&storm(), 11);
     assert_eq!(first.history.json_lines(), second.history.json_lines());
@@ -20,28 +20,32 @@
 }
 
 #[test]
-fn faults_bite() {
-    // What the scenarios rely on really happens: disks lose, workers are lost, leaders change.
-    let seen = |file: &str, seed: u64, counter: &str| {
+fn faults_have_their_effects() {
+    // Guards against scenarios whose faults do nothing: the system's counters must show the effects.
+    let count = |file: &str, seed: u64, counter: &str| {
         let path = format!("scenarios/{file}.toml");
-        let scenario = Scenario::load(&path).expect("the scenario is there");
+        let scenario = Scenario::load(&path).expect("failed to load the scenario");
         let (report, _) = simulate(&scenario, seed);
         report.counters.get(counter).copied().unwrap_or(0)
     };
-    // Whether a single disk's last batch held entries is random, so the losses of three days are summed up.
+    // Whether a lost batch contains entries is random, so the losses of three days are summed.
     let losses: u64 = (1..=3)
-        .map(|seed| seen("tail", seed, "core_disk_losses_seen"))
+        .map(|seed| count("tail", seed, "core_disk_losses_seen"))
         .sum();
-    assert!(losses >= 3, "disks lost what they confirmed {losses} times");
-    assert!(seen("workers", 1, "node_workers_lost") >= 3);
-    assert!(seen("core", 1, "core_leaderships") >= 4);
-    assert!(seen("core", 1, "node_own_freezes") >= 1);
-    assert!(seen("disks", 1, "core_disk_refused") >= 2);
-    assert!(seen("disks", 1, "core_disk_stalled") >= 1);
-    let refused = seen("upgrade", 1, "frames_of_another_version");
-    assert!(refused > 100, "builds of two versions met {refused} times");
     assert!(
-        seen("replace", 1, "core_captures_installed") + seen("replace", 1, "core_entries_applied")
+        losses >= 3,
+        "replicas noticed only {losses} losses of confirmed data"
+    );
+    assert!(count("workers", 1, "node_workers_lost") >= 3);
+    assert!(count("core", 1, "core_leaderships") >= 4);
+    assert!(count("core", 1, "node_own_freezes") >= 1);
+    assert!(count("disks", 1, "core_disk_refused") >= 2);
+    assert!(count("disks", 1, "core_disk_stalled") >= 1);
+    let rejected = count("upgrade", 1, "frames_of_another_version");
+    assert!(rejected > 100, "only {rejected} frames of another version");
+    assert!(
+        count("replace", 1, "core_captures_installed")
+            + count("replace", 1, "core_entries_applied")
             > 0
     );
 }
