--- a/landingdrift/tests/stored/history.rs
+++ b/landingdrift/tests/stored/history.rs
@@ -1,4 +1,4 @@
-//! The entries of a small cluster's history, of every kind of command; they leave no collection of the cluster state empty.
+//! The log entries of a small cluster, with every kind of command. They leave no collection of the cluster state empty.
 
 use landingdrift::state::{
     ClusterState, Command, EndReport, JobSpec, Order, Outcome, Placement, ProposalId,
@@ -6,50 +6,50 @@
 };
 use serde_json::json;
 
-/// The agreed time of the first entry, in milliseconds since 1970.
+/// Cluster time of the first entry, in milliseconds since 1970.
 const START_MS: u64 = 1_700_000_000_000;
-/// The agreed time between two entries.
+/// Cluster time between two entries, in milliseconds.
 const STEP_MS: u64 = 10;
-/// How long the answers to orders are kept: longer than the whole history.
+/// Deadline of all orders: after the end of the history, so that their results are kept.
 const DEADLINE_MS: u64 = START_MS + 3_600_000;
 
-/// An entry and the agreed time at which it entered the log.
-pub struct Stamped {
+/// An entry with its log index and the cluster time at which it was appended.
+pub struct HistoryEntry {
     pub log_index: u64,
     pub at: u64,
     pub command: Command,
 }
 
-/// The entries, with the cluster state that follows from them.
+/// The entries, and the cluster state that results from them.
 pub struct History {
-    pub entries: Vec<Stamped>,
+    pub entries: Vec<HistoryEntry>,
     pub state: ClusterState,
 }
 
 impl History {
-    /// All of it; every entry but those that are meant to be refused is accepted.
+    /// Builds the whole history. Every entry is accepted, except those that are meant to be rejected.
     pub fn whole() -> Self {
         let mut history = Self {
             entries: Vec::new(),
             state: ClusterState::new("stored"),
         };
         history.members();
-        history.grants_and_configuration();
+        history.leases_and_configuration();
         history.workers();
-        history.job_that_leaves_a_tomb();
+        history.job_with_tombstone();
         history.job_of_steps();
-        history.jobs_that_run();
-        history.worker_that_is_lost();
-        history.queue_that_is_retired();
+        history.running_jobs();
+        history.lost_worker();
+        history.retired_queue();
         history.orders();
         history
     }
 
-    fn enter(&mut self, command: Command) -> bool {
+    fn apply(&mut self, command: Command) -> bool {
         let log_index = self.state.applied_index + 1;
         let at = START_MS + log_index * STEP_MS;
         let accepted = self.state.apply(log_index, at, &command).is_ok();
-        self.entries.push(Stamped {
+        self.entries.push(HistoryEntry {
             log_index,
             at,
             command,
@@ -59,7 +59,7 @@
 
     fn accepted(&mut self, command: Command) {
         let shown = format!("{command:?}");
-        assert!(self.enter(command), "refused: {shown}");
+        assert!(self.apply(command), "rejected: {shown}");
     }
 
     fn order(&mut self, number: u64, action: Command) {
@@ -111,7 +111,7 @@
     }
 
     /// Epoch 1 is the zone scheduler of z1, 2 that of z2, 3 the queue `fast`, 4 the queue `old`.
-    fn grants_and_configuration(&mut self) {
+    fn leases_and_configuration(&mut self) {
         for lease in ["cell/z1", "cell/z2", "queue/fast", "queue/old"] {
             self.accepted(Command::GrantLease {
                 lease: lease.into(),
@@ -165,7 +165,7 @@
 
     fn accept(&mut self, spec: JobSpec, hash: u64) -> bool {
         let seen = self.state.applied_index;
-        self.enter(Command::AcceptJob { spec, hash, seen })
+        self.apply(Command::AcceptJob { spec, hash, seen })
     }
 
     fn start(&mut self, job: &str, owner_epoch: u64, tasks: &[u32], worker: &str) {
@@ -192,7 +192,7 @@
         });
     }
 
-    fn job_that_leaves_a_tomb(&mut self) {
+    fn job_with_tombstone(&mut self) {
         assert!(self.accept(job("forgotten", "fast", vec![task("a")]), 101));
         self.start("forgotten", 3, &[0], "w1");
         self.report("w1", &[], vec![end(1, Outcome::Succeeded, 40)]);
@@ -230,8 +230,8 @@
         self.report("w2", &[3, 4], Vec::new());
     }
 
-    /// Sends 5 (ended well), 6 (recalled while it runs) and 7 (expired).
-    fn jobs_that_run(&mut self) {
+    /// Attempts 5 (succeeded), 6 (asked to stop while it runs) and 7 (expired).
+    fn running_jobs(&mut self) {
         assert!(self.accept(job("done", "fast", vec![task("a")]), 103));
         self.start("done", 3, &[0], "w1");
         self.report("w1", &[5], vec![end(5, Outcome::Succeeded, 80)]);
@@ -268,8 +268,8 @@
         self.report("w1", &[], vec![named]);
     }
 
-    /// Send 8 is unsure, send 9 was, until the operator said how it ended.
-    fn worker_that_is_lost(&mut self) {
+    /// Attempt 8 has an unknown outcome; that of attempt 9 was unknown until the operator resolved it.
+    fn lost_worker(&mut self) {
         assert!(self.accept(job("unsure", "fast", vec![task("a"), task("b")]), 105));
         self.start("unsure", 3, &[0], "w3");
         self.start("unsure", 3, &[1], "w3");
@@ -288,7 +288,7 @@
         );
     }
 
-    fn queue_that_is_retired(&mut self) {
+    fn retired_queue(&mut self) {
         let plain = || TaskSpec {
             service: "t".into(),
             cpu: 1,
--- a/landingdrift/tests/stored/messages.rs
+++ b/landingdrift/tests/stored/messages.rs
@@ -1,4 +1,4 @@
-//! One message of each kind that goes over the wire; no two numbers in a message are alike.
+//! One wire message of each kind, with different values in all numeric fields of a message.
 
 use landingdrift::wire::{
     AppendRequest, AppendResponse, Body, DurabilityWitness, Entry, ForwardRequest, ForwardResponse,
@@ -8,10 +8,10 @@
     VoteRequest, VoteResponse, WatchBatch, WatchRequest, WatchSnapshotChunk,
 };
 
-/// How many kinds there are; [`number`] keeps it in step with the schema.
+/// Number of message kinds; must match the highest result of [`number`].
 pub const KINDS: usize = 23;
 
-/// The number of a kind in the union of the schema, counted from 1. A kind that is added must be given a fixture.
+/// The number of a message's kind in the union of the schema, from 1. A new kind must get a fixture.
 pub fn number(body: &Body) -> usize {
     match body {
         Body::Shuffle(_) => 1,
@@ -40,7 +40,7 @@
     }
 }
 
-/// All messages.
+/// One message of each kind.
 pub fn all() -> Vec<Body> {
     [
         elections(),
@@ -52,7 +52,7 @@
     .concat()
 }
 
-fn note(index: u64) -> DurabilityWitness {
+fn witness(index: u64) -> DurabilityWitness {
     DurabilityWitness {
         replica: format!("core-{index}"),
         disk: 71,
@@ -86,9 +86,9 @@
         last_term: 4,
         reply: true,
         knows: false,
-        witnessed: Box::new(note(5)),
+        witnessed: Box::new(witness(5)),
         members: vec!["a".into(), "b".into()],
-        witnesses: vec![note(6)],
+        witnesses: vec![witness(6)],
         zone: "z".into(),
     };
     let vote = VoteRequest {
@@ -127,7 +127,7 @@
         commit: 4,
         round: 5,
         entries: vec![entry()],
-        witnesses: vec![note(6)],
+        witnesses: vec![witness(6)],
         clock: 7,
         may_leave: true,
     };
--- a/landingdrift/tests/stored/mod.rs
+++ b/landingdrift/tests/stored/mod.rs
@@ -1,4 +1,4 @@
-//! The fixtures of `stored_data.rs`: where they are, and how each form is written.
+//! The fixtures of `stored_data.rs`: their paths, and how each format is written.
 
 pub mod history;
 pub mod messages;
@@ -16,9 +16,9 @@
 
 pub const CLUSTER: &str = "stored";
 pub const DISK: u64 = 77;
-/// Small, so that the folder has several segments.
+/// Small enough that the folder has several segments.
 pub const SEGMENT_BYTES: u64 = 512;
-/// Entries that go to the disk in one batch.
+/// Number of entries per write batch.
 const BATCH: usize = 5;
 /// The last entry of the first term.
 const FIRST_TERM_LAST: u64 = 38;
@@ -26,7 +26,7 @@
 const ENTRIES_AFTER_SNAPSHOT: usize = 14;
 const CORE: &str = "10.0.0.1:7000";
 
-/// The place of a fixture.
+/// The path of a fixture.
 pub fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures/stored")
@@ -41,13 +41,13 @@
     String::from_utf8(bytes(name)).expect("text")
 }
 
-/// The recording that is a fixture.
+/// Reads a fixture as a recording.
 pub fn recording(name: &str) -> Recording {
     let path = fixture(name);
     Recording::read(path.to_str().expect("a path in UTF-8")).expect("a recording that can be read")
 }
 
-/// A folder of the test's own, empty.
+/// Path of a scratch folder of this test process, which doesn't exist yet.
 pub fn scratch(name: &str) -> PathBuf {
     let own = format!("landingdrift-stored-{}-{name}", std::process::id());
     let path = std::env::temp_dir().join(own);
@@ -55,7 +55,7 @@
     path
 }
 
-/// What the log leases of a recorded line.
+/// The log entry of a recorded entry.
 pub fn entry(line: &RecordedEntry) -> Entry {
     Entry {
         index: line.log_index,
@@ -82,17 +82,17 @@
     }
 }
 
-pub fn notes() -> Vec<DurabilityWitness> {
-    let note = |replica: &str, disk: u64, index: u64| DurabilityWitness {
+pub fn witnesses() -> Vec<DurabilityWitness> {
+    let witness = |replica: &str, disk: u64, index: u64| DurabilityWitness {
         replica: replica.into(),
         disk,
         index,
         term: term(index),
     };
-    vec![note(CORE, 1, 40), note("10.0.0.2:7000", 2, 38)]
+    vec![witness(CORE, 1, 40), witness("10.0.0.2:7000", 2, 38)]
 }
 
-/// How many of the lines come before the snapshot.
+/// Number of recorded entries before the snapshot.
 pub fn before_snapshot(recording: &Recording) -> usize {
     recording.entries.len() - ENTRIES_AFTER_SNAPSHOT
 }
@@ -110,13 +110,13 @@
     }
 }
 
-/// Writes a log without a snapshot, and the entries of a recording in it.
+/// Creates a data folder without a snapshot, with the given entries in its log.
 pub fn write_log(path: &Path, lines: &[RecordedEntry]) -> DataFolder {
     let (mut folder, _) =
         DataFolder::open(path, CLUSTER, SEGMENT_BYTES, DISK).expect("a new folder");
     let first = WriteBatch {
         hard_state: Some(hard_state()),
-        witnesses: notes(),
+        witnesses: witnesses(),
         ..WriteBatch::default()
     };
     folder.save(&[first]).expect("saved");
@@ -146,13 +146,14 @@
     }
 }
 
-/// The answers to orders as JSON, which has no other form for them.
+/// The results of orders as JSON pairs, since their keys can't be keys of a JSON object.
 pub fn orders_json(state: &ClusterState) -> String {
     let orders: Vec<(&(u64, ProposalId), &Vec<u8>)> = state.orders.iter().collect();
     serde_json::to_string(&orders).expect("JSON")
 }
 
-/// A recording that begins with a cluster state and goes no further. JSON has no keys such as those of the orders.
+/// A recording without entries that starts from a cluster state. The results of orders are left out, since their keys
+/// can't be keys of a JSON object.
 pub fn recording_of(state: &ClusterState) -> Recording {
     let mut start = state.clone();
     start.orders.clear();
@@ -162,7 +163,7 @@
     }
 }
 
-/// What a node that follows the cluster state answers to a question for a job.
+/// The response of a node that follows the cluster state to a query for a job.
 pub fn answer(state: &ClusterState, job: &str) -> String {
     let now = Now { mono: 1, wall: 1 };
     let settings = Settings {
@@ -177,7 +178,7 @@
         path: format!("/v1/jobs/{job}"),
         ..Request::default()
     };
-    let watch = || Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(feed_batch(state))));
+    let watch = || Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(watch_batch(state))));
     let mut effects = node.step(now, watch());
     effects.extend(node.step(now, Msg::Call(1, call)));
     effects.extend(node.step(now, watch()));
@@ -190,7 +191,7 @@
         .expect("the call is answered")
 }
 
-fn feed_batch(state: &ClusterState) -> WatchBatch {
+fn watch_batch(state: &ClusterState) -> WatchBatch {
     WatchBatch {
         replica: CORE.into(),
         leader: CORE.into(),
@@ -211,7 +212,7 @@
     }
 }
 
-/// Settings of which none has its default.
+/// Settings that all differ from their defaults, except `jobs_memory_bytes`, which is newer than the fixture.
 pub fn settings() -> Settings {
     Settings {
         cluster: CLUSTER.into(),
@@ -269,7 +270,7 @@
     }
 }
 
-/// Says what the number of a command's kind is. A kind that is added must be given an entry in the history.
+/// The number of a command's kind. A new kind must get an entry in the history.
 pub fn kind(command: &Command) -> usize {
     match command {
         Command::TermStarted { .. } => 0,
@@ -295,5 +296,5 @@
     }
 }
 
-/// How many kinds of commands there are.
+/// Number of kinds of commands.
 pub const KINDS: usize = 20;
--- a/landingdrift/tests/stored/variants.rs
+++ b/landingdrift/tests/stored/variants.rs
@@ -1,9 +1,9 @@
-//! Every variant of what is stored by its name in JSON and by its number where it is packed.
+//! All variants of the types that are stored by name in JSON and by number in packed data.
 
 use landingdrift::state::{AttemptState, JobState, Outcome, Rejection, TaskState};
 use serde::{Deserialize, Serialize};
 
-/// One value of every variant. The matches below keep the lists whole: a variant that is added must be given a place.
+/// One value of every variant. The matches below are exhaustive, so that a new variant must be added to the lists.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Variants {
     pub outcomes: Vec<Outcome>,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The variants' numbers in the order of the lists, by matches that leave none out.
+    /// The numbers of the variants in the order of the lists.
     pub fn numbers(&self) -> Vec<Vec<usize>> {
         vec![
             self.outcomes.iter().map(outcome).collect(),
@@ -155,7 +155,7 @@
         Rejection::UnsuitableWorker { .. } => 16,
         Rejection::GangIncomplete => 17,
         Rejection::SpeculationBudgetExhausted => 18,
-        // Never an entry's: the leader says it instead of appending one.
+        // Never the result of an entry: the leader responds with it instead of appending one.
         Rejection::InsufficientCapacity => 19,
     }
 }
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -1,12 +1,12 @@
-//! What version 0.1.0 has stored can be read by this build, and is written as it was then.
+//! Data stored by version 0.1.0 can be read by this build, and is still written byte for byte as it was then.
 //!
 //! The fixtures under `fixtures/stored` were written by version 0.1.0 (record format 3, wire 4, data folder 1,
 //! recording 1), by [`write_the_fixtures`] with the product as of commit d2b54ab:
 //!
 //! `cargo test -p landingdrift --test stored_data -- --ignored write_the_fixtures`
 //!
-//! They are not to be written again unless a format gets a new version. Everything that has a name in JSON or TOML
-//! keeps that name whatever it is called in the code, and everything that is packed keeps its order.
+//! Don't write them again unless a format gets a new version. Everything that has a name in JSON or TOML keeps that
+//! name, whatever it is called in the code, and everything that is packed keeps its order.
 
 mod stored;
 
@@ -29,12 +29,12 @@
 const ORDERS: &str = "orders.json";
 const SETTINGS: &str = "settings.toml";
 const FOLDER: &str = "folder";
-/// One value of every stored variant, as a list for each type.
+/// One value of every stored variant, in a list per type.
 const VARIANTS_JSON: &str = "variants.json";
 const VARIANTS_PACKED: &str = "variants.postcard";
-/// Jobs as the API answers them.
+/// Ids of the jobs whose API responses are fixtures.
 const JOBS: [&str; 4] = ["done", "forgotten", "steps", "unsure"];
-/// The sender in the wire's fixtures.
+/// The sender in the fixtures of messages.
 const SENDER: &str = "10.0.0.1:7000";
 
 fn message_file(number: usize) -> String {
@@ -45,7 +45,7 @@
     format!("job-{job}.json")
 }
 
-/// The files of a data folder, without the lock, which is empty.
+/// The files of a data folder by name, except the lock file, which is empty.
 fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     fs::read_dir(folder)
         .expect("a folder")
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_formats_have_the_versions_of_the_fixtures() {
+fn the_format_versions_match_the_fixtures() {
     assert_eq!((STATE_VERSION, WIRE_VERSION), (3, 4));
     assert_eq!(landingdrift::disk::FOLDER_VERSION, 1);
     let head = stored::text(LOG);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_record_is_read_and_packed_as_it_was() {
+fn a_packed_state_is_decoded_and_encoded_unchanged() {
     let bytes = stored::bytes(RECORD);
     let cluster = ClusterState::unpack(&bytes).expect("a record");
     assert_eq!(cluster.pack(), bytes);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn no_collection_of_the_record_is_empty_and_the_sends_are_of_many_states() {
+fn the_stored_state_has_no_empty_collection_and_attempts_in_many_states() {
     let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
     let sizes = [
         state.changes.len(),
@@ -190,9 +190,9 @@
     }
 }
 
-/// Packed bytes say nothing of names: two fields of one type that change places are told by the names in the JSON.
+/// Guards against two fields of one type changing places: packed bytes have no names, so they are compared to the JSON.
 #[test]
-fn every_field_of_the_packed_record_is_the_one_that_the_json_names() {
+fn every_field_of_the_packed_state_matches_the_field_named_in_the_json() {
     let unpacked = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
     let orders = unpacked.orders.clone();
     assert_eq!(stored::orders_json(&unpacked), stored::text(ORDERS));
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn every_variant_has_the_name_and_the_number_that_it_had() {
+fn every_variant_keeps_its_name_and_number() {
     let variants = Variants::all();
     for numbers in variants.numbers() {
         assert_eq!(numbers, (0..numbers.len()).collect::<Vec<_>>());
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_recording_is_read_and_written_as_it_was_and_decided_alike() {
+fn a_recording_is_read_and_written_unchanged_and_replayed_with_the_same_results() {
     let recording = stored::recording(LOG);
     assert_eq!(recording.text(), stored::text(LOG));
     assert_eq!(recording.differences(), Vec::new());
@@ -239,13 +239,13 @@
 }
 
 #[test]
-fn the_entries_of_a_data_folder_are_those_of_the_recording() {
+fn a_data_folder_has_the_same_entries_as_the_recording() {
     let recording = stored::recording(LOG);
     let (cluster, loaded) = read_folder(&fixture(FOLDER)).expect("a sound folder");
     assert_eq!((cluster.as_str(), loaded.disk), (stored::CLUSTER, 77));
     assert_eq!(
         (loaded.hard_state.clone(), loaded.witnesses),
-        (stored::hard_state(), stored::notes())
+        (stored::hard_state(), stored::witnesses())
     );
     assert_eq!(
         (loaded.hard_state.term, loaded.hard_state.no_vote_through),
@@ -269,7 +269,7 @@
     assert_eq!(
         state.orders.len(),
         1,
-        "an answer to an order is in the snapshot"
+        "the snapshot contains the result of an order"
     );
     for entry in after {
         let _ = state.apply_bytes(entry.index, entry.at, &entry.command);
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_data_folder_is_written_as_it_was() {
+fn a_data_folder_is_written_unchanged() {
     let again = stored::scratch("again");
     stored::write_folder(&again, &stored::recording(LOG));
     assert_eq!(files(&again), files(&fixture(FOLDER)));
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_message_of_every_kind_is_read_and_packed_as_it_was() {
+fn messages_of_every_kind_are_decoded_and_encoded_unchanged() {
     let all = messages::all();
     let numbers: BTreeSet<usize> = all.iter().map(messages::number).collect();
     assert_eq!(numbers, (1..=messages::KINDS).collect());
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_job_is_answered_as_it_was() {
+fn the_response_to_a_job_query_is_unchanged() {
     let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
     for job in JOBS {
         let then = stored::text(&job_file(job));
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn settings_are_read_and_written_as_they_were() {
+fn settings_are_read_and_written_unchanged() {
     let text = stored::text(SETTINGS);
     let settings: Settings = toml::from_str(&text).expect("settings");
     assert_eq!(settings, stored::settings());
