--- a/landingdrift/tests/common/mod.rs
+++ b/landingdrift/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Nodes beside one record that stands for the log; the test says which proposal is committed when, and how often.
+//! Nodes around a single cluster state in place of replicas and a log; the test decides when and how often each
+//! proposal is committed.
 
 use landingdrift::node::Node;
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
@@ -11,22 +12,22 @@
 pub const CORE: &str = "10.0.0.2:1";
 const START_MS: u64 = 1_000_000;
 
-/// A call at a node and the proposal that it made.
+/// A request at a node, and the proposal that the node made for it.
 pub struct Order {
     node: usize,
     call: u64,
     propose: ProposeRequest,
-    /// The newest copy was committed.
+    /// Whether the newest copy of the proposal was committed.
     committed: bool,
 }
 
-/// What the log made of one copy of a proposal.
-pub struct Ruled {
+/// The result of committing one copy of a proposal.
+pub struct ProposalResult {
     pub log_index: u64,
     pub response: Vec<u8>,
 }
 
-/// What the caller was told.
+/// The response that the client got.
 #[derive(Clone, Debug)]
 pub struct Reply {
     pub status: u16,
@@ -42,7 +43,7 @@
     }
 }
 
-/// A whole configuration on top of a version.
+/// A request that replaces the configuration, based on a version.
 pub fn put(base: u64, query: &str, body: &Value) -> Request {
     Request {
         method: "PUT".into(),
@@ -85,20 +86,20 @@
             value: json!({"queues": {"q": {"tries": 3, "quota": 9, "windowMs": 1000, "unsureBoundMs": 1000, "speculationPercent": 0}},
                 "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
         };
-        let at = cluster.agreed();
+        let at = cluster.cluster_time();
         cluster.state.apply(1, at, &first).expect("a right one");
         (0..nodes).for_each(|n| cluster.follow(n));
         cluster
     }
 
-    fn agreed(&self) -> u64 {
+    fn cluster_time(&self) -> u64 {
         START_MS + self.elapsed
     }
 
     fn now(&self) -> Now {
         Now {
             mono: self.elapsed,
-            wall: self.agreed(),
+            wall: self.cluster_time(),
         }
     }
 
@@ -113,7 +114,7 @@
             ok: true,
             sent: self.elapsed,
             quorum_age: 0,
-            clock: self.agreed(),
+            clock: self.cluster_time(),
             commit: self.state.applied_index,
             snapshot: self.state.pack(),
             snapshot_index: self.state.applied_index,
@@ -142,12 +143,12 @@
         effects
     }
 
-    /// What the caller of an order was told, if anything yet.
+    /// The response that the client of an order got, if any yet.
     pub fn reply(&self, order: &Order) -> Option<Reply> {
         self.replies.get(&order.call).cloned()
     }
 
-    /// A call at a node that makes one proposal, which is under way from now on.
+    /// Sends a request to a node, which must make one proposal for it.
     pub fn call(&mut self, node: usize, request: Request) -> Order {
         self.follow(node);
         self.calls += 1;
@@ -165,14 +166,14 @@
         }
     }
 
-    /// One copy of the proposal reaches the log.
-    pub fn commit(&mut self, order: &mut Order) -> Ruled {
+    /// Commits one copy of the proposal.
+    pub fn commit(&mut self, order: &mut Order) -> ProposalResult {
         order.committed = true;
-        let (log_index, at) = (self.state.applied_index + 1, self.agreed());
+        let (log_index, at) = (self.state.applied_index + 1, self.cluster_time());
         let result = self
             .state
             .apply_bytes(log_index, at, &order.propose.command);
-        Ruled {
+        ProposalResult {
             log_index,
             response: pack_apply_result(&result),
         }
@@ -183,20 +184,20 @@
         self.step(order.node, Msg::Wire(CORE.into(), body));
     }
 
-    /// The answer to a copy arrives at the node; what the caller is told.
-    pub fn answer(&mut self, order: &Order, ruled: &Ruled) -> Option<Reply> {
+    /// Delivers the result of a copy to the node; returns the response that the client gets.
+    pub fn answer(&mut self, order: &Order, result: &ProposalResult) -> Option<Reply> {
         let answer = ProposeResponse {
             token: order.propose.token,
             outcome: 0,
-            log_index: ruled.log_index,
+            log_index: result.log_index,
             leader: CORE.into(),
-            response: ruled.response.clone(),
+            response: result.response.clone(),
         };
         self.proposed(order, answer);
         self.reply(order)
     }
 
-    /// The replica that the newest copy went to doesn't lead and has taken nothing: the node sends another copy.
+    /// Lets the replica that got the newest copy refuse it because it doesn't lead: the node sends another copy.
     pub fn refuse_as_follower(&mut self, order: &mut Order) {
         if order.committed || self.reply(order).is_some() {
             return;
@@ -219,8 +220,8 @@
         order.propose = again.unwrap_or_else(|| order.propose.clone());
     }
 
-    /// Time passes at all nodes, and no replica answers.
-    pub fn silence(&mut self, ms: u64) {
+    /// Lets time pass at all nodes while no replica responds.
+    pub fn pass_without_replies(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
             self.pass(20);
             (0..self.nodes.len()).for_each(|n| {
@@ -229,10 +230,10 @@
         }
     }
 
-    /// A call whose proposal is committed and answered at once.
+    /// Sends a request whose proposal is committed and answered immediately.
     pub fn order(&mut self, node: usize, request: Request) -> Reply {
         let mut order = self.call(node, request);
-        let ruled = self.commit(&mut order);
-        self.answer(&order, &ruled).expect("answered")
+        let result = self.commit(&mut order);
+        self.answer(&order, &result).expect("answered")
     }
 }
--- a/landingdrift/tests/gang_claims.rs
+++ b/landingdrift/tests/gang_claims.rs
@@ -1,4 +1,5 @@
-//! Workers that are kept free for a gang: only where they will come free, and not from jobs that are idle for long.
+//! Claims of workers for a gang: only workers that can become free enough are claimed, and claims do not starve idle
+//! jobs.
 
 mod node_harness;
 
@@ -22,8 +23,9 @@
     }
 }
 
-/// A worker of four units on which a job goes on, and a gang that needs the whole worker and has waited in vain.
-fn gang_waits_beside(running: StepSpec, cpu: u32) -> NodeHarness {
+/// A worker with 4 CPU on which a job with `cpu` runs, a gang that has been waiting for all of the worker, and a small
+/// job.
+fn gang_waiting_beside(running: StepSpec, cpu: u32) -> NodeHarness {
     let mut harness = NodeHarness::new();
     harness.accept_single("running", running, cpu);
     harness.append_start("running");
@@ -37,16 +39,16 @@
 }
 
 #[test]
-fn a_gang_that_fits_beside_no_long_running_task_keeps_no_worker_from_other_jobs() {
-    let mut harness = gang_waits_beside(long_running(), 1);
+fn a_gang_does_not_claim_a_worker_that_a_long_running_task_keeps_too_full_for_it() {
+    let mut harness = gang_waiting_beside(long_running(), 1);
     assert_eq!(harness.pass_time(3000, &["running"]), ["small"]);
 }
 
-/// Guards against LOST: a job with nothing running for 3 s, beside a claim on a worker whose work takes minutes.
-/// The gang goes first for a part of these 3 s.
+/// Guards against LOST: a job had nothing running for 3 s because a gang claimed a worker that was busy for minutes.
+/// The gang has priority only for a part of these 3 s.
 #[test]
 fn a_claim_keeps_no_spare_capacity_from_a_job_with_nothing_running() {
-    let mut harness = gang_waits_beside(StepSpec::default(), 1);
+    let mut harness = gang_waiting_beside(StepSpec::default(), 1);
     assert_eq!(
         harness.pass_time(1000, &["running"]),
         Vec::<String>::new(),
@@ -57,7 +59,7 @@
 
 /// RULES.md, LOST, allows the wait: it counts while "less than half of the service's room is in use".
 #[test]
-fn in_a_busy_service_a_claim_holds() {
-    let mut harness = gang_waits_beside(StepSpec::default(), 3);
+fn a_claim_applies_to_idle_jobs_while_the_service_has_no_spare_capacity() {
+    let mut harness = gang_waiting_beside(StepSpec::default(), 3);
     assert_eq!(harness.pass_time(4000, &["running"]), Vec::<String>::new());
 }
--- a/landingdrift/tests/job_memory.rs
+++ b/landingdrift/tests/job_memory.rs
@@ -1,4 +1,4 @@
-//! Jobs are accepted as far as there is memory for them; the others are refused before they are in the log.
+//! Jobs are accepted within the limits on memory and on unfinished jobs; others are refused before they enter the log.
 
 mod node_harness;
 mod replicas;
@@ -16,7 +16,7 @@
 const CALL: u64 = 1000;
 const MEMORY_BYTES: u64 = 64 << 20;
 
-/// A recurring job of ten tasks a time.
+/// A recurring job with ten tasks per repetition.
 fn recurring(id: &str, times: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Submits a job to the leader; the outcome.
+/// Submits a job to the leader; returns the outcome of the proposal.
 fn submit(cores: &mut TestCluster, spec: JobSpec) -> u8 {
     let leader = cores.leader().expect("somebody leads");
     let seen = cores.replica(leader).state().applied_index;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn recurring_jobs_do_not_bring_a_replica_over_its_memory() {
+fn recurring_jobs_do_not_exceed_the_memory_limit() {
     let mut cores = cores_with_memory();
     let outcomes: Vec<u8> = (0..120)
         .map(|number| submit(&mut cores, recurring(&format!("r{number}"), 1440)))
@@ -87,13 +87,13 @@
     assert_eq!(outcomes[0], PROPOSAL_APPLIED);
     assert_eq!(outcomes[119], PROPOSAL_NO_CAPACITY);
     assert!(cores.counter(leader, "jobs_without_capacity") > 0);
-    // A job that was taken is acknowledged again, and there is a place for small ones.
+    // A retry of an accepted job is still acknowledged, and a small job still fits.
     assert_eq!(submit(&mut cores, recurring("r0", 1440)), PROPOSAL_APPLIED);
     assert_eq!(submit(&mut cores, recurring("small", 1)), PROPOSAL_APPLIED);
 }
 
 #[test]
-fn jobs_that_are_appended_and_not_yet_committed_count() {
+fn uncommitted_jobs_count_towards_the_memory_limit() {
     let mut cores = cores_with_memory();
     let leader = cores.leader().expect("somebody leads");
     let tokens: Vec<u64> = (0..120)
@@ -113,10 +113,10 @@
     assert!(bytes <= MEMORY_BYTES, "{bytes} bytes of {MEMORY_BYTES}");
 }
 
-/// Due long after all that these tests play, in milliseconds since 1970.
+/// A due time long after the end of these tests, in milliseconds since 1970.
 const LATER: u64 = 4_000_000_000_000;
 
-/// A job that is due at a time, 0 for at once, with as long a payload as clients may send.
+/// A job with a large payload and one repetition that is due at `first_due`; 0 for immediately.
 fn single(id: &str, first_due: u64) -> JobSpec {
     JobSpec {
         payload: "p".repeat(4000),
@@ -126,8 +126,7 @@
     }
 }
 
-/// Guards against the refusal of all jobs that are due now, because others that are due later took the last of the
-/// memory.
+/// Guards against refusing all jobs that are due now because jobs that are due later have filled the memory.
 #[test]
 fn jobs_that_are_due_later_leave_memory_for_those_that_are_due_now() {
     let mut cores = cores_with_a_queue(Limits {
@@ -145,10 +144,10 @@
     }
 }
 
-/// The same by number, where the jobs are small. PROTOCOL.md, Jobs, allows the refusals: "A 429 or 503 means it was not taken and will
-/// never run".
+/// The same for the number of jobs, where they are small. PROTOCOL.md, Jobs, allows the refusals: "A 429 or 503 means
+/// it was not taken and will never run".
 #[test]
-fn jobs_that_are_due_later_leave_places_for_those_that_are_due_now() {
+fn jobs_due_later_leave_capacity_for_jobs_due_now() {
     let mut cores = cores_with_a_queue(Limits {
         open_jobs: 20,
         ..Limits::default()
@@ -165,7 +164,7 @@
 }
 
 #[test]
-fn the_bytes_of_a_job_are_no_fewer_than_its_tasks_take() {
+fn the_memory_bound_of_a_job_covers_its_tasks() {
     let spec = recurring("r", 1440);
     let job = Job::new(spec.clone(), Vec::new());
     let in_tasks = job.tasks.capacity() * std::mem::size_of_val(&job.tasks[0]);
@@ -173,8 +172,8 @@
     assert_eq!(job.memory_bytes(), spec.memory_bytes());
 }
 
-/// Hands a job in at a node; its proposal.
-fn hand_in(harness: &mut NodeHarness) -> ProposeRequest {
+/// Submits a job at a node; returns the node's proposal.
+fn submit_at_node(harness: &mut NodeHarness) -> ProposeRequest {
     let request = Request {
         method: "POST".into(),
         path: "/v1/jobs".into(),
@@ -192,7 +191,7 @@
     })
 }
 
-/// The leader has no memory for a proposal; the answer to the caller.
+/// Lets the leader refuse a proposal for lack of capacity; returns the node's response to the client.
 fn no_capacity(harness: &mut NodeHarness, request: &ProposeRequest) -> Option<Response> {
     let response = ProposeResponse {
         token: request.token,
@@ -211,10 +210,10 @@
 }
 
 #[test]
-fn a_caller_whose_job_there_is_no_memory_for_is_told_when_to_come_back() {
+fn a_job_without_capacity_is_answered_with_a_retry_hint() {
     let mut harness = NodeHarness::new();
     harness.follow();
-    let request = hand_in(&mut harness);
+    let request = submit_at_node(&mut harness);
     let response = no_capacity(&mut harness, &request).expect("an answer");
     assert_eq!(response.status, 503);
     assert!(response.retry_ms > 0);
@@ -222,10 +221,10 @@
 }
 
 #[test]
-fn a_job_of_which_an_earlier_copy_may_be_in_the_log_is_not_refused() {
+fn a_job_whose_earlier_copy_may_be_in_the_log_is_not_rejected() {
     let mut harness = NodeHarness::new();
     harness.follow();
-    hand_in(&mut harness);
+    submit_at_node(&mut harness);
     let second = loop {
         harness.elapsed_ms += 20;
         harness.follow();
--- a/landingdrift/tests/orders.rs
+++ b/landingdrift/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of operators take effect once, and are answered alike however often they arrive.
+//! Orders of operators take effect at most once, and every copy gets the same response.
 
 mod common;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// A change that names its identity, as operators send it.
+/// A configuration change with an identity, as operators send it.
 fn change(base: u64, id: &str, note: &str) -> Request {
     put(
         base,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_zone_order_that_arrives_again_after_its_opposite_changes_nothing() {
+fn a_late_copy_of_a_zone_order_does_not_undo_the_opposite_order() {
     let mut cluster = Cluster::new(1);
     let mut begin = cluster.call(0, zone("PUT"));
     let first = cluster.commit(&mut begin);
@@ -36,27 +36,30 @@
     let second = cluster.commit(&mut begin);
     assert!(
         cluster.state.evacuated_zones.is_empty(),
-        "the late copy emptied the zone"
+        "the late copy evacuated the zone"
+    );
+    assert_eq!(
+        second.response, first.response,
+        "the same result as the first copy"
     );
-    assert_eq!(second.response, first.response, "it gets its first answer");
 }
 
 #[test]
-fn an_order_that_reaches_the_log_after_its_deadline_commits_as_nothing() {
+fn an_order_committed_after_its_deadline_has_no_effect() {
     let mut cluster = Cluster::new(1);
     let mut begin = cluster.call(0, zone("PUT"));
     cluster.pass(60_000);
     let late = cluster.commit(&mut begin);
     assert!(
         cluster.state.evacuated_zones.is_empty(),
-        "the late order was obeyed"
+        "the late order took effect"
     );
-    let told = cluster.answer(&begin, &late).expect("answered");
-    assert_eq!((told.status, told.kind()), (503, "unsure"));
+    let reply = cluster.answer(&begin, &late).expect("answered");
+    assert_eq!((reply.status, reply.kind()), (503, "unsure"));
 }
 
 #[test]
-fn a_late_copy_of_a_refused_cancel_leaves_a_job_of_the_same_id_alone() {
+fn a_late_copy_of_a_rejected_cancel_does_not_cancel_a_new_job_with_the_same_id() {
     let mut cluster = Cluster::new(1);
     let cancel = Request {
         method: "DELETE".into(),
@@ -66,15 +69,15 @@
     let mut cancel = cluster.call(0, cancel);
     cluster.commit(&mut cancel);
     let body = json!({"id": "j", "queue": "q", "steps": [{"count": 1, "task": {"service": "s", "room": 1}}]});
-    let hand_in = Request {
+    let submit = Request {
         method: "POST".into(),
         path: "/v1/jobs".into(),
         body: body.to_string().into_bytes(),
         ..Request::default()
     };
     cluster.pass(10);
-    let mut hand_in = cluster.call(0, hand_in);
-    cluster.commit(&mut hand_in);
+    let mut submit = cluster.call(0, submit);
+    cluster.commit(&mut submit);
     cluster.commit(&mut cancel);
     assert!(
         !cluster.state.jobs["j"].cancel,
@@ -83,12 +86,12 @@
 }
 
 #[test]
-fn a_late_copy_of_a_refused_change_stays_refused_when_it_would_fit_by_now() {
+fn a_late_copy_of_a_rejected_change_stays_rejected_when_its_base_becomes_current() {
     let mut cluster = Cluster::new(2);
     let mut early = cluster.call(0, put(2, "", &json!({"notes": {"by": "a"}})));
     let refused = cluster.commit(&mut early);
-    let told = cluster.answer(&early, &refused).expect("answered");
-    assert_eq!((told.status, told.kind()), (409, "rival"));
+    let reply = cluster.answer(&early, &refused).expect("answered");
+    assert_eq!((reply.status, reply.kind()), (409, "rival"));
     cluster.order(1, put(1, "", &json!({"notes": {"by": "b"}})));
     assert_eq!(cluster.state.version, 2);
     let late = cluster.commit(&mut early);
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn a_change_whose_answer_was_lost_is_acknowledged_though_another_came_since() {
+fn a_change_whose_response_was_lost_is_acknowledged_after_another_change() {
     let mut cluster = Cluster::new(2);
     let mut mine = cluster.call(0, put(1, "", &json!({"notes": {"by": "a"}})));
     let taken = cluster.commit(&mut mine);
@@ -111,8 +114,8 @@
     cluster.commit(&mut other);
     let again = cluster.commit(&mut mine);
     assert_eq!(again.response, taken.response);
-    let told = cluster.answer(&mine, &again).expect("answered");
-    assert_eq!((told.status, told.version()), (200, 2));
+    let reply = cluster.answer(&mine, &again).expect("answered");
+    assert_eq!((reply.status, reply.version()), (200, 2));
 }
 
 #[test]
@@ -121,8 +124,8 @@
     assert_eq!(cluster.order(0, change(1, "mine", "a")).status, 200);
     for n in 0..300 {
         cluster.pass(1000);
-        let told = cluster.order(1, change(2 + n, &format!("o{n}"), "b"));
-        assert_eq!(told.status, 200);
+        let reply = cluster.order(1, change(2 + n, &format!("o{n}"), "b"));
+        assert_eq!(reply.status, 200);
     }
     let again = cluster.order(1, change(1, "mine", "a"));
     assert_eq!((again.status, again.version()), (200, 2));
@@ -138,7 +141,7 @@
 }
 
 #[test]
-fn a_thousand_changes_a_day_are_remembered_for_a_day_and_cost_little() {
+fn a_thousand_changes_a_day_are_remembered_for_a_day_in_little_space() {
     let mut cluster = Cluster::new(1);
     let before = cluster.state.pack().len();
     for n in 0..3000 {
@@ -152,7 +155,7 @@
     assert!(grown < 200_000, "{grown} bytes for a day's changes");
 }
 
-/// What came of a race of operators.
+/// Eight operators submit conflicting changes at three nodes; returns the cluster and the responses.
 fn race(seed: u64) -> (Cluster, Vec<Option<Reply>>) {
     let mut cluster = Cluster::new(3);
     let mut rng = landingdrift::sans_io::Rng::new(seed);
@@ -162,7 +165,7 @@
             cluster.call(rng.below(3) as usize, put(1, "version=7", &by))
         })
         .collect();
-    // Copies are committed in any order, some of them again; some answers are lost, some leaders are none any more.
+    // Copies are committed in random order, some repeatedly; some responses are lost, and some replicas no longer lead.
     for _ in 0..40 {
         let n = rng.below(8) as usize;
         cluster.pass(rng.below(20));
@@ -172,23 +175,23 @@
                 cluster.commit(&mut calls[n]);
             }
             _ => {
-                let ruled = cluster.commit(&mut calls[n]);
-                cluster.answer(&calls[n], &ruled);
+                let result = cluster.commit(&mut calls[n]);
+                cluster.answer(&calls[n], &result);
             }
         }
     }
-    cluster.silence(5000);
-    let told = calls.iter().map(|call| cluster.reply(call)).collect();
-    (cluster, told)
+    cluster.pass_without_replies(5000);
+    let replies = calls.iter().map(|call| cluster.reply(call)).collect();
+    (cluster, replies)
 }
 
 #[test]
-fn of_eight_rivals_under_one_number_only_the_one_in_force_is_ever_confirmed() {
+fn of_eight_conflicting_changes_only_the_one_in_force_is_confirmed() {
     for seed in 0..200 {
-        let (cluster, told) = race(seed);
+        let (cluster, replies) = race(seed);
         let winner = cluster.state.config.notes["by"].clone();
         assert_eq!(cluster.state.version, 7, "seed {seed}");
-        for (n, reply) in told.iter().enumerate() {
+        for (n, reply) in replies.iter().enumerate() {
             let reply = reply.as_ref().expect("every call is answered");
             let won = n.to_string() == winner;
             let right = match reply.status {
@@ -197,7 +200,7 @@
                 503 => reply.kind() == "unsure" || reply.kind() == "noCore" && !won,
                 _ => false,
             };
-            assert!(right, "seed {seed}: {n} was told {reply:?}, {winner} won");
+            assert!(right, "seed {seed}: {n} got {reply:?}, {winner} won");
         }
     }
 }
