--- a/landingdrift/tests/cluster_state.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -1,74 +1,78 @@
-//! The cluster state disposes: whatever a stale, frozen or confused node proposes, no rule is broken in `apply`.
+//! `ClusterState::apply` enforces its rules, whatever a stale, frozen or faulty node proposes.
 
 mod cluster_state_fixture;
 
-use cluster_state_fixture::{task, Desk};
+use cluster_state_fixture::{task, StateFixture};
 use landingdrift::state::{
     AttemptState, Command, JobSpec, Outcome, Rejection, TaskSpec, WorkerInfo,
 };
 use serde_json::json;
 
 #[test]
-fn a_start_that_breaks_a_rule_is_refused() {
-    let mut d = Desk::new();
-    let at = d.at;
-    d.accept(
-        "j",
-        vec![
-            task("a"),
-            TaskSpec {
-                depends_on: vec!["a".into()],
-                ..task("b")
-            },
-            TaskSpec {
-                due: at + 5000,
-                ..task("c")
-            },
-            TaskSpec {
-                labels: vec!["m".into()],
-                ..task("d")
-            },
-        ],
-    )
-    .expect("accepted");
+fn a_start_that_violates_a_rule_is_rejected() {
+    let mut fixture = StateFixture::new();
+    let at = fixture.at;
+    fixture
+        .accept(
+            "j",
+            vec![
+                task("a"),
+                TaskSpec {
+                    depends_on: vec!["a".into()],
+                    ..task("b")
+                },
+                TaskSpec {
+                    due: at + 5000,
+                    ..task("c")
+                },
+                TaskSpec {
+                    labels: vec!["m".into()],
+                    ..task("d")
+                },
+            ],
+        )
+        .expect("accepted");
     assert_eq!(
-        d.start("none", &[(0, "w")]),
+        fixture.start("none", &[(0, "w")]),
         Err(Rejection::Unknown {
             what: "job 'none'".into()
         })
     );
-    assert_eq!(d.start("j", &[(1, "w")]), Err(Rejection::Waiting));
-    assert_eq!(d.start("j", &[(2, "w")]), Err(Rejection::NotDue));
+    assert_eq!(fixture.start("j", &[(1, "w")]), Err(Rejection::Waiting));
+    assert_eq!(fixture.start("j", &[(2, "w")]), Err(Rejection::NotDue));
     assert!(matches!(
-        d.start("j", &[(3, "w")]),
+        fixture.start("j", &[(3, "w")]),
         Err(Rejection::UnsuitableWorker { .. })
     ));
     assert_eq!(
-        d.start_as("j", &[(0, "w")], 1, 1, false),
+        fixture.start_as("j", &[(0, "w")], 1, 1, false),
         Err(Rejection::StaleLease)
     );
     assert_eq!(
-        d.start_as("j", &[(0, "w")], 2, 9, false),
+        fixture.start_as("j", &[(0, "w")], 2, 9, false),
         Err(Rejection::StaleLease)
     );
     assert_eq!(
-        d.start("j", &[(0, "w"), (0, "v")]),
+        fixture.start("j", &[(0, "w"), (0, "v")]),
+        Err(Rejection::AlreadyRunning)
+    );
+    fixture.start("j", &[(0, "w")]).expect("placed");
+    assert_eq!(
+        fixture.start("j", &[(0, "v")]),
         Err(Rejection::AlreadyRunning)
     );
-    d.start("j", &[(0, "w")]).expect("placed");
-    assert_eq!(d.start("j", &[(0, "v")]), Err(Rejection::AlreadyRunning));
-    d.accept("k", vec![task("a")]).expect("accepted");
+    fixture.accept("k", vec![task("a")]).expect("accepted");
     assert_eq!(
-        d.start("k", &[(0, "w")]),
+        fixture.start("k", &[(0, "w")]),
         Err(Rejection::InsufficientResources)
     );
-    d.info("v", 1, true);
+    fixture.info("v", 1, true);
     assert!(matches!(
-        d.start("k", &[(0, "v")]),
+        fixture.start("k", &[(0, "v")]),
         Err(Rejection::UnsuitableWorker { .. })
     ));
-    d.info("v", 2, false);
-    d.ok(Command::UpdateConfig {
+    fixture.info("v", 2, false);
+    fixture.ok(Command::UpdateConfig {
         change: "drain".into(),
         base: 1,
         patch: true,
@@ -76,42 +80,50 @@
         value: json!({"zones": {"z": {"state": "draining"}}}),
     });
     assert!(matches!(
-        d.start("k", &[(0, "v")]),
+        fixture.start("k", &[(0, "v")]),
         Err(Rejection::UnsuitableWorker { .. })
     ));
-    d.ok(Command::CancelJob { job: "k".into() });
-    assert_eq!(d.start("k", &[(0, "v")]), Err(Rejection::Ended));
+    fixture.ok(Command::CancelJob { job: "k".into() });
+    assert_eq!(fixture.start("k", &[(0, "v")]), Err(Rejection::Ended));
 }
 
 #[test]
-fn gangs_are_placed_whole_and_none_waits_alone() {
-    let mut d = Desk::new();
+fn gangs_are_placed_completely_and_restarted_together() {
+    let mut fixture = StateFixture::new();
     let gang = |n: &str| TaskSpec {
         gang: "g".into(),
         ..task(n)
     };
-    d.accept("j", vec![gang("a"), gang("b")]).expect("accepted");
-    assert_eq!(d.start("j", &[(0, "w")]), Err(Rejection::GangIncomplete));
+    fixture
+        .accept("j", vec![gang("a"), gang("b")])
+        .expect("accepted");
+    assert_eq!(
+        fixture.start("j", &[(0, "w")]),
+        Err(Rejection::GangIncomplete)
+    );
     assert_eq!(
-        d.start("j", &[(0, "w"), (1, "w")]),
+        fixture.start("j", &[(0, "w"), (1, "w")]),
         Err(Rejection::InsufficientResources),
         "all or none"
     );
-    assert!(d.r.live.is_empty());
-    d.start("j", &[(0, "w"), (1, "v")]).expect("placed whole");
-    d.end("v", 2, Outcome::Failed);
-    let kept = &d.r.jobs["j"].tasks[0].attempts[0];
+    assert!(fixture.state.live.is_empty());
+    fixture
+        .start("j", &[(0, "w"), (1, "v")])
+        .expect("the whole gang placed");
+    fixture.end("v", 2, Outcome::Failed);
+    let kept = &fixture.state.jobs["j"].tasks[0].attempts[0];
     assert!(
         kept.stop && kept.state == AttemptState::Ordered,
-        "its partner is called back"
+        "the other member is stopped"
     );
-    d.end("w", 1, Outcome::NeverStarted);
-    d.start("j", &[(0, "w"), (1, "v")])
-        .expect("the whole gang again");
+    fixture.end("w", 1, Outcome::NeverStarted);
+    fixture
+        .start("j", &[(0, "w"), (1, "v")])
+        .expect("the whole gang restarts");
 }
 
 #[test]
-fn jobs_that_can_never_run_are_named() {
+fn errors_of_invalid_jobs_name_the_field() {
     let read = |v: serde_json::Value| {
         JobSpec::read(v.to_string().as_bytes()).and_then(|s| s.check().map(|_| s))
     };
@@ -150,9 +162,9 @@
 }
 
 #[test]
-fn evidence_puts_a_quiet_failer_on_probation_and_takes_it_off() {
-    let mut d = Desk::new();
-    d.ok(Command::UpdateConfig {
+fn failures_put_a_worker_on_probation_and_successes_end_it() {
+    let mut fixture = StateFixture::new();
+    fixture.ok(Command::UpdateConfig {
         change: "more".into(),
         base: 1,
         patch: true,
@@ -160,67 +172,77 @@
         value: json!({"queues": {"q": {"tries": 100, "quota": 100}}}),
     });
     let mut no = 0;
-    let mut run = |d: &mut Desk, worker: &str, outcome: Outcome| {
+    let mut run = |fixture: &mut StateFixture, worker: &str, outcome: Outcome| {
         no += 1;
-        d.accept(
-            &format!("j{no}"),
-            vec![TaskSpec {
-                cpu: 1,
-                ..task("a")
-            }],
+        fixture
+            .accept(
+                &format!("j{no}"),
+                vec![TaskSpec {
+                    cpu: 1,
+                    ..task("a")
+                }],
+            )
+            .expect("accepted");
+        fixture
+            .start(&format!("j{no}"), &[(0, worker)])
+            .expect("placed");
+        fixture.end(worker, no, outcome);
+    };
+    (0..8).for_each(|_| run(&mut fixture, "v", Outcome::Succeeded));
+    (0..3).for_each(|_| run(&mut fixture, "w", Outcome::Failed));
+    assert_eq!(
+        fixture.state.workers["w"].probation, 0,
+        "three failures are too few for probation"
+    );
+    run(&mut fixture, "w", Outcome::Failed);
+    assert!(fixture.state.workers["w"].probation > 0 && fixture.state.workers["v"].probation == 0);
+    // On probation the worker gets one attempt at a time, until three successes in a row.
+    fixture
+        .accept(
+            "x",
+            vec![
+                TaskSpec {
+                    cpu: 1,
+                    ..task("a")
+                },
+                TaskSpec {
+                    cpu: 1,
+                    ..task("b")
+                },
+            ],
         )
         .expect("accepted");
-        d.start(&format!("j{no}"), &[(0, worker)]).expect("placed");
-        d.end(worker, no, outcome);
-    };
-    (0..8).for_each(|_| run(&mut d, "v", Outcome::Succeeded));
-    (0..3).for_each(|_| run(&mut d, "w", Outcome::Failed));
-    assert_eq!(d.r.workers["w"].probation, 0, "three are too few to tell");
-    run(&mut d, "w", Outcome::Failed);
-    assert!(d.r.workers["w"].probation > 0 && d.r.workers["v"].probation == 0);
-    // One at a time now, and three good ends in a row bring it back.
-    d.accept(
-        "x",
-        vec![
-            TaskSpec {
-                cpu: 1,
-                ..task("a")
-            },
-            TaskSpec {
-                cpu: 1,
-                ..task("b")
-            },
-        ],
-    )
-    .expect("accepted");
-    d.start("x", &[(0, "w")]).expect("one");
+    fixture.start("x", &[(0, "w")]).expect("one");
     assert!(matches!(
-        d.start("x", &[(1, "w")]),
+        fixture.start("x", &[(1, "w")]),
         Err(Rejection::UnsuitableWorker { .. })
     ));
-    d.end("w", 13, Outcome::Succeeded);
+    fixture.end("w", 13, Outcome::Succeeded);
     no = 13;
-    let mut run = |d: &mut Desk, outcome: Outcome| {
+    let mut run = |fixture: &mut StateFixture, outcome: Outcome| {
         no += 1;
-        d.accept(
-            &format!("k{no}"),
-            vec![TaskSpec {
-                cpu: 1,
-                ..task("a")
-            }],
-        )
-        .expect("accepted");
-        d.start(&format!("k{no}"), &[(0, "w")]).expect("placed");
-        d.end("w", no, outcome);
+        fixture
+            .accept(
+                &format!("k{no}"),
+                vec![TaskSpec {
+                    cpu: 1,
+                    ..task("a")
+                }],
+            )
+            .expect("accepted");
+        fixture
+            .start(&format!("k{no}"), &[(0, "w")])
+            .expect("placed");
+        fixture.end("w", no, outcome);
     };
-    run(&mut d, Outcome::Succeeded);
-    assert!(d.r.workers["w"].probation > 0);
-    run(&mut d, Outcome::Succeeded);
-    assert_eq!(d.r.workers["w"].probation, 0);
+    run(&mut fixture, Outcome::Succeeded);
+    assert!(fixture.state.workers["w"].probation > 0);
+    run(&mut fixture, Outcome::Succeeded);
+    assert_eq!(fixture.state.workers["w"].probation, 0);
 }
 
 #[test]
-fn orders_are_called_back_from_a_worker_that_no_longer_fits() {
+fn unstarted_attempts_are_stopped_on_a_worker_that_no_longer_fits() {
     let changed = |cpu, labels: &[&str]| Command::UpdateWorker {
         info: WorkerInfo {
             worker: "w".into(),
@@ -238,43 +260,46 @@
         (4, vec![], true),
         (2, vec!["l"], true),
     ] {
-        let mut d = Desk::new();
+        let mut fixture = StateFixture::new();
         let needs = TaskSpec {
             labels: vec!["l".into()],
             ..task("a")
         };
-        d.accept("j", vec![needs]).expect("accepted");
-        d.start("j", &[(0, "w")]).expect("started");
-        d.ok(changed(cpu, &labels));
+        fixture.accept("j", vec![needs]).expect("accepted");
+        fixture.start("j", &[(0, "w")]).expect("started");
+        fixture.ok(changed(cpu, &labels));
         assert_eq!(
-            d.r.attempt(1).is_some_and(|(_, _, s)| s.stop),
+            fixture.state.attempt(1).is_some_and(|(_, _, s)| s.stop),
             stops,
-            "room {cpu}, labels {labels:?}"
+            "cpu {cpu}, labels {labels:?}"
         );
     }
 }
 
 #[test]
-fn jobs_that_wait_for_their_time_share_no_slots() {
-    let mut d = Desk::new();
+fn jobs_that_are_not_due_count_for_no_share_of_slots() {
+    let mut fixture = StateFixture::new();
     let later = TaskSpec {
-        due: d.at + 60_000,
+        due: fixture.at + 60_000,
         ..task("a")
     };
-    d.accept("later", vec![later.clone()]).expect("accepted");
-    d.accept(
-        "behind",
-        vec![
-            later,
-            TaskSpec {
-                depends_on: vec!["a".into()],
-                ..task("b")
-            },
-        ],
-    )
-    .expect("accepted");
-    assert_eq!(d.r.runnable(d.at), 0);
-    d.accept("now", vec![task("a")]).expect("accepted");
-    assert_eq!(d.r.runnable(d.at), 1);
-    assert_eq!(d.r.runnable(d.at + 60_000), 3);
+    fixture
+        .accept("later", vec![later.clone()])
+        .expect("accepted");
+    fixture
+        .accept(
+            "behind",
+            vec![
+                later,
+                TaskSpec {
+                    depends_on: vec!["a".into()],
+                    ..task("b")
+                },
+            ],
+        )
+        .expect("accepted");
+    assert_eq!(fixture.state.runnable(fixture.at), 0);
+    fixture.accept("now", vec![task("a")]).expect("accepted");
+    assert_eq!(fixture.state.runnable(fixture.at), 1);
+    assert_eq!(fixture.state.runnable(fixture.at + 60_000), 3);
 }
--- a/landingdrift/tests/cluster_state_fixture/mod.rs
+++ b/landingdrift/tests/cluster_state_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster state with a node, leases, a configuration and two workers, for tests that enter commands into it.
+//! A cluster state with a node, leases, a configuration and two workers, for tests that apply commands to it.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -8,54 +8,54 @@
 };
 use serde_json::json;
 
-/// A cluster state with a node, leases, a configuration and two workers.
-pub struct Desk {
-    pub r: ClusterState,
-    pub n: u64,
+/// A cluster state with node `n`, leases on zone `z` (epoch 1) and queue `q` (epoch 2), and workers `w` and `v`.
+pub struct StateFixture {
+    pub state: ClusterState,
+    pub last_index: u64,
     pub at: u64,
 }
 
-impl Desk {
+impl StateFixture {
     pub fn new() -> Self {
-        let mut d = Self {
-            r: ClusterState::new("c"),
-            n: 0,
+        let mut fixture = Self {
+            state: ClusterState::new("c"),
+            last_index: 0,
             at: 1_000_000,
         };
-        d.ok(Command::RegisterNode {
+        fixture.ok(Command::RegisterNode {
             node: "n".into(),
             zone: "z".into(),
             http: "h".into(),
         });
-        d.ok(Command::GrantLease {
+        fixture.ok(Command::GrantLease {
             lease: "cell/z".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        d.ok(Command::GrantLease {
+        fixture.ok(Command::GrantLease {
             lease: "queue/q".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        d.ok(Command::UpdateConfig {
+        fixture.ok(Command::UpdateConfig {
             change: "first".into(),
             base: 0,
             patch: false,
             number: 0,
             value: config(2),
         });
-        d.info("w", 1, false);
-        d.info("v", 1, false);
-        d
+        fixture.info("w", 1, false);
+        fixture.info("v", 1, false);
+        fixture
     }
     pub fn apply(&mut self, c: Command) -> ApplyResult {
-        self.n += 1;
+        self.last_index += 1;
         self.at += 10;
-        self.r.apply(self.n, self.at, &c)
+        self.state.apply(self.last_index, self.at, &c)
     }
     pub fn ok(&mut self, c: Command) -> serde_json::Value {
-        let told = format!("{c:?}");
-        self.apply(c).unwrap_or_else(|e| panic!("{told}: {e}"))
+        let shown = format!("{c:?}");
+        self.apply(c).unwrap_or_else(|e| panic!("{shown}: {e}"))
     }
     pub fn info(&mut self, worker: &str, incarnation: u64, leaving: bool) {
         let info = WorkerInfo {
@@ -74,7 +74,7 @@
         });
     }
     pub fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
-        let seen = self.r.applied_index;
+        let seen = self.state.applied_index;
         self.apply(Command::AcceptJob {
             spec: JobSpec {
                 id: id.into(),
@@ -97,7 +97,7 @@
         zone_epoch: u64,
         copy: bool,
     ) -> ApplyResult {
-        let incarnation = |w: &str| self.r.workers.get(w).map_or(0, |w| w.info.incarnation);
+        let incarnation = |w: &str| self.state.workers.get(w).map_or(0, |w| w.info.incarnation);
         let placements = of
             .iter()
             .map(|(task, w)| Placement {
@@ -127,8 +127,8 @@
             }],
         });
     }
-    pub fn state(&self, job: &str) -> JobState {
-        self.r.jobs[job].state
+    pub fn job_state(&self, job: &str) -> JobState {
+        self.state.jobs[job].state
     }
 }
 
