--- a/landingdrift/tests/disk.rs
+++ b/landingdrift/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The data folder under what disks do: torn tails, damage, strangers.
+//! The data folder with incomplete writes, damaged files, files of others and folders of other clusters.
 
 use landingdrift::disk::{verify, DataFolder, StorageError};
 use landingdrift::sans_io::{HardState, Snapshot, WriteBatch};
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn what_was_saved_is_there_again_and_a_torn_tail_is_cut() {
+fn saved_data_is_loaded_again_and_a_torn_tail_is_truncated() {
     let p = folder("torn");
-    let (mut f, loaded) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
+    let (mut f, loaded) = DataFolder::open(&p, "c", 1 << 20, 7).expect("created");
     assert_eq!((loaded.disk, loaded.entries.len()), (7, 0));
     write(&mut f, 1, 5);
     let hard_state = HardState {
@@ -72,7 +72,7 @@
     let mut bytes = fs::read(&last).expect("read");
     bytes.extend([40, 0, 0, 0, 1, 2, 3, 4, 9, 9]);
     fs::write(&last, &bytes).expect("written");
-    assert!(verify(&p).expect("looked").torn_tail);
+    assert!(verify(&p).expect("verified").torn_tail);
     let (_, l) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened");
     assert_eq!(l.disk, 7);
     assert!(!l.damaged);
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn damage_in_the_middle_is_told_and_the_term_survives_it() {
+fn damage_in_the_middle_is_reported_and_does_not_lose_the_term() {
     let p = folder("damage");
-    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
+    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("created");
     write(&mut f, 1, 20);
     f.save(&[WriteBatch {
         hard_state: Some(HardState {
@@ -105,7 +105,7 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0xff;
     fs::write(&first, &bytes).expect("written");
-    assert!(verify(&p).expect("looked").damaged);
+    assert!(verify(&p).expect("verified").damaged);
     let (f, l) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened");
     assert!(l.damaged && l.hard_state.term == 9);
     let n = l.entries.len() as u64;
@@ -116,15 +116,15 @@
         .enumerate()
         .all(|(i, e)| e.index == i as u64 + 1));
     drop(f);
-    // What was whole is kept, and the folder can be used again.
+    // Intact entries are kept, and the folder can be used again.
     let (_, again) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened again");
     assert_eq!(again.entries.len() as u64, n);
 }
 
 #[test]
-fn captures_let_old_segments_go() {
+fn a_snapshot_lets_old_segments_be_removed() {
     let p = folder("captures");
-    let (mut f, _) = DataFolder::open(&p, "c", 600, 7).expect("made");
+    let (mut f, _) = DataFolder::open(&p, "c", 600, 7).expect("created");
     write(&mut f, 1, 60);
     let before = segments(&p).len();
     f.save(&[WriteBatch {
@@ -152,16 +152,16 @@
 }
 
 #[test]
-fn strangers_and_other_clusters_are_refused() {
+fn unknown_folders_folders_in_use_and_folders_of_other_clusters_are_rejected() {
     let p = folder("foreign");
-    fs::create_dir_all(&p).expect("made");
+    fs::create_dir_all(&p).expect("created");
     fs::write(p.join("photos.txt"), "mine").expect("written");
     assert!(matches!(
         DataFolder::open(&p, "c", 600, 7),
         Err(StorageError::NotADataFolder(_))
     ));
     let q = folder("cluster");
-    let kept = DataFolder::open(&q, "c", 600, 7).expect("made");
+    let kept = DataFolder::open(&q, "c", 600, 7).expect("created");
     assert!(matches!(
         DataFolder::open(&q, "c", 600, 7),
         Err(StorageError::InUse(_))
--- a/landingdrift/tests/disk_power.rs
+++ b/landingdrift/tests/disk_power.rs
@@ -1,4 +1,5 @@
-//! The data folder when the power goes: whatever was not synced may be kept or lost, each change of a name by itself.
+//! The data folder after a power failure: each change of a directory entry that was not synced may be kept or lost
+//! independently, and no confirmed data may be lost.
 
 use landingdrift::disk::{DataFolder, Directory, FileSystem};
 use landingdrift::sans_io::{HardState, Snapshot, WriteBatch};
@@ -9,10 +10,11 @@
 use std::sync::{Arc, Mutex};
 
 const SEGMENT_BYTES: u64 = 600;
-/// Images with more unsynced changes are looked at with each change lost alone, and each kept alone.
+/// Up to this many unsynced changes, all subsets of lost changes are checked; beyond it only those with a single change
+/// lost or kept, and with all or none lost.
 const ALL_SUBSETS_UP_TO: usize = 6;
 
-/// A change of a name that is not synced yet, with what it takes to undo it.
+/// A change of a directory entry that is not synced yet, with the data to undo it.
 #[derive(Clone, Debug)]
 enum Unsynced {
     Created(PathBuf),
@@ -26,7 +28,7 @@
     },
 }
 
-/// The folder as it was at a moment: its files, and the changes that the loss of power may undo.
+/// The folder at a point in time: its files, and the changes that a power failure may undo.
 #[derive(Clone)]
 struct Image {
     files: Vec<(String, Vec<u8>)>,
@@ -39,14 +41,14 @@
     images: Vec<Image>,
 }
 
-/// The file system, with a note of all that is not durable.
+/// The file system with a record of all changes that are not durable.
 #[derive(Clone)]
-struct Lossy {
+struct UnsyncedTracker {
     folder: PathBuf,
     state: Arc<Mutex<State>>,
 }
 
-impl Lossy {
+impl UnsyncedTracker {
     fn new(folder: &Path) -> Self {
         Self {
             folder: folder.into(),
@@ -54,12 +56,12 @@
         }
     }
 
-    fn changed(&self, change: Unsynced) {
+    fn record_change(&self, change: Unsynced) {
         self.state.lock().expect("free").unsynced.push(change);
-        self.keep_image();
+        self.record_image();
     }
 
-    fn keep_image(&self) {
+    fn record_image(&self) {
         let files = fs::read_dir(&self.folder).expect("a folder").map(|e| {
             let path = e.expect("an entry").path();
             let name = path.file_name().expect("a name").to_string_lossy();
@@ -72,17 +74,17 @@
     }
 
     fn take_images(&self) -> Vec<Image> {
-        self.keep_image();
+        self.record_image();
         std::mem::take(&mut self.state.lock().expect("free").images)
     }
 }
 
-impl Directory for Lossy {
+impl Directory for UnsyncedTracker {
     fn create(&self, path: &Path) -> io::Result<File> {
         let new = !path.exists();
         let file = FileSystem.create(path)?;
         if new {
-            self.changed(Unsynced::Created(path.into()));
+            self.record_change(Unsynced::Created(path.into()));
         }
         Ok(file)
     }
@@ -90,14 +92,14 @@
         let new = !path.exists();
         let file = FileSystem.append(path)?;
         if new {
-            self.changed(Unsynced::Created(path.into()));
+            self.record_change(Unsynced::Created(path.into()));
         }
         Ok(file)
     }
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         let replaced = fs::read(to).ok();
         FileSystem.rename(from, to)?;
-        self.changed(Unsynced::Renamed {
+        self.record_change(Unsynced::Renamed {
             to: to.into(),
             replaced,
         });
@@ -106,7 +108,7 @@
     fn remove(&self, path: &Path) -> io::Result<()> {
         let bytes = fs::read(path)?;
         FileSystem.remove(path)?;
-        self.changed(Unsynced::Removed {
+        self.record_change(Unsynced::Removed {
             path: path.into(),
             bytes,
         });
@@ -125,7 +127,7 @@
     path.file_name().expect("a name").into()
 }
 
-/// Writes an image out, with the changes undone whose bit is set.
+/// Writes an image to a folder, with the changes undone whose bits are set in `lost`.
 fn restore(image: &Image, lost: usize, to: &Path) {
     let _ = fs::remove_dir_all(to);
     fs::create_dir_all(to).expect("made");
@@ -154,7 +156,7 @@
     }
 }
 
-fn losses(changes: usize) -> Vec<usize> {
+fn lost_subsets(changes: usize) -> Vec<usize> {
     if changes <= ALL_SUBSETS_UP_TO {
         return (0..1 << changes).collect();
     }
@@ -167,49 +169,51 @@
         .collect()
 }
 
-/// What was confirmed so far.
+/// The data confirmed so far.
 #[derive(Clone, Debug, Default)]
 struct Confirmed {
     term: u64,
     last: u64,
-    captured: u64,
+    snapshot_index: u64,
     witnesses: usize,
-    /// From here on the log is of this term.
-    newer: Option<(u64, u64)>,
+    /// An index and a term: entries from this index on must have at least this term.
+    min_term_from: Option<(u64, u64)>,
 }
 
 struct Model {
     folder: DataFolder,
-    lossy: Lossy,
-    at: PathBuf,
+    tracker: UnsyncedTracker,
+    path: PathBuf,
     confirmed: Confirmed,
-    seen: usize,
+    images_checked: usize,
 }
 
-fn place(name: &str) -> PathBuf {
-    let at = std::env::temp_dir().join(format!("landingdrift-power-{}-{name}", std::process::id()));
-    let _ = fs::remove_dir_all(&at);
-    at
+fn temp_folder(name: &str) -> PathBuf {
+    let path =
+        std::env::temp_dir().join(format!("landingdrift-power-{}-{name}", std::process::id()));
+    let _ = fs::remove_dir_all(&path);
+    path
 }
 
 impl Model {
     fn new(name: &str) -> Self {
-        let at = place(name);
-        fs::create_dir_all(&at).expect("made");
-        let lossy = Lossy::new(&at);
-        let made = DataFolder::open_with(Box::new(lossy.clone()), &at, "c", SEGMENT_BYTES, 7);
+        let path = temp_folder(name);
+        fs::create_dir_all(&path).expect("made");
+        let tracker = UnsyncedTracker::new(&path);
+        let made = DataFolder::open_with(Box::new(tracker.clone()), &path, "c", SEGMENT_BYTES, 7);
         let (folder, _) = made.expect("made");
-        lossy.take_images();
+        tracker.take_images();
         Self {
             folder,
-            lossy,
-            at,
+            tracker,
+            path,
             confirmed: Confirmed::default(),
-            seen: 0,
+            images_checked: 0,
         }
     }
 
-    /// Saves, and looks at all that the power may leave: before the end what was confirmed so far, then all.
+    /// Saves a batch and checks every state that a power failure may leave: before the save returns, the data confirmed
+    /// earlier must be there; afterwards, also the batch.
     fn save(&mut self, save: WriteBatch) {
         let before = self.confirmed.clone();
         self.folder
@@ -217,41 +221,47 @@
             .expect("saved");
         let c = &mut self.confirmed;
         c.term = save.hard_state.map_or(c.term, |h| h.term);
-        c.captured = save.snapshot.map_or(c.captured, |x| x.index);
+        c.snapshot_index = save.snapshot.map_or(c.snapshot_index, |x| x.index);
         c.last = save.truncate_from.map_or(c.last, |cut| c.last.min(cut - 1));
         c.last = save
             .entries
             .last()
             .map_or(c.last, |e| e.index)
-            .max(c.captured);
+            .max(c.snapshot_index);
         c.witnesses = c.witnesses.max(save.witnesses.len());
-        let mut images = self.lossy.take_images();
+        let mut images = self.tracker.take_images();
         let last = images.pop().expect("an image");
         let confirmed = self.confirmed.clone();
-        images.iter().for_each(|i| self.look(i, &before));
-        self.look(&last, &confirmed);
+        images.iter().for_each(|i| self.check_image(i, &before));
+        self.check_image(&last, &confirmed);
     }
 
-    fn look(&mut self, image: &Image, confirmed: &Confirmed) {
-        let scratch = self.at.with_extension("scratch");
-        for lost in losses(image.unsynced.len()) {
+    fn check_image(&mut self, image: &Image, confirmed: &Confirmed) {
+        let scratch = self.path.with_extension("scratch");
+        for lost in lost_subsets(image.unsynced.len()) {
             restore(image, lost, &scratch);
-            let told = format!("{confirmed:?}, lost {lost:b} of {:?}", image.names());
-            let term_start_index = DataFolder::open(&scratch, "c", SEGMENT_BYTES, 8);
-            let (_, l) = term_start_index.unwrap_or_else(|e| panic!("{e}: {told}"));
-            self.seen += 1;
-            assert!(!l.damaged, "{told}");
-            assert!(l.hard_state.term >= confirmed.term, "{told}");
-            assert!(l.witnesses.len() >= confirmed.witnesses, "{told}");
-            let captured = l.snapshot.as_ref().map_or(0, |c| c.index);
-            assert!(captured >= confirmed.captured, "{told}");
-            let last = l.entries.last().map_or(captured, |e| e.index);
-            assert!(last >= confirmed.last, "{last}: {told}");
-            let first = l.entries.first().map_or(captured + 1, |e| e.index);
-            assert!(first == captured + 1, "{first} after {captured}: {told}");
-            if let Some((from, term)) = confirmed.newer {
+            let context = format!("{confirmed:?}, lost {lost:b} of {:?}", image.names());
+            let opened = DataFolder::open(&scratch, "c", SEGMENT_BYTES, 8);
+            let (_, l) = opened.unwrap_or_else(|e| panic!("{e}: {context}"));
+            self.images_checked += 1;
+            assert!(!l.damaged, "{context}");
+            assert!(l.hard_state.term >= confirmed.term, "{context}");
+            assert!(l.witnesses.len() >= confirmed.witnesses, "{context}");
+            let snapshot_index = l.snapshot.as_ref().map_or(0, |c| c.index);
+            assert!(snapshot_index >= confirmed.snapshot_index, "{context}");
+            let last = l.entries.last().map_or(snapshot_index, |e| e.index);
+            assert!(last >= confirmed.last, "{last}: {context}");
+            let first = l.entries.first().map_or(snapshot_index + 1, |e| e.index);
+            assert!(
+                first == snapshot_index + 1,
+                "{first} after {snapshot_index}: {context}"
+            );
+            if let Some((from, term)) = confirmed.min_term_from {
                 let old = l.entries.iter().find(|e| e.index >= from && e.term < term);
-                assert!(old.is_none(), "void entries are back: {told}");
+                assert!(
+                    old.is_none(),
+                    "truncated entries have reappeared: {context}"
+                );
             }
         }
     }
@@ -294,7 +304,7 @@
 }
 
 #[test]
-fn what_was_confirmed_survives_any_loss_of_unsynced_names() {
+fn confirmed_data_survives_any_loss_of_unsynced_directory_changes() {
     let mut m = Model::new("captures");
     m.save(WriteBatch {
         hard_state: hard_state(3),
@@ -314,17 +324,17 @@
             ..WriteBatch::default()
         });
     }
-    assert!(m.seen > 200, "{} images", m.seen);
+    assert!(m.images_checked > 200, "{} images", m.images_checked);
 }
 
 #[test]
-fn a_snapshot_that_replaces_the_log_brings_no_void_entry_back() {
+fn replacing_the_log_by_a_snapshot_never_restores_truncated_entries() {
     let mut m = Model::new("installs");
     m.save(WriteBatch {
         hard_state: hard_state(2),
         ..WriteBatch::default()
     });
-    // A log that nobody else has, longer than the snapshot that takes its place.
+    // An uncommitted log that is longer than the snapshot that replaces it.
     (1..=60).for_each(|i| m.save(entries(i, i, 1)));
     m.confirmed.last = 0;
     m.save(WriteBatch {
@@ -333,7 +343,7 @@
         snapshot: snapshot(40, 4),
         ..WriteBatch::default()
     });
-    m.confirmed.newer = Some((41, 4));
+    m.confirmed.min_term_from = Some((41, 4));
     m.save(WriteBatch {
         witnesses: vec![DurabilityWitness::default()],
         ..WriteBatch::default()
@@ -344,5 +354,5 @@
         snapshot: snapshot(55, 5),
         ..WriteBatch::default()
     });
-    assert!(m.seen > 60, "{} images", m.seen);
+    assert!(m.images_checked > 60, "{} images", m.images_checked);
 }
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -1,4 +1,5 @@
-//! A disk that refuses writes for a while: nothing is confirmed meanwhile, nothing is lost, and it comes back by itself.
+//! A disk that fails writes for a while: nothing is confirmed meanwhile, nothing is lost, and writes are retried until
+//! they succeed.
 
 use landingdrift::daemon::{Backoff, DiskWriter, Input, Store};
 use landingdrift::disk::{DataFolder, StorageError};
@@ -12,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const SEGMENT_BYTES: u64 = 600;
-const LONG: Duration = Duration::from_secs(20);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn folder(name: &str) -> PathBuf {
     let p = std::env::temp_dir().join(format!(
@@ -49,17 +50,17 @@
     loaded.entries.iter().map(|e| e.index).collect()
 }
 
-/// Refuses the first tries, and witnesses what is written.
-struct Refusing {
-    left: Arc<AtomicUsize>,
+/// A store that fails the first `failures_left` writes and records those that succeed.
+struct FailingStore {
+    failures_left: Arc<AtomicUsize>,
     written: Arc<Mutex<Vec<u64>>>,
     recovered: Arc<AtomicUsize>,
 }
 
-impl Store for Refusing {
+impl Store for FailingStore {
     fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError> {
-        if self.left.load(Ordering::SeqCst) > 0 {
-            self.left.fetch_sub(1, Ordering::SeqCst);
+        if self.failures_left.load(Ordering::SeqCst) > 0 {
+            self.failures_left.fetch_sub(1, Ordering::SeqCst);
             return Err(StorageError::Io {
                 path: "log".into(),
                 source: std::io::ErrorKind::StorageFull.into(),
@@ -82,34 +83,34 @@
     }
 }
 
-/// How often the disk refused before it confirmed the ticket.
-fn refusals_until(rx: &Receiver<Input>, write_id: u64) -> usize {
-    let mut refusals = 0;
+/// The number of failures reported before the write `write_id` is confirmed.
+fn failures_until(rx: &Receiver<Input>, write_id: u64) -> usize {
+    let mut failures = 0;
     loop {
-        match rx.recv_timeout(LONG) {
+        match rx.recv_timeout(RECEIVE_TIMEOUT) {
             Ok(Input::Msg(Msg::DiskFailed(why))) => {
                 assert!(!why.is_empty());
-                refusals += 1;
+                failures += 1;
             }
-            Ok(Input::Msg(Msg::Persisted(t))) if t == write_id => return refusals,
+            Ok(Input::Msg(Msg::Persisted(t))) if t == write_id => return failures,
             Ok(Input::Msg(Msg::Persisted(_))) => {}
-            _ => panic!("the disk's thread has ended"),
+            _ => panic!("the writer thread has ended"),
         }
     }
 }
 
 #[test]
-fn pauses_grow_up_to_a_bound() {
+fn retry_delays_grow_up_to_a_limit() {
     let of: Vec<u128> = backoff().take(6).map(|p| p.as_millis()).collect();
     assert_eq!(of, [10, 20, 40, 80, 80, 80]);
 }
 
 #[test]
-fn a_disk_that_refuses_is_tried_again_and_gets_all_in_order() {
+fn failed_writes_are_retried_in_order_with_backoff() {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let (left, recovered) = (Arc::new(AtomicUsize::new(5)), Arc::new(AtomicUsize::new(0)));
-    let store = Refusing {
-        left,
+    let (failures_left, recovered) = (Arc::new(AtomicUsize::new(5)), Arc::new(AtomicUsize::new(0)));
+    let store = FailingStore {
+        failures_left,
         written: written.clone(),
         recovered: recovered.clone(),
     };
@@ -117,7 +118,7 @@
     let disk = DiskWriter::start(store, tx, backoff()).expect("starts");
     let since = Instant::now();
     (1..=4).for_each(|write_id| disk.save(save(write_id, write_id, write_id)));
-    assert_eq!(refusals_until(&rx, 4), 5);
+    assert_eq!(failures_until(&rx, 4), 5);
     assert_eq!(*written.lock().expect("free"), [1, 2, 3, 4]);
     assert_eq!(recovered.load(Ordering::SeqCst), 5);
     let paused = Duration::from_millis(10 + 20 + 40 + 80 + 80);
@@ -125,11 +126,11 @@
 }
 
 #[test]
-fn a_folder_that_fails_in_the_middle_holds_all_that_is_handed_over_again() {
+fn a_batch_written_again_after_a_failure_is_stored_completely() {
     let (p, away) = (folder("middle"), folder("middle-away"));
     let (mut f, _) = DataFolder::open(&p, "c", SEGMENT_BYTES, 7).expect("made");
     (1..=3).for_each(|i| f.save(&[save(i, i, i)]).expect("saved"));
-    // No segment can be begun while the folder is away; what is written into the open one is there.
+    // While the folder is moved away no new segment can be created, but writes to the open segment succeed.
     fs::rename(&p, &away).expect("moved");
     let batch = [save(4, 4, 40), save(5, 41, 42)];
     assert!(f.save(&batch).is_err());
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn a_refused_batch_that_is_not_written_again_leaves_what_was_confirmed() {
+fn a_failed_batch_that_is_not_written_again_leaves_confirmed_data_intact() {
     let (p, away) = (folder("refused"), folder("refused-away"));
     let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
     let voted = WriteBatch {
@@ -168,7 +169,7 @@
     };
     assert!(f.save(&[whole]).is_err());
     fs::rename(&away, &p).expect("moved back");
-    // The cut must not be seen without the snapshot that it relies on.
+    // The truncation must not take effect without the snapshot that it relies on.
     f.recover().expect("usable again");
     drop(f);
     assert_eq!(indexes(&p), [1, 2, 3, 4, 5]);
@@ -178,8 +179,8 @@
 }
 
 #[test]
-fn a_full_disk_is_freed_of_what_can_be_done_without() {
-    let p = folder("room");
+fn recovery_of_a_full_disk_removes_incomplete_and_old_snapshots() {
+    let p = folder("full");
     let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
     for n in 1..=3 {
         let snapshot = landingdrift::sans_io::Snapshot {
@@ -193,11 +194,11 @@
         };
         f.save(&[whole]).expect("saved");
     }
-    // As a disk that was full in the middle of a snapshot leaves it.
+    // The file left behind when the disk ran full while a snapshot was written.
     fs::write(p.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
     f.recover().expect("usable again");
-    let left = fs::read_dir(&p).expect("a folder").filter_map(Result::ok);
-    let snapshots: Vec<String> = left
+    let files = fs::read_dir(&p).expect("a folder").filter_map(Result::ok);
+    let snapshots: Vec<String> = files
         .filter_map(|e| e.file_name().into_string().ok())
         .filter(|n| n.starts_with("capture-"))
         .collect();
