--- a/landingdrift/tests/membership.rs
+++ b/landingdrift/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The pure reconciler of the membership, step by step.
+//! The membership reconciler: which sequence of changes it derives, and which losses the voters then survive.
 
 use landingdrift::consensus::membership::{
     Health, JoinRequest, MemberStatus, MembershipChange, MembershipView, Resilience,
@@ -6,7 +6,7 @@
 use landingdrift::state::ReplicaMember;
 use std::collections::BTreeMap;
 
-/// A cluster as its leader sees it; changes are carried out at once.
+/// A cluster as seen by its leader; changes take effect at once.
 struct Cluster {
     target: usize,
     members: BTreeMap<String, ReplicaMember>,
@@ -16,7 +16,7 @@
 
 const LEADER: &str = "a";
 
-fn observed(health: Health) -> MemberStatus {
+fn status(health: Health) -> MemberStatus {
     MemberStatus {
         health,
         caught_up: health == Health::Reachable,
@@ -25,7 +25,7 @@
 }
 
 impl Cluster {
-    /// Voters and standbys as (address, zone); the first voter leads.
+    /// Creates a cluster of voters and standbys, given as (address, zone); `target` is the desired number of voters.
     fn new(target: usize, voters: &[(&str, &str)], standbys: &[(&str, &str)]) -> Self {
         let mut cluster = Self {
             target,
@@ -46,12 +46,12 @@
             standby_only: false,
         };
         self.members.insert(address.into(), member);
-        self.see(address, Health::Reachable);
+        self.set_health(address, Health::Reachable);
     }
 
-    fn see(&mut self, address: &str, health: Health) {
+    fn set_health(&mut self, address: &str, health: Health) {
         if address != LEADER {
-            self.observed.insert(address.into(), observed(health));
+            self.observed.insert(address.into(), status(health));
         }
     }
 
@@ -74,18 +74,21 @@
         voters.map(|(address, _)| address.as_str()).collect()
     }
 
-    /// Carries out changes until none is due; says which were made.
-    fn settle(&mut self) -> Vec<MembershipChange> {
-        let mut made = Vec::new();
+    /// Applies changes until none is due, and returns them in order.
+    fn apply_all_changes(&mut self) -> Vec<MembershipChange> {
+        let mut changes = Vec::new();
         while let Some(change) = self.view().next_change() {
-            assert!(made.len() < 32, "the changes go round in circles: {made:?}");
-            self.carry_out(&change);
-            made.push(change);
+            assert!(
+                changes.len() < 32,
+                "the changes do not converge: {changes:?}"
+            );
+            self.apply(&change);
+            changes.push(change);
         }
-        made
+        changes
     }
 
-    fn carry_out(&mut self, change: &MembershipChange) {
+    fn apply(&mut self, change: &MembershipChange) {
         match change {
             MembershipChange::Admit(address, request) => {
                 self.add(address, &request.zone, false);
@@ -117,61 +120,61 @@
 const THREE: [(&str, &str); 3] = [("a", "z0"), ("b", "z1"), ("c", "z2")];
 
 #[test]
-fn a_planned_replacement_leaves_as_many_voters_as_before() {
+fn a_planned_replacement_keeps_the_number_of_voters() {
     let mut cluster = Cluster::new(3, &THREE, &[]);
     cluster.request("d", 40, "z2");
-    cluster.settle();
+    cluster.apply_all_changes();
     assert_eq!(
         cluster.voters(),
         ["a", "b", "c"],
-        "a newcomer only stands by"
+        "a new replica must become a standby only"
     );
-    cluster.see("c", Health::Leaving);
-    cluster.settle();
+    cluster.set_health("c", Health::Leaving);
+    cluster.apply_all_changes();
     assert_eq!(cluster.voters(), ["a", "b", "d"]);
-    cluster.see("c", Health::Unreachable);
-    cluster.settle();
+    cluster.set_health("c", Health::Unreachable);
+    cluster.apply_all_changes();
     assert_eq!(cluster.resilience().machine_losses_left, 1);
 }
 
 #[test]
-fn three_planned_replacements_and_a_lost_zone_leave_a_majority() {
+fn three_successive_replacements_keep_a_zone_loss_survivable() {
     let mut cluster = Cluster::new(3, &THREE, &[]);
     for (newcomer, old, zone) in [("d", "c", "z2"), ("e", "b", "z1"), ("f", "d", "z2")] {
         cluster.request(newcomer, u64::from(newcomer.as_bytes()[0]), zone);
-        cluster.settle();
-        cluster.see(old, Health::Leaving);
-        cluster.settle();
-        cluster.see(old, Health::Unreachable);
-        cluster.settle();
+        cluster.apply_all_changes();
+        cluster.set_health(old, Health::Leaving);
+        cluster.apply_all_changes();
+        cluster.set_health(old, Health::Unreachable);
+        cluster.apply_all_changes();
     }
     assert_eq!(cluster.voters(), ["a", "e", "f"]);
     assert!(cluster.resilience().zone_loss_survivable);
 }
 
 #[test]
-fn four_voters_of_which_one_is_dead_become_three() {
+fn one_lost_voter_of_four_is_demoted() {
     let four = [THREE[0], THREE[1], THREE[2], ("d", "z0")];
     let mut cluster = Cluster::new(5, &four, &[]);
-    cluster.see("c", Health::Unreachable);
+    cluster.set_health("c", Health::Unreachable);
     assert_eq!(cluster.resilience().machine_losses_left, 0);
-    cluster.settle();
+    cluster.apply_all_changes();
     assert_eq!(cluster.voters(), ["a", "b", "d"]);
     assert_eq!(cluster.resilience().machine_losses_left, 1);
 }
 
 #[test]
-fn three_voters_of_which_one_is_dead_stay_three_until_a_standby_is_there() {
+fn a_lost_voter_of_three_is_replaced_only_once_a_standby_is_ready() {
     let mut cluster = Cluster::new(3, &THREE, &[]);
-    cluster.see("b", Health::Unreachable);
-    assert_eq!(cluster.settle(), []);
+    cluster.set_health("b", Health::Unreachable);
+    assert_eq!(cluster.apply_all_changes(), []);
     cluster.request("d", 40, "z1");
-    cluster.settle();
+    cluster.apply_all_changes();
     assert_eq!(cluster.voters(), ["a", "c", "d"]);
 }
 
 #[test]
-fn five_voters_keep_three_disks_for_each_commit_when_two_are_dead() {
+fn two_lost_voters_of_five_are_not_demoted_without_standbys() {
     let five = [
         ("a", "z0"),
         ("b", "z0"),
@@ -180,77 +183,84 @@
         ("e", "z2"),
     ];
     let mut cluster = Cluster::new(5, &five, &[]);
-    cluster.see("c", Health::Unreachable);
-    cluster.see("d", Health::Unreachable);
+    cluster.set_health("c", Health::Unreachable);
+    cluster.set_health("d", Health::Unreachable);
     assert_eq!(
-        cluster.settle(),
+        cluster.apply_all_changes(),
         [],
-        "fewer voters would confirm on two disks"
+        "with fewer voters, two disks would suffice for a commit"
     );
 }
 
 #[test]
-fn another_disk_at_a_member_address_is_a_newcomer() {
+fn another_disk_at_the_address_of_a_member_is_a_new_replica() {
     let mut cluster = Cluster::new(3, &THREE, &[]);
-    cluster.see("b", Health::Replaced);
+    cluster.set_health("b", Health::Replaced);
     cluster.request("b", 77, "z1");
-    let made = cluster.settle();
-    assert_eq!(made[0], MembershipChange::Remove("b".into()));
-    assert!(matches!(&made[1], MembershipChange::Admit(a, r) if a == "b" && r.disk == 77));
+    let changes = cluster.apply_all_changes();
+    assert_eq!(changes[0], MembershipChange::Remove("b".into()));
+    assert!(matches!(&changes[1], MembershipChange::Admit(a, r) if a == "b" && r.disk == 77));
     assert_eq!(cluster.voters(), ["a", "b", "c"]);
     assert_eq!(cluster.members["b"].disk, 77);
 }
 
 #[test]
-fn a_copy_of_a_disk_that_answers_elsewhere_is_not_admitted() {
+fn a_disk_is_not_admitted_while_it_responds_at_another_address() {
     let mut cluster = Cluster::new(3, &THREE, &[]);
     let disk_of_b = cluster.members["b"].disk;
     cluster.request("x", disk_of_b, "z1");
-    assert_eq!(cluster.settle(), []);
-    cluster.see("b", Health::Unreachable);
-    cluster.settle();
-    assert!(cluster.members.contains_key("x"), "the disk has moved");
+    assert_eq!(cluster.apply_all_changes(), []);
+    cluster.set_health("b", Health::Unreachable);
+    cluster.apply_all_changes();
+    assert!(
+        cluster.members.contains_key("x"),
+        "a moved disk must be admitted at its new address"
+    );
 }
 
 #[test]
 fn voters_grow_by_two_and_spread_over_the_zones() {
     let standbys = [("d", "z0"), ("e", "z1"), ("f", "z2")];
     let mut cluster = Cluster::new(5, &THREE, &standbys[..1]);
-    assert_eq!(cluster.settle(), [], "four voters bear no more than three");
+    assert_eq!(
+        cluster.apply_all_changes(),
+        [],
+        "four voters survive no more losses than three"
+    );
     cluster.add("e", "z1", false);
-    cluster.settle();
+    cluster.apply_all_changes();
     assert_eq!(cluster.voters(), ["a", "b", "c", "d", "e"]);
     assert!(cluster.resilience().zone_loss_survivable);
     assert_eq!(cluster.resilience().machine_losses_left, 2);
 }
 
 #[test]
-fn crowded_zones_are_thinned_out_without_going_round_in_circles() {
+fn voters_in_a_crowded_zone_are_spread_and_the_changes_converge() {
     let crowded = [("a", "z0"), ("b", "z0"), ("c", "z0")];
     let standbys = [("d", "z1"), ("e", "z2")];
     let mut cluster = Cluster::new(3, &crowded, &standbys);
     assert!(!cluster.resilience().zone_loss_survivable);
-    cluster.settle();
+    cluster.apply_all_changes();
     assert!(cluster.resilience().zone_loss_survivable);
     assert_eq!(cluster.voters().len(), 3);
 }
 
 #[test]
-fn too_few_zones_are_told_and_too_many_voters_are_demoted() {
+fn too_few_zones_are_reported_and_surplus_voters_are_demoted() {
     let two_zones = [("a", "z0"), ("b", "z1"), ("c", "z1")];
     let mut cluster = Cluster::new(3, &two_zones, &[]);
-    assert_eq!(cluster.settle(), []);
+    assert_eq!(cluster.apply_all_changes(), []);
     assert!(!cluster.resilience().zone_loss_survivable);
     cluster.add("d", "z0", true);
-    cluster.settle();
+    cluster.apply_all_changes();
     assert_eq!(cluster.voters().len(), 3);
     assert!(cluster.voters().contains(&LEADER));
 }
 
 #[test]
-fn a_replica_whose_loss_is_not_counted_votes_only_where_no_other_can() {
+fn a_standby_only_replica_is_not_promoted_while_others_may_vote() {
     let mut cluster = Cluster::new(3, &THREE, &[("d", "z1")]);
     cluster.members.get_mut("d").expect("a member").standby_only = true;
-    cluster.see("b", Health::Unreachable);
-    assert_eq!(cluster.settle(), []);
+    cluster.set_health("b", Health::Unreachable);
+    assert_eq!(cluster.apply_all_changes(), []);
 }
