--- a/landingdrift/tests/replicas/behind.rs
+++ b/landingdrift/tests/replicas/behind.rs
@@ -1,11 +1,11 @@
-//! Three replicas of which one has missed more than the log still has.
+//! Three replicas, one of which lacks entries that the log of the others no longer contains.
 
 use super::TestCluster;
 use landingdrift::settings::Limits;
 
 pub const SNAPSHOT_EVERY_ENTRIES: u64 = 40;
 
-/// So many changes of this size make a snapshot of several chunks.
+/// This many changes of [`CHANGE_BYTES`] make a snapshot of several chunks.
 pub const MISSED_CHANGES: usize = 60;
 
 pub const CHANGE_BYTES: usize = 40_000;
@@ -17,7 +17,8 @@
     }
 }
 
-/// Three replicas of which one missed so much that the log does not reach back to it; the one is down.
+/// Starts three replicas and crashes one, then commits so many changes that the log does not reach back to its last
+/// entry. Returns the cluster, the leader and the crashed replica.
 pub fn start_with_lagging_replica() -> (TestCluster, usize, usize) {
     let mut cluster = TestCluster::start(limits());
     cluster.commit_change(10);
--- a/landingdrift/tests/replicas/disk.rs
+++ b/landingdrift/tests/replicas/disk.rs
@@ -1,10 +1,10 @@
-//! A disk whose behaviour the tests rule over.
+//! A simulated disk whose behaviour is controlled by the tests.
 
 use landingdrift::consensus::PersistedState;
 use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
-/// How a disk behaves.
+/// The reaction of a disk to writes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
     Works,
@@ -12,7 +12,7 @@
     Hangs,
 }
 
-/// A replica's disk: what is durable, and what was handed over and is not.
+/// A replica's disk: the durable state, and the writes that are not durable yet.
 pub struct TestDisk {
     pub durable: PersistedState,
     pub pending: VecDeque<WriteBatch>,
@@ -42,7 +42,7 @@
         last
     }
 
-    /// The last index that a restart would find.
+    /// The last log index that a restarted replica would load.
     pub fn last(&self) -> u64 {
         let snapshot = self.durable.snapshot.as_ref().map_or(0, |c| c.index);
         self.durable.entries.last().map_or(snapshot, |e| e.index)
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -1,4 +1,4 @@
-//! Three replicas in one thread, with time, wires and disks that the tests rule over.
+//! Three replicas in one thread, with time, network and disks controlled by the tests.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -19,12 +19,12 @@
 
 const TICK_MS: u64 = 20;
 const LINK_MS: u64 = 1;
-/// How often a disk that refuses is tried again.
+/// The interval between retries of writes to a failing disk.
 const RETRY_MS: u64 = 100;
 const CLIENT: &str = "10.9.9.9:1";
 pub const NODE: &str = "10.8.8.8:1";
 
-/// A message on its way, or arrived at somebody who is no replica.
+/// A message sent by a replica.
 #[derive(Clone, Debug)]
 pub struct SentMessage {
     pub from: String,
@@ -37,13 +37,13 @@
     pub replicas: Vec<Option<Replica>>,
     pub disks: Vec<TestDisk>,
     pub settings: Vec<Settings>,
-    /// Messages by when they arrive, in the order in which they were sent.
+    /// The messages in flight with their time of arrival, in the order in which they were sent.
     in_flight: VecDeque<(u64, SentMessage)>,
-    /// Says which messages are lost.
+    /// Decides which messages are lost.
     pub drops_message: Box<dyn Fn(&SentMessage) -> bool>,
-    /// All that was sent to nobody here.
+    /// All messages to receivers other than the replicas.
     pub external_messages: Vec<SentMessage>,
-    /// All that was sent between replicas, oldest first.
+    /// All messages sent by replicas with the time of sending, oldest first; including lost ones.
     pub sent: Vec<(u64, SentMessage)>,
     pub log_lines: Vec<String>,
     pub exits: usize,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Starts a replica from what its disk holds.
+    /// Starts a replica from the durable state of its disk.
     pub fn start_replica(&mut self, i: usize) {
         let (settings, now) = (self.settings[i].clone(), self.now());
         let loaded = self.disks[i].durable.clone();
@@ -105,7 +105,7 @@
         self.replicas[i] = Some(replica.expect("a sound disk loads"));
     }
 
-    /// The power of a core goes: what was not durable is lost.
+    /// Crashes a replica: writes that are not durable are lost, as are messages in flight to it.
     pub fn crash(&mut self, i: usize) {
         self.replicas[i] = None;
         self.disks[i].pending.clear();
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Runs until something holds; false where it does not within so many milliseconds.
+    /// Runs until a condition holds, for at most `ms` milliseconds; returns whether it holds.
     pub fn run_until(&mut self, ms: u64, holds: impl Fn(&Self) -> bool) -> bool {
         let end = self.now_ms + ms;
         while self.now_ms < end && !holds(self) {
@@ -145,7 +145,7 @@
         holds(self)
     }
 
-    /// One millisecond passes.
+    /// Advances the time by one millisecond.
     fn advance_one_ms(&mut self) {
         self.now_ms += 1;
         while let Some((_, c)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.now_ms) {
@@ -207,29 +207,39 @@
         }
     }
 
-    /// Nothing is confirmed, and no vote given, that is not durable.
+    /// Checks that acknowledged entries and granted votes are durable.
     fn check_durability(&self, i: usize, c: &SentMessage) {
         let disk = &self.disks[i];
         match &c.body {
             Body::AppendResponse(v) if v.ok => {
                 let last = disk.last();
-                assert!(v.matched <= last, "confirms {} of {last}", v.matched);
-                assert!(v.term <= disk.durable.hard_state.term, "a term not durable");
+                assert!(
+                    v.matched <= last,
+                    "acknowledges index {}, but only {last} is durable",
+                    v.matched
+                );
+                assert!(
+                    v.term <= disk.durable.hard_state.term,
+                    "the acknowledged term is not durable"
+                );
             }
             Body::VoteResponse(v) if v.granted && !v.pre => {
-                assert_eq!(disk.durable.hard_state.vote, c.to, "a vote not durable");
+                assert_eq!(
+                    disk.durable.hard_state.vote, c.to,
+                    "the granted vote is not durable"
+                );
                 assert_eq!(disk.durable.hard_state.term, v.term);
             }
             _ => {}
         }
     }
 
-    /// A message from somebody who is no replica.
+    /// Delivers a message from an external sender to a replica at once.
     pub fn deliver(&mut self, i: usize, from: &str, body: Body) {
         self.step(i, Msg::Wire(from.into(), body));
     }
 
-    /// Proposes a change that adds a note of so many bytes; its token.
+    /// Proposes a configuration change that adds a note of `bytes` bytes; returns its token.
     pub fn propose(&mut self, i: usize, bytes: usize) -> u64 {
         let token = self.next + 1;
         let command = Command::UpdateConfig {
@@ -242,7 +252,7 @@
         self.propose_command(i, &command)
     }
 
-    /// Proposes a command; its token.
+    /// Proposes a command; returns its token.
     pub fn propose_command(&mut self, i: usize, command: &Command) -> u64 {
         self.next += 1;
         let token = self.next;
@@ -266,7 +276,7 @@
             .is_some_and(|p| p.outcome == 0)
     }
 
-    /// Proposes to the leader until it takes it, and waits until it is confirmed.
+    /// Proposes a change to the leader until it is accepted, and waits until it is confirmed.
     pub fn commit_change(&mut self, bytes: usize) {
         let end = self.now_ms + 5000;
         while self.now_ms < end {
@@ -293,7 +303,7 @@
         self.responses.remove(&call).expect("an answer at once")
     }
 
-    /// A node asks the leader for what follows a log_index.
+    /// Delivers a node's watch request for the entries after `log_index` to the leader.
     pub fn watch_request(&mut self, node: &str, log_index: u64) {
         self.send_watch_request(Self::watch_request_of(node, log_index));
     }
@@ -304,7 +314,7 @@
         self.deliver(leader, &node, Body::WatchRequest(Box::new(watch_request)));
     }
 
-    /// What a node asks.
+    /// The watch request of a node that has applied the entries up to `log_index`.
     pub fn watch_request_of(node: &str, log_index: u64) -> WatchRequest {
         WatchRequest {
             node: node.into(),
@@ -326,8 +336,8 @@
         }
     }
 
-    /// Replicas that a node has asked for the first time, after a change; the index that the leader has applied. The node is
-    /// registered, and what that gives cause for is settled.
+    /// Starts a cluster, commits a change, and registers a node by its first watch request. Returns the cluster and the
+    /// index that the leader has applied, once no further commands follow from the registration.
     pub fn start_with_node() -> (Self, u64) {
         let mut cores = Self::start(Limits::default());
         assert!(cores.run_until(5000, |cores| cores.leader().is_some()));
@@ -358,7 +368,7 @@
     }
 }
 
-/// Text that no build makes smaller.
+/// Random text, which does not compress well.
 fn noise(seed: u64, bytes: usize) -> String {
     let mut rng = landingdrift::sans_io::Rng::new(seed);
     (0..bytes)
@@ -366,7 +376,7 @@
         .collect()
 }
 
-/// The token of a client's request with a number.
+/// The token of a client's request with the given number.
 fn request(number: u64) -> RequestToken {
     RequestToken {
         incarnation: 1,
