--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshots between replicas: in chunks, whole or not at all, and never less than was confirmed.
+//! Snapshot transfer between replicas: a snapshot is installed completely or not at all, lost chunks are resent, and
+//! confirmed entries are never lost.
 
 mod replicas;
 
@@ -26,7 +27,7 @@
         .collect()
 }
 
-fn catches_up(cluster: &mut TestCluster, behind: usize) {
+fn expect_catch_up(cluster: &mut TestCluster, behind: usize) {
     let caught_up = cluster.run_until(10_000, TestCluster::all_in_sync);
     assert!(caught_up, "{:#?}", cluster.log_lines);
     assert!(cluster.counter(behind, "snapshots_installed") >= 1);
@@ -35,16 +36,16 @@
     assert_eq!(
         last,
         cluster.replica(behind).state().applied_index,
-        "all is on its disk"
+        "every applied entry is on its disk"
     );
 }
 
 #[test]
-fn a_core_that_is_far_behind_gets_each_chunk_once_beside_heartbeats() {
+fn a_replica_far_behind_is_sent_each_chunk_once_and_heartbeats_meanwhile() {
     let (mut cluster, leader, behind) = start_with_lagging_replica();
     cluster.start_replica(behind);
     let since = cluster.now_ms;
-    catches_up(&mut cluster, behind);
+    expect_catch_up(&mut cluster, behind);
     let sent = installs(&cluster, behind);
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     let total = sent[0].1.total as usize;
@@ -56,12 +57,15 @@
     assert!(sent.iter().all(|(_, m)| m.snapshot.len() <= CHUNK_BYTES));
     assert_eq!(cluster.counter(leader, "snapshots_sent"), 1);
     assert_eq!(cluster.counter(leader, "snapshot_chunks_repeated"), 0);
-    let first_beat = heartbeats(&cluster, behind)[0];
-    assert!(first_beat <= since + 200, "its heartbeats go on");
+    let first_heartbeat = heartbeats(&cluster, behind)[0];
+    assert!(
+        first_heartbeat <= since + 200,
+        "heartbeats must not wait for the snapshot"
+    );
 }
 
 #[test]
-fn a_snapshot_waits_for_its_acknowledgement_and_heartbeats_do_not() {
+fn an_unacknowledged_chunk_does_not_delay_heartbeats() {
     let (mut cluster, leader, behind) = start_with_lagging_replica();
     let me = name(behind);
     cluster.drops_message = Box::new(move |c: &SentMessage| {
@@ -73,16 +77,16 @@
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     assert!(offsets.iter().all(|o| *o == 0), "{offsets:?}");
     assert!((2..=12).contains(&offsets.len()), "{offsets:?}");
-    let beaten = heartbeats(&cluster, behind);
-    let gaps = beaten.windows(2).map(|w| w[1] - w[0]);
-    assert!(gaps.max().is_some_and(|g| g <= 200), "{beaten:?}");
-    assert_eq!(cluster.leader(), Some(leader), "nobody stands for election");
+    let heartbeat_times = heartbeats(&cluster, behind);
+    let gaps = heartbeat_times.windows(2).map(|w| w[1] - w[0]);
+    assert!(gaps.max().is_some_and(|g| g <= 200), "{heartbeat_times:?}");
+    assert_eq!(cluster.leader(), Some(leader), "no election takes place");
     cluster.drops_message = Box::new(|_| false);
-    catches_up(&mut cluster, behind);
+    expect_catch_up(&mut cluster, behind);
 }
 
 #[test]
-fn lost_chunks_are_sent_again_and_nothing_else() {
+fn lost_chunks_are_resent_and_the_snapshot_is_installed_once() {
     let (mut cluster, _, behind) = start_with_lagging_replica();
     let seen = Rc::new(Cell::new(0));
     cluster.drops_message = Box::new(move |c: &SentMessage| {
@@ -91,32 +95,32 @@
         chunk && seen.get().is_multiple_of(3)
     });
     cluster.start_replica(behind);
-    catches_up(&mut cluster, behind);
+    expect_catch_up(&mut cluster, behind);
     assert_eq!(cluster.counter(behind, "snapshots_installed"), 1);
     assert_eq!(cluster.counter(behind, "snapshots_refused"), 0);
 }
 
 #[test]
-fn a_sender_that_dies_in_the_middle_is_followed_by_another() {
+fn another_leader_continues_when_the_sender_crashes() {
     let (mut cluster, leader, behind) = start_with_lagging_replica();
     cluster.start_replica(behind);
     assert!(cluster.run_until(5000, |c| installs(c, behind).len() >= 2));
     assert_eq!(cluster.counter(behind, "snapshots_installed"), 0);
     cluster.crash(leader);
-    let led = cluster.run_until(10_000, |c| c.leader().is_some_and(|l| l != leader));
-    assert!(led, "{:#?}", cluster.log_lines);
+    let has_new_leader = cluster.run_until(10_000, |c| c.leader().is_some_and(|l| l != leader));
+    assert!(has_new_leader, "{:#?}", cluster.log_lines);
     assert_ne!(
         cluster.leader(),
         Some(behind),
-        "it has less than was confirmed"
+        "a replica that lacks confirmed entries leads"
     );
     cluster.run(3000);
     cluster.start_replica(leader);
-    catches_up(&mut cluster, behind);
+    expect_catch_up(&mut cluster, behind);
 }
 
 #[test]
-fn the_next_leader_goes_on_where_the_same_snapshot_stopped() {
+fn the_next_leader_resumes_the_transfer_of_the_same_snapshot() {
     let snapshot = ChunkedSnapshot::new(7, 2, vec![9; 3 * CHUNK_BYTES]);
     let of = snapshot.identity();
     let mut assembly = SnapshotAssembly::default();
@@ -124,7 +128,7 @@
         assembly.add_chunk(of, 0, snapshot.chunk(0)),
         ChunkOutcome::Incomplete
     );
-    // The next one begins at the beginning, and is told how much is there.
+    // The next leader starts with the first chunk, and is told how many bytes the receiver has.
     assert_eq!(
         assembly.add_chunk(of, 0, snapshot.chunk(0)),
         ChunkOutcome::Incomplete
@@ -140,7 +144,7 @@
     assert_eq!(assembly.received(), 0);
 }
 
-/// An installation as the leader of a term would send it.
+/// A whole snapshot in one chunk, as sent by the leader of `term`.
 fn install(term: u64, index: u64, bytes: &[u8]) -> InstallSnapshot {
     let of = ChunkedSnapshot::new(index, term, bytes.to_vec()).identity();
     InstallSnapshot {
@@ -155,7 +159,7 @@
     }
 }
 
-fn last_verdict(cluster: &TestCluster, from: usize) -> InstallSnapshotResponse {
+fn last_snapshot_response(cluster: &TestCluster, from: usize) -> InstallSnapshotResponse {
     let mut of = cluster
         .sent
         .iter()
@@ -165,11 +169,11 @@
         Body::InstallSnapshotResponse(m) => Some((**m).clone()),
         _ => None,
     });
-    found.expect("a verdict")
+    found.expect("a response")
 }
 
 #[test]
-fn a_spoilt_a_cut_and_an_outdated_snapshot_change_nothing() {
+fn corrupt_truncated_and_outdated_snapshots_are_not_installed() {
     let mut cluster = TestCluster::start(limits());
     (0..5).for_each(|_| cluster.commit_change(10));
     cluster.run(300);
@@ -180,11 +184,11 @@
     let version = cluster.version(to);
     let bytes = landingdrift::state::ClusterState::new("landingdrift").pack();
     let good = install(term, log_index + 10, &bytes);
-    let spoilt = InstallSnapshot {
+    let corrupt = InstallSnapshot {
         checksum: good.checksum ^ 1,
         ..good.clone()
     };
-    let cut = InstallSnapshot {
+    let truncated = InstallSnapshot {
         total: good.total + 1,
         ..good.clone()
     };
@@ -192,15 +196,15 @@
         term: term - 1,
         ..good.clone()
     };
-    let no_record = install(term, log_index + 10, b"nothing");
+    let not_a_state = install(term, log_index + 10, b"nothing");
     for (m, refused) in [
-        (spoilt, true),
-        (cut, false),
+        (corrupt, true),
+        (truncated, false),
         (outdated, true),
-        (no_record, true),
+        (not_a_state, true),
     ] {
         cluster.deliver(to, &name(leader), Body::InstallSnapshot(Box::new(m)));
-        assert_eq!(last_verdict(&cluster, to).refused, refused);
+        assert_eq!(last_snapshot_response(&cluster, to).refused, refused);
         assert_eq!(cluster.replica(to).state().applied_index, log_index);
     }
     assert_eq!(cluster.version(to), version);
@@ -211,13 +215,13 @@
 }
 
 #[test]
-fn a_late_snapshot_takes_nothing_away_that_was_confirmed() {
+fn a_late_snapshot_does_not_remove_acknowledged_entries() {
     let mut cluster = TestCluster::start(limits());
     (0..5).for_each(|_| cluster.commit_change(10));
     cluster.run(300);
     let leader = cluster.leader().expect("somebody leads");
     let to = (leader + 1) % 3;
-    // Entries that this replica has confirmed and does not know to be committed.
+    // Entries that this replica has acknowledged, but does not know to be committed.
     let last = cluster.disks[to].last();
     let tail: Vec<_> = cluster.disks[to].durable.entries.clone();
     let term = tail.last().expect("entries").term;
@@ -241,19 +245,23 @@
     cluster.run(3);
     assert_eq!(cluster.disks[to].last(), last + 2);
     let bytes = cluster.replica(to).state().pack();
-    let late = install(term, last + 1, &bytes);
-    cluster.deliver(to, &name(leader), Body::InstallSnapshot(Box::new(late)));
+    let late_snapshot = install(term, last + 1, &bytes);
+    cluster.deliver(
+        to,
+        &name(leader),
+        Body::InstallSnapshot(Box::new(late_snapshot)),
+    );
     cluster.run(3);
     assert_eq!(
         cluster.disks[to].last(),
         last + 2,
-        "what it confirmed is gone"
+        "acknowledged entries are lost"
     );
     assert_eq!(cluster.counter(to, "snapshots_installed"), 0);
 }
 
 #[test]
-fn a_core_killed_while_it_installs_never_leads_with_less_than_it_confirmed() {
+fn a_replica_that_crashes_during_an_install_never_leads_without_confirmed_entries() {
     for at in [1, 3, 8, 15, 25, 60] {
         let (mut cluster, leader, behind) = start_with_lagging_replica();
         let confirmed = cluster.version(leader);
@@ -265,13 +273,13 @@
         cluster.crash(leader);
         cluster.start_replica(behind);
         cluster.run(2000);
-        let lead = cluster.leader();
+        let leader_now = cluster.leader();
         assert!(
-            whole || lead != Some(behind),
+            whole || leader_now != Some(behind),
             "killed after {at} ms: {:#?}",
             cluster.log_lines
         );
-        assert!(lead.is_none_or(|l| cluster.version(l) >= confirmed));
+        assert!(leader_now.is_none_or(|l| cluster.version(l) >= confirmed));
         cluster.start_replica(leader);
         assert!(
             cluster.run_until(10_000, TestCluster::all_in_sync),
@@ -283,9 +291,9 @@
 }
 
 #[test]
-fn the_log_is_kept_for_a_core_that_catches_up_while_changes_go_on() {
+fn the_log_is_kept_for_a_replica_that_catches_up_during_changes() {
     let (mut cluster, leader, behind) = start_with_lagging_replica();
-    // A narrow link: every chunk takes its time, and a change comes with each.
+    // As on a narrow link, the transfer is slow (every other chunk is lost), and a change is committed with each chunk.
     let seen = Rc::new(Cell::new(0));
     cluster.drops_message = Box::new(move |c: &SentMessage| {
         let chunk = matches!(&c.body, Body::InstallSnapshot(_));
@@ -301,11 +309,15 @@
     cluster.run(1000);
     assert!(cluster.all_in_sync(), "{:#?}", cluster.log_lines);
     let sent = installs(&cluster, behind);
-    let places: BTreeSet<u64> = sent.iter().map(|(_, m)| m.index).collect();
-    assert_eq!(places.len(), 1, "it chased the tail: {places:?}");
+    let indexes: BTreeSet<u64> = sent.iter().map(|(_, m)| m.index).collect();
+    assert_eq!(
+        indexes.len(),
+        1,
+        "the snapshot was replaced during the transfer: {indexes:?}"
+    );
     assert!(
         cluster.replica(leader).state().applied_index
-            > 2 * SNAPSHOT_EVERY_ENTRIES + places.iter().sum::<u64>()
+            > 2 * SNAPSHOT_EVERY_ENTRIES + indexes.iter().sum::<u64>()
     );
 }
 
@@ -315,12 +327,12 @@
         log_bytes: 200_000,
         ..Limits::default()
     });
-    let mut most = 0;
+    let mut max_bytes = 0;
     for _ in 0..100 {
         cluster.commit_change(10_000);
-        let held = (0..3).map(|i| cluster.counter(i, "log_bytes_in_memory"));
-        most = most.max(held.max().unwrap_or(0));
+        let bytes_in_memory = (0..3).map(|i| cluster.counter(i, "log_bytes_in_memory"));
+        max_bytes = max_bytes.max(bytes_in_memory.max().unwrap_or(0));
     }
-    assert!(most <= 330_000, "{most} bytes");
+    assert!(max_bytes <= 330_000, "{max_bytes} bytes");
     assert!(cluster.counter(0, "snapshots") > 3);
 }
--- a/landingdrift/tests/snapshots_to_nodes.rs
+++ b/landingdrift/tests/snapshots_to_nodes.rs
@@ -1,4 +1,4 @@
-//! Snapshots from a replica to nodes: a chunk at a time, and one for all that fetch at once.
+//! Snapshot transfer from a replica to nodes: one chunk in flight at a time, and one snapshot shared by all nodes.
 
 mod replicas;
 
@@ -20,7 +20,7 @@
 fn a_node_fetches_a_snapshot_a_chunk_at_a_time() {
     let (mut cluster, leader, _) = start_with_lagging_replica();
     let mut assembly = SnapshotAssembly::default();
-    let mut whole = None;
+    let mut complete = None;
     for _ in 0..200 {
         let before = snapshot_chunks(&cluster).len();
         let part = assembly.identity();
@@ -32,12 +32,12 @@
                 ..TestCluster::watch_request_of(NODE, 0)
             });
         };
-        // Asked again and again, a chunk is sent once while it may be on its way.
+        // However often the node requests it, a chunk is sent only once while it may be in flight.
         (0..3).for_each(|_| ask(&mut cluster));
         cluster.commit_change(100);
         cluster.run(20);
         let got = snapshot_chunks(&cluster);
-        assert_eq!(got.len(), before + 1, "one chunk for each");
+        assert_eq!(got.len(), before + 1, "each chunk is sent once");
         let m = got.last().expect("a chunk");
         assert!(m.bytes.len() <= CHUNK_BYTES);
         let of = landingdrift::snapshot_chunks::SnapshotId {
@@ -49,16 +49,16 @@
         match assembly.add_chunk(of, m.offset, &m.bytes) {
             ChunkOutcome::Incomplete => {}
             ChunkOutcome::Complete(bytes) => {
-                whole = Some((m.index, bytes));
+                complete = Some((m.index, bytes));
                 break;
             }
-            ChunkOutcome::Corrupt => panic!("a chunk was spoilt"),
+            ChunkOutcome::Corrupt => panic!("the snapshot is corrupt"),
         }
     }
-    let (index, bytes) = whole.expect("whole");
-    landingdrift::state::ClusterState::unpack(&bytes).expect("a record");
+    let (index, bytes) = complete.expect("complete");
+    landingdrift::state::ClusterState::unpack(&bytes).expect("a cluster state");
     assert_eq!(cluster.counter(leader, "watch_snapshots"), 1);
-    // It goes on with entries from there, and no further snapshot.
+    // The node continues with the entries after the snapshot and is sent no further snapshot.
     let before = snapshot_chunks(&cluster).len();
     cluster.watch_request(NODE, index);
     cluster.run(5);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn nodes_that_fetch_at_once_share_one_snapshot() {
+fn nodes_that_fetch_at_the_same_time_share_one_snapshot() {
     let (mut cluster, leader, _) = start_with_lagging_replica();
     for n in 0..20 {
         cluster.watch_request(&format!("10.8.8.{n}:1"), 0);
--- a/landingdrift/tests/watch_flow.rs
+++ b/landingdrift/tests/watch_flow.rs
@@ -1,4 +1,5 @@
-//! Flow control of the watch: what is on its way to a node is not sent again, and what was overtaken takes no copy back.
+//! Flow control of the watch: data in flight to a node is not resent, and a late snapshot never moves a node's copy
+//! back.
 
 mod node_harness;
 mod replicas;
@@ -11,83 +12,84 @@
 
 const HEARTBEAT_MS: u64 = 100;
 
-/// Three replicas that a node follows, and the index that it has applied.
-fn followed() -> (TestCluster, u64) {
-    let (mut cores, applied) = TestCluster::start_with_node();
-    cores.send_watch_request(TestCluster::watch_request_of(NODE, applied));
-    (cores, applied)
+/// Starts three replicas followed by a node; returns them and the index that the node has applied.
+fn start_with_watching_node() -> (TestCluster, u64) {
+    let (mut cluster, applied) = TestCluster::start_with_node();
+    cluster.send_watch_request(TestCluster::watch_request_of(NODE, applied));
+    (cluster, applied)
 }
 
-/// The node asks every tenth of a heartbeat, as if nothing had arrived since; returns how often entries were sent.
-fn times_sent(cores: &mut TestCluster, request: &WatchRequest, for_ms: u64) -> usize {
-    let before = cores.batches(NODE).len();
+/// Repeats a node's request every tenth of a heartbeat interval, as if nothing had arrived since; returns how often
+/// entries were sent.
+fn times_sent(cluster: &mut TestCluster, request: &WatchRequest, for_ms: u64) -> usize {
+    let before = cluster.batches(NODE).len();
     for _ in 0..for_ms / 10 {
-        cores.send_watch_request(request.clone());
-        cores.run(10);
+        cluster.send_watch_request(request.clone());
+        cluster.run(10);
     }
-    let batches = cores.batches(NODE).split_off(before);
+    let batches = cluster.batches(NODE).split_off(before);
     let with_entries = batches.iter().filter(|batch| !batch.entries.is_empty());
     with_entries.count()
 }
 
 #[test]
-fn entries_on_their_way_are_not_sent_again_for_each_request() {
-    let (mut cores, applied) = followed();
-    cores.commit_change(200_000);
+fn entries_in_flight_are_not_resent_for_each_request() {
+    let (mut cluster, applied) = start_with_watching_node();
+    cluster.commit_change(200_000);
     let request = TestCluster::watch_request_of(NODE, applied);
-    // 200 kB take a link of 2 Mbit/s 800 ms.
-    assert_eq!(times_sent(&mut cores, &request, 800), 1);
-    // The pause doubles each time.
-    let times = times_sent(&mut cores, &request, 12_000);
+    // The transfer of 200 kB over a link of 2 Mbit/s takes 800 ms.
+    assert_eq!(times_sent(&mut cluster, &request, 800), 1);
+    // The retransmission timeout doubles each time.
+    let times = times_sent(&mut cluster, &request, 12_000);
     assert!((2..=3).contains(&times), "{times}");
 }
 
 #[test]
-fn entries_that_were_lost_are_sent_again_soon() {
-    let (mut cores, applied) = followed();
-    cores.commit_change(10);
+fn lost_entries_are_resent_after_the_timeout() {
+    let (mut cluster, applied) = start_with_watching_node();
+    cluster.commit_change(10);
     let request = TestCluster::watch_request_of(NODE, applied);
-    let times = times_sent(&mut cores, &request, 4 * HEARTBEAT_MS);
+    let times = times_sent(&mut cluster, &request, 4 * HEARTBEAT_MS);
     assert_eq!(times, 2);
 }
 
 #[test]
-fn a_light_copy_is_not_moved_past_entries_that_are_on_their_way() {
-    let (mut cores, applied) = followed();
-    // Beside a larger node.
-    cores.watch_request("10.8.8.9:1", applied);
-    cores.commit_change(10);
+fn a_light_copy_does_not_skip_entries_in_flight() {
+    let (mut cluster, applied) = start_with_watching_node();
+    // A node follows a light copy only if there is also a larger node.
+    cluster.watch_request("10.8.8.9:1", applied);
+    cluster.commit_change(10);
     let request = WatchRequest {
         share: 50,
         light: true,
         ..TestCluster::watch_request_of(NODE, applied)
     };
-    cores.send_watch_request(request.clone());
-    cores.run(5);
-    cores.commit_change(10);
-    cores.send_watch_request(request);
-    cores.run(5);
-    let last = cores.batches(NODE).pop().expect("a batch");
+    cluster.send_watch_request(request.clone());
+    cluster.run(5);
+    cluster.commit_change(10);
+    cluster.send_watch_request(request);
+    cluster.run(5);
+    let last = cluster.batches(NODE).pop().expect("a batch");
     assert!(last.light);
     let skipped = last.entries.is_empty() && last.reached > applied;
     assert!(!skipped, "{last:?}");
 }
 
 #[test]
-fn a_node_that_has_restarted_is_sent_what_its_predecessor_was_sent() {
-    let (mut cores, applied) = followed();
-    cores.commit_change(200_000);
+fn a_restarted_node_is_sent_the_entries_again() {
+    let (mut cluster, applied) = start_with_watching_node();
+    cluster.commit_change(200_000);
     let request = WatchRequest {
         sent: 500,
         ..TestCluster::watch_request_of(NODE, applied)
     };
-    assert_eq!(times_sent(&mut cores, &request, 20), 1);
-    // A process that has just started: its clock is another one, and it has applied nothing.
+    assert_eq!(times_sent(&mut cluster, &request, 20), 1);
+    // A process that has just started: its clock differs, and it has applied fewer entries.
     let restarted = TestCluster::watch_request_of(NODE, 1);
-    assert_eq!(times_sent(&mut cores, &restarted, 20), 1);
+    assert_eq!(times_sent(&mut cluster, &restarted, 20), 1);
 }
 
-/// One chunk that holds all of a snapshot of the state as the replicas have it.
+/// A single chunk with a whole snapshot of the replicas' current state.
 fn whole_snapshot(harness: &NodeHarness, light: bool, requested_from: u64) -> WatchSnapshotChunk {
     let bytes = if light {
         harness.state.without_jobs_and_workers().pack()
@@ -114,10 +116,10 @@
 }
 
 #[test]
-fn a_chunk_that_took_longer_than_the_patience_with_its_replica_is_used() {
+fn a_chunk_that_arrives_after_the_replica_timed_out_is_used() {
     let mut harness = NodeHarness::new();
     let chunk = whole_snapshot(&harness, true, 0);
-    // The node asks, hears nothing for long, and asks others.
+    // The node gets no answer to its request until the timeout, and asks other replicas.
     for _ in 0..100 {
         harness.elapsed_ms += 20;
         let now = harness.now();
@@ -131,9 +133,9 @@
 }
 
 #[test]
-fn a_chunk_that_was_overtaken_does_not_take_the_copy_back() {
+fn a_late_chunk_of_an_older_snapshot_does_not_move_the_copy_back() {
     let mut harness = NodeHarness::new();
-    let overtaken = whole_snapshot(&harness, false, 0);
+    let older = whole_snapshot(&harness, false, 0);
     harness.follow();
     harness.append(Command::SetEvacuation {
         zone: "z".into(),
@@ -141,12 +143,12 @@
     });
     harness.follow();
     let newest = harness.node.state().applied_index;
-    receive(&mut harness, REPLICA, overtaken);
+    receive(&mut harness, REPLICA, older);
     assert_eq!(harness.node.state().applied_index, newest);
 }
 
 #[test]
-fn a_copy_that_has_to_go_back_is_not_shown_before_it_has_caught_up() {
+fn a_copy_that_was_moved_back_is_not_served_until_it_has_caught_up() {
     let mut harness = NodeHarness::new();
     let earlier = whole_snapshot(&harness, true, 0);
     harness.append(Command::SetEvacuation {
@@ -156,7 +158,7 @@
     harness.follow();
     let now = harness.now();
     assert!(harness.node.is_ready(now));
-    // The leader wants a light copy here, and has none as new as this node's.
+    // The leader requires a light copy here, and has no light snapshot as new as this node's copy.
     let earlier = WatchSnapshotChunk {
         requested_from: harness.state.applied_index,
         ..earlier
@@ -186,7 +188,7 @@
     assert!(harness.node.is_ready(now));
 }
 
-/// A snapshot of so many bytes at an index, in chunks of which the first begins at 0.
+/// The chunk at `offset` of a snapshot at `index`, 1000 bytes long.
 fn chunk(index: u64, offset: usize) -> WatchSnapshotChunk {
     const TOTAL: usize = 9000;
     const SIZE: usize = 1000;
@@ -204,7 +206,7 @@
     }
 }
 
-/// How much of a snapshot the node says that it has, by its last request among some effects.
+/// The index of the snapshot that the node is receiving and the bytes received, from its last request among `effects`.
 fn part_received(effects: &[Effect]) -> Option<(u64, u64)> {
     effects.iter().rev().find_map(|effect| match effect {
         Effect::Send(_, Body::WatchRequest(request)) => {
@@ -215,14 +217,14 @@
 }
 
 #[test]
-fn chunks_of_two_snapshots_on_their_way_at_once_do_not_make_each_other_useless() {
+fn interleaved_chunks_of_two_snapshots_do_not_reset_each_other() {
     let mut harness = NodeHarness::new();
     receive(&mut harness, REPLICA, chunk(1000, 0));
     receive(&mut harness, REPLICA, chunk(1200, 0));
     receive(&mut harness, REPLICA, chunk(1000, 1000));
     let effects = receive(&mut harness, REPLICA, chunk(1200, 1000));
     assert_eq!(part_received(&effects), Some((1200, 2000)));
-    // An older one comes up again only once nothing more has come of this one.
+    // The node returns to an older snapshot only once no more chunks of this one arrive.
     receive(&mut harness, REPLICA, chunk(1000, 0));
     let effects = receive(&mut harness, REPLICA, chunk(1200, 2000));
     assert_eq!(part_received(&effects), Some((1200, 3000)));
