--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -80,8 +80,8 @@
         self.spawn_control(settings, inputs, calls, move || control.run(&received))
     }
 
-    /// Starts a replica on its data folder. If the disk returns an error that may pass, opening the folder is retried in
-    /// the background while the other parts of the process serve.
+    /// Starts a replica on its data folder. If the disk returns an error that may pass, opening the folder is retried
+    /// in the background while the other parts of the process serve.
     pub fn start_replica(&mut self, settings: &Settings) -> Result<PartHandle, ProcessError> {
         let seed = self.seed(&settings.listen);
         let opened = open_folder::open(settings, seed);
@@ -167,8 +167,8 @@
         Ok(())
     }
 
-    /// Runs until the process is asked to stop or a part ends by itself, then shuts down gracefully. `reread` returns the
-    /// parts' settings in the order in which the parts were started; it is called on SIGHUP.
+    /// Runs until the process is asked to stop or a part ends by itself, then shuts down gracefully. `reread` returns
+    /// the parts' settings in the order in which the parts were started; it is called on SIGHUP.
     pub fn run(
         mut self,
         reread: &dyn Fn() -> Result<Vec<Settings>, String>,
--- a/landingdrift/src/daemon/traffic/frames/send.rs
+++ b/landingdrift/src/daemon/traffic/frames/send.rs
@@ -44,8 +44,8 @@
             None => connect(addr, write_timeout).await,
         };
         let Some(mut open) = connection.take() else {
-            // The receiver can't be reached. QueuedFrame frames are outdated by the time it can be; senders repeat those that
-            // matter.
+            // The receiver can't be reached. QueuedFrame frames are outdated by the time it can be; senders repeat
+            // those that matter.
             while queued.try_recv().is_ok() {}
             continue;
         };
--- a/landingdrift/src/operator/change.rs
+++ b/landingdrift/src/operator/change.rs
@@ -8,7 +8,8 @@
 /// How often a condition is polled. Short enough for a person who waits, long enough not to load a node.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A new ID for a change. Nodes make a change with the same ID only once, so it can be sent again if a response is lost.
+/// A new ID for a change. Nodes make a change with the same ID only once, so it can be sent again if a response is
+/// lost.
 pub(super) fn new_change_id() -> String {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let nanos = since_epoch.map_or(0, |duration| duration.as_nanos());
--- a/landingdrift/src/operator/client.rs
+++ b/landingdrift/src/operator/client.rs
@@ -1,5 +1,5 @@
-//! The operator's HTTP client. It sends a request again only if that request may be repeated, and leaves no such decision
-//! to the HTTP library.
+//! The operator's HTTP client. It sends a request again only if that request may be repeated, and leaves no such
+//! decision to the HTTP library.
 
 use crate::worker_proxy::may_repeat;
 use reqwest::blocking::{Client, RequestBuilder, Response};
@@ -111,8 +111,8 @@
         })
     }
 
-    /// Calls nodes until one accepts or rejects the request. A request that must not be repeated is sent to the next node
-    /// only if it certainly had no effect at the earlier ones.
+    /// Calls nodes until one accepts or rejects the request. A request that must not be repeated is sent to the next
+    /// node only if it certainly had no effect at the earlier ones.
     pub fn call(
         &self,
         method: &str,
--- a/landingdrift/src/replay/rerun/mod.rs
+++ b/landingdrift/src/replay/rerun/mod.rs
@@ -57,9 +57,9 @@
     simulation.summary()
 }
 
-/// Replays an entry with an external cause: a configuration change, a job, a cancellation or a change of a worker. Entries
-/// with the cluster's own decisions are skipped, as they are made again. `with_config_changes` is false if the rerun uses
-/// another configuration.
+/// Replays an entry with an external cause: a configuration change, a job, a cancellation or a change of a worker.
+/// Entries with the cluster's own decisions are skipped, as they are made again. `with_config_changes` is false if the
+/// rerun uses another configuration.
 fn replay_entry(simulation: &mut Simulation, entry: &Command, with_config_changes: bool) {
     match entry.action() {
         Command::UpdateConfig { .. } if with_config_changes => {
--- a/landingdrift/src/replay/rerun/recorded_runs.rs
+++ b/landingdrift/src/replay/rerun/recorded_runs.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// The next run of a task. The n-th run in the rerun is the n-th recorded one; further runs repeat the last successful
-    /// one.
+    /// The next run of a task. The n-th run in the rerun is the n-th recorded one; further runs repeat the last
+    /// successful one.
     pub fn next(&mut self, key: TaskKey) -> RecordedRun {
         let recorded = self.runs.get(&key).map_or(&[][..], Vec::as_slice);
         let used = self.used.entry(key).or_default();
--- a/landingdrift/src/replay/rerun/simulated_worker.rs
+++ b/landingdrift/src/replay/rerun/simulated_worker.rs
@@ -45,7 +45,8 @@
         &self.info.zone
     }
 
-    /// Updates the registration and resumes heartbeats. A new incarnation of the worker starts without running attempts.
+    /// Updates the registration and resumes heartbeats. A new incarnation of the worker starts without running
+    /// attempts.
     pub fn update(&mut self, info: &WorkerInfo) {
         if info.incarnation > self.info.incarnation {
             self.running.clear();
