--- a/landingdrift/tests/command_line.rs
+++ b/landingdrift/tests/command_line.rs
@@ -1,7 +1,9 @@
-//! The program as a new user meets it: wrong flags, broken settings, wrong words.
+//! The command line of the program: invalid flags, settings and commands must fail with the right exit code and a
+//! message that names the fault, never with a panic.
 
 use std::process::{Command, Output};
 
+/// Runs the program; returns its exit code and everything that it printed.
 fn run(arguments: &[&str]) -> (i32, String) {
     let Output {
         status,
@@ -17,7 +19,8 @@
     )
 }
 
-const GOOD: &[&str] = &[
+/// Flags with valid settings.
+const VALID_FLAGS: &[&str] = &[
     "--listen",
     "127.0.0.1:7001",
     "--http",
@@ -28,19 +31,20 @@
     "127.0.0.1:7001",
 ];
 
-fn with(role: &str, more: &[&str]) -> (i32, String) {
+/// Runs a role with valid settings and further flags.
+fn run_role(role: &str, more: &[&str]) -> (i32, String) {
     let mut arguments = vec![role];
-    arguments.extend(GOOD);
+    arguments.extend(VALID_FLAGS);
     arguments.extend(more);
     run(&arguments)
 }
 
 #[test]
-fn every_wrong_setting_is_named_with_its_remedy() {
+fn every_invalid_setting_is_named_in_the_error() {
     let file =
         std::env::temp_dir().join(format!("landingdrift-settings-{}.toml", std::process::id()));
     let file = file.to_string_lossy().to_string();
-    let text = |t: &str| std::fs::write(&file, t).expect("written");
+    let write = |text: &str| std::fs::write(&file, text).expect("written");
     for (more, named) in [
         (vec!["--listen", "localhost:7000"], "listen"),
         (vec!["--http", "127.0.0.1:7001"], "http"),
@@ -53,8 +57,11 @@
     ] {
         let mut arguments = vec!["--check"];
         arguments.extend(&more);
-        let (code, said) = with("node", &arguments);
-        assert!(code == 2 && said.contains(named), "{more:?}: {code} {said}");
+        let (code, output) = run_role("node", &arguments);
+        assert!(
+            code == 2 && output.contains(named),
+            "{more:?}: {code} {output}"
+        );
     }
     for (toml, named) in [
         ("colour = 1", "colour"),
@@ -63,14 +70,17 @@
         ("[hopper]\nepsilon = 2.0", "hopper.epsilon"),
         ("zone = ", "wrong"),
     ] {
-        text(toml);
-        let (code, said) = with("node", &["--check", "--settings", &file]);
-        assert!(code == 2 && said.contains(named), "{toml}: {code} {said}");
+        write(toml);
+        let (code, output) = run_role("node", &["--check", "--settings", &file]);
+        assert!(
+            code == 2 && output.contains(named),
+            "{toml}: {code} {output}"
+        );
     }
-    text("zone = \"from-file\"\n[limits]\nretain_ms = 60000\n");
-    assert_eq!(with("node", &["--check", "--settings", &file]).0, 0);
+    write("zone = \"from-file\"\n[limits]\nretain_ms = 60000\n");
+    assert_eq!(run_role("node", &["--check", "--settings", &file]).0, 0);
     assert_eq!(
-        with("core", &["--check"]).0,
+        run_role("core", &["--check"]).0,
         2,
         "a core without a data folder"
     );
@@ -78,7 +88,7 @@
 }
 
 #[test]
-fn help_is_to_be_had_everywhere_and_wrong_words_have_their_code() {
+fn help_succeeds_for_every_command_and_invalid_commands_have_their_exit_codes() {
     for arguments in [
         &["--help"][..],
         &["core", "--help"],
@@ -88,8 +98,11 @@
         &["verify", "--help"],
         &["replay", "--help"],
     ] {
-        let (code, said) = run(arguments);
-        assert!(code == 0 && said.len() > 20, "{arguments:?}: {code} {said}");
+        let (code, output) = run(arguments);
+        assert!(
+            code == 0 && output.len() > 20,
+            "{arguments:?}: {code} {output}"
+        );
     }
     for arguments in [
         &[][..],
@@ -104,25 +117,25 @@
         &["replay", "check", "/no/such"],
         &["replay", "record", "/no/such", "x"],
     ] {
-        let (code, said) = run(arguments);
+        let (code, output) = run(arguments);
         assert!(
-            code == 2 && !said.contains("panicked"),
-            "{arguments:?}: {code} {said}"
+            code == 2 && !output.contains("panicked"),
+            "{arguments:?}: {code} {output}"
         );
     }
-    let (code, said) = run(&["operator", "--at", "127.0.0.1:9", "--within", "0", "status"]);
-    assert!(code == 3 && said.contains("--at"), "{code} {said}");
+    let (code, output) = run(&["operator", "--at", "127.0.0.1:9", "--within", "0", "status"]);
+    assert!(code == 3 && output.contains("--at"), "{code} {output}");
 }
 
 #[test]
-fn a_foreign_folder_is_refused_without_a_panic() {
-    let p = std::env::temp_dir().join(format!("landingdrift-foreign-{}", std::process::id()));
-    std::fs::create_dir_all(&p).expect("made");
-    std::fs::write(p.join("photos.txt"), "mine").expect("written");
-    let (code, said) = with("core", &["--data", &p.to_string_lossy()]);
+fn a_folder_with_other_files_is_rejected_without_a_panic() {
+    let folder = std::env::temp_dir().join(format!("landingdrift-foreign-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("made");
+    std::fs::write(folder.join("photos.txt"), "mine").expect("written");
+    let (code, output) = run_role("core", &["--data", &folder.to_string_lossy()]);
     assert!(
-        code == 1 && said.contains("something else"),
-        "{code} {said}"
+        code == 1 && output.contains("something else"),
+        "{code} {output}"
     );
-    let _ = std::fs::remove_dir_all(&p);
+    let _ = std::fs::remove_dir_all(&folder);
 }
--- a/landingdrift/tests/control_client.rs
+++ b/landingdrift/tests/control_client.rs
@@ -1,4 +1,5 @@
-//! What the operator's client sends when connections break: a stand-in for a node breaks them at every byte.
+//! The operator's client when connections break. Guards against a request that must not be repeated but is sent twice:
+//! a fake node breaks the connection after every number of bytes.
 
 use landingdrift::operator::{ClientError, ControlClient};
 use serde_json::{json, Value};
@@ -8,24 +9,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const ANSWER: &str =
+const RESPONSE: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 11\r\n\r\n{\"done\": 1}";
 
-/// Where the stand-in breaks the connection of the second request; all others are answered.
+/// Where the fake node breaks the connection of the second request. It answers all others.
 #[derive(Clone, Copy)]
 enum Break {
-    /// After so many bytes of the request were read.
+    /// After this many bytes of the request were read.
     Request(usize),
-    /// After so many bytes of the answer were written.
-    Answer(usize),
+    /// After this many bytes of the response were written.
+    Response(usize),
 }
 
-/// A node whose requests are counted as they begin.
-struct StandIn {
+/// A fake node, which counts requests when they begin.
+struct FakeNode {
     at: String,
     requests: Arc<AtomicUsize>,
 }
 
+/// Makes the connection end with a reset when it is dropped.
 fn reset(connection: &TcpStream) {
     let linger = Some(Duration::ZERO);
     socket2::SockRef::from(connection)
@@ -33,11 +35,11 @@
         .expect("set");
 }
 
-/// Reads up to so many bytes, or to the end of the request's head; empty at the end of the connection.
-fn read_head(connection: &mut TcpStream, most: usize) -> Vec<u8> {
+/// Reads up to `max_bytes`, or to the end of the request's head; empty at the end of the connection.
+fn read_head(connection: &mut TcpStream, max_bytes: usize) -> Vec<u8> {
     let mut head = Vec::new();
     let mut byte = [0];
-    while head.len() < most && !head.ends_with(b"\r\n\r\n") {
+    while head.len() < max_bytes && !head.ends_with(b"\r\n\r\n") {
         match connection.read(&mut byte) {
             Ok(1) => head.push(byte[0]),
             _ => break,
@@ -46,25 +48,29 @@
     head
 }
 
-/// Serves a connection until it ends; a new one begins a request, and so does whatever comes on one that was kept.
+/// Serves a connection until it ends. A new connection counts as a request, and so does every further request on it.
 fn serve(mut connection: TcpStream, broken: Break, requests: &AtomicUsize) {
     let mut head = Vec::new();
     loop {
         let second = requests.fetch_add(1, Ordering::SeqCst) == 1;
-        let most = match broken {
-            Break::Request(most) if second => most,
+        let max_bytes = match broken {
+            Break::Request(max_bytes) if second => max_bytes,
             _ => usize::MAX,
         };
-        // A reset before anything was sent would be a failure to connect, after which any call may go elsewhere.
+        // Waits for the first byte: a reset before it would count as a failure to connect, after which any request may
+        // be sent to another node.
         connection.peek(&mut [0]).expect("a request begins");
-        head.extend(read_head(&mut connection, most.saturating_sub(head.len())));
+        head.extend(read_head(
+            &mut connection,
+            max_bytes.saturating_sub(head.len()),
+        ));
         match broken {
             Break::Request(_) if second => return reset(&connection),
-            Break::Answer(most) if second => {
-                let _ = connection.write_all(&ANSWER.as_bytes()[..most]);
+            Break::Response(bytes) if second => {
+                let _ = connection.write_all(&RESPONSE.as_bytes()[..bytes]);
                 return reset(&connection);
             }
-            _ => connection.write_all(ANSWER.as_bytes()).expect("written"),
+            _ => connection.write_all(RESPONSE.as_bytes()).expect("written"),
         }
         head = read_head(&mut connection, 1);
         if head.is_empty() {
@@ -73,7 +79,7 @@
     }
 }
 
-fn stand_in(broken: Break) -> StandIn {
+fn start_fake_node(broken: Break) -> FakeNode {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let at = listener.local_addr().expect("bound").to_string();
     let requests = Arc::new(AtomicUsize::new(0));
@@ -84,32 +90,32 @@
             std::thread::spawn(move || serve(connection, broken, &counted));
         }
     });
-    StandIn { at, requests }
+    FakeNode { at, requests }
 }
 
-/// A GET, so that a connection could be kept, then the call; what came of it, and how often it arrived.
+/// Sends a GET, after which the client could keep its connection, then the call. Returns the result of the call and how
+/// often it arrived.
 fn call(broken: Break, method: &str, path: &str) -> (Result<Value, ClientError>, usize) {
-    let stand_in = stand_in(broken);
-    let client =
-        ControlClient::new(vec![stand_in.at.clone()], Duration::from_secs(5)).expect("made");
+    let node = start_fake_node(broken);
+    let client = ControlClient::new(vec![node.at.clone()], Duration::from_secs(5)).expect("made");
     client.call("GET", "/v1/status", None).expect("answered");
     let done = client.call(method, path, None);
-    (done, stand_in.requests.load(Ordering::SeqCst) - 1)
+    (done, node.requests.load(Ordering::SeqCst) - 1)
 }
 
-/// Every place at which a connection may break, before the request is whole and after.
+/// Every place at which the connection may break: in the request and in the response.
 fn breaks() -> Vec<Break> {
     let of_request = (0..80).map(Break::Request);
     of_request
-        .chain((0..ANSWER.len()).map(Break::Answer))
+        .chain((0..RESPONSE.len()).map(Break::Response))
         .collect()
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_arrives_once_wherever_its_connection_breaks() {
+fn a_call_that_must_not_be_repeated_arrives_once_wherever_its_connection_breaks() {
     for (number, broken) in breaks().into_iter().enumerate() {
         let (done, arrived) = call(broken, "DELETE", "/v1/jobs/j");
-        assert_eq!(arrived, 1, "break {number}: it was sent again");
+        assert_eq!(arrived, 1, "break {number}: the request was sent again");
         assert!(
             matches!(done, Err(ClientError::OutcomeUnknown { .. })),
             "break {number}: {done:?}"
@@ -118,12 +124,12 @@
 }
 
 #[test]
-fn a_change_with_an_identity_is_sent_again_until_it_is_answered() {
+fn a_change_with_an_id_is_sent_again_until_it_is_answered() {
     let path = "/v1/desired?base=1&change=c";
     for broken in [
         Break::Request(20),
-        Break::Answer(5),
-        Break::Answer(ANSWER.len() - 1),
+        Break::Response(5),
+        Break::Response(RESPONSE.len() - 1),
     ] {
         let (done, arrived) = call(broken, "PUT", path);
         assert_eq!(done.expect("answered"), json!({"done": 1}));
@@ -131,7 +137,7 @@
     }
 }
 
-/// A server that gives one answer to every request.
+/// Starts a server that gives the same response to every request; returns its address.
 fn server_that_answers(answer: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let at = listener.local_addr().expect("bound").to_string();
@@ -153,8 +159,8 @@
 }
 
 #[test]
-fn a_call_that_may_be_repeated_follows_a_redirect_and_another_one_does_not() {
-    let answering = server_that_answers(ANSWER.into());
+fn only_a_call_that_may_be_repeated_follows_a_redirect() {
+    let answering = server_that_answers(RESPONSE.into());
     let redirecting = server_that_redirects(&answering);
     let client = ControlClient::new(vec![redirecting], Duration::from_secs(5)).expect("made");
     let read = client.call("GET", "/v1/desired", None);
@@ -162,14 +168,14 @@
     let change = client.call("PUT", "/v1/desired?base=1&change=c", None);
     assert_eq!(change.expect("answered"), json!({"done": 1}));
     for (method, path) in [("DELETE", "/v1/jobs/j"), ("PUT", "/v1/desired?base=1")] {
-        let order = client.call(method, path, None);
-        let is_refused = matches!(order, Err(ClientError::Refused { status: 307, .. }));
-        assert!(is_refused, "{method} {path}: {order:?}");
+        let result = client.call(method, path, None);
+        let is_rejected = matches!(result, Err(ClientError::Refused { status: 307, .. }));
+        assert!(is_rejected, "{method} {path}: {result:?}");
     }
 }
 
-/// Serves one request that is to have this body, and answers it.
-fn server_that_wants(body: &'static str) -> String {
+/// Starts a server that answers one PUT request if it has this body; returns its address.
+fn server_that_expects(body: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let at = listener.local_addr().expect("bound").to_string();
     std::thread::spawn(move || {
@@ -179,15 +185,15 @@
         let mut received = vec![0; body.len()];
         connection.read_exact(&mut received).expect("a body");
         if received == body.as_bytes() {
-            connection.write_all(ANSWER.as_bytes()).expect("written");
+            connection.write_all(RESPONSE.as_bytes()).expect("written");
         }
     });
     at
 }
 
 #[test]
-fn a_redirected_change_is_sent_with_its_method_and_body() {
-    let answering = server_that_wants("{\"zones\":{}}");
+fn a_redirected_change_keeps_its_method_and_body() {
+    let answering = server_that_expects("{\"zones\":{}}");
     let redirecting = server_that_redirects(&answering);
     let client = ControlClient::new(vec![redirecting], Duration::from_secs(1)).expect("made");
     let body = json!({"zones": {}});
--- a/landingdrift/tests/docs.rs
+++ b/landingdrift/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The operators' pages say what the code does.
+//! The operators' pages must match the code: the list of settings with their defaults, and the examples.
 
 use landingdrift::config;
 use landingdrift::node::Heartbeat;
@@ -6,11 +6,12 @@
 use landingdrift::state::JobSpec;
 use serde_json::Value;
 
+/// The text of an operators' page.
 fn page(name: &str) -> String {
     std::fs::read_to_string(format!("../docs/operators/{name}.md")).expect("the page is there")
 }
 
-/// The fenced examples of a kind.
+/// The code blocks of a page with the given info string.
 fn examples(text: &str, kind: &str) -> Vec<String> {
     let fence = format!("```{kind}\n");
     text.split(&fence)
@@ -20,9 +21,9 @@
 }
 
 #[test]
-fn every_setting_is_listed_with_its_default_and_no_other() {
+fn the_page_lists_exactly_the_settings_with_their_defaults() {
     let defaults = serde_json::to_value(Settings::default()).expect("settings are values");
-    let mut want: Vec<(String, String)> = Vec::new();
+    let mut expected: Vec<(String, String)> = Vec::new();
     for (k, v) in defaults.as_object().expect("a table") {
         let text = |v: &Value| {
             v.as_str().map_or_else(
@@ -37,8 +38,10 @@
             )
         };
         match v.as_object() {
-            Some(inner) => want.extend(inner.iter().map(|(i, v)| (format!("{k}.{i}"), text(v)))),
-            None => want.push((k.clone(), text(v))),
+            Some(inner) => {
+                expected.extend(inner.iter().map(|(i, v)| (format!("{k}.{i}"), text(v))))
+            }
+            None => expected.push((k.clone(), text(v))),
         }
     }
     let text = page("settings");
@@ -56,16 +59,16 @@
         .iter_mut()
         .filter(|(n, _)| n == "founders")
         .for_each(|(_, d)| d.clear());
-    want.sort();
+    expected.sort();
     listed.sort();
-    assert_eq!(want, listed);
+    assert_eq!(expected, listed);
     for e in examples(&text, "toml") {
-        toml::from_str::<Settings>(&e).expect("the example of a settings file is right");
+        toml::from_str::<Settings>(&e).expect("the example of a settings file is valid");
     }
 }
 
 #[test]
-fn the_examples_are_right() {
+fn the_examples_are_valid() {
     let jobs = examples(&page("api"), "json job");
     let heartbeats = examples(&page("workers"), "json beat");
     let configurations = examples(&page("configuration"), "json desired");
--- a/landingdrift/tests/opening_data_folder.rs
+++ b/landingdrift/tests/opening_data_folder.rs
@@ -1,4 +1,5 @@
-//! A replica whose data folder can't be opened yet: its process serves, and tries again.
+//! A replica whose data folder can't be opened. Guards against a process that exits instead of serving and retrying
+//! while the error may pass, and against retries when the folder belongs to something else.
 
 use landingdrift::daemon::{HttpAdapter, HttpLimits, Process};
 use landingdrift::settings::Settings;
@@ -9,7 +10,8 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-const LONG: Duration = Duration::from_secs(20);
+/// A timeout that the test does not reach unless it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
@@ -17,8 +19,8 @@
 }
 
 fn get(at: SocketAddr, path: &str) -> (u16, String) {
-    let got = reqwest::blocking::get(format!("http://{at}{path}")).expect("answered");
-    (got.status().as_u16(), got.text().expect("text"))
+    let response = reqwest::blocking::get(format!("http://{at}{path}")).expect("answered");
+    (response.status().as_u16(), response.text().expect("text"))
 }
 
 fn role(at: SocketAddr) -> Value {
@@ -27,11 +29,11 @@
 }
 
 #[test]
-fn a_folder_that_can_not_be_opened_is_tried_again_while_the_process_serves() {
+fn opening_the_folder_is_retried_while_the_process_serves() {
     let base = std::env::temp_dir().join(format!("landingdrift-opening-{}", std::process::id()));
     let _ = fs::remove_dir_all(&base);
     fs::create_dir_all(&base).expect("made");
-    // A file stands where the disk is to be: nothing can be made below it.
+    // A file in place of the parent folder, so that the data folder can't be created.
     let disk = base.join("disk");
     fs::write(&disk, "").expect("written");
     let listen = free_address().to_string();
@@ -48,7 +50,7 @@
         .expect("starts without its folder");
     let at = free_address();
     let limits = HttpLimits {
-        timeout: LONG,
+        timeout: TEST_TIMEOUT,
         body_bytes: 1000,
         calls: 10,
     };
@@ -63,7 +65,7 @@
     assert!(!running.is_finished());
     fs::remove_file(&disk).expect("removed");
     let since = Instant::now();
-    while role(at) != "Leader" && since.elapsed() < LONG {
+    while role(at) != "Leader" && since.elapsed() < TEST_TIMEOUT {
         sleep(Duration::from_millis(50));
     }
     assert_eq!(role(at), "Leader");
@@ -75,7 +77,7 @@
 }
 
 #[test]
-fn a_folder_of_something_else_is_refused_at_once() {
+fn a_folder_with_other_files_is_rejected_at_once() {
     let base = std::env::temp_dir().join(format!("landingdrift-foreign-{}", std::process::id()));
     let _ = fs::remove_dir_all(&base);
     fs::create_dir_all(&base).expect("made");
@@ -86,9 +88,9 @@
         ..Settings::default()
     };
     let mut process = Process::start("error").expect("starts");
-    let why = process
+    let error = process
         .start_replica(&settings)
         .map(|_| ())
-        .expect_err("refused");
-    assert!(why.to_string().contains("something else"), "{why}");
+        .expect_err("rejected");
+    assert!(error.to_string().contains("something else"), "{error}");
 }
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -1,4 +1,5 @@
-//! A process that is told to end answers every call that it has read whole, and ends within its grace.
+//! The graceful shutdown of a process. Guards against calls that were received completely but not answered, and against
+//! a shutdown that is too short for callers to notice or longer than the grace period.
 
 use landingdrift::daemon::{
     HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Process,
@@ -13,31 +14,32 @@
 use std::thread::{sleep, spawn, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Signals reach all of the test's process: one test at a time.
+/// Signals reach the whole test process, so only one test may run at a time.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 const GRACE_MS: u64 = 2400;
+/// The number of callers with persistent connections, and of callers without.
 const CALLERS: usize = 4;
-/// More calls than this are made before a process is told to end.
-const LEAST_CALLS: u64 = 100;
-/// On a busy machine that may take a while.
-const CALLS_WITHIN: Duration = Duration::from_secs(60);
+/// The least number of calls before a process is asked to stop.
+const MIN_CALLS: u64 = 100;
+/// The timeout for making these calls; long, as the machine may be busy.
+const CALLS_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Answers each call with the next tick, and has nothing to hand on when it is told to stop.
+/// A part that answers each call at the next tick and exits at once when it is asked to stop.
 #[derive(Default)]
-struct Slow {
+struct SlowPart {
     waiting: Vec<u64>,
-    ends_itself: Option<Arc<AtomicBool>>,
+    exit_at_next_tick: Option<Arc<AtomicBool>>,
 }
 
-impl Part for Slow {
+impl Part for SlowPart {
     fn step(&mut self, _: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Call(call, _) => self.waiting.push(call),
             Msg::Stop => return vec![Effect::Exit],
             Msg::Tick => {
                 let ends = self
-                    .ends_itself
+                    .exit_at_next_tick
                     .as_ref()
                     .is_some_and(|e| e.load(Ordering::SeqCst));
                 let answers = self.waiting.drain(..);
@@ -55,16 +57,18 @@
     }
 }
 
+/// Counts of calls and responses.
 #[derive(Default)]
 struct Counts {
-    /// Calls that the process read whole.
+    /// Calls that the process received completely.
     read: AtomicU64,
-    /// Answers that came whole.
+    /// Responses that the callers received completely.
     answered: AtomicU64,
+    /// Responses with status 503.
     refused: AtomicU64,
-    /// Calls that were sent whole and found no answer, and when the first one was sent.
-    cut: AtomicU64,
-    first_cut: Mutex<Option<Instant>>,
+    /// Calls without a complete response, and the time at which the first one was sent.
+    unanswered: AtomicU64,
+    first_unanswered: Mutex<Option<Instant>>,
 }
 
 fn free_address() -> SocketAddr {
@@ -83,26 +87,26 @@
     }
 }
 
-/// Counts the calls that were read whole, and tells responses as they are.
-fn counting(counts: &Arc<Counts>) -> HttpAdapter {
+/// An HTTP adapter that counts the received calls and responds with large bodies.
+fn counting_adapter(counts: &Arc<Counts>) -> HttpAdapter {
     let counts = counts.clone();
-    HttpAdapter::new(Arc::new(move |asked: HttpRequest| {
+    HttpAdapter::new(Arc::new(move |request: HttpRequest| {
         counts.read.fetch_add(1, Ordering::SeqCst);
         let req = Request {
-            path: asked.path,
+            path: request.path,
             ..Request::default()
         };
-        let tell = |v: Response| HttpResponse {
-            status: v.status,
-            headers: vec![("Retry-After".into(), v.retry_ms.to_string())],
+        let to_http = |response: Response| HttpResponse {
+            status: response.status,
+            headers: vec![("Retry-After".into(), response.retry_ms.to_string())],
             body: vec![b'x'; 3000],
         };
-        HandlerAction::Call(req, Box::new(tell))
+        HandlerAction::Call(req, Box::new(to_http))
     }))
 }
 
-/// Reads one whole answer; its status, and whether the connection ends with it.
-fn answer(r: &mut BufReader<TcpStream>) -> Option<(u16, bool)> {
+/// Reads a complete response; returns its status, and whether it closes the connection.
+fn read_response(r: &mut BufReader<TcpStream>) -> Option<(u16, bool)> {
     let (mut status, mut length, mut close) = (None, 0, false);
     loop {
         let mut line = String::new();
@@ -125,8 +129,8 @@
     Some((status?, close))
 }
 
-/// Calls until nobody listens; keeps its connection where it may.
-fn caller(at: SocketAddr, keep: bool, counts: Arc<Counts>) -> JoinHandle<()> {
+/// Starts a caller, which makes calls until the address can't be reached. With `keep_alive` it reuses its connection.
+fn caller(at: SocketAddr, keep_alive: bool, counts: Arc<Counts>) -> JoinHandle<()> {
     spawn(move || {
         let mut connection: Option<BufReader<TcpStream>> = None;
         loop {
@@ -137,49 +141,50 @@
                     Err(_) => return,
                 },
             };
-            let since = Instant::now();
+            let sent_at = Instant::now();
             let sent = c
                 .get_mut()
                 .write_all(b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody");
-            match sent.ok().and_then(|()| answer(&mut c)) {
+            match sent.ok().and_then(|()| read_response(&mut c)) {
                 Some((status, close)) => {
                     counts.answered.fetch_add(1, Ordering::SeqCst);
                     counts
                         .refused
                         .fetch_add(u64::from(status == 503), Ordering::SeqCst);
-                    connection = (keep && !close).then_some(c);
+                    connection = (keep_alive && !close).then_some(c);
                 }
                 None => {
-                    counts.cut.fetch_add(1, Ordering::SeqCst);
-                    let mut first = counts.first_cut.lock().expect("free");
-                    first.get_or_insert(since);
+                    counts.unanswered.fetch_add(1, Ordering::SeqCst);
+                    let mut first = counts.first_unanswered.lock().expect("free");
+                    first.get_or_insert(sent_at);
                 }
             }
         }
     })
 }
 
-struct Ran {
+/// The outcome of a run.
+struct RunOutcome {
     counts: Arc<Counts>,
-    /// From the signal, or the part's own end, to the end of the process.
+    /// The time from the signal, or the end of the part, to the end of the process.
     took: Duration,
-    asked_at: Instant,
+    stop_requested_at: Instant,
     result: Result<(), String>,
 }
 
-/// Runs a process of two parts under callers, and ends it.
-fn run(own_end: bool) -> Ran {
+/// Runs a process with two parts and several callers, and ends it: by a signal, or by the exit of a part.
+fn run(part_exits: bool) -> RunOutcome {
     let (counts, ends) = (
         Arc::new(Counts::default()),
         Arc::new(AtomicBool::new(false)),
     );
     let mut process = Process::start("error").expect("starts");
     let serving = process
-        .start_part(Box::new(Slow::default()), &settings())
+        .start_part(Box::new(SlowPart::default()), &settings())
         .expect("starts");
-    let other = Slow {
-        ends_itself: own_end.then(|| ends.clone()),
-        ..Slow::default()
+    let other = SlowPart {
+        exit_at_next_tick: part_exits.then(|| ends.clone()),
+        ..SlowPart::default()
     };
     process
         .start_part(Box::new(other), &settings())
@@ -191,22 +196,22 @@
         calls: 1000,
     };
     process
-        .serve_http(at, limits, counting(&counts), &serving)
+        .serve_http(at, limits, counting_adapter(&counts), &serving)
         .expect("serves");
     let running = spawn(move || process.run(&|| Ok(vec![settings(), settings()])));
     let callers: Vec<_> = (0..2 * CALLERS)
         .map(|n| caller(at, n < CALLERS, counts.clone()))
         .collect();
-    await_calls(&counts, LEAST_CALLS / 2);
+    wait_for_calls(&counts, MIN_CALLS / 2);
     signal_hook::low_level::raise(SIGHUP).expect("raised");
-    await_calls(&counts, LEAST_CALLS);
+    wait_for_calls(&counts, MIN_CALLS);
     assert_eq!(
-        counts.cut.load(Ordering::SeqCst),
+        counts.unanswered.load(Ordering::SeqCst),
         0,
-        "rereading cuts nothing"
+        "reloading the settings leaves no call unanswered"
     );
-    let asked_at = Instant::now();
-    if own_end {
+    let stop_requested_at = Instant::now();
+    if part_exits {
         ends.store(true, Ordering::SeqCst);
     } else {
         signal_hook::low_level::raise(SIGTERM).expect("raised");
@@ -214,79 +219,84 @@
     sleep(Duration::from_millis(100));
     signal_hook::low_level::raise(SIGHUP).expect("raised");
     let result = running.join().expect("no panic");
-    let took = asked_at.elapsed();
+    let took = stop_requested_at.elapsed();
     callers
         .into_iter()
         .for_each(|c| c.join().expect("no panic"));
-    Ran {
+    RunOutcome {
         counts,
         took,
-        asked_at,
+        stop_requested_at,
         result: result.map_err(String::from),
     }
 }
 
-/// Waits until so many calls were read: how long that takes depends on how busy the machine is.
-fn await_calls(counts: &Counts, least: u64) {
+/// Waits until more than `min_calls` calls were received. How long that takes depends on the load of the machine.
+fn wait_for_calls(counts: &Counts, min_calls: u64) {
     let since = Instant::now();
-    while counts.read.load(Ordering::SeqCst) <= least {
+    while counts.read.load(Ordering::SeqCst) <= min_calls {
         assert!(
-            since.elapsed() < CALLS_WITHIN,
-            "no {least} calls were made within {CALLS_WITHIN:?}"
+            since.elapsed() < CALLS_TIMEOUT,
+            "fewer than {min_calls} calls were made within {CALLS_TIMEOUT:?}"
         );
         sleep(Duration::from_millis(10));
     }
     sleep(Duration::from_millis(300));
 }
 
-fn nothing_is_lost(ran: &Ran) {
-    let of = |n: &AtomicU64| n.load(Ordering::SeqCst);
-    let (read, answered) = (of(&ran.counts.read), of(&ran.counts.answered));
-    let first_cut = ran.counts.first_cut.lock().expect("free");
-    let first_cut = first_cut.map(|at| at.duration_since(ran.asked_at));
+/// Asserts that every received call was answered, and that the shutdown took neither too short nor too long.
+fn assert_graceful(outcome: &RunOutcome) {
+    let load = |n: &AtomicU64| n.load(Ordering::SeqCst);
+    let (read, answered) = (load(&outcome.counts.read), load(&outcome.counts.answered));
+    let first_unanswered = outcome.counts.first_unanswered.lock().expect("free");
+    let first_unanswered = first_unanswered.map(|at| at.duration_since(outcome.stop_requested_at));
     eprintln!(
-        "read {read}, answered {answered}, refused {}, cut unread {}, first {first_cut:?}, took {:?}",
-        of(&ran.counts.refused),
-        of(&ran.counts.cut),
-        ran.took
+        "received {read}, answered {answered}, rejected {}, unanswered {}, first of these after {first_unanswered:?}, shutdown took {:?}",
+        load(&outcome.counts.refused),
+        load(&outcome.counts.unanswered),
+        outcome.took
     );
-    assert!(read > LEAST_CALLS, "{read} calls were read");
-    assert_eq!(read, answered, "calls read whole, and whole answers");
+    assert!(read > MIN_CALLS, "{read} calls were received");
+    assert_eq!(read, answered, "complete calls and complete responses");
     let bounds = settings().bounds;
-    let serves = Duration::from_millis(bounds.serving_time_after_stop());
+    let serving_time = Duration::from_millis(bounds.serving_time_after_stop());
     assert!(
-        first_cut.is_none_or(|at| at + Duration::from_millis(100) >= serves),
-        "cut after {first_cut:?}, it serves for {serves:?}"
+        first_unanswered.is_none_or(|at| at + Duration::from_millis(100) >= serving_time),
+        "a call was unanswered after {first_unanswered:?}, but the process should serve for {serving_time:?}"
     );
-    assert!(ran.took >= serves, "ended after {:?}", ran.took);
-    let most = Duration::from_millis(bounds.process_deadline() + 200);
-    assert!(ran.took <= most, "ended after {:?}", ran.took);
+    assert!(
+        outcome.took >= serving_time,
+        "ended after {:?}",
+        outcome.took
+    );
+    let max = Duration::from_millis(bounds.process_deadline() + 200);
+    assert!(outcome.took <= max, "ended after {:?}", outcome.took);
 }
 
 #[test]
-fn a_process_told_to_end_answers_all_it_has_read() {
+fn a_stopping_process_answers_every_call_that_it_has_received() {
     let _one = ONE_AT_A_TIME.lock();
-    let ran = run(false);
-    nothing_is_lost(&ran);
-    assert_eq!(ran.result, Ok(()));
+    let outcome = run(false);
+    assert_graceful(&outcome);
+    assert_eq!(outcome.result, Ok(()));
 }
 
 #[test]
 fn a_part_that_ends_by_itself_cuts_nothing_either() {
     let _one = ONE_AT_A_TIME.lock();
-    let ran = run(true);
-    nothing_is_lost(&ran);
-    assert!(ran.result.is_err());
+    let outcome = run(true);
+    assert_graceful(&outcome);
+    assert!(outcome.result.is_err());
 }
 
 #[test]
-fn calls_to_a_part_that_has_ended_are_refused_at_once() {
+fn calls_to_a_part_that_has_ended_are_rejected_at_once() {
     let _one = ONE_AT_A_TIME.lock();
     let (counts, ends) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(true)));
     let mut process = Process::start("error").expect("starts");
-    let part = Slow {
-        ends_itself: Some(ends),
-        ..Slow::default()
+    let part = SlowPart {
+        exit_at_next_tick: Some(ends),
+        ..SlowPart::default()
     };
     let handle = process
         .start_part(Box::new(part), &settings())
@@ -298,15 +308,15 @@
         calls: 1000,
     };
     process
-        .serve_http(at, limits, counting(&counts), &handle)
+        .serve_http(at, limits, counting_adapter(&counts), &handle)
         .expect("serves");
     sleep(Duration::from_millis(200));
     let since = Instant::now();
     let mut c = TcpStream::connect(at).expect("connects");
     c.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         .expect("written");
-    let got = answer(&mut BufReader::new(c));
-    assert_eq!(got.map(|(status, _)| status), Some(503));
+    let response = read_response(&mut BufReader::new(c));
+    assert_eq!(response.map(|(status, _)| status), Some(503));
     assert!(
         since.elapsed() < Duration::from_secs(5),
         "{:?}",
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -1,4 +1,5 @@
-//! One thread carries all frames of a process.
+//! Frames between processes, all carried by one traffic thread. Guards against lost, repeated or reordered frames, and
+//! against one bad peer that affects the others.
 
 mod traffic_common;
 
@@ -10,22 +11,23 @@
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
-use traffic_common::{limits, LONG};
+use traffic_common::{limits, TEST_TIMEOUT};
 
-const LONGEST: u32 = 1 << 20;
+/// The longest frame in these tests, in bytes.
+const MAX_FRAME_BYTES: u32 = 1 << 20;
 
-fn frames(me: &str) -> FrameOptions {
+fn options(own_address: &str) -> FrameOptions {
     FrameOptions {
         cluster: "tests".into(),
-        own_address: me.into(),
+        own_address: own_address.into(),
         timeout: Duration::from_secs(2),
-        max_frame_bytes: LONGEST,
+        max_frame_bytes: MAX_FRAME_BYTES,
     }
 }
 
 fn listen(traffic: &Traffic) -> (Transport, Receiver<Input>) {
     let (tx, rx) = channel();
-    let transport = traffic.listen(frames("127.0.0.1:0"), tx).expect("listens");
+    let transport = traffic.listen(options("127.0.0.1:0"), tx).expect("listens");
     (transport, rx)
 }
 
@@ -36,12 +38,14 @@
     }
 }
 
-fn ask(number: u64) -> Body {
+/// A small frame.
+fn read_index_request(number: u64) -> Body {
     let token = token(number);
     Body::ReadIndexRequest(Box::new(ReadIndexRequest { token }))
 }
 
-fn forwarded(number: u64, bytes: usize) -> Body {
+/// A frame with a body of the given size.
+fn forward_response(number: u64, bytes: usize) -> Body {
     Body::ForwardResponse(Box::new(ForwardResponse {
         token: token(number),
         status: 200,
@@ -52,10 +56,11 @@
     }))
 }
 
+/// Waits for the next frame; returns its sender and body.
 fn next(rx: &Receiver<Input>) -> (String, Body) {
-    match rx.recv_timeout(LONG) {
+    match rx.recv_timeout(TEST_TIMEOUT) {
         Ok(Input::Msg(Msg::Wire(from, body))) => (from, body),
-        _ => panic!("no frame came"),
+        _ => panic!("no frame was received"),
     }
 }
 
@@ -65,9 +70,9 @@
     out
 }
 
-/// Whether the other side ends the connection without a word.
-fn ends(mut c: TcpStream) -> bool {
-    c.set_read_timeout(Some(LONG)).expect("set");
+/// Whether the peer closes the connection without sending anything.
+fn is_closed(mut c: TcpStream) -> bool {
+    c.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     c.read(&mut [0; 8])
         .map_or_else(|e| e.kind() == ErrorKind::ConnectionReset, |n| n == 0)
 }
@@ -79,27 +84,36 @@
         Traffic::start().expect("starts"),
     );
     let ((mut a, at_a), (mut b, at_b)) = (listen(&one), listen(&two));
-    a.send(b.own_address(), &ask(1));
-    assert_eq!(next(&at_b), (a.own_address().to_string(), ask(1)));
-    b.send(a.own_address(), &ask(2));
-    assert_eq!(next(&at_a), (b.own_address().to_string(), ask(2)));
+    a.send(b.own_address(), &read_index_request(1));
+    assert_eq!(
+        next(&at_b),
+        (a.own_address().to_string(), read_index_request(1))
+    );
+    b.send(a.own_address(), &read_index_request(2));
+    assert_eq!(
+        next(&at_a),
+        (b.own_address().to_string(), read_index_request(2))
+    );
 }
 
 #[test]
-fn parts_in_one_process_share_the_thread_and_keep_their_names() {
+fn parts_in_one_process_share_the_thread_and_keep_their_addresses() {
     let traffic = Traffic::start().expect("starts");
     let ((mut replica, at_core), (mut node, at_node)) = (listen(&traffic), listen(&traffic));
     let (c, n) = (
         replica.own_address().to_string(),
         node.own_address().to_string(),
     );
-    node.send(&c, &ask(1));
-    replica.send(&n, &ask(2));
-    node.send(&n, &ask(3));
-    assert_eq!(next(&at_core), (n.clone(), ask(1)));
+    node.send(&c, &read_index_request(1));
+    replica.send(&n, &read_index_request(2));
+    node.send(&n, &read_index_request(3));
+    assert_eq!(next(&at_core), (n.clone(), read_index_request(1)));
     let mut got = [next(&at_node), next(&at_node)];
     got.sort_by_key(|(from, _)| *from == n);
-    assert_eq!(got, [(c, ask(2)), (n, ask(3))]);
+    assert_eq!(
+        got,
+        [(c, read_index_request(2)), (n, read_index_request(3))]
+    );
 }
 
 #[test]
@@ -108,97 +122,107 @@
     let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
     let sizes = [0, 10, 900_000, 20, 16 << 10, 40_000, 1];
     for (i, bytes) in sizes.into_iter().enumerate() {
-        a.send(b.own_address(), &forwarded(i as u64, bytes));
+        a.send(b.own_address(), &forward_response(i as u64, bytes));
     }
     for (i, bytes) in sizes.into_iter().enumerate() {
-        assert_eq!(next(&at_b).1, forwarded(i as u64, bytes));
+        assert_eq!(next(&at_b).1, forward_response(i as u64, bytes));
     }
     assert_eq!(a.dropped, 0);
 }
 
 #[test]
-fn a_receiver_that_does_not_read_holds_up_nobody_else() {
+fn a_stalled_receiver_does_not_delay_others() {
     let traffic = Traffic::start().expect("starts");
     let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
-    let deaf = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let deaf_at = deaf.local_addr().expect("an address").to_string();
-    let max_attempts = (0..50_000)
+    let stalled = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let stalled_at = stalled.local_addr().expect("an address").to_string();
+    let queued = (0..50_000)
         .take_while(|i| {
-            a.send(&deaf_at, &forwarded(*i, 8 << 10));
+            a.send(&stalled_at, &forward_response(*i, 8 << 10));
             a.dropped == 0
         })
         .count();
-    assert!(max_attempts < 50_000, "its queue is bounded");
-    a.send(b.own_address(), &ask(1));
-    assert_eq!(next(&at_b).1, ask(1));
+    assert!(queued < 50_000, "the queue is bounded");
+    a.send(b.own_address(), &read_index_request(1));
+    assert_eq!(next(&at_b).1, read_index_request(1));
 }
 
 #[test]
-fn what_waits_for_one_receiver_is_bounded_in_bytes() {
-    const MOST_BYTES: usize = 4 << 20;
+fn the_queue_for_one_receiver_is_bounded_in_bytes() {
+    const MAX_QUEUED_BYTES: usize = 4 << 20;
     let traffic = Traffic::start().expect("starts");
     let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
-    let deaf = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let deaf_at = deaf.local_addr().expect("an address").to_string();
+    let stalled = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let stalled_at = stalled.local_addr().expect("an address").to_string();
     for i in 0..200 {
-        a.send(&deaf_at, &forwarded(i, 500_000));
-        assert!(a.queued_bytes() <= MOST_BYTES, "{} bytes", a.queued_bytes());
+        a.send(&stalled_at, &forward_response(i, 500_000));
+        assert!(
+            a.queued_bytes() <= MAX_QUEUED_BYTES,
+            "{} bytes",
+            a.queued_bytes()
+        );
     }
     assert!(a.dropped > 0);
-    a.send(b.own_address(), &ask(1));
-    assert_eq!(next(&at_b).1, ask(1));
+    a.send(b.own_address(), &read_index_request(1));
+    assert_eq!(next(&at_b).1, read_index_request(1));
 }
 
 #[test]
-fn a_frame_that_is_too_long_ends_its_connection_and_nothing_else() {
+fn a_frame_that_is_too_long_closes_only_its_connection() {
     let traffic = Traffic::start().expect("starts");
     let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
     let mut c = TcpStream::connect(b.own_address()).expect("connects");
-    c.write_all(&(LONGEST + 1).to_le_bytes()).expect("written");
-    assert!(ends(c));
-    a.send(b.own_address(), &ask(1));
-    assert_eq!(next(&at_b).1, ask(1));
-    a.send(b.own_address(), &forwarded(2, LONGEST as usize + 1));
-    assert_eq!(a.dropped, 1, "nor is one sent");
+    c.write_all(&(MAX_FRAME_BYTES + 1).to_le_bytes())
+        .expect("written");
+    assert!(is_closed(c));
+    a.send(b.own_address(), &read_index_request(1));
+    assert_eq!(next(&at_b).1, read_index_request(1));
+    a.send(
+        b.own_address(),
+        &forward_response(2, MAX_FRAME_BYTES as usize + 1),
+    );
+    assert_eq!(a.dropped, 1, "a frame that is too long is not sent either");
 }
 
 #[test]
-fn a_frame_of_another_kind_is_passed_over() {
+fn invalid_frames_and_frames_of_other_clusters_are_skipped() {
     let traffic = Traffic::start().expect("starts");
     let (b, at_b) = listen(&traffic);
     let mut c = TcpStream::connect(b.own_address()).expect("connects");
     for bytes in [
         vec![1, 2, 3],
-        pack("others", "127.0.0.1:1", &ask(1)),
-        pack("tests", "127.0.0.1:1", &ask(2)),
+        pack("others", "127.0.0.1:1", &read_index_request(1)),
+        pack("tests", "127.0.0.1:1", &read_index_request(2)),
     ] {
         c.write_all(&framed(&bytes)).expect("written");
     }
-    assert_eq!(next(&at_b), ("127.0.0.1:1".into(), ask(2)));
+    assert_eq!(next(&at_b), ("127.0.0.1:1".into(), read_index_request(2)));
 }
 
 #[test]
-fn a_receiver_that_was_started_again_is_found_again() {
+fn a_restarted_receiver_gets_frames_again() {
     let traffic = Traffic::start().expect("starts");
     let (mut a, _at_a) = listen(&traffic);
     let first = Traffic::start().expect("starts");
     let (b, at_b) = listen(&first);
     let me = b.own_address().to_string();
-    a.send(&me, &ask(1));
-    assert_eq!(next(&at_b).1, ask(1));
+    a.send(&me, &read_index_request(1));
+    assert_eq!(next(&at_b).1, read_index_request(1));
     drop((b, first));
     let second = Traffic::start().expect("starts");
     let (tx, rx) = channel();
-    let _b = second.listen(frames(&me), tx).expect("the address is free");
-    let found = (2..200).any(|i| {
-        a.send(&me, &ask(i));
+    let _b = second
+        .listen(options(&me), tx)
+        .expect("the address is free");
+    let received = (2..200).any(|i| {
+        a.send(&me, &read_index_request(i));
         rx.recv_timeout(Duration::from_millis(100)).is_ok()
     });
-    assert!(found);
+    assert!(received);
 }
 
-/// Takes so many bytes of a connection, then resets it.
-fn take_and_reset(listener: &TcpListener, bytes: usize) {
+/// Accepts a connection, reads the given number of bytes, then resets it.
+fn read_and_reset(listener: &TcpListener, bytes: usize) {
     let (mut c, _) = listener.accept().expect("a connection");
     c.read_exact(&mut vec![0; bytes]).expect("read");
     let linger = Some(Duration::ZERO);
@@ -206,59 +230,59 @@
 }
 
 #[test]
-fn a_frame_goes_over_one_connection_only_wherever_that_is_reset() {
+fn a_frame_is_not_sent_again_wherever_its_connection_is_reset() {
     let traffic = Traffic::start().expect("starts");
-    let whole = framed(&pack("tests", "127.0.0.1:65535", &ask(1))).len();
+    let whole = framed(&pack("tests", "127.0.0.1:65535", &read_index_request(1))).len();
     for bytes in 0..whole {
         let (mut a, _at_a) = listen(&traffic);
         let peer = TcpListener::bind("127.0.0.1:0").expect("bound");
         let peer_at = peer.local_addr().expect("an address").to_string();
-        a.send(&peer_at, &ask(1));
-        take_and_reset(&peer, bytes);
-        // The next frame may be lost with the connection, or comes on a new one; the first comes nowhere again.
+        a.send(&peer_at, &read_index_request(1));
+        read_and_reset(&peer, bytes);
+        // The next frame may be lost with the connection or arrive on a new one. The first must not arrive again.
         peer.set_nonblocking(true).expect("set");
-        let late = (0..200).find_map(|_| {
-            a.send(&peer_at, &ask(2));
+        let reconnected = (0..200).find_map(|_| {
+            a.send(&peer_at, &read_index_request(2));
             std::thread::sleep(Duration::from_millis(2));
             peer.accept().ok()
         });
-        let (mut c, _) = late.expect("a new connection");
+        let (mut c, _) = reconnected.expect("a new connection");
         c.set_nonblocking(false).expect("set");
-        c.set_read_timeout(Some(LONG)).expect("set");
+        c.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let mut len = [0; 4];
         c.read_exact(&mut len).expect("read");
         let mut body = vec![0; u32::from_le_bytes(len) as usize];
         c.read_exact(&mut body).expect("read");
         let body = unpack("tests", &body).expect("a frame").body;
-        assert_eq!(body, ask(2), "after {bytes} bytes");
+        assert_eq!(body, read_index_request(2), "after {bytes} bytes");
     }
 }
 
 #[test]
-fn an_address_that_is_taken_is_told_with_its_remedy() {
+fn an_error_about_an_address_in_use_names_the_flag_to_change() {
     let traffic = Traffic::start().expect("starts");
     let (a, _at_a) = listen(&traffic);
     let (tx, _rx) = channel();
-    let why = traffic
-        .listen(frames(a.own_address()), tx.clone())
+    let error = traffic
+        .listen(options(a.own_address()), tx.clone())
         .map(|_| ())
-        .expect_err("taken");
-    assert!(why.to_string().contains("--listen"), "{why}");
-    let taken = a.own_address().parse().expect("an address");
-    let why = traffic
+        .expect_err("in use");
+    assert!(error.to_string().contains("--listen"), "{error}");
+    let in_use = a.own_address().parse().expect("an address");
+    let error = traffic
         .serve_http(
-            taken,
+            in_use,
             limits(),
             HttpAdapter::default(),
             PendingCalls::default(),
             tx,
         )
-        .expect_err("taken");
-    assert!(why.to_string().contains("--http"), "{why}");
+        .expect_err("in use");
+    assert!(error.to_string().contains("--http"), "{error}");
 }
 
 #[test]
-fn the_longest_frame_follows_the_limits_up_to_a_top() {
+fn the_longest_frame_follows_from_the_limits_up_to_a_cap() {
     assert_eq!(FrameOptions::max_frame_bytes(&Limits::default()), 256 << 20);
     let small = Limits {
         open_jobs: 10,
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -1,4 +1,5 @@
-//! HTTP of a process, on the thread that carries its frames too.
+//! HTTP on the traffic thread. Guards against requests that reach the wrong part, and limits and failures that are not
+//! answered in the API's form.
 
 mod traffic_common;
 
@@ -12,34 +13,36 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 use std::time::Duration;
-use traffic_common::{limits, LONG};
+use traffic_common::{limits, TEST_TIMEOUT};
 
-struct Served {
+/// An HTTP address, with the calls and inputs of the part behind it.
+struct Server {
     at: SocketAddr,
     calls: PendingCalls,
     inputs: Receiver<Input>,
 }
 
-fn serve(traffic: &Traffic, limits: HttpLimits, http_adapter: HttpAdapter) -> Served {
+fn serve(traffic: &Traffic, limits: HttpLimits, http_adapter: HttpAdapter) -> Server {
     let (tx, inputs) = channel();
     let calls = PendingCalls::default();
     let any = "127.0.0.1:0".parse().expect("an address");
     let at = traffic
         .serve_http(any, limits, http_adapter, calls.clone(), tx)
         .expect("serves");
-    Served { at, calls, inputs }
+    Server { at, calls, inputs }
 }
 
-impl Served {
+impl Server {
+    /// Waits for the next call; returns the request and the call's number.
     fn next(&self) -> (Request, u64) {
-        match self.inputs.recv_timeout(LONG) {
+        match self.inputs.recv_timeout(TEST_TIMEOUT) {
             Ok(Input::Call(req, call)) => (req, call),
-            _ => panic!("no call came"),
+            _ => panic!("no call was received"),
         }
     }
 }
 
-/// Calls from a thread of its own; status, a header's value and the text come back.
+/// Sends a request from another thread, which returns the status, the value of the `X-Answers` header and the body.
 fn call(
     at: SocketAddr,
     path: &str,
@@ -47,30 +50,34 @@
 ) -> std::thread::JoinHandle<(u16, Option<String>, String)> {
     let url = format!("http://{at}{path}");
     std::thread::spawn(move || {
-        let got = reqwest::blocking::Client::new()
+        let response = reqwest::blocking::Client::new()
             .post(url)
             .header("X-Asks", "tests")
             .body(body)
             .send()
             .expect("answered");
-        let header = got
+        let header = response
             .headers()
             .get("X-Answers")
             .and_then(|h| h.to_str().ok())
             .map(str::to_string);
-        (got.status().as_u16(), header, got.text().expect("text"))
+        (
+            response.status().as_u16(),
+            header,
+            response.text().expect("text"),
+        )
     })
 }
 
 #[test]
-fn two_addresses_have_handlers_of_their_own() {
+fn two_addresses_have_separate_adapters_and_parts() {
     let traffic = Traffic::start().expect("starts");
     let own = serve(&traffic, limits(), HttpAdapter::default());
     let other = serve(
         &traffic,
         limits(),
-        HttpAdapter::new(Arc::new(|asked: HttpRequest| {
-            let header = asked
+        HttpAdapter::new(Arc::new(|request: HttpRequest| {
+            let header = request
                 .headers
                 .iter()
                 .find(|(k, _)| k == "x-asks" || k == "X-Asks");
@@ -94,13 +101,13 @@
         call(other.at, "/x", Vec::new()),
     );
     let (req, n) = own.next();
-    let want = Request {
+    let expected = Request {
         method: "POST".into(),
         path: "/a b".into(),
         query: "c=d".into(),
         body: b"body".to_vec(),
     };
-    assert_eq!(req, want);
+    assert_eq!(req, expected);
     own.calls
         .answer(n, Response::new(200, json!({"own": true})));
     let (req, n) = other.next();
@@ -117,49 +124,53 @@
 }
 
 #[test]
-fn calls_beyond_the_bound_are_told_to_come_back() {
+fn calls_beyond_the_limit_are_rejected_with_a_retry_time() {
     let traffic = Traffic::start().expect("starts");
     let one = HttpLimits {
         calls: 1,
         ..limits()
     };
-    let s = serve(&traffic, one, HttpAdapter::default());
-    let first = call(s.at, "/first", Vec::new());
-    let (_, n) = s.next();
-    let (status, _, text) = call(s.at, "/second", Vec::new()).join().expect("called");
+    let server = serve(&traffic, one, HttpAdapter::default());
+    let first = call(server.at, "/first", Vec::new());
+    let (_, n) = server.next();
+    let (status, _, text) = call(server.at, "/second", Vec::new())
+        .join()
+        .expect("called");
     assert!(status == 503 && text.contains("retryMs"), "{status} {text}");
-    s.calls.answer(n, Response::new(200, json!("done")));
+    server.calls.answer(n, Response::new(200, json!("done")));
     assert_eq!(first.join().expect("called"), (200, None, "done".into()));
 }
 
 #[test]
-fn a_body_that_is_too_long_or_no_http_is_refused_in_the_same_manner() {
+fn bodies_that_are_too_long_and_invalid_requests_get_errors_of_the_api() {
     let traffic = Traffic::start().expect("starts");
-    let s = serve(&traffic, limits(), HttpAdapter::default());
-    let (status, _, text) = call(s.at, "/", vec![b'x'; 1001]).join().expect("called");
+    let server = serve(&traffic, limits(), HttpAdapter::default());
+    let (status, _, text) = call(server.at, "/", vec![b'x'; 1001])
+        .join()
+        .expect("called");
     assert!(
         status == 413 && text.contains("tooLarge"),
         "{status} {text}"
     );
-    let mut c = TcpStream::connect(s.at).expect("connects");
+    let mut c = TcpStream::connect(server.at).expect("connects");
     c.write_all(b"TRACE / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         .expect("written");
-    let mut said = String::new();
-    c.read_to_string(&mut said).expect("read");
-    assert!(said.contains("wrongRequest"), "{said}");
+    let mut text = String::new();
+    c.read_to_string(&mut text).expect("read");
+    assert!(text.contains("wrongRequest"), "{text}");
 }
 
 #[test]
-fn nobody_who_decides_is_told_as_unsure() {
+fn a_call_that_is_not_answered_is_reported_as_unsure() {
     let traffic = Traffic::start().expect("starts");
-    let s = serve(&traffic, limits(), HttpAdapter::default());
-    drop(s.inputs);
+    let server = serve(&traffic, limits(), HttpAdapter::default());
+    drop(server.inputs);
     let short = HttpLimits {
         timeout: Duration::from_millis(50),
         ..limits()
     };
     let silent = serve(&traffic, short, HttpAdapter::default());
-    for at in [s.at, silent.at] {
+    for at in [server.at, silent.at] {
         let (status, _, text) = call(at, "/", Vec::new()).join().expect("called");
         assert!(status == 503 && text.contains("unsure"), "{status} {text}");
     }
