--- a/landingdrift/src/consensus/job_admission.rs
+++ b/landingdrift/src/consensus/job_admission.rs
@@ -67,7 +67,7 @@
     fn recount(&mut self, now: Now, state: &ClusterState) {
         self.recount_at = now.mono + RECOUNT_MS;
         self.counted = JobUsage {
-            jobs: state.open.len() as u64,
+            jobs: state.unfinished_jobs.len() as u64,
             bytes: state.job_bytes(),
         };
         self.counted_deferred = deferred_usage(state);
@@ -105,7 +105,10 @@
 
 /// The usage of the unfinished deferred jobs.
 fn deferred_usage(state: &ClusterState) -> JobUsage {
-    let open = state.open.iter().filter_map(|id| state.jobs.get(id));
+    let open = state
+        .unfinished_jobs
+        .iter()
+        .filter_map(|id| state.jobs.get(id));
     let deferred = open.filter(|job| is_deferred(&job.spec, state.at));
     deferred.fold(JobUsage::default(), |sum, job| {
         sum.plus(JobUsage {
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -72,7 +72,7 @@
         );
         add("commit", self.log.commit_index);
         add("leads", u64::from(self.role == Role::Leader));
-        add("jobs_open", self.state.open.len() as u64);
+        add("jobs_open", self.state.unfinished_jobs.len() as u64);
         add("jobs_kept", self.state.jobs.len() as u64);
         add("log_entries_in_memory", self.log.len() as u64);
         if self.role == Role::Leader {
--- a/landingdrift/src/node/calls/forward.rs
+++ b/landingdrift/src/node/calls/forward.rs
@@ -261,7 +261,7 @@
         status: forwarded.status,
         retry_ms: forwarded.retry_ms,
         body: serde_json::from_slice(&forwarded.body).unwrap_or(Value::Null),
-        by: forwarded.by,
+        answered_by: forwarded.by,
         location: String::new(),
     }
 }
--- a/landingdrift/src/node/calls/heartbeats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -56,7 +56,7 @@
         }
         let why = "another node holds the cell: ask that one";
         let response = Response {
-            by: holder,
+            answered_by: holder,
             ..Response::error(503, "notHolder", why)
         };
         self.reply(&origin, response);
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -32,7 +32,7 @@
 
 fn task_body(job: &Job, index: usize) -> Value {
     let task = &job.tasks[index];
-    let mut body = json!({"name": job.name(index), "state": task.state, "defects": task.failures, "sends": task.attempts});
+    let mut body = json!({"name": job.task_name(index), "state": task.state, "defects": task.failures, "sends": task.attempts});
     let mut attempts = task.attempts.iter();
     if attempts.any(|attempt| attempt.state == AttemptState::Unsure) {
         body["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
@@ -61,8 +61,8 @@
             let response = Response::error(400, "wrongJob", error.to_string());
             return self.reply(&origin, response);
         }
-        let is_new = !self.state.open.contains(&spec.id);
-        if is_new && self.state.open.len() as u64 >= self.settings.limits.open_jobs {
+        let is_new = !self.state.unfinished_jobs.contains(&spec.id);
+        if is_new && self.state.unfinished_jobs.len() as u64 >= self.settings.limits.open_jobs {
             return self.reject_full(&origin);
         }
         let hash = fnv1a(&serde_json::to_vec(&spec).unwrap_or_default());
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -140,10 +140,10 @@
         match origin {
             Origin::Local(call) => self.out.push(Effect::Answer(*call, response)),
             Origin::Remote(to, token) => {
-                let by = if response.by.is_empty() {
+                let by = if response.answered_by.is_empty() {
                     self.name.clone()
                 } else {
-                    response.by
+                    response.answered_by
                 };
                 let forwarded = ForwardResponse {
                     token: *token,
--- a/landingdrift/src/node/calls/routed_jobs.rs
+++ b/landingdrift/src/node/calls/routed_jobs.rs
@@ -107,7 +107,7 @@
 
     /// How many jobs of a queue have been accepted of which no task has begun, whether they are placed or not.
     fn waiting(&self, queue: &str) -> usize {
-        let open = self.state.open.iter();
+        let open = self.state.unfinished_jobs.iter();
         let jobs = open.filter_map(|id| self.state.jobs.get(id));
         let of_queue = jobs.filter(|job| job.spec.queue == queue);
         of_queue.filter(|job| !job.has_begun()).count()
--- a/landingdrift/src/node/calls/status.rs
+++ b/landingdrift/src/node/calls/status.rs
@@ -25,7 +25,7 @@
         let nodes_status: Vec<Value> = nodes.iter().map(node_status).collect();
         let latest = state.changes.iter().rev().take(MAX_CHANGES);
         let changes: Vec<Value> = latest.map(|change| change_status(change, nodes)).collect();
-        let jobs = json!({"open": state.open.len(), "kept": state.jobs.len(), "unsureSends": unsure_attempts(state)});
+        let jobs = json!({"open": state.unfinished_jobs.len(), "kept": state.jobs.len(), "unsureSends": unsure_attempts(state)});
         Response::new(
             200,
             json!({"cluster": state.cluster, "place": state.applied_index, "at": state.at, "version": state.version, "jobs": jobs,
@@ -44,14 +44,14 @@
     let stats = state.queues.get(name).cloned().unwrap_or_default();
     let is_in_window = |ended_at: u64| ended_at + queue.window_ms >= state.at;
     let in_window = stats
-        .promises
+        .job_ends
         .iter()
         .filter(|(ended_at, _)| is_in_window(*ended_at));
     let ended = in_window.clone().count();
     let missed = in_window.filter(|(_, kept)| !kept).count();
     let window = json!({"ended": ended, "missed": missed, "allowancePercent": queue.failure_allowance_percent, "spent": state.is_allowance_exhausted(name)});
     json!({"unfinished": stats.unfinished, "running": stats.running, "copies": stats.copies, "kept": stats.kept, "missed": stats.missed,
-           "beta": state.beta(name), "window": window, "copiesEver": stats.copies_ever, "copiesWon": stats.copies_won})
+           "beta": state.beta(name), "window": window, "copiesEver": stats.copies_started, "copiesWon": stats.copies_won})
 }
 
 fn zone_status(state: &ClusterState, name: &str, zone: &Zone) -> Value {
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -38,7 +38,7 @@
 /// The members of a task's gang that are not done.
 fn unfinished_members(job: &Job, task: u32) -> Vec<u32> {
     let mut members = Vec::new();
-    for member in job.gang(task as usize) {
+    for member in job.gang_members(task as usize) {
         if job.tasks[member].state != TaskState::Done {
             members.push(member as u32);
         }
@@ -64,7 +64,10 @@
 ///
 /// Every node derives the same one from the same cluster state, so that no two gangs wait for each other.
 pub fn claim(state: &ClusterState, at: u64, patience: u64) -> Option<Claim> {
-    let open = state.open.iter().filter_map(|id| state.jobs.get(id));
+    let open = state
+        .unfinished_jobs
+        .iter()
+        .filter_map(|id| state.jobs.get(id));
     let waiting = open.filter_map(|job| waiting_gang(state, at, patience, job));
     let mut waiting: Vec<WaitingGang> = waiting.collect();
     if waiting.is_empty() {
@@ -117,11 +120,11 @@
     }
     for task in 0..job.tasks.len() {
         let waits = job.in_gang(task) && job.tasks[task].state == TaskState::Waiting;
-        let is_overdue = at >= job.due(task) + patience;
+        let is_overdue = at >= job.task_due(task) + patience;
         if waits && is_overdue && job.leads_gang(task) && is_startable(state, at, job, task as u32)
         {
             return Some(WaitingGang {
-                waits_since: job.accepted.max(job.due(task)),
+                waits_since: job.accepted.max(job.task_due(task)),
                 job,
                 leader: task as u32,
             });
@@ -211,7 +214,7 @@
                 return placements;
             }
         }
-        let waits_since = job.accepted.max(job.due(task as usize));
+        let waits_since = job.accepted.max(job.task_due(task as usize));
         if at >= waits_since + self.settings.bounds.reservation_interval() {
             self.spread(at, job, &members, free)
         } else {
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -271,7 +271,7 @@
         all.push(("version_in_force".into(), self.state.version));
         all.push(("zones_held".into(), self.zone_schedulers.len() as u64));
         all.push(("calls_open".into(), self.calls.len() as u64));
-        all.push(("jobs_open".into(), self.state.open.len() as u64));
+        all.push(("jobs_open".into(), self.state.unfinished_jobs.len() as u64));
         all.push(("view_size".into(), self.peer_sampler.len() as u64));
         all
     }
--- a/landingdrift/src/node/scheduler/mod.rs
+++ b/landingdrift/src/node/scheduler/mod.rs
@@ -92,9 +92,9 @@
         let cluster_time = self.cluster_time(now);
         let patience = GANG_PATIENCE_INTERVALS * self.settings.bounds.reservation_interval();
         self.sched.claim = gangs::claim(&self.state, cluster_time, patience);
-        self.sched.runnable = self.state.runnable(cluster_time);
+        self.sched.runnable = self.state.runnable_job_count(cluster_time);
         self.sched.ranked = self.rank();
-        let open = &self.state.open;
+        let open = &self.state.unfinished_jobs;
         self.sched.reserved.retain(|job, _| open.contains(job));
     }
 
--- a/landingdrift/src/node/scheduler/reservations.rs
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -40,7 +40,7 @@
     fn take_dirty_jobs(&mut self) -> Vec<String> {
         let dirty = std::mem::take(&mut self.sched.dirty);
         if std::mem::take(&mut self.sched.all_dirty) {
-            self.state.open.iter().cloned().collect()
+            self.state.unfinished_jobs.iter().cloned().collect()
         } else {
             dirty.into_iter().collect()
         }
--- a/landingdrift/src/node/scheduler/sizes.rs
+++ b/landingdrift/src/node/scheduler/sizes.rs
@@ -90,7 +90,7 @@
     /// The jobs of this scheduler that need more slots, the smallest first.
     pub(super) fn rank(&self) -> Vec<String> {
         let fair_share = self.fair_share();
-        let open = self.state.open.iter();
+        let open = self.state.unfinished_jobs.iter();
         let mut unsatisfied: Vec<Sizes> = open
             .filter_map(|id| self.state.jobs.get(id))
             .filter(|job| !job.cancel && self.queue_epoch(&job.spec.queue).is_some())
--- a/landingdrift/src/node/watch/mod.rs
+++ b/landingdrift/src/node/watch/mod.rs
@@ -185,7 +185,7 @@
             },
             carried: clock_known,
             share: self.settings.share,
-            beside_core: self.settings.beside_core,
+            beside_core: self.settings.beside_replica,
             light: self.light,
             part_index: incoming.index,
             part_checksum: incoming.checksum,
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -56,7 +56,7 @@
         let zone_scheduler = self.zone_schedulers.get_mut(&idle.zone);
         let worker = zone_scheduler.and_then(|zone| zone.workers.get_mut(&idle.worker));
         if let Some(worker) = worker {
-            let open = &self.state.open;
+            let open = &self.state.unfinished_jobs;
             worker
                 .reservations
                 .retain(|reservation| open.contains(&reservation.job));
--- a/landingdrift/src/node/zone_scheduler/orders.rs
+++ b/landingdrift/src/node/zone_scheduler/orders.rs
@@ -96,7 +96,7 @@
             if must_stop {
                 orders.stops.insert(*number);
                 if heartbeat.uses_run_names {
-                    let name = json!([job.spec.id, job.name(index), attempt.run]);
+                    let name = json!([job.spec.id, job.task_name(index), attempt.run]);
                     orders.stops_by_name.push(name);
                 }
                 continue;
@@ -188,5 +188,5 @@
     } else {
         json!(job.spec.payload)
     };
-    json!({"no": attempt.no, "job": job.spec.id, "task": job.name(task), "run": attempt.run, "room": spec.cpu, "copy": attempt.copy, "payload": payload, "checkpoint": attempt.checkpoint})
+    json!({"no": attempt.no, "job": job.spec.id, "task": job.task_name(task), "run": attempt.run, "room": spec.cpu, "copy": attempt.copy, "payload": payload, "checkpoint": attempt.checkpoint})
 }
--- a/landingdrift/src/node/zone_scheduler/stragglers.rs
+++ b/landingdrift/src/node/zone_scheduler/stragglers.rs
@@ -225,7 +225,7 @@
         return true;
     }
     let members = if spec.same_rack {
-        job.gang(task)
+        job.gang_members(task)
     } else {
         Vec::new()
     };
--- a/landingdrift/src/node/zone_scheduler/unknown_runs.rs
+++ b/landingdrift/src/node/zone_scheduler/unknown_runs.rs
@@ -62,7 +62,7 @@
     /// The attempt that a worker calls by its names, live or not.
     pub(super) fn attempt_by_name(&self, worker: &str, name: &RunName) -> Option<&Attempt> {
         let job = self.state.jobs.get(&name.job)?;
-        let task = job.tasks.get(job.find(&name.task)?)?;
+        let task = job.tasks.get(job.find_task(&name.task)?)?;
         let mut attempts = task.attempts.iter();
         attempts.find(|attempt| attempt.run == name.run && attempt.worker == worker)
     }
--- a/landingdrift/src/replay/rerun/simulation.rs
+++ b/landingdrift/src/replay/rerun/simulation.rs
@@ -124,7 +124,7 @@
 
     /// Whether all jobs have ended.
     pub fn all_jobs_ended(&self) -> bool {
-        self.state.open.is_empty()
+        self.state.unfinished_jobs.is_empty()
     }
 
     /// The summary of the rerun so far.
--- a/landingdrift/src/replay/rerun/summary.rs
+++ b/landingdrift/src/replay/rerun/summary.rs
@@ -29,7 +29,11 @@
         let mut summary = Self {
             kept: state.queues.values().map(|queue| queue.kept).sum(),
             missed: state.queues.values().map(|queue| queue.missed).sum(),
-            copies: state.queues.values().map(|queue| queue.copies_ever).sum(),
+            copies: state
+                .queues
+                .values()
+                .map(|queue| queue.copies_started)
+                .sum(),
             ..Self::default()
         };
         for (id, job) in &state.jobs {
@@ -53,7 +57,7 @@
             .iter()
             .find(|attempt| attempt.state == AttemptState::Succeeded);
         if let Some(attempt) = succeeded {
-            workers.insert(format!("{id}/{}", job.name(i)), attempt.worker.clone());
+            workers.insert(format!("{id}/{}", job.task_name(i)), attempt.worker.clone());
         }
     }
     workers
--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -41,7 +41,7 @@
     /// The body.
     pub body: Value,
     /// Node that produced the response, if another node forwarded it.
-    pub by: String,
+    pub answered_by: String,
     /// Target of a redirect (status 307), as `ADDRESS/PATH`; empty otherwise.
     pub location: String,
 }
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -116,7 +116,8 @@
     pub share: u32,
     /// Whether a replica runs on the same machine. Other nodes are then preferred for leases, so that the loss of one
     /// machine does not take both.
-    pub beside_core: bool,
+    #[serde(rename = "beside_core")]
+    pub beside_replica: bool,
     /// Data folder of a replica; empty for a node.
     pub data: String,
     /// Log level: `error`, `warn`, `info` or `debug`.
@@ -142,7 +143,7 @@
             voters: 3,
             standby_only: false,
             share: 1000,
-            beside_core: false,
+            beside_replica: false,
             data: String::new(),
             log: "info".into(),
             bounds: Bounds::default(),
@@ -178,7 +179,7 @@
             ("voters", self.voters != new.voters),
             ("standby_only", self.standby_only != new.standby_only),
             ("share", self.share != new.share),
-            ("beside_core", self.beside_core != new.beside_core),
+            ("beside_core", self.beside_replica != new.beside_replica),
             ("data", self.data != new.data),
         ];
         let updated = Settings {
--- a/landingdrift/src/state/apply/attempts.rs
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -85,7 +85,7 @@
     pub(super) fn reschedule_gang(&mut self, id: &str, task_no: u32) {
         let Some(job) = self.jobs.get(id) else { return };
         let mut to_stop = Vec::new();
-        for member in job.gang(task_no as usize) {
+        for member in job.gang_members(task_no as usize) {
             let task = &job.tasks[member];
             if task.state != TaskState::Done {
                 to_stop.extend(task.live().map(|attempt| attempt.no));
@@ -125,7 +125,7 @@
         };
         let task = *task_no as usize;
         job.tasks[task].checkpoint = checkpoint.into();
-        for member in job.gang(task) {
+        for member in job.gang_members(task) {
             job.tasks[member].checkpoint = checkpoint.into();
         }
     }
@@ -136,7 +136,7 @@
     if is_first_success {
         if job.ends_as_one(task) {
             // The members end together, so this success counts for all of them.
-            for member in job.gang(task) {
+            for member in job.gang_members(task) {
                 job.set_task_state(member, TaskState::Done);
             }
         } else {
--- a/landingdrift/src/state/apply/config_update.rs
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -128,7 +128,7 @@
     /// Fails the tasks that have reached a lowered limit of attempts; otherwise they would wait forever without being
     /// retried.
     fn fail_exhausted_tasks(&mut self) {
-        let open: Vec<String> = self.open.iter().cloned().collect();
+        let open: Vec<String> = self.unfinished_jobs.iter().cloned().collect();
         for id in open {
             let max_attempts = self.max_attempts_of(&id);
             let Some(job) = self.jobs.get_mut(&id) else {
--- a/landingdrift/src/state/apply/garbage_collection.rs
+++ b/landingdrift/src/state/apply/garbage_collection.rs
@@ -112,8 +112,8 @@
                 continue;
             };
             let is_old = |(ended_at, _): &(u64, bool)| ended_at + queue.window_ms < self.at;
-            while stats.promises.front().is_some_and(is_old) {
-                stats.promises.pop_front();
+            while stats.job_ends.front().is_some_and(is_old) {
+                stats.job_ends.pop_front();
             }
         }
     }
--- a/landingdrift/src/state/apply/job_state.rs
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -3,7 +3,7 @@
 use crate::state::{ClusterState, Job, JobState, Task, TaskState};
 
 /// Maximum number of job ends recorded per queue for its promise.
-const MAX_PROMISES: usize = 4096;
+const MAX_JOB_ENDS: usize = 4096;
 
 impl ClusterState {
     /// Derives a job's state from its tasks, and closes the job if it has ended.
@@ -40,10 +40,10 @@
         job.ended = at;
         let state = job.state;
         let queue = job.spec.queue.clone();
-        let last_due = (0..job.tasks.len()).map(|i| job.due(i)).max();
+        let last_due = (0..job.tasks.len()).map(|i| job.task_due(i)).max();
         let could_start_at = job.accepted.max(last_due.unwrap_or(0));
         let took_ms = at.saturating_sub(could_start_at);
-        self.open.remove(id);
+        self.unfinished_jobs.remove(id);
         self.expiry.insert((at, id.to_string()));
         let promised_ms = self.queue(&queue).map_or(0, |q| q.finish_within_ms);
         let stats = self.queues.entry(queue.clone()).or_default();
@@ -56,11 +56,11 @@
         }
         let in_time = promised_ms == 0 || took_ms <= promised_ms;
         let is_kept = state == JobState::Done && in_time;
-        stats.promises.push_back((at, is_kept));
+        stats.job_ends.push_back((at, is_kept));
         stats.kept += u64::from(is_kept);
         stats.missed += u64::from(!is_kept);
-        if stats.promises.len() > MAX_PROMISES {
-            stats.promises.pop_front();
+        if stats.job_ends.len() > MAX_JOB_ENDS {
+            stats.job_ends.pop_front();
         }
     }
 }
@@ -105,7 +105,7 @@
     let last_note = task.attempts.last().map_or("", |a| a.note.as_str());
     format!(
         "task '{}' failed {} times: {last_note}",
-        job.name(i),
+        job.task_name(i),
         task.failures
     )
 }
--- a/landingdrift/src/state/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -44,7 +44,7 @@
             ..Job::new(spec.clone(), waits)
         };
         self.jobs.insert(spec.id.clone(), job);
-        self.open.insert(spec.id.clone());
+        self.unfinished_jobs.insert(spec.id.clone());
         Ok(json!({"known": false}))
     }
 
@@ -87,7 +87,7 @@
         let unknown = |what: String| Rejection::Unknown { what };
         let job = self.jobs.get(id);
         let job = job.ok_or_else(|| unknown(format!("job '{id}'")))?;
-        let task = job.find(task_name);
+        let task = job.find_task(task_name);
         let task = task.ok_or_else(|| unknown(format!("task '{task_name}'")))?;
         let live = job.tasks[task].live();
         let unsure = live.filter(|attempt| attempt.state == AttemptState::Unsure);
--- a/landingdrift/src/state/apply/placement_rules.rs
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -45,7 +45,7 @@
         let queue_name = &job.spec.queue;
         let queue = self.queue(queue_name);
         let queue = queue.ok_or_else(|| unknown(format!("queue '{queue_name}'")))?;
-        ensure(at >= job.due(task_no), Rejection::NotDue)?;
+        ensure(at >= job.task_due(task_no), Rejection::NotDue)?;
         ensure(job.are_dependencies_done(task_no), Rejection::Waiting)?;
         let live = LiveAttempts::of(task);
         let is_repeat = if spec.may_repeat {
--- a/landingdrift/src/state/apply/start_attempts.rs
+++ b/landingdrift/src/state/apply/start_attempts.rs
@@ -100,7 +100,7 @@
         let stats = self.queues.entry(queue).or_default();
         stats.running += 1;
         stats.copies += u32::from(placement.copy);
-        stats.copies_ever += u64::from(placement.copy);
+        stats.copies_started += u64::from(placement.copy);
         if let Some(worker) = self.workers.get_mut(&placement.worker) {
             worker.used = worker.used.plus(resources);
             worker.attempts.insert(attempt_no);
@@ -114,7 +114,7 @@
     let placed: BTreeSet<usize> = placements.iter().map(|p| p.task as usize).collect();
     let mut checked = BTreeSet::new();
     for placement in placements {
-        let members = job.gang(placement.task as usize);
+        let members = job.gang_members(placement.task as usize);
         let Some(first) = members.first() else {
             continue;
         };
@@ -141,7 +141,7 @@
 fn next_run(job: &Job, placement: &Placement) -> Run {
     let task = placement.task as usize;
     let last_run = |i: usize| job.tasks[i].attempts.last().map_or(0, |a| a.run);
-    let gang_run = job.gang(task).into_iter().map(last_run).max();
+    let gang_run = job.gang_members(task).into_iter().map(last_run).max();
     Run {
         number: gang_run.unwrap_or_else(|| last_run(task)) + 1,
         checkpoint: job.tasks[task].checkpoint.clone(),
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -44,8 +44,8 @@
         if self.durations.len() > MAX_DURATIONS {
             self.durations.pop_front();
         }
-        self.seen = self.seen.wrapping_add(1);
-        let is_due = (self.seen as usize).is_multiple_of(REFRESH_INTERVAL);
+        self.durations_seen = self.durations_seen.wrapping_add(1);
+        let is_due = (self.durations_seen as usize).is_multiple_of(REFRESH_INTERVAL);
         if self.durations.len() <= MIN_DURATIONS_FOR_BETA || is_due {
             self.refresh_estimates();
         }
@@ -92,7 +92,7 @@
         for (i, task) in job.tasks.iter().enumerate() {
             occupied += task.live().count() as u32;
             // Tasks that are not due yet need no slots.
-            let is_due = job.due(i) <= self.at + DUE_SOON_MS;
+            let is_due = job.task_due(i) <= self.at + DUE_SOON_MS;
             if task.state != TaskState::Waiting || !is_due {
                 continue;
             }
@@ -119,10 +119,10 @@
 
     /// Number of unfinished jobs that use a slot or could use one at time `at`. Jobs whose tasks are all not due yet
     /// get no share.
-    pub fn runnable(&self, at: u64) -> usize {
+    pub fn runnable_job_count(&self, at: u64) -> usize {
         let can_run = |job: &Job, i: usize, task: &Task| {
             let is_ready = task.state == TaskState::Waiting
-                && job.due(i) <= at
+                && job.task_due(i) <= at
                 && job.are_dependencies_done(i);
             is_ready || task.live().next().is_some()
         };
@@ -130,7 +130,10 @@
             let mut tasks = job.tasks.iter().enumerate();
             tasks.any(|(i, task)| can_run(job, i, task))
         };
-        let open = self.open.iter().filter_map(|id| self.jobs.get(id));
+        let open = self
+            .unfinished_jobs
+            .iter()
+            .filter_map(|id| self.jobs.get(id));
         open.filter(is_runnable).count()
     }
 
@@ -147,7 +150,7 @@
             return false;
         };
         let (mut ended, mut missed) = (0u32, 0u32);
-        for (ended_at, is_kept) in &stats.promises {
+        for (ended_at, is_kept) in &stats.job_ends {
             if ended_at + queue.window_ms >= self.at {
                 ended += 1;
                 missed += u32::from(!is_kept);
--- a/landingdrift/src/state/idle_jobs.rs
+++ b/landingdrift/src/state/idle_jobs.rs
@@ -28,7 +28,7 @@
                 last_end = last_end.max(attempt.ended);
             }
             if task.state == TaskState::Waiting {
-                let due = self.due(task_no);
+                let due = self.task_due(task_no);
                 first_due = Some(first_due.map_or(due, |earlier: u64| earlier.min(due)));
             }
         }
--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -51,7 +51,8 @@
     #[serde(rename = "sends")]
     pub attempts: Vec<Attempt>,
     /// Indices of the single tasks it depends on.
-    pub waits: Vec<u32>,
+    #[serde(rename = "waits")]
+    pub dependencies: Vec<u32>,
     /// Newest known checkpoint; empty for none.
     pub checkpoint: String,
     /// Index of its step; 0 in a job of single tasks, as are `time` and `index`.
@@ -133,7 +134,7 @@
         let mut tasks = Vec::new();
         for waits in waits {
             tasks.push(Task {
-                waits,
+                dependencies: waits,
                 ..Task::default()
             });
         }
@@ -175,7 +176,7 @@
     }
 
     /// Name of a task within its job: the submitted name, or TIME.STEP.INDEX for tasks of steps.
-    pub fn name(&self, task: usize) -> String {
+    pub fn task_name(&self, task: usize) -> String {
         if !self.has_steps() {
             return self.spec.tasks[task].name.clone();
         }
@@ -186,7 +187,7 @@
     }
 
     /// Index of the task with a name.
-    pub fn find(&self, name: &str) -> Option<usize> {
+    pub fn find_task(&self, name: &str) -> Option<usize> {
         if !self.has_steps() {
             let mut tasks = self.spec.tasks.iter();
             return tasks.position(|task| task.name == name);
@@ -210,7 +211,7 @@
     }
 
     /// When a task is due, in milliseconds since 1970.
-    pub fn due(&self, task: usize) -> u64 {
+    pub fn task_due(&self, task: usize) -> u64 {
         let time = u64::from(self.tasks[task].time);
         let after_first = time.saturating_mul(self.spec.period_ms);
         let job_due = self.spec.first_due.saturating_add(after_first);
@@ -222,7 +223,7 @@
         let task = &self.tasks[task_no];
         if !self.has_steps() {
             let is_done = |other: &u32| self.tasks[*other as usize].state == TaskState::Done;
-            return task.waits.iter().all(is_done);
+            return task.dependencies.iter().all(is_done);
         }
         let is_step_done = |step: &u32| {
             let done = self.done[self.done_index(task.time, *step)];
@@ -263,7 +264,7 @@
     }
 
     /// Indices of all members of a task's gang, including the task; empty if it is in no gang.
-    pub fn gang(&self, task_no: usize) -> Vec<usize> {
+    pub fn gang_members(&self, task_no: usize) -> Vec<usize> {
         if !self.in_gang(task_no) {
             return Vec::new();
         }
@@ -285,7 +286,7 @@
             return self.in_gang(task) && self.tasks[task].index == 0;
         }
         let is_open = |member: &usize| self.tasks[*member].state != TaskState::Done;
-        self.gang(task).into_iter().find(is_open) == Some(task)
+        self.gang_members(task).into_iter().find(is_open) == Some(task)
     }
 
     /// Number of live attempts of the task's step on a worker.
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -78,7 +78,8 @@
     #[serde(rename = "refusals")]
     pub rejected_ids: BTreeMap<String, (u64, u64)>,
     /// Ids of unfinished jobs.
-    pub open: BTreeSet<String>,
+    #[serde(rename = "open")]
+    pub unfinished_jobs: BTreeSet<String>,
     /// Workers by name.
     pub workers: BTreeMap<String, Worker>,
     /// Leases by name, see [`zone_lease`] and [`queue_lease`].
@@ -236,7 +237,7 @@
     /// The number of the live attempt on a worker that matches a run name.
     pub fn live_attempt_by_name(&self, worker: &str, name: &RunName) -> Option<u64> {
         let job = self.jobs.get(&name.job)?;
-        let task = job.tasks.get(job.find(&name.task)?)?;
+        let task = job.tasks.get(job.find_task(&name.task)?)?;
         let mut live = task.live();
         let attempt = live.find(|a| a.run == name.run && a.worker == worker)?;
         Some(attempt.no)
--- a/landingdrift/src/state/retained.rs
+++ b/landingdrift/src/state/retained.rs
@@ -40,10 +40,12 @@
     pub beta: f64,
     /// Median of the durations in milliseconds, refreshed together with `beta`.
     pub median: u32,
-    /// Number of durations added so far.
-    pub seen: u32,
+    /// Number of durations added so far, including those no longer kept.
+    #[serde(rename = "seen")]
+    pub durations_seen: u32,
     /// Ends of jobs within the queue's window: the time, and whether the promise was kept.
-    pub promises: VecDeque<(u64, bool)>,
+    #[serde(rename = "promises")]
+    pub job_ends: VecDeque<(u64, bool)>,
     /// Number of jobs that have not ended.
     pub unfinished: u32,
     /// Total number of jobs that kept the promise.
@@ -55,7 +57,8 @@
     /// Number of speculative copies among the running attempts.
     pub copies: u32,
     /// Total number of speculative copies started.
-    pub copies_ever: u64,
+    #[serde(rename = "copies_ever")]
+    pub copies_started: u64,
     /// Total number of speculative copies that succeeded before the original.
     pub copies_won: u64,
 }
--- a/landingdrift/tests/cluster_state.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -298,8 +298,8 @@
             ],
         )
         .expect("accepted");
-    assert_eq!(fixture.state.runnable(fixture.at), 0);
+    assert_eq!(fixture.state.runnable_job_count(fixture.at), 0);
     fixture.accept("now", vec![task("a")]).expect("accepted");
-    assert_eq!(fixture.state.runnable(fixture.at), 1);
-    assert_eq!(fixture.state.runnable(fixture.at + 60_000), 3);
+    assert_eq!(fixture.state.runnable_job_count(fixture.at), 1);
+    assert_eq!(fixture.state.runnable_job_count(fixture.at + 60_000), 3);
 }
--- a/landingdrift/tests/stored/mod.rs
+++ b/landingdrift/tests/stored/mod.rs
@@ -225,7 +225,7 @@
         voters: 5,
         standby_only: true,
         share: 501,
-        beside_core: true,
+        beside_replica: true,
         data: "/var/lib/stored".into(),
         log: "debug".into(),
         bounds: bounds(),
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -158,7 +158,7 @@
         state.tombstones.len(),
         state.expiry.len(),
         state.rejected_ids.len(),
-        state.open.len(),
+        state.unfinished_jobs.len(),
         state.workers.len(),
         state.leases.len(),
         state.evacuated_zones.len(),
@@ -168,7 +168,7 @@
         state.queues.len(),
         state.live.len(),
         state.queues["fast"].durations.len(),
-        state.queues["fast"].promises.len(),
+        state.queues["fast"].job_ends.len(),
         state.workers["w2"].ends.len(),
         state.workers["w2"].attempts.len(),
     ];
--- a/testkit/src/simulator/world/report.rs
+++ b/testkit/src/simulator/world/report.rs
@@ -73,7 +73,10 @@
 
 /// A log line for each job that is still open, with its attempts, for debugging.
 fn open_jobs(state: &ClusterState) -> Vec<String> {
-    let jobs = state.open.iter().filter_map(|id| state.jobs.get(id));
+    let jobs = state
+        .unfinished_jobs
+        .iter()
+        .filter_map(|id| state.jobs.get(id));
     jobs.map(|job| {
         let json = serde_json::to_string(job).unwrap_or_default();
         format!("still open: {json}")
