--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -1,29 +1,29 @@
-//! Gang scheduling: the tasks of a gang are placed all at once, by one entry of the log.
+//! Gang scheduling: all tasks of a gang are placed together, by one log entry.
 
 use super::Node;
 use crate::state::{zone_lease, ClusterState, Job, Placement, Resources, TaskState, Worker};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The gang that has waited longest beyond its patience, and the workers that are kept free for it.
+/// The gang that has waited longest, of those that have waited too long, and the workers that are kept free for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Claim {
     pub job: String,
     pub workers: BTreeSet<String>,
 }
 
-/// A gang that could start if it had workers.
+/// A gang that could start if there were free workers.
 struct WaitingGang<'a> {
     waiting_since: u64,
     job: &'a Job,
-    /// Its first member that is not done.
+    /// Its first unfinished member.
     leader: u32,
 }
 
-/// A worker that is kept for a claim.
+/// A worker that is kept free for a claim.
 struct ClaimedWorker {
     free: Resources,
-    /// How many members of the gang it is kept for.
+    /// Number of gang members that it is kept free for.
     members: u32,
 }
 
@@ -35,7 +35,7 @@
     free: Resources,
 }
 
-/// The members of a task's gang that are not done.
+/// The unfinished members of a task's gang.
 fn unfinished_members(job: &Job, task: u32) -> Vec<u32> {
     let mut members = Vec::new();
     for member in job.gang_members(task as usize) {
@@ -46,23 +46,24 @@
     members
 }
 
-/// The same, those that need the most CPU first: they are the hardest to place.
+/// The unfinished members in order of decreasing CPU needs, since the largest are the hardest to place.
 fn largest_members_first(job: &Job, task: u32) -> Vec<u32> {
     let mut members = unfinished_members(job, task);
     members.sort_by_key(|member| Reverse(job.task_spec(*member as usize).cpu));
     members
 }
 
-/// Whether the whole gang could start now if it had workers.
+/// Whether the whole gang could start now if there were free workers.
 fn is_startable(state: &ClusterState, at: u64, job: &Job, task: u32) -> bool {
     let members = unfinished_members(job, task);
     let may_start = |member: &u32| state.may_start(&job.spec.id, *member, false, at).is_ok();
     !members.is_empty() && members.iter().all(may_start)
 }
 
-/// The one gang that other jobs make way for: the oldest that fits once all has ended that ends by itself.
+/// Selects the one gang that workers are kept free for: the longest waiting one that will fit once all tasks except
+/// long-running ones have ended.
 ///
-/// Every node derives the same one from the same cluster state, so that no two gangs wait for each other.
+/// All nodes derive the same claim from the same cluster state, so that two gangs can't block each other.
 pub fn claim(state: &ClusterState, at: u64, patience: u64) -> Option<Claim> {
     let open = state
         .unfinished_jobs
@@ -82,7 +83,7 @@
     })
 }
 
-/// The resources on each worker that long-running tasks have: waiting for those is in vain.
+/// By worker: the resources used by long-running tasks, which do not become free by waiting.
 struct LongRunningUse<'a>(BTreeMap<&'a str, Resources>);
 
 impl<'a> LongRunningUse<'a> {
@@ -101,14 +102,14 @@
         Self(by_worker)
     }
 
-    /// The resources of a worker that come free by themselves.
+    /// The resources of a worker that are not used by long-running tasks, and so are free or will become free.
     fn left(&self, name: &str, worker: &Worker) -> Resources {
         let used = self.0.get(name).copied().unwrap_or_default();
         worker.info.total_resources().minus(used)
     }
 }
 
-/// A job's first gang that has waited for longer than `patience`.
+/// A job's first startable gang that has waited for at least `patience`.
 fn waiting_gang<'a>(
     state: &ClusterState,
     at: u64,
@@ -133,7 +134,7 @@
     None
 }
 
-/// The workers that a gang fits on beside what lasts there; none where there are not enough.
+/// Workers that a gang fits on beside the long-running tasks there; none if there are not enough.
 fn claimed_workers(
     state: &ClusterState,
     lasting: &LongRunningUse,
@@ -148,7 +149,7 @@
                 && worker.probation == 0
                 && worker.info.serves(spec)
         };
-        // Workers that are claimed already first, then the largest.
+        // Prefer workers that are already claimed, then the largest.
         let reused = claimed.iter().find(|(name, worker)| {
             let spread = spec.anti_affinity == 0 || worker.members < spec.anti_affinity;
             let is_eligible = is_eligible(name, &state.workers[**name]);
@@ -179,11 +180,11 @@
 }
 
 impl Node {
-    /// A placement of a whole gang by the cluster state's free resources, on the offered worker first; `underway` are
-    /// the resources on each worker that starts not yet in the cluster state will take.
+    /// Places a whole gang on free resources by the cluster state, preferring the offered worker; `underway` has the
+    /// resources by worker that proposed starts not yet in the cluster state need.
     ///
-    /// A gang that belongs on one rack is placed on one if any has the resources now, and spread over racks only when
-    /// it has waited for the interval of reservations.
+    /// A same-rack gang is placed on a single rack if one has the resources now, and is spread over racks only after it
+    /// has waited for the reservation interval.
     pub(super) fn place_gang(
         &self,
         at: u64,
@@ -222,7 +223,7 @@
         }
     }
 
-    /// The workers that take new work: those near the location first, then the offered one, then those with the most
+    /// The workers that accept new work: those near the location first, then the offered one, then those with the most
     /// free CPU.
     fn free_workers(
         &self,
@@ -251,7 +252,7 @@
         workers
     }
 
-    /// Places each task on the first worker that it fits on; none if one fits nowhere.
+    /// Places each task on the first worker that it fits on; none if some task fits nowhere.
     fn spread(
         &self,
         at: u64,
@@ -282,7 +283,7 @@
         Some(placements)
     }
 
-    /// A placement under the worker's present incarnation and zone epoch.
+    /// A placement with the worker's current incarnation and zone epoch.
     pub(super) fn placement(&self, worker: &str, task: u32, copy: bool) -> Placement {
         let known = self.state.workers.get(worker);
         let incarnation = known.map_or(0, |worker| worker.info.incarnation);
--- a/landingdrift/src/node/gossip.rs
+++ b/landingdrift/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip of this node's peer sampler: shuffles of its view with other processes.
+//! Gossip: shuffles of this node's peer sampler view with other processes.
 
 use super::Node;
 use crate::sans_io::Now;
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node: follows the cluster state, serves calls, and schedules for the queues and zones whose leases it holds.
+//! A node: follows the cluster state, serves calls, and schedules the queues and zones whose leases it holds.
 //!
 //! - `watch` follows the cluster state, `propose` proposes changes to it,
 //! - `calls` serves HTTP,
@@ -25,16 +25,16 @@
 use crate::wire::{Body, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A silence of this node itself that is longer than this part of the election timeout was a freeze of its process.
+/// If the time between two ticks exceeds the election timeout divided by this, the process was frozen meanwhile.
 const FREEZE_TIMEOUT_DIVISOR: u64 = 2;
 
-/// A node.
+/// The state machine of a node, driven by ticks, messages and calls.
 pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) name: String,
     pub(crate) rng: Rng,
     pub(crate) state: ClusterState,
-    /// `state` is a light copy: it has the configuration, leases and members, but neither jobs nor workers.
+    /// `state` is a light copy: it has the configuration, leases and nodes, but neither jobs nor workers.
     pub(crate) light: bool,
     pub(crate) watch: watch::Watch,
     pub(crate) peer_sampler: PeerSampler,
@@ -42,20 +42,20 @@
     pub(crate) sched: scheduler::Scheduler,
     pub(crate) calls: calls::Calls,
     pub(crate) proposals: BTreeMap<u64, propose::Proposal>,
-    /// Drawn when the process starts: responses to requests of an earlier one are dropped.
+    /// Random number of this process; responses to requests of an earlier process are dropped.
     pub(crate) incarnation: u64,
     next_token: u64,
     last_tick: u64,
-    /// When a node that is stopping exits at the latest.
+    /// Deadline for the exit of a stopping node, in monotonic milliseconds; none while it is not stopping.
     stopping: Option<u64>,
-    /// Messages of this node to itself.
+    /// Messages that this node has sent to itself.
     loopback: VecDeque<Body>,
     counters: BTreeMap<&'static str, u64>,
     out: Vec<Effect>,
 }
 
 impl Node {
-    /// A node that has not received the cluster state yet.
+    /// Creates a node that has not received the cluster state yet.
     pub fn new(settings: Settings, now: Now, seed: u64) -> Self {
         let name = settings.listen.clone();
         let mut rng = Rng::new(seed ^ fnv1a(name.as_bytes()));
@@ -71,7 +71,7 @@
             calls: calls::Calls::default(),
             proposals: BTreeMap::new(),
             incarnation,
-            // Some bits are spared, so that counting on from there does not overflow.
+            // The upper 16 bits are left free, so that incrementing the token does not overflow.
             next_token: first_token >> 16,
             last_tick: now.mono,
             stopping: None,
@@ -93,13 +93,13 @@
         self.out.push(Effect::Log(text));
     }
 
-    /// A number that no other request, proposal or call of this process has.
+    /// Returns a number that is unique among the requests, proposals and calls of this process.
     pub(crate) fn token(&mut self) -> u64 {
         self.next_token += 1;
         self.next_token
     }
 
-    /// The token that is sent with one attempt of a request.
+    /// The token of one attempt of a request.
     pub(crate) fn request_token(&self, number: u64, attempt: usize) -> RequestToken {
         RequestToken {
             incarnation: self.incarnation,
@@ -108,14 +108,14 @@
         }
     }
 
-    /// Whether a response is to a request of this incarnation of the process; others are counted and dropped.
+    /// Whether a response is to a request of this incarnation of the process. Other responses are counted.
     fn is_own(&mut self, token: &RequestToken) -> bool {
         let own = token.incarnation == self.incarnation;
         self.count("responses_to_another_incarnation", u64::from(!own));
         own
     }
 
-    /// Sends a message to another process, or loops it back where it is for this one.
+    /// Sends a message to a process, or queues it in the loopback if it is to this node.
     pub(crate) fn send(&mut self, to: &str, body: Body) {
         if to == self.name {
             self.loopback.push_back(body);
@@ -129,8 +129,7 @@
         self.watch.has_snapshot && self.watch_age(now) <= self.settings.bounds.max_watch_age()
     }
 
-    /// Whether the watch is fresh enough to act as the zone schedulers whose leases this node holds. A light copy never
-    /// is: it knows of no run.
+    /// Whether the watch is fresh enough to act as a zone scheduler. A light copy never is, since it has no runs.
     pub(crate) fn fresh_for_zones(&self, now: Now) -> bool {
         !self.light
             && self.watch.has_snapshot
@@ -145,7 +144,7 @@
         self.fresh(now) && self.stopping.is_none()
     }
 
-    /// The epoch under which this node holds a lease, if it does.
+    /// The epoch of a lease, if this node holds it.
     pub(crate) fn epoch(&self, lease: &str) -> Option<u64> {
         let lease = self.state.holder(lease)?;
         (lease.holder == self.name).then_some(lease.epoch)
@@ -155,7 +154,7 @@
         let since_last_tick = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
         if since_last_tick > self.settings.bounds.election_timeout() / FREEZE_TIMEOUT_DIVISOR {
-            // This process was frozen: heartbeats may wait unread, and silence does not count against workers.
+            // This process was frozen: heartbeats may be waiting unread, so workers are treated as if just heard from.
             self.count("own_freezes", 1);
             for worker in self.all_workers() {
                 worker.last_heartbeat = now.mono;
@@ -176,7 +175,7 @@
         }
     }
 
-    /// Whether the cluster state has this node as alive, or as the holder of a lease.
+    /// Whether this node is alive or holds a lease by the cluster state.
     fn is_member(&self) -> bool {
         let known = self.state.nodes.get(&self.name);
         let mut leases = self.state.leases.values();
@@ -208,7 +207,7 @@
                 self.on_forward_response(now, from, *response)
             }
             Body::Hello(_) | Body::JoinCluster(_) => {}
-            // To an earlier incarnation; `is_own` has counted them.
+            // Responses to an earlier incarnation, which `is_own` has counted.
             Body::ProposeResponse(_)
             | Body::ReadIndexResponse(_)
             | Body::OfferResponse(_)
@@ -218,22 +217,22 @@
         }
     }
 
-    /// The cluster state as this node follows it.
+    /// This node's copy of the cluster state.
     pub fn state(&self) -> &ClusterState {
         &self.state
     }
 
-    /// Whether this node answers that it is ready.
+    /// Whether this node reports that it is ready.
     pub fn is_ready(&self, now: Now) -> bool {
         self.ready(now)
     }
 
-    /// The response to a call whose outcome is unknown: it may have been proposed with effect.
+    /// The response to a call whose outcome is unknown because its command may have been appended.
     pub(crate) fn unsure_response(&self) -> Response {
         Response::error(
             503,
             "unsure",
-            "it is not known whether this was taken: ask again with the same id, or poll",
+            "the outcome of this call is unknown: retry with the same id, or poll",
         )
         .retry(self.settings.bounds.retry_after())
     }
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -1,4 +1,4 @@
-//! Proposals to the replicas: each keeps its attempts, from which its next step is derived.
+//! Proposals of commands to the replicas, with redirects, retries and timeouts.
 
 use super::calls::ProposedCall;
 use super::Node;
@@ -9,29 +9,29 @@
     PROPOSAL_NO_CAPACITY,
 };
 
-/// A proposal is sent on to a named leader at once only for its first attempts: replicas that disagree on who leads
-/// would pass it round for ever otherwise.
+/// Maximum number of attempts that are redirected to a named leader at once: replicas that disagree on the leader could
+/// otherwise redirect a proposal in an endless loop.
 const MAX_REDIRECTS: usize = 7;
-/// An idempotent proposal without a response is sent again after so many heartbeats, beside the time that its bytes take
+/// Response timeout of an attempt of an idempotent proposal, in heartbeat intervals, in addition to the transfer time
 /// on a narrow link.
 const RESEND_AFTER_HEARTBEATS: u64 = 5;
 
-/// One attempt of a proposal to reach a replica.
+/// One attempt to submit a proposal to a replica.
 struct ProposalAttempt {
     to: String,
     sent_at: u64,
     outcome: AttemptOutcome,
 }
 
-/// What is known of one attempt.
+/// The known outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptOutcome {
     Unanswered,
-    /// The replica does not lead: it has appended nothing.
+    /// The replica has appended nothing: it is not the leader or has no capacity.
     Rejected,
 }
 
-/// Why a command is proposed: it decides what is done with its result.
+/// Why a command is proposed; this determines how its result is handled.
 #[derive(Clone, Debug)]
 pub enum Purpose {
     Call(u64, ProposedCall),
@@ -54,20 +54,20 @@
     },
 }
 
-/// A proposal with its attempts.
+/// A pending proposal with its attempts.
 pub struct Proposal {
     pub purpose: Purpose,
     command: PackedCommand,
-    /// Applying it twice does no harm, so that it may be sent again when no response came.
+    /// Applying it twice has the effect of applying it once, so it may be sent again after a response timeout.
     idempotent: bool,
     deadline: u64,
     attempts: Vec<ProposalAttempt>,
 }
 
-/// A command on its way to the log.
+/// The command of a proposal, encoded or not yet.
 enum PackedCommand {
     Ready(Vec<u8>),
-    /// An order: it is packed with its deadline once the cluster time is known.
+    /// An order, which is encoded with its deadline once the cluster time is known.
     AwaitsClusterTime(Command),
 }
 
@@ -85,7 +85,7 @@
     /// The address of the node whose zone scheduler made the offer.
     pub zone_scheduler: String,
     pub worker: String,
-    /// Where the log has the start; 0 where it is unknown.
+    /// The log index of the start; 0 if unknown.
     pub log_index: u64,
     pub placed: bool,
 }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// How long its bytes take on the narrowest link.
+    /// Transfer time of the encoded command on the narrowest link, in milliseconds.
     fn transfer_ms(&self) -> u64 {
         match &self.command {
             PackedCommand::Ready(bytes) => transfer_ms(bytes.len() as u64),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whether some replica may have appended it.
+    /// Whether some replica may have appended the command.
     pub fn may_be_appended(&self) -> bool {
         self.attempts
             .iter()
@@ -130,7 +130,7 @@
 }
 
 impl Node {
-    /// Proposes a command, and tries for `within` milliseconds; returns the proposal's number.
+    /// Proposes a command, retrying until `timeout_ms` has passed; returns the proposal's number.
     pub(crate) fn propose(
         &mut self,
         now: Now,
@@ -158,7 +158,7 @@
         number
     }
 
-    /// Takes a proposal's next step; `leader_hint` is the leader that a replica has just named.
+    /// Performs a proposal's next step; `leader_hint` is the leader that a replica has just named.
     fn advance_proposal(&mut self, now: Now, number: u64, leader_hint: Option<String>) {
         let heartbeat_ms = self.settings.bounds.heartbeat_interval();
         let Some(proposal) = self.proposals.get(&number) else {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Sends a copy of a proposal to the replica that most likely leads, other than the one that was asked last.
+    /// Makes an attempt: sends the proposal to the replica that is most likely the leader.
     fn send_proposal(&mut self, now: Now, number: u64, leader_hint: Option<String>) {
         let Some(command) = self.packed_command(now, number) else {
             return;
@@ -196,7 +196,8 @@
         self.send(&to, Body::ProposeRequest(Box::new(request)));
     }
 
-    /// The leader that was named, else the one that the watch knows, else any replica but the one that was asked last.
+    /// The leader that was just named, or else the leader known from the watch unless it was asked last, or else a
+    /// random replica other than the one asked last.
     pub(super) fn likely_leader(
         &mut self,
         leader_hint: Option<String>,
@@ -214,7 +215,7 @@
         self.rng.pick(&others).cloned().unwrap_or(last_asked)
     }
 
-    /// The bytes of a proposal, the same for every attempt; none while an order waits for the cluster time.
+    /// The encoded command, which is the same for every attempt; none while an order waits for the cluster time.
     fn packed_command(&mut self, now: Now, number: u64) -> Option<Vec<u8>> {
         let cluster_time = self.watch.clock_known().then(|| self.cluster_time(now));
         let id = ProposalId {
@@ -263,7 +264,7 @@
             return self.on_no_capacity(number);
         }
         let Some(result) = unpack_apply_result(&response.response) else {
-            // The attempt stays unanswered, and in the end the caller is told that the outcome is unknown.
+            // The attempt counts as unanswered, so the outcome is reported as unknown when the proposal times out.
             return self.count("responses_unreadable", 1);
         };
         if let Some(proposal) = self.proposals.remove(&number) {
@@ -271,8 +272,8 @@
         }
     }
 
-    /// The leader has no memory for a job. It was not taken, unless an earlier attempt may have been appended: then the
-    /// outcome of that one counts.
+    /// The leader has no memory for a job and has not appended it. The proposal fails, unless an earlier attempt may
+    /// have been appended, whose outcome then counts.
     fn on_no_capacity(&mut self, number: u64) {
         let proposal = self.proposals.get(&number);
         if proposal.is_none_or(Proposal::may_be_appended) {
@@ -284,7 +285,7 @@
         }
     }
 
-    /// The cluster state has applied a command that this node proposed, or has rejected it.
+    /// Handles the result of a command that was applied to the cluster state or rejected.
     fn on_applied(&mut self, number: u64, purpose: Purpose, log_index: u64, result: ApplyResult) {
         match purpose {
             Purpose::Call(call, proposed) => self.on_call_applied(call, proposed, result),
@@ -292,8 +293,8 @@
         }
     }
 
-    /// What this node proposed by itself was applied, rejected or given up; `log_index` is 0 where the log doesn't have it as far
-    /// as is known.
+    /// Handles the end of a proposal that no call has made: applied, rejected or timed out. `log_index` is 0 if the
+    /// command is not known to be in the log.
     fn on_own_proposal_done(
         &mut self,
         number: u64,
@@ -317,13 +318,14 @@
             }),
             Purpose::UpdateWorker { worker } => self.on_info_proposal_done(&worker),
             Purpose::Report { worker } => self.on_report_proposal_done(&worker),
-            // Given up, it may still be applied: the worker's lease is not renewed before its expiry has a result.
+            // A timed-out expiry may still be applied, so the worker's lease is not renewed before its attempts have
+            // ended.
             Purpose::ExpireAttempts { worker } => self.on_expiry_proposal_done(&worker, log_index),
             Purpose::RescheduleAttempts { worker } => self.on_reschedule_proposal_done(&worker),
         }
     }
 
-    /// A replica has appended nothing: if it was asked last and names the leader, that one is asked at once.
+    /// Redirects a proposal to the named leader at once, if the newest attempt was the one rejected.
     fn on_proposal_rejected(
         &mut self,
         now: Now,
@@ -336,7 +338,7 @@
         };
         let is_newest = attempt + 1 == proposal.attempts.len();
         if is_newest && leader_hint.is_some() && attempt < MAX_REDIRECTS {
-            // Due at once: no pause is kept before the leader is asked.
+            // Makes the next attempt due at once.
             proposal.attempts[attempt].sent_at = 0;
             self.advance_proposal(now, number, leader_hint);
         }
@@ -354,7 +356,7 @@
         let response = if may_be_appended {
             self.unsure_response()
         } else {
-            let message = "no core could be reached and nothing was taken: come back later";
+            let message = "no replica could be reached and the call had no effect: retry later";
             Response::error(503, "noCore", message).retry(self.settings.bounds.retry_after())
         };
         self.finish(call, response);
--- a/landingdrift/src/node/scheduler/demand.rs
+++ b/landingdrift/src/node/scheduler/demand.rs
@@ -1,26 +1,26 @@
-//! The demand of a job: its tasks that may start, or speculative copies of those that are slow.
+//! A job's demand for slots: its startable tasks, or else speculative copies of its slow tasks.
 
 use crate::node::Node;
 use crate::sans_io::Now;
 use crate::state::{AttemptState, Job, Task};
 use std::cmp::Reverse;
 
-/// How many slots a job could use now.
+/// The number of slots that a job could use now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Demand {
     pub originals: u32,
-    /// Speculative copies; none while a task waits for its first run.
+    /// Speculative copies; 0 while there are startable tasks.
     pub copies: u32,
 }
 
-/// A running task.
+/// A running task that is a candidate for a speculative copy.
 struct RunningTask {
     ran_ms: u64,
     task: u32,
 }
 
 impl Node {
-    /// How many slots a job could use now.
+    /// The number of slots that a job could use now.
     pub(super) fn demand(&self, now: Now, id: &str, job: &Job) -> Demand {
         let originals = self.startable_tasks(now, id, job).len() as u32;
         if originals > 0 {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Tasks of a job that may start now and whose start was not proposed yet.
+    /// Tasks of a job that may start now and have no proposed start.
     pub(super) fn startable_tasks(&self, now: Now, id: &str, job: &Job) -> Vec<u32> {
         let cluster_time = self.cluster_time(now);
         let underway = self.starting_tasks(id);
@@ -46,8 +46,8 @@
             .collect()
     }
 
-    /// Running tasks that are worth a speculative copy, the slowest first: they have run for so long that a new run
-    /// would probably end before them.
+    /// Running tasks that should get a speculative copy, longest running first: they have run for more than
+    /// `slow_factor` times the queue's median, so that a new run would probably end earlier.
     pub(super) fn slow_tasks(&self, now: Now, id: &str, job: &Job) -> Vec<u32> {
         let Some(median) = self.state.median(&job.spec.queue) else {
             return Vec::new();
@@ -75,7 +75,7 @@
     }
 }
 
-/// How long a task has run, if it runs and is not being stopped.
+/// Time in milliseconds for which a task has been running; none if it is not running or is being stopped.
 fn running_for(task: &Task, cluster_time: u64) -> Option<u64> {
     let running = task
         .live()
--- a/landingdrift/src/node/scheduler/mod.rs
+++ b/landingdrift/src/node/scheduler/mod.rs
@@ -1,9 +1,9 @@
-//! The scheduler of the queues whose leases this node holds. Hopper's scheduler side.
+//! The scheduler of the queues whose leases this node holds. It is the scheduler side of the Hopper algorithm.
 //!
 //! - `reservations` places reservations with the holders of zone schedulers,
 //! - `offers` answers the offers that come back,
-//! - `placement` chooses the task that goes to an offered slot,
-//! - `demand` derives how many slots a job could use now,
+//! - `placement` selects the tasks to start in an offered slot,
+//! - `demand` derives the number of slots that a job could use now,
 //! - `sizes` derives the sizes of jobs, and ranks them.
 
 mod demand;
@@ -18,24 +18,24 @@
 use crate::state::{queue_lease, Job, Placement, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Other jobs make way for a gang that has waited for so many intervals of reservations: it gets a second try by itself
-/// first.
+/// Waiting time in reservation intervals after which workers are kept free for a gang: before that, its reservations
+/// are placed a second time.
 const GANG_PATIENCE_INTERVALS: u64 = 2;
 
-/// What the scheduler keeps beside the cluster state. Times are by this node's monotonic clock.
+/// The scheduler's state beyond the cluster state. Times are by this node's monotonic clock.
 #[derive(Default)]
 pub struct Scheduler {
     /// Jobs whose demand may have changed since it was last derived.
     pub dirty: BTreeSet<String>,
     pub all_dirty: bool,
-    /// The reservations that each job placed last.
+    /// By job: when reservations were last placed, and for how many tasks.
     reserved: BTreeMap<String, LastReserved>,
-    /// Starts that were proposed and that the watch does not show yet, by proposal.
+    /// Proposed starts that are not in the cluster state yet, by proposal number.
     pending: BTreeMap<u64, PendingStart>,
     claim: Option<gangs::Claim>,
-    /// Unsatisfied jobs, the smallest first, as of the last full pass.
+    /// Unsatisfied jobs in order of size, as of the last full pass.
     ranked: Vec<String>,
-    /// Jobs among which the slots are shared.
+    /// Number of jobs that share the slots.
     runnable: usize,
     next_full_pass: u64,
 }
@@ -47,19 +47,19 @@
     tasks: u32,
 }
 
-/// A start that was proposed and that the watch does not show yet.
+/// A proposed start that is not in the cluster state yet.
 struct PendingStart {
     job: String,
     placements: Vec<Placement>,
     /// The resources that each placement takes, in the same order.
     reserved_resources: Vec<Resources>,
     until: u64,
-    /// Where the log has it; 0 until that is known.
+    /// Its log index; 0 until that is known.
     log_index: u64,
 }
 
 impl PendingStart {
-    /// Whether the cluster state up to `applied_index` does not show it yet.
+    /// Whether it has neither timed out nor been applied up to `applied_index`.
     fn is_pending(&self, now: Now, applied_index: u64) -> bool {
         let is_applied = self.log_index != 0 && self.log_index <= applied_index;
         now.mono < self.until && !is_applied
@@ -67,7 +67,7 @@
 }
 
 impl Scheduler {
-    /// A zone lease has a new holder, which has no reservations: they are placed again at once, not when they are due.
+    /// Makes all reservations due at once: a new holder of a zone lease does not have the earlier ones.
     pub fn forget_reservations(&mut self) {
         self.reserved.clear();
     }
@@ -85,7 +85,7 @@
         self.schedule(now);
     }
 
-    /// Derives anew what depends on the whole cluster state, and marks every job.
+    /// Recomputes the data derived from the whole cluster state, and marks every job as dirty.
     fn full_pass(&mut self, now: Now) {
         self.sched.next_full_pass = now.mono + self.settings.bounds.heartbeat_interval();
         self.sched.all_dirty = true;
@@ -98,12 +98,13 @@
         self.sched.reserved.retain(|job, _| open.contains(job));
     }
 
-    /// The epoch under which this node holds a queue's lease, if it does.
+    /// The epoch of a queue's lease, if this node holds it.
     fn queue_epoch(&self, queue: &str) -> Option<u64> {
         self.epoch(&queue_lease(queue))
     }
 
-    /// The epoch under which this node places a job's tasks; none where the job is over, or another node's.
+    /// The lease epoch under which this node places a job's tasks; none if the job has ended or is scheduled by another
+    /// node.
     fn epoch_for(&self, job: &Job) -> Option<u64> {
         if job.state.ended() || job.cancel {
             return None;
@@ -111,7 +112,7 @@
         self.queue_epoch(&job.spec.queue)
     }
 
-    /// Placements of a job that were proposed and are not yet in the cluster state.
+    /// Proposed placements of a job that are not in the cluster state yet.
     fn starting_placements<'a>(&'a self, job: &'a str) -> impl Iterator<Item = &'a Placement> + 'a {
         let pending = self.sched.pending.values();
         pending
@@ -119,7 +120,7 @@
             .flat_map(|start| start.placements.iter())
     }
 
-    /// Tasks of a job whose start was proposed and is not yet in the cluster state.
+    /// Tasks of a job whose proposed start is not in the cluster state yet.
     fn starting_tasks(&self, job: &str) -> BTreeSet<u32> {
         self.starting_placements(job)
             .map(|placement| placement.task)
--- a/landingdrift/src/node/scheduler/offers.rs
+++ b/landingdrift/src/node/scheduler/offers.rs
@@ -1,4 +1,4 @@
-//! Responses to offers of a slot: for an offer that is accepted, a start is proposed.
+//! Responses to offers of slots. If an offer is accepted, the start of the selected tasks is proposed.
 
 use super::demand::Demand;
 use super::sizes::JobShare;
@@ -9,10 +9,10 @@
 use crate::state::{Command, Job, Placement, Resources};
 use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, Sizes};
 
-/// A start is given up after so many offer timeouts; the zone scheduler keeps the promised resources for as long.
+/// Timeout of a proposed start, in offer timeouts; the zone scheduler reserves the resources for the same time.
 const START_OFFER_TIMEOUTS: u64 = 2;
 
-/// An offer that is accepted: what starts, and under which epoch of the queue's lease.
+/// The tasks to start for an accepted offer, with the epoch of the queue's lease.
 struct Acceptance {
     owner_epoch: u64,
     placements: Vec<Placement>,
@@ -20,7 +20,7 @@
 }
 
 impl Acceptance {
-    /// The resources that the start takes on the offered worker; the rest of a gang is placed elsewhere.
+    /// The resources that the start needs on the given worker; other members of a gang may be placed elsewhere.
     fn resources_on(&self, worker: &str) -> Resources {
         let mut sum = Resources::default();
         for (placement, resources) in self.placements.iter().zip(&self.reserved_resources) {
@@ -33,7 +33,7 @@
 }
 
 impl Node {
-    /// Answers an offer.
+    /// Handles an offer: accepts or refuses it.
     pub(in crate::node) fn on_offer(&mut self, now: Now, from: &str, offer: Offer) {
         let response = self.answer_offer(now, from, &offer);
         self.send(from, Body::OfferResponse(Box::new(response)));
@@ -66,16 +66,16 @@
         self.accept(now, from, offer, acceptance, fair_share)
     }
 
-    /// The job that a slot is offered for, with the epoch under which this node places its tasks; none where the job is
-    /// over or another node's, or this node's copy of the cluster state is too old.
+    /// The job that a slot is offered for, with the lease epoch under which this node places its tasks; none if the job
+    /// has ended or is scheduled by another node, or if this node's copy of the cluster state is stale.
     fn job_of_offer(&self, now: Now, offer: &Offer) -> Option<(&Job, u64)> {
         let job = self.state.jobs.get(&offer.job)?;
         let epoch = self.epoch_for(job)?;
         self.fresh(now).then_some((job, epoch))
     }
 
-    /// Refuses a slot that the job can't use, or that exceeds its share; the refusal names a small job that could use
-    /// it.
+    /// Refuses a slot that the job can't use or that exceeds its share. The refusal names the smallest job that could
+    /// use it, if one is found.
     fn refuse(&self, now: Now, job: &Job, offer: &Offer, fair_share: f64) -> OfferResponse {
         let demand = self.demand(now, &offer.job, job);
         let gone = demand == Demand::default();
@@ -87,7 +87,7 @@
         refusal(offer, gone, smallest.into_iter().chain([own]).collect())
     }
 
-    /// Proposes the start that an offer is accepted for.
+    /// Accepts an offer and proposes the start.
     fn accept(
         &mut self,
         now: Now,
@@ -138,7 +138,7 @@
         self.sched.pending.insert(token, pending);
     }
 
-    /// A proposed start was applied, rejected or given up: the zone scheduler is told if nothing starts.
+    /// A proposed start was applied, rejected or timed out. If it did not succeed, the zone scheduler is notified.
     pub(in crate::node) fn on_start_result(&mut self, result: StartResult) {
         let not_yet_applied_here = result.log_index > self.state.applied_index;
         if result.placed && not_yet_applied_here {
@@ -164,8 +164,8 @@
     }
 }
 
-/// Whether a job that may refuse a slot takes it: it has fewer slots than its size or the fair share. One slot it may
-/// always have.
+/// Whether a job accepts a slot that it may refuse: it has fewer slots than its size or than the fair share, and in any
+/// case if it has none.
 fn wants_slot(share: &JobShare, fair_share: f64) -> bool {
     share.occupied < share.sizing.size.max(fair_share).max(1.0)
 }
--- a/landingdrift/src/node/scheduler/placement.rs
+++ b/landingdrift/src/node/scheduler/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which of a job's tasks goes to an offered slot.
+//! Selection of a job's tasks for an offered slot.
 
 use crate::node::Node;
 use crate::sans_io::Now;
@@ -7,8 +7,7 @@
 use std::collections::BTreeMap;
 
 impl Node {
-    /// Which of the job's tasks goes to the offered slot: one that waits, with the rest of its gang where it has one,
-    /// and else a speculative copy of a slow one.
+    /// Selects a waiting task, with the rest of its gang if it has one, or else a speculative copy of a slow task.
     pub(super) fn pick(&self, now: Now, job: &Job, offer: &Offer) -> Option<Vec<Placement>> {
         if self.is_claimed_by_other(now, job, &offer.worker) {
             return None;
@@ -17,7 +16,7 @@
         original.or_else(|| self.pick_copy(now, job, offer))
     }
 
-    /// The first waiting task that fits, with the rest of its gang. Those whose data is near the worker come first.
+    /// The first waiting task that fits, with the rest of its gang. Tasks whose data is near the worker come first.
     fn pick_waiting(&self, now: Now, job: &Job, offer: &Offer) -> Option<Vec<Placement>> {
         let info = &self.state.workers.get(&offer.worker)?.info;
         let mut waiting = self.startable_tasks(now, &job.spec.id, job);
@@ -27,7 +26,7 @@
         for task in waiting {
             let spec = job.task_spec(task as usize);
             let in_gang = job.in_gang(task as usize);
-            // Of the tasks of one step it is enough to try one, unless each belongs to a gang of its own.
+            // Tasks of one step have the same specification, so one try per step is enough, except for gangs.
             if !in_gang && tried.iter().any(|earlier| std::ptr::eq(*earlier, spec)) {
                 continue;
             }
@@ -45,15 +44,15 @@
         None
     }
 
-    /// A speculative copy of the slowest task that fits.
+    /// A speculative copy of the longest running slow task that fits.
     fn pick_copy(&self, now: Now, job: &Job, offer: &Offer) -> Option<Vec<Placement>> {
         let slow = self.slow_tasks(now, &job.spec.id, job).into_iter();
         let mut copies = slow.filter_map(|task| self.pick_task(now, job, task, true, offer));
         copies.next().map(|copy| vec![copy])
     }
 
-    /// Whether the worker is kept free for the gang of another job, which has waited too long. Where there is spare capacity, a
-    /// job that is idle for as long gets its share of it.
+    /// Whether the worker is kept free for another job's gang that has waited too long. The claim does not apply to a
+    /// job that has been idle too long while the service has spare capacity.
     fn is_claimed_by_other(&self, now: Now, job: &Job, worker: &str) -> bool {
         let claim = self.sched.claim.as_ref();
         let is_claimed =
@@ -67,7 +66,7 @@
         !(has_spare_capacity && job.is_idle_too_long(self.cluster_time(now)))
     }
 
-    /// The placement of one task in the offered slot, if it fits there.
+    /// The placement of one task in the offered slot, if it fits.
     fn pick_task(
         &self,
         now: Now,
@@ -87,8 +86,8 @@
         fits.is_ok().then_some(placement)
     }
 
-    /// The placements of a whole gang, if they fit now and none was proposed yet. They are tried once, for the gang's
-    /// first member that is not done.
+    /// The placements of a whole gang, if they fit now and none was proposed yet. Only the first unfinished member of a
+    /// gang triggers its placement, so that each gang is tried once.
     fn pick_gang(&self, now: Now, job: &Job, task: u32, offer: &Offer) -> Option<Vec<Placement>> {
         if !job.leads_gang(task as usize) {
             return None;
@@ -103,7 +102,7 @@
         all_new.then_some(placements)
     }
 
-    /// The resources on each worker that proposed starts not yet in the cluster state will take.
+    /// By worker: the resources needed by proposed starts that are not in the cluster state yet.
     fn resources_underway(&self) -> BTreeMap<String, Resources> {
         let mut underway: BTreeMap<String, Resources> = BTreeMap::new();
         for pending in self.sched.pending.values() {
--- a/landingdrift/src/node/scheduler/reservations.rs
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations: for each waiting task, several workers that it fits on are probed, by way of their zone schedulers.
+//! Reservations: for each waiting task, several suitable workers are probed through their zone schedulers.
 
 use super::LastReserved;
 use crate::node::Node;
@@ -10,12 +10,12 @@
 /// A worker that could run some task of a job.
 struct Candidate {
     worker: String,
-    /// The data of such a task is near.
+    /// The worker is near the data of such a task.
     local: bool,
 }
 
 impl Node {
-    /// Places reservations for waiting tasks: for each of them on as many workers as the probe ratio says.
+    /// Places due reservations: for each task in a job's demand, on `probe_ratio` workers.
     pub(in crate::node) fn schedule(&mut self, now: Now) {
         if !self.fresh(now) {
             return;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The jobs whose demand may have changed; their marks are removed.
+    /// The jobs whose demand may have changed; clears their dirty marks.
     fn take_dirty_jobs(&mut self) -> Vec<String> {
         let dirty = std::mem::take(&mut self.sched.dirty);
         if std::mem::take(&mut self.sched.all_dirty) {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// For how many tasks of a job reservations are due, if any are: for its whole demand when the last ones are old,
-    /// and before that for what its demand has grown by.
+    /// The number of a job's tasks for which reservations are due, if any: its whole demand once the last reservations
+    /// are old, before that the increase of its demand.
     fn tasks_to_reserve(&mut self, now: Now, id: &str) -> Option<u32> {
         let job = self.state.jobs.get(id)?;
         self.epoch_for(job)?;
@@ -73,7 +73,7 @@
         self.sched.reserved.insert(id.to_string(), last);
     }
 
-    /// The node whose zone scheduler a worker belongs to; an unknown worker counts to the zone without a name.
+    /// The node that holds the lease of a worker's zone; an unknown worker is assigned to the zone with the empty name.
     fn zone_scheduler_holder(&self, worker: &str) -> Option<String> {
         let known = self.state.workers.get(worker);
         let zone = known.map_or("", |worker| worker.info.zone.as_str());
@@ -81,7 +81,8 @@
         Some(lease.holder.clone())
     }
 
-    /// Reservations for so many tasks of a job: workers near the data first, then drawn at random.
+    /// Reservations for the given number of a job's tasks: on workers near the data first, then on randomly sampled
+    /// ones.
     fn reservations(&mut self, now: Now, id: &str, tasks: u32) -> Vec<Reservation> {
         let Some(job) = self.state.jobs.get(id) else {
             return Vec::new();
@@ -91,7 +92,7 @@
         let probes = u64::from(tasks) * u64::from(self.settings.hopper.probe_ratio);
         let number = probes.min(candidates.len() as u64) as usize;
         sample_to_front(&mut self.rng, &mut candidates, number);
-        // The sort is stable: among the near ones, and among the others, those that were drawn stay in front.
+        // The sort is stable: the sampled candidates stay in front, both among local and among remote ones.
         candidates.sort_by_key(|candidate| !candidate.local);
         candidates.truncate(number);
         let reservation = |candidate: Candidate| Reservation {
@@ -107,7 +108,7 @@
         candidates.into_iter().map(reservation).collect()
     }
 
-    /// Workers that take new work and fit one of the tasks.
+    /// Workers that accept new work and could run one of the tasks.
     fn candidates(&self, specs: &[&TaskSpec]) -> Vec<Candidate> {
         let mut candidates = Vec::new();
         for (name, worker) in &self.state.workers {
@@ -123,8 +124,8 @@
     }
 }
 
-/// The specifications of a job's tasks that wait and whose dependencies are done; consecutive tasks of one step share
-/// theirs, which is listed once.
+/// The specifications of a job's waiting tasks whose dependencies are done. Consecutive tasks of one step share a
+/// specification, which is listed once.
 fn waiting_specs(job: &Job) -> Vec<&TaskSpec> {
     let mut specs: Vec<&TaskSpec> = Vec::new();
     for (i, task) in job.tasks.iter().enumerate() {
@@ -140,7 +141,8 @@
     specs
 }
 
-/// None if the worker could run none of the tasks even when empty; else whether the data of one that it could is near.
+/// None if the worker could run none of the tasks even when idle; otherwise whether it is near the data of one that it
+/// could run.
 fn fits_any(worker: &Worker, specs: &[&TaskSpec]) -> Option<bool> {
     let info = &worker.info;
     let fits = |spec: &&&TaskSpec| info.serves(spec) && info.total_resources().covers(spec.needs());
@@ -149,7 +151,7 @@
     Some(fitting.any(|spec| info.near(&spec.near)))
 }
 
-/// Moves `number` candidates, drawn at random, to the front: the first steps of a Fisher-Yates shuffle.
+/// Moves `number` randomly sampled candidates to the front, by the first steps of a Fisher-Yates shuffle.
 fn sample_to_front(rng: &mut Rng, candidates: &mut [Candidate], number: usize) {
     for i in 0..number {
         let left = candidates.len() - i;
--- a/landingdrift/src/node/scheduler/sizes.rs
+++ b/landingdrift/src/node/scheduler/sizes.rs
@@ -1,4 +1,4 @@
-//! The sizes of jobs, their shares of the slots, and which of them come first.
+//! Sizes of jobs, their shares of the slots, and their ranking.
 
 use crate::node::Node;
 use crate::sans_io::Now;
@@ -6,18 +6,18 @@
 use crate::state::Job;
 use crate::wire::{Offer, Sizes};
 
-/// How many of the smallest jobs are tried when a refusal is to name one: trying a job means placing a task, and there
-/// are many refusals.
+/// Maximum number of jobs tried to find one to name in a refusal: each try runs the placement of a task, and refusals
+/// are frequent.
 const MAX_JOBS_TRIED: usize = 8;
 
-/// A job's sizes, and the slots that it occupies or is about to.
+/// A job's sizes and the number of slots that it occupies, including proposed starts.
 pub(super) struct JobShare {
     pub sizing: Sizing,
     pub occupied: f64,
 }
 
 impl Node {
-    /// The size by which a job is ranked: a job of higher priority counts as smaller.
+    /// The size by which a job is ranked; higher priority reduces it.
     fn weighted_size(&self, job: &Job, sizing: &Sizing) -> f64 {
         let priority = self
             .state
@@ -26,7 +26,7 @@
         sizing.rank / (1.0 + f64::from(priority))
     }
 
-    /// What a job has and needs of the slots.
+    /// The slots that a job needs and occupies.
     pub(super) fn share(&self, job: &Job) -> JobShare {
         let sizing = self.state.sizing(job);
         let starting = self.starting_placements(&job.spec.id).count();
@@ -34,7 +34,7 @@
         JobShare { sizing, occupied }
     }
 
-    /// What zone schedulers are told of a job, given the fair share.
+    /// The sizes of a job as sent to zone schedulers, given the fair share.
     pub(super) fn sizes(&self, job: &Job, fair_share: f64) -> Sizes {
         let JobShare { sizing, occupied } = self.share(job);
         Sizes {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The share of the slots that every job is guaranteed, in whole slots of the mean task's CPU.
+    /// The number of slots that every job is guaranteed, rounded down, where a slot has the mean CPU of a task.
     pub(super) fn fair_share(&self) -> f64 {
         let jobs = self.sched.runnable.max(1) as f64;
         let guaranteed_cpu =
@@ -72,7 +72,7 @@
     /// The smallest unsatisfied job of this scheduler, other than the offer's, that could use the slot.
     pub(super) fn smallest_unsatisfied(&self, now: Now, offer: &Offer) -> Option<Sizes> {
         let fair_share = self.fair_share();
-        // The ranking of the last full pass is good enough to choose which jobs to try.
+        // The ranking of the last full pass is accurate enough to select the jobs to try.
         let others = self.sched.ranked.iter().filter(|id| **id != offer.job);
         let smallest = others
             .filter_map(|id| self.state.jobs.get(id))
@@ -87,7 +87,7 @@
         None
     }
 
-    /// The jobs of this scheduler that need more slots, the smallest first.
+    /// The unsatisfied jobs of this scheduler in order of size.
     pub(super) fn rank(&self) -> Vec<String> {
         let fair_share = self.fair_share();
         let open = self.state.unfinished_jobs.iter();
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The worker proxy: runs beside a worker, keeps no state, and forwards the worker's calls to the node that holds the
+//! The worker proxy: runs beside a worker, persists nothing, and forwards the worker's calls to the node that holds the
 //! lease of its zone.
 
 mod open_call;
@@ -14,18 +14,18 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// The query of a heartbeat whose worker reports that it is leaving.
+/// Query string of a heartbeat in which the worker announces that it is leaving.
 pub const LEAVING: &str = "leaving";
 
-/// A worker's call is sent to another node after this part of the time in which a response is obeyed, so that several
+/// The retry timeout of a worker's call is the time in which a response is obeyed divided by this, so that several
 /// nodes can be tried in time.
 const WORKER_RETRY_DIVISOR: u64 = 5;
-/// Any other repeatable call is sent to another node after this part of the time for which nodes work on a call.
+/// The retry timeout of any other repeatable call is the request timeout divided by this.
 const RETRY_DIVISOR: u64 = 3;
-/// A worker proxy shuffles this many times less often than nodes do: there are as many worker proxies as workers.
+/// The shuffle interval of a worker proxy is that of nodes times this, as there are as many worker proxies as workers.
 const SHUFFLE_FACTOR: u64 = 10;
 
-/// A worker proxy.
+/// The state machine of a worker proxy, driven by ticks, messages and calls.
 pub struct WorkerProxy {
     settings: Settings,
     rng: Rng,
@@ -33,7 +33,7 @@
     /// The node that last answered as the holder of the zone lease; empty where none is known.
     holder: String,
     open: BTreeMap<u64, OpenCall>,
-    /// Drawn when the process starts: responses to requests of an earlier one are dropped.
+    /// Random number of this process; responses to requests of an earlier process are dropped.
     incarnation: u64,
     next_token: u64,
     stopping: bool,
@@ -42,7 +42,7 @@
 }
 
 impl WorkerProxy {
-    /// A worker proxy that knows only the seeds.
+    /// Creates a worker proxy that knows only the seeds.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Rng::new(seed);
         Self {
@@ -52,7 +52,7 @@
                 &settings.zone,
                 &settings.seeds,
             ),
-            // Some bits are spared, so that counting on from there does not overflow.
+            // The upper 16 bits are left free, so that incrementing the token does not overflow.
             next_token: rng.number() >> 16,
             incarnation: rng.number(),
             rng,
@@ -69,7 +69,7 @@
         *self.counters.entry(name).or_default() += 1;
     }
 
-    /// The node to send a call to: the holder first, then any node that it was not sent to.
+    /// The node to forward a call to: the lease holder first, then any node or seed that it was not yet sent to.
     fn pick_node(&mut self, attempts: &[CallAttempt]) -> String {
         let is_untried = |node: &&String| {
             let mut tried = attempts.iter();
@@ -89,7 +89,7 @@
                 .cloned()
                 .collect();
         }
-        // Where all were tried, a seed is tried again.
+        // If all were tried, try a seed again.
         let drawn = self.rng.pick(&candidates);
         let drawn = drawn.or_else(|| self.rng.pick(&self.settings.seeds));
         drawn.cloned().unwrap_or_default()
@@ -131,7 +131,8 @@
     }
 
     fn on_tick(&mut self, now: Now) {
-        // It receives a part of a peer's view and sends none: no process should connect to workers' machines.
+        // The view is cleared: the proxy learns of peers but advertises none, and no process connects to worker
+        // machines.
         let interval_ms = SHUFFLE_FACTOR * self.settings.bounds.shuffle_interval();
         let started = self.peer_sampler.tick(now, interval_ms, &mut self.rng);
         if let Some((peer, mut shuffle)) = started {
@@ -162,9 +163,10 @@
 
     /// Answers a call that no node answered in time.
     ///
-    /// A worker whose heartbeat is refused comes back after a growing pause, and its lease is not renewed meanwhile. So
-    /// it is answered that there are no orders, and when to send the next heartbeat. That acknowledges nothing, so a
-    /// worker that is leaving is refused. The outcome of any other call that may have had its effect is unknown.
+    /// A worker whose heartbeat is rejected backs off exponentially, and its lease is not renewed meanwhile. So the
+    /// response to a heartbeat contains no orders and only the interval to the next heartbeat. This acknowledges
+    /// nothing, so the heartbeat of a leaving worker is rejected. For any other call that may have had an effect, the
+    /// outcome is unknown.
     fn time_out(&mut self, token: u64) {
         let Some(open_call) = self.open.remove(&token) else {
             return;
@@ -180,7 +182,7 @@
         } else if !open_call.is_heartbeat() && open_call.may_have_effect() {
             unsure(heartbeat_ms)
         } else {
-            let message = "no node answered for the cell: call again";
+            let message = "no node answered for the zone: call again";
             Response::error(503, "noCell", message).retry(heartbeat_ms)
         };
         self.out.push(Effect::Answer(open_call.call, response));
@@ -211,14 +213,14 @@
             attempts: Vec::new(),
         };
         if open_call.is_worker_call() {
-            // The worker would not obey a response that takes longer.
+            // The worker would not obey a later response.
             open_call.deadline = now.mono + self.settings.bounds.max_start_order_age() * 4 / 5;
         }
         self.open.insert(token, open_call);
         self.forward(now, token);
     }
 
-    /// Takes the response of a node to a call that was forwarded to it.
+    /// Handles the response of a node to a forwarded call.
     fn on_forward_response(&mut self, now: Now, from: &str, forwarded: ForwardResponse) {
         let RequestToken {
             number: token,
@@ -262,7 +264,8 @@
         self.out.push(Effect::Answer(open_call.call, response));
     }
 
-    /// Sends a call to another node: this one is not the holder, which it may name, or can't act for the zone now.
+    /// Retries a call at another node after a node that is not the lease holder, which it may name, or can't act for
+    /// the zone now.
     fn try_another(&mut self, now: Now, token: u64, from: &str, by: String) {
         let named = !by.is_empty() && by != from;
         self.holder = if named { by } else { String::new() };
@@ -278,9 +281,9 @@
     }
 }
 
-/// The response to a call that may have had its effect.
+/// The response to a call whose outcome is unknown because it may have had an effect.
 fn unsure(retry_ms: u64) -> Response {
-    let message = "it is not known whether this was taken: look, then call again";
+    let message = "the outcome of this call is unknown: check the state, then call again";
     Response::error(503, "unsure", message).retry(retry_ms)
 }
 
@@ -290,7 +293,7 @@
             Msg::Tick => self.on_tick(now),
             Msg::Call(call, request) => self.on_call(now, call, request),
             Msg::Wire(_, Body::Shuffle(shuffle)) => {
-                // Its own view is not sent back.
+                // No reply: the proxy does not advertise its view.
                 let _ = self.peer_sampler.receive(*shuffle, &mut self.rng);
             }
             Msg::Wire(from, Body::ForwardResponse(forwarded)) => {
--- a/landingdrift/src/worker_proxy/open_call.rs
+++ b/landingdrift/src/worker_proxy/open_call.rs
@@ -3,13 +3,13 @@
 use super::may_repeat;
 use crate::sans_io::Request;
 
-/// A call that waits for a response.
+/// A call that is waiting for a response.
 pub(super) struct OpenCall {
     pub call: u64,
     pub request: Request,
-    /// When it is given up.
+    /// When the call times out, in monotonic milliseconds.
     pub deadline: u64,
-    /// When it is sent to another node; none for a call that may not be repeated and may have had its effect.
+    /// When the call is sent to another node; none for a call that must not be repeated and may have had an effect.
     pub retry_at: Option<u64>,
     pub attempts: Vec<CallAttempt>,
 }
@@ -17,12 +17,12 @@
 /// One attempt of a call to a node.
 pub(super) struct CallAttempt {
     pub node: String,
-    /// The node answered that the call had no effect there.
+    /// The node has responded that the call had no effect there.
     pub refused: bool,
 }
 
 impl OpenCall {
-    /// Whether it may be sent twice.
+    /// Whether the call may be sent more than once.
     pub fn is_repeatable(&self) -> bool {
         may_repeat(
             &self.request.method,
@@ -31,27 +31,28 @@
         )
     }
 
-    /// Whether a worker made it, which drops late responses; other callers wait for as long as a node works on a call.
+    /// Whether a worker made the call. Workers drop late responses; other callers wait for the request timeout of
+    /// nodes.
     pub fn is_worker_call(&self) -> bool {
         self.is_heartbeat() || self.request.path.starts_with("/v1/workers/")
     }
 
-    /// Whether it is a heartbeat.
+    /// Whether the call is a heartbeat.
     pub fn is_heartbeat(&self) -> bool {
         self.request.path == "/v1/beats"
     }
 
-    /// Whether it was sent to a node.
+    /// Whether the call was sent to the given node.
     pub fn was_sent_to(&self, node: &str) -> bool {
         self.attempts.iter().any(|attempt| attempt.node == node)
     }
 
-    /// Whether it may have had its effect at some node.
+    /// Whether the call may have had an effect at some node.
     pub fn may_have_effect(&self) -> bool {
         self.request.method != "GET" && self.attempts.iter().any(|attempt| !attempt.refused)
     }
 
-    /// Whether it may have its effect at a node other than that of this attempt, whatever that one answers.
+    /// Whether the call may have an effect at a node other than that of this attempt, whatever that node answers.
     pub fn may_have_effect_elsewhere(&self, attempt: u32) -> bool {
         let mut others = self.attempts.iter().enumerate();
         self.request.method != "GET"
--- a/landingdrift/src/worker_proxy/repeat.rs
+++ b/landingdrift/src/worker_proxy/repeat.rs
@@ -1,7 +1,7 @@
-//! Which calls may be sent again when no response came.
+//! Idempotency of calls: whether a call may be sent again after a response timeout.
 
-/// Whether a call is idempotent: it changes nothing, or carries an identity by which a copy is recognised. Any other
-/// call is sent at most once, and its outcome is unknown if no response comes.
+/// Whether a call is idempotent: it changes nothing, or carries an id by which a duplicate is recognised. Any other
+/// call is sent at most once, and its outcome is unknown if no response arrives.
 pub fn may_repeat(method: &str, path: &str, query: &str) -> bool {
     let has_identity = || query.split('&').any(|param| param.starts_with("change="));
     match (method, path) {
