--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -167,13 +167,13 @@
         Ok(())
     }
 
-    /// Runs until the process is asked to stop or a part ends by itself, then shuts down gracefully. `reread` returns
+    /// Runs until the process is asked to stop or a part ends by itself, then shuts down gracefully. `reload` returns
     /// the parts' settings in the order in which the parts were started; it is called on SIGHUP.
     pub fn run(
         mut self,
-        reread: &dyn Fn() -> Result<Vec<Settings>, String>,
+        reload: &dyn Fn() -> Result<Vec<Settings>, String>,
     ) -> Result<(), ProcessError> {
-        let asked_to_stop = self.wait_for_stop(reread);
+        let asked_to_stop = self.wait_for_stop(reload);
         let reason = if asked_to_stop {
             "asked to stop"
         } else {
@@ -192,13 +192,13 @@
     }
 
     /// Waits for a signal to stop, and reloads the settings on each SIGHUP; returns false if a part ends first.
-    fn wait_for_stop(&mut self, reread: &dyn Fn() -> Result<Vec<Settings>, String>) -> bool {
+    fn wait_for_stop(&mut self, reload: &dyn Fn() -> Result<Vec<Settings>, String>) -> bool {
         let logger = self.logger.as_ref();
         for signal in self.signals.forever() {
             if signal != SIGHUP {
                 return true;
             }
-            match reread() {
+            match reload() {
                 Ok(all) => {
                     for (part, settings) in self.parts.iter_mut().zip(&all) {
                         part.update_settings(settings, logger);
@@ -217,17 +217,17 @@
     /// whether a control thread panicked.
     fn stop(&mut self) -> bool {
         let stop_requested_at = Instant::now();
-        let serve_on = self.longest_bound(Bounds::serving_time_after_stop);
-        let end_by = self.longest_bound(Bounds::process_deadline);
+        let serving_time = self.longest_bound(Bounds::serving_time_after_stop);
+        let deadline = self.longest_bound(Bounds::process_deadline);
         let flush = self.longest_bound(Bounds::flush_timeout);
         let serving = self.traffic.serving().clone();
         serving.leave();
         for part in &self.parts {
             part.send(Msg::Stop);
         }
-        sleep(serve_on.saturating_sub(stop_requested_at.elapsed()));
+        sleep(serving_time.saturating_sub(stop_requested_at.elapsed()));
         serving.refuse();
-        while stop_requested_at.elapsed() + flush < end_by && self.is_busy(&serving) {
+        while stop_requested_at.elapsed() + flush < deadline && self.is_busy(&serving) {
             sleep(POLL_INTERVAL);
         }
         if self.is_busy(&serving) {
--- a/landingdrift/src/daemon/roles.rs
+++ b/landingdrift/src/daemon/roles.rs
@@ -96,12 +96,12 @@
         settings.listen,
         settings.http
     );
-    let reread = || {
+    let reload = || {
         from_arguments(arguments.clone(), is_replica)
             .map(|parsed| vec![parsed.settings])
             .map_err(|error| error.to_string())
     };
-    process.run(&reread).map(|()| 0)
+    process.run(&reload).map(|()| 0)
 }
 
 /// Concurrent HTTP calls, as a multiple of the limit that the part itself enforces. The margin is for heartbeats and
--- a/landingdrift/src/daemon/traffic/http/http_adapter.rs
+++ b/landingdrift/src/daemon/traffic/http/http_adapter.rs
@@ -30,7 +30,7 @@
     pub body: Vec<u8>,
 }
 
-/// What the server does with a request.
+/// The action that the server takes on a request.
 pub enum HandlerAction {
     /// Passes the request to the part, and translates the part's response with the function.
     Call(Request, Box<dyn FnOnce(Response) -> HttpResponse + Send>),
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -37,6 +37,7 @@
 /// The grace period of `rocket` itself. It is longer than any process takes to shut down, so it never applies.
 const SHUTDOWN_SECONDS: u32 = 600;
 
+/// The methods that are passed to the adapter; others get an error response.
 const METHODS: [Method; 7] = [
     Method::Get,
     Method::Put,
