--- a/landingdrift/tests/attempts.rs
+++ b/landingdrift/tests/attempts.rs
@@ -14,7 +14,7 @@
     let mut fixture = StateFixture::new();
     fixture.accept("j", vec![task("a")]).expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("placed");
-    fixture.ok(Command::WorkerLost {
+    fixture.apply_ok(Command::WorkerLost {
         worker: "w".into(),
         incarnation: 1,
         zone_epoch: 1,
@@ -24,13 +24,13 @@
         Err(Rejection::AlreadyRunning)
     );
     // After a restart of the worker the attempt no longer runs, but it may have succeeded.
-    fixture.info("w", 2, false);
+    fixture.update_worker("w", 2, false);
     assert_eq!(
         fixture.start("j", &[(0, "v")]),
         Err(Rejection::AlreadyRunning)
     );
     fixture.at += 6000;
-    fixture.ok(Command::CollectGarbage {
+    fixture.apply_ok(Command::CollectGarbage {
         retain_ms: 60_000,
         identity_ms: 60_000,
     });
@@ -39,12 +39,12 @@
     // A late report of success still counts.
     fixture.accept("k", vec![task("a")]).expect("accepted");
     fixture.start("k", &[(0, "v")]).expect("placed");
-    fixture.ok(Command::WorkerLost {
+    fixture.apply_ok(Command::WorkerLost {
         worker: "v".into(),
         incarnation: 1,
         zone_epoch: 1,
     });
-    fixture.end("v", 2, Outcome::Succeeded);
+    fixture.report_end("v", 2, Outcome::Succeeded);
     assert_eq!(fixture.job_state("k"), JobState::Done);
 }
 
@@ -63,21 +63,21 @@
     fixture
         .start_as("j", &[(0, "v")], 2, 1, true)
         .expect("a copy on another worker");
-    fixture.info("x", 1, false);
+    fixture.update_worker("x", 1, false);
     assert_eq!(
         fixture.start_as("j", &[(0, "x")], 2, 1, true),
         Err(Rejection::AlreadyRunning),
         "a second copy"
     );
-    fixture.end("v", 2, Outcome::Succeeded);
+    fixture.report_end("v", 2, Outcome::Succeeded);
     assert!(
         fixture.state.jobs["j"].tasks[0].attempts[0].stop,
         "the original is stopped after the copy succeeded"
     );
     assert_eq!(fixture.job_state("j"), JobState::Running);
-    fixture.end("w", 1, Outcome::Stopped);
+    fixture.report_end("w", 1, Outcome::Stopped);
     assert_eq!(fixture.job_state("j"), JobState::Done);
-    fixture.ok(Command::UpdateConfig {
+    fixture.apply_ok(Command::UpdateConfig {
         change: "none".into(),
         base: 1,
         patch: true,
@@ -92,7 +92,7 @@
         fixture.start_as("k", &[(0, "v")], 2, 1, true),
         Err(Rejection::SpeculationBudgetExhausted)
     );
-    fixture.ok(Command::WorkerLost {
+    fixture.apply_ok(Command::WorkerLost {
         worker: "w".into(),
         incarnation: 1,
         zone_epoch: 1,
@@ -108,7 +108,7 @@
     fixture.accept("j", vec![task("a")]).expect("accepted");
     for no in 1..=2 {
         fixture.start("j", &[(0, "w")]).expect("placed");
-        fixture.end("w", no, Outcome::Failed);
+        fixture.report_end("w", no, Outcome::Failed);
     }
     assert_eq!(fixture.job_state("j"), JobState::Failed);
     assert_eq!(fixture.start("j", &[(0, "v")]), Err(Rejection::Ended));
@@ -124,7 +124,7 @@
         number: 0,
         value: json!({"queues": {"q": {"tries": n}}}),
     };
-    fixture.ok(max_attempts(1, 3));
+    fixture.apply_ok(max_attempts(1, 3));
     fixture
         .accept(
             "j",
@@ -138,18 +138,18 @@
         )
         .expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("placed");
-    fixture.end("w", 1, Outcome::Failed);
+    fixture.report_end("w", 1, Outcome::Failed);
     fixture.start("j", &[(0, "w")]).expect("placed again");
     fixture
         .start_as("j", &[(0, "v")], 2, 1, true)
         .expect("a copy");
     // With a maximum of two attempts, the failure of the copy exhausts them while the original still runs.
-    fixture.ok(max_attempts(2, 2));
-    fixture.end("v", 3, Outcome::Failed);
+    fixture.apply_ok(max_attempts(2, 2));
+    fixture.report_end("v", 3, Outcome::Failed);
     assert_eq!(fixture.job_state("j"), JobState::Running);
-    fixture.end("w", 2, Outcome::Succeeded);
+    fixture.report_end("w", 2, Outcome::Succeeded);
     fixture.start("j", &[(1, "w")]).expect("the next step");
-    fixture.end("w", 4, Outcome::Succeeded);
+    fixture.report_end("w", 4, Outcome::Succeeded);
     assert_eq!(fixture.job_state("j"), JobState::Done);
 }
 
@@ -160,7 +160,7 @@
         .accept("j", vec![repeatable("a")])
         .expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("placed");
-    fixture.end("w", 1, Outcome::Failed);
+    fixture.report_end("w", 1, Outcome::Failed);
     fixture
         .start("j", &[(0, "w")])
         .expect("the second and last attempt");
@@ -169,7 +169,7 @@
         Err(Rejection::AttemptsExhausted),
         "a copy would be the third attempt"
     );
-    fixture.ok(Command::WorkerLost {
+    fixture.apply_ok(Command::WorkerLost {
         worker: "w".into(),
         incarnation: 1,
         zone_epoch: 1,
@@ -179,7 +179,7 @@
         Err(Rejection::AttemptsExhausted),
         "the lost attempt may have failed"
     );
-    fixture.end("w", 2, Outcome::Succeeded);
+    fixture.report_end("w", 2, Outcome::Succeeded);
     assert_eq!(fixture.job_state("j"), JobState::Done);
 }
 
@@ -190,15 +190,15 @@
         fixture.accept("j", vec![task("a")]).expect("accepted");
         fixture.start("j", &[(0, "w")]).expect("started");
         if anew {
-            fixture.info("w", 2, false);
+            fixture.update_worker("w", 2, false);
         } else {
-            fixture.ok(Command::WorkerLost {
+            fixture.apply_ok(Command::WorkerLost {
                 worker: "w".into(),
                 incarnation: 1,
                 zone_epoch: 1,
             });
         }
-        fixture.ok(Command::ReportAttempts {
+        fixture.apply_ok(Command::ReportAttempts {
             worker: "w".into(),
             incarnation: 1,
             running: vec![1],
@@ -206,7 +206,7 @@
         });
         let state = fixture.state.attempt(1).map(|(_, _, s)| s.state);
         assert_eq!(state, Some(AttemptState::Unsure), "started anew: {anew}");
-        fixture.end("w", 1, Outcome::Succeeded);
+        fixture.report_end("w", 1, Outcome::Succeeded);
         assert_eq!(
             fixture.job_state("j"),
             JobState::Done,
@@ -230,14 +230,14 @@
         fixture.apply(reschedule_attempts(9)),
         Err(Rejection::StaleLease)
     );
-    fixture.ok(reschedule_attempts(1));
+    fixture.apply_ok(reschedule_attempts(1));
     assert!(fixture.state.workers["w"].probation > 0);
     assert_eq!(
         fixture.start("j", &[(0, "v")]),
         Err(Rejection::AlreadyRunning),
         "not before the stopped attempt has ended"
     );
-    fixture.end("w", 1, Outcome::Stopped);
+    fixture.report_end("w", 1, Outcome::Stopped);
     assert_eq!(fixture.state.jobs["j"].tasks[0].failures, 0);
     fixture
         .start("j", &[(0, "v")])
@@ -256,35 +256,37 @@
         attempts: vec![1],
         checkpoints: vec![],
     };
-    fixture.ok(expire_attempts.clone());
+    fixture.apply_ok(expire_attempts.clone());
     assert_eq!(fixture.state.jobs["j"].tasks[0].failures, 0);
-    fixture.info("w", 1, false);
+    fixture.update_worker("w", 1, false);
     fixture.start("j", &[(0, "w")]).expect("again");
-    fixture.ok(expire_attempts);
+    fixture.apply_ok(expire_attempts);
     assert_eq!(fixture.state.jobs["j"].tasks[0].live().count(), 1);
 }
 
 /// A fixture with an accepted job of one long-running task.
 fn with_long_running_job() -> StateFixture {
     let mut fixture = StateFixture::new();
-    let lasting = TaskSpec {
+    let long_running = TaskSpec {
         long_running: true,
         ..task("a")
     };
-    fixture.accept("lasting", vec![lasting]).expect("accepted");
+    fixture
+        .accept("long-running", vec![long_running])
+        .expect("accepted");
     fixture
 }
 
 /// Starts the long-running task, and reports the end of the attempt.
 fn start_and_end(fixture: &mut StateFixture, outcome: Outcome) {
-    fixture.start("lasting", &[(0, "w")]).expect("started");
-    let last = fixture.state.jobs["lasting"].tasks[0].attempts.last();
+    fixture.start("long-running", &[(0, "w")]).expect("started");
+    let last = fixture.state.jobs["long-running"].tasks[0].attempts.last();
     let end = EndReport {
         no: last.expect("an attempt").no,
         outcome,
         ..EndReport::default()
     };
-    fixture.ok(Command::ReportAttempts {
+    fixture.apply_ok(Command::ReportAttempts {
         worker: "w".into(),
         incarnation: 1,
         running: vec![],
@@ -301,7 +303,7 @@
     let after_100 = fixture.state.job_bytes();
     (0..200).for_each(|_| start_and_end(&mut fixture, Outcome::Failed));
     assert_eq!(fixture.state.job_bytes(), after_100);
-    let job = &fixture.state.jobs["lasting"];
+    let job = &fixture.state.jobs["long-running"];
     assert_eq!(job.tasks[0].failures, 300);
     let last = job.tasks[0].attempts.last().expect("an attempt");
     assert_eq!(
@@ -315,5 +317,5 @@
     let mut fixture = with_long_running_job();
     start_and_end(&mut fixture, Outcome::Failed);
     (0..200).for_each(|_| start_and_end(&mut fixture, Outcome::NeverStarted));
-    assert!(fixture.state.jobs["lasting"].has_begun());
+    assert!(fixture.state.jobs["long-running"].has_begun());
 }
--- a/landingdrift/tests/cluster_state.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -66,13 +66,13 @@
         fixture.start("k", &[(0, "w")]),
         Err(Rejection::InsufficientResources)
     );
-    fixture.info("v", 1, true);
+    fixture.update_worker("v", 1, true);
     assert!(matches!(
         fixture.start("k", &[(0, "v")]),
         Err(Rejection::UnsuitableWorker { .. })
     ));
-    fixture.info("v", 2, false);
-    fixture.ok(Command::UpdateConfig {
+    fixture.update_worker("v", 2, false);
+    fixture.apply_ok(Command::UpdateConfig {
         change: "drain".into(),
         base: 1,
         patch: true,
@@ -83,7 +83,7 @@
         fixture.start("k", &[(0, "v")]),
         Err(Rejection::UnsuitableWorker { .. })
     ));
-    fixture.ok(Command::CancelJob { job: "k".into() });
+    fixture.apply_ok(Command::CancelJob { job: "k".into() });
     assert_eq!(fixture.start("k", &[(0, "v")]), Err(Rejection::Ended));
 }
 
@@ -110,13 +110,13 @@
     fixture
         .start("j", &[(0, "w"), (1, "v")])
         .expect("the whole gang placed");
-    fixture.end("v", 2, Outcome::Failed);
+    fixture.report_end("v", 2, Outcome::Failed);
     let kept = &fixture.state.jobs["j"].tasks[0].attempts[0];
     assert!(
         kept.stop && kept.state == AttemptState::Ordered,
         "the other member is stopped"
     );
-    fixture.end("w", 1, Outcome::NeverStarted);
+    fixture.report_end("w", 1, Outcome::NeverStarted);
     fixture
         .start("j", &[(0, "w"), (1, "v")])
         .expect("the whole gang restarts");
@@ -164,7 +164,7 @@
 #[test]
 fn failures_put_a_worker_on_probation_and_successes_end_it() {
     let mut fixture = StateFixture::new();
-    fixture.ok(Command::UpdateConfig {
+    fixture.apply_ok(Command::UpdateConfig {
         change: "more".into(),
         base: 1,
         patch: true,
@@ -186,7 +186,7 @@
         fixture
             .start(&format!("j{no}"), &[(0, worker)])
             .expect("placed");
-        fixture.end(worker, no, outcome);
+        fixture.report_end(worker, no, outcome);
     };
     (0..8).for_each(|_| run(&mut fixture, "v", Outcome::Succeeded));
     (0..3).for_each(|_| run(&mut fixture, "w", Outcome::Failed));
@@ -217,7 +217,7 @@
         fixture.start("x", &[(1, "w")]),
         Err(Rejection::UnsuitableWorker { .. })
     ));
-    fixture.end("w", 13, Outcome::Succeeded);
+    fixture.report_end("w", 13, Outcome::Succeeded);
     no = 13;
     let mut run = |fixture: &mut StateFixture, outcome: Outcome| {
         no += 1;
@@ -233,7 +233,7 @@
         fixture
             .start(&format!("k{no}"), &[(0, "w")])
             .expect("placed");
-        fixture.end("w", no, outcome);
+        fixture.report_end("w", no, outcome);
     };
     run(&mut fixture, Outcome::Succeeded);
     assert!(fixture.state.workers["w"].probation > 0);
@@ -267,7 +267,7 @@
         };
         fixture.accept("j", vec![needs]).expect("accepted");
         fixture.start("j", &[(0, "w")]).expect("started");
-        fixture.ok(changed(cpu, &labels));
+        fixture.apply_ok(changed(cpu, &labels));
         assert_eq!(
             fixture.state.attempt(1).is_some_and(|(_, _, s)| s.stop),
             stops,
--- a/landingdrift/tests/cluster_state_fixture/mod.rs
+++ b/landingdrift/tests/cluster_state_fixture/mod.rs
@@ -22,42 +22,45 @@
             last_index: 0,
             at: 1_000_000,
         };
-        fixture.ok(Command::RegisterNode {
+        fixture.apply_ok(Command::RegisterNode {
             node: "n".into(),
             zone: "z".into(),
             http: "h".into(),
         });
-        fixture.ok(Command::GrantLease {
+        fixture.apply_ok(Command::GrantLease {
             lease: "cell/z".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        fixture.ok(Command::GrantLease {
+        fixture.apply_ok(Command::GrantLease {
             lease: "queue/q".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        fixture.ok(Command::UpdateConfig {
+        fixture.apply_ok(Command::UpdateConfig {
             change: "first".into(),
             base: 0,
             patch: false,
             number: 0,
             value: config(2),
         });
-        fixture.info("w", 1, false);
-        fixture.info("v", 1, false);
+        fixture.update_worker("w", 1, false);
+        fixture.update_worker("v", 1, false);
         fixture
     }
+    /// Applies a command 10 ms after the previous one.
     pub fn apply(&mut self, c: Command) -> ApplyResult {
         self.last_index += 1;
         self.at += 10;
         self.state.apply(self.last_index, self.at, &c)
     }
-    pub fn ok(&mut self, c: Command) -> serde_json::Value {
+    /// Applies a command that must be accepted.
+    pub fn apply_ok(&mut self, c: Command) -> serde_json::Value {
         let shown = format!("{c:?}");
         self.apply(c).unwrap_or_else(|e| panic!("{shown}: {e}"))
     }
-    pub fn info(&mut self, worker: &str, incarnation: u64, leaving: bool) {
+    /// Registers or updates a worker with 4 CPU in zone `z`.
+    pub fn update_worker(&mut self, worker: &str, incarnation: u64, leaving: bool) {
         let info = WorkerInfo {
             worker: worker.into(),
             incarnation,
@@ -68,11 +71,12 @@
             leaving,
             ..WorkerInfo::default()
         };
-        self.ok(Command::UpdateWorker {
+        self.apply_ok(Command::UpdateWorker {
             info,
             zone_epoch: 1,
         });
     }
+    /// Submits a job of single tasks to queue `q`.
     pub fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
         let seen = self.state.applied_index;
         self.apply(Command::AcceptJob {
@@ -86,9 +90,11 @@
             seen,
         })
     }
+    /// Starts attempts of tasks, each on a worker, under the current leases.
     pub fn start(&mut self, job: &str, of: &[(u32, &str)]) -> ApplyResult {
         self.start_as(job, of, 2, 1, false)
     }
+    /// Starts attempts under the given lease epochs, optionally as speculative copies.
     pub fn start_as(
         &mut self,
         job: &str,
@@ -114,8 +120,9 @@
             placements,
         })
     }
-    pub fn end(&mut self, worker: &str, no: u64, outcome: Outcome) {
-        self.ok(Command::ReportAttempts {
+    /// Reports the end of an attempt by incarnation 1 of its worker.
+    pub fn report_end(&mut self, worker: &str, no: u64, outcome: Outcome) {
+        self.apply_ok(Command::ReportAttempts {
             worker: worker.into(),
             incarnation: 1,
             running: vec![],
@@ -132,11 +139,13 @@
     }
 }
 
+/// A configuration with queue `q`, service `s` and zone `z`.
 pub fn config(max_attempts: u32) -> serde_json::Value {
     json!({"queues": {"q": {"tries": max_attempts, "quota": 3, "windowMs": 60_000, "unsureBoundMs": 5000, "speculationPercent": 50, "defectAllowancePercent": 100}},
            "services": {"s": {"labels": ["l", "m"], "taskRoom": 4, "gangRoom": 8}}, "zones": {"z": {}}})
 }
 
+/// A task that needs 3 CPU and may not be repeated.
 pub fn task(name: &str) -> TaskSpec {
     TaskSpec {
         name: name.into(),
--- a/landingdrift/tests/config_updates.rs
+++ b/landingdrift/tests/config_updates.rs
@@ -16,7 +16,7 @@
         ..JobSpec::default()
     };
     let seen = fixture.state.applied_index;
-    fixture.ok(Command::AcceptJob {
+    fixture.apply_ok(Command::AcceptJob {
         spec: spec("j", 3),
         hash: 1,
         seen,
@@ -37,12 +37,12 @@
         }),
         Err(Rejection::BodyMismatch)
     );
-    fixture.ok(Command::AcceptJob {
+    fixture.apply_ok(Command::AcceptJob {
         spec: spec("k", 3),
         hash: 1,
         seen,
     });
-    fixture.ok(Command::AcceptJob {
+    fixture.apply_ok(Command::AcceptJob {
         spec: spec("l", 3),
         hash: 1,
         seen,
@@ -55,7 +55,7 @@
         }),
         Err(Rejection::OverQuota { quota: 3 })
     );
-    fixture.ok(Command::CancelJob { job: "k".into() });
+    fixture.apply_ok(Command::CancelJob { job: "k".into() });
     // An older request with the same id, received elsewhere before the rejection, is not accepted.
     assert_eq!(
         fixture.apply(Command::AcceptJob {
@@ -66,7 +66,7 @@
         Err(Rejection::PreviouslyRejected)
     );
     let seen = fixture.state.applied_index;
-    fixture.ok(Command::AcceptJob {
+    fixture.apply_ok(Command::AcceptJob {
         spec: spec("m", 3),
         hash: 1,
         seen,
@@ -81,7 +81,7 @@
     ));
     // The identity of a job outlives its retention, but not forever.
     fixture.at += 70_000;
-    fixture.ok(Command::CollectGarbage {
+    fixture.apply_ok(Command::CollectGarbage {
         retain_ms: 60_000,
         identity_ms: 100_000,
     });
@@ -95,7 +95,7 @@
         Err(Rejection::BodyMismatch)
     );
     fixture.at += 200_000;
-    fixture.ok(Command::CollectGarbage {
+    fixture.apply_ok(Command::CollectGarbage {
         retain_ms: 60_000,
         identity_ms: 100_000,
     });
@@ -112,12 +112,12 @@
         number: 0,
         value: json!({"notes": {"n": note}}),
     };
-    fixture.ok(change("a", 1, "x"));
+    fixture.apply_ok(change("a", 1, "x"));
     assert_eq!(
         fixture.apply(change("b", 1, "y")),
         Err(Rejection::VersionConflict { current: 2 })
     );
-    assert_eq!(fixture.ok(change("a", 1, "x"))["version"], 2);
+    assert_eq!(fixture.apply_ok(change("a", 1, "x"))["version"], 2);
     assert_eq!(
         fixture.apply(change("a", 1, "z")),
         Err(Rejection::BodyMismatch)
@@ -158,8 +158,8 @@
         matches!(&refused, Err(Rejection::Invalid { path, .. }) if path == "queues.q"),
         "{refused:?}"
     );
-    fixture.ok(Command::CancelJob { job: "j".into() });
-    fixture.ok(without("b"));
+    fixture.apply_ok(Command::CancelJob { job: "j".into() });
+    fixture.apply_ok(without("b"));
 }
 
 #[test]
@@ -170,9 +170,9 @@
         .accept("under-way", vec![task("a")])
         .expect("accepted");
     fixture.start("idle", &[(0, "w")]).expect("started");
-    fixture.end("w", 1, Outcome::Failed);
+    fixture.report_end("w", 1, Outcome::Failed);
     fixture.start("under-way", &[(0, "v")]).expect("started");
-    fixture.end("v", 2, Outcome::Failed);
+    fixture.report_end("v", 2, Outcome::Failed);
     fixture
         .start("under-way", &[(0, "v")])
         .expect("started again");
@@ -184,13 +184,13 @@
         number: 0,
         value: value.clone(),
     };
-    fixture.ok(lower(1));
+    fixture.apply_ok(lower(1));
     assert_eq!(fixture.job_state("idle"), JobState::Failed);
     assert!(
         fixture.state.attempt(3).is_some_and(|(_, _, s)| s.stop),
         "the unstarted attempt is stopped"
     );
-    fixture.end("v", 3, Outcome::NeverStarted);
+    fixture.report_end("v", 3, Outcome::NeverStarted);
     assert_eq!(fixture.job_state("under-way"), JobState::Failed);
 }
 
--- a/landingdrift/tests/probation.rs
+++ b/landingdrift/tests/probation.rs
@@ -31,7 +31,7 @@
         .accept("long-running", vec![long_running("a")])
         .expect("accepted");
     fixture.start("long-running", &[(0, "w")]).expect("started");
-    fixture.ok(Command::RescheduleAttempts {
+    fixture.apply_ok(Command::RescheduleAttempts {
         worker: "w".into(),
         zone_epoch: 1,
         attempts: vec![],
--- a/landingdrift/tests/workers_at_one_address.rs
+++ b/landingdrift/tests/workers_at_one_address.rs
@@ -18,14 +18,14 @@
         cpu: 8,
         ..WorkerInfo::default()
     };
-    fixture.ok(Command::UpdateWorker {
+    fixture.apply_ok(Command::UpdateWorker {
         info,
         zone_epoch: 1,
     });
 }
 
 fn report_running(fixture: &mut StateFixture, worker: &str, attempt: u64) {
-    fixture.ok(Command::ReportAttempts {
+    fixture.apply_ok(Command::ReportAttempts {
         worker: worker.into(),
         incarnation: 1,
         running: vec![attempt],
@@ -86,7 +86,7 @@
     register(&mut fixture, "second");
     place(&mut fixture, "k", "second");
     report_running(&mut fixture, "first", 1);
-    fixture.end("first", 1, Outcome::Succeeded);
+    fixture.report_end("first", 1, Outcome::Succeeded);
     assert!(
         is_live(&fixture, 2),
         "the attempt of the first worker was placed before the second registered"
