--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -90,14 +90,14 @@
     is_replica: bool,
 ) -> Result<ParsedArguments, SettingsError> {
     let flags = read_flags(arguments)?;
-    let mut last_first = flags.given.iter().rev();
-    let file = last_first.find(|flag| flag.name == "settings");
+    let mut newest_first = flags.given.iter().rev();
+    let file = newest_first.find(|flag| flag.name == "settings");
     let mut settings = match file {
         Some(flag) => read_file(&flag.value)?,
         None => Settings::default(),
     };
     for flag in &flags.given {
-        override_by(&mut settings, flag);
+        apply_flag(&mut settings, flag);
     }
     if !flags.help {
         check(&settings, is_replica)?;
@@ -144,22 +144,22 @@
 }
 
 /// Overrides the setting that a flag names.
-fn override_by(settings: &mut Settings, flag: &GivenFlag) {
+fn apply_flag(settings: &mut Settings, flag: &GivenFlag) {
     let value = flag.value.clone();
     match flag.name.as_str() {
         "cluster" => settings.cluster = value,
         "listen" => settings.listen = value,
         "http" => settings.http = value,
         "zone" => settings.zone = value,
-        "seeds" => settings.seeds = addresses(&value),
-        "founders" => settings.founders = addresses(&value),
+        "seeds" => settings.seeds = parse_addresses(&value),
+        "founders" => settings.founders = parse_addresses(&value),
         "data" => settings.data = value,
         "log" => settings.log = value,
         _ => {}
     }
 }
 
-fn addresses(list: &str) -> Vec<String> {
+fn parse_addresses(list: &str) -> Vec<String> {
     list.split(',')
         .filter(|address| !address.is_empty())
         .map(str::to_string)
--- a/landingdrift/src/state/apply/attempts.rs
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -59,7 +59,7 @@
             && job.tasks[task].state != TaskState::Done
             && !job.task_spec(task).long_running;
         job.tasks[task].failures += u32::from(state == AttemptState::Failed);
-        end_task(job, task, is_first_success, max_attempts);
+        update_task_state(job, task, is_first_success, max_attempts);
         let to_stop = superseded_attempts(job, task, is_first_success);
 
         if let Some(worker) = self.workers.get_mut(&worker) {
@@ -113,7 +113,7 @@
     }
 
     /// Stores the newest checkpoint of an attempt for its task, and for all members of its gang.
-    pub(super) fn keep_checkpoint(&mut self, attempt_no: u64, checkpoint: &str) {
+    pub(super) fn store_checkpoint(&mut self, attempt_no: u64, checkpoint: &str) {
         if checkpoint.is_empty() {
             return;
         }
@@ -132,7 +132,7 @@
 }
 
 /// Derives the state of a task after one of its attempts has ended.
-fn end_task(job: &mut Job, task: usize, is_first_success: bool, max_attempts: u32) {
+fn update_task_state(job: &mut Job, task: usize, is_first_success: bool, max_attempts: u32) {
     if is_first_success {
         if job.ends_as_one(task) {
             // The members end together, so this success counts for all of them.
--- a/landingdrift/src/state/apply/config_update.rs
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -52,7 +52,7 @@
             update.base_version == current,
             Rejection::VersionConflict { current },
         )?;
-        self.forget_old_changes();
+        self.drop_old_changes();
         ensure(self.changes.len() < MAX_CHANGES, Rejection::TooManyChanges)?;
         let is_higher = update.version == 0 || update.version > current;
         ensure(
@@ -118,7 +118,7 @@
 
     /// Drops the identities of changes older than the retention time, except the newest: its retries are acknowledged
     /// however late they arrive.
-    fn forget_old_changes(&mut self) {
+    fn drop_old_changes(&mut self) {
         let kept_from = self.at.saturating_sub(CHANGE_RETENTION_MS);
         while self.changes.len() > 1 && self.changes[0].at < kept_from {
             self.changes.pop_front();
--- a/landingdrift/src/state/apply/orders.rs
+++ b/landingdrift/src/state/apply/orders.rs
@@ -7,11 +7,11 @@
 impl ClusterState {
     /// Applies one copy of an order. The result is kept until the deadline, after which copies are rejected.
     pub(super) fn apply_order(&mut self, order: &Order) -> ApplyResult {
-        self.forget_expired_answers();
+        self.drop_expired_results();
         let key = (order.deadline, order.proposal.clone());
         let known = self.orders.get(&key);
-        if let Some(answer) = known.and_then(|answer| unpack_apply_result(answer)) {
-            return answer;
+        if let Some(result) = known.and_then(|result| unpack_apply_result(result)) {
+            return result;
         }
         ensure(self.at <= order.deadline, Rejection::DeadlinePassed)?;
         let result = if order.action.is_order() {
@@ -27,7 +27,7 @@
     }
 
     /// Drops results of orders whose deadline has passed: further copies can't take effect.
-    fn forget_expired_answers(&mut self) {
+    fn drop_expired_results(&mut self) {
         while let Some(first) = self.orders.first_entry() {
             let (deadline, _) = first.key();
             if *deadline >= self.at {
--- a/landingdrift/src/state/apply/placement_rules.rs
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -98,7 +98,7 @@
         let mut live = task.live();
         let is_there = live.any(|attempt| attempt.worker == placement.worker);
         ensure(!is_there, Rejection::AlreadyRunning)?;
-        ensure_apart(job, placement, 0)
+        ensure_anti_affinity(job, placement, 0)
     }
 
     /// Whether a worker on probation is free to get a task. It gets one task at a time, in addition to long-running
@@ -136,17 +136,17 @@
     ensure(has_labels, unsuitable("a label is missing"))
 }
 
-/// Checks that a worker gets no more tasks of a step than the step's anti-affinity allows. `placed_beside` is the
-/// number of such tasks that the same entry has already placed there.
-pub(super) fn ensure_apart(
+/// Checks that a worker gets no more tasks of a step than the step's anti-affinity allows. `placed_on_same_worker` is
+/// the number of such tasks that the same entry has already placed there.
+pub(super) fn ensure_anti_affinity(
     job: &Job,
     placement: &Placement,
-    placed_beside: u32,
+    placed_on_same_worker: u32,
 ) -> Result<(), Rejection> {
     let task = placement.task as usize;
     let allowed = job.task_spec(task).anti_affinity;
-    let has_space =
-        allowed == 0 || job.step_attempts_on(task, &placement.worker) + placed_beside < allowed;
+    let has_space = allowed == 0
+        || job.step_attempts_on(task, &placement.worker) + placed_on_same_worker < allowed;
     ensure(
         has_space,
         unsuitable("as many tasks of the step are there as it allows"),
--- a/landingdrift/src/state/apply/start_attempts.rs
+++ b/landingdrift/src/state/apply/start_attempts.rs
@@ -1,6 +1,6 @@
 //! Starts attempts: places tasks of a job on workers, all or none.
 
-use super::placement_rules::ensure_apart;
+use super::placement_rules::ensure_anti_affinity;
 use super::{ensure, ApplyResult};
 use crate::state::{
     queue_lease, Attempt, ClusterState, Job, Placement, Rejection, Resources, TaskState,
@@ -59,7 +59,11 @@
             *sum = sum.plus(job.task_spec(placement.task as usize).needs());
             let free = self.unused_resources(&placement.worker);
             ensure(free.covers(*sum), Rejection::InsufficientResources)?;
-            ensure_apart(job, placement, placed_beside(job, placement, before))?;
+            ensure_anti_affinity(
+                job,
+                placement,
+                placed_on_same_worker(job, placement, before),
+            )?;
         }
         ensure(
             are_gangs_complete(job, placements),
@@ -131,7 +135,7 @@
 }
 
 /// Number of tasks of the same step that the entry places on the same worker before this placement.
-fn placed_beside(job: &Job, placement: &Placement, before: &[Placement]) -> u32 {
+fn placed_on_same_worker(job: &Job, placement: &Placement, before: &[Placement]) -> u32 {
     let step_of = |p: &Placement| job.tasks[p.task as usize].step;
     let is_beside =
         |p: &&Placement| p.worker == placement.worker && step_of(p) == step_of(placement);
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -113,7 +113,7 @@
         });
         let displaced: Vec<String> = others.map(|(name, _)| name.clone()).collect();
         for name in displaced.iter().filter(|_| !address.is_empty()) {
-            self.remove_displaced(name);
+            self.expire_displaced_worker(name);
         }
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Expires all attempts of a displaced worker, and marks it as lost until its next heartbeat.
-    fn remove_displaced(&mut self, name: &str) {
+    fn expire_displaced_worker(&mut self, name: &str) {
         if let Some(worker) = self.workers.get(name) {
             self.expire_all(worker.attempts.clone());
         }
@@ -167,7 +167,7 @@
     ) -> ApplyResult {
         self.current_worker(worker, zone_epoch)?;
         for (attempt_no, checkpoint) in checkpoints {
-            self.keep_checkpoint(*attempt_no, checkpoint);
+            self.store_checkpoint(*attempt_no, checkpoint);
         }
         // A late copy of the entry must not end attempts that were placed since, so only the named ones are ended.
         let running = &self.workers[worker.name].attempts;
@@ -284,7 +284,7 @@
         }
         // Workers are asked to stop attempts with unknown outcome without a log entry.
         let was_asked_to_stop = attempt.stop || attempt.state == AttemptState::Unsure;
-        self.keep_checkpoint(end.no, &end.checkpoint);
+        self.store_checkpoint(end.no, &end.checkpoint);
         let state = match end.outcome {
             Outcome::Succeeded => AttemptState::Succeeded,
             Outcome::Stopped if was_asked_to_stop => AttemptState::Stopped,
