--- a/testkit/src/checkers/runs/gangs.rs
+++ b/testkit/src/checkers/runs/gangs.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 
 /// How long after its end a fault may still delay orders to workers, in milliseconds.
-const AFTER_FAULT_MS: u64 = 4000;
+const ORDER_DELAY_AFTER_FAULT_MS: u64 = 4000;
 
 /// How long after it is reachable again a worker may still miss orders, in milliseconds.
-const AFTER_UNREACHABLE_MS: u64 = 2000;
+const ORDER_DELAY_AFTER_UNREACHABLE_MS: u64 = 2000;
 
 /// How the descriptions of faults that delay no orders to workers begin: names of variants of
 /// [`FaultKind`](crate::scenario::FaultKind) and marks of reachability.
@@ -78,7 +78,7 @@
             runs_of_gang.entry(gang).or_default().push(run);
         }
     }
-    let observed = Observed {
+    let circumstances = Circumstances {
         conditions: Conditions::new(history, bounds),
         unreachable: unreachable_times(history),
         faults: fault_times(history),
@@ -92,7 +92,7 @@
         for run in runs {
             for other in members.iter().filter(|member| **member != run.task) {
                 let partners = runs.iter().filter(|partner| partner.task == *other);
-                alone_times.push(observed.alone_time(run, partners.copied()));
+                alone_times.push(circumstances.alone_time(run, partners.copied()));
             }
         }
     }
@@ -100,7 +100,7 @@
 }
 
 /// The circumstances that decide how long a run may be without its partners.
-struct Observed<'a> {
+struct Circumstances<'a> {
     conditions: Conditions<'a>,
     unreachable: Vec<UnreachableTime<'a>>,
     faults: Vec<Interval>,
@@ -108,7 +108,7 @@
     end_ms: u64,
 }
 
-impl Observed<'_> {
+impl Circumstances<'_> {
     /// The time that a run went without any run of one partner.
     fn alone_time<'r>(&self, run: &Run, partners: impl Iterator<Item = &'r Run<'r>>) -> AloneTime {
         // They are together from the partner's start if that had not ended before the run began; a partner that had
@@ -143,7 +143,7 @@
     }
 }
 
-/// Times in which a fault that may delay orders to workers was active, each extended by [`AFTER_FAULT_MS`].
+/// Times in which a fault that may delay orders to workers was active, each extended by [`ORDER_DELAY_AFTER_FAULT_MS`].
 fn fault_times(history: &History) -> Vec<Interval> {
     let mut times: Vec<Interval> = Vec::new();
     let mut open: BTreeMap<&str, u64> = BTreeMap::new();
@@ -159,7 +159,10 @@
             }
             Event::FaultEnded { description } => {
                 if let Some(from) = open.remove(description.as_str()) {
-                    times.push(Interval::new(from, timed.at_ms + AFTER_FAULT_MS));
+                    times.push(Interval::new(
+                        from,
+                        timed.at_ms + ORDER_DELAY_AFTER_FAULT_MS,
+                    ));
                 }
             }
             _ => {}
@@ -192,7 +195,8 @@
             let lasting = times
                 .iter_mut()
                 .filter(|time| time.worker == worker && time.interval.to == u64::MAX);
-            lasting.for_each(|time| time.interval.to = timed.at_ms + AFTER_UNREACHABLE_MS);
+            lasting
+                .for_each(|time| time.interval.to = timed.at_ms + ORDER_DELAY_AFTER_UNREACHABLE_MS);
         }
     }
     times
--- a/testkit/src/checkers/runs/placement.rs
+++ b/testkit/src/checkers/runs/placement.rs
@@ -55,7 +55,7 @@
 }
 
 /// The service and labels of a worker.
-struct Offer<'a> {
+struct WorkerProperties<'a> {
     service: &'a str,
     labels: &'a [String],
 }
@@ -63,7 +63,7 @@
 /// Tasks run only on workers of their service that have all their labels.
 pub fn fitting(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
-    let mut offers: BTreeMap<&str, Offer> = BTreeMap::new();
+    let mut properties: BTreeMap<&str, WorkerProperties> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
         match &timed.event {
@@ -73,22 +73,25 @@
                 labels,
                 ..
             } => {
-                offers.insert(worker, Offer { service, labels });
+                properties.insert(worker, WorkerProperties { service, labels });
             }
             Event::WorkerChanged { worker, labels, .. } => {
-                if let Some(offer) = offers.get_mut(worker.as_str()) {
-                    offer.labels = labels;
+                if let Some(worker_properties) = properties.get_mut(worker.as_str()) {
+                    worker_properties.labels = labels;
                 }
             }
             Event::RunStarted {
                 worker, job, task, ..
             } => {
                 let spec = specs.task(job, task);
-                let offer = offers.get(worker.as_str());
-                let fits = spec.zip(offer).is_some_and(|(spec, offer)| {
-                    let has_label = |label| offer.labels.contains(label);
-                    spec.service == offer.service && spec.labels.iter().all(has_label)
-                });
+                let worker_properties = properties.get(worker.as_str());
+                let fits = spec
+                    .zip(worker_properties)
+                    .is_some_and(|(spec, worker_properties)| {
+                        let has_label = |label| worker_properties.labels.contains(label);
+                        spec.service == worker_properties.service
+                            && spec.labels.iter().all(has_label)
+                    });
                 if !fits {
                     violations.push(Violation::new(
                         "fitting workers",
--- a/testkit/src/fakes/worker/mod.rs
+++ b/testkit/src/fakes/worker/mod.rs
@@ -81,7 +81,7 @@
     sent_ms: u64,
 }
 
-/// A worker.
+/// A fake worker with its current runs, its unreported ends and its calls.
 pub struct Worker {
     pub info: WorkerInfo,
     pub behavior: Behavior,
@@ -95,7 +95,7 @@
     pub paired_seed: Option<u64>,
     /// The current runs, by attempt number.
     running: BTreeMap<u64, Run>,
-    /// Ends that no node has acknowledged.
+    /// Ends that no node has acknowledged yet; each heartbeat reports them.
     unreported_ends: Vec<EndReport>,
     /// Attempts that ended or were stopped before they arrived, and must never be started.
     finished: BTreeSet<u64>,
--- a/testkit/src/history.rs
+++ b/testkit/src/history.rs
@@ -26,7 +26,7 @@
         id: String,
         /// The HTTP status.
         status: u16,
-        /// The error code; empty where there is none.
+        /// The error kind; empty if there is none.
         code: String,
     },
     /// A client stops submitting a job after a refusal.
@@ -109,7 +109,7 @@
     },
     /// No node has answered an operator's read of the configuration within its deadline.
     ConfigReadUnanswered {
-        /// When the first node was asked, in milliseconds.
+        /// When the first node was called, in milliseconds.
         since_ms: u64,
     },
     /// The version of the configuration in force on a node, and whether the node reports ready.
--- a/testkit/src/scenario/mod.rs
+++ b/testkit/src/scenario/mod.rs
@@ -12,17 +12,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The longest day, in seconds.
+/// The limit on the seconds of load, and on those after it.
 const MAX_SECONDS: u64 = 86_400;
-/// The highest rate of jobs, in jobs a second.
+/// The limit on the rate of jobs, in jobs per second.
 const MAX_JOBS_PER_SECOND: f64 = 10_000.0;
-/// The most nodes, workers and random faults of a scenario.
+/// The limit on nodes of all classes.
 const MAX_NODES: usize = 1000;
+/// The limit on workers.
 const MAX_WORKERS: usize = 10_000;
+/// The limit on random faults.
 const MAX_RANDOM_FAULTS: usize = 1000;
 /// The earliest start of a random fault, in milliseconds: the first leader has to be elected before.
 pub const FIRST_RANDOM_FAULT_MS: u64 = 3000;
-/// The shortest day with random faults, in seconds.
+/// The fewest seconds of load in a scenario with random faults.
 const MIN_SECONDS_WITH_FAULTS: u64 = 4;
 
 /// A day to simulate, as described by a scenario file.
--- a/testkit/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -133,7 +133,7 @@
         let target = self.target(&fault);
         self.active_faults.insert(number, vec![target]);
         self.log_line(&format!(
-            "fault {:?} {target} for {} ms, {} {}",
+            "fault {:?} began: target {target}, duration {} ms, amount {}, clock jump {} ms",
             fault.kind, fault.duration_ms, fault.amount, fault.clock_jump_ms
         ));
         self.record(Event::FaultBegan {
@@ -245,7 +245,7 @@
         };
         let fault = self.faults[number].clone();
         let target = affected.first().copied().unwrap_or(0);
-        self.log_line(&format!("healed {:?} {target}", fault.kind));
+        self.log_line(&format!("fault {:?} healed: target {target}", fault.kind));
         self.record(Event::FaultEnded {
             description: format!("{:?} {target} {number}", fault.kind),
         });
--- a/testkit/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -50,7 +50,7 @@
 /// The processes that could work at a moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Availability {
-    /// The size of the largest group of replicas that are up and can talk to each other.
+    /// The size of the largest group of available replicas that are connected to each other.
     replicas: usize,
     /// The addresses of the nodes that are connected to all of that group.
     nodes: Vec<String>,
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -98,7 +98,9 @@
         match &mut process.part {
             Part::Replica { replica, disk } => {
                 let started = Replica::new(settings, disk.load(), now, seed);
-                *replica = Some(Box::new(started.expect("a sound disk loads")));
+                *replica = Some(Box::new(
+                    started.expect("failed to load the disk of a simulated replica"),
+                ));
             }
             Part::Node(node) => *node = Some(Box::new(Node::new(settings, now, seed))),
             Part::WorkerProxy(proxy) => *proxy = Some(Box::new(WorkerProxy::new(settings, seed))),
--- a/testkit/tests/checkers_cases/configuration.rs
+++ b/testkit/tests/checkers_cases/configuration.rs
@@ -135,7 +135,7 @@
     ]
 }
 
-pub(super) fn never_slides_back() -> Vec<Case> {
+pub(super) fn never_reverts() -> Vec<Case> {
     vec![
         Case {
             rule: "configuration never slides back",
--- a/testkit/tests/checkers_cases/mod.rs
+++ b/testkit/tests/checkers_cases/mod.rs
@@ -38,7 +38,7 @@
         configuration::one_of_two_rivals(),
         configuration::takes_effect(),
         configuration::quota_takes_effect(),
-        configuration::never_slides_back(),
+        configuration::never_reverts(),
         outage::back_after_an_outage(),
         jobs::all_come_to_an_end(),
     ];
