--- a/landingdrift/src/consensus/inspect.rs
+++ b/landingdrift/src/consensus/inspect.rs
@@ -16,7 +16,7 @@
     }
 
     /// Whether this replica is still querying the others for what its disk had acknowledged before it started.
-    pub fn recovers(&self) -> bool {
+    pub fn has_pending_recovery(&self) -> bool {
         self.is_recovering()
     }
 
--- a/landingdrift/src/disk/frames.rs
+++ b/landingdrift/src/disk/frames.rs
@@ -23,35 +23,42 @@
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut body = Vec::new();
         match self {
-            Self::HardState(h) => {
+            Self::HardState(hard_state) => {
                 body.push(1);
-                body.extend(serde_json::to_vec(h).unwrap_or_default());
+                body.extend(serde_json::to_vec(hard_state).unwrap_or_default());
             }
-            Self::Truncate(c) => {
+            Self::Truncate(index) => {
                 body.push(2);
-                body.extend(c.to_le_bytes());
+                body.extend(index.to_le_bytes());
             }
-            Self::Entry(e) => {
+            Self::Entry(entry) => {
                 body.push(3);
-                [e.index, e.term, e.at]
+                [entry.index, entry.term, entry.at]
                     .iter()
                     .for_each(|n| body.extend(n.to_le_bytes()));
-                body.extend(&e.command);
+                body.extend(&entry.command);
             }
             Self::Witnesses(witnesses) => {
                 body.push(4);
-                let plain: Vec<(&str, u64, u64, u64)> = witnesses
+                let rows: Vec<(&str, u64, u64, u64)> = witnesses
                     .iter()
-                    .map(|n| (n.replica.as_str(), n.disk, n.index, n.term))
+                    .map(|witness| {
+                        (
+                            witness.replica.as_str(),
+                            witness.disk,
+                            witness.index,
+                            witness.term,
+                        )
+                    })
                     .collect();
-                body.extend(serde_json::to_vec(&plain).unwrap_or_default());
+                body.extend(serde_json::to_vec(&rows).unwrap_or_default());
             }
-            Self::Snapshot(c) => {
+            Self::Snapshot(snapshot) => {
                 body.push(5);
-                [c.index, c.term]
+                [snapshot.index, snapshot.term]
                     .iter()
                     .for_each(|n| body.extend(n.to_le_bytes()));
-                body.extend(&c.bytes);
+                body.extend(&snapshot.bytes);
             }
         }
         out.extend((body.len() as u32).to_le_bytes());
@@ -63,32 +70,31 @@
     /// damaged.
     pub fn read(bytes: &[u8]) -> Option<(Self, usize)> {
         let len = u32::from_le_bytes(bytes.get(0..4)?.try_into().ok()?) as usize;
-        let sum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
+        let checksum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
         let body = (1..=MAX_FRAME_BYTES)
             .contains(&len)
             .then(|| bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + len))
             .flatten()?;
-        (crc32fast::hash(body) == sum).then_some(())?;
+        (crc32fast::hash(body) == checksum).then_some(())?;
         let rest = &body[1..];
-        let num = |i: usize| {
+        let number_at = |i: usize| {
             rest.get(i * 8..i * 8 + 8)
                 .and_then(|b| b.try_into().ok())
                 .map(u64::from_le_bytes)
         };
         let frame = match body[0] {
             1 => Self::HardState(serde_json::from_slice(rest).ok()?),
-            2 => Self::Truncate(num(0)?),
+            2 => Self::Truncate(number_at(0)?),
             3 => Self::Entry(Entry {
-                index: num(0)?,
-                term: num(1)?,
-                at: num(2)?,
+                index: number_at(0)?,
+                term: number_at(1)?,
+                at: number_at(2)?,
                 command: rest.get(24..)?.to_vec(),
             }),
             4 => {
-                let plain: Vec<(String, u64, u64, u64)> = serde_json::from_slice(rest).ok()?;
+                let rows: Vec<(String, u64, u64, u64)> = serde_json::from_slice(rest).ok()?;
                 Self::Witnesses(
-                    plain
-                        .into_iter()
+                    rows.into_iter()
                         .map(|(replica, disk, index, term)| DurabilityWitness {
                             replica,
                             disk,
@@ -99,8 +105,8 @@
                 )
             }
             5 => Self::Snapshot(Snapshot {
-                index: num(0)?,
-                term: num(1)?,
+                index: number_at(0)?,
+                term: number_at(1)?,
                 bytes: rest.get(16..)?.to_vec(),
             }),
             _ => return None,
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -26,7 +26,7 @@
     prefix: &str,
     suffix: &str,
 ) -> Result<Vec<(u64, PathBuf)>, StorageError> {
-    let mut of: Vec<(u64, PathBuf)> = fs::read_dir(path)
+    let mut files: Vec<(u64, PathBuf)> = fs::read_dir(path)
         .map_err(io(path))?
         .filter_map(Result::ok)
         .filter_map(|e| {
@@ -41,8 +41,8 @@
                 .map(|n| (n, e.path()))
         })
         .collect();
-    of.sort();
-    Ok(of)
+    files.sort();
+    Ok(files)
 }
 
 /// Reads the newest intact snapshot and all segments. With `repair`, truncates an incomplete write at the end.
@@ -51,14 +51,14 @@
     for (_, p) in numbered(path, "capture-", ".capture")?.iter().rev() {
         let bytes = fs::read(p).map_err(io(p))?;
         match Frame::read(&bytes) {
-            Some((Frame::Snapshot(c), _)) => {
-                found.snapshot = Some(c);
+            Some((Frame::Snapshot(snapshot), _)) => {
+                found.snapshot = Some(snapshot);
                 break;
             }
             _ => found.damaged = true,
         }
     }
-    let base = found.snapshot.as_ref().map_or(0, |c| c.index);
+    let base = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
     let segments = numbered(path, "log-", ".segment")?;
     for (i, (number, p)) in segments.iter().enumerate() {
         let bytes = fs::read(p).map_err(io(p))?;
@@ -102,9 +102,9 @@
 impl FolderContents {
     fn apply(&mut self, frame: Frame, base: u64) {
         match frame {
-            Frame::HardState(h) => self.hard_state = h,
-            Frame::Truncate(c) => self.entries.retain(|e| e.index < c),
-            Frame::Witnesses(n) => self.witnesses = n,
+            Frame::HardState(hard_state) => self.hard_state = hard_state,
+            Frame::Truncate(index) => self.entries.retain(|entry| entry.index < index),
+            Frame::Witnesses(witnesses) => self.witnesses = witnesses,
             Frame::Entry(e) => match self.entries.last().map(|l| l.index) {
                 Some(last) if e.index == last + 1 => self.entries.push(e),
                 None if e.index <= base + 1 => self.entries.push(e),
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -44,22 +44,22 @@
 
 impl SegmentHeader {
     /// Updates the state with a write batch, and appends the frames of the batch to `bytes`.
-    fn write(&mut self, s: &WriteBatch, bytes: &mut Vec<u8>) {
-        s.hard_state.iter().for_each(|h| {
-            self.hard_state = h.clone();
-            Frame::HardState(h.clone()).write(bytes);
+    fn write(&mut self, batch: &WriteBatch, bytes: &mut Vec<u8>) {
+        batch.hard_state.iter().for_each(|hard_state| {
+            self.hard_state = hard_state.clone();
+            Frame::HardState(hard_state.clone()).write(bytes);
         });
-        s.truncate_from.iter().for_each(|c| {
-            self.last = self.last.min(c.saturating_sub(1));
-            Frame::Truncate(*c).write(bytes);
+        batch.truncate_from.iter().for_each(|first_removed| {
+            self.last = self.last.min(first_removed.saturating_sub(1));
+            Frame::Truncate(*first_removed).write(bytes);
         });
-        s.entries.iter().for_each(|e| {
-            self.last = e.index;
-            Frame::Entry(e.clone()).write(bytes);
+        batch.entries.iter().for_each(|entry| {
+            self.last = entry.index;
+            Frame::Entry(entry.clone()).write(bytes);
         });
-        if !s.witnesses.is_empty() {
-            self.witnesses = s.witnesses.clone();
-            Frame::Witnesses(s.witnesses.clone()).write(bytes);
+        if !batch.witnesses.is_empty() {
+            self.witnesses = batch.witnesses.clone();
+            Frame::Witnesses(batch.witnesses.clone()).write(bytes);
         }
     }
 }
@@ -72,7 +72,7 @@
     number: u64,
     size: u64,
     segment_bytes: u64,
-    head: SegmentHeader,
+    header: SegmentHeader,
     /// The closed segments: number, and last index of the log at its end.
     closed: Vec<(u64, u64)>,
     _lock: File,
@@ -155,7 +155,7 @@
         loaded: &PersistedState,
         closed: Vec<(u64, u64)>,
     ) -> Result<Self, StorageError> {
-        let snapshot_index = loaded.snapshot.as_ref().map_or(0, |c| c.index);
+        let snapshot_index = loaded.snapshot.as_ref().map_or(0, |s| s.index);
         let last = loaded.entries.last().map_or(snapshot_index, |e| e.index);
         let number = closed.last().map_or(0, |(n, _)| *n) + 1;
         let segment = create_segment(directory.as_ref(), path, number)?;
@@ -166,7 +166,7 @@
             number,
             size: 0,
             segment_bytes,
-            head: SegmentHeader {
+            header: SegmentHeader {
                 hard_state: loaded.hard_state.clone(),
                 witnesses: loaded.witnesses.clone(),
                 last,
@@ -190,23 +190,25 @@
 
     /// Writes several batches and syncs once for all of them. If this fails, none of them is confirmed: all must be
     /// written again after [`DataFolder::recover`].
-    pub fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError> {
-        let mut head = self.head.clone();
+    pub fn save(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
+        let mut header = self.header.clone();
         let mut bytes = Vec::new();
-        batch.iter().for_each(|s| head.write(s, &mut bytes));
+        batches
+            .iter()
+            .for_each(|batch| header.write(batch, &mut bytes));
         // Snapshots are written first: a truncation that relies on one must not become durable without it.
-        for c in batch.iter().filter_map(|s| s.snapshot.as_ref()) {
-            self.write_snapshot(c)?;
+        for snapshot in batches.iter().filter_map(|b| b.snapshot.as_ref()) {
+            self.write_snapshot(snapshot)?;
         }
         let path = self.path.clone();
         self.segment
             .write_all(&bytes)
             .and_then(|()| self.segment.sync_data())
             .map_err(io(&path))?;
-        self.head = head;
+        self.header = header;
         self.size += bytes.len() as u64;
-        if let Some(c) = batch.iter().rev().find_map(|s| s.snapshot.as_ref()) {
-            self.remove_obsolete(c.index)?;
+        if let Some(snapshot) = batches.iter().rev().find_map(|b| b.snapshot.as_ref()) {
+            self.remove_obsolete(snapshot.index)?;
         }
         if self.size >= self.segment_bytes {
             self.roll()?;
@@ -217,13 +219,13 @@
     fn roll(&mut self) -> Result<(), StorageError> {
         let number = self.number + 1;
         self.segment = create_segment(self.directory.as_ref(), &self.path, number)?;
-        self.closed.push((self.number, self.head.last));
+        self.closed.push((self.number, self.header.last));
         self.number = number;
         self.size = 0;
         let first = WriteBatch {
-            hard_state: Some(self.head.hard_state.clone()),
-            witnesses: self.head.witnesses.clone(),
-            truncate_from: Some(self.head.last + 1),
+            hard_state: Some(self.header.hard_state.clone()),
+            witnesses: self.header.witnesses.clone(),
+            truncate_from: Some(self.header.last + 1),
             ..WriteBatch::default()
         };
         self.save(&[first])
@@ -253,10 +255,12 @@
         Ok(())
     }
 
-    fn write_snapshot(&mut self, c: &Snapshot) -> Result<(), StorageError> {
+    fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
         let mut bytes = Vec::new();
-        Frame::Snapshot(c.clone()).write(&mut bytes);
-        let path = self.path.join(format!("capture-{:016}.capture", c.index));
+        Frame::Snapshot(snapshot.clone()).write(&mut bytes);
+        let path = self
+            .path
+            .join(format!("capture-{:016}.capture", snapshot.index));
         write_atomically(self.directory.as_ref(), &path, &bytes)
     }
 
@@ -362,16 +366,16 @@
 
 /// Loads the cluster and the persisted state from a data folder without changing it.
 pub fn read_folder(path: &Path) -> Result<(String, PersistedState), StorageError> {
-    let (marker, f) = read_contents(path)?;
+    let (marker, contents) = read_contents(path)?;
     Ok((
         marker.cluster,
         PersistedState {
             disk: marker.disk,
-            hard_state: f.hard_state,
-            snapshot: f.snapshot,
-            entries: f.entries,
-            witnesses: f.witnesses,
-            damaged: f.damaged,
+            hard_state: contents.hard_state,
+            snapshot: contents.snapshot,
+            entries: contents.entries,
+            witnesses: contents.witnesses,
+            damaged: contents.damaged,
         },
     ))
 }
@@ -382,12 +386,12 @@
     Ok(FolderReport {
         cluster: marker.cluster,
         disk: marker.disk,
-        snapshot_index: found.snapshot.as_ref().map_or(0, |c| c.index),
+        snapshot_index: found.snapshot.as_ref().map_or(0, |s| s.index),
         first: found.entries.first().map_or(0, |e| e.index),
         last: found
             .entries
             .last()
-            .map_or(found.snapshot.as_ref().map_or(0, |c| c.index), |e| e.index),
+            .map_or(found.snapshot.as_ref().map_or(0, |s| s.index), |e| e.index),
         term: found.hard_state.term,
         damaged: found.damaged,
         torn_tail: found.torn_tail,
--- a/landingdrift/src/snapshot_chunks/mod.rs
+++ b/landingdrift/src/snapshot_chunks/mod.rs
@@ -67,8 +67,8 @@
 }
 
 impl From<Snapshot> for ChunkedSnapshot {
-    fn from(c: Snapshot) -> Self {
-        Self::new(c.index, c.term, c.bytes)
+    fn from(snapshot: Snapshot) -> Self {
+        Self::new(snapshot.index, snapshot.term, snapshot.bytes)
     }
 }
 
@@ -103,23 +103,23 @@
 
     /// Adds a chunk. A chunk of another snapshot starts over with that one; a chunk that does not follow the received
     /// bytes is ignored.
-    pub fn add_chunk(&mut self, of: SnapshotId, offset: u64, chunk: &[u8]) -> ChunkOutcome {
-        if of != self.identity {
-            self.identity = of;
+    pub fn add_chunk(&mut self, id: SnapshotId, offset: u64, chunk: &[u8]) -> ChunkOutcome {
+        if id != self.identity {
+            self.identity = id;
             self.bytes = Vec::new();
         }
-        let max_bytes = of.total.min(MAX_SNAPSHOT_BYTES);
+        let max_bytes = id.total.min(MAX_SNAPSHOT_BYTES);
         if offset == self.received() && offset + chunk.len() as u64 <= max_bytes {
             self.bytes.extend_from_slice(chunk);
         }
-        if self.received() < of.total {
-            return if of.total > max_bytes {
+        if self.received() < id.total {
+            return if id.total > max_bytes {
                 self.discard_corrupt()
             } else {
                 ChunkOutcome::Incomplete
             };
         }
-        if crc32fast::hash(&self.bytes) != of.checksum {
+        if crc32fast::hash(&self.bytes) != id.checksum {
             return self.discard_corrupt();
         }
         let complete = std::mem::take(&mut self.bytes);
