--- a/landingdrift/tests/disk.rs
+++ b/landingdrift/tests/disk.rs
@@ -7,9 +7,10 @@
 use std::path::{Path, PathBuf};
 
 fn folder(name: &str) -> PathBuf {
-    let p = std::env::temp_dir().join(format!("landingdrift-disk-{}-{name}", std::process::id()));
-    let _ = fs::remove_dir_all(&p);
-    p
+    let path =
+        std::env::temp_dir().join(format!("landingdrift-disk-{}-{name}", std::process::id()));
+    let _ = fs::remove_dir_all(&path);
+    path
 }
 
 fn entry(index: u64, term: u64) -> Entry {
@@ -21,9 +22,9 @@
     }
 }
 
-fn write(f: &mut DataFolder, from: u64, to: u64) {
+fn write(data: &mut DataFolder, from: u64, to: u64) {
     for i in from..=to {
-        f.save(&[WriteBatch {
+        data.save(&[WriteBatch {
             entries: vec![entry(i, 1)],
             ..WriteBatch::default()
         }])
@@ -31,11 +32,11 @@
     }
 }
 
-fn segments(p: &Path) -> Vec<PathBuf> {
-    let mut s: Vec<PathBuf> = fs::read_dir(p)
+fn segments(path: &Path) -> Vec<PathBuf> {
+    let mut s: Vec<PathBuf> = fs::read_dir(path)
         .expect("a folder")
         .filter_map(|e| e.ok().map(|e| e.path()))
-        .filter(|p| p.extension().is_some_and(|x| x == "segment"))
+        .filter(|path| path.extension().is_some_and(|x| x == "segment"))
         .collect();
     s.sort();
     s
@@ -43,10 +44,10 @@
 
 #[test]
 fn saved_data_is_loaded_again_and_a_torn_tail_is_truncated() {
-    let p = folder("torn");
-    let (mut f, loaded) = DataFolder::open(&p, "c", 1 << 20, 7).expect("created");
+    let path = folder("torn");
+    let (mut data, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
     assert_eq!((loaded.disk, loaded.entries.len()), (7, 0));
-    write(&mut f, 1, 5);
+    write(&mut data, 1, 5);
     let hard_state = HardState {
         term: 3,
         vote: "a".into(),
@@ -59,7 +60,7 @@
         index: 4,
         term: 1,
     }];
-    f.save(&[WriteBatch {
+    data.save(&[WriteBatch {
         hard_state: Some(hard_state.clone()),
         witnesses: witnesses.clone(),
         truncate_from: Some(5),
@@ -67,18 +68,22 @@
         ..WriteBatch::default()
     }])
     .expect("saved");
-    drop(f);
-    let last = segments(&p).pop().expect("a segment");
+    drop(data);
+    let last = segments(&path).pop().expect("a segment");
     let mut bytes = fs::read(&last).expect("read");
     bytes.extend([40, 0, 0, 0, 1, 2, 3, 4, 9, 9]);
     fs::write(&last, &bytes).expect("written");
-    assert!(verify(&p).expect("verified").torn_tail);
-    let (_, l) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened");
-    assert_eq!(l.disk, 7);
-    assert!(!l.damaged);
-    assert_eq!((l.hard_state, l.witnesses), (hard_state, witnesses));
+    assert!(verify(&path).expect("verified").torn_tail);
+    let (_, loaded) = DataFolder::open(&path, "c", 1 << 20, 8).expect("opened");
+    assert_eq!(loaded.disk, 7);
+    assert!(!loaded.damaged);
     assert_eq!(
-        l.entries
+        (loaded.hard_state, loaded.witnesses),
+        (hard_state, witnesses)
+    );
+    assert_eq!(
+        loaded
+            .entries
             .iter()
             .map(|e| (e.index, e.term))
             .collect::<Vec<_>>(),
@@ -88,10 +93,10 @@
 
 #[test]
 fn damage_in_the_middle_is_reported_and_does_not_lose_the_term() {
-    let p = folder("damage");
-    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("created");
-    write(&mut f, 1, 20);
-    f.save(&[WriteBatch {
+    let path = folder("damage");
+    let (mut data, _) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
+    write(&mut data, 1, 20);
+    data.save(&[WriteBatch {
         hard_state: Some(HardState {
             term: 9,
             ..HardState::default()
@@ -99,35 +104,35 @@
         ..WriteBatch::default()
     }])
     .expect("saved");
-    drop(f);
-    let first = segments(&p).remove(0);
+    drop(data);
+    let first = segments(&path).remove(0);
     let mut bytes = fs::read(&first).expect("read");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0xff;
     fs::write(&first, &bytes).expect("written");
-    assert!(verify(&p).expect("verified").damaged);
-    let (f, l) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened");
-    assert!(l.damaged && l.hard_state.term == 9);
-    let n = l.entries.len() as u64;
+    assert!(verify(&path).expect("verified").damaged);
+    let (data, loaded) = DataFolder::open(&path, "c", 1 << 20, 8).expect("opened");
+    assert!(loaded.damaged && loaded.hard_state.term == 9);
+    let n = loaded.entries.len() as u64;
     assert!(n > 3 && n < 20, "kept {n}");
-    assert!(l
+    assert!(loaded
         .entries
         .iter()
         .enumerate()
         .all(|(i, e)| e.index == i as u64 + 1));
-    drop(f);
+    drop(data);
     // Intact entries are kept, and the folder can be used again.
-    let (_, again) = DataFolder::open(&p, "c", 1 << 20, 8).expect("opened again");
+    let (_, again) = DataFolder::open(&path, "c", 1 << 20, 8).expect("opened again");
     assert_eq!(again.entries.len() as u64, n);
 }
 
 #[test]
 fn a_snapshot_lets_old_segments_be_removed() {
-    let p = folder("captures");
-    let (mut f, _) = DataFolder::open(&p, "c", 600, 7).expect("created");
-    write(&mut f, 1, 60);
-    let before = segments(&p).len();
-    f.save(&[WriteBatch {
+    let path = folder("captures");
+    let (mut data, _) = DataFolder::open(&path, "c", 600, 7).expect("created");
+    write(&mut data, 1, 60);
+    let before = segments(&path).len();
+    data.save(&[WriteBatch {
         snapshot: Some(Snapshot {
             index: 50,
             term: 1,
@@ -136,28 +141,28 @@
         ..WriteBatch::default()
     }])
     .expect("saved");
-    write(&mut f, 61, 62);
+    write(&mut data, 61, 62);
     assert!(
-        before > 4 && segments(&p).len() < before,
+        before > 4 && segments(&path).len() < before,
         "{before} segments before, {} after",
-        segments(&p).len()
+        segments(&path).len()
     );
-    drop(f);
-    let (_, l) = DataFolder::open(&p, "c", 600, 7).expect("opened");
-    assert_eq!(l.snapshot.map(|c| c.index), Some(50));
+    drop(data);
+    let (_, loaded) = DataFolder::open(&path, "c", 600, 7).expect("opened");
+    assert_eq!(loaded.snapshot.map(|c| c.index), Some(50));
     assert_eq!(
-        l.entries.iter().map(|e| e.index).collect::<Vec<_>>(),
+        loaded.entries.iter().map(|e| e.index).collect::<Vec<_>>(),
         (51..=62).collect::<Vec<_>>()
     );
 }
 
 #[test]
 fn unknown_folders_folders_in_use_and_folders_of_other_clusters_are_rejected() {
-    let p = folder("foreign");
-    fs::create_dir_all(&p).expect("created");
-    fs::write(p.join("photos.txt"), "mine").expect("written");
+    let path = folder("foreign");
+    fs::create_dir_all(&path).expect("created");
+    fs::write(path.join("photos.txt"), "mine").expect("written");
     assert!(matches!(
-        DataFolder::open(&p, "c", 600, 7),
+        DataFolder::open(&path, "c", 600, 7),
         Err(StorageError::NotADataFolder(_))
     ));
     let q = folder("cluster");
--- a/landingdrift/tests/disk_health.rs
+++ b/landingdrift/tests/disk_health.rs
@@ -12,15 +12,16 @@
 fn start_with_faulty_leader_disk(behaviour: Behaviour) -> (TestCluster, usize) {
     let mut cluster = TestCluster::start(Limits::default());
     cluster.commit_change(10);
-    let faulty = cluster.leader().expect("somebody leads");
+    let faulty = cluster.leader().expect("a leader");
     cluster.disks[faulty].behaviour = behaviour;
     cluster.propose(faulty, 10);
     (cluster, faulty)
 }
 
 fn expect_another_leader(cluster: &mut TestCluster, faulty: usize) {
-    let has_failed_over =
-        cluster.run_until(FAILOVER_MS, |c| c.leader().is_some_and(|l| l != faulty));
+    let has_failed_over = cluster.run_until(FAILOVER_MS, |cluster| {
+        cluster.leader().is_some_and(|l| l != faulty)
+    });
     assert!(has_failed_over, "{:#?}", cluster.log_lines);
     cluster.commit_change(10);
 }
@@ -103,7 +104,7 @@
 fn nothing_is_confirmed_while_a_majority_of_disks_fails() {
     let mut cluster = TestCluster::start(Limits::default());
     cluster.commit_change(10);
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("a leader");
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
     let set_behaviour = |cluster: &mut TestCluster, behaviour: Behaviour| {
         others
@@ -118,7 +119,7 @@
         "confirmed although only one disk works"
     );
     set_behaviour(&mut cluster, Behaviour::Works);
-    assert!(cluster.run_until(5000, |c| c.leader().is_some()));
+    assert!(cluster.run_until(5000, |cluster| cluster.leader().is_some()));
     cluster.run(1000);
     cluster.commit_change(10);
     cluster.run(1000);
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -16,12 +16,12 @@
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn folder(name: &str) -> PathBuf {
-    let p = std::env::temp_dir().join(format!(
+    let path = std::env::temp_dir().join(format!(
         "landingdrift-refuses-{}-{name}",
         std::process::id()
     ));
-    let _ = fs::remove_dir_all(&p);
-    p
+    let _ = fs::remove_dir_all(&path);
+    path
 }
 
 fn save(write_id: u64, from: u64, to: u64) -> WriteBatch {
@@ -44,8 +44,8 @@
     }
 }
 
-fn indexes(p: &Path) -> Vec<u64> {
-    let (_, loaded) = DataFolder::open(p, "c", SEGMENT_BYTES, 7).expect("opened");
+fn indexes(path: &Path) -> Vec<u64> {
+    let (_, loaded) = DataFolder::open(path, "c", SEGMENT_BYTES, 7).expect("opened");
     assert!(!loaded.damaged);
     loaded.entries.iter().map(|e| e.index).collect()
 }
@@ -101,8 +101,8 @@
 
 #[test]
 fn retry_delays_grow_up_to_a_limit() {
-    let of: Vec<u128> = backoff().take(6).map(|p| p.as_millis()).collect();
-    assert_eq!(of, [10, 20, 40, 80, 80, 80]);
+    let delays: Vec<u128> = backoff().take(6).map(|delay| delay.as_millis()).collect();
+    assert_eq!(delays, [10, 20, 40, 80, 80, 80]);
 }
 
 #[test]
@@ -127,26 +127,26 @@
 
 #[test]
 fn a_batch_written_again_after_a_failure_is_stored_completely() {
-    let (p, away) = (folder("middle"), folder("middle-away"));
-    let (mut f, _) = DataFolder::open(&p, "c", SEGMENT_BYTES, 7).expect("made");
-    (1..=3).for_each(|i| f.save(&[save(i, i, i)]).expect("saved"));
+    let (path, away) = (folder("middle"), folder("middle-away"));
+    let (mut data, _) = DataFolder::open(&path, "c", SEGMENT_BYTES, 7).expect("created");
+    (1..=3).for_each(|i| data.save(&[save(i, i, i)]).expect("saved"));
     // While the folder is moved away no new segment can be created, but writes to the open segment succeed.
-    fs::rename(&p, &away).expect("moved");
+    fs::rename(&path, &away).expect("moved");
     let batch = [save(4, 4, 40), save(5, 41, 42)];
-    assert!(f.save(&batch).is_err());
-    assert!(f.recover().is_err());
-    fs::rename(&away, &p).expect("moved back");
-    f.recover().expect("usable again");
-    f.save(&batch).expect("saved again");
-    f.save(&[save(6, 43, 43)]).expect("saved");
-    drop(f);
-    assert_eq!(indexes(&p), (1..=43).collect::<Vec<_>>());
+    assert!(data.save(&batch).is_err());
+    assert!(data.recover().is_err());
+    fs::rename(&away, &path).expect("moved back");
+    data.recover().expect("usable again");
+    data.save(&batch).expect("saved again");
+    data.save(&[save(6, 43, 43)]).expect("saved");
+    drop(data);
+    assert_eq!(indexes(&path), (1..=43).collect::<Vec<_>>());
 }
 
 #[test]
 fn a_failed_batch_that_is_not_written_again_leaves_confirmed_data_intact() {
-    let (p, away) = (folder("refused"), folder("refused-away"));
-    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
+    let (path, away) = (folder("refused"), folder("refused-away"));
+    let (mut data, _) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
     let voted = WriteBatch {
         hard_state: Some(HardState {
             term: 3,
@@ -156,8 +156,8 @@
         }),
         ..save(1, 1, 5)
     };
-    f.save(&[voted]).expect("saved");
-    fs::rename(&p, &away).expect("moved");
+    data.save(&[voted]).expect("saved");
+    fs::rename(&path, &away).expect("moved");
     let whole = WriteBatch {
         truncate_from: Some(1),
         snapshot: Some(landingdrift::sans_io::Snapshot {
@@ -167,21 +167,24 @@
         }),
         ..WriteBatch::default()
     };
-    assert!(f.save(&[whole]).is_err());
-    fs::rename(&away, &p).expect("moved back");
+    assert!(data.save(&[whole]).is_err());
+    fs::rename(&away, &path).expect("moved back");
     // The truncation must not take effect without the snapshot that it relies on.
-    f.recover().expect("usable again");
-    drop(f);
-    assert_eq!(indexes(&p), [1, 2, 3, 4, 5]);
-    let (_, l) = DataFolder::open(&p, "c", 1 << 20, 7).expect("opened");
-    assert_eq!((l.hard_state.term, l.hard_state.vote.as_str()), (3, "a"));
-    assert_eq!(l.witnesses.len(), 1);
+    data.recover().expect("usable again");
+    drop(data);
+    assert_eq!(indexes(&path), [1, 2, 3, 4, 5]);
+    let (_, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("opened");
+    assert_eq!(
+        (loaded.hard_state.term, loaded.hard_state.vote.as_str()),
+        (3, "a")
+    );
+    assert_eq!(loaded.witnesses.len(), 1);
 }
 
 #[test]
 fn recovery_of_a_full_disk_removes_incomplete_and_old_snapshots() {
-    let p = folder("full");
-    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
+    let path = folder("full");
+    let (mut data, _) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
     for n in 1..=3 {
         let snapshot = landingdrift::sans_io::Snapshot {
             index: 10 * n,
@@ -192,21 +195,23 @@
             snapshot: Some(snapshot),
             ..save(n, 10 * n - 9, 10 * n)
         };
-        f.save(&[whole]).expect("saved");
+        data.save(&[whole]).expect("saved");
     }
     // The file left behind when the disk ran full while a snapshot was written.
-    fs::write(p.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
-    f.recover().expect("usable again");
-    let files = fs::read_dir(&p).expect("a folder").filter_map(Result::ok);
+    fs::write(path.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
+    data.recover().expect("usable again");
+    let files = fs::read_dir(&path)
+        .expect("a folder")
+        .filter_map(Result::ok);
     let snapshots: Vec<String> = files
         .filter_map(|e| e.file_name().into_string().ok())
         .filter(|n| n.starts_with("capture-"))
         .collect();
     assert_eq!(snapshots, ["capture-0000000000000030.capture"]);
-    f.save(&[save(4, 31, 35)]).expect("saved");
-    drop(f);
-    let (_, l) = DataFolder::open(&p, "c", 1 << 20, 7).expect("opened");
-    assert!(!l.damaged);
-    assert_eq!(l.snapshot.map(|c| c.index), Some(30));
-    assert_eq!(l.entries.last().map(|e| e.index), Some(35));
+    data.save(&[save(4, 31, 35)]).expect("saved");
+    drop(data);
+    let (_, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("opened");
+    assert!(!loaded.damaged);
+    assert_eq!(loaded.snapshot.map(|c| c.index), Some(30));
+    assert_eq!(loaded.entries.last().map(|e| e.index), Some(35));
 }
--- a/landingdrift/tests/replicas/behind.rs
+++ b/landingdrift/tests/replicas/behind.rs
@@ -22,7 +22,7 @@
 pub fn start_with_lagging_replica() -> (TestCluster, usize, usize) {
     let mut cluster = TestCluster::start(limits());
     cluster.commit_change(10);
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("a leader");
     let behind = (leader + 1) % 3;
     cluster.crash(behind);
     (0..MISSED_CHANGES).for_each(|_| cluster.commit_change(CHANGE_BYTES));
--- a/landingdrift/tests/replicas/disk.rs
+++ b/landingdrift/tests/replicas/disk.rs
@@ -35,34 +35,41 @@
     }
 
     pub(super) fn complete_writes(&mut self) -> Option<u64> {
-        let last = self.pending.back().map(|s| s.write_id);
-        for s in std::mem::take(&mut self.pending) {
-            write(&mut self.durable, s);
+        let last = self.pending.back().map(|batch| batch.write_id);
+        for batch in std::mem::take(&mut self.pending) {
+            write(&mut self.durable, batch);
         }
         last
     }
 
     /// The last log index that a restarted replica would load.
     pub fn last(&self) -> u64 {
-        let snapshot = self.durable.snapshot.as_ref().map_or(0, |c| c.index);
-        self.durable.entries.last().map_or(snapshot, |e| e.index)
+        let snapshot = self
+            .durable
+            .snapshot
+            .as_ref()
+            .map_or(0, |snapshot| snapshot.index);
+        self.durable
+            .entries
+            .last()
+            .map_or(snapshot, |entry| entry.index)
     }
 }
 
-fn write(to: &mut PersistedState, s: WriteBatch) {
-    s.hard_state.into_iter().for_each(|h| to.hard_state = h);
-    if let Some(cut) = s.truncate_from {
-        to.entries.retain(|e| e.index < cut);
+fn write(to: &mut PersistedState, batch: WriteBatch) {
+    batch.hard_state.into_iter().for_each(|h| to.hard_state = h);
+    if let Some(cut) = batch.truncate_from {
+        to.entries.retain(|entry| entry.index < cut);
     }
-    if let Some(snapshot) = s.snapshot {
-        to.entries.retain(|e| e.index > snapshot.index);
+    if let Some(snapshot) = batch.snapshot {
+        to.entries.retain(|entry| entry.index > snapshot.index);
         to.snapshot = Some(snapshot);
     }
-    for e in s.entries {
-        to.entries.retain(|x| x.index < e.index);
-        to.entries.push(e);
+    for entry in batch.entries {
+        to.entries.retain(|kept| kept.index < entry.index);
+        to.entries.push(entry);
     }
-    if !s.witnesses.is_empty() {
-        to.witnesses = s.witnesses;
+    if !batch.witnesses.is_empty() {
+        to.witnesses = batch.witnesses;
     }
 }
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -83,8 +83,8 @@
         };
         (0..3).for_each(|i| cluster.start_replica(i));
         assert!(
-            cluster.run_until(20_000, |c| c.leader().is_some()),
-            "nobody leads"
+            cluster.run_until(20_000, |cluster| cluster.leader().is_some()),
+            "no leader was elected"
         );
         cluster.run(1000);
         cluster
@@ -110,11 +110,11 @@
         self.replicas[i] = None;
         self.disks[i].pending.clear();
         let gone = name(i);
-        self.in_flight.retain(|(_, c)| c.to != gone);
+        self.in_flight.retain(|(_, message)| message.to != gone);
     }
 
     pub fn replica(&self, i: usize) -> &Replica {
-        self.replicas[i].as_ref().expect("it runs")
+        self.replicas[i].as_ref().expect("a running replica")
     }
 
     pub fn counter(&self, i: usize, of: &str) -> u64 {
@@ -148,10 +148,10 @@
     /// Advances the time by one millisecond.
     fn advance_one_ms(&mut self) {
         self.now_ms += 1;
-        while let Some((_, c)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.now_ms) {
-            match (0..3).find(|i| name(*i) == c.to) {
-                Some(i) => self.step(i, Msg::Wire(c.from, c.body)),
-                None => self.external_messages.push(c),
+        while let Some((_, message)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.now_ms) {
+            match (0..3).find(|i| name(*i) == message.to) {
+                Some(i) => self.step(i, Msg::Wire(message.from, message.body)),
+                None => self.external_messages.push(message),
             }
         }
         for i in 0..3 {
@@ -199,18 +199,18 @@
         }
     }
 
-    fn send(&mut self, i: usize, c: SentMessage) {
-        self.check_durability(i, &c);
-        self.sent.push((self.now_ms, c.clone()));
-        if !(self.drops_message)(&c) {
-            self.in_flight.push_back((self.now_ms + LINK_MS, c));
+    fn send(&mut self, i: usize, message: SentMessage) {
+        self.check_durability(i, &message);
+        self.sent.push((self.now_ms, message.clone()));
+        if !(self.drops_message)(&message) {
+            self.in_flight.push_back((self.now_ms + LINK_MS, message));
         }
     }
 
     /// Checks that acknowledged entries and granted votes are durable.
-    fn check_durability(&self, i: usize, c: &SentMessage) {
+    fn check_durability(&self, i: usize, message: &SentMessage) {
         let disk = &self.disks[i];
-        match &c.body {
+        match &message.body {
             Body::AppendResponse(v) if v.ok => {
                 let last = disk.last();
                 assert!(
@@ -225,7 +225,7 @@
             }
             Body::VoteResponse(v) if v.granted && !v.pre => {
                 assert_eq!(
-                    disk.durable.hard_state.vote, c.to,
+                    disk.durable.hard_state.vote, message.to,
                     "the granted vote is not durable"
                 );
                 assert_eq!(disk.durable.hard_state.term, v.term);
@@ -265,10 +265,12 @@
     }
 
     pub fn proposal_response(&self, token: u64) -> Option<ProposeResponse> {
-        self.external_messages.iter().find_map(|c| match &c.body {
-            Body::ProposeResponse(p) if p.token == request(token) => Some((**p).clone()),
-            _ => None,
-        })
+        self.external_messages
+            .iter()
+            .find_map(|message| match &message.body {
+                Body::ProposeResponse(p) if p.token == request(token) => Some((**p).clone()),
+                _ => None,
+            })
     }
 
     pub fn is_confirmed(&self, token: u64) -> bool {
@@ -280,9 +282,9 @@
     pub fn commit_change(&mut self, bytes: usize) {
         let end = self.now_ms + 5000;
         while self.now_ms < end {
-            let leader = self.leader().expect("somebody leads");
+            let leader = self.leader().expect("a leader");
             let token = self.propose(leader, bytes);
-            self.run_until(1000, |c| c.proposal_response(token).is_some());
+            self.run_until(1000, |cluster| cluster.proposal_response(token).is_some());
             if self.is_confirmed(token) {
                 return;
             }
@@ -309,7 +311,7 @@
     }
 
     pub fn send_watch_request(&mut self, watch_request: WatchRequest) {
-        let leader = self.leader().expect("somebody leads");
+        let leader = self.leader().expect("a leader");
         let node = watch_request.node.clone();
         self.deliver(leader, &node, Body::WatchRequest(Box::new(watch_request)));
     }
@@ -339,19 +341,22 @@
     /// Starts a cluster, commits a change, and registers a node by its first watch request. Returns the cluster and the
     /// index that the leader has applied, once no further commands follow from the registration.
     pub fn start_with_node() -> (Self, u64) {
-        let mut cores = Self::start(Limits::default());
-        assert!(cores.run_until(5000, |cores| cores.leader().is_some()));
-        cores.commit_change(10);
-        cores.send_watch_request(Self::watch_request_of(NODE, 0));
-        cores.run(3000);
-        let leader = cores.leader().expect("somebody leads");
-        let applied = cores.replica(leader).state().applied_index;
-        (cores, applied)
+        let mut cluster = Self::start(Limits::default());
+        assert!(cluster.run_until(5000, |cluster| cluster.leader().is_some()));
+        cluster.commit_change(10);
+        cluster.send_watch_request(Self::watch_request_of(NODE, 0));
+        cluster.run(3000);
+        let leader = cluster.leader().expect("a leader");
+        let applied = cluster.replica(leader).state().applied_index;
+        (cluster, applied)
     }
 
     pub fn batches(&self, node: &str) -> Vec<WatchBatch> {
-        let of = self.external_messages.iter().filter(|c| c.to == node);
-        of.filter_map(|c| match &c.body {
+        let of = self
+            .external_messages
+            .iter()
+            .filter(|message| message.to == node);
+        of.filter_map(|message| match &message.body {
             Body::WatchBatch(b) => Some((**b).clone()),
             _ => None,
         })
@@ -363,7 +368,11 @@
     }
 
     pub fn all_in_sync(&self) -> bool {
-        let log_index = |i: usize| self.replicas[i].as_ref().map(|c| c.state().applied_index);
+        let log_index = |i: usize| {
+            self.replicas[i]
+                .as_ref()
+                .map(|replica| replica.state().applied_index)
+        };
         log_index(0).is_some() && log_index(0) == log_index(1) && log_index(1) == log_index(2)
     }
 }
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -104,10 +104,12 @@
 fn another_leader_continues_when_the_sender_crashes() {
     let (mut cluster, leader, behind) = start_with_lagging_replica();
     cluster.start_replica(behind);
-    assert!(cluster.run_until(5000, |c| installs(c, behind).len() >= 2));
+    assert!(cluster.run_until(5000, |cluster| installs(cluster, behind).len() >= 2));
     assert_eq!(cluster.counter(behind, "snapshots_installed"), 0);
     cluster.crash(leader);
-    let has_new_leader = cluster.run_until(10_000, |c| c.leader().is_some_and(|l| l != leader));
+    let has_new_leader = cluster.run_until(10_000, |cluster| {
+        cluster.leader().is_some_and(|l| l != leader)
+    });
     assert!(has_new_leader, "{:#?}", cluster.log_lines);
     assert_ne!(
         cluster.leader(),
@@ -177,7 +179,7 @@
     let mut cluster = TestCluster::start(limits());
     (0..5).for_each(|_| cluster.commit_change(10));
     cluster.run(300);
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("a leader");
     let to = (leader + 1) % 3;
     let term = cluster.replica(leader).term();
     let log_index = cluster.replica(to).state().applied_index;
@@ -219,7 +221,7 @@
     let mut cluster = TestCluster::start(limits());
     (0..5).for_each(|_| cluster.commit_change(10));
     cluster.run(300);
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("a leader");
     let to = (leader + 1) % 3;
     // Entries that this replica has acknowledged, but does not know to be committed.
     let last = cluster.disks[to].last();
@@ -266,7 +268,7 @@
         let (mut cluster, leader, behind) = start_with_lagging_replica();
         let confirmed = cluster.version(leader);
         cluster.start_replica(behind);
-        assert!(cluster.run_until(5000, |c| !installs(c, behind).is_empty()));
+        assert!(cluster.run_until(5000, |cluster| !installs(cluster, behind).is_empty()));
         cluster.run(at);
         let whole = cluster.disks[behind].last() >= cluster.replica(leader).state().applied_index;
         cluster.crash(behind);
