--- a/landingdrift/src/disk/error.rs
+++ b/landingdrift/src/disk/error.rs
@@ -42,7 +42,7 @@
         match self {
             Self::Io { path, source } if source.kind() == std::io::ErrorKind::StorageFull => write!(f, "{}: the disk is full: free some disk space", path.display()),
             Self::Io { path, source } => write!(f, "{}: {source}: check the folder's permissions and its disk", path.display()),
-            Self::NotADataFolder(path) => write!(f, "{} is not a data folder but contains files: specify an empty folder or the one that this core used before", path.display()),
+            Self::NotADataFolder(path) => write!(f, "{} is not a landingdrift data folder: specify an empty folder or the one that this core used before", path.display()),
             Self::Version { found } => write!(f, "the data folder has format {found}, but this build reads format {FOLDER_VERSION}: run the build that wrote it"),
             Self::Cluster { found, wanted } => write!(f, "the data folder belongs to cluster '{found}', not '{wanted}': correct 'cluster' or 'data' in the settings"),
             Self::InUse(path) => write!(f, "{} is in use by another process: stop that process first", path.display()),
--- a/landingdrift/tests/command_line.rs
+++ b/landingdrift/tests/command_line.rs
@@ -134,7 +134,7 @@
     std::fs::write(folder.join("photos.txt"), "mine").expect("written");
     let (code, output) = run_role("core", &["--data", &folder.to_string_lossy()]);
     assert!(
-        code == 1 && output.contains("something else"),
+        code == 1 && output.contains("is not a landingdrift data folder"),
         "{code} {output}"
     );
     let _ = std::fs::remove_dir_all(&folder);
--- a/landingdrift/tests/opening_data_folder.rs
+++ b/landingdrift/tests/opening_data_folder.rs
@@ -92,5 +92,10 @@
         .start_replica(&settings)
         .map(|_| ())
         .expect_err("rejected");
-    assert!(error.to_string().contains("something else"), "{error}");
+    assert!(
+        error
+            .to_string()
+            .contains("is not a landingdrift data folder"),
+        "{error}"
+    );
 }
