--- a/landingdrift/src/settings/bounds.rs
+++ b/landingdrift/src/settings/bounds.rs
@@ -6,21 +6,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Time after a job's acceptance within which its state can be queried.
+    /// Maximum time from a job's acceptance until its state can be queried.
     pub state_ms: u64,
-    /// Time after a job's cancellation after which none of its tasks start.
+    /// Maximum time from a job's cancellation until none of its tasks start any more.
     pub cancel_ms: u64,
-    /// Time after a worker announces that it leaves after which it gets no new work.
+    /// Maximum time from a worker's announcement that it leaves until it gets no new work.
     pub leave_ms: u64,
-    /// Time after the evacuation of a zone after which the zone gets no new work.
+    /// Maximum time from the evacuation of a zone until it gets no new work.
     #[serde(rename = "empty_ms")]
     pub evacuate_ms: u64,
-    /// Time within which a configuration change is in force.
+    /// Maximum time until a configuration change is in force.
     #[serde(rename = "desired_ms")]
     pub config_ms: u64,
-    /// Time within which service is restored after a total outage.
+    /// Maximum time until service is restored after a total outage.
     pub outage_ms: u64,
-    /// A standby that has not been heard for three times this long is removed from the membership.
+    /// A third of the time without contact after which a standby is removed from the membership.
     pub replace_ms: u64,
     /// Duration of a worker's lease on its attempts after each heartbeat; when it expires, the worker kills them. 0 for
     /// no expiry.
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -10,7 +10,7 @@
 const MAX_DURATIONS: usize = 256;
 /// Number of new durations after which the estimates are refreshed, once there are enough for the tail index.
 const REFRESH_INTERVAL: usize = 8;
-/// The shortest 1/20 of the durations is left out of the tail fit.
+/// One in this many durations, namely the shortest ones, is left out of the tail fit.
 const TAIL_DIVISOR: usize = 20;
 /// Tail index β of a queue until there are enough durations; the estimate is clamped to the two bounds below.
 const DEFAULT_BETA: f64 = 1.5;
--- a/landingdrift/src/state/rejection.rs
+++ b/landingdrift/src/state/rejection.rs
@@ -98,7 +98,8 @@
     #[error("the queue's speculation budget is exhausted: wait")]
     #[serde(rename = "Budget")]
     SpeculationBudgetExhausted,
-    /// The job would exceed the limit on unfinished jobs or on their memory.
+    /// The job would exceed the limit on unfinished jobs or on their memory. The leader responds with this instead of
+    /// appending an entry.
     #[error(
         "not enough capacity for this job beside the existing ones: retry later, or split the job"
     )]
--- a/landingdrift/tests/orders.rs
+++ b/landingdrift/tests/orders.rs
@@ -8,7 +8,8 @@
 
 const DAY_MS: u64 = 86_400_000;
 
-fn zone(method: &str) -> Request {
+/// A request that starts (PUT) or ends (DELETE) the evacuation of zone `z`.
+fn evacuation(method: &str) -> Request {
     Request {
         method: method.into(),
         path: "/v1/zones/z/empty".into(),
@@ -28,9 +29,9 @@
 #[test]
 fn a_late_copy_of_a_zone_order_does_not_undo_the_opposite_order() {
     let mut cluster = Cluster::new(1);
-    let mut begin = cluster.call(0, zone("PUT"));
+    let mut begin = cluster.call(0, evacuation("PUT"));
     let first = cluster.commit(&mut begin);
-    let mut finish = cluster.call(0, zone("DELETE"));
+    let mut finish = cluster.call(0, evacuation("DELETE"));
     cluster.commit(&mut finish);
     assert!(cluster.state.evacuated_zones.is_empty());
     let second = cluster.commit(&mut begin);
@@ -47,7 +48,7 @@
 #[test]
 fn an_order_committed_after_its_deadline_has_no_effect() {
     let mut cluster = Cluster::new(1);
-    let mut begin = cluster.call(0, zone("PUT"));
+    let mut begin = cluster.call(0, evacuation("PUT"));
     cluster.pass(60_000);
     let late = cluster.commit(&mut begin);
     assert!(
