--- a/landingdrift/tests/acknowledged_ends.rs
+++ b/landingdrift/tests/acknowledged_ends.rs
@@ -1,5 +1,6 @@
-//! Which ends of runs a holder of a zone lease acknowledges. The worker forgets an end that was acknowledged: if the
-//! cluster state does not count it, nothing ever will, and a task is started again that has failed often enough.
+//! Acknowledgement of reported ends by the holder of a zone lease. A worker forgets an acknowledged end, so an end that
+//! is acknowledged without being recorded in the cluster state is lost, and a task that has used up its attempts is
+//! started again.
 
 mod node_harness;
 
@@ -9,8 +10,8 @@
 
 const SUCCESSOR: &str = "10.0.0.3:1";
 
-/// The zone's lease moves to another node, which places the job's task on the worker. The node that held the lease
-/// before has not followed that yet: its copy of the cluster state counts as fresh for some time.
+/// Moves the zone's lease to another node, which places the job's task on the worker. The former holder has not
+/// followed this yet, but its copy of the cluster state still counts as fresh for some time.
 fn move_lease_and_start_job(harness: &mut NodeHarness) {
     harness.follow();
     harness.register_node(SUCCESSOR, SUCCESSOR);
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_former_holder_acknowledges_no_end_of_a_run_that_its_copy_does_not_know() {
+fn a_former_holder_does_not_acknowledge_ends_of_runs_missing_from_its_copy() {
     let mut harness = NodeHarness::new();
     move_lease_and_start_job(&mut harness);
     harness.elapsed_ms += 50;
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_former_holder_stops_no_run_that_its_copy_does_not_know() {
+fn a_former_holder_does_not_stop_runs_missing_from_its_copy() {
     let mut harness = NodeHarness::new();
     move_lease_and_start_job(&mut harness);
     harness.elapsed_ms += 50;
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn the_end_of_a_run_that_there_never_was_is_acknowledged_once_the_copy_is_surely_complete() {
+fn the_end_of_a_nonexistent_run_is_acknowledged_once_the_copy_is_complete() {
     let mut harness = NodeHarness::new();
     harness.follow();
     harness.elapsed_ms += 50;
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_light_copy_answers_no_heartbeat() {
+fn a_node_with_a_light_copy_rejects_heartbeats() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     harness.follow_light();
--- a/landingdrift/tests/departing_workers.rs
+++ b/landingdrift/tests/departing_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that report that they leave: what they run is dead only when that is certain.
+//! Departure reports of workers: their attempts expire only when they have certainly ended.
 
 mod node_harness;
 
@@ -11,8 +11,8 @@
 /// The interval of ticks and heartbeats in these tests, in milliseconds.
 const STEP_MS: u64 = 100;
 
-/// The worker reports that it leaves.
-fn report_leaving(harness: &mut NodeHarness) {
+/// Sends the worker's departure report, and checks that it is acknowledged once the cluster state has it.
+fn send_departure_report(harness: &mut NodeHarness) {
     harness.call += 1;
     let request = Request {
         method: "POST".into(),
@@ -25,12 +25,15 @@
         |effect: &Effect| matches!(effect, Effect::Answer(_, answer) if answer.status == 200);
     let was_known = harness.state.workers["w"].info.leaving;
     let at_once = effects.iter().any(is_acknowledged);
-    assert_eq!(at_once, was_known, "a later holder has to know it as well");
+    assert_eq!(
+        at_once, was_known,
+        "acknowledged only once committed, so that a later holder knows it"
+    );
     let answers = harness.commit(effects).answers;
     assert!(at_once || answers.iter().any(is_acknowledged));
 }
 
-/// A heartbeat of the worker that runs the job's task, and says whether it is leaving.
+/// A heartbeat of the worker, which runs the job's task and announces whether it is leaving.
 fn heartbeat(sequence: u64, leaving: bool) -> Heartbeat {
     Heartbeat {
         info: WorkerInfo { leaving, ..info() },
@@ -44,7 +47,7 @@
     }
 }
 
-/// How many attempts some commands end as expired.
+/// The number of attempts that the commands expire.
 fn expired(commands: &[Command]) -> usize {
     let expired = commands.iter().map(|command| match command {
         Command::ExpireAttempts { attempts, .. } => attempts.len(),
@@ -53,18 +56,19 @@
     expired.sum()
 }
 
-/// Lets time pass until `until_ms`, with a heartbeat at each step if `beats` makes one; returns when the attempt expired.
+/// Lets time pass until `until_ms`, with a heartbeat at each step if `next_heartbeat` returns one; returns the time at
+/// which the attempt expired.
 fn pass_time(
     harness: &mut NodeHarness,
     until_ms: u64,
-    beats: impl Fn(u64) -> Option<Heartbeat>,
+    next_heartbeat: impl Fn(u64) -> Option<Heartbeat>,
 ) -> Option<u64> {
     while harness.elapsed_ms < until_ms {
         harness.elapsed_ms += STEP_MS;
         harness.follow();
         let now = harness.now();
         let mut effects: Vec<Effect> = harness.node.step(now, Msg::Tick);
-        if let Some(heartbeat) = beats(harness.elapsed_ms) {
+        if let Some(heartbeat) = next_heartbeat(harness.elapsed_ms) {
             effects.extend(harness.send_heartbeat_effects(heartbeat));
         }
         if expired(&harness.commit(effects).commands) > 0 {
@@ -75,55 +79,58 @@
 }
 
 #[test]
-fn a_worker_that_reports_first_and_runs_on_keeps_its_runs_and_gets_nothing_new() {
+fn a_worker_that_keeps_running_after_its_report_keeps_its_runs_and_gets_no_new_work() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     pass_time(&mut harness, 500, |at| Some(heartbeat(at, false)));
-    report_leaving(&mut harness);
-    assert!(harness.state.workers["w"].info.leaving, "no node uses it");
+    send_departure_report(&mut harness);
+    assert!(
+        harness.state.workers["w"].info.leaving,
+        "it gets no new work"
+    );
     let expired = pass_time(&mut harness, 5000, |at| Some(heartbeat(at, false)));
-    assert_eq!(expired, None, "it runs on");
-    // That it says in its heartbeats that it stays changes nothing.
+    assert_eq!(expired, None, "it is still running");
+    // Later heartbeats that do not announce leaving change nothing.
     assert!(harness.state.workers["w"].info.leaving);
 }
 
 #[test]
-fn the_runs_of_a_worker_that_reports_first_are_dead_when_its_lease_has_run_out() {
+fn without_announcement_runs_expire_only_with_the_lease_after_a_departure_report() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     pass_time(&mut harness, 500, |at| Some(heartbeat(at, false)));
-    report_leaving(&mut harness);
+    send_departure_report(&mut harness);
     let expired = pass_time(&mut harness, 10_000, |_| None).expect("in the end");
-    // The last heartbeat came at 500; 6,000 ms by a clock that runs 2 % slow are 6,123.
+    // The last heartbeat arrived at 500 ms, and a lease of 6,000 ms lasts 6,123 ms by a clock that runs 2 % slow.
     assert!((6623..7000).contains(&expired), "{expired}");
 }
 
 #[test]
-fn the_report_of_a_worker_that_had_announced_its_leaving_is_its_last_word() {
+fn after_an_announcement_runs_expire_soon_after_the_departure_report() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     pass_time(&mut harness, 500, |at| Some(heartbeat(at, true)));
-    report_leaving(&mut harness);
+    send_departure_report(&mut harness);
     let expired = pass_time(&mut harness, 5000, |_| None).expect("soon");
     assert!(expired <= 1200, "{expired}");
 }
 
 #[test]
-fn a_worker_that_is_heard_after_its_last_word_still_runs() {
+fn runs_do_not_expire_while_heartbeats_arrive_after_a_final_report() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     pass_time(&mut harness, 500, |at| Some(heartbeat(at, true)));
-    report_leaving(&mut harness);
+    send_departure_report(&mut harness);
     let expired = pass_time(&mut harness, 5000, |at| Some(heartbeat(at, true)));
     assert_eq!(expired, None);
 }
 
 #[test]
-fn the_next_process_of_a_worker_that_left_is_used_again() {
+fn the_next_process_of_a_departed_worker_gets_work_again() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     pass_time(&mut harness, 500, |at| Some(heartbeat(at, false)));
-    report_leaving(&mut harness);
+    send_departure_report(&mut harness);
     let next = |at| Heartbeat {
         info: WorkerInfo {
             incarnation: 2,
@@ -137,9 +144,9 @@
 }
 
 #[test]
-fn a_node_that_does_not_know_the_worker_acknowledges_no_report() {
+fn a_node_that_does_not_know_the_worker_rejects_its_report() {
     let mut harness = NodeHarness::new();
-    // It follows no replica yet: its copy of the cluster state is empty.
+    // The node follows no replica yet, so its copy of the cluster state is empty.
     let request = Request {
         method: "POST".into(),
         path: "/v1/workers/w/left".into(),
--- a/landingdrift/tests/forwarded_reads.rs
+++ b/landingdrift/tests/forwarded_reads.rs
@@ -1,4 +1,4 @@
-//! Reads that a node can't answer itself: other nodes are asked, one after the other, until one answers.
+//! Forwarding of reads that a node can't answer itself: it asks other nodes one after another until one answers.
 
 mod node_harness;
 
@@ -13,7 +13,7 @@
 const HOLDERS: [&str; 3] = ["10.0.0.3:1", "10.0.0.4:1", "10.0.0.5:1"];
 const CALL: u64 = 1000;
 
-/// A node with a light copy, beside three nodes that hold leases.
+/// A node with a light copy in a cluster with three other nodes that hold leases.
 fn light_node() -> NodeHarness {
     let mut harness = NodeHarness::new();
     for (index, holder) in HOLDERS.into_iter().enumerate() {
@@ -67,7 +67,7 @@
     })
 }
 
-/// A node answers what was forwarded to it.
+/// Delivers a node's response to a forwarded call; returns the effects.
 fn respond(
     harness: &mut NodeHarness,
     from: &str,
@@ -77,7 +77,7 @@
     respond_by_version(harness, from, request, status, 0)
 }
 
-/// The same, by a version of the configuration.
+/// The same, with the configuration version of the responding node.
 fn respond_by_version(
     harness: &mut NodeHarness,
     from: &str,
@@ -99,7 +99,7 @@
 }
 
 /// Lets time pass while the copy stays fresh; returns all effects.
-fn pass(harness: &mut NodeHarness, ms: u64) -> Vec<Effect> {
+fn pass_time(harness: &mut NodeHarness, ms: u64) -> Vec<Effect> {
     let mut effects = Vec::new();
     let until = harness.elapsed_ms + ms;
     while harness.elapsed_ms < until {
@@ -112,12 +112,12 @@
 }
 
 #[test]
-fn a_read_that_one_node_refuses_is_forwarded_to_another_at_once() {
+fn a_read_rejected_by_one_node_is_forwarded_to_another_at_once() {
     let mut harness = light_node();
     let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
     let (to, request) = first.first().expect("it is forwarded").clone();
     let effects = respond(&mut harness, &to, &request, 503);
-    assert_eq!(answer(&effects), None, "another node may know");
+    assert_eq!(answer(&effects), None, "another node may have the job");
     let second = forwarded(&effects);
     let (other, request) = second.first().expect("it is forwarded again").clone();
     assert_ne!(other, to);
@@ -126,32 +126,35 @@
 }
 
 #[test]
-fn a_read_that_one_node_is_silent_on_is_forwarded_to_another_in_time() {
+fn a_read_that_one_node_does_not_answer_is_forwarded_to_another_after_a_timeout() {
     let mut harness = light_node();
     let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
     let (silent, _) = first.first().expect("it is forwarded").clone();
-    let later = forwarded(&pass(&mut harness, Bounds::default().request_timeout() / 2));
+    let later = forwarded(&pass_time(
+        &mut harness,
+        Bounds::default().request_timeout() / 2,
+    ));
     let (other, request) = later.first().expect("it is forwarded again").clone();
     assert_ne!(other, silent);
     let effects = respond(&mut harness, &other, &request, 200);
     assert_eq!(answer(&effects).map(|response| response.status), Some(200));
-    // The next read does not begin with the node that was silent.
+    // The next read is not forwarded to the unresponsive node first.
     let next = forwarded(&ask(&mut harness, "/v1/jobs/j"));
     assert_ne!(next[0].0, silent);
 }
 
 #[test]
-fn a_late_answer_of_the_first_node_is_as_good() {
+fn a_late_response_of_the_first_node_is_accepted() {
     let mut harness = light_node();
     let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
     let (late, request) = first.first().expect("it is forwarded").clone();
-    pass(&mut harness, Bounds::default().request_timeout() / 2);
+    pass_time(&mut harness, Bounds::default().request_timeout() / 2);
     let effects = respond(&mut harness, &late, &request, 200);
     assert_eq!(answer(&effects).map(|response| response.status), Some(200));
 }
 
 #[test]
-fn a_read_that_all_nodes_refuse_is_answered_at_once() {
+fn a_read_rejected_by_all_nodes_is_answered_at_once() {
     let mut harness = light_node();
     let mut effects = ask(&mut harness, "/v1/jobs/j");
     for _ in 0..20 {
@@ -162,11 +165,11 @@
     }
     let last = answer(&effects).expect("an answer");
     assert_eq!(last.status, 503);
-    assert!(last.retry_ms > 0, "it says when to come back");
+    assert!(last.retry_ms > 0, "the response has a Retry-After");
 }
 
 #[test]
-fn a_read_that_was_forwarded_is_not_forwarded_on() {
+fn a_forwarded_read_is_not_forwarded_again() {
     let mut harness = light_node();
     let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
     let (_, request) = first.first().expect("it is forwarded").clone();
@@ -177,9 +180,9 @@
 }
 
 #[test]
-fn a_read_that_waits_while_the_copy_becomes_light_is_never_answered_as_unknown() {
+fn a_read_that_waits_while_the_copy_becomes_light_is_not_answered_with_404() {
     let mut harness = light_node();
-    // A process that has just started has no copy, and does not know yet that it will be a light one.
+    // A process that has just started has no copy and does not know yet that it will get a light one.
     harness.node = Node::new(settings_of_node(), harness.now(), 2);
     let effects = ask(&mut harness, "/v1/jobs/j");
     let read_index = effects.iter().find_map(|effect| match effect {
@@ -202,13 +205,13 @@
     assert_ne!(
         status,
         Some(404),
-        "a light copy does not know which jobs there are"
+        "a light copy can't tell that a job does not exist"
     );
     assert!(!forwarded(&effects).is_empty(), "{effects:?}");
 }
 
 #[test]
-fn a_node_without_a_copy_has_other_nodes_answer_a_read_by_host_and_path() {
+fn a_node_without_a_fresh_copy_forwards_reads_by_host_and_path() {
     let mut harness = light_node();
     harness.elapsed_ms += 10 * Bounds::default().max_watch_age();
     let effects = ask(&mut harness, "/v1/at/host.example/jobs/j");
@@ -217,29 +220,38 @@
 }
 
 #[test]
-fn a_read_of_the_configuration_that_waits_for_the_copy_is_answered_by_another_node() {
+fn a_configuration_read_that_waits_for_the_copy_is_forwarded_after_a_timeout() {
     let mut harness = light_node();
     let effects = ask(&mut harness, "/v1/desired");
-    assert!(forwarded(&effects).is_empty(), "it tries itself first");
-    let later = forwarded(&pass(&mut harness, Bounds::default().request_timeout() / 2));
+    assert!(
+        forwarded(&effects).is_empty(),
+        "the node tries to answer itself first"
+    );
+    let later = forwarded(&pass_time(
+        &mut harness,
+        Bounds::default().request_timeout() / 2,
+    ));
     let (to, request) = later.first().expect("it is forwarded").clone();
     let effects = respond(&mut harness, &to, &request, 200);
     assert_eq!(answer(&effects).map(|response| response.status), Some(200));
 }
 
 #[test]
-fn a_large_answer_is_asked_of_a_second_node_only_once_the_first_has_refused() {
+fn a_read_with_a_large_answer_is_retried_only_after_a_rejection() {
     let mut harness = light_node();
     let first = forwarded(&ask(&mut harness, "/v1/status"));
     let (to, request) = first.first().expect("it is forwarded").clone();
-    let later = forwarded(&pass(&mut harness, Bounds::default().request_timeout() / 2));
+    let later = forwarded(&pass_time(
+        &mut harness,
+        Bounds::default().request_timeout() / 2,
+    ));
     assert!(later.is_empty(), "the answer may still be on its way");
     let effects = respond(&mut harness, &to, &request, 503);
     assert!(!forwarded(&effects).is_empty(), "{effects:?}");
 }
 
 #[test]
-fn a_replica_that_is_silent_on_a_read_index_is_not_asked_twice_in_a_row() {
+fn an_unresponsive_replica_is_not_asked_for_the_read_index_twice_in_a_row() {
     let mut harness = light_node();
     let settings = Settings {
         seeds: vec![REPLICA.into(), "10.0.0.9:1".into()],
@@ -265,21 +277,25 @@
 }
 
 #[test]
-fn retries_are_a_share_of_the_calls_when_every_node_is_silent() {
+fn retries_are_limited_to_a_share_of_the_calls_when_no_node_responds() {
     let mut harness = light_node();
     let calls = 400;
     let mut forwards = 0;
     for _ in 0..calls {
         forwards += forwarded(&ask(&mut harness, "/v1/jobs/j")).len();
-        forwards += forwarded(&pass(&mut harness, 20)).len();
+        forwards += forwarded(&pass_time(&mut harness, 20)).len();
     }
-    forwards += forwarded(&pass(&mut harness, Bounds::default().request_timeout())).len();
+    forwards += forwarded(&pass_time(
+        &mut harness,
+        Bounds::default().request_timeout(),
+    ))
+    .len();
     assert!(forwards >= calls, "{forwards}");
-    // A tenth of the calls, one a second, and what was saved up.
+    // The retry budget: a tenth of the calls, one per second, and the initial budget.
     assert!(forwards < calls + calls / 10 + 11 + 10 + 1, "{forwards}");
 }
 
-/// A route is added.
+/// Adds a route by host and path to the configuration.
 fn add_route(harness: &mut NodeHarness) {
     harness.append(Command::UpdateConfig {
         change: "route".into(),
@@ -304,7 +320,7 @@
 }
 
 #[test]
-fn a_count_at_a_route_that_was_added_is_not_refused_by_a_node_that_does_not_have_it_yet() {
+fn a_node_without_a_new_route_does_not_answer_a_forwarded_count_with_404() {
     let mut asked = light_node();
     add_route(&mut asked);
     asked.follow_light();
@@ -315,13 +331,16 @@
     let mut other = NodeHarness::new();
     other.follow();
     let status = forward_status(&mut other, &request);
-    assert_eq!(status, 503, "the next one is asked");
+    assert_eq!(
+        status, 503,
+        "503 makes the forwarding node ask the next one"
+    );
     add_route(&mut other);
     other.follow();
     assert_eq!(forward_status(&mut other, &request), 200);
 }
 
-/// Hands a job in by host and path.
+/// Submits a job by host and path.
 fn submit(harness: &mut NodeHarness, path: &str) -> Vec<Effect> {
     let request = Request {
         method: "POST".into(),
@@ -334,7 +353,7 @@
 }
 
 #[test]
-fn a_node_whose_caller_was_answered_by_a_newer_configuration_does_not_go_back_to_its_own() {
+fn after_an_answer_from_a_newer_configuration_a_node_does_not_answer_from_its_older_one() {
     let mut harness = light_node();
     add_route(&mut harness);
     harness.follow_light();
@@ -345,15 +364,19 @@
         .clone();
     let effects = respond_by_version(&mut harness, &to, &request, 404, version + 1);
     assert_eq!(answer(&effects).map(|response| response.status), Some(404));
-    // The route was removed there: here it still is.
+    // The other node's configuration no longer has the route; this node's still has it.
     let again = forwarded(&ask(&mut harness, "/v1/at/host.example/p/"));
     assert_eq!(again[0].1.query, format!("config={}", version + 1));
     let never_there = ask(&mut harness, "/v1/at/host.example/other/");
-    assert_eq!(answer(&never_there), None, "it may be there by now");
+    assert_eq!(
+        answer(&never_there),
+        None,
+        "a newer configuration may have the route"
+    );
     let submitted = submit(&mut harness, "/v1/at/host.example/p/1");
     let status = answer(&submitted).map(|response| response.status);
-    assert_eq!(status, Some(503), "it was not taken");
-    // A copy that is as new as that answer decides again.
+    assert_eq!(status, Some(503), "the job was not accepted");
+    // Once the copy is as fresh as that answer, the node answers from it again.
     harness.elapsed_ms += 20;
     harness.follow_light();
     let never_there = ask(&mut harness, "/v1/at/host.example/other/");
--- a/landingdrift/tests/late_ends.rs
+++ b/landingdrift/tests/late_ends.rs
@@ -1,11 +1,11 @@
-//! Ends that workers report of runs that are over by the cluster state: what the metrics show of them.
+//! Metrics of reported ends of runs that are not live by the cluster state.
 
 mod node_harness;
 
 use landingdrift::state::{Command, Outcome};
 use node_harness::NodeHarness;
 
-/// The job's only attempt expires.
+/// Expires the job's only attempt.
 fn expire_attempt(harness: &mut NodeHarness) {
     harness.append(Command::ExpireAttempts {
         worker: "w".into(),
@@ -47,7 +47,7 @@
         harness.append(command);
     }
     harness.follow();
-    // The response with the acknowledgement was lost: the same end is reported again.
+    // The response with the acknowledgement was lost, so the same end is reported again.
     harness.heartbeat_with_end(2, 1, Outcome::Failed);
     assert_eq!(harness.counter("ends_contradicting_state"), 0);
     assert_eq!(harness.counter("ends_of_unknown_runs"), 0);
--- a/landingdrift/tests/light_copies.rs
+++ b/landingdrift/tests/light_copies.rs
@@ -1,4 +1,4 @@
-//! Light copies of the cluster state: configuration, leases and members, neither jobs nor workers.
+//! Light copies of the cluster state, which have the configuration, leases and members but neither jobs nor workers.
 
 use landingdrift::node::Node;
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request};
@@ -10,7 +10,7 @@
 const CORE: &str = "10.0.0.2:1";
 const HOLDER: &str = "10.0.0.3:1";
 
-/// One command of each kind, and whether it concerns the system as a whole.
+/// One command of each kind, and whether it is cluster-wide, so that light copies need it.
 fn kinds() -> Vec<(Command, bool)> {
     let text = String::new;
     vec![
@@ -147,7 +147,7 @@
     ]
 }
 
-/// What is ordered, as an order.
+/// Wraps a command in an order.
 fn ordered(action: Command) -> Command {
     Command::Order(Order {
         action: Box::new(action),
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn an_order_concerns_all_if_what_is_ordered_does() {
+fn an_order_is_cluster_wide_if_its_command_is() {
     let orders = kinds().into_iter().filter(|(c, _)| c.is_order());
     let orders: Vec<_> = orders.map(|(c, all)| (ordered(c), all)).collect();
     assert_eq!(orders.len(), 4);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_concerns_all_is_told_by_the_kind_of_an_entry() {
+fn cluster_wide_commands_are_recognised_by_their_encoding() {
     for (c, all) in kinds() {
         assert_eq!(Command::is_cluster_wide(&c.pack()), all, "{c:?}");
     }
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_light_node_follows_over_gaps_and_passes_questions_after_jobs_on() {
+fn a_light_node_follows_the_log_across_gaps_and_forwards_reads_of_jobs() {
     let settings = Settings {
         listen: "10.0.0.1:1".into(),
         seeds: vec![CORE.into()],
@@ -230,7 +230,7 @@
         n.step(now, Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(b))))
     };
     hear(&mut n, 1, first);
-    // Entries that concern a job lie between, and are left out.
+    // The entries in between concern a job and are left out.
     r.applied_index += 7;
     let grant = Command::GrantLease {
         lease: "queue/q".into(),
--- a/landingdrift/tests/node_harness/heartbeats.rs
+++ b/landingdrift/tests/node_harness/heartbeats.rs
@@ -1,15 +1,15 @@
-//! The worker of the harness: its heartbeats, and time that passes with them.
+//! Heartbeats of the harness's worker, and the passing of time with them.
 
 use super::{info, response_and_proposals, NodeHarness};
 use landingdrift::node::{Heartbeat, RunningAttempt};
 use landingdrift::sans_io::{Effect, Msg, Part, Request, Response};
 use landingdrift::state::{Command, EndReport, Outcome, RunName};
 
-/// The interval of ticks and heartbeats while time passes, in milliseconds.
+/// Interval of ticks and heartbeats while time passes, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
 impl NodeHarness {
-    /// Lets time pass with heartbeats of the worker, on which the first runs of some jobs go on; returns the jobs that were
+    /// Lets time pass with heartbeats that report the first run of each job in `running`; returns the jobs that were
     /// started.
     pub fn pass_time(&mut self, for_ms: u64, running: &[&str]) -> Vec<String> {
         let mut started = Vec::new();
@@ -30,7 +30,7 @@
         started
     }
 
-    /// Sends a heartbeat of the worker; returns the response, and what was proposed because of it.
+    /// Sends a heartbeat of the worker; returns the response and the proposed commands.
     pub fn heartbeat(&mut self, sequence: u64, running: bool) -> (Option<Response>, Vec<Command>) {
         let run = RunningAttempt {
             name: Some(run_name(1)),
@@ -98,7 +98,7 @@
     }
 }
 
-/// A heartbeat of the worker, which identifies runs by their names.
+/// A heartbeat of the worker, which identifies runs by name.
 fn named_heartbeat(sequence: u64) -> Heartbeat {
     Heartbeat {
         info: info(),
--- a/landingdrift/tests/node_harness/mod.rs
+++ b/landingdrift/tests/node_harness/mod.rs
@@ -1,4 +1,4 @@
-//! A node that holds the leases of a zone and a queue; the tests play its workers, its replicas and its clock.
+//! Test harness: a node that holds the leases of a zone and a queue, with simulated workers, replicas and clock.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -28,7 +28,7 @@
     pub call: u64,
 }
 
-/// What was committed, and the effects of the answers to it.
+/// The committed commands, and the effects of the responses to them.
 #[derive(Default)]
 pub struct Committed {
     pub commands: Vec<Command>,
@@ -97,7 +97,7 @@
             .unwrap_or_else(|rejection| panic!("{command:?}: {rejection}"));
     }
 
-    /// Registers a node of the zone, by its address and the one for HTTP.
+    /// Registers a node in the zone, with its address and its HTTP address.
     pub fn register_node(&mut self, node: &str, http: &str) {
         self.append(Command::RegisterNode {
             node: node.into(),
@@ -106,7 +106,7 @@
         });
     }
 
-    /// Appends what the node proposes among some effects, answers it, and lets the node follow.
+    /// Commits the proposals among the effects, responds to them, and lets the node follow.
     pub fn commit(&mut self, effects: Vec<Effect>) -> Committed {
         let mut committed = Committed::default();
         for effect in effects {
@@ -120,7 +120,7 @@
         committed
     }
 
-    /// Appends a proposal of the node, and answers it; returns the effects of the answer as well.
+    /// Commits a proposal of the node and responds to it; returns the command and the effects of the response.
     pub fn commit_proposal(&mut self, request: ProposeRequest) -> (Command, Vec<Effect>) {
         let command = Command::unpack(&request.command).expect("a command");
         let log_index = self.state.applied_index + 1;
@@ -156,7 +156,7 @@
         self.install_copy(self.state.without_jobs_and_workers().pack(), true)
     }
 
-    /// A batch without entries for the node's copy, whose kind is `light`.
+    /// A batch without entries that continues the node's copy, which is light if `light`.
     pub fn batch(&self, light: bool) -> WatchBatch {
         let index = self.state.applied_index;
         WatchBatch {
@@ -194,7 +194,7 @@
         )
     }
 
-    /// Another node holds the zone's lease for a moment; then this one holds it again, under another epoch.
+    /// Grants the zone's lease to another node and then back to this one, under a new epoch.
     pub fn pass_zone_lease_back_and_forth(&mut self) {
         let other = "10.0.0.3:1";
         self.register_node(other, other);
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Accepts a job of one step with so many tasks.
+    /// Accepts a job of one step with `count` tasks.
     pub fn accept(&mut self, id: &str, count: u32) {
         let seen = self.state.applied_index;
         self.append(Command::AcceptJob {
@@ -232,19 +232,19 @@
         });
     }
 
-    /// Accepts a job of one task, and places it on the worker; the node follows.
+    /// Accepts a job of one task, starts it on the worker, and lets the node follow.
     pub fn start_job(&mut self) {
         self.append_started_job();
         self.follow();
     }
 
-    /// Appends a job of one task and its start on the worker, under the present epoch of the zone's lease.
+    /// Appends a job of one task and its start on the worker, under the current epoch of the zone's lease.
     pub fn append_started_job(&mut self) {
         self.accept("j", 1);
         self.append_start("j");
     }
 
-    /// Appends the start of a job's first task on the worker, under the present epoch of the zone's lease.
+    /// Appends the start of a job's first task on the worker, under the current epoch of the zone's lease.
     pub fn append_start(&mut self, job: &str) {
         let zone_epoch = self.state.leases["cell/z"].epoch;
         self.append(Command::StartAttempts {
@@ -260,7 +260,7 @@
         });
     }
 
-    /// Accepts a job of one task on so many thousandths of a core, otherwise as `template` says.
+    /// Accepts a job of one task that needs `cpu` thousandths of a core; other properties are those of `template`.
     pub fn accept_single(&mut self, id: &str, template: StepSpec, cpu: u32) {
         let seen = self.state.applied_index;
         let task = TaskSpec {
@@ -285,7 +285,7 @@
         });
     }
 
-    /// A counter of the node; 0 if it has not counted yet.
+    /// The value of one of the node's counters; 0 if it does not exist yet.
     pub fn counter(&self, name: &str) -> u64 {
         let counters = self.node.counters();
         let found = counters.iter().find(|(counter, _)| counter == name);
@@ -293,7 +293,7 @@
     }
 }
 
-/// The response among some effects, and the commands that were proposed.
+/// The response and the proposed commands among the effects.
 pub fn response_and_proposals(effects: Vec<Effect>) -> (Option<Response>, Vec<Command>) {
     let mut response = None;
     let mut proposed = Vec::new();
@@ -309,7 +309,7 @@
     (response, proposed)
 }
 
-/// The ends of attempts that were never started, as some commands report them.
+/// The ends with outcome `NeverStarted` in the commands.
 pub fn never_started(commands: &[Command]) -> Vec<EndReport> {
     let mut never_started = Vec::new();
     for command in commands {
--- a/landingdrift/tests/redirected_reads.rs
+++ b/landingdrift/tests/redirected_reads.rs
@@ -1,5 +1,5 @@
-//! A large configuration is neither read nor changed through a node with a narrow link: callers give up before an answer has
-//! arrived, and a change would keep the link from all other calls.
+//! A large configuration is neither read nor changed through a node with a narrow link: callers would time out before
+//! the response arrives, and the change would block the link for all other calls.
 
 mod node_harness;
 
@@ -16,7 +16,8 @@
 const LARGE_BYTES: usize = 300_000;
 const CHANGE_QUERY: &str = "base=2&change=c";
 
-/// A node beside one with a full copy, which holds a lease; the configuration has a note of so many bytes.
+/// A node in a cluster where another node has a full copy and holds the leases; the configuration has a note of
+/// `note_bytes`.
 fn harness(note_bytes: usize) -> NodeHarness {
     let mut harness = NodeHarness::new();
     harness.register_node(FULL_COPY, FULL_COPY_HTTP);
@@ -38,12 +39,12 @@
     harness
 }
 
-/// Reads the configuration; the answer, if it comes at once.
+/// Reads the configuration; returns the response if there is one at once.
 fn read(harness: &mut NodeHarness) -> Option<Response> {
     call(harness, "GET", "", Vec::new())
 }
 
-/// Changes the configuration to one with a note of so many bytes; the answer, if it comes at once.
+/// Changes the note in the configuration to one of `note_bytes`; returns the response if there is one at once.
 fn change(harness: &mut NodeHarness, note_bytes: usize) -> Option<Response> {
     let body = json!({"notes": {"n": "y".repeat(note_bytes)}});
     let body = serde_json::to_vec(&body).expect("JSON");
@@ -65,9 +66,9 @@
     })
 }
 
-/// Guards against the silence of a node while a change of half a megabyte is on its way over its link.
+/// Guards against a node that is unresponsive while it transfers a change of half a megabyte over its link.
 #[test]
-fn a_large_change_does_not_pass_a_narrow_link() {
+fn a_large_change_is_redirected_from_a_node_with_a_narrow_link() {
     let mut harness = harness(1000);
     harness.follow_light();
     let response = change(&mut harness, LARGE_BYTES).expect("an answer at once");
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_large_configuration_is_not_read_through_a_narrow_link() {
+fn a_read_of_a_large_configuration_is_redirected_from_a_node_with_a_narrow_link() {
     let mut harness = harness(LARGE_BYTES);
     harness.follow_light();
     let response = read(&mut harness).expect("an answer at once");
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn a_read_is_not_sent_to_a_node_that_may_have_a_light_copy() {
+fn a_read_is_not_redirected_to_a_node_that_may_have_a_light_copy() {
     let mut harness = harness(LARGE_BYTES);
     for lease in ["cell/z", "queue/q"] {
         let from_epoch = harness.state.leases[lease].epoch;
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_small_node_without_a_copy_lets_readers_go_on_at_once() {
+fn a_small_node_without_a_copy_rejects_reads_without_a_retry_delay() {
     let settings = Settings {
         listen: node_harness::NODE.into(),
         seeds: vec![REPLICA.into()],
--- a/landingdrift/tests/reported_ends.rs
+++ b/landingdrift/tests/reported_ends.rs
@@ -1,4 +1,5 @@
-//! What a worker has reported outweighs what is inferred from its silence.
+//! A reported end takes precedence over an expired lease: a received end must reach the log, and its attempt must not
+//! expire instead.
 
 mod node_harness;
 
@@ -7,8 +8,8 @@
 use landingdrift::wire::Body;
 use node_harness::{response_and_proposals, NodeHarness};
 
-/// Lets time pass with ticks alone until a moment; commits what is proposed.
-fn pass_silent_time(harness: &mut NodeHarness, until_ms: u64) -> Vec<Command> {
+/// Lets time pass until `until_ms` without heartbeats; commits and returns the proposed commands.
+fn pass_time_without_heartbeats(harness: &mut NodeHarness, until_ms: u64) -> Vec<Command> {
     let mut committed = Vec::new();
     while harness.elapsed_ms < until_ms {
         harness.elapsed_ms += 20;
@@ -20,7 +21,7 @@
     committed
 }
 
-/// A holder whose first report of the worker's runs is on its way, unanswered.
+/// A lease holder whose first report of the worker's runs is proposed and not yet answered.
 fn with_open_report() -> NodeHarness {
     let mut harness = NodeHarness::new();
     harness.start_job();
@@ -33,23 +34,23 @@
 }
 
 #[test]
-fn an_end_that_came_during_another_report_is_reported_though_the_worker_falls_silent() {
+fn an_end_received_during_another_report_is_reported_even_if_heartbeats_stop() {
     let mut harness = with_open_report();
-    // The report before is still on its way: this one waits.
+    // The earlier report is still pending, so this one waits.
     let (_, proposed) = harness.heartbeat_with_end(2, 1, Outcome::Failed);
     assert_eq!(proposed, []);
-    pass_silent_time(&mut harness, 9000);
+    pass_time_without_heartbeats(&mut harness, 9000);
     let task = &harness.state.jobs["j"].tasks[0];
     assert_eq!(task.attempts[0].state, AttemptState::Failed);
     assert_eq!(task.failures, 1, "it counts as a failure");
 }
 
 #[test]
-fn an_end_that_comes_while_its_attempt_expires_is_reported() {
+fn an_end_received_while_its_attempt_expires_is_reported() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     harness.heartbeat(1, true);
-    // The expiry is proposed, and no replica answers.
+    // The expiry is proposed and no replica answers.
     let mut is_expiring = false;
     while !is_expiring {
         harness.elapsed_ms += 20;
@@ -60,7 +61,11 @@
         is_expiring = proposed.iter().any(is_expiry);
     }
     let (response, proposed) = harness.heartbeat_with_end(2, 1, Outcome::Failed);
-    assert_eq!(response.expect("answered").status, 503, "it renews nothing");
+    assert_eq!(
+        response.expect("answered").status,
+        503,
+        "the lease is not renewed"
+    );
     let reports_end = |command: &Command| match command {
         Command::ReportAttempts { ends, .. } => ends.len() == 1,
         _ => false,
@@ -69,7 +74,7 @@
 }
 
 #[test]
-fn an_expiry_is_proposed_once_though_the_copy_of_the_cluster_state_is_behind() {
+fn an_expiry_is_proposed_only_once_even_if_the_copy_lags_behind() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     harness.heartbeat(1, true);
@@ -86,19 +91,20 @@
                 expiries += u32::from(matches!(command, Command::ExpireAttempts { .. }));
             }
         }
-        // Stale copies answer nobody: the rest of the time that it counts as fresh is enough.
+        // Stop before the copy becomes stale, since a node with a stale copy answers no heartbeat.
         if expiries > 0 && harness.elapsed_ms > 6700 {
             break;
         }
     }
     assert_eq!(expiries, 1);
-    // What ran there is dead by the log: no heartbeat renews its lease, though the copy still shows it as live.
+    // By the log the attempt has expired: no heartbeat renews the lease, although the attempt is still live in the
+    // copy.
     let (response, _) = harness.heartbeat(2, true);
     assert_eq!(response.expect("answered").status, 503);
 }
 
 #[test]
-fn a_new_holder_takes_into_account_that_its_predecessor_renewed_leases_until_it_knew() {
+fn a_new_holder_allows_for_lease_renewals_by_its_predecessor() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     harness.pass_zone_lease_back_and_forth();
@@ -106,14 +112,14 @@
     let mut expired_at = None;
     while expired_at.is_none() {
         let next_step = harness.elapsed_ms + 20;
-        let committed = pass_silent_time(&mut harness, next_step);
+        let committed = pass_time_without_heartbeats(&mut harness, next_step);
         let is_expiry = |command: &Command| matches!(command, Command::ExpireAttempts { .. });
         expired_at = committed
             .iter()
             .any(is_expiry)
             .then_some(harness.elapsed_ms);
     }
-    // The predecessor's copy counts as fresh for 500 ms; 6,000 ms by a clock that runs 2 % slow are 6,123.
+    // The predecessor's copy counts as fresh for 500 ms, and 6,000 ms are 6,123 ms by a clock that runs 2 % slow.
     let waited_ms = expired_at.expect("in the end") - taken_over_at;
     assert!((6623..7000).contains(&waited_ms), "{waited_ms}");
 }
--- a/landingdrift/tests/responses.rs
+++ b/landingdrift/tests/responses.rs
@@ -1,4 +1,4 @@
-//! An answer is taken from the peer that was asked, for the call that was asked, and once.
+//! A response is accepted only from the peer that was asked, only for the request that was sent, and only once.
 
 use landingdrift::node::Node;
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request};
@@ -10,21 +10,21 @@
 use serde_json::json;
 
 const NODE: &str = "10.0.0.1:1";
-const CORE: &str = "10.0.0.2:1";
+const REPLICA: &str = "10.0.0.2:1";
 const HOLDER: &str = "10.0.0.3:1";
 const STRANGER: &str = "10.0.0.9:1";
 
-/// A node that follows a cluster state in which another one holds the zone scheduler of zone `z`.
-struct Desk {
+/// A node that follows a cluster state in which another node holds the lease of zone `z`.
+struct TestNode {
     node: Node,
     elapsed: u64,
 }
 
-impl Desk {
+impl TestNode {
     fn new() -> Self {
         let settings = Settings {
             listen: NODE.into(),
-            seeds: vec![CORE.into()],
+            seeds: vec![REPLICA.into()],
             ..Settings::default()
         };
         let mut state = ClusterState::new(&settings.cluster);
@@ -44,10 +44,10 @@
             state.apply(i as u64 + 1, 1000, c).expect("entered");
         }
         let node = Node::new(settings, Now { mono: 1, wall: 1 }, 1);
-        let mut desk = Self { node, elapsed: 1 };
+        let mut test_node = Self { node, elapsed: 1 };
         let batch = WatchBatch {
-            replica: CORE.into(),
-            leader: CORE.into(),
+            replica: REPLICA.into(),
+            leader: REPLICA.into(),
             ok: true,
             sent: 1,
             quorum_age: 0,
@@ -56,15 +56,15 @@
             snapshot: state.pack(),
             snapshot_index: state.applied_index,
             entries: Vec::new(),
-            replicas: vec![CORE.into()],
+            replicas: vec![REPLICA.into()],
             light: false,
             reached: state.applied_index,
             incarnation: 0,
             follows: 0,
             config_index: 0,
         };
-        desk.hear(CORE, Body::WatchBatch(Box::new(batch)));
-        desk
+        test_node.receive(REPLICA, Body::WatchBatch(Box::new(batch)));
+        test_node
     }
 
     fn step(&mut self, msg: Msg) -> Vec<Effect> {
@@ -72,7 +72,7 @@
         self.node.step(Now { mono, wall: mono }, msg)
     }
 
-    fn hear(&mut self, from: &str, body: Body) -> Vec<Effect> {
+    fn receive(&mut self, from: &str, body: Body) -> Vec<Effect> {
         self.step(Msg::Wire(from.into(), body))
     }
 
@@ -86,7 +86,7 @@
         self.step(Msg::Call(7, request))
     }
 
-    /// A heartbeat for the zone scheduler of the other node; the token under which it was passed on.
+    /// Sends a heartbeat for the zone of the other node; returns the token under which it was forwarded.
     fn heartbeat(&mut self) -> RequestToken {
         let info = json!({"worker": "w", "incarnation": 1, "service": "s", "labels": [], "zone": "z", "room": 1, "leaving": false});
         let body = json!({"facts": info, "running": [], "ended": []}).to_string();
@@ -97,8 +97,8 @@
         passed[0].1
     }
 
-    /// What happens while time passes.
-    fn silence(&mut self, ms: u64) -> Vec<Effect> {
+    /// Lets time pass without messages; returns all effects.
+    fn pass_time(&mut self, ms: u64) -> Vec<Effect> {
         let mut all = Vec::new();
         for _ in 0..ms / 20 {
             self.elapsed += 20;
@@ -116,8 +116,8 @@
     passed.collect()
 }
 
-/// The answers that the caller got: status and body.
-fn told(effects: &[Effect]) -> Vec<(u16, serde_json::Value)> {
+/// The responses to the caller: status and body.
+fn responses_to_caller(effects: &[Effect]) -> Vec<(u16, serde_json::Value)> {
     let answers = effects.iter().filter_map(|e| match e {
         Effect::Answer(7, v) => Some((v.status, v.body.clone())),
         _ => None,
@@ -125,7 +125,7 @@
     answers.collect()
 }
 
-fn forwarded(token: RequestToken) -> Body {
+fn forward_response(token: RequestToken) -> Body {
     Body::ForwardResponse(Box::new(ForwardResponse {
         token,
         status: 200,
@@ -136,44 +136,44 @@
     }))
 }
 
-fn read_place(token: RequestToken) -> Body {
+fn read_index_response(token: RequestToken) -> Body {
     Body::ReadIndexResponse(Box::new(ReadIndexResponse {
         token,
         ok: true,
         log_index: 2,
-        leader: CORE.into(),
+        leader: REPLICA.into(),
         nodes: Vec::new(),
     }))
 }
 
-fn proposed(token: RequestToken) -> Body {
+fn propose_response(token: RequestToken) -> Body {
     Body::ProposeResponse(Box::new(ProposeResponse {
         token,
         outcome: 0,
         log_index: 3,
-        leader: CORE.into(),
+        leader: REPLICA.into(),
         response: pack_apply_result(&Ok(json!({"zone": "z", "emptied": true}))),
     }))
 }
 
 fn read_token(effects: &[Effect]) -> RequestToken {
     let asked = effects.iter().find_map(|e| match e {
-        Effect::Send(to, Body::ReadIndexRequest(r)) if to == CORE => Some(r.token),
+        Effect::Send(to, Body::ReadIndexRequest(r)) if to == REPLICA => Some(r.token),
         _ => None,
     });
-    asked.expect("a core is asked")
+    asked.expect("a replica is asked")
 }
 
 fn proposal_token(effects: &[Effect]) -> RequestToken {
     let asked = effects.iter().find_map(|e| match e {
-        Effect::Send(to, Body::ProposeRequest(p)) if to == CORE => Some(p.token),
+        Effect::Send(to, Body::ProposeRequest(p)) if to == REPLICA => Some(p.token),
         _ => None,
     });
     asked.expect("it is proposed")
 }
 
-/// The same question as another life of the process would have asked it.
-fn of_another_life(token: RequestToken) -> RequestToken {
+/// The token of the same request by another incarnation of the process.
+fn of_another_incarnation(token: RequestToken) -> RequestToken {
     RequestToken {
         incarnation: token.incarnation ^ 1,
         ..token
@@ -181,59 +181,108 @@
 }
 
 #[test]
-fn a_call_passed_on_is_answered_by_the_node_that_was_asked_and_once() {
-    let mut d = Desk::new();
+fn a_forwarded_call_is_answered_only_by_the_node_that_was_asked_and_once() {
+    let mut d = TestNode::new();
     let token = d.heartbeat();
-    assert_eq!(told(&d.hear(STRANGER, forwarded(token))), []);
-    assert_eq!(told(&d.hear(HOLDER, forwarded(of_another_life(token)))), []);
-    assert_eq!(told(&d.hear(HOLDER, forwarded(token))).len(), 1);
-    assert_eq!(told(&d.hear(HOLDER, forwarded(token))), []);
+    assert_eq!(
+        responses_to_caller(&d.receive(STRANGER, forward_response(token))),
+        []
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(HOLDER, forward_response(of_another_incarnation(token)))),
+        []
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(HOLDER, forward_response(token))).len(),
+        1
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(HOLDER, forward_response(token))),
+        []
+    );
 }
 
 #[test]
-fn a_read_is_answered_by_the_core_that_was_asked_and_once() {
-    let mut d = Desk::new();
+fn a_read_is_answered_only_by_the_replica_that_was_asked_and_once() {
+    let mut d = TestNode::new();
     let token = read_token(&d.call("GET", "/v1/desired", ""));
-    assert_eq!(told(&d.hear(STRANGER, read_place(token))), []);
-    assert_eq!(told(&d.hear(CORE, read_place(of_another_life(token)))), []);
-    assert_eq!(told(&d.hear(CORE, forwarded(token))), [], "another kind");
-    assert_eq!(told(&d.hear(CORE, read_place(token))).len(), 1);
-    assert_eq!(told(&d.hear(CORE, read_place(token))), []);
+    assert_eq!(
+        responses_to_caller(&d.receive(STRANGER, read_index_response(token))),
+        []
+    );
+    assert_eq!(
+        responses_to_caller(
+            &d.receive(REPLICA, read_index_response(of_another_incarnation(token)))
+        ),
+        []
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(REPLICA, forward_response(token))),
+        [],
+        "another kind"
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(REPLICA, read_index_response(token))).len(),
+        1
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(REPLICA, read_index_response(token))),
+        []
+    );
 }
 
 #[test]
-fn a_proposal_is_answered_by_a_core_that_was_asked_and_once() {
-    let mut d = Desk::new();
+fn a_proposal_is_answered_only_by_a_replica_that_was_asked_and_once() {
+    let mut d = TestNode::new();
     let token = proposal_token(&d.call("PUT", "/v1/zones/z/empty", ""));
-    assert_eq!(told(&d.hear(STRANGER, proposed(token))), []);
-    assert_eq!(told(&d.hear(CORE, proposed(of_another_life(token)))), []);
-    assert_eq!(told(&d.hear(CORE, proposed(token))).len(), 1);
-    assert_eq!(told(&d.hear(CORE, proposed(token))), []);
+    assert_eq!(
+        responses_to_caller(&d.receive(STRANGER, propose_response(token))),
+        []
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(REPLICA, propose_response(of_another_incarnation(token)))),
+        []
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(REPLICA, propose_response(token))).len(),
+        1
+    );
+    assert_eq!(
+        responses_to_caller(&d.receive(REPLICA, propose_response(token))),
+        []
+    );
 }
 
 #[test]
-fn a_proposal_whose_answer_cannot_be_read_is_unsure_in_the_end() {
-    let mut d = Desk::new();
+fn a_proposal_with_an_unreadable_response_ends_as_unsure() {
+    let mut d = TestNode::new();
     let token = proposal_token(&d.call("PUT", "/v1/zones/z/empty", ""));
-    let Body::ProposeResponse(mut answer) = proposed(token) else {
+    let Body::ProposeResponse(mut answer) = propose_response(token) else {
         panic!("it is an answer to a proposal");
     };
     answer.response = b"{".to_vec();
-    assert_eq!(told(&d.hear(CORE, Body::ProposeResponse(answer))), []);
-    let told_then = told(&d.silence(6000));
-    assert_eq!(told_then.len(), 1);
-    assert_eq!(told_then[0].1["error"], json!("unsure"));
+    assert_eq!(
+        responses_to_caller(&d.receive(REPLICA, Body::ProposeResponse(answer))),
+        []
+    );
+    let responses = responses_to_caller(&d.pass_time(6000));
+    assert_eq!(responses.len(), 1);
+    assert_eq!(responses[0].1["error"], json!("unsure"));
 }
 
 #[test]
-fn silence_after_a_call_was_passed_on_sends_it_no_second_time_and_is_unsure() {
-    let mut d = Desk::new();
+fn an_unanswered_forwarded_call_is_not_repeated_and_ends_as_unsure() {
+    let mut d = TestNode::new();
     let token = d.heartbeat();
-    let effects = d.silence(6000);
+    let effects = d.pass_time(6000);
     assert_eq!(forwards(&effects), [], "it is sent once");
-    let told_then = told(&effects);
-    assert_eq!(told_then.len(), 1);
-    assert_eq!(told_then[0].0, 503);
-    assert_eq!(told_then[0].1["error"], json!("unsure"));
-    assert_eq!(told(&d.hear(HOLDER, forwarded(token))), [], "too late");
+    let responses = responses_to_caller(&effects);
+    assert_eq!(responses.len(), 1);
+    assert_eq!(responses[0].0, 503);
+    assert_eq!(responses[0].1["error"], json!("unsure"));
+    assert_eq!(
+        responses_to_caller(&d.receive(HOLDER, forward_response(token))),
+        [],
+        "too late"
+    );
 }
--- a/landingdrift/tests/routed_calls.rs
+++ b/landingdrift/tests/routed_calls.rs
@@ -1,4 +1,4 @@
-//! Calls by host and path, to queues whose hosts are declared in any spelling.
+//! Calls by host and path. A queue must be found however its host is spelt, in the configuration and in the call.
 
 mod node_harness;
 
@@ -7,7 +7,7 @@
 use node_harness::NodeHarness;
 use serde_json::json;
 
-/// The answer to a question for a queue's count.
+/// Asks for the number of a queue's waiting jobs; returns the response.
 fn ask_count(harness: &mut NodeHarness, host: &str) -> Response {
     harness.call += 1;
     let request = Request {
@@ -24,8 +24,8 @@
     answers.next_back().expect("an answer")
 }
 
-/// The queue gets a host and a prefix.
-fn route(harness: &mut NodeHarness, host: &str) {
+/// Sets the queue's host and prefix.
+fn set_route(harness: &mut NodeHarness, host: &str) {
     harness.append(Command::UpdateConfig {
         change: "routes".into(),
         base: 1,
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn a_queue_is_served_however_its_host_is_spelt() {
+fn a_queue_is_found_however_its_host_is_spelt() {
     for declared in ["host.example", "Host.Example", "host.example:80"] {
         let mut harness = NodeHarness::new();
-        route(&mut harness, declared);
+        set_route(&mut harness, declared);
         for called in ["host.example", "HOST.example", "host.example:8161"] {
             let answer = ask_count(&mut harness, called);
             assert_eq!(answer.status, 200, "{declared} by {called}");
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn a_job_that_is_placed_and_has_not_begun_is_counted_as_waiting() {
+fn a_placed_job_counts_as_waiting_until_it_is_running() {
     let mut harness = NodeHarness::new();
-    route(&mut harness, "host.example");
+    set_route(&mut harness, "host.example");
     let waiting = |harness: &mut NodeHarness| {
         let answer = ask_count(harness, "host.example");
         answer.body["waiting"].as_u64().expect("a count")
--- a/landingdrift/tests/start_orders.rs
+++ b/landingdrift/tests/start_orders.rs
@@ -1,4 +1,4 @@
-//! Start orders: a response stays small enough for its worker, and what does not fit follows.
+//! Start orders: a response must stay small enough for its worker, and orders that do not fit must follow in the next.
 
 mod node_harness;
 
@@ -8,9 +8,9 @@
 use serde_json::Value;
 
 const TASKS: u32 = 1500;
-/// The longest payload of the users' platform, in bytes.
+/// Longest payload on the users' platform, in bytes.
 const PAYLOAD_BYTES: usize = 4000;
-/// A worker takes no response of more bytes.
+/// Workers reject longer responses.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 fn large_worker() -> WorkerInfo {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Accepts a job of many tasks with a large payload, and places all on one worker.
+/// Accepts a job of many tasks with a large payload, and places all of them on one worker.
 fn place_many(harness: &mut NodeHarness) {
     harness.append(Command::UpdateConfig {
         change: "room".into(),
--- a/landingdrift/tests/stragglers.rs
+++ b/landingdrift/tests/stragglers.rs
@@ -1,12 +1,13 @@
-//! Straggler detection: which runs are rescheduled, by their progress.
+//! Straggler detection: the runs that are rescheduled because of their progress.
 
 use landingdrift::node::{find_stragglers, ObservedRun, RescheduleReason, RunProgress};
 
-const PATIENCE: u64 = 1000;
-/// Each run is of a step of its own unless a test says otherwise.
-static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
+const PATIENCE_MS: u64 = 1000;
+/// Next group number: each run belongs to a step of its own unless a test says otherwise.
+static NEXT_GROUP: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
 
-/// A run of an estimated 4 s with these reports: the time in milliseconds, and the progress in parts of a thousand.
+/// A run with an estimated duration of 4 s and the given progress reports: time in milliseconds and progress in
+/// permille.
 fn run(reports: &[(u64, u32)]) -> ObservedRun {
     let mut progress = RunProgress::new(reports[0].0, reports[0].1);
     for (at, permille) in &reports[1..] {
@@ -14,7 +15,7 @@
     }
     ObservedRun {
         progress,
-        group: NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed),
+        group: NEXT_GROUP.fetch_add(1, std::sync::atomic::Ordering::Relaxed),
         rescheduled_before: false,
         estimate_ms: 4000.0,
         may_repeat: false,
@@ -30,10 +31,10 @@
     now: u64,
     leaves_in_ms: Option<u64>,
 ) -> Vec<Option<RescheduleReason>> {
-    find_stragglers(runs, now, leaves_in_ms, PATIENCE)
+    find_stragglers(runs, now, leaves_in_ms, PATIENCE_MS)
 }
 
-/// Reports every 100 ms, each with so much more progress than the one before.
+/// `n` reports at intervals of 100 ms, each with `by` permille more progress than the one before.
 fn steps(by: u64, n: u64) -> Vec<(u64, u32)> {
     (0..n).map(|i| (i * 100, (i * by) as u32)).collect()
 }
@@ -41,13 +42,13 @@
 #[test]
 fn runs_at_their_estimated_rate_stay() {
     assert_eq!(reasons(&[run(&steps(25, 30))], 2900, None), [None]);
-    // Half as fast as estimated is not slow yet: estimates are rough.
+    // Half the estimated rate is not slow yet, because estimates are rough.
     let half = || run(&steps(12, 30));
     assert_eq!(reasons(&[half(), half(), half()], 2900, None), [None; 3]);
 }
 
 #[test]
-fn a_task_larger_than_its_like_does_not_blame_its_worker() {
+fn a_single_large_task_is_not_blamed_on_its_worker() {
     let large = run(&steps(8, 20));
     let other = || run(&steps(25, 20));
     assert_eq!(reasons(&[large, other(), other()], 1900, None), [None; 3]);
@@ -55,14 +56,14 @@
 }
 
 #[test]
-fn a_worker_without_any_progress_is_stalled_but_not_at_once() {
+fn a_worker_without_any_progress_is_stalled_after_the_patience() {
     let stalled = || run(&[(0, 0), (500, 120), (600, 150)]);
     assert_eq!(reasons(&[stalled(), stalled()], 1500, None), [None; 2]);
     assert_eq!(
         reasons(&[stalled(), stalled()], 2200, None),
         [Some(RescheduleReason::Stalled); 2]
     );
-    // A single run must be stalled for longer, and one of several says nothing.
+    // A single run must be stalled for longer, and one stalled run of several is no evidence.
     assert_eq!(reasons(&[stalled()], 2200, None), [None]);
     assert_eq!(
         reasons(&[stalled()], 3700, None),
@@ -82,7 +83,7 @@
         long_running: true,
         ..run(&[(0, 0)])
     };
-    // Its own work is done, and it waits for the end of the others.
+    // The run has done its own work and waits for the other members to end.
     let done = run(&[(0, 0), (900, 1000)]);
     assert_eq!(
         reasons(&[awaits_gang, long_running, done], 60_000, None),
@@ -91,14 +92,14 @@
 }
 
 #[test]
-fn on_a_slow_worker_runs_are_moved_where_that_pays() {
+fn runs_on_a_slow_worker_are_moved_if_they_end_sooner_elsewhere() {
     let slow = || run(&steps(4, 20));
     assert_eq!(
         reasons(&[slow(), slow(), slow()], 1900, None),
         [Some(RescheduleReason::Slow); 3]
     );
     assert_eq!(reasons(&[slow(), slow()], 1900, None), [None; 2], "too few");
-    // Near its end a run is left alone, and a copy may race one that repeats.
+    // A run that is nearly complete is not moved, and a repeatable task can get a speculative copy instead.
     let late: Vec<(u64, u32)> = (0..20).map(|i| (i * 100, 850 + (i * 4) as u32)).collect();
     let repeatable = ObservedRun {
         may_repeat: true,
@@ -138,7 +139,7 @@
         reasons(&[half()], 2000, Some(1500)),
         [Some(RescheduleReason::WorkerLeaving)]
     );
-    // By the estimate, where no progress was reported yet.
+    // Without reported progress the estimate is used.
     assert_eq!(
         reasons(&[run(&[(0, 0)])], 0, Some(2000)),
         [Some(RescheduleReason::WorkerLeaving)]
@@ -154,8 +155,8 @@
 }
 
 #[test]
-fn work_away_from_its_data_does_not_blame_its_worker() {
-    // At a third of the estimated rate, as far from its data as it takes three times as long.
+fn slow_remote_runs_are_not_blamed_on_their_worker() {
+    // A third of the estimated rate: it takes three times as long because it is far from its data.
     let remote = || ObservedRun {
         is_remote: true,
         ..run(&steps(8, 30))
@@ -164,12 +165,12 @@
         reasons(&[remote(), remote(), remote()], 2900, None),
         [None; 3]
     );
-    // Beside runs that are near their data and as slow, these are moved.
+    // Slow runs that are near their data are moved; the remote one is not.
     let near = || run(&steps(2, 30));
     let mixed = reasons(&[near(), near(), near(), remote()], 2900, None);
     assert_eq!(mixed[3], None);
     assert_eq!(mixed[..3], [Some(RescheduleReason::Slow); 3]);
-    // What makes no progress at all is stalled wherever it runs.
+    // A run without any progress is stalled wherever it runs.
     let stalled = || ObservedRun {
         is_remote: true,
         ..run(&[(0, 0), (100, 10)])
--- a/landingdrift/tests/watch_identity.rs
+++ b/landingdrift/tests/watch_identity.rs
@@ -1,4 +1,5 @@
-//! What a replica sends is for one process and one copy of the cluster state: another one takes nothing of it.
+//! A batch of the watch is for one process and one copy of the cluster state. It must not be applied to another copy,
+//! or make a copy fresh on behalf of another process.
 
 mod node_harness;
 mod replicas;
@@ -11,10 +12,10 @@
 use replicas::{TestCluster, NODE};
 use serde_json::json;
 
-/// After so many milliseconds without a batch no copy is fresh.
+/// Time without a batch after which no copy is fresh, in milliseconds.
 const STALE_MS: u64 = 5000;
 
-/// A node asks at least this often.
+/// Longest interval between watch requests of a node, in milliseconds.
 const REQUEST_INTERVAL_MS: u64 = 150;
 
 fn receive(harness: &mut NodeHarness, batch: WatchBatch) -> Vec<Effect> {
@@ -59,13 +60,13 @@
 }
 
 #[test]
-fn a_batch_for_an_earlier_process_makes_no_copy_fresh() {
+fn a_batch_for_an_earlier_process_does_not_make_a_copy_fresh() {
     let mut harness = NodeHarness::new();
     harness.follow();
     let own = next_request(&mut harness).incarnation;
     harness.elapsed_ms += STALE_MS;
     assert!(own > 0 && !is_ready(&harness));
-    // The earlier process had run for long: by this one's clock its requests lie in the future.
+    // The earlier process had run for a long time, so by this process's clock its requests lie in the future.
     let for_earlier = WatchBatch {
         incarnation: own ^ 1,
         sent: 900_000_000,
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_light_copy_is_not_moved_past_entries_that_it_lacks() {
+fn a_light_copy_does_not_skip_missing_entries() {
     let mut harness = NodeHarness::new();
     harness.follow_light();
     let index = harness.state.applied_index;
@@ -98,7 +99,7 @@
     };
     harness.append(second.clone());
     let second_entry = last_entry(&harness, &second);
-    // It continues the copy of an earlier process, which had the first entry.
+    // The batch continues the copy of an earlier process, which already had the first entry.
     let for_another_copy = WatchBatch {
         entries: vec![second_entry.clone()],
         follows: index + 1,
@@ -117,12 +118,12 @@
 }
 
 #[test]
-fn a_change_that_was_refused_is_in_force_on_no_light_copy() {
+fn a_rejected_change_does_not_come_into_force_on_a_light_copy() {
     let mut harness = NodeHarness::new();
     harness.accept("j", 1);
     harness.follow_light();
     let index = harness.state.applied_index;
-    // Refused, since the queue holds a job: of that a light copy knows nothing.
+    // Rejected because the queue has a job, which a light copy does not know.
     let refused = patch(1, json!({"queues": {"q": null}}));
     let result = harness
         .state
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn a_replica_says_for_which_process_and_copy_a_batch_is() {
+fn a_batch_names_the_process_and_copy_that_it_is_for() {
     let mut cores = TestCluster::start(Limits::default());
     assert!(cores.run_until(5000, |cores| cores.leader().is_some()));
     cores.commit_change(10);
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn what_was_sent_to_an_earlier_process_is_not_in_flight_to_its_successor() {
+fn batches_sent_to_an_earlier_process_are_not_in_flight_to_its_successor() {
     let (mut cores, applied) = TestCluster::start_with_node();
     let with_entries = |cores: &TestCluster| {
         let batches = cores.batches(NODE);
@@ -187,6 +188,9 @@
     let sent = ask(&mut cores, 1);
     assert!(sent > before);
 
-    assert_eq!(ask(&mut cores, 1), sent, "it is on its way");
-    assert!(ask(&mut cores, 2) > sent, "the successor has got nothing");
+    assert_eq!(ask(&mut cores, 1), sent, "the entries are in flight");
+    assert!(
+        ask(&mut cores, 2) > sent,
+        "the successor has received nothing"
+    );
 }
--- a/landingdrift/tests/worker_proxy.rs
+++ b/landingdrift/tests/worker_proxy.rs
@@ -1,4 +1,4 @@
-//! The worker proxy forwards a worker's calls; each test drives one by its messages.
+//! The worker proxy, which forwards a worker's calls. Each test drives a proxy by messages.
 
 use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
 use landingdrift::settings::Settings;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_node_that_answered_is_called_first_the_next_time() {
+fn the_next_call_goes_first_to_the_node_that_last_answered_as_holder() {
     let mut proxy = worker_proxy();
     let (to, token) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
     let response = response_among(&step(
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn after_a_refusal_another_node_is_called() {
+fn after_a_rejection_another_node_is_called() {
     let mut proxy = worker_proxy();
     let (first, token) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
     step(&mut proxy, 12, response_from(&first, token, 503, &first));
@@ -99,12 +99,12 @@
     assert_eq!(next[0].0, "10.0.0.5:1");
     assert_eq!(next[0].1.number, token.number, "the same call");
     let (holder, token) = next[0].clone();
-    // A holder that can't act for the zone names no other, and is not called again at once.
+    // A holder that can't act for the zone now names no other node, and is not called again at once.
     let refusal = response_from(&holder, token, 503, &holder);
     assert_eq!(forwarded(&step(&mut proxy, 14, refusal)), []);
 }
 
-/// The responses, with their times, while no node answers for a second and a half.
+/// The responses and their times in 1.5 s during which no node answers.
 fn without_nodes(query: &str) -> Vec<(u64, Response)> {
     let mut proxy = worker_proxy();
     step(&mut proxy, 1, heartbeat(query));
@@ -117,14 +117,14 @@
 }
 
 #[test]
-fn an_unanswered_heartbeat_gets_a_response_before_its_worker_gives_up() {
+fn an_unanswered_heartbeat_gets_a_response_before_its_worker_times_out() {
     let responses = without_nodes("");
     assert_eq!(responses.len(), 1);
     let (at, response) = &responses[0];
     assert!(*at < 1000, "a worker drops responses after a second");
     assert_eq!(
         response.status, 200,
-        "a refusal makes it wait longer each time"
+        "a worker backs off after an error response"
     );
     assert!(response.body["beatMs"].as_u64().is_some_and(|ms| ms > 0));
     let acknowledgements = ["holdMs", "epoch", "settledTo"];
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_response_counts_only_for_its_own_attempt_and_from_its_own_node() {
+fn a_response_is_accepted_only_for_its_attempt_and_from_the_node_asked() {
     let mut proxy = worker_proxy();
     let (to, first) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
     let stranger = response_from("10.0.0.8:1", first, 200, "");
@@ -160,7 +160,7 @@
     );
     assert!(response_among(&step(&mut proxy, 13, response_from(&to, first, 200, &to))).is_some());
     let (_, second) = forwarded(&step(&mut proxy, 160, heartbeat("")))[0].clone();
-    // The response to the earlier heartbeat arrives again: it is none to the open one.
+    // A duplicate of the response to the earlier heartbeat does not answer the open one.
     assert_eq!(
         response_among(&step(&mut proxy, 161, response_from(&to, first, 200, &to))),
         None
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_response_after_the_call_was_given_up_is_dropped() {
+fn a_response_after_the_call_timed_out_is_dropped() {
     let mut proxy = worker_proxy();
     let (to, token) = forwarded(&step(&mut proxy, 1, heartbeat("")))[0].clone();
     let response = (20..1500)
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_is_sent_once_and_unsure_without_a_response() {
+fn an_unrepeatable_call_is_sent_once_and_ends_as_unsure_without_a_response() {
     let mut proxy = worker_proxy();
     let mut effects = step(&mut proxy, 1, evacuation());
     for t in (20..3000).step_by(20) {
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_goes_to_another_node_after_a_clear_refusal() {
+fn an_unrepeatable_call_goes_to_another_node_after_a_rejection() {
     let mut proxy = worker_proxy();
     let (first, token) = forwarded(&step(&mut proxy, 1, evacuation()))[0].clone();
     step(&mut proxy, 5, response_from(&first, token, 503, &first));
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_rejection_is_not_final_while_the_call_may_have_its_effect_at_another_node() {
+fn a_client_error_is_not_final_while_the_call_may_have_an_effect_at_another_node() {
     let mut proxy = worker_proxy();
     let request = Request {
         method: "PUT".into(),
--- a/landingdrift/tests/zone_offers.rs
+++ b/landingdrift/tests/zone_offers.rs
@@ -1,4 +1,4 @@
-//! Offers of zone schedulers, and the starts that schedulers propose: each test drives one node by its messages.
+//! Offers of zone schedulers, and the starts that schedulers propose. Each test drives a node by messages.
 
 mod node_harness;
 
@@ -11,7 +11,7 @@
 use node_harness::{NodeHarness, REPLICA};
 
 #[test]
-fn when_a_zone_lease_has_a_new_holder_reservations_are_placed_again_at_once() {
+fn reservations_are_placed_again_at_once_with_a_new_zone_lease_holder() {
     let mut harness = NodeHarness::new();
     let other = "10.0.0.3:1";
     harness.register_node(other, other);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_offer_is_answered_by_the_scheduler_that_it_was_made_to_and_once() {
+fn an_offer_is_answered_only_by_the_scheduler_that_was_asked_and_once() {
     let (scheduler, stranger) = ("10.0.0.3:1", "10.0.0.9:1");
     let mut harness = NodeHarness::new();
     harness.register_node(scheduler, scheduler);
@@ -131,7 +131,7 @@
     assert_eq!(count("responses_to_another_incarnation"), Some(1));
 }
 
-/// The starts that were proposed, each with the replica and the token.
+/// The proposed starts, each with the replica that it was sent to and its token.
 fn start_proposals(effects: Vec<Effect>) -> Vec<(String, RequestToken)> {
     let sent = effects.into_iter().filter_map(|effect| match effect {
         Effect::Send(to, Body::ProposeRequest(request)) => Some((to, *request)),
@@ -148,7 +148,7 @@
 }
 
 impl NodeHarness {
-    /// Lets time pass while the node follows the watch; returns the starts that it proposes.
+    /// Lets time pass while the node follows the watch; returns the proposed starts.
     fn starts_during(&mut self, ms: u64) -> Vec<(String, RequestToken)> {
         let mut all = Vec::new();
         for _ in 0..ms / 20 {
@@ -160,7 +160,7 @@
         all
     }
 
-    /// A replica rejects a proposal because it does not lead; returns the starts that are proposed because of it.
+    /// Delivers a rejection by a replica that is not the leader; returns the starts proposed in reaction.
     fn reject(&mut self, from: &str, token: RequestToken) -> Vec<(String, RequestToken)> {
         let response = ProposeResponse {
             token,
@@ -188,7 +188,7 @@
     let second = harness.starts_during(100);
     assert_eq!(second.len(), 1, "it was rejected: it is sent again");
     assert_eq!(second[0].1.number, token.number);
-    // The first rejection arrives again, and says nothing about the second attempt.
+    // A duplicate of the first rejection does not apply to the second attempt.
     harness.reject(&replica, token);
     assert_eq!(
         harness.starts_during(800),
--- a/landingdrift/tests/zone_scheduler.rs
+++ b/landingdrift/tests/zone_scheduler.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and lease expiry in the zone scheduler: each test drives one node by its messages.
+//! Heartbeats and lease expiry in the zone scheduler. Each test drives a node by messages.
 
 mod node_harness;
 
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 #[test]
-fn a_stopped_attempt_that_no_later_heartbeat_reports_was_never_started() {
+fn a_stopped_attempt_missing_from_a_later_heartbeat_was_never_started() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     let (response, _) = harness.heartbeat(1, false);
@@ -18,7 +18,7 @@
     assert_eq!(starts[0]["task"], json!("0.0.0"), "the order is sent");
     harness.append(Command::CancelJob { job: "j".into() });
     harness.follow();
-    // The same heartbeat again, by another route: the response with the order may still arrive.
+    // A duplicate of the same heartbeat: the response with the order may still arrive.
     assert_eq!(never_started(&harness.heartbeat(1, false).1), []);
     // The next heartbeat shows that the response was dropped.
     assert_eq!(never_started(&harness.heartbeat(2, false).1).len(), 1);
@@ -45,13 +45,13 @@
     harness.start_job();
     harness.append(Command::CancelJob { job: "j".into() });
     harness.follow();
-    // Its predecessor may have sent the order with the response to this very heartbeat.
+    // The previous holder may have sent the order in its response to this heartbeat.
     assert_eq!(never_started(&harness.heartbeat(7, false).1), []);
     assert_eq!(never_started(&harness.heartbeat(8, false).1).len(), 1);
 }
 
 #[test]
-fn a_silent_workers_attempts_expire_when_its_lease_has_certainly_expired_and_not_before() {
+fn attempts_of_an_unresponsive_worker_expire_only_when_its_lease_has_certainly_expired() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     harness.heartbeat(1, true);
@@ -67,7 +67,7 @@
         harness.follow();
         let now = harness.now();
         let (_, proposed) = response_and_proposals(harness.node.step(now, Msg::Tick));
-        // The proposal is sent again until a replica answers; the first one counts.
+        // The proposal is sent again until a replica answers; only the first one is applied.
         let first = expired.is_empty();
         for command in proposed.into_iter().filter(|_| first) {
             if let Command::ExpireAttempts { worker, .. } = &command {
@@ -78,7 +78,7 @@
         }
     }
     assert_eq!(expired.len(), 1, "{expired:?}");
-    // 6,000 ms by a clock that runs 2 % slow are 6,123.
+    // A lease of 6,000 ms lasts 6,123 ms by a clock that runs 2 % slow.
     assert!((6123..6400).contains(&expired[0].0), "{expired:?}");
     let task = &harness.state.jobs["j"].tasks[0];
     assert_eq!(task.failures, 0);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_heartbeat_at_another_node_is_answered_with_the_holder_of_the_zone_lease() {
+fn a_heartbeat_at_the_wrong_node_is_answered_with_the_holder_of_the_zone_lease() {
     let mut harness = NodeHarness::new();
     let other = "10.0.0.3:1";
     harness.register_node(other, other);
@@ -125,12 +125,12 @@
 }
 
 #[test]
-fn while_it_is_unknown_whether_attempts_have_expired_no_lease_is_renewed() {
+fn no_lease_is_renewed_while_the_result_of_an_expiry_is_unknown() {
     let mut harness = NodeHarness::new();
     harness.start_job();
     harness.heartbeat(1, true);
     let mut proposed = Vec::new();
-    // No replica answers, and in the end the proposal is given up: it may still be applied.
+    // No replica answers, and the proposal times out; it may still be applied.
     for t in (20..12_000).step_by(20) {
         harness.elapsed_ms = t;
         harness.follow();
