--- a/landingdrift/tests/responses.rs
+++ b/landingdrift/tests/responses.rs
@@ -117,7 +117,7 @@
 }
 
 /// The responses to the caller: status and body.
-fn responses_to_caller(effects: &[Effect]) -> Vec<(u16, serde_json::Value)> {
+fn answers(effects: &[Effect]) -> Vec<(u16, serde_json::Value)> {
     let answers = effects.iter().filter_map(|e| match e {
         Effect::Answer(7, v) => Some((v.status, v.body.clone())),
         _ => None,
@@ -184,22 +184,16 @@
 fn a_forwarded_call_is_answered_only_by_the_node_that_was_asked_and_once() {
     let mut d = TestNode::new();
     let token = d.heartbeat();
+    assert_eq!(answers(&d.receive(STRANGER, forward_response(token))), []);
     assert_eq!(
-        responses_to_caller(&d.receive(STRANGER, forward_response(token))),
+        answers(&d.receive(HOLDER, forward_response(of_another_incarnation(token)))),
         []
     );
     assert_eq!(
-        responses_to_caller(&d.receive(HOLDER, forward_response(of_another_incarnation(token)))),
-        []
-    );
-    assert_eq!(
-        responses_to_caller(&d.receive(HOLDER, forward_response(token))).len(),
+        answers(&d.receive(HOLDER, forward_response(token))).len(),
         1
     );
-    assert_eq!(
-        responses_to_caller(&d.receive(HOLDER, forward_response(token))),
-        []
-    );
+    assert_eq!(answers(&d.receive(HOLDER, forward_response(token))), []);
 }
 
 #[test]
@@ -207,50 +201,39 @@
     let mut d = TestNode::new();
     let token = read_token(&d.call("GET", "/v1/desired", ""));
     assert_eq!(
-        responses_to_caller(&d.receive(STRANGER, read_index_response(token))),
+        answers(&d.receive(STRANGER, read_index_response(token))),
         []
     );
     assert_eq!(
-        responses_to_caller(
-            &d.receive(REPLICA, read_index_response(of_another_incarnation(token)))
-        ),
+        answers(&d.receive(REPLICA, read_index_response(of_another_incarnation(token)))),
         []
     );
     assert_eq!(
-        responses_to_caller(&d.receive(REPLICA, forward_response(token))),
+        answers(&d.receive(REPLICA, forward_response(token))),
         [],
         "another kind"
     );
     assert_eq!(
-        responses_to_caller(&d.receive(REPLICA, read_index_response(token))).len(),
+        answers(&d.receive(REPLICA, read_index_response(token))).len(),
         1
     );
-    assert_eq!(
-        responses_to_caller(&d.receive(REPLICA, read_index_response(token))),
-        []
-    );
+    assert_eq!(answers(&d.receive(REPLICA, read_index_response(token))), []);
 }
 
 #[test]
 fn a_proposal_is_answered_only_by_a_replica_that_was_asked_and_once() {
     let mut d = TestNode::new();
     let token = proposal_token(&d.call("PUT", "/v1/zones/z/empty", ""));
+    assert_eq!(answers(&d.receive(STRANGER, propose_response(token))), []);
     assert_eq!(
-        responses_to_caller(&d.receive(STRANGER, propose_response(token))),
-        []
-    );
-    assert_eq!(
-        responses_to_caller(&d.receive(REPLICA, propose_response(of_another_incarnation(token)))),
+        answers(&d.receive(REPLICA, propose_response(of_another_incarnation(token)))),
         []
     );
     assert_eq!(
-        responses_to_caller(&d.receive(REPLICA, propose_response(token))).len(),
+        answers(&d.receive(REPLICA, propose_response(token))).len(),
         1
     );
-    assert_eq!(
-        responses_to_caller(&d.receive(REPLICA, propose_response(token))),
-        []
-    );
+    assert_eq!(answers(&d.receive(REPLICA, propose_response(token))), []);
 }
 
 #[test]
@@ -262,10 +245,10 @@
     };
     answer.response = b"{".to_vec();
     assert_eq!(
-        responses_to_caller(&d.receive(REPLICA, Body::ProposeResponse(answer))),
+        answers(&d.receive(REPLICA, Body::ProposeResponse(answer))),
         []
     );
-    let responses = responses_to_caller(&d.pass_time(6000));
+    let responses = answers(&d.pass_time(6000));
     assert_eq!(responses.len(), 1);
     assert_eq!(responses[0].1["error"], json!("unsure"));
 }
@@ -276,12 +259,12 @@
     let token = d.heartbeat();
     let effects = d.pass_time(6000);
     assert_eq!(forwards(&effects), [], "it is sent once");
-    let responses = responses_to_caller(&effects);
+    let responses = answers(&effects);
     assert_eq!(responses.len(), 1);
     assert_eq!(responses[0].0, 503);
     assert_eq!(responses[0].1["error"], json!("unsure"));
     assert_eq!(
-        responses_to_caller(&d.receive(HOLDER, forward_response(token))),
+        answers(&d.receive(HOLDER, forward_response(token))),
         [],
         "too late"
     );
