--- a/landingdrift/src/node/calls/forward.rs
+++ b/landingdrift/src/node/calls/forward.rs
@@ -130,11 +130,11 @@
         let open_call = self.calls.open.get(&call);
         let forward = open_call.and_then(|open_call| open_call.forward.as_ref());
         let last = forward.and_then(|forward| forward.attempts.last());
-        let Some(silent) = last.filter(|attempt| !attempt.is_refused) else {
+        let Some(timed_out) = last.filter(|attempt| !attempt.is_refused) else {
             return;
         };
         let until = now.mono + self.settings.bounds.node_timeout();
-        let node = silent.to.clone();
+        let node = timed_out.to.clone();
         self.calls
             .unresponsive_nodes
             .mark_unresponsive(&node, until);
--- a/landingdrift/src/node/calls/forward_targets.rs
+++ b/landingdrift/src/node/calls/forward_targets.rs
@@ -37,7 +37,7 @@
     ) -> Option<String> {
         let mut fallback = Vec::new();
         for group in self.forward_target_groups() {
-            let (silent, answering): (Vec<String>, Vec<String>) = group
+            let (unresponsive, answering): (Vec<String>, Vec<String>) = group
                 .into_iter()
                 .filter(|node| *node != self.name && !node.is_empty())
                 .filter(|node| !attempts.iter().any(|attempt| attempt.to == *node))
@@ -45,7 +45,7 @@
             if let Some(picked) = self.rng.pick(&answering) {
                 return Some(picked.clone());
             }
-            fallback.extend(silent);
+            fallback.extend(unresponsive);
         }
         self.rng.pick(&fallback).cloned()
     }
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -75,9 +75,9 @@
         return None;
     }
     waiting.sort_by_key(|gang| (gang.waiting_since, &gang.job.spec.id));
-    let lasting = LongRunningUse::new(state);
+    let long_running_use = LongRunningUse::new(state);
     waiting.into_iter().find_map(|gang| {
-        let workers = claimed_workers(state, &lasting, gang.job, gang.leader)?;
+        let workers = claimed_workers(state, &long_running_use, gang.job, gang.leader)?;
         let job = gang.job.spec.id.clone();
         Some(Claim { job, workers })
     })
@@ -103,7 +103,7 @@
     }
 
     /// The resources of a worker that are not used by long-running tasks, and so are free or will become free.
-    fn left(&self, name: &str, worker: &Worker) -> Resources {
+    fn reclaimable(&self, name: &str, worker: &Worker) -> Resources {
         let used = self.0.get(name).copied().unwrap_or_default();
         worker.info.total_resources().minus(used)
     }
@@ -137,7 +137,7 @@
 /// Workers that a gang fits on beside the long-running tasks there; none if there are not enough.
 fn claimed_workers(
     state: &ClusterState,
-    lasting: &LongRunningUse,
+    long_running_use: &LongRunningUse,
     job: &Job,
     leader: u32,
 ) -> Option<BTreeSet<String>> {
@@ -162,7 +162,9 @@
                 let unclaimed = state.workers.iter().filter(|(name, worker)| {
                     !claimed.contains_key(name)
                         && is_eligible(name, worker)
-                        && lasting.left(name, worker).covers(spec.needs())
+                        && long_running_use
+                            .reclaimable(name, worker)
+                            .covers(spec.needs())
                 });
                 let largest =
                     unclaimed.max_by_key(|(name, worker)| (worker.info.cpu, Reverse(*name)));
@@ -170,7 +172,7 @@
             }
         };
         let worker = claimed.entry(chosen).or_insert_with(|| ClaimedWorker {
-            free: lasting.left(chosen, &state.workers[chosen]),
+            free: long_running_use.reclaimable(chosen, &state.workers[chosen]),
             members: 0,
         });
         worker.free = worker.free.minus(spec.needs());
--- a/landingdrift/src/node/watch/catch_up.rs
+++ b/landingdrift/src/node/watch/catch_up.rs
@@ -58,11 +58,11 @@
             return;
         }
         catch_up.next_report = now.mono + REPORT_INTERVAL_FRESH_BOUNDS * fresh_ms;
-        let silent_ms = now.mono.saturating_sub(catch_up.since);
+        let stale_ms = now.mono.saturating_sub(catch_up.since);
         let summary = catch_up.summary();
         let incoming = self.watch.incoming.identity();
         self.log(format!(
-            "no fresh copy of the cluster state for {silent_ms} ms: following '{}' from index {}, received {} of {} bytes of a snapshot at index {}; {summary}",
+            "no fresh copy of the cluster state for {stale_ms} ms: following '{}' from index {}, received {} of {} bytes of a snapshot at index {}; {summary}",
             self.watch.replica,
             self.state.applied_index,
             self.watch.incoming.received(),
--- a/landingdrift/src/node/watch/mod.rs
+++ b/landingdrift/src/node/watch/mod.rs
@@ -121,8 +121,8 @@
             heartbeat_ms / 2
         };
         self.watch.next_watch_request = now.mono + interval_ms;
-        let silent_for = now.mono.saturating_sub(self.watch.last_response_at);
-        if self.watch.replica.is_empty() || silent_for > self.response_timeout_ms(interval_ms) {
+        let since_response = now.mono.saturating_sub(self.watch.last_response_at);
+        if self.watch.replica.is_empty() || since_response > self.response_timeout_ms(interval_ms) {
             self.suspect_replica();
             self.switch_replica();
             self.watch.last_response_at = now.mono;
--- a/landingdrift/src/node/zone_scheduler/departure.rs
+++ b/landingdrift/src/node/zone_scheduler/departure.rs
@@ -51,12 +51,12 @@
         self.incarnation == incarnation && self.reported_at.is_some()
     }
 
-    /// Whether the worker has ended: its report was final, and no heartbeat has arrived for `silence_ms` since.
-    pub fn has_ended(&self, now: Now, last_heartbeat: u64, silence_ms: u64) -> bool {
+    /// Whether the worker has ended: its report was final, and no heartbeat has arrived for `timeout_ms` since.
+    pub fn has_ended(&self, now: Now, last_heartbeat: u64, timeout_ms: u64) -> bool {
         let Some(reported_at) = self.reported_at.filter(|_| self.is_final) else {
             return false;
         };
-        now.mono >= reported_at.max(last_heartbeat) + silence_ms
+        now.mono >= reported_at.max(last_heartbeat) + timeout_ms
     }
 
     /// The minimum remaining time of a worker whose report is not final, if workers stay for `leave_ms` after it.
--- a/landingdrift/src/node/zone_scheduler/lease_expiry.rs
+++ b/landingdrift/src/node/zone_scheduler/lease_expiry.rs
@@ -70,10 +70,10 @@
                         checkpoints: checkpoints.into_iter().collect(),
                     });
                 }
-                let silent_for = now.mono.saturating_sub(worker.last_heartbeat);
-                let is_silent = silent_for > bounds.worker_timeout();
+                let since_heartbeat = now.mono.saturating_sub(worker.last_heartbeat);
+                let is_unresponsive = since_heartbeat > bounds.worker_timeout();
                 let not_known_as_lost = known.is_some_and(|known| !known.lost);
-                if is_silent && not_known_as_lost && !worker.info_proposed {
+                if is_unresponsive && not_known_as_lost && !worker.info_proposed {
                     worker.info_proposed = true;
                     lost.push(LostWorker {
                         worker: name.clone(),
@@ -195,10 +195,10 @@
 impl WorkerState {
     /// Selects the worker's attempts for expiry if it has ended or its lease has expired.
     fn begin_expiry(&mut self, now: Now, bounds: &Bounds, known: &Worker) {
-        let silence_ms = bounds.max_start_order_age() / 2;
+        let timeout_ms = bounds.max_start_order_age() / 2;
         let has_left = self
             .departure
-            .has_ended(now, self.last_heartbeat, silence_ms);
+            .has_ended(now, self.last_heartbeat, timeout_ms);
         let expires_after = bounds.lease_expired_after();
         let unrenewed_for = now.mono.saturating_sub(self.lease_renewed_at);
         let lease_expired = expires_after > 0 && unrenewed_for > expires_after;
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -113,7 +113,7 @@
     /// Offers the slot of the current round to its next target, or ends the round.
     fn offer_next(&mut self, now: Now, zone: &str, worker: &str) {
         // Generated for every offer, needed or not, so that the sequence of random numbers stays the same.
-        let draw = self.rng.unit();
+        let sample = self.rng.unit();
         let resources = self.free_resources(now, zone, worker);
         let worker_incarnation = self.incarnation_of(worker);
         let Some(zone_scheduler) = self.zone_schedulers.get_mut(zone) else {
@@ -132,7 +132,7 @@
             return;
         }
         let hopper = &self.settings.hopper;
-        let Some(target) = next_target(&worker_state.reservations, round, hopper, draw) else {
+        let Some(target) = next_target(&worker_state.reservations, round, hopper, sample) else {
             worker_state.offer_round = None;
             return;
         };
--- a/landingdrift/src/node/zone_scheduler/targets.rs
+++ b/landingdrift/src/node/zone_scheduler/targets.rs
@@ -19,12 +19,12 @@
 
 /// Selects the next target of a slot: the smallest job first, then the one named in refusals, then one sampled by size.
 ///
-/// `draw` is a uniform random number in [0, 1).
+/// `sample` is a uniform random number in [0, 1).
 pub(super) fn next_target(
     reservations: &[Reservation],
     round: &OfferRound,
     hopper: &Hopper,
-    draw: f64,
+    sample: f64,
 ) -> Option<Target> {
     let mut unasked: Vec<&Reservation> = reservations
         .iter()
@@ -38,8 +38,8 @@
     if let Some(named) = &round.unsatisfied {
         return Some(target(&named.job, &named.scheduler, false));
     }
-    let drawn = sample_by_size(reservations, draw)?;
-    Some(target(&drawn.job, &drawn.scheduler, false))
+    let sampled = sample_by_size(reservations, sample)?;
+    Some(target(&sampled.job, &sampled.scheduler, false))
 }
 
 fn target(job: &str, scheduler: &str, refusable: bool) -> Target {
@@ -67,11 +67,11 @@
     local.unwrap_or(&sorted[0])
 }
 
-/// Samples a reservation with a probability proportional to its job's size; `draw` is uniform in [0, 1).
-fn sample_by_size(reservations: &[Reservation], draw: f64) -> Option<&Reservation> {
+/// Samples a reservation with a probability proportional to its job's size; `sample` is uniform in [0, 1).
+fn sample_by_size(reservations: &[Reservation], sample: f64) -> Option<&Reservation> {
     let weight = |reservation: &Reservation| reservation.size.max(MIN_WEIGHT);
     let sum: f64 = reservations.iter().map(weight).sum();
-    let mut left = draw * sum;
+    let mut left = sample * sum;
     for reservation in reservations {
         left -= weight(reservation);
         if left <= 0.0 {
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -90,9 +90,9 @@
                 .collect();
         }
         // If all were tried, try a seed again.
-        let drawn = self.rng.pick(&candidates);
-        let drawn = drawn.or_else(|| self.rng.pick(&self.settings.seeds));
-        drawn.cloned().unwrap_or_default()
+        let picked = self.rng.pick(&candidates);
+        let picked = picked.or_else(|| self.rng.pick(&self.settings.seeds));
+        picked.cloned().unwrap_or_default()
     }
 
     /// Forwards a call to a node that it was not sent to yet.
