--- a/landingdrift/tests/command_line.rs
+++ b/landingdrift/tests/command_line.rs
@@ -68,7 +68,7 @@
         ("[bounds]\ncancel_ms = \"x\"", "cancel_ms"),
         ("[bounds]\ncancel_ms = 10", "bounds.cancel_ms"),
         ("[hopper]\nepsilon = 2.0", "hopper.epsilon"),
-        ("zone = ", "wrong"),
+        ("zone = ", "invalid settings file"),
     ] {
         write(toml);
         let (code, output) = run_role("node", &["--check", "--settings", &file]);
