--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -213,7 +213,7 @@
     }
 
     /// Asks all parts to stop and keeps serving for a while, so that callers notice that the process is not ready any
-    /// more. Then refuses new calls, and returns once those in flight are answered or the grace period is over. Returns
+    /// more. Then rejects new calls, and returns once those in flight are answered or the grace period is over. Returns
     /// whether a control thread panicked.
     fn stop(&mut self) -> bool {
         let stop_requested_at = Instant::now();
@@ -226,7 +226,7 @@
             part.send(Msg::Stop);
         }
         sleep(serving_time.saturating_sub(stop_requested_at.elapsed()));
-        serving.refuse();
+        serving.reject_calls();
         while stop_requested_at.elapsed() + flush < deadline && self.is_busy(&serving) {
             sleep(POLL_INTERVAL);
         }
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -104,7 +104,7 @@
         .launch()
         .await;
     let error = ended.map_or_else(|error| error.to_string(), |_| "it was shut down".into());
-    if launched.try_send(Err(error.clone())).is_err() && !serving.is_refusing() {
+    if launched.try_send(Err(error.clone())).is_err() && !serving.is_rejecting() {
         log::error!("the HTTP server at {addr} ended: {error}; the process exits, restart it");
         std::process::exit(1);
     }
--- a/landingdrift/src/daemon/traffic/http/request_handler.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -68,7 +68,7 @@
 
     /// Passes a request to the control thread and waits for its response.
     async fn call(&self, request: crate::sans_io::Request) -> Response {
-        if self.serving.is_refusing() || self.calls.is_closed() {
+        if self.serving.is_rejecting() || self.calls.is_closed() {
             return shutting_down();
         }
         let mut pending = self.calls.open();
--- a/landingdrift/src/daemon/traffic/http/serving.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -16,7 +16,7 @@
     /// Calls are served, and each response closes its connection.
     Leaving,
     /// New calls are rejected at once, and no connection is accepted any more.
-    Refusing,
+    Rejecting,
 }
 
 /// The serving state that all HTTP addresses of a process share.
@@ -46,8 +46,8 @@
     }
 
     /// Rejects calls and stops accepting connections from now on.
-    pub fn refuse(&self) {
-        self.advance(ServingPhase::Refusing);
+    pub fn reject_calls(&self) {
+        self.advance(ServingPhase::Rejecting);
         let mut servers = self.servers();
         for server in servers.drain(..) {
             server.notify();
@@ -65,13 +65,13 @@
     }
 
     /// Whether new calls are rejected.
-    pub fn is_refusing(&self) -> bool {
-        self.reached(ServingPhase::Refusing)
+    pub fn is_rejecting(&self) -> bool {
+        self.reached(ServingPhase::Rejecting)
     }
 
-    /// Registers a server, which stops listening in the refusing phase.
+    /// Registers a server, which stops listening in the rejecting phase.
     pub(super) fn add(&self, server: Shutdown) {
-        if self.is_refusing() {
+        if self.is_rejecting() {
             server.notify();
         } else {
             self.servers().push(server);
--- a/landingdrift/src/operator/change.rs
+++ b/landingdrift/src/operator/change.rs
@@ -56,7 +56,7 @@
             return Ok(status);
         }
         if start.elapsed() > Duration::from_secs(timeout_s) {
-            return Err(ClientError::Refused {
+            return Err(ClientError::Rejected {
                 status: 504,
                 body: json!({"message": format!("not finished after {timeout_s} s, but it continues: check later with 'status'; {status}")}),
             });
--- a/landingdrift/src/operator/client.rs
+++ b/landingdrift/src/operator/client.rs
@@ -29,7 +29,7 @@
         error: String,
     },
     /// A node rejected the request.
-    Refused {
+    Rejected {
         /// The HTTP status code.
         status: u16,
         /// The body of the response, with the error and a message.
@@ -60,8 +60,8 @@
             Self::Usage(_) => 2,
             Self::Unreachable { .. } => 3,
             Self::Halted { .. } => 5,
-            Self::Refused { status: 409, .. } => 4,
-            Self::Refused { .. } => 1,
+            Self::Rejected { status: 409, .. } => 4,
+            Self::Rejected { .. } => 1,
             Self::OutcomeUnknown { .. } => 6,
         }
     }
@@ -77,7 +77,7 @@
                 formatter,
                 "roll-out halted at stage '{stage}': {reason}; the previous configuration is in force again as version {version}; check 'status' before the next roll-out"
             ),
-            Self::Refused { status, body } => write!(formatter, "request rejected with status {status}: {}", body["message"].as_str().unwrap_or(&body.to_string())),
+            Self::Rejected { status, body } => write!(formatter, "request rejected with status {status}: {}", body["message"].as_str().unwrap_or(&body.to_string())),
         }
     }
 }
@@ -130,8 +130,8 @@
             for node in &self.nodes {
                 match outcome(self.send(&method, node, path, body, is_repeatable)) {
                     Outcome::Done(body) => return Ok(body),
-                    Outcome::Refused { status, body } => {
-                        return Err(ClientError::Refused { status, body })
+                    Outcome::Rejected { status, body } => {
+                        return Err(ClientError::Rejected { status, body })
                     }
                     Outcome::Unknown(error) if !is_repeatable => {
                         let node = node.clone();
@@ -195,7 +195,7 @@
 /// The outcome of a single request.
 enum Outcome {
     Done(Value),
-    Refused {
+    Rejected {
         status: u16,
         body: Value,
     },
@@ -227,7 +227,7 @@
             Outcome::Unknown("the response was incomplete or not JSON".into())
         }
         (503, Some(body)) => unavailable(&body),
-        (_, body) => Outcome::Refused {
+        (_, body) => Outcome::Rejected {
             status,
             body: body.unwrap_or_default(),
         },
--- a/landingdrift/src/operator/zones.rs
+++ b/landingdrift/src/operator/zones.rs
@@ -39,7 +39,7 @@
         };
         let base = current["version"].as_u64().unwrap_or(0);
         match client.call("PATCH", &change_path(base, &new_change_id()), Some(&patch)) {
-            Err(ClientError::Refused { status: 409, .. }) if retries < MAX_CONFLICT_RETRIES => {
+            Err(ClientError::Rejected { status: 409, .. }) if retries < MAX_CONFLICT_RETRIES => {
                 retries += 1;
             }
             other => return other,
--- a/landingdrift/tests/control_client.rs
+++ b/landingdrift/tests/control_client.rs
@@ -169,7 +169,7 @@
     assert_eq!(change.expect("answered"), json!({"done": 1}));
     for (method, path) in [("DELETE", "/v1/jobs/j"), ("PUT", "/v1/desired?base=1")] {
         let result = client.call(method, path, None);
-        let is_rejected = matches!(result, Err(ClientError::Refused { status: 307, .. }));
+        let is_rejected = matches!(result, Err(ClientError::Rejected { status: 307, .. }));
         assert!(is_rejected, "{method} {path}: {result:?}");
     }
 }
