--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -41,7 +41,7 @@
 /// Prefix of the name of a zone scheduler's lease; the zone follows.
 const ZONE_LEASE_PREFIX: &str = "cell/";
 
-/// The epoch of a lease that is granted for the first time and so has no previous holder.
+/// The epoch of the very first lease that a cluster grants, which has no previous holder. Epochs are cluster-wide.
 const FIRST_EPOCH: u64 = 1;
 
 /// The zone that a lease is for; none for the leases of queues.
