--- a/landingdrift/src/consensus/append.rs
+++ b/landingdrift/src/consensus/append.rs
@@ -26,20 +26,20 @@
         self.shutdown.leave_permitted = request.may_leave;
         self.remember_witnesses(request.witnesses);
 
-        let takes_writes = self.disk_health.takes_writes();
+        let accepts_writes = self.disk_health.accepts_writes();
         let previous_matches = request.prev_index < self.log.base().index
             || self.log.term_at(request.prev_index) == Some(request.prev_term);
-        // If the logs do not match, the response names the index at which they differ.
+        // If the logs do not match, the response states `prev_index`, the index at which the check failed.
         let mut matched = request.prev_index;
         if previous_matches {
-            if takes_writes {
+            if accepts_writes {
                 matched = self.append_entries(request.entries).unwrap_or(matched);
             }
             self.log.verified_index = self.log.verified_index.max(matched);
             let committed = request.commit.min(matched);
             self.log.commit_index = self.log.commit_index.max(committed);
             self.apply_committed();
-            self.try_leave_recovery_floor();
+            self.try_clear_recovery_floor();
         }
         self.flush();
         if previous_matches {
@@ -95,7 +95,7 @@
         self.send(from, Body::AppendResponse(Box::new(response)));
     }
 
-    /// Notifies the leader of entries that have become durable since its last request.
+    /// Acknowledges to the leader the entries that have become durable since its last request.
     pub(super) fn acknowledge_durable(&mut self) {
         let Some(pending) = self.pending_acknowledgement.clone() else {
             return;
@@ -116,7 +116,7 @@
         self.send_when_term_durable(&pending.leader, Body::AppendResponse(Box::new(response)));
     }
 
-    /// The fields that all append responses of this replica have in common.
+    /// An append response with the fields that do not depend on the request; the caller sets the others.
     fn append_response(&self, reading: ClockReading) -> AppendResponse {
         AppendResponse {
             term: self.hard_state.term,
@@ -128,7 +128,7 @@
             carried: reading.is_agreed,
             disk: self.disk,
             leaving: self.shutdown.is_requested(),
-            refuses: !self.disk_health.takes_writes(),
+            refuses: !self.disk_health.accepts_writes(),
         }
     }
 }
--- a/landingdrift/src/consensus/client_requests.rs
+++ b/landingdrift/src/consensus/client_requests.rs
@@ -9,7 +9,7 @@
     PROPOSAL_APPLIED, PROPOSAL_NOT_APPENDED, PROPOSAL_NO_CAPACITY,
 };
 
-/// The node to answer once a proposal is applied.
+/// A proposal that was appended to the log; the node that made it is answered once it is applied.
 #[derive(Clone, Debug)]
 pub(super) struct PendingProposal {
     pub from: String,
@@ -23,11 +23,13 @@
     token: RequestToken,
     /// The time of arrival, in monotonic milliseconds.
     received_at: u64,
+    /// The commit index at that time.
     index: u64,
 }
 
 impl Replica {
-    /// The replica that a node should ask instead; empty if this replica leads but can't answer yet.
+    /// The address of the replica that a node should ask instead; empty if this replica leads itself, but can't answer
+    /// yet, or knows no leader.
     fn leader_hint(&self) -> String {
         if self.role == Role::Leader {
             String::new()
@@ -42,7 +44,7 @@
             self.count("proposals_unexpected", 1);
             return;
         }
-        let accepts = self.is_ready_to_lead()
+        let accepts = self.is_ready_leader()
             && !self.is_transferring_leadership(now)
             && self.accepts_proposals(now);
         if !accepts {
@@ -67,7 +69,7 @@
         self.leadership.round_requested = true;
     }
 
-    /// Tells the proposer that its proposal was not appended, and why.
+    /// Answers a proposal that was not appended; `outcome` states the reason.
     fn reject_proposal(&mut self, from: &str, token: RequestToken, outcome: u8) {
         let response = ProposeResponse {
             token,
@@ -106,10 +108,10 @@
         self.take_snapshot_when_due();
     }
 
-    /// Handles a request for a read index: a state that has applied this index reflects every change acknowledged
-    /// before the request.
+    /// Handles a request for a read index. A node that has applied the entries up to the returned index sees every
+    /// change acknowledged before the request.
     pub(super) fn on_read_index_request(&mut self, now: Now, from: &str, token: RequestToken) {
-        if !self.is_ready_to_lead() {
+        if !self.is_ready_leader() {
             let response = ReadIndexResponse {
                 token,
                 ok: false,
--- a/landingdrift/src/consensus/clock.rs
+++ b/landingdrift/src/consensus/clock.rs
@@ -3,18 +3,19 @@
 use crate::sans_io::Now;
 use std::collections::BTreeMap;
 
-/// With this many clock readings the replicas agree on a time at once.
+/// The number of clock readings, including the leader's own, with which the leader sets the time without waiting for
+/// more.
 const MIN_READINGS: usize = 5;
-/// The readings that suffice once the wait for more has ended.
+/// The number of clock readings that suffice once the leader has waited for more.
 const MIN_READINGS_AFTER_WAIT: usize = 2;
 
-/// The time at a process, and whether it derives from the agreed time.
+/// The time according to a process, and whether it derives from the agreed time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
     /// Milliseconds since 1970.
     pub time: u64,
-    /// The process has received the agreed time since it started and extrapolates it by its monotonic clock. Otherwise
-    /// `time` is the wall clock of its machine.
+    /// Whether `time` is the agreed time, received after the process started and extrapolated by its monotonic clock.
+    /// Otherwise `time` is the wall clock of the machine.
     pub is_agreed: bool,
 }
 
@@ -92,8 +93,9 @@
         }
     }
 
-    /// Sets the agreed time if there is none: the agreed time of another process, else the lower median of the wall
-    /// clocks, once there are `MIN_READINGS` or, after `wait_ms`, `MIN_READINGS_AFTER_WAIT`.
+    /// Sets the agreed time if there is none: to the lower median of the agreed times of other processes or, if no
+    /// process has one, of the wall clocks. The latter requires `MIN_READINGS` readings or, after `wait_ms`,
+    /// `MIN_READINGS_AFTER_WAIT`.
     pub fn agree_if_possible(&mut self, now: Now, wait_ms: u64) {
         if self.base.is_some() {
             return;
--- a/landingdrift/src/consensus/disk_health.rs
+++ b/landingdrift/src/consensus/disk_health.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
-/// Election timeouts after which an unconfirmed write makes the disk count as stalled.
+/// The disk is considered stalled when a write has been unconfirmed for this many election timeouts.
 const STALL_ELECTION_TIMEOUTS: u64 = 2;
 
 /// Whether the disk accepts and confirms writes.
@@ -40,20 +40,21 @@
     submitted_at: u64,
 }
 
-/// The condition of a replica's disk. It counts as sound again only once it has confirmed a write. Times are monotonic
-/// milliseconds.
+/// The condition of a replica's disk. After a failure, the disk is considered sound again only once it has confirmed a
+/// write. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DiskHealth {
     condition: Condition,
     /// The time at which the disk entered this condition.
     since: u64,
+    /// The error that led to this condition; empty while the disk is sound.
     reason: String,
     unconfirmed: VecDeque<UnconfirmedWrite>,
 }
 
 impl DiskHealth {
     /// Whether the disk accepts writes, so that the replica may lead, vote and accept entries.
-    pub fn takes_writes(&self) -> bool {
+    pub fn accepts_writes(&self) -> bool {
         self.condition == Condition::Sound
     }
 
@@ -69,7 +70,7 @@
     /// in milliseconds.
     pub fn record_confirmed(&mut self, at: u64, write_id: u64) -> Option<u64> {
         self.unconfirmed.retain(|write| write.write_id > write_id);
-        if self.takes_writes() {
+        if self.accepts_writes() {
             return None;
         }
         let unusable_ms = at.saturating_sub(self.since);
@@ -78,7 +79,7 @@
         Some(unusable_ms)
     }
 
-    /// Records that a write failed. Returns whether the disk was in another condition until now.
+    /// Records that a write failed. Returns true if this is the first failure since the disk was in another condition.
     pub fn record_refusal(&mut self, at: u64, reason: &str) -> bool {
         let has_changed = self.condition != Condition::Refusing;
         if has_changed {
@@ -92,7 +93,7 @@
     pub fn check_stalled(&mut self, at: u64, timeout_ms: u64) -> bool {
         let oldest = self.unconfirmed.front();
         let overdue = oldest.is_some_and(|write| write.submitted_at + timeout_ms < at);
-        let has_changed = overdue && self.takes_writes();
+        let has_changed = overdue && self.accepts_writes();
         if has_changed {
             let reason = format!("no write completed for {timeout_ms} ms");
             self.enter(Condition::Stalled, at, reason);
@@ -133,7 +134,7 @@
         }
         self.count("disk_refused", 1);
         self.outbox.log(format!(
-            "write to the data folder failed ({reason}): this replica neither leads nor votes until a write succeeds; it retries by itself"
+            "write to the data folder failed ({reason}): this replica neither leads nor votes until a write succeeds; the write is retried automatically"
         ));
         self.step_down(now);
     }
--- a/landingdrift/src/consensus/election.rs
+++ b/landingdrift/src/consensus/election.rs
@@ -8,24 +8,24 @@
 use crate::wire::{Body, TransferLeadership, VoteRequest, VoteResponse};
 use std::collections::BTreeMap;
 
-/// Shortly after a start, as long as no leader is known, the election timeout is divided by this: most likely there is
-/// no leader at all, as after a total outage.
+/// The divisor of the election timeout for a while after recovery as long as no leader is known. Most likely there is no
+/// leader then, as after a total outage, and the outage should end soon.
 const FAST_ELECTION_DIVISOR: u64 = 4;
 
 /// The election timer and the votes received. Times are monotonic milliseconds.
 #[derive(Clone, Debug)]
 pub(super) struct Election {
-    /// When this replica starts a pre-vote unless a leader contacts it first.
+    /// The time at which this replica starts a pre-vote unless a leader contacts it first.
     pub deadline: u64,
     pub last_leader_contact: u64,
-    /// Until when the shorter election timeout applies.
+    /// The time until which the shorter election timeout applies.
     pub fast_until: u64,
     /// The disks of the replicas that granted their vote, by address.
     pub votes: BTreeMap<String, u64>,
 }
 
 impl Election {
-    /// Starts an election timer of `timeout_ms`; no votes are received yet.
+    /// Starts an election timer of `timeout_ms`, without any votes received.
     pub fn new(now: Now, timeout_ms: u64) -> Self {
         Self {
             deadline: now.mono + timeout_ms,
@@ -60,7 +60,7 @@
             || (!self.leader.is_empty() && since_contact < self.settings.bounds.election_timeout())
     }
 
-    /// Becomes a follower in `term`, which is not older than the current term. `leader` is empty if unknown.
+    /// Becomes a follower in `term`, which is not lower than the current term. `leader` is empty if unknown.
     pub(super) fn become_follower(&mut self, now: Now, term: u64, leader: &str) {
         if term > self.hard_state.term {
             self.hard_state.term = term;
@@ -93,7 +93,7 @@
         let may_lead = !self.is_recovering()
             && self.is_voter()
             && self.required_position(now) <= self.log.last()
-            && self.disk_health.takes_writes();
+            && self.disk_health.accepts_writes();
         if !may_lead {
             return;
         }
@@ -141,12 +141,12 @@
     /// Handles another replica's request for a vote or pre-vote.
     pub(super) fn on_vote_request(&mut self, now: Now, from: &str, request: &VoteRequest) {
         let stays_with_leader = self.has_live_leader(now) && !request.leadership_transfer;
-        if self.is_recovering() || stays_with_leader || !self.disk_health.takes_writes() {
+        if self.is_recovering() || stays_with_leader || !self.disk_health.accepts_writes() {
             return;
         }
         // An unknown candidate may have been promoted by entries that this replica lacks.
         let is_eligible =
-            !self.members().contains_key(from) || self.is_identity(from, request.disk);
+            !self.members().contains_key(from) || self.is_member_disk(from, request.disk);
         let candidate_last = LogPosition::new(request.last_term, request.last_index);
         let is_up_to_date = candidate_last >= self.required_position(now);
         let may_vote = is_eligible && is_up_to_date;
@@ -158,11 +158,11 @@
     }
 
     fn answer_pre_vote(&mut self, from: &str, term: u64, may_vote: bool) {
-        let newest_voted = self.hard_state.term.max(self.hard_state.no_vote_through);
-        let granted = may_vote && term > newest_voted;
+        let highest_excluded_term = self.hard_state.term.max(self.hard_state.no_vote_through);
+        let granted = may_vote && term > highest_excluded_term;
         let response = VoteResponse {
             pre: true,
-            term: if granted { term } else { newest_voted },
+            term: if granted { term } else { highest_excluded_term },
             granted,
             disk: self.disk,
         };
@@ -215,7 +215,7 @@
         let voters = self.voters();
         let mut counted = 0;
         for (address, disk) in self.election.votes.clone() {
-            if voters.contains(&address) && self.is_identity(&address, disk) {
+            if voters.contains(&address) && self.is_member_disk(&address, disk) {
                 counted += 1;
             }
         }
@@ -224,7 +224,9 @@
         }
         match self.role {
             Role::PreCandidate => self.campaign(now, false),
-            Role::Candidate if self.persistence.is_hard_state_durable() => self.become_leader(now),
+            Role::Candidate if self.persistence.are_submitted_writes_durable() => {
+                self.become_leader(now)
+            }
             _ => {}
         }
     }
@@ -249,8 +251,8 @@
         self.send_round(now, true);
     }
 
-    /// The voter that should lead next: of the reachable voters that are not leaving and have a working disk, the one
-    /// with the most entries.
+    /// The voter that should lead next: the one with the most entries among the reachable voters that are not leaving
+    /// and have a working disk.
     fn successor(&mut self, now: Now) -> Option<String> {
         let voters = self.voters();
         let timeout = self.settings.bounds.election_timeout();
@@ -275,7 +277,7 @@
 
     /// Asks the best successor, if there is one, to take over leadership.
     pub(super) fn transfer_leadership(&mut self, now: Now) {
-        self.shutdown.transfer_offered_at = now.mono;
+        self.shutdown.transfer_requested_at = now.mono;
         let term = self.hard_state.term;
         if let Some(successor) = self.successor(now) {
             let body = Body::TransferLeadership(Box::new(TransferLeadership { term }));
@@ -289,7 +291,7 @@
             && self.role == Role::Follower
             && !self.is_recovering()
             && !self.shutdown.is_requested()
-            && self.disk_health.takes_writes()
+            && self.disk_health.accepts_writes()
             && self.is_voter()
             && self.recovery.floor <= self.log.last();
         if may_lead {
--- a/landingdrift/src/consensus/inspect.rs
+++ b/landingdrift/src/consensus/inspect.rs
@@ -15,7 +15,7 @@
         self.role == Role::Leader
     }
 
-    /// Whether this replica is still querying the others for what its disk had acknowledged before it started.
+    /// Whether this replica is still asking the others which log position its disk had acknowledged before the start.
     pub fn has_pending_recovery(&self) -> bool {
         self.is_recovering()
     }
--- a/landingdrift/src/consensus/job_admission.rs
+++ b/landingdrift/src/consensus/job_admission.rs
@@ -1,5 +1,5 @@
-//! Admission of submitted jobs by the leader: the cluster state must have memory for them on a machine with the
-//! leader's limits.
+//! Admission of submitted jobs by the leader: a job is admitted only if the cluster state with it stays within the
+//! leader's limits on the number of unfinished jobs and on the memory of jobs.
 //!
 //! Jobs that are due much later (deferred jobs) may use only a part of each limit, so that they never crowd out jobs
 //! that are due now.
@@ -14,13 +14,13 @@
 /// A job may use at most the remaining memory divided by this, so that a few large jobs do not crowd out small ones.
 const LARGEST_JOB_DIVISOR: u64 = 4;
 
-/// A job whose last due time is further ahead than this is deferred, in milliseconds.
+/// A job is deferred if its last due time is more than this many milliseconds ahead.
 const DEFERRED_AFTER_MS: u64 = 60_000;
 
-/// Deferred jobs may use each limit divided by this.
+/// Deferred jobs together may use at most each limit divided by this.
 const DEFERRED_LIMIT_DIVISOR: u64 = 2;
 
-/// The number of some jobs and the memory that they use.
+/// A number of jobs and the memory that they use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct JobUsage {
     jobs: u64,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The share of the limits that an admitted job uses.
+/// An admitted job: the memory that it uses, and whether it is deferred.
 #[derive(Clone, Copy)]
 pub(super) struct AdmittedJob {
     bytes: u64,
@@ -53,11 +53,12 @@
 /// The usage of the limits by jobs: the result of the last count, plus the jobs appended since.
 #[derive(Clone, Default)]
 pub(super) struct JobAdmission {
-    /// The number of unfinished jobs at the last count; the bytes include retained finished jobs.
+    /// The result of the last count: the number of unfinished jobs, and the bytes of all jobs, including retained
+    /// finished ones.
     counted: JobUsage,
-    /// The unfinished deferred jobs among them.
+    /// The number and the bytes of the unfinished deferred jobs at the last count.
     counted_deferred: JobUsage,
-    /// When the jobs are counted next, in monotonic milliseconds.
+    /// The time of the next count, in monotonic milliseconds.
     recount_at: u64,
     /// The jobs appended to the log that the last count does not include.
     appended: Vec<AppendedJob>,
@@ -124,7 +125,8 @@
 }
 
 impl Replica {
-    /// Checks the limits for a job; returns its usage if it is admitted. A job that is already known uses nothing more.
+    /// Admits a job if it fits into the limits. A job that the state already contains, possibly as a tombstone, uses no
+    /// further memory and is always admitted.
     pub(super) fn admit_job(&mut self, now: Now, job: &JobSpec) -> Option<AdmittedJob> {
         if self.state.jobs.contains_key(&job.id) || self.state.tombstones.contains_key(&job.id) {
             return Some(AdmittedJob {
@@ -148,20 +150,20 @@
             jobs: limit.jobs / DEFERRED_LIMIT_DIVISOR,
             bytes: limit.bytes / DEFERRED_LIMIT_DIVISOR,
         };
-        let may_be_deferred = !admitted.is_deferred
+        let fits_deferred_limit = !admitted.is_deferred
             || has_capacity(deferred_limit, self.job_admission.deferred(), admitted);
-        let fits = may_be_deferred && has_capacity(limit, self.job_admission.total(), admitted);
+        let fits = fits_deferred_limit && has_capacity(limit, self.job_admission.total(), admitted);
         fits.then_some(admitted)
     }
 }
 
-/// Whether a limit leaves capacity for one more job beside what is already used.
+/// Whether one more job fits into a limit, given the current usage.
 fn has_capacity(limit: JobUsage, used: JobUsage, job: AdmittedJob) -> bool {
     let bytes_left = limit.bytes.saturating_sub(used.bytes);
     used.jobs < limit.jobs && job.bytes <= bytes_left / LARGEST_JOB_DIVISOR
 }
 
-/// The job that a proposed command submits; none for other commands.
+/// The job that a proposed command submits; `None` for other commands.
 pub(super) fn submitted_job(command: &[u8]) -> Option<JobSpec> {
     if !Command::submits_job(command) {
         return None;
--- a/landingdrift/src/consensus/leadership.rs
+++ b/landingdrift/src/consensus/leadership.rs
@@ -9,7 +9,7 @@
 
 /// A leader without a response from a majority for this many election timeouts steps down.
 const STEP_DOWN_ELECTION_TIMEOUTS: u64 = 2;
-/// The election timeouts for which a leader waits for more clock readings.
+/// The number of election timeouts for which a leader waits for more clock readings.
 const CLOCK_WAIT_ELECTION_TIMEOUTS: u64 = 2;
 
 /// The state of a leader. Times are monotonic milliseconds.
@@ -17,21 +17,21 @@
 pub(super) struct Leadership {
     /// The time at which this replica last became leader.
     pub since: u64,
-    /// The index of the first entry of its term. Once it is committed, all earlier entries are known to be committed.
+    /// The index of the first entry of this replica's term. Once it is committed, all earlier entries are known to be committed.
     pub term_start_index: u64,
-    /// The index of the last command from the leader's own reconciliation; the next one is derived from its result.
+    /// The index of the last command that the reconciliation appended; no further one is derived before it is applied.
     pub last_command_index: u64,
     /// The time at which a lease was last moved to a better holder.
     pub last_lease_move_at: u64,
-    /// The other replicas, by address.
+    /// The leader's view of the other replicas, by address.
     pub progress: BTreeMap<String, Progress>,
     pub rounds: Rounds,
     /// Proposals to be answered once they are applied, by log index.
     pub pending_proposals: BTreeMap<u64, PendingProposal>,
     pub pending_reads: Vec<PendingRead>,
-    /// New entries are sent at the end of this step.
+    /// Whether new entries are to be sent at the end of this step.
     pub round_requested: bool,
-    /// All other replicas are sent a message, even those for which there are no entries.
+    /// Whether the next round also goes to replicas for which there are no entries.
     pub heartbeat_requested: bool,
 }
 
--- a/landingdrift/src/consensus/lease_assignment.rs
+++ b/landingdrift/src/consensus/lease_assignment.rs
@@ -1,5 +1,5 @@
 //! Assignment of leases to nodes: every zone that is configured or has workers or nodes gets a node that schedules for
-//! it, every queue with unfinished jobs gets an owner. Leases are spread over the nodes by their CPU share.
+//! it, and every queue with unfinished jobs gets an owner. Leases are spread over the nodes by their CPU share.
 
 use super::Replica;
 use crate::sans_io::{fnv1a, Now};
@@ -9,14 +9,15 @@
 
 /// The CPU share assumed for a node that has not reported its own, in thousandths of a core.
 const DEFAULT_SHARE: u64 = 1000;
-/// The share of a node beside a replica is divided by this, so that one loss is less likely to hit both.
-const BESIDE_REPLICA_DIVISOR: u64 = 4;
-/// The weight of one lease on a share of one thousandth of a core.
+/// The share of a node co-located with a replica is divided by this, so that the loss of one machine is less likely to
+/// affect both a replica and many leases.
+const COLOCATED_DIVISOR: u64 = 4;
+/// The scale of [`PlacementCost::weight`]: the weight of one lease on a node with a CPU share of one thousandth of a core.
 const LEASE_WEIGHT: u64 = 1_000_000;
 /// Within a class of nodes, a lease moves only to a node whose weight is below 2/3 of the holder's.
 const MOVE_WEIGHT_NUMERATOR: u64 = 2;
 const MOVE_WEIGHT_DENOMINATOR: u64 = 3;
-/// The node timeouts after a change of leader or of a lease holder during which no lease is moved to a better holder.
+/// After a change of leader or of a lease holder, no lease is moved to a better holder for this many node timeouts.
 const MOVE_COOLDOWN_NODE_TIMEOUTS: u64 = 2;
 
 /// The cost of placing a lease on a node; the lowest cost is the best.
@@ -31,7 +32,7 @@
 }
 
 impl PlacementCost {
-    /// Whether this cost is so much lower than `other` that moving a lease is worthwhile.
+    /// Whether this cost is low enough, compared to `other`, to move a lease.
     fn is_much_less_than(&self, other: &Self) -> bool {
         let is_lighter =
             self.weight * MOVE_WEIGHT_DENOMINATOR < other.weight * MOVE_WEIGHT_NUMERATOR;
@@ -42,11 +43,11 @@
 /// A lease that should have a holder.
 struct WantedLease {
     name: String,
-    /// The zone whose nodes are preferred as holders; none for a queue.
+    /// The zone whose nodes are preferred as holders; `None` for the lease of a queue.
     zone: Option<String>,
 }
 
-/// The action that a lease needs.
+/// The result of checking a lease: the change that it needs, if any.
 enum Assessment {
     Keep,
     /// The lease has a live holder, but a much better one exists.
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Whether the holder of a lease is alive and not leaving. The owner of a queue is replaced after a shorter timeout
+    /// Whether a lease stays with its holder, which must be alive and not leaving. The owner of a queue is replaced after a shorter timeout
     /// than the holder of a zone: the owner's proposals are checked against the lease epoch when they are applied,
     /// while the holder of a zone issues orders to workers directly.
     fn keeps_lease(&self, now: Now, wanted: &WantedLease, holder: &str) -> bool {
@@ -185,7 +186,7 @@
         is_alive && !is_leaving && !(is_queue && is_timed_out)
     }
 
-    /// The node with the lowest cost if it held the lease, and that cost.
+    /// The lowest cost of placing the lease on any node, and that node.
     fn best_holder(
         &self,
         wanted: &WantedLease,
@@ -215,9 +216,9 @@
         let is_other_zone = wanted.zone.as_ref().is_some_and(|zone| !is_in_zone(zone));
         let watcher = self.watch.watchers.get(node);
         let share = watcher.map_or(DEFAULT_SHARE, |w| u64::from(w.share.max(1)));
-        let is_beside_replica = watcher.is_some_and(|w| w.beside_replica);
-        let usable_share = if is_beside_replica {
-            share / BESIDE_REPLICA_DIVISOR
+        let is_colocated = watcher.is_some_and(|w| w.colocated_with_replica);
+        let usable_share = if is_colocated {
+            share / COLOCATED_DIVISOR
         } else {
             share
         };
--- a/landingdrift/src/consensus/log.rs
+++ b/landingdrift/src/consensus/log.rs
@@ -110,7 +110,7 @@
         self.verified_index = self.verified_index.min(index - 1);
     }
 
-    /// Replaces the log by an empty one that follows an installed snapshot.
+    /// Replaces the log with an empty one that starts after an installed snapshot.
     pub fn reset(&mut self, snapshot: LogPosition) {
         self.entries.clear();
         self.base = snapshot;
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -26,9 +26,9 @@
 pub struct MemberStatus {
     /// Its current condition.
     pub health: Health,
-    /// Its log has (nearly) reached the commit index, so promoting it does not delay commits.
+    /// Whether its log has (nearly) reached the commit index, so that promoting it does not delay commits.
     pub caught_up: bool,
-    /// It has been unreachable for so long that, as a standby, it is removed.
+    /// Whether it has been unreachable for longer than the timeout after which a standby is removed.
     pub long_unreachable: bool,
 }
 
@@ -39,7 +39,7 @@
     pub disk: u64,
     /// Its zone.
     pub zone: String,
-    /// It must not become a voter as long as other members can.
+    /// Whether it may become a voter only if all members are standby-only.
     pub standby_only: bool,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl MembershipView<'_> {
-    /// The next change, if one is due.
+    /// The next membership change, if one is due.
     pub fn next_change(&self) -> Option<MembershipChange> {
         self.remove_replaced()
             .or_else(|| self.admit())
@@ -100,7 +100,7 @@
             .or_else(|| self.remove_unreachable_standby())
     }
 
-    /// Whether there is a reachable standby, which could replace a voter now or once it has caught up.
+    /// Whether there is a reachable standby, which could replace a voter at once or after catching up.
     pub fn has_standby(&self) -> bool {
         self.members
             .iter()
@@ -198,13 +198,17 @@
         Some(MembershipChange::Admit(address.clone(), request.clone()))
     }
 
-    /// A disk that already responds at another address is a copy, and is not admitted.
+    /// Whether a replica may be admitted: its address is not a member yet, and its disk does not respond at another
+    /// address, as after copying a data folder.
     fn may_admit(&self, address: &str, request: &JoinRequest) -> bool {
-        let is_copy = |other: &String, member: &ReplicaMember| {
+        let is_copied_disk = |other: &String, member: &ReplicaMember| {
             member.disk == request.disk && self.health(other) != Health::Unreachable
         };
         !self.members.contains_key(address)
-            && !self.members.iter().any(|(other, m)| is_copy(other, m))
+            && !self
+                .members
+                .iter()
+                .any(|(other, m)| is_copied_disk(other, m))
     }
 
     /// If there are more voters than desired, demotes the most dispensable one.
@@ -213,7 +217,7 @@
         if voters.len() <= self.target_voters {
             return None;
         }
-        let dispensable = |address: &str| {
+        let dispensability = |address: &str| {
             let health = match self.health(address) {
                 Health::Unreachable | Health::Replaced => 3,
                 Health::Leaving | Health::Impaired => 2,
@@ -224,7 +228,7 @@
         let worst = voters
             .into_iter()
             .filter(|v| *v != self.leader)
-            .max_by_key(|v| dispensable(v))?;
+            .max_by_key(|v| dispensability(v))?;
         Some(MembershipChange::Demote(worst.to_string()))
     }
 
@@ -246,8 +250,8 @@
             .or_else(|| self.first_voter_with(Health::Impaired))
     }
 
-    /// If there are fewer voters than desired, promotes a standby. An odd number of voters grows only if two standbys
-    /// are ready, or if a voter is demoted next.
+    /// If there are fewer voters than desired, promotes a standby. From an odd
+    /// number other than 1, a standby is promoted only if two are ready or a voter is to be demoted next.
     fn promote_missing(&self) -> Option<MembershipChange> {
         let count = self.voters().len();
         if count >= self.target_voters {
@@ -262,25 +266,26 @@
         Some(MembershipChange::Promote(best.to_string()))
     }
 
-    /// Promotes a standby to replace a voter that is unreachable, leaving, without a working disk or in a crowded zone;
-    /// that voter is demoted next.
+    /// Promotes a standby to replace a voter that is unreachable, leaving or without a working disk, or that is in a
+    /// zone with at least two more voters than the standby's. The replaced voter is demoted next.
     ///
-    /// Demoting first could leave the cluster without a majority for good: of three voters, one becomes unreachable and
-    /// is demoted, the second is lost before that change is committed, and the first comes back. It can't be elected
-    /// because its log is shorter, and the leader by then counts only on the lost voter. With promotion first, any
-    /// voter that comes back counts.
+    /// Demoting first could cost the majority permanently. An example with the voters A (the leader), B and C: C becomes
+    /// unreachable, A appends C's demotion, B is lost before that entry is committed, and C returns. A can't commit,
+    /// since its log lists only A and B as voters; C can't be elected, since its log is shorter. With promotion first,
+    /// every voter that returns counts towards the majority.
     fn promote_replacement(&self) -> Option<MembershipChange> {
         if self.voters().len() != self.target_voters {
             return None;
         }
         let best = self.best_standby()?;
-        let crowded = self
+        let max_voters_per_zone = self
             .voters()
             .iter()
             .map(|v| self.voters_in(self.zone(v)))
             .max();
-        let spreads = crowded.is_some_and(|most| most >= self.voters_in(self.zone(best)) + 2);
-        if self.outgoing_voter().is_none() && !spreads {
+        let improves_spread =
+            max_voters_per_zone.is_some_and(|max| max >= self.voters_in(self.zone(best)) + 2);
+        if self.outgoing_voter().is_none() && !improves_spread {
             return None;
         }
         Some(MembershipChange::Promote(best.to_string()))
--- a/landingdrift/src/consensus/membership_state.rs
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -10,10 +10,10 @@
 use crate::wire::{Body, JoinCluster};
 use std::collections::BTreeMap;
 
-/// The maximum number of entries behind the commit index at which a standby counts as caught up.
+/// A standby is considered caught up if it is at most this many entries behind the commit index.
 const CAUGHT_UP_MAX_LAG_ENTRIES: u64 = 64;
 /// A standby that has been unreachable for this many times `bounds.replace_ms` is removed from the membership.
-const STANDBY_REMOVAL_SPANS: u64 = 3;
+const STANDBY_REMOVAL_REPLACE_TIMEOUTS: u64 = 3;
 /// The interval between a replica's join requests, in heartbeats.
 const JOIN_EVERY_HEARTBEATS: u64 = 4;
 
@@ -30,23 +30,23 @@
 /// The membership state that is not part of the log.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MembershipState {
-    /// The members as of the last log entry; none once an entry may have changed them.
+    /// The cached members as of the last log entry; `None` after an entry that may change them.
     cache: Option<Members>,
     join_requests: BTreeMap<String, ReceivedJoinRequest>,
     /// The zones of other replicas, as reported in their hello messages.
     pub zones: BTreeMap<String, String>,
     /// The time of this replica's last join request, in monotonic milliseconds.
     last_join_request_at: Option<u64>,
-    /// This replica is not a founder of the cluster: it is configured to join, or its disk is empty while others have a
-    /// log. It then ignores the founders in the settings.
+    /// Whether this replica is not a founder of the cluster: it is configured to join, or its disk is empty while others
+    /// have a log. It then ignores the founders in the settings.
     pub joining: bool,
-    /// The survivable losses as last reported.
+    /// The resilience as last logged.
     pub resilience: Resilience,
 }
 
 impl MembershipState {
-    /// The state after a start. `joining` is set if the disk names no founders: this replica then joins an existing
-    /// cluster.
+    /// The state after a start. `joining` must be true if no founders are stored on the disk: this replica then joins an
+    /// existing cluster.
     pub fn new(joining: bool) -> Self {
         Self {
             joining,
@@ -109,19 +109,19 @@
     /// Whether this replica, with its current disk, is a voter.
     pub(super) fn is_voter(&mut self) -> bool {
         let (name, disk) = (self.name.clone(), self.disk);
-        self.is_identity(&name, disk) && self.members().get(&name).is_some_and(|m| m.voter)
+        self.is_member_disk(&name, disk) && self.members().get(&name).is_some_and(|m| m.voter)
     }
 
-    /// Whether the member at an address has this disk, or a disk that is not known yet because the first members are
-    /// not recorded. Responses of another disk at the same address do not count.
-    pub(super) fn is_identity(&mut self, address: &str, disk: u64) -> bool {
+    /// Whether a disk is that of the member at an address, or the member's disk is not known yet because the first
+    /// members are not recorded. Votes and answers from another disk at the same address do not count.
+    pub(super) fn is_member_disk(&mut self, address: &str, disk: u64) -> bool {
         self.members()
             .get(address)
             .is_some_and(|member| member.disk == disk || member.disk == 0)
     }
 
-    /// The values of all voters: `own` for this replica, `value` of its progress for each other one, and 0 for one
-    /// whose disk is not the member's.
+    /// One value for each voter: `own` for this replica, `value(progress)` for another, and 0 for one that responds with
+    /// another disk than the member's.
     pub(super) fn voter_values(&mut self, own: u64, value: impl Fn(&Progress) -> u64) -> Vec<u64> {
         let mut values = Vec::new();
         for (address, member) in self.members() {
@@ -166,8 +166,8 @@
     }
 
     /// Records the first members: the founders that have responded, with their disks. The leader waits for all founders
-    /// during one election timeout. After that one may be left out, since any majority with it and any majority without
-    /// it still share a member.
+    /// for one election timeout; then it does without one of them, since any majority of all founders and any majority
+    /// of the others still share a member.
     fn found_cluster(&mut self, now: Now) -> Option<Command> {
         let founders = &self.hard_state.founders;
         let mut replicas = Members::new();
@@ -248,13 +248,13 @@
         };
         let answers =
             since_contact < self.settings.bounds.election_timeout() && progress.disk == member.disk;
-        let has_most_entries = progress.match_index > 0
+        let is_near_commit_index = progress.match_index > 0
             && progress.match_index + CAUGHT_UP_MAX_LAG_ENTRIES >= self.log.commit_index;
         MemberStatus {
             health,
-            caught_up: answers && has_most_entries,
+            caught_up: answers && is_near_commit_index,
             long_unreachable: since_contact
-                > STANDBY_REMOVAL_SPANS * self.settings.bounds.replace_ms,
+                > STANDBY_REMOVAL_REPLACE_TIMEOUTS * self.settings.bounds.replace_ms,
         }
     }
 
@@ -265,9 +265,10 @@
         is_leaving && !self.with_view(now, |view| view.has_standby())
     }
 
-    /// Whether proposals of nodes are accepted. Before the first configuration is accepted, a majority of the voters
-    /// must comprise one disk more than may be lost at once. If there are too few machines for that, the leader accepts
-    /// proposals nevertheless after `bounds.outage_ms`.
+    /// Whether proposals of nodes are accepted. Before the first configuration is accepted, a majority of the current
+    /// voters must be at least as large as a majority of the configured number of voters, so that accepted data survives
+    /// the losses that the latter tolerates. If there are too few machines for that, the leader accepts proposals
+    /// nevertheless after `bounds.outage_ms`.
     pub(super) fn accepts_proposals(&mut self, now: Now) -> bool {
         if self.state.version > 0 {
             return true;
@@ -277,7 +278,7 @@
         self.majority() >= disks_needed || led_ms > self.settings.bounds.outage_ms
     }
 
-    /// Logs the survivable losses whenever they change.
+    /// Logs the resilience whenever it changes.
     pub(super) fn report_resilience(&mut self, now: Now) {
         let resilience = self.with_view(now, |view| view.resilience());
         if resilience == self.membership.resilience {
@@ -291,8 +292,8 @@
             zone_loss_survivable,
         } = resilience;
         self.outbox.log(format!(
-            "{voters} voters, {standbys} standbys: {machine_losses_left} more machine losses survivable, loss of any single zone {}",
-            if zone_loss_survivable { "survivable" } else { "not survivable" }
+            "{voters} voters, {standbys} standbys: {machine_losses_left} more machines may be lost; a majority {} the loss of any single zone",
+            if zone_loss_survivable { "survives" } else { "does not survive" }
         ));
     }
 
@@ -309,17 +310,17 @@
         self.membership.join_requests.insert(from.into(), received);
     }
 
-    /// Sends join requests if this replica is not a member, or if no leader has contacted it for long: it may have been
-    /// removed meanwhile.
+    /// Sends join requests if this replica is not a member, or if no leader has contacted it for longer than the voter
+    /// replacement timeout, since it may have been removed.
     pub(super) fn join_tick(&mut self, now: Now) {
         let name = self.name.clone();
         let since_contact = now.mono.saturating_sub(self.election.last_leader_contact);
-        let is_admitted = self.is_identity(&name, self.disk);
-        let is_abandoned = since_contact > self.settings.bounds.voter_replacement_timeout();
+        let is_admitted = self.is_member_disk(&name, self.disk);
+        let has_lost_leader = since_contact > self.settings.bounds.voter_replacement_timeout();
         let interval = JOIN_EVERY_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let last_request_at = self.membership.last_join_request_at;
         let is_due = last_request_at.is_none_or(|at| now.mono >= at + interval);
-        let needs_to_ask = !is_admitted || is_abandoned;
+        let needs_to_ask = !is_admitted || has_lost_leader;
         if self.is_recovering() || self.role == Role::Leader || !is_due || !needs_to_ask {
             return;
         }
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -9,14 +9,14 @@
 //! | `log`, `position` | the log entries in memory and the commit index |
 //! | `persistence`, `disk_health` | pending and durable writes; the condition of the disk |
 //! | `election` | the election timer, votes, leadership transfer |
-//! | `recovery` | the entries that the disk had acknowledged before the process started |
+//! | `recovery` | the check after a start for acknowledged entries that the disk has lost |
 //! | `leadership`, `progress` | the leader's view of the other replicas; its periodic work |
 //! | `replication`, `append` | the leader's and the follower's side of appending entries |
 //! | `snapshot_transfer` | creating, sending and installing snapshots |
 //! | `membership`, `membership_state` | members, voters and membership changes |
 //! | `lease_assignment`, `node_registry` | live nodes and the leases that they hold |
 //! | `watch`, `watch_snapshots`, `watch_flow`, `client_requests` | requests of nodes to the leader |
-//! | `job_admission` | the memory limit for submitted jobs |
+//! | `job_admission` | the limits on the number and memory of jobs |
 //! | `clock` | the cluster clock |
 //! | `shutdown`, `status`, `inspect` | orderly shutdown; HTTP status and counters; read access for tests |
 
@@ -56,8 +56,9 @@
 use std::collections::BTreeMap;
 
 /// The role of replicas in the peer sampler, as written on the wire.
-const PEER_ROLE: &str = "core";
-/// A gap between two ticks longer than the election timeout divided by this means that the process was paused.
+const REPLICA_ROLE: &str = "core";
+/// The process is considered to have been paused if the time between two ticks exceeds the election timeout divided by
+/// this.
 const PAUSE_ELECTION_DIVISOR: u64 = 2;
 
 /// The state that a replica loads from its disk when it starts.
@@ -73,7 +74,7 @@
     pub entries: Vec<Entry>,
     /// The log positions that other replicas' disks have acknowledged, as recorded by this replica.
     pub witnesses: Vec<DurabilityWitness>,
-    /// Acknowledged data was unreadable and has been skipped.
+    /// Whether acknowledged data was unreadable and has been skipped.
     pub damaged: bool,
 }
 
@@ -121,7 +122,7 @@
     snapshots: snapshot_transfer::Snapshots,
     /// The cluster state after applying the committed log entries.
     state: ClusterState,
-    /// The highest log position that each other replica's disk may have acknowledged, by address and disk.
+    /// The highest log position that each other replica's disk has acknowledged, by address and disk.
     witnesses: BTreeMap<(String, u64), DurabilityWitness>,
     recovery: recovery::RecoveryState,
     election: election::Election,
@@ -161,8 +162,12 @@
             hard_state.founders = settings.founders();
             persistence.write_hard_state(&hard_state);
         }
-        let mut peer_sampler =
-            PeerSampler::new(&settings.listen, PEER_ROLE, &settings.zone, &settings.seeds);
+        let mut peer_sampler = PeerSampler::new(
+            &settings.listen,
+            REPLICA_ROLE,
+            &settings.zone,
+            &settings.seeds,
+        );
         peer_sampler.replicas = state.replicas.keys().cloned().collect();
         peer_sampler.replicas.extend(settings.founders());
         let query = recovery::RecoveryQuery::new(now, settings.bounds.recovery_wait());
@@ -222,7 +227,8 @@
         self.shutdown_tick(now);
     }
 
-    /// The process was paused and received nothing meanwhile, so all timeouts on other processes and the disk restart.
+    /// Restarts all timeouts on other processes and the disk after a pause of this process, during which it received
+    /// nothing.
     fn on_process_pause(&mut self, now: Now) {
         self.count("own_freezes", 1);
         self.election.last_leader_contact = now.mono;
--- a/landingdrift/src/consensus/persistence.rs
+++ b/landingdrift/src/consensus/persistence.rs
@@ -29,10 +29,11 @@
 pub(super) struct Persistence {
     /// Changes that are not submitted to the disk yet.
     batch: WriteBatch,
-    /// The newest write submitted, and the newest durable write.
+    /// The number of the newest submitted write.
     last_write: u64,
+    /// The number of the newest durable write.
     durable_write: u64,
-    /// The write that makes the current term and vote durable.
+    /// The number of the write that makes the current term and vote durable.
     hard_state_write: u64,
     in_flight: VecDeque<InFlightWrite>,
     deferred: VecDeque<DeferredMessage>,
@@ -41,7 +42,7 @@
 }
 
 impl Persistence {
-    /// No pending writes, and a log that is durable up to an index.
+    /// Creates the state without pending writes; the log is durable up to `durable_index`.
     pub fn new(durable_index: u64) -> Self {
         Self {
             batch: WriteBatch::default(),
@@ -77,7 +78,7 @@
         self.durable_index = self.durable_index.min(index - 1);
     }
 
-    /// Adds the replacement of the whole log by a received snapshot to the batch.
+    /// Adds the replacement of the whole log with a received snapshot to the batch.
     pub fn replace_log(&mut self, snapshot: Snapshot) {
         self.batch.entries.clear();
         self.batch.truncate_from = Some(1);
@@ -90,12 +91,13 @@
         self.batch.snapshot.is_some()
     }
 
-    /// Whether the hard state and all submitted writes are durable. A candidate's vote for itself counts only then.
-    pub fn is_hard_state_durable(&self) -> bool {
+    /// Whether all submitted writes are durable and no hard state is pending. A candidate's vote for itself counts only
+    /// then.
+    pub fn are_submitted_writes_durable(&self) -> bool {
         self.batch.hard_state.is_none() && self.durable_write >= self.last_write
     }
 
-    /// The newest durable write.
+    /// The number of the newest durable write.
     pub fn durable_write(&self) -> u64 {
         self.durable_write
     }
@@ -107,7 +109,7 @@
             && self.batch.snapshot.is_none()
     }
 
-    /// Numbers the batch and returns it to be submitted; `last_index` is the last index of the log in memory.
+    /// Assigns the batch a number and returns it for submission; `last_index` is the last index of the log in memory.
     fn take_batch(&mut self, last_index: u64, witnesses: Vec<DurabilityWitness>) -> WriteBatch {
         self.last_write += 1;
         let mut batch = std::mem::take(&mut self.batch);
@@ -117,7 +119,8 @@
             self.hard_state_write = self.last_write;
         }
         if let Some(first_removed) = batch.truncate_from {
-            // Writes in flight may make entries durable that this write removes.
+            // A write in flight may contain entries that this write removes: its confirmation must not raise the durable
+            // index beyond the entries kept.
             let last_kept = first_removed.saturating_sub(1);
             self.durable_index = self.durable_index.min(last_kept);
             for write in &mut self.in_flight {
@@ -145,7 +148,7 @@
 }
 
 impl Replica {
-    /// Submits the batch to the disk; returns the write that makes all changes so far durable.
+    /// Submits the batch to the disk; returns the number of the write that makes all changes so far durable.
     pub(super) fn flush(&mut self) -> u64 {
         if self.persistence.is_batch_empty() {
             return self.persistence.last_write;
--- a/landingdrift/src/consensus/progress.rs
+++ b/landingdrift/src/consensus/progress.rs
@@ -4,7 +4,7 @@
 use crate::sans_io::Now;
 use std::collections::VecDeque;
 
-/// The number of newest rounds whose send time is kept.
+/// The maximum number of rounds whose send time is kept; the oldest are dropped.
 const MAX_REMEMBERED_ROUNDS: usize = 1000;
 
 /// A leader's view of another replica. Times are monotonic milliseconds.
@@ -16,12 +16,13 @@
     pub match_index: u64,
     /// The identity of the disk that responded last; 0 before the first response.
     pub disk: u64,
-    /// The newest round that was acknowledged, and when that round was sent.
+    /// The number of the newest round that the replica acknowledged.
     pub acked_round: u64,
+    /// The time at which the newest acknowledged round was sent.
     pub acked_round_sent_at: u64,
-    /// The replica is in an orderly shutdown.
+    /// Whether the replica is in an orderly shutdown.
     pub leaving: bool,
-    /// The replica's disk accepts no writes: the replica is sent heartbeats but no entries.
+    /// Whether the replica's disk accepts no writes; the replica is then sent heartbeats but no entries.
     pub disk_refuses_writes: bool,
     pub last_heard_at: u64,
     /// The time at which entries were last sent.
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Records the identity of the responding disk. A change resets the progress: what an earlier disk at this address
-    /// acknowledged is lost with it.
+    /// Records the identity of the responding disk. A change resets the progress, since the entries that an earlier disk
+    /// at this address acknowledged are lost with it.
     pub fn record_disk(&mut self, disk: u64) {
         if self.disk != 0 && self.disk != disk {
             self.match_index = 0;
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery after a start: before a replica takes part, it asks the others which entries its disk had acknowledged.
+//! Recovery after a start: before a replica votes or leads, it asks the others which log position its disk had
+//! acknowledged.
 //!
 //! A disk may lose writes that it confirmed. The other replicas record the log position that each disk has acknowledged
 //! (see [`DurabilityWitness`]), so a replica that asks them learns whether its own disk has lost entries. Until its log
@@ -12,22 +13,23 @@
 
 /// A recovered replica defers to one with a longer log for `bounds.outage_ms` divided by this.
 const DEFERRAL_OUTAGE_DIVISOR: u64 = 6;
-/// Election timeouts after a recovery during which a replica without a leader uses the shorter election timeout.
+/// For this many election timeouts after recovery, a replica that knows no leader uses the shorter election timeout.
 const FAST_ELECTION_TIMEOUTS: u64 = 4;
 
-/// The answers received from the other replicas so far.
+/// A query to the other replicas, with the answers received so far.
 #[derive(Clone, Debug)]
 pub(super) struct RecoveryQuery {
-    /// From when on answers of a majority suffice, in monotonic milliseconds.
+    /// The time after which the answers of a majority suffice, in monotonic milliseconds.
     deadline: u64,
-    /// When the others are asked next.
+    /// The time of the next request to the others, in monotonic milliseconds.
     next_request_at: u64,
     /// The disks of the replicas that have answered, by address.
     answered: BTreeMap<String, u64>,
-    /// Whether any of them has log entries.
+    /// Whether any replica that has answered has log entries.
     anyone_has_log: bool,
-    /// The longest log among them, and the highest term.
+    /// The end of the longest log among the answers.
     longest_log: LogPosition,
+    /// The highest term among the answers.
     highest_term: u64,
     /// The highest position that this replica's disk had acknowledged, as recorded by the others.
     witnessed: Option<LogPosition>,
@@ -63,14 +65,15 @@
     }
 }
 
-/// The end of a longer log found during recovery, and until when its owner is given the chance to become leader.
+/// A longer log found during recovery: before the time `until`, this replica votes only for candidates whose log has
+/// reached `position`, so that the owner of that log can become leader.
 #[derive(Clone, Copy, Debug, Default)]
 struct Deferral {
     position: LogPosition,
     until: u64,
 }
 
-/// The recovery of this replica: the query, and the restrictions until it has caught up.
+/// The recovery of this replica: the query, and the restrictions on voting and leading until its log has caught up.
 #[derive(Clone, Debug)]
 pub(super) struct RecoveryState {
     /// The query, until it is finished.
@@ -78,7 +81,7 @@
     /// The highest position that this replica acknowledged and lost; [`LogPosition::ORIGIN`] if it lost nothing.
     pub floor: LogPosition,
     deferral: Deferral,
-    /// A part of the data on the disk could not be read.
+    /// Whether a part of the data on the disk could not be read.
     disk_damaged: bool,
 }
 
@@ -95,7 +98,7 @@
 }
 
 impl Replica {
-    /// Whether this replica is still querying the others for what its disk had acknowledged before it started.
+    /// Whether this replica is still asking the others which log position its disk had acknowledged before the start.
     pub(super) fn is_recovering(&self) -> bool {
         self.recovery.query.is_some()
     }
@@ -105,17 +108,17 @@
         self.send_hello(to, None);
     }
 
-    /// Sends the position of this replica's log and its witnesses; an answer also contains the position acknowledged by
-    /// the asking_identity replica's disk.
-    fn send_hello(&mut self, to: &str, answer_to_disk: Option<u64>) {
-        let asking_identity = (to.to_string(), answer_to_disk.unwrap_or(0));
+    /// Sends the last position of this replica's log and its witnesses. An answer, for which `requester_disk` is set,
+    /// also contains the position acknowledged by the requester's disk.
+    fn send_hello(&mut self, to: &str, requester_disk: Option<u64>) {
+        let requester = (to.to_string(), requester_disk.unwrap_or(0));
         let no_witness = DurabilityWitness {
             replica: to.into(),
             disk: 0,
             index: 0,
             term: 0,
         };
-        let witnessed = self.witnesses.get(&asking_identity).cloned();
+        let witnessed = self.witnesses.get(&requester).cloned();
         let has_log = !self.log.is_empty();
         let members = if has_log {
             self.members().into_keys().collect()
@@ -128,7 +131,7 @@
             term: self.hard_state.term,
             last_index: last.index,
             last_term: last.term,
-            reply: answer_to_disk.is_some(),
+            reply: requester_disk.is_some(),
             zone: self.settings.zone.clone(),
             knows: has_log,
             witnessed: Box::new(witnessed.unwrap_or(no_witness)),
@@ -140,7 +143,7 @@
 
     /// Handles the recovery request of a replica that has started, or an answer to this replica's request.
     pub(super) fn on_hello(&mut self, now: Now, from: &str, mut hello: Hello) {
-        // Witnesses are passed on, since the replica that recorded one may be unreachable when it is needed.
+        // Witnesses are forwarded between replicas, since the replica that recorded one may be unreachable when it is needed.
         self.remember_witnesses(std::mem::take(&mut hello.witnesses));
         self.membership
             .zones
@@ -152,7 +155,8 @@
         }
     }
 
-    /// Handles the request of a replica that has restarted: entries that it acknowledged before may be lost.
+    /// Handles the request of a replica that has restarted. It may have lost entries that it had acknowledged, so the leader
+    /// resets its progress.
     fn on_recovery_request(&mut self, from: &str, request: &Hello) {
         if let Some(progress) = self.leadership.progress.get_mut(from) {
             progress.record_disk(request.disk);
@@ -237,9 +241,9 @@
         let witnessed = query.witnessed.filter(|position| *position > last);
         let floor = witnessed.or(damaged_floor);
         if let Some(floor) = floor.filter(|floor| *floor > last) {
-            self.enter_recovery_floor(floor, query.highest_term);
+            self.set_recovery_floor(floor, query.highest_term);
         }
-        // A longer log may contain entries that were acknowledged and lost here without any witness of it.
+        // A longer log may contain entries that this replica acknowledged and lost, and of which no witness was recorded.
         if query.longest_log > last {
             self.recovery.deferral = Deferral {
                 position: query.longest_log,
@@ -260,8 +264,8 @@
     }
 
     /// Handles the loss of acknowledged entries, and perhaps of votes: this replica neither votes nor leads until its
-    /// log has caught up, and never votes in the terms so far.
-    fn enter_recovery_floor(&mut self, floor: LogPosition, highest_term: u64) {
+    /// log has caught up, and never votes in any term up to the highest known one.
+    fn set_recovery_floor(&mut self, floor: LogPosition, highest_term: u64) {
         self.recovery.floor = floor;
         let hard_state = &mut self.hard_state;
         hard_state.no_vote_through = hard_state
@@ -272,16 +276,16 @@
         self.persistence.write_hard_state(&self.hard_state);
         self.count("disk_losses_seen", 1);
         self.outbox.log(format!(
-            "the disk has lost acknowledged entries (last index {}, had acknowledged {} of term {}): not voting until caught up",
+            "the disk has lost acknowledged entries (last index {}; it had acknowledged index {} of term {}): this replica does not vote until it has caught up",
             self.log.last().index,
             floor.index,
             floor.term
         ));
     }
 
-    /// Whether a majority of the voters has answered, and either all others are accounted for or the wait is over. A
-    /// voter that answers with another disk than the member's knows nothing of what that disk acknowledged and does not
-    /// count; but the member's disk is lost for good, so there is no need to wait for it.
+    /// Whether a majority of the voters has answered, and either all others have answered or the wait is over. An
+    /// answer from a replaced disk does not count towards the majority, since the witnesses on the old disk are lost; but
+    /// the old disk will never answer, so there is nothing more to wait for from that voter.
     fn has_enough_answers(&mut self, now: Now) -> bool {
         let Some(query) = self.recovery.query.as_ref() else {
             return false;
@@ -289,25 +293,25 @@
         let answered = query.answered.clone();
         let is_wait_over = now.mono >= query.deadline;
         let own_name = self.name.clone();
-        let mut all_accounted_for = true;
-        let mut votes = 1;
+        let mut all_answered = true;
+        let mut counted_answers = 1;
         for voter in self.voters().into_iter().filter(|v| *v != own_name) {
             match answered.get(&voter) {
-                None => all_accounted_for = false,
-                Some(disk) if self.is_identity(&voter, *disk) => votes += 1,
+                None => all_answered = false,
+                Some(disk) if self.is_member_disk(&voter, *disk) => counted_answers += 1,
                 Some(_) => {}
             }
         }
-        votes >= self.majority() && (all_accounted_for || is_wait_over)
+        counted_answers >= self.majority() && (all_answered || is_wait_over)
     }
 
-    /// Ends the restriction to the recovery floor once the log has caught up with it.
-    pub(super) fn try_leave_recovery_floor(&mut self) {
+    /// Clears the recovery floor once the log has caught up with it.
+    pub(super) fn try_clear_recovery_floor(&mut self) {
         let last = self.log.last();
         if self.recovery.floor > LogPosition::ORIGIN && last >= self.recovery.floor {
             self.recovery.floor = LogPosition::ORIGIN;
             self.outbox.log(format!(
-                "caught up at index {} of term {}: voting again",
+                "caught up at index {} of term {}: this replica votes again",
                 last.index, last.term
             ));
         }
@@ -325,7 +329,7 @@
         self.recovery.floor.max(self.log.last()).max(deferred_to)
     }
 
-    /// Records, for each disk of another replica, the highest position that it may have acknowledged.
+    /// Records, for each disk of another replica, the highest position that it has acknowledged.
     pub(super) fn remember_witnesses(&mut self, witnesses: Vec<DurabilityWitness>) {
         for witness in witnesses {
             if witness.replica != self.name {
@@ -334,7 +338,7 @@
         }
     }
 
-    /// Records a position acknowledged by a disk, if it is higher than the one known.
+    /// Records a position acknowledged by a disk if it is higher than the recorded one.
     pub(super) fn remember_witness(&mut self, witness: DurabilityWitness) {
         let identity = (witness.replica.clone(), witness.disk);
         let position = LogPosition::new(witness.term, witness.index);
--- a/landingdrift/src/consensus/replication.rs
+++ b/landingdrift/src/consensus/replication.rs
@@ -10,11 +10,11 @@
 
 /// The maximum number of entries in one message to a replica.
 const MAX_BATCH_ENTRIES: usize = 512;
-/// A batch without a response counts as lost after this many heartbeat intervals.
+/// A batch without a response is considered lost after this many heartbeat intervals.
 const RESEND_AFTER_HEARTBEATS: u64 = 4;
 
 impl Replica {
-    /// Appends a command of the leader itself to the log; returns its index.
+    /// Appends a command to the log that the leader itself issues; returns its index.
     pub(super) fn append_command(&mut self, now: Now, command: &Command) -> u64 {
         let changes_membership = matches!(
             command,
@@ -177,7 +177,8 @@
         if response.ok {
             self.on_entries_matched(now, from, response, is_current);
         } else if is_current {
-            // Goes back to where the logs may match. A log shorter than acknowledged means that the disk lost entries.
+            // Continue from an index at which the logs may match. If the log is shorter than the replica had acknowledged,
+            // its disk has lost entries.
             progress.match_index = progress.match_index.min(response.last_index);
             progress.next_index = (response.last_index + 1).min(response.matched).max(1);
             self.replicate(now, from, true);
@@ -225,8 +226,7 @@
         }
         self.log.commit_index = index;
         self.apply_committed();
-        // The others are notified at once, so that they have recorded what this disk acknowledged should it lose
-        // entries.
+        // The others are notified at once, so that they record the position of this disk before it can lose entries.
         self.leadership.round_requested = true;
         self.leadership.heartbeat_requested = true;
         self.push_to_watchers(now);
--- a/landingdrift/src/consensus/shutdown.rs
+++ b/landingdrift/src/consensus/shutdown.rs
@@ -1,5 +1,5 @@
-//! Orderly shutdown of a replica: it transfers leadership and waits until a standby votes in its place, still answering
-//! requests meanwhile.
+//! Orderly shutdown of a replica: it transfers leadership and waits until a standby votes in its place. It answers
+//! requests until then.
 
 use super::{Replica, Role};
 use crate::sans_io::Now;
@@ -7,12 +7,12 @@
 /// The state of an orderly shutdown. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Shutdown {
-    /// When the replica exits in any case; none before a shutdown is requested.
+    /// The time at which the replica exits at the latest; `None` unless a shutdown was requested.
     deadline: Option<u64>,
-    /// The leader permits the replica to exit.
+    /// Whether the leader permits the replica to exit without being replaced.
     pub leave_permitted: bool,
-    /// The time at which leadership was last offered to another replica.
-    pub transfer_offered_at: u64,
+    /// The time at which another replica was last asked to take over leadership.
+    pub transfer_requested_at: u64,
 }
 
 impl Shutdown {
@@ -36,7 +36,7 @@
     }
 
     /// Exits once a standby votes in this replica's place, once the leader reports that none can, or at the deadline.
-    /// Until then a leader offers leadership to others.
+    /// Until then, a leader repeatedly asks its best successor to take over leadership.
     pub(super) fn shutdown_tick(&mut self, now: Now) {
         let Some(deadline) = self.shutdown.deadline else {
             return;
@@ -48,9 +48,9 @@
             self.outbox.exit();
             return;
         }
-        let next_offer_at =
-            self.shutdown.transfer_offered_at + self.settings.bounds.heartbeat_interval();
-        if self.role == Role::Leader && now.mono >= next_offer_at {
+        let next_request_at =
+            self.shutdown.transfer_requested_at + self.settings.bounds.heartbeat_interval();
+        if self.role == Role::Leader && now.mono >= next_request_at {
             self.transfer_leadership(now);
         }
     }
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -1,4 +1,5 @@
-//! Snapshots: creating them, and transferring them in chunks to replicas that the leader's log no longer reaches.
+//! Snapshots: creating them, and transferring them in chunks to replicas that lack entries which the leader's log no
+//! longer contains.
 //!
 //! The next chunk is sent when the last one is acknowledged; an unacknowledged chunk is repeated after a timeout. The
 //! receiver answers with the number of bytes it has, so that the transfer resumes from there after either side
@@ -15,11 +16,11 @@
 
 /// An unacknowledged chunk is repeated after this many heartbeat intervals.
 pub(super) const REPEAT_AFTER_HEARTBEATS: u64 = 5;
-/// For receivers of a snapshot, the log is kept over at most this many times the entries between two snapshots.
+/// While a snapshot is being sent, the entries after it are kept for at most this many snapshot intervals.
 const RETAINED_SNAPSHOT_INTERVALS: u64 = 4;
 /// A snapshot is due when the entries since the last one reach the log's byte limit divided by this.
 const DUE_LOG_BYTES_DIVISOR: u64 = 2;
-/// For replicas that are slightly behind, the log keeps the entries between two snapshots divided by this.
+/// A compacted log keeps the last `limits.snapshot_every` entries divided by this, for replicas that are slightly behind.
 const KEPT_TAIL_DIVISOR: u64 = 2;
 
 /// A snapshot being sent to another replica.
@@ -28,7 +29,7 @@
     snapshot: Arc<ChunkedSnapshot>,
     /// The number of bytes that the receiver has acknowledged.
     acked_bytes: u64,
-    /// The time at which the chunk after those was sent, in monotonic milliseconds.
+    /// The time at which the current chunk was last sent, in monotonic milliseconds.
     sent_at: u64,
 }
 
@@ -50,8 +51,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Snapshots {
     pub latest: Arc<ChunkedSnapshot>,
-    /// The last entry covered by the newest snapshot, and the bytes of the entries applied since.
+    /// The index of the last entry covered by the newest snapshot.
     pub latest_index: u64,
+    /// The bytes of the entries applied since the newest snapshot.
     pub bytes_since_latest: u64,
     incoming: SnapshotAssembly,
 }
@@ -85,7 +87,7 @@
         let is_timed_out = now.mono.saturating_sub(progress.last_heard_at) > repeat_after;
         let counter = match &progress.snapshot {
             Some(outgoing) if now.mono < outgoing.sent_at + repeat_after => return,
-            // The log still reaches back to this snapshot.
+            // The log still contains all entries after this snapshot.
             Some(outgoing) if outgoing.id().index >= log_base && !is_timed_out => {
                 "snapshot_chunks_repeated"
             }
@@ -143,10 +145,10 @@
             return;
         };
         let id = outgoing.id();
-        let answers_this = response.index == id.index
+        let is_for_current_snapshot = response.index == id.index
             && response.index_term == id.term
             && response.checksum == id.checksum;
-        if !answers_this {
+        if !is_for_current_snapshot {
             return;
         }
         if response.refused {
@@ -173,10 +175,10 @@
         self.become_follower(now, chunk.term, from);
         self.election.last_leader_contact = now.mono;
         self.reset_election_timer(now);
-        if !self.disk_health.takes_writes() {
+        if !self.disk_health.accepts_writes() {
             return;
         }
-        if !self.is_covered(id) {
+        if !self.commit_if_in_log(id) {
             match self
                 .snapshots
                 .incoming
@@ -206,8 +208,9 @@
         }
     }
 
-    /// Whether the log already contains everything in a snapshot. Entries acknowledged after it must not be discarded.
-    fn is_covered(&mut self, id: SnapshotId) -> bool {
+    /// Commits the entries up to a snapshot if the log already contains them; returns whether it does. Such a snapshot is
+    /// not installed, since that would discard acknowledged entries after it.
+    fn commit_if_in_log(&mut self, id: SnapshotId) -> bool {
         if id.index <= self.log.commit_index {
             return true;
         }
@@ -216,12 +219,12 @@
             self.log.verified_index = self.log.verified_index.max(id.index);
             self.log.commit_index = id.index;
             self.apply_committed();
-            self.try_leave_recovery_floor();
+            self.try_clear_recovery_floor();
         }
         is_in_log
     }
 
-    /// Replaces the state and the log by a received snapshot.
+    /// Replaces the state and the log with a received snapshot.
     fn install_snapshot(&mut self, id: SnapshotId, bytes: Vec<u8>) -> Result<(), String> {
         self.state = ClusterState::unpack(&bytes)?;
         self.log.reset(LogPosition::new(id.term, id.index));
@@ -231,7 +234,7 @@
             .replace_log(self.snapshots.latest.to_snapshot());
         self.membership.invalidate();
         self.count("snapshots_installed", 1);
-        self.try_leave_recovery_floor();
+        self.try_clear_recovery_floor();
         Ok(())
     }
 
@@ -264,7 +267,8 @@
         let enough_entries = applied >= snapshots.latest_index + limits.snapshot_every;
         let enough_bytes = snapshots.bytes_since_latest >= limits.log_bytes / DUE_LOG_BYTES_DIVISOR;
         let is_due = (enough_entries || enough_bytes) && applied != snapshots.latest_index;
-        if !is_due || self.persistence.has_pending_snapshot() || !self.disk_health.takes_writes() {
+        if !is_due || self.persistence.has_pending_snapshot() || !self.disk_health.accepts_writes()
+        {
             return;
         }
         let Some(term) = self.log.term_at(applied) else {
@@ -281,8 +285,8 @@
         self.flush();
     }
 
-    /// Drops entries covered by the latest snapshot, except for a tail for replicas that are slightly behind and the
-    /// entries after snapshots that are being sent; both within the log's byte limit.
+    /// Drops entries covered by the latest snapshot. A tail for replicas that are slightly behind, and the entries after
+    /// snapshots that are being sent, are kept within the log's byte limit.
     fn compact_log(&mut self) {
         let interval = self.settings.limits.snapshot_every;
         let latest_index = self.snapshots.latest_index;
@@ -294,11 +298,11 @@
         for index in self.watch.snapshots.indexes() {
             last_unneeded = last_unneeded.min(index);
         }
-        let oldest_kept = latest_index.saturating_sub(RETAINED_SNAPSHOT_INTERVALS * interval);
-        let beyond_limit = self.log.last().index - self.newest_entries_within_limit();
+        let retention_limit = latest_index.saturating_sub(RETAINED_SNAPSHOT_INTERVALS * interval);
+        let last_over_byte_limit = self.log.last().index - self.newest_entries_within_limit();
         let drop_to = last_unneeded
-            .max(oldest_kept)
-            .max(beyond_limit)
+            .max(retention_limit)
+            .max(last_over_byte_limit)
             .min(latest_index);
         self.log.compact_to(drop_to);
     }
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -34,7 +34,7 @@
         let since_contact = now.mono.saturating_sub(self.election.last_leader_contact);
         let has_leader_contact =
             since_contact < READY_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
-        self.disk_health.takes_writes()
+        self.disk_health.accepts_writes()
             && !self.is_recovering()
             && !self.shutdown.is_requested()
             && (self.role == Role::Leader || has_leader_contact)
@@ -68,7 +68,7 @@
         add("term", self.hard_state.term);
         add(
             "disk_takes_writes",
-            u64::from(self.disk_health.takes_writes()),
+            u64::from(self.disk_health.accepts_writes()),
         );
         add("commit", self.log.commit_index);
         add("leads", u64::from(self.role == Role::Leader));
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -6,7 +6,7 @@
 //! Nodes with a small CPU share follow a *light copy* of the state, without jobs and workers.
 
 use super::clock::ClockReading;
-use super::watch_flow::{LinkRate, Unacknowledged};
+use super::watch_flow::{LinkRate, UnacknowledgedData};
 use super::watch_snapshots::{SentChunk, WatchSnapshots};
 use super::{Replica, Role};
 use crate::sans_io::Now;
@@ -15,7 +15,7 @@
 use crate::wire::{Body, Entry, WatchBatch, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node that lacks more entries than this starts over from a snapshot, which is smaller than the entries behind it.
+/// A node that lacks more entries than this starts over from a snapshot, which is then smaller than the missing entries.
 const MAX_ENTRIES_BEHIND: u64 = 1024;
 /// The maximum number of entries in one message to a node.
 const MAX_BATCH_ENTRIES: u64 = 512;
@@ -23,8 +23,8 @@
 const MAX_LIGHT_BATCH_BYTES: u64 = 64 << 10;
 /// Snapshots that no node has fetched for this many node timeouts are dropped.
 const UNUSED_SNAPSHOT_NODE_TIMEOUTS: u64 = 2;
-/// For this many node timeouts, a new leader assumes that nodes with a large enough CPU share will still contact it.
-const NODES_EXPECTED_NODE_TIMEOUTS: u64 = 2;
+/// For this many node timeouts, a new leader expects to be contacted by nodes with a CPU share large enough for leases.
+const LARGE_NODE_WAIT_NODE_TIMEOUTS: u64 = 2;
 
 /// A leader's view of a node that follows the log. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
@@ -34,7 +34,7 @@
     /// The last entry that was sent to it.
     pub sent_index: u64,
     /// The entries sent to it and not acknowledged yet.
-    unacknowledged: Unacknowledged,
+    unacknowledged: UnacknowledgedData,
     pub rate: LinkRate,
     pub last_heard_at: u64,
     /// The origin of the node's last request.
@@ -46,8 +46,9 @@
     pub successor: String,
     /// Its CPU share, in thousandths of a core.
     pub share: u32,
-    pub beside_replica: bool,
-    /// It follows a light copy of the state, without jobs and workers.
+    /// Whether it runs on the same machine as a replica.
+    pub colocated_with_replica: bool,
+    /// Whether it follows a light copy of the state, without jobs and workers.
     pub light: bool,
     /// The last snapshot chunk sent to it.
     pub last_chunk: SentChunk,
@@ -55,12 +56,12 @@
     pub fetched_index: u64,
 }
 
-/// The process that sent a request, and when; returned with the response.
+/// The sender and the send time of a request, which are returned with the response.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RequestOrigin {
     /// The incarnation of the requesting process; 0 if it is an older build, which does not send it.
     pub incarnation: u64,
-    /// When it sent the request, by its own clock, from which it derives the age of the response.
+    /// The time of sending by the node's clock; the node derives the age of the response from it.
     pub sent_at: u64,
 }
 
@@ -85,7 +86,7 @@
 struct SentEntries {
     entries: Vec<Entry>,
     bytes: u64,
-    /// The index that the receiving node must have reached.
+    /// The index that the node must have reached before it applies them.
     follows: u64,
     /// The index that the node has reached once it has applied them.
     reached: u64,
@@ -104,22 +105,22 @@
 }
 
 impl Watcher {
-    /// Whether a requesting node has not received everything sent to it. This does not hold if the node's process or
-    /// kind of copy has changed: nothing is on its way to the new one.
+    /// Whether entries sent to the requesting node are not acknowledged yet. False if its process or the kind of its copy
+    /// has changed, since nothing has been sent to it after that.
     fn has_unreceived_entries(&self, request: &WatchRequest, light: bool) -> bool {
         let is_same_kind = self.light == light && request.light == light;
-        self.is_same_process(request) && is_same_kind && self.sent_index > request.log_index
+        self.continues_last_request(request) && is_same_kind && self.sent_index > request.log_index
     }
 
-    /// Whether a requesting node has just received everything sent to it.
+    /// Whether the request acknowledges the last of the entries that were in flight to the node.
     fn has_received_all(&self, request: &WatchRequest) -> bool {
         let had_more = self.sent_index > self.applied_index;
-        had_more && self.is_same_process(request) && request.log_index >= self.sent_index
+        had_more && self.continues_last_request(request) && request.log_index >= self.sent_index
     }
 
-    /// Whether a request comes from the process that sent the last one, and its copy has not started over. Older builds
-    /// send no incarnation, so for them the process may be another one.
-    fn is_same_process(&self, request: &WatchRequest) -> bool {
+    /// Whether a request comes from the process that sent the last one, and its copy has not gone back to an earlier
+    /// index. Older builds send no incarnation, so another process of such a build may pass as the same.
+    fn continues_last_request(&self, request: &WatchRequest) -> bool {
         request.incarnation == self.last_request.incarnation
             && request.sent >= self.last_request.sent_at
             && request.log_index >= self.applied_index
@@ -134,8 +135,8 @@
         Self::reached_by_majority(contacts)
     }
 
-    /// Whether this replica leads and has applied all entries committed before its term.
-    pub(super) fn is_ready_to_lead(&self) -> bool {
+    /// Whether this replica leads and has applied all entries committed before its term, so that it may serve requests.
+    pub(super) fn is_ready_leader(&self) -> bool {
         let first_index = self.leadership.term_start_index;
         self.role == Role::Leader
             && first_index > 0
@@ -145,7 +146,7 @@
 
     /// Handles a node's request for the entries that follow those it has applied.
     pub(super) fn on_watch_request(&mut self, now: Now, from: &str, request: WatchRequest) {
-        if !self.is_ready_to_lead() {
+        if !self.is_ready_leader() {
             self.watch.snapshots.clear();
             self.send_watch_batch(now, from, RequestOrigin::of(&request), None);
             return;
@@ -178,7 +179,7 @@
     }
 
     /// Whether entries are in flight to a node. It is not sent further ones meanwhile: a node with a light copy can't
-    /// detect a gap, and a narrow link must not be saturated.
+    /// detect a gap, and a slow link must not be saturated.
     fn has_entries_in_flight(&self, node: &str) -> bool {
         let watcher = self.watch.watchers.get(node);
         watcher.is_some_and(|watcher| watcher.sent_index > watcher.applied_index)
@@ -188,15 +189,15 @@
         let known = self.watch.watchers.get(&request.node);
         let bounds = &self.settings.bounds;
         let mut sent_index = request.log_index;
-        let mut unacknowledged = Unacknowledged::default();
+        let mut unacknowledged = UnacknowledgedData::default();
         let mut rate = known.map(|known| known.rate).unwrap_or_default();
         if let Some(known) = known.filter(|known| known.has_received_all(request)) {
-            known.unacknowledged.acknowledged(now.mono, &mut rate);
+            known.unacknowledged.record_ack(now.mono, &mut rate);
         }
         if let Some(known) = known.filter(|known| known.has_unreceived_entries(request, light)) {
             unacknowledged = known.unacknowledged;
             if request.log_index > known.applied_index {
-                unacknowledged.partially_acknowledged(now.mono);
+                unacknowledged.record_partial_ack(now.mono);
             }
             if unacknowledged.is_in_flight(now.mono, rate, bounds) {
                 sent_index = known.sent_index;
@@ -214,10 +215,10 @@
             leaving: request.leaving,
             successor: request.successor.clone(),
             share: request.share,
-            beside_replica: request.beside_core,
+            colocated_with_replica: request.beside_core,
             light,
             last_chunk: known
-                .filter(|known| known.is_same_process(request))
+                .filter(|known| known.continues_last_request(request))
                 .map_or_else(SentChunk::default, |known| known.last_chunk),
             fetched_index: known.map_or(0, |w| w.fetched_index),
         };
@@ -233,16 +234,17 @@
             let rate = &mut watcher.rate;
             watcher
                 .unacknowledged
-                .send(in_flight, sent.bytes, now.mono, rate);
+                .record_sent(in_flight, sent.bytes, now.mono, rate);
         }
         watcher.sent_index = watcher.sent_index.max(sent.reached);
     }
 
-    /// Whether a node should follow a light copy: its CPU share is too small for leases, and others are large enough.
+    /// Whether a node should follow a light copy: its CPU share is too small for leases, and larger nodes
+    /// follow this leader or are still expected to.
     fn should_follow_light_copy(&self, now: Now, request: &WatchRequest) -> bool {
         let is_small = |share: u32| share < SMALL_NODE_SHARE;
         let expected_until = self.leadership.since
-            + NODES_EXPECTED_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
+            + LARGE_NODE_WAIT_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
         let mut watchers = self.watch.watchers.values();
         is_small(request.share)
             && (now.mono < expected_until || watchers.any(|w| !is_small(w.share)))
@@ -257,8 +259,8 @@
         for (node, watcher) in &self.watch.watchers {
             let is_fresh = now.mono.saturating_sub(watcher.last_heard_at) < fresh_ms;
             let lacks_entries = watcher.sent_index < self.log.commit_index;
-            let is_full = !watcher.light;
-            let may_be_sent = holders.contains(node) && is_full && lacks_entries && is_fresh;
+            let has_full_copy = !watcher.light;
+            let may_be_sent = holders.contains(node) && has_full_copy && lacks_entries && is_fresh;
             if may_be_sent && !self.needs_snapshot(node, watcher.sent_index) {
                 due.push((node.clone(), watcher.last_request, watcher.sent_index));
             }
@@ -309,8 +311,8 @@
         for entry in self.log.batch(index + 1, wanted as usize) {
             let is_wanted = !light || Command::is_cluster_wide(&entry.command);
             let bytes = entry.command.len() as u64;
-            let is_full = sent.bytes > 0 && sent.bytes + bytes > MAX_LIGHT_BATCH_BYTES;
-            if light && is_wanted && is_full {
+            let exceeds_limit = sent.bytes > 0 && sent.bytes + bytes > MAX_LIGHT_BATCH_BYTES;
+            if light && is_wanted && exceeds_limit {
                 break;
             }
             sent.reached = entry.index;
--- a/landingdrift/src/consensus/watch_flow.rs
+++ b/landingdrift/src/consensus/watch_flow.rs
@@ -1,10 +1,10 @@
-//! Flow control towards the nodes that follow the log: data in flight to a node is not retransmitted before it can have
-//! arrived, however narrow the node's link is, and the timeout doubles with each retransmission.
+//! Flow control towards the nodes that follow the log: data is not retransmitted while it may still be in flight, even
+//! over a slow link, and the timeout doubles with each retransmission.
 
 use crate::sans_io::MIN_LINK_BYTES_PER_MS;
 use crate::settings::Bounds;
 
-/// The heartbeat intervals to wait for an acknowledgement, in addition to the transfer time of the bytes.
+/// The number of heartbeat intervals to wait for an acknowledgement, in addition to the transfer time of the bytes.
 const ACK_HEARTBEATS: u64 = 2;
 /// The maximum number of times that the timeout doubles.
 const MAX_DOUBLINGS: u32 = 5;
@@ -12,9 +12,10 @@
 const QUICK_CHUNK_HEARTBEATS: u64 = 2;
 /// A chunk acknowledged after more than this many heartbeat intervals is followed by a smaller one.
 const SLOW_CHUNK_HEARTBEATS: u64 = 4;
-/// The minimum bytes for a sample of the link rate: the acknowledgement of less mostly waits for the node's next poll.
+/// The minimum bytes for a sample of the link rate. Smaller amounts are not sampled, since their delay is mostly the
+/// node's poll interval.
 const MIN_SAMPLE_BYTES: u64 = 4 << 10;
-/// The first chunk of a snapshot, in bytes; later ones grow while the node fetches them quickly.
+/// The size of the first chunk of a snapshot, in bytes; later ones grow while the node fetches them quickly.
 const FIRST_CHUNK_BYTES: usize = 32 << 10;
 /// The smallest chunk of a snapshot, in bytes.
 const MIN_CHUNK_BYTES: usize = 16 << 10;
@@ -37,7 +38,7 @@
         }
     }
 
-    fn timed_out(&mut self) {
+    fn record_timeout(&mut self) {
         self.0 = (self.0 / 2).max(MIN_LINK_BYTES_PER_MS);
     }
 
@@ -48,52 +49,52 @@
 
 /// Data sent to a node and not acknowledged yet. Times are monotonic milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Unacknowledged {
+pub(super) struct UnacknowledgedData {
     bytes: u64,
     sent_at: u64,
     /// The number of retransmissions.
-    repetitions: u32,
+    retransmissions: u32,
 }
 
-impl Unacknowledged {
+impl UnacknowledgedData {
     /// Data that is sent for the first time.
     pub fn new(bytes: u64, sent_at: u64) -> Self {
         Self {
             bytes,
             sent_at,
-            repetitions: 0,
+            retransmissions: 0,
         }
     }
 
-    /// Records that bytes are sent: in addition to those in flight, or as a retransmission if earlier data was not
+    /// Records that bytes were sent: in addition to those in flight, or as a retransmission if earlier data was not
     /// acknowledged in time.
-    pub fn send(&mut self, in_flight: bool, bytes: u64, now_ms: u64, rate: &mut LinkRate) {
+    pub fn record_sent(&mut self, in_flight: bool, bytes: u64, now_ms: u64, rate: &mut LinkRate) {
         if in_flight {
             self.bytes += bytes;
         } else if self.bytes > 0 {
             self.bytes = bytes;
-            self.repeat(now_ms, rate);
+            self.record_retransmission(now_ms, rate);
         } else {
             *self = Self::new(bytes, now_ms);
         }
     }
 
     /// Records a retransmission.
-    pub fn repeat(&mut self, now_ms: u64, rate: &mut LinkRate) {
+    pub fn record_retransmission(&mut self, now_ms: u64, rate: &mut LinkRate) {
         self.sent_at = now_ms;
-        self.repetitions += 1;
-        rate.timed_out();
+        self.retransmissions += 1;
+        rate.record_timeout();
     }
 
     /// Records that a part was acknowledged, and restarts the timeout for the rest.
-    pub fn partially_acknowledged(&mut self, now_ms: u64) {
+    pub fn record_partial_ack(&mut self, now_ms: u64) {
         *self = Self::new(0, now_ms);
     }
 
     /// Records that everything was acknowledged.
-    pub fn acknowledged(&self, now_ms: u64, rate: &mut LinkRate) {
-        // After a retransmission it is unknown which of the sends was acknowledged (Karn's algorithm).
-        if self.repetitions == 0 {
+    pub fn record_ack(&self, now_ms: u64, rate: &mut LinkRate) {
+        // After a retransmission it is unknown which transmission was acknowledged (Karn's algorithm).
+        if self.retransmissions == 0 {
             rate.record_sample(self.bytes, now_ms.saturating_sub(self.sent_at));
         }
     }
@@ -102,12 +103,12 @@
     pub fn is_in_flight(&self, now_ms: u64, rate: LinkRate, bounds: &Bounds) -> bool {
         let base_wait_ms =
             ACK_HEARTBEATS * bounds.heartbeat_interval() + rate.transfer_ms(self.bytes);
-        let wait_ms = base_wait_ms << self.repetitions.min(MAX_DOUBLINGS);
+        let wait_ms = base_wait_ms << self.retransmissions.min(MAX_DOUBLINGS);
         now_ms < self.sent_at + wait_ms
     }
 }
 
-/// The size of the chunks in which a node fetches a snapshot: small at first, so that a narrow link is not blocked,
+/// The size of the chunks in which a node fetches a snapshot: small at first, so that a slow link is not blocked,
 /// then growing as long as chunks are acknowledged quickly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ChunkSize(usize);
@@ -124,7 +125,7 @@
     }
 
     /// Adapts the size to a chunk that was acknowledged after `after_ms`.
-    pub fn acknowledged(&mut self, after_ms: u64, max_bytes: usize, bounds: &Bounds) {
+    pub fn record_ack(&mut self, after_ms: u64, max_bytes: usize, bounds: &Bounds) {
         if after_ms <= QUICK_CHUNK_HEARTBEATS * bounds.heartbeat_interval() {
             self.0 = (self.0 * 2).min(max_bytes);
         } else if after_ms > SLOW_CHUNK_HEARTBEATS * bounds.heartbeat_interval() {
@@ -133,7 +134,7 @@
     }
 
     /// Halves the size after a chunk that was not acknowledged in time.
-    pub fn timed_out(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.0 = (self.0 / 2).max(MIN_CHUNK_BYTES);
     }
 }
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -1,6 +1,6 @@
 //! The snapshots that nodes fetch: a few are kept, shared by all nodes, and dropped when no node fetches them any more.
 
-use super::watch_flow::{ChunkSize, Unacknowledged};
+use super::watch_flow::{ChunkSize, UnacknowledgedData};
 use super::Replica;
 use crate::sans_io::Now;
 use crate::snapshot_chunks::{ChunkedSnapshot, SnapshotId, CHUNK_BYTES};
@@ -9,14 +9,16 @@
 
 /// The maximum number of full snapshots kept: one that is being fetched, and a newer one.
 const MAX_KEPT_FULL: usize = 2;
-/// The maximum number of light snapshots kept: they are small, and nodes on narrow links take long to fetch one.
+/// The maximum number of light snapshots kept: they are small, and nodes on slow links need a long
+/// time to fetch one.
 const MAX_KEPT_LIGHT: usize = 8;
 /// A snapshot is shared with further nodes as long as it is at most this many entries behind the state.
 const MAX_SHARED_LAG_ENTRIES: u64 = 256;
 
+/// A snapshot that is kept for the nodes that fetch it.
 #[derive(Clone)]
 struct KeptSnapshot {
-    /// The snapshot is of the light copy of the state, without jobs and workers.
+    /// Whether it contains only the light copy of the state, without jobs and workers.
     light: bool,
     snapshot: Arc<ChunkedSnapshot>,
     /// The time at which a chunk of it was last sent, in monotonic milliseconds.
@@ -59,11 +61,13 @@
     fn add(&mut self, light: bool, snapshot: Arc<ChunkedSnapshot>, now: Now) {
         let max_kept = if light { MAX_KEPT_LIGHT } else { MAX_KEPT_FULL };
         while self.0.iter().filter(|kept| kept.light == light).count() >= max_kept {
-            let of_kind = self.0.iter().enumerate();
-            let of_kind = of_kind.filter(|(_, kept)| kept.light == light);
-            let unused = of_kind.min_by_key(|(_, kept)| kept.last_used_at);
-            let Some((unused, _)) = unused else { break };
-            self.0.remove(unused);
+            let kept = self.0.iter().enumerate();
+            let of_same_kind = kept.filter(|(_, kept)| kept.light == light);
+            let least_recently_used = of_same_kind.min_by_key(|(_, kept)| kept.last_used_at);
+            let Some((position, _)) = least_recently_used else {
+                break;
+            };
+            self.0.remove(position);
         }
         self.0.push(KeptSnapshot {
             light,
@@ -81,18 +85,18 @@
     offset: u64,
     /// The time at which it was first sent, in monotonic milliseconds.
     first_sent_at: u64,
-    unacknowledged: Unacknowledged,
+    unacknowledged: UnacknowledgedData,
     size: ChunkSize,
 }
 
 impl SentChunk {
-    /// Whether this is the chunk that a node requests now.
-    fn is_at(&self, id: &SnapshotId, offset: u64) -> bool {
+    /// Whether this is the chunk at `offset` of the snapshot `id`, which a node requests.
+    fn is_requested(&self, id: &SnapshotId, offset: u64) -> bool {
         (self.index, self.checksum, self.offset) == (id.index, id.checksum, offset)
     }
 
-    /// Whether the chunk that a node requests follows this one, which means that this one was received.
-    fn is_before(&self, id: &SnapshotId, offset: u64) -> bool {
+    /// Whether this chunk precedes the requested one, at `offset` of the snapshot `id`, and so was received.
+    fn precedes_requested(&self, id: &SnapshotId, offset: u64) -> bool {
         (self.index, self.checksum) == (id.index, id.checksum) && self.offset < offset
     }
 }
@@ -109,26 +113,27 @@
         let id = snapshot.identity();
         let resumes = (request.part_index, request.part_checksum) == (id.index, id.checksum);
         let offset = if resumes { request.part_received } else { 0 };
-        let is_repeated = sent.is_at(&id, offset);
-        let is_acknowledged = sent.is_before(&id, offset);
+        let is_repeated = sent.is_requested(&id, offset);
+        let is_acknowledged = sent.precedes_requested(&id, offset);
         let bounds = &self.settings.bounds;
-        // Only one chunk is in flight at a time, of whichever snapshot.
+        // Only one chunk may be in flight to a node at a time, even if the snapshot has changed.
         if !is_acknowledged && sent.unacknowledged.is_in_flight(now.mono, rate, bounds) {
             return;
         }
         if is_repeated {
-            sent.size.timed_out();
+            sent.size.record_timeout();
         } else if is_acknowledged {
             let after_ms = now.mono.saturating_sub(sent.first_sent_at);
-            sent.unacknowledged.acknowledged(now.mono, &mut rate);
-            sent.size.acknowledged(after_ms, CHUNK_BYTES, bounds);
+            sent.unacknowledged.record_ack(now.mono, &mut rate);
+            sent.size.record_ack(after_ms, CHUNK_BYTES, bounds);
         }
         let bytes = snapshot.chunk_up_to(offset, sent.size.bytes()).to_vec();
         if is_repeated {
-            sent.unacknowledged.repeat(now.mono, &mut rate);
+            sent.unacknowledged
+                .record_retransmission(now.mono, &mut rate);
         } else {
             sent.first_sent_at = now.mono;
-            sent.unacknowledged = Unacknowledged::new(bytes.len() as u64, now.mono);
+            sent.unacknowledged = UnacknowledgedData::new(bytes.len() as u64, now.mono);
         }
         (sent.index, sent.checksum, sent.offset) = (id.index, id.checksum, offset);
         if let Some(watcher) = self.watch.watchers.get_mut(to) {
@@ -154,8 +159,8 @@
         self.send(to, Body::WatchSnapshotChunk(Box::new(body)));
     }
 
-    /// The snapshot that a node has received or been sent a part of, if the log still reaches back to it; else one that
-    /// is recent enough.
+    /// The snapshot whose transfer to the node is in progress, if the log still contains all entries after it; otherwise
+    /// a recent one, which is created if necessary.
     fn watch_snapshot(
         &mut self,
         now: Now,
@@ -166,8 +171,7 @@
         let log_base = self.log.base().index;
         let applied = self.state.applied_index;
         let is_usable = |kept: &KeptSnapshot| kept.light == light && kept.id().index >= log_base;
-        // A node that has applied more than this replica has entries that the replicas have lost, so any snapshot will
-        // do.
+        // If the node has applied entries that the replicas have lost, any snapshot will do.
         let min_index = if request.log_index <= applied {
             request.log_index
         } else {
@@ -209,8 +213,8 @@
         let applied = self.state.applied_index;
         let own = &self.snapshots.latest;
         let own_index = own.identity().index;
-        let follows_log = own_index > 0 && own_index >= self.log.base().index;
-        let is_usable = follows_log && own_index >= min_index;
+        let log_reaches_back = own_index > 0 && own_index >= self.log.base().index;
+        let is_usable = log_reaches_back && own_index >= min_index;
         if !light && is_usable && applied - own_index <= MAX_SHARED_LAG_ENTRIES {
             return own.clone();
         }
