--- a/landingdrift/src/config/check.rs
+++ b/landingdrift/src/config/check.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigError {
     /// A field is unknown or of the wrong type.
-    Shape {
+    Schema {
         /// Path of the invalid field.
         path: String,
         /// Description of the error.
@@ -37,7 +37,7 @@
     /// Path of the invalid field.
     pub fn path(&self) -> &str {
         match self {
-            Self::Shape { path, .. } | Self::Value { path, .. } => path,
+            Self::Schema { path, .. } | Self::Value { path, .. } => path,
         }
     }
 }
@@ -45,7 +45,7 @@
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Shape { path, why } => write!(
+            Self::Schema { path, why } => write!(
                 f,
                 "{path}: {why}; see docs/operators/configuration.md for the fields"
             ),
@@ -57,7 +57,7 @@
 /// Parses and validates a configuration from JSON; unknown fields and fields of the wrong type are errors.
 pub fn read(value: &serde_json::Value) -> Result<ClusterConfig, ConfigError> {
     serde_path_to_error::deserialize(value)
-        .map_err(|error| ConfigError::Shape {
+        .map_err(|error| ConfigError::Schema {
             path: error.path().to_string(),
             why: error.inner().to_string(),
         })
@@ -149,8 +149,8 @@
 
 fn check_service(name: &str, service: &Service) -> Result<(), ConfigError> {
     let item = Item::named("services", name)?;
-    item.ensure(service.task_cpu >= 1, "taskRoom", "give at least 1")?;
-    let holds_task = service.gang_cpu >= service.task_cpu;
+    item.ensure(service.max_task_cpu >= 1, "taskRoom", "give at least 1")?;
+    let holds_task = service.max_gang_cpu >= service.max_task_cpu;
     item.ensure(holds_task, "gangRoom", "give at least taskRoom")
 }
 
--- a/landingdrift/src/config/mod.rs
+++ b/landingdrift/src/config/mod.rs
@@ -89,11 +89,11 @@
     /// Maximum CPU that one task may need.
     #[prost(uint32, tag = "2")]
     #[serde(rename = "taskRoom")]
-    pub task_cpu: u32,
+    pub max_task_cpu: u32,
     /// Maximum CPU that a gang may need in total.
     #[prost(uint32, tag = "3")]
     #[serde(rename = "gangRoom")]
-    pub gang_cpu: u32,
+    pub max_gang_cpu: u32,
     /// Whether tasks may require labels that `labels` doesn't list.
     #[prost(bool, tag = "4")]
     pub any_label: bool,
--- a/landingdrift/src/consensus/job_admission.rs
+++ b/landingdrift/src/consensus/job_admission.rs
@@ -169,7 +169,7 @@
         return None;
     }
     match Command::unpack(command) {
-        Ok(Command::AcceptJob { spec, .. }) => Some(spec),
+        Ok(Command::SubmitJob { spec, .. }) => Some(spec),
         _ => None,
     }
 }
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -48,7 +48,7 @@
 pub use clock::{ClockReading, ClusterClock};
 
 use crate::peer_sampler::PeerSampler;
-use crate::sans_io::{Effect, HardState, Msg, Now, Outbox, Part, Rng, Snapshot};
+use crate::sans_io::{Effect, HardState, Msg, Now, Outbox, Rng, Snapshot, StateMachine};
 use crate::settings::Settings;
 use crate::state::ClusterState;
 use crate::wire::{Body, DurabilityWitness, Entry};
@@ -289,7 +289,7 @@
     }
 }
 
-impl Part for Replica {
+impl StateMachine for Replica {
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
@@ -298,7 +298,7 @@
             Msg::Call(call, request) => self.on_call(now, call, &request),
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => self.on_stop(now),
-            Msg::Wire(from, body) => self.on_message(now, &from, body),
+            Msg::Received(from, body) => self.on_message(now, &from, body),
         }
         self.send_requested_round(now);
         self.flush();
--- a/landingdrift/src/consensus/node_registry.rs
+++ b/landingdrift/src/consensus/node_registry.rs
@@ -45,7 +45,7 @@
                 None => has_led_long,
             };
             if node.alive && is_gone {
-                return Some(Command::RemoveNode { node: name.clone() });
+                return Some(Command::MarkNodeGone { node: name.clone() });
             }
         }
         None
--- a/landingdrift/src/consensus/shutdown.rs
+++ b/landingdrift/src/consensus/shutdown.rs
@@ -28,7 +28,7 @@
         if self.shutdown.is_requested() {
             return;
         }
-        self.shutdown.deadline = Some(now.mono + self.settings.bounds.leave_timeout());
+        self.shutdown.deadline = Some(now.mono + self.settings.bounds.voter_handover_timeout());
         self.shutdown.leave_permitted = false;
         if self.role == Role::Leader {
             self.transfer_leadership(now);
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -1,7 +1,7 @@
 //! Status and metrics of a replica: its HTTP routes and counters.
 
 use super::{Replica, Role};
-use crate::sans_io::{Now, Part, Request, Response};
+use crate::sans_io::{Now, Request, Response, StateMachine};
 use serde_json::json;
 
 /// A replica that no leader has contacted for this many election timeouts is not ready.
--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -5,7 +5,7 @@
 use super::pending_calls::PendingCalls;
 use super::shutdown_timer::{GracePeriods, ShutdownTimer};
 use super::traffic::Transport;
-use crate::sans_io::{Effect, Msg, Now, Part};
+use crate::sans_io::{Effect, Msg, Now, StateMachine};
 use crate::settings::Settings;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -37,7 +37,7 @@
 /// effects.
 pub struct ControlThread {
     /// The part that the thread steps.
-    pub part: Box<dyn Part>,
+    pub part: Box<dyn StateMachine>,
     /// The clocks of the process, which the part reads in each step.
     pub clock: Clock,
     /// Sends messages to other processes.
@@ -55,7 +55,7 @@
 impl ControlThread {
     /// A control thread for a part that has received no input yet.
     pub fn new(
-        part: Box<dyn Part>,
+        part: Box<dyn StateMachine>,
         clock: Clock,
         transport: Transport,
         disk: Option<DiskWriter>,
@@ -132,7 +132,7 @@
                     disk.save(batch);
                 }
             }
-            Effect::Answer(call, response) => self.calls.answer(call, response),
+            Effect::Respond(call, response) => self.calls.answer(call, response),
             Effect::Log(text) => log::info!("{text}"),
             Effect::Exit => {}
         }
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -9,7 +9,7 @@
 use super::signals::CloseSignalsOnDrop;
 use super::traffic::{FrameOptions, HttpAdapter, HttpLimits, ServingState, Traffic, Transport};
 use super::{logs, open_folder, signals, threads};
-use crate::sans_io::{fnv1a, Msg, Now, Part};
+use crate::sans_io::{fnv1a, Msg, Now, StateMachine};
 use crate::settings::{Bounds, Settings};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
@@ -66,7 +66,7 @@
     /// Starts a part that has no disk: listens at its address and spawns its control thread.
     pub fn start_part(
         &mut self,
-        part: Box<dyn Part>,
+        part: Box<dyn StateMachine>,
         settings: &Settings,
     ) -> Result<PartHandle, ProcessError> {
         let PartChannels {
--- a/landingdrift/src/daemon/traffic/frames/receive.rs
+++ b/landingdrift/src/daemon/traffic/frames/receive.rs
@@ -71,7 +71,7 @@
         };
         match unpack(&options.cluster, &bytes) {
             Ok(envelope) => {
-                let msg = Msg::Wire(envelope.from, envelope.body);
+                let msg = Msg::Received(envelope.from, envelope.body);
                 if inputs.send(Input::Msg(msg)).is_err() {
                     return;
                 }
--- a/landingdrift/src/node/calls/config.rs
+++ b/landingdrift/src/node/calls/config.rs
@@ -73,7 +73,7 @@
         // Generated before the body is parsed, so that the sequence of random numbers does not depend on its validity.
         let change = match requested.change {
             Some(change) => change,
-            None => format!("c{:x}", self.rng.number()),
+            None => format!("c{:x}", self.rng.next_u64()),
         };
         let value = match read_object(&request.body) {
             Ok(value) => value,
--- a/landingdrift/src/node/calls/heartbeats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -36,7 +36,7 @@
             Ok(heartbeat) => heartbeat,
             Err(response) => return self.reply(&origin, response),
         };
-        let Some(lease) = self.state.holder(&zone_lease(&heartbeat.info.zone)) else {
+        let Some(lease) = self.state.current_lease(&zone_lease(&heartbeat.info.zone)) else {
             let response = self.unknown_zone_response(&heartbeat);
             return self.reply(&origin, response);
         };
@@ -76,7 +76,7 @@
             return self.reply(&origin, response);
         };
         let zone = known.info.zone.clone();
-        let lease = self.state.holder(&zone_lease(&zone));
+        let lease = self.state.current_lease(&zone_lease(&zone));
         let holder = lease.map(|lease| lease.holder.clone()).unwrap_or_default();
         if !holder.is_empty() && holder != self.name {
             return self.forward_to_holder(now, origin, holder, request);
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -77,7 +77,7 @@
             return self.reply(&origin, response);
         }
         let seen = self.state.applied_index;
-        let command = Command::AcceptJob { spec, hash, seen };
+        let command = Command::SubmitJob { spec, hash, seen };
         self.open_with_proposal(now, origin, &command, ProposedCall::AcceptJob { id });
     }
 
@@ -243,7 +243,7 @@
                 return self.reply(&origin, Response::error(400, "wrongOutcome", message));
             }
         };
-        let command = Command::ResolveAttempt {
+        let command = Command::ResolveTask {
             job: id.into(),
             task: task.into(),
             succeeded,
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -138,7 +138,7 @@
     /// Sends a response to the origin of its call.
     pub(super) fn reply(&mut self, origin: &Origin, response: Response) {
         match origin {
-            Origin::Local(call) => self.out.push(Effect::Answer(*call, response)),
+            Origin::Local(call) => self.out.push(Effect::Respond(*call, response)),
             Origin::Remote(to, token) => {
                 let by = if response.answered_by.is_empty() {
                     self.name.clone()
--- a/landingdrift/src/node/calls/routes.rs
+++ b/landingdrift/src/node/calls/routes.rs
@@ -2,7 +2,7 @@
 
 use super::{Origin, ReadQuery};
 use crate::node::Node;
-use crate::sans_io::{Now, Part, Request, Response};
+use crate::sans_io::{Now, Request, Response, StateMachine};
 use serde_json::json;
 
 /// Whether a call needs jobs or workers, which a light copy of the cluster state does not have. All such calls are
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -56,7 +56,7 @@
 /// Whether the whole gang could start now if there were free workers.
 fn is_startable(state: &ClusterState, at: u64, job: &Job, task: u32) -> bool {
     let members = unfinished_members(job, task);
-    let may_start = |member: &u32| state.may_start(&job.spec.id, *member, false, at).is_ok();
+    let may_start = |member: &u32| state.check_start(&job.spec.id, *member, false, at).is_ok();
     !members.is_empty() && members.iter().all(may_start)
 }
 
@@ -277,7 +277,11 @@
                 let beside = placed_here as u32 + job.step_attempts_on(index, worker.name);
                 let may_join = spec.anti_affinity == 0 || beside < spec.anti_affinity;
                 let placement = self.placement(worker.name, *task, false);
-                may_join && self.state.fits(&job.spec.id, &placement, at).is_ok()
+                may_join
+                    && self
+                        .state
+                        .check_placement(&job.spec.id, &placement, at)
+                        .is_ok()
             })?;
             chosen.free = chosen.free.minus(spec.needs());
             placements.push(self.placement(chosen.name, *task, false));
@@ -290,7 +294,7 @@
         let known = self.state.workers.get(worker);
         let incarnation = known.map_or(0, |worker| worker.info.incarnation);
         let zone = known.map_or("", |worker| worker.info.zone.as_str());
-        let lease = self.state.holder(&zone_lease(zone));
+        let lease = self.state.current_lease(&zone_lease(zone));
         Placement {
             task,
             worker: worker.into(),
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::peer_sampler::PeerSampler;
-use crate::sans_io::{fnv1a, Effect, Msg, Now, Part, Response, Rng};
+use crate::sans_io::{fnv1a, Effect, Msg, Now, Response, Rng, StateMachine};
 use crate::settings::Settings;
 use crate::state::ClusterState;
 use crate::wire::{Body, RequestToken};
@@ -59,8 +59,8 @@
     pub fn new(settings: Settings, now: Now, seed: u64) -> Self {
         let name = settings.listen.clone();
         let mut rng = Rng::new(seed ^ fnv1a(name.as_bytes()));
-        let first_token = rng.number();
-        let incarnation = rng.number();
+        let first_token = rng.next_u64();
+        let incarnation = rng.next_u64();
         Self {
             state: ClusterState::new(&settings.cluster),
             light: false,
@@ -146,7 +146,7 @@
 
     /// The epoch of a lease, if this node holds it.
     pub(crate) fn epoch(&self, lease: &str) -> Option<u64> {
-        let lease = self.state.holder(lease)?;
+        let lease = self.state.current_lease(lease)?;
         (lease.holder == self.name).then_some(lease.epoch)
     }
 
@@ -238,11 +238,11 @@
     }
 }
 
-impl Part for Node {
+impl StateMachine for Node {
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
-            Msg::Wire(from, body) => self.on_wire(now, &from, body),
+            Msg::Received(from, body) => self.on_wire(now, &from, body),
             Msg::Call(call, request) => self.on_call(now, calls::Origin::Local(call), request),
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => {
--- a/landingdrift/src/node/scheduler/demand.rs
+++ b/landingdrift/src/node/scheduler/demand.rs
@@ -40,7 +40,11 @@
     pub(super) fn startable_tasks(&self, now: Now, id: &str, job: &Job) -> Vec<u32> {
         let cluster_time = self.cluster_time(now);
         let underway = self.starting_tasks(id);
-        let may_start = |task: u32| self.state.may_start(id, task, false, cluster_time).is_ok();
+        let may_start = |task: u32| {
+            self.state
+                .check_start(id, task, false, cluster_time)
+                .is_ok()
+        };
         (0..job.tasks.len() as u32)
             .filter(|task| !underway.contains(task) && may_start(*task))
             .collect()
@@ -65,7 +69,7 @@
                 continue;
             };
             if ran_ms as f64 > slow_after_ms
-                && self.state.may_start(id, task, true, cluster_time).is_ok()
+                && self.state.check_start(id, task, true, cluster_time).is_ok()
             {
                 slow.push(RunningTask { ran_ms, task });
             }
--- a/landingdrift/src/node/scheduler/placement.rs
+++ b/landingdrift/src/node/scheduler/placement.rs
@@ -82,7 +82,7 @@
             return None;
         }
         let at = self.cluster_time(now);
-        let fits = self.state.fits(&job.spec.id, &placement, at);
+        let fits = self.state.check_placement(&job.spec.id, &placement, at);
         fits.is_ok().then_some(placement)
     }
 
--- a/landingdrift/src/node/scheduler/reservations.rs
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -77,7 +77,7 @@
     fn zone_scheduler_holder(&self, worker: &str) -> Option<String> {
         let known = self.state.workers.get(worker);
         let zone = known.map_or("", |worker| worker.info.zone.as_str());
-        let lease = self.state.holder(&zone_lease(zone))?;
+        let lease = self.state.current_lease(&zone_lease(zone))?;
         Some(lease.holder.clone())
     }
 
--- a/landingdrift/src/node/scheduler/sizes.rs
+++ b/landingdrift/src/node/scheduler/sizes.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use crate::sans_io::Now;
-use crate::state::derive::Sizing;
+use crate::state::derive::JobSizes;
 use crate::state::Job;
 use crate::wire::{Offer, Sizes};
 
@@ -12,13 +12,13 @@
 
 /// A job's sizes and the number of slots that it occupies, including proposed starts.
 pub(super) struct JobShare {
-    pub sizing: Sizing,
+    pub sizing: JobSizes,
     pub occupied: f64,
 }
 
 impl Node {
     /// The size by which a job is ranked; higher priority reduces it.
-    fn weighted_size(&self, job: &Job, sizing: &Sizing) -> f64 {
+    fn weighted_size(&self, job: &Job, sizing: &JobSizes) -> f64 {
         let priority = self
             .state
             .queue(&job.spec.queue)
@@ -28,7 +28,7 @@
 
     /// The slots that a job needs and occupies.
     pub(super) fn share(&self, job: &Job) -> JobShare {
-        let sizing = self.state.sizing(job);
+        let sizing = self.state.job_sizes(job);
         let starting = self.starting_placements(&job.spec.id).count();
         let occupied = f64::from(sizing.occupied) + starting as f64;
         JobShare { sizing, occupied }
--- a/landingdrift/src/node/watch/entries.rs
+++ b/landingdrift/src/node/watch/entries.rs
@@ -105,7 +105,7 @@
                     }
                 }
             }
-            Some(Command::AcceptJob { spec, .. }) => {
+            Some(Command::SubmitJob { spec, .. }) => {
                 self.sched.dirty.insert(spec.id.clone());
             }
             Some(Command::GrantLease { lease, .. }) => {
--- a/landingdrift/src/node/zone_scheduler/lease_expiry.rs
+++ b/landingdrift/src/node/zone_scheduler/lease_expiry.rs
@@ -93,7 +93,7 @@
             "worker {worker} is lost: no heartbeat received, the outcome of its attempts is unknown"
         ));
         self.count("workers_lost", 1);
-        let command = Command::WorkerLost {
+        let command = Command::MarkWorkerLost {
             worker: worker.clone(),
             incarnation,
             zone_epoch,
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -82,7 +82,7 @@
         let total = known
             .info
             .total_resources()
-            .min_of_each(worker_state.resources);
+            .component_min(worker_state.resources);
         total.minus(taken)
     }
 
@@ -246,7 +246,7 @@
     worker_state: &WorkerState,
 ) -> bool {
     let has_promises = !worker_state.promises.is_empty();
-    known.probation > 0 && (has_promises || state.has_ending_attempts(known))
+    known.probation > 0 && (has_promises || state.has_finite_attempts(known))
 }
 
 fn promised_resources(
--- a/landingdrift/src/replay/rerun/mod.rs
+++ b/landingdrift/src/replay/rerun/mod.rs
@@ -68,16 +68,16 @@
         Command::CancelJob { .. } => {
             simulation.append(entry);
         }
-        Command::AcceptJob { spec, hash, .. } => {
+        Command::SubmitJob { spec, hash, .. } => {
             let seen = simulation.applied_index();
-            simulation.append(&Command::AcceptJob {
+            simulation.append(&Command::SubmitJob {
                 spec: spec.clone(),
                 hash: *hash,
                 seen,
             });
         }
         Command::UpdateWorker { info, .. } => simulation.update_worker(info),
-        Command::WorkerLost { worker, .. } => simulation.stop_heartbeats(worker),
+        Command::MarkWorkerLost { worker, .. } => simulation.stop_heartbeats(worker),
         _ => {}
     }
 }
--- a/landingdrift/src/replay/rerun/simulation.rs
+++ b/landingdrift/src/replay/rerun/simulation.rs
@@ -6,7 +6,7 @@
 use crate::config::ClusterConfig;
 use crate::node::Node;
 use crate::replay::Recording;
-use crate::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use crate::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use crate::settings::Settings;
 use crate::state::{pack_apply_result, queue_lease, zone_lease, ClusterState, Command, WorkerInfo};
 use crate::wire::{
@@ -199,7 +199,7 @@
     }
 
     fn grant(&mut self, lease: String) {
-        let granted = self.state.holder(&lease);
+        let granted = self.state.current_lease(&lease);
         if granted.is_some_and(|granted| granted.holder == NODE) {
             return;
         }
@@ -246,7 +246,7 @@
 
     /// Sends the node a message from the replica.
     fn send(&mut self, body: Body) {
-        self.step(Msg::Wire(REPLICA.into(), body));
+        self.step(Msg::Received(REPLICA.into(), body));
     }
 
     /// Steps the node and executes its effects.
@@ -256,7 +256,7 @@
             match effect {
                 Effect::Send(_, Body::ProposeRequest(proposal)) => self.on_propose(&proposal),
                 Effect::Send(_, Body::ReadIndexRequest(request)) => self.on_read_index(&request),
-                Effect::Answer(call, response) => {
+                Effect::Respond(call, response) => {
                     if let Some(worker) = self.calls.remove(&call) {
                         self.on_heartbeat_response(&worker, &response);
                     }
--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -84,7 +84,7 @@
     /// Periodic timer.
     Tick,
     /// A message from the process at an address.
-    Wire(String, Body),
+    Received(String, Body),
     /// Every batch up to this [`WriteBatch::write_id`] is durable.
     Persisted(u64),
     /// A write to the disk failed, with the reason.
@@ -148,7 +148,7 @@
     /// Writes a batch to the disk and syncs it.
     Persist(WriteBatch),
     /// Sends the response to a call.
-    Answer(u64, Response),
+    Respond(u64, Response),
     /// Writes a line to the process's log.
     Log(String),
     /// Reports that the part has finished, so that the process may end.
@@ -156,7 +156,7 @@
 }
 
 /// A state machine that takes one message per step and returns effects. It has no access to clocks, sockets or files.
-pub trait Part: Send {
+pub trait StateMachine: Send {
     /// Processes one message.
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect>;
     /// Current values of the counters, by name.
@@ -182,7 +182,7 @@
         Self(seed ^ 0x9e37_79b9_7f4a_7c15)
     }
     /// Returns the next 64-bit number.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -190,11 +190,11 @@
     }
     /// Returns a number below `n`, or 0 if `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
-        self.number().checked_rem(n).unwrap_or(0)
+        self.next_u64().checked_rem(n).unwrap_or(0)
     }
     /// Returns a number in [0, 1).
     pub fn unit(&mut self) -> f64 {
-        (self.number() >> 11) as f64 / (1u64 << 53) as f64
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// Returns a random item of a slice; `None` if it is empty.
     pub fn pick<'a, T>(&mut self, of: &'a [T]) -> Option<&'a T> {
--- a/landingdrift/src/sans_io/outbox.rs
+++ b/landingdrift/src/sans_io/outbox.rs
@@ -19,7 +19,7 @@
 
     /// Sends the response to an HTTP request, identified by the number of its call.
     pub fn respond(&mut self, call: u64, response: Response) {
-        self.effects.push(Effect::Answer(call, response));
+        self.effects.push(Effect::Respond(call, response));
     }
 
     /// Writes a batch to the disk.
--- a/landingdrift/src/settings/bounds.rs
+++ b/landingdrift/src/settings/bounds.rs
@@ -73,7 +73,7 @@
     }
 
     /// How long a stopping replica waits for a standby to replace it as a voter.
-    pub fn leave_timeout(&self) -> u64 {
+    pub fn voter_handover_timeout(&self) -> u64 {
         self.grace_ms * 5 / 8
     }
 
--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -37,7 +37,7 @@
         why: String,
     },
     /// The file's content is invalid.
-    Text {
+    Content {
         /// Path of the file.
         file: String,
         /// Error of the TOML parser.
@@ -57,7 +57,7 @@
         match self {
             Self::Flag(why) => write!(formatter, "{why}: see --help for the flags"),
             Self::File { file, why } => write!(formatter, "failed to read settings file '{file}': {why}; correct --settings or the file's permissions"),
-            Self::Text { file, why } => write!(formatter, "invalid settings file '{file}': {why}; docs/operators/settings.md lists all settings"),
+            Self::Content { file, why } => write!(formatter, "invalid settings file '{file}': {why}; docs/operators/settings.md lists all settings"),
             Self::Value { setting, remedy } => write!(formatter, "setting '{setting}': {remedy}"),
         }
     }
@@ -137,7 +137,7 @@
         file: file.to_string(),
         why: why.to_string(),
     })?;
-    toml::from_str(&text).map_err(|why| SettingsError::Text {
+    toml::from_str(&text).map_err(|why| SettingsError::Content {
         file: file.to_string(),
         why: why.to_string().trim().replace('\n', " "),
     })
--- a/landingdrift/src/state/apply/attempts.rs
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -76,13 +76,13 @@
         }
         self.request_stops(to_stop);
         if !has_succeeded {
-            self.reschedule_gang(&id, task_no);
+            self.stop_gang(&id, task_no);
         }
     }
 
     /// Stops the live attempts of a task's gang after one member failed to complete, so that all members restart
     /// together.
-    pub(super) fn reschedule_gang(&mut self, id: &str, task_no: u32) {
+    pub(super) fn stop_gang(&mut self, id: &str, task_no: u32) {
         let Some(job) = self.jobs.get(id) else { return };
         let mut to_stop = Vec::new();
         for member in job.gang_members(task_no as usize) {
@@ -109,7 +109,7 @@
             attempt.ended = at;
         }
         // The other members must not wait for an attempt that may never end.
-        self.reschedule_gang(&id, task_no);
+        self.stop_gang(&id, task_no);
     }
 
     /// Stores the newest checkpoint of an attempt for its task, and for all members of its gang.
@@ -134,7 +134,7 @@
 /// Derives the state of a task after one of its attempts has ended.
 fn update_task_state(job: &mut Job, task: usize, is_first_success: bool, max_attempts: u32) {
     if is_first_success {
-        if job.ends_as_one(task) {
+        if job.gang_succeeds_together(task) {
             // The members end together, so this success counts for all of them.
             for member in job.gang_members(task) {
                 job.set_task_state(member, TaskState::Done);
@@ -163,7 +163,7 @@
 /// themselves.
 fn superseded_attempts(job: &Job, task_no: usize, is_first_success: bool) -> Vec<u64> {
     let task: &Task = &job.tasks[task_no];
-    let ends_by_itself = is_first_success && job.ends_as_one(task_no);
+    let ends_by_itself = is_first_success && job.gang_succeeds_together(task_no);
     if task.state == TaskState::Waiting || ends_by_itself {
         return Vec::new();
     }
--- a/landingdrift/src/state/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -7,7 +7,7 @@
 impl ClusterState {
     /// Accepts a job. `seen` is the log index that the admitting node had applied when it received the request. The id
     /// of a rejected job is remembered, so that an older request with the same id can't be accepted afterwards.
-    pub(super) fn accept_job(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> ApplyResult {
+    pub(super) fn submit_job(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> ApplyResult {
         let result = self.try_accept(spec, hash, seen);
         let is_known = self.jobs.contains_key(&spec.id) || self.tombstones.contains_key(&spec.id);
         if result.is_err() && !is_known {
@@ -78,7 +78,7 @@
     }
 
     /// Ends the attempts of a task whose outcome is unknown, with the outcome that the operator gives.
-    pub(super) fn resolve_attempt(
+    pub(super) fn resolve_task(
         &mut self,
         id: &str,
         task_name: &str,
--- a/landingdrift/src/state/apply/membership.rs
+++ b/landingdrift/src/state/apply/membership.rs
@@ -50,7 +50,7 @@
 
     /// Marks a node as gone. Only a limited number of gone nodes is remembered, to bound the table; holders of leases
     /// are never dropped.
-    pub(super) fn remove_node(&mut self, node: &str) -> ApplyResult {
+    pub(super) fn mark_node_gone(&mut self, node: &str) -> ApplyResult {
         if let Some(member) = self.nodes.get_mut(node) {
             member.alive = false;
         }
--- a/landingdrift/src/state/apply/mod.rs
+++ b/landingdrift/src/state/apply/mod.rs
@@ -19,7 +19,7 @@
 use super::{ClusterState, Command, Rejection};
 use config_update::ConfigUpdate;
 use serde_json::{json, Value};
-use workers::ReportingWorker;
+use workers::WorkerProcess;
 
 /// The result of an entry: the value returned to its proposer, or the reason for its rejection.
 pub type ApplyResult = Result<Value, Rejection>;
@@ -67,7 +67,7 @@
                 is_patch: *patch,
                 value,
             }),
-            Command::AcceptJob { spec, hash, seen } => self.accept_job(spec, *hash, *seen),
+            Command::SubmitJob { spec, hash, seen } => self.submit_job(spec, *hash, *seen),
             Command::CancelJob { job } => self.cancel_job(job),
             Command::StartAttempts {
                 job,
@@ -81,22 +81,22 @@
                 running,
                 ends,
             } => {
-                let worker = ReportingWorker {
+                let worker = WorkerProcess {
                     name: worker,
                     incarnation: *incarnation,
                 };
                 self.report_attempts(worker, running, ends)
             }
-            Command::WorkerLost {
+            Command::MarkWorkerLost {
                 worker,
                 incarnation,
                 zone_epoch,
             } => {
-                let worker = ReportingWorker {
+                let worker = WorkerProcess {
                     name: worker,
                     incarnation: *incarnation,
                 };
-                self.worker_lost(worker, *zone_epoch)
+                self.mark_worker_lost(worker, *zone_epoch)
             }
             Command::ExpireAttempts {
                 worker,
@@ -105,7 +105,7 @@
                 attempts,
                 checkpoints,
             } => {
-                let worker = ReportingWorker {
+                let worker = WorkerProcess {
                     name: worker,
                     incarnation: *incarnation,
                 };
@@ -118,18 +118,18 @@
                 blame,
             } => self.reschedule_attempts(worker, *zone_epoch, attempts, *blame),
             Command::SetEvacuation { zone, on } => self.set_evacuation(zone, *on),
-            Command::ResolveAttempt {
+            Command::ResolveTask {
                 job,
                 task,
                 succeeded,
-            } => self.resolve_attempt(job, task, *succeeded),
+            } => self.resolve_task(job, task, *succeeded),
             Command::GrantLease {
                 lease,
                 holder,
                 from_epoch,
             } => self.grant_lease(lease, holder, *from_epoch),
             Command::RegisterNode { node, zone, http } => self.register_node(node, zone, http),
-            Command::RemoveNode { node } => self.remove_node(node),
+            Command::MarkNodeGone { node } => self.mark_node_gone(node),
             Command::FoundCluster { replicas } => self.found_cluster(replicas),
             Command::UpdateReplica { replica, member } => self.update_replica(replica, member),
             Command::RemoveReplica { replica, disk } => self.remove_replica(replica, *disk),
--- a/landingdrift/src/state/apply/placement_rules.rs
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -35,7 +35,13 @@
 
 impl ClusterState {
     /// Checks whether a task may get an attempt at time `at` of the cluster clock, on any worker.
-    pub fn may_start(&self, id: &str, task_no: u32, copy: bool, at: u64) -> Result<(), Rejection> {
+    pub fn check_start(
+        &self,
+        id: &str,
+        task_no: u32,
+        copy: bool,
+        at: u64,
+    ) -> Result<(), Rejection> {
         let unknown = |what: String| Rejection::Unknown { what };
         let found = self.task(id, task_no);
         let (job, task) = found.ok_or_else(|| unknown(format!("task {task_no}")))?;
@@ -77,7 +83,12 @@
     }
 
     /// Checks whether the worker of a placement may get its task at time `at` of the cluster clock.
-    pub fn fits(&self, id: &str, placement: &Placement, at: u64) -> Result<(), Rejection> {
+    pub fn check_placement(
+        &self,
+        id: &str,
+        placement: &Placement,
+        at: u64,
+    ) -> Result<(), Rejection> {
         let unknown = |what: String| Rejection::Unknown { what };
         let job = self.jobs.get(id);
         let job = job.ok_or_else(|| unknown(format!("job '{id}'")))?;
@@ -85,7 +96,7 @@
         let task = task.ok_or_else(|| unknown(format!("task {}", placement.task)))?;
         let worker = self.workers.get(&placement.worker);
         let worker = worker.ok_or_else(|| unknown(format!("worker '{}'", placement.worker)))?;
-        let lease = self.holder(&zone_lease(&worker.info.zone));
+        let lease = self.current_lease(&zone_lease(&worker.info.zone));
         let is_current = lease.is_some_and(|lease| lease.epoch == placement.zone_epoch);
         ensure(is_current, Rejection::StaleLease)?;
         self.ensure_usable(worker, placement)?;
@@ -108,7 +119,7 @@
         if spec.long_running {
             worker.attempts.is_empty()
         } else {
-            !self.has_ending_attempts(worker)
+            !self.has_finite_attempts(worker)
         }
     }
 
--- a/landingdrift/src/state/apply/start_attempts.rs
+++ b/landingdrift/src/state/apply/start_attempts.rs
@@ -43,7 +43,7 @@
         let job = self.jobs.get(id).ok_or_else(|| Rejection::Unknown {
             what: format!("job '{id}'"),
         })?;
-        let lease = self.holder(&queue_lease(&job.spec.queue));
+        let lease = self.current_lease(&queue_lease(&job.spec.queue));
         let is_owner = lease.is_some_and(|lease| lease.epoch == owner_epoch);
         ensure(is_owner, Rejection::StaleLease)?;
         ensure(!job.state.ended(), Rejection::Ended)?;
@@ -53,8 +53,8 @@
             let before = &placements[..i];
             let is_double = before.iter().any(|other| other.task == placement.task);
             ensure(!is_double, Rejection::AlreadyRunning)?;
-            self.may_start(id, placement.task, placement.copy, self.at)?;
-            self.fits(id, placement, self.at)?;
+            self.check_start(id, placement.task, placement.copy, self.at)?;
+            self.check_placement(id, placement, self.at)?;
             let sum = needed.entry(placement.worker.as_str()).or_default();
             *sum = sum.plus(job.task_spec(placement.task as usize).needs());
             let free = self.unused_resources(&placement.worker);
--- a/landingdrift/src/state/apply/worker_trust.rs
+++ b/landingdrift/src/state/apply/worker_trust.rs
@@ -4,7 +4,7 @@
 use crate::state::{AttemptState, ClusterState, Worker};
 
 /// Number of most recent ends per worker that its failure rate is based on.
-const MAX_TRUST_ENDS: usize = 12;
+const MAX_RECENT_OUTCOMES: usize = 12;
 /// Number of consecutive successes that end a probation.
 const PROBATION_SUCCESSES: u32 = 3;
 /// Minimum number of failures among the recent ends for probation.
@@ -24,8 +24,12 @@
 impl FailureRate {
     fn of(worker: &Worker) -> Self {
         Self {
-            failures: worker.ends.iter().filter(|succeeded| !**succeeded).count(),
-            ends: worker.ends.len(),
+            failures: worker
+                .recent_outcomes
+                .iter()
+                .filter(|succeeded| !**succeeded)
+                .count(),
+            ends: worker.recent_outcomes.len(),
         }
     }
 
@@ -49,13 +53,13 @@
     pub(super) fn start_probation(&mut self, worker: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.probation = PROBATION_SUCCESSES;
-            worker.ends.clear();
+            worker.recent_outcomes.clear();
         }
     }
 
     /// Records a success or failure of a worker, and starts, continues or ends its probation. Other ends say nothing
     /// about the worker and are ignored.
-    pub(super) fn update_worker_trust(&mut self, name: &str, state: AttemptState) {
+    pub(super) fn record_outcome(&mut self, name: &str, state: AttemptState) {
         let has_succeeded = match state {
             AttemptState::Succeeded => true,
             AttemptState::Failed => false,
@@ -68,9 +72,9 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.ends.push_back(has_succeeded);
-        if worker.ends.len() > MAX_TRUST_ENDS {
-            worker.ends.pop_front();
+        worker.recent_outcomes.push_back(has_succeeded);
+        if worker.recent_outcomes.len() > MAX_RECENT_OUTCOMES {
+            worker.recent_outcomes.pop_front();
         }
         if worker.probation > 0 {
             continue_probation(worker, has_succeeded);
@@ -87,6 +91,6 @@
         PROBATION_SUCCESSES
     };
     if worker.probation == 0 {
-        worker.ends.clear();
+        worker.recent_outcomes.clear();
     }
 }
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -9,7 +9,7 @@
 
 /// The worker process that an entry is about: its name and incarnation.
 #[derive(Clone, Copy)]
-pub(super) struct ReportingWorker<'a> {
+pub(super) struct WorkerProcess<'a> {
     pub name: &'a str,
     pub incarnation: u64,
 }
@@ -17,7 +17,7 @@
 impl ClusterState {
     /// Checks that an entry about a zone's workers was proposed under the current lease of the zone.
     fn ensure_zone_epoch(&self, zone: &str, zone_epoch: u64) -> Result<(), Rejection> {
-        let lease = self.holder(&zone_lease(zone));
+        let lease = self.current_lease(&zone_lease(zone));
         let is_current = lease.is_some_and(|lease| lease.epoch == zone_epoch);
         ensure(is_current, Rejection::StaleLease)
     }
@@ -30,11 +30,7 @@
 
     /// The worker that an entry is about. Fails unless the entry was proposed under the current lease of its zone and
     /// is about the worker's current incarnation.
-    fn current_worker(
-        &self,
-        worker: ReportingWorker,
-        zone_epoch: u64,
-    ) -> Result<&Worker, Rejection> {
+    fn current_worker(&self, worker: WorkerProcess, zone_epoch: u64) -> Result<&Worker, Rejection> {
         let known = self.known_worker(worker.name)?;
         self.ensure_zone_epoch(&known.info.zone, zone_epoch)?;
         let is_current = known.info.incarnation == worker.incarnation;
@@ -96,7 +92,7 @@
     /// placed, so another worker at the address that became known before that ran earlier.
     fn displace_predecessors(
         &mut self,
-        worker: ReportingWorker,
+        worker: WorkerProcess,
         running: &[u64],
         ends: &[EndReport],
     ) {
@@ -160,7 +156,7 @@
     /// gone.
     pub(super) fn expire_attempts(
         &mut self,
-        worker: ReportingWorker,
+        worker: WorkerProcess,
         zone_epoch: u64,
         attempts: &[u64],
         checkpoints: &[(u64, String)],
@@ -219,7 +215,11 @@
     }
 
     /// Marks a worker as lost after missing heartbeats. The outcomes of its attempts become unknown.
-    pub(super) fn worker_lost(&mut self, worker: ReportingWorker, zone_epoch: u64) -> ApplyResult {
+    pub(super) fn mark_worker_lost(
+        &mut self,
+        worker: WorkerProcess,
+        zone_epoch: u64,
+    ) -> ApplyResult {
         let known = self.current_worker(worker, zone_epoch)?;
         let attempts: BTreeSet<u64> = known.attempts.clone();
         for attempt_no in attempts {
@@ -232,7 +232,7 @@
     /// Applies a worker's report of running and ended attempts.
     pub(super) fn report_attempts(
         &mut self,
-        worker: ReportingWorker,
+        worker: WorkerProcess,
         running: &[u64],
         ends: &[EndReport],
     ) -> ApplyResult {
@@ -252,7 +252,7 @@
         Ok(Value::Null)
     }
 
-    fn mark_running(&mut self, worker: ReportingWorker, attempt_no: u64) {
+    fn mark_running(&mut self, worker: WorkerProcess, attempt_no: u64) {
         let at = self.at;
         let Some((id, _)) = self.live.get(&attempt_no).cloned() else {
             return;
@@ -294,7 +294,7 @@
             Outcome::Expired => AttemptState::Expired,
         };
         self.end_attempt(end.no, state, end.ran_ms, &end.note);
-        self.update_worker_trust(worker, state);
+        self.record_outcome(worker, state);
         self.update_job_state(&id);
     }
 }
--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -31,7 +31,7 @@
     },
     /// Submits a job.
     #[serde(rename = "Accept")]
-    AcceptJob {
+    SubmitJob {
         /// The job.
         spec: JobSpec,
         /// Hash of the request body.
@@ -79,7 +79,7 @@
     },
     /// Marks a worker as lost because its heartbeats stopped.
     #[serde(rename = "Lost")]
-    WorkerLost {
+    MarkWorkerLost {
         /// The worker's name.
         worker: String,
         /// Incarnation of the worker that is lost.
@@ -131,7 +131,7 @@
     },
     /// Sets the outcome of a task's attempts whose outcome is unknown, by decision of the operator.
     #[serde(rename = "Resolve")]
-    ResolveAttempt {
+    ResolveTask {
         /// The id of the job.
         job: String,
         /// The name of the task.
@@ -163,7 +163,7 @@
     },
     /// Marks a node as gone.
     #[serde(rename = "NodeGone")]
-    RemoveNode {
+    MarkNodeGone {
         /// The node's name.
         node: String,
     },
@@ -208,7 +208,7 @@
 mod kind {
     pub const TERM_STARTED: u32 = 0;
     pub const UPDATE_CONFIG: u32 = 1;
-    pub const ACCEPT_JOB: u32 = 2;
+    pub const SUBMIT_JOB: u32 = 2;
     pub const SET_EVACUATION: u32 = 10;
     pub const GRANT_LEASE: u32 = 12;
     pub const REMOVE_REPLICA: u32 = 17;
@@ -261,7 +261,7 @@
 
     /// Whether an entry submits a job. Only the discriminant is decoded.
     pub fn submits_job(bytes: &[u8]) -> bool {
-        matches!(take_kind(bytes), Some((kind::ACCEPT_JOB, _)))
+        matches!(take_kind(bytes), Some((kind::SUBMIT_JOB, _)))
     }
 
     /// Whether the command must take effect at most once, and so must be proposed inside a [`Command::Order`].
@@ -271,7 +271,7 @@
             Self::UpdateConfig { .. }
                 | Self::SetEvacuation { .. }
                 | Self::CancelJob { .. }
-                | Self::ResolveAttempt { .. }
+                | Self::ResolveTask { .. }
         )
     }
 
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -26,7 +26,7 @@
 
 /// The sizes by which the policy ranks a job.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sizing {
+pub struct JobSizes {
     /// Number of tasks that are due and not done.
     pub remaining: u32,
     /// Virtual size V of the tasks that are ready.
@@ -87,7 +87,7 @@
     }
 
     /// Computes the sizes of a job: V = (2/β)·T·√α, where T is the number of ready tasks.
-    pub fn sizing(&self, job: &Job) -> Sizing {
+    pub fn job_sizes(&self, job: &Job) -> JobSizes {
         let (mut ready, mut later, mut occupied) = (0u32, 0u32, 0u32);
         for (i, task) in job.tasks.iter().enumerate() {
             occupied += task.live().count() as u32;
@@ -109,7 +109,7 @@
             (f64::from(later) / f64::from(ready)).clamp(MIN_ALPHA, MAX_ALPHA)
         };
         let size = factor * f64::from(ready) * alpha.sqrt();
-        Sizing {
+        JobSizes {
             remaining: ready + later,
             size,
             rank: size.max(factor * f64::from(later)),
--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -58,7 +58,8 @@
     /// Index of its step; 0 in a job of single tasks, as are `time` and `index`.
     pub step: u32,
     /// Which repetition of the job it belongs to, from 0.
-    pub time: u32,
+    #[serde(rename = "time")]
+    pub repetition: u32,
     /// Index within the step.
     pub index: u32,
 }
@@ -142,7 +143,7 @@
             for (step, step_spec) in spec.steps.iter().enumerate() {
                 tasks.extend((0..step_spec.count).map(|index| Task {
                     step: step as u32,
-                    time,
+                    repetition: time,
                     index,
                     ..Task::default()
                 }));
@@ -181,7 +182,10 @@
             return self.spec.tasks[task].name.clone();
         }
         let Task {
-            time, step, index, ..
+            repetition: time,
+            step,
+            index,
+            ..
         } = &self.tasks[task];
         format!("{time}.{step}.{index}")
     }
@@ -212,7 +216,7 @@
 
     /// When a task is due, in milliseconds since 1970.
     pub fn task_due(&self, task: usize) -> u64 {
-        let time = u64::from(self.tasks[task].time);
+        let time = u64::from(self.tasks[task].repetition);
         let after_first = time.saturating_mul(self.spec.period_ms);
         let job_due = self.spec.first_due.saturating_add(after_first);
         self.task_spec(task).due.max(job_due)
@@ -226,7 +230,7 @@
             return task.dependencies.iter().all(is_done);
         }
         let is_step_done = |step: &u32| {
-            let done = self.done[self.done_index(task.time, *step)];
+            let done = self.done[self.done_index(task.repetition, *step)];
             done == self.spec.steps[*step as usize].count
         };
         self.step_of(task_no).depends_on.iter().all(is_step_done)
@@ -241,7 +245,7 @@
     pub fn set_task_state(&mut self, task_no: usize, state: TaskState) {
         let task = &mut self.tasks[task_no];
         let before = std::mem::replace(&mut task.state, state);
-        let (time, step) = (task.time, task.step);
+        let (time, step) = (task.repetition, task.step);
         let group = self.done_index(time, step);
         let becomes_done = state == TaskState::Done && before != TaskState::Done;
         if let Some(done) = self.done.get_mut(group) {
@@ -250,7 +254,7 @@
     }
 
     /// Whether the success of one member of the task's gang counts for all members.
-    pub fn ends_as_one(&self, task: usize) -> bool {
+    pub fn gang_succeeds_together(&self, task: usize) -> bool {
         self.has_steps() && self.in_gang(task)
     }
 
@@ -274,7 +278,7 @@
             return all.filter(|i| self.spec.tasks[*i].gang == *name).collect();
         }
         let task = &self.tasks[task_no];
-        let first = self.first_task_of(task.time, task.step);
+        let first = self.first_task_of(task.repetition, task.step);
         let count = self.step_of(task_no).count as usize;
         (first..first + count).collect()
     }
--- a/landingdrift/src/state/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -230,7 +230,7 @@
                 )
             })?;
         }
-        let most = service.task_cpu;
+        let most = service.max_task_cpu;
         ensure(self.task.cpu <= most, || {
             let remedy = format!("service '{name}' gives a task at most {most}: ask for less");
             self.error("room", remedy)
@@ -247,7 +247,7 @@
 
     /// Checks that the service allows a gang the CPU that it needs in total.
     fn check_gang(&self, cpu: u32, service: &Service) -> Result<(), SpecError> {
-        let (most, name) = (service.gang_cpu, &self.task.service);
+        let (most, name) = (service.max_gang_cpu, &self.task.service);
         ensure(cpu <= most, || {
             let gang = self.gang().unwrap_or_default();
             self.error("gang", format!(
--- a/landingdrift/src/state/job/resources.rs
+++ b/landingdrift/src/state/job/resources.rs
@@ -40,7 +40,7 @@
     }
 
     /// The component-wise minimum.
-    pub fn min_of_each(self, other: Self) -> Self {
+    pub fn component_min(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.min(other.cpu),
             memory: self.memory.min(other.memory),
--- a/landingdrift/src/state/members.rs
+++ b/landingdrift/src/state/members.rs
@@ -15,7 +15,8 @@
     /// Consecutive successes needed to end its probation; 0 if it is not on probation.
     pub probation: u32,
     /// Outcomes of its most recent attempts; true for success.
-    pub ends: VecDeque<bool>,
+    #[serde(rename = "ends")]
+    pub recent_outcomes: VecDeque<bool>,
     /// When it became known, or lost; in milliseconds since 1970 by the cluster clock.
     pub since: u64,
     /// Resources of the attempts that may be running on it.
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -199,7 +199,7 @@
     }
 
     /// The current grant of a lease, by the lease's name.
-    pub fn holder(&self, lease: &str) -> Option<&Lease> {
+    pub fn current_lease(&self, lease: &str) -> Option<&Lease> {
         self.leases.get(lease)
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Whether a worker has live attempts of tasks that end by themselves. Only these can bring a worker off probation.
-    pub fn has_ending_attempts(&self, worker: &Worker) -> bool {
+    pub fn has_finite_attempts(&self, worker: &Worker) -> bool {
         let mut attempts = worker.attempts.iter();
         attempts.any(|attempt_no| !self.is_long_running(*attempt_no))
     }
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -7,7 +7,7 @@
 pub use repeat::may_repeat;
 
 use crate::peer_sampler::PeerSampler;
-use crate::sans_io::{Effect, Msg, Now, Part, Request, Response, Rng};
+use crate::sans_io::{Effect, Msg, Now, Request, Response, Rng, StateMachine};
 use crate::settings::Settings;
 use crate::wire::{Body, ForwardRequest, ForwardResponse, RequestToken};
 use open_call::{CallAttempt, OpenCall};
@@ -53,8 +53,8 @@
                 &settings.seeds,
             ),
             // The upper 16 bits are left free, so that incrementing the token does not overflow.
-            next_token: rng.number() >> 16,
-            incarnation: rng.number(),
+            next_token: rng.next_u64() >> 16,
+            incarnation: rng.next_u64(),
             rng,
             holder: String::new(),
             open: BTreeMap::new(),
@@ -185,18 +185,18 @@
             let message = "no node answered for the zone: call again";
             Response::error(503, "noCell", message).retry(heartbeat_ms)
         };
-        self.out.push(Effect::Answer(open_call.call, response));
+        self.out.push(Effect::Respond(open_call.call, response));
     }
 
     fn on_call(&mut self, now: Now, call: u64, request: Request) {
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/live" | "/ready") => {
                 let response = Response::new(200, json!({"ready": true}));
-                self.out.push(Effect::Answer(call, response));
+                self.out.push(Effect::Respond(call, response));
             }
             ("GET", "/metrics") => {
                 let response = self.metrics();
-                self.out.push(Effect::Answer(call, response));
+                self.out.push(Effect::Respond(call, response));
             }
             _ => self.open_call(now, call, request),
         }
@@ -261,7 +261,7 @@
                 ..Response::default()
             }
         };
-        self.out.push(Effect::Answer(open_call.call, response));
+        self.out.push(Effect::Respond(open_call.call, response));
     }
 
     /// Retries a call at another node after a node that is not the lease holder, which it may name, or can't act for
@@ -287,21 +287,21 @@
     Response::error(503, "unsure", message).retry(retry_ms)
 }
 
-impl Part for WorkerProxy {
+impl StateMachine for WorkerProxy {
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
             Msg::Call(call, request) => self.on_call(now, call, request),
-            Msg::Wire(_, Body::Shuffle(shuffle)) => {
+            Msg::Received(_, Body::Shuffle(shuffle)) => {
                 // No reply: the proxy does not advertise its view.
                 let _ = self.peer_sampler.receive(*shuffle, &mut self.rng);
             }
-            Msg::Wire(from, Body::ForwardResponse(forwarded)) => {
+            Msg::Received(from, Body::ForwardResponse(forwarded)) => {
                 self.on_forward_response(now, &from, *forwarded)
             }
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => self.stopping = true,
-            Msg::Wire(..) | Msg::Persisted(_) | Msg::DiskFailed(_) => {}
+            Msg::Received(..) | Msg::Persisted(_) | Msg::DiskFailed(_) => {}
         }
         std::mem::take(&mut self.out)
     }
--- a/landingdrift/tests/attempts.rs
+++ b/landingdrift/tests/attempts.rs
@@ -14,7 +14,7 @@
     let mut fixture = StateFixture::new();
     fixture.accept("j", vec![task("a")]).expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("placed");
-    fixture.apply_ok(Command::WorkerLost {
+    fixture.apply_ok(Command::MarkWorkerLost {
         worker: "w".into(),
         incarnation: 1,
         zone_epoch: 1,
@@ -39,7 +39,7 @@
     // A late report of success still counts.
     fixture.accept("k", vec![task("a")]).expect("accepted");
     fixture.start("k", &[(0, "v")]).expect("placed");
-    fixture.apply_ok(Command::WorkerLost {
+    fixture.apply_ok(Command::MarkWorkerLost {
         worker: "v".into(),
         incarnation: 1,
         zone_epoch: 1,
@@ -92,7 +92,7 @@
         fixture.start_as("k", &[(0, "v")], 2, 1, true),
         Err(Rejection::SpeculationBudgetExhausted)
     );
-    fixture.apply_ok(Command::WorkerLost {
+    fixture.apply_ok(Command::MarkWorkerLost {
         worker: "w".into(),
         incarnation: 1,
         zone_epoch: 1,
@@ -169,7 +169,7 @@
         Err(Rejection::AttemptsExhausted),
         "a copy would be the third attempt"
     );
-    fixture.apply_ok(Command::WorkerLost {
+    fixture.apply_ok(Command::MarkWorkerLost {
         worker: "w".into(),
         incarnation: 1,
         zone_epoch: 1,
@@ -192,7 +192,7 @@
         if anew {
             fixture.update_worker("w", 2, false);
         } else {
-            fixture.apply_ok(Command::WorkerLost {
+            fixture.apply_ok(Command::MarkWorkerLost {
                 worker: "w".into(),
                 incarnation: 1,
                 zone_epoch: 1,
--- a/landingdrift/tests/cluster_state_fixture/mod.rs
+++ b/landingdrift/tests/cluster_state_fixture/mod.rs
@@ -79,7 +79,7 @@
     /// Submits a job of single tasks to queue `q`.
     pub fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
         let seen = self.state.applied_index;
-        self.apply(Command::AcceptJob {
+        self.apply(Command::SubmitJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
--- a/landingdrift/tests/common/mod.rs
+++ b/landingdrift/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! proposal is committed.
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::Settings;
 use landingdrift::state::{pack_apply_result, ClusterState, Command};
 use landingdrift::wire::{Body, ProposeRequest, ProposeResponse, WatchBatch};
@@ -29,12 +29,12 @@
 
 /// The response that the client got.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct ClientResponse {
     pub status: u16,
     body: Value,
 }
 
-impl Reply {
+impl ClientResponse {
     pub fn kind(&self) -> &str {
         self.body["error"].as_str().unwrap_or_default()
     }
@@ -58,7 +58,7 @@
     nodes: Vec<Node>,
     elapsed: u64,
     calls: u64,
-    replies: BTreeMap<u64, Reply>,
+    replies: BTreeMap<u64, ClientResponse>,
 }
 
 impl Cluster {
@@ -103,7 +103,7 @@
         }
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.elapsed += ms;
     }
 
@@ -127,16 +127,16 @@
             config_index: 0,
         };
         let body = Body::WatchBatch(Box::new(batch));
-        self.step(node, Msg::Wire(CORE.into(), body));
+        self.step(node, Msg::Received(CORE.into(), body));
     }
 
     fn step(&mut self, node: usize, msg: Msg) -> Vec<Effect> {
         let now = self.now();
         let effects = self.nodes[node].step(now, msg);
         for e in &effects {
-            if let Effect::Answer(call, Response { status, body, .. }) = e {
+            if let Effect::Respond(call, Response { status, body, .. }) = e {
                 let (status, body) = (*status, body.clone());
-                let before = self.replies.insert(*call, Reply { status, body });
+                let before = self.replies.insert(*call, ClientResponse { status, body });
                 assert!(before.is_none(), "call {call} was answered twice");
             }
         }
@@ -144,7 +144,7 @@
     }
 
     /// The response that the client of an order got, if any yet.
-    pub fn reply(&self, order: &Order) -> Option<Reply> {
+    pub fn reply(&self, order: &Order) -> Option<ClientResponse> {
         self.replies.get(&order.call).cloned()
     }
 
@@ -179,13 +179,17 @@
         }
     }
 
-    fn proposed(&mut self, order: &Order, answer: ProposeResponse) {
+    fn deliver_response(&mut self, order: &Order, answer: ProposeResponse) {
         let body = Body::ProposeResponse(Box::new(answer));
-        self.step(order.node, Msg::Wire(CORE.into(), body));
+        self.step(order.node, Msg::Received(CORE.into(), body));
     }
 
     /// Delivers the result of a copy to the node; returns the response that the client gets.
-    pub fn answer(&mut self, order: &Order, result: &ProposalResult) -> Option<Reply> {
+    pub fn deliver_result(
+        &mut self,
+        order: &Order,
+        result: &ProposalResult,
+    ) -> Option<ClientResponse> {
         let answer = ProposeResponse {
             token: order.propose.token,
             outcome: 0,
@@ -193,7 +197,7 @@
             leader: CORE.into(),
             response: result.response.clone(),
         };
-        self.proposed(order, answer);
+        self.deliver_response(order, answer);
         self.reply(order)
     }
 
@@ -209,8 +213,8 @@
             leader: String::new(),
             response: Vec::new(),
         };
-        self.proposed(order, answer);
-        self.pass(50);
+        self.deliver_response(order, answer);
+        self.advance(50);
         let sent = self.step(order.node, Msg::Tick);
         let own = |p: &ProposeRequest| p.command == order.propose.command;
         let again = sent.into_iter().find_map(|e| match e {
@@ -221,9 +225,9 @@
     }
 
     /// Lets time pass at all nodes while no replica responds.
-    pub fn pass_without_replies(&mut self, ms: u64) {
+    pub fn advance_without_responses(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
-            self.pass(20);
+            self.advance(20);
             (0..self.nodes.len()).for_each(|n| {
                 self.step(n, Msg::Tick);
             });
@@ -231,9 +235,9 @@
     }
 
     /// Sends a request whose proposal is committed and answered immediately.
-    pub fn order(&mut self, node: usize, request: Request) -> Reply {
+    pub fn order(&mut self, node: usize, request: Request) -> ClientResponse {
         let mut order = self.call(node, request);
         let result = self.commit(&mut order);
-        self.answer(&order, &result).expect("answered")
+        self.deliver_result(&order, &result).expect("answered")
     }
 }
--- a/landingdrift/tests/config_updates.rs
+++ b/landingdrift/tests/config_updates.rs
@@ -16,13 +16,13 @@
         ..JobSpec::default()
     };
     let seen = fixture.state.applied_index;
-    fixture.apply_ok(Command::AcceptJob {
+    fixture.apply_ok(Command::SubmitJob {
         spec: spec("j", 3),
         hash: 1,
         seen,
     });
     assert_eq!(
-        fixture.apply(Command::AcceptJob {
+        fixture.apply(Command::SubmitJob {
             spec: spec("j", 3),
             hash: 1,
             seen
@@ -30,25 +30,25 @@
         Ok(json!({"known": true}))
     );
     assert_eq!(
-        fixture.apply(Command::AcceptJob {
+        fixture.apply(Command::SubmitJob {
             spec: spec("j", 2),
             hash: 2,
             seen
         }),
         Err(Rejection::BodyMismatch)
     );
-    fixture.apply_ok(Command::AcceptJob {
+    fixture.apply_ok(Command::SubmitJob {
         spec: spec("k", 3),
         hash: 1,
         seen,
     });
-    fixture.apply_ok(Command::AcceptJob {
+    fixture.apply_ok(Command::SubmitJob {
         spec: spec("l", 3),
         hash: 1,
         seen,
     });
     assert_eq!(
-        fixture.apply(Command::AcceptJob {
+        fixture.apply(Command::SubmitJob {
             spec: spec("m", 3),
             hash: 1,
             seen
@@ -58,7 +58,7 @@
     fixture.apply_ok(Command::CancelJob { job: "k".into() });
     // An older request with the same id, received elsewhere before the rejection, is not accepted.
     assert_eq!(
-        fixture.apply(Command::AcceptJob {
+        fixture.apply(Command::SubmitJob {
             spec: spec("m", 3),
             hash: 1,
             seen
@@ -66,13 +66,13 @@
         Err(Rejection::PreviouslyRejected)
     );
     let seen = fixture.state.applied_index;
-    fixture.apply_ok(Command::AcceptJob {
+    fixture.apply_ok(Command::SubmitJob {
         spec: spec("m", 3),
         hash: 1,
         seen,
     });
     assert!(matches!(
-        fixture.apply(Command::AcceptJob {
+        fixture.apply(Command::SubmitJob {
             spec: spec("n", 99),
             hash: 1,
             seen
@@ -87,7 +87,7 @@
     });
     assert!(!fixture.state.jobs.contains_key("k") && fixture.state.tombstones.contains_key("k"));
     assert_eq!(
-        fixture.apply(Command::AcceptJob {
+        fixture.apply(Command::SubmitJob {
             spec: spec("k", 2),
             hash: 2,
             seen
--- a/landingdrift/tests/control_thread.rs
+++ b/landingdrift/tests/control_thread.rs
@@ -3,7 +3,7 @@
 use landingdrift::daemon::{
     Clock, ControlThread, FrameOptions, Input, PendingCalls, ShutdownTimer, Traffic,
 };
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,13 +11,13 @@
 /// A part that records the kinds of its inputs and exits at the request to stop.
 struct RecordingPart(Arc<Mutex<Vec<&'static str>>>);
 
-impl Part for RecordingPart {
+impl StateMachine for RecordingPart {
     fn step(&mut self, _: Now, msg: Msg) -> Vec<Effect> {
         let (kind, effects) = match msg {
             Msg::Tick => ("tick", Vec::new()),
             Msg::Call(n, _) => (
                 "call",
-                vec![Effect::Answer(n, Response::new(200, n.into()))],
+                vec![Effect::Respond(n, Response::new(200, n.into()))],
             ),
             Msg::Stop => ("stop", vec![Effect::Exit]),
             _ => ("other", Vec::new()),
--- a/landingdrift/tests/departing_workers.rs
+++ b/landingdrift/tests/departing_workers.rs
@@ -3,7 +3,7 @@
 mod node_harness;
 
 use landingdrift::node::{Heartbeat, RunningAttempt};
-use landingdrift::sans_io::{Effect, Msg, Part, Request};
+use landingdrift::sans_io::{Effect, Msg, Request, StateMachine};
 use landingdrift::state::{Command, WorkerInfo};
 use node_harness::heartbeats::run_name;
 use node_harness::{info, NodeHarness};
@@ -22,7 +22,7 @@
     let now = harness.now();
     let effects = harness.node.step(now, Msg::Call(harness.call, request));
     let is_acknowledged =
-        |effect: &Effect| matches!(effect, Effect::Answer(_, answer) if answer.status == 200);
+        |effect: &Effect| matches!(effect, Effect::Respond(_, answer) if answer.status == 200);
     let was_known = harness.state.workers["w"].info.leaving;
     let at_once = effects.iter().any(is_acknowledged);
     assert_eq!(
@@ -155,7 +155,7 @@
     let now = harness.now();
     let effects = harness.node.step(now, Msg::Call(1, request));
     let statuses = effects.iter().filter_map(|effect| match effect {
-        Effect::Answer(_, answer) => Some(answer.status),
+        Effect::Respond(_, answer) => Some(answer.status),
         _ => None,
     });
     assert_eq!(statuses.collect::<Vec<_>>(), [503]);
--- a/landingdrift/tests/forwarded_reads.rs
+++ b/landingdrift/tests/forwarded_reads.rs
@@ -3,7 +3,7 @@
 mod node_harness;
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Request, Response, StateMachine};
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, ForwardRequest, ForwardResponse, ReadIndexResponse};
@@ -62,7 +62,7 @@
 
 fn answer(effects: &[Effect]) -> Option<Response> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Answer(CALL, response) => Some(response.clone()),
+        Effect::Respond(CALL, response) => Some(response.clone()),
         _ => None,
     })
 }
@@ -95,7 +95,7 @@
     };
     let now = harness.now();
     let body = Body::ForwardResponse(Box::new(response));
-    harness.node.step(now, Msg::Wire(from.into(), body))
+    harness.node.step(now, Msg::Received(from.into(), body))
 }
 
 /// Lets time pass while the copy stays fresh; returns all effects.
@@ -175,7 +175,9 @@
     let (_, request) = first.first().expect("it is forwarded").clone();
     let now = harness.now();
     let body = Body::ForwardRequest(Box::new(request));
-    let effects = harness.node.step(now, Msg::Wire(HOLDERS[0].into(), body));
+    let effects = harness
+        .node
+        .step(now, Msg::Received(HOLDERS[0].into(), body));
     assert!(forwarded(&effects).is_empty(), "{effects:?}");
 }
 
@@ -199,7 +201,7 @@
     };
     let now = harness.now();
     let body = Body::ReadIndexResponse(Box::new(response));
-    harness.node.step(now, Msg::Wire(replica, body));
+    harness.node.step(now, Msg::Received(replica, body));
     let effects = harness.follow_light();
     let status = answer(&effects).map(|response| response.status);
     assert_ne!(
@@ -311,7 +313,7 @@
     let body = Body::ForwardRequest(Box::new(request.clone()));
     let effects = harness
         .node
-        .step(harness.now(), Msg::Wire(HOLDERS[2].into(), body));
+        .step(harness.now(), Msg::Received(HOLDERS[2].into(), body));
     let responses = effects.iter().filter_map(|effect| match effect {
         Effect::Send(_, Body::ForwardResponse(response)) => Some(response.status),
         _ => None,
--- a/landingdrift/tests/job_memory.rs
+++ b/landingdrift/tests/job_memory.rs
@@ -3,7 +3,7 @@
 mod node_harness;
 mod replicas;
 
-use landingdrift::sans_io::{Effect, Msg, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Request, Response, StateMachine};
 use landingdrift::settings::Limits;
 use landingdrift::state::{Command, Job, JobSpec, StepSpec, TaskSpec};
 use landingdrift::wire::{
@@ -42,7 +42,7 @@
 fn submit(cores: &mut TestCluster, spec: JobSpec) -> u8 {
     let leader = cores.leader().expect("somebody leads");
     let seen = cores.replica(leader).state().applied_index;
-    let command = Command::AcceptJob {
+    let command = Command::SubmitJob {
         spec,
         hash: 1,
         seen,
@@ -98,7 +98,7 @@
     let leader = cores.leader().expect("somebody leads");
     let tokens: Vec<u64> = (0..120)
         .map(|number| {
-            let command = Command::AcceptJob {
+            let command = Command::SubmitJob {
                 spec: recurring(&format!("r{number}"), 1440),
                 hash: 1,
                 seen: 0,
@@ -202,9 +202,9 @@
     };
     let now = harness.now();
     let body = Body::ProposeResponse(Box::new(response));
-    let effects = harness.node.step(now, Msg::Wire(REPLICA.into(), body));
+    let effects = harness.node.step(now, Msg::Received(REPLICA.into(), body));
     effects.into_iter().find_map(|effect| match effect {
-        Effect::Answer(CALL, response) => Some(response),
+        Effect::Respond(CALL, response) => Some(response),
         _ => None,
     })
 }
--- a/landingdrift/tests/light_copies.rs
+++ b/landingdrift/tests/light_copies.rs
@@ -1,7 +1,7 @@
 //! Light copies of the cluster state, which have the configuration, leases and members but neither jobs nor workers.
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, StateMachine};
 use landingdrift::settings::Settings;
 use landingdrift::state::{ClusterState, Command, JobSpec, Order, Outcome, ProposalId, WorkerInfo};
 use landingdrift::wire::{Body, Entry, WatchBatch};
@@ -26,7 +26,7 @@
             true,
         ),
         (
-            Command::AcceptJob {
+            Command::SubmitJob {
                 spec: JobSpec::default(),
                 hash: 0,
                 seen: 0,
@@ -59,7 +59,7 @@
             false,
         ),
         (
-            Command::WorkerLost {
+            Command::MarkWorkerLost {
                 worker: text(),
                 incarnation: 0,
                 zone_epoch: 0,
@@ -93,7 +93,7 @@
             true,
         ),
         (
-            Command::ResolveAttempt {
+            Command::ResolveTask {
                 job: text(),
                 task: text(),
                 succeeded: Outcome::Succeeded == Outcome::Failed,
@@ -116,7 +116,7 @@
             },
             true,
         ),
-        (Command::RemoveNode { node: text() }, true),
+        (Command::MarkNodeGone { node: text() }, true),
         (
             Command::FoundCluster {
                 replicas: Default::default(),
@@ -227,7 +227,10 @@
     };
     let hear = |n: &mut Node, t: u64, b: WatchBatch| {
         let now = Now { mono: t, wall: t };
-        n.step(now, Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(b))))
+        n.step(
+            now,
+            Msg::Received(CORE.into(), Body::WatchBatch(Box::new(b))),
+        )
     };
     hear(&mut n, 1, first);
     // The entries in between concern a job and are left out.
--- a/landingdrift/tests/node_harness/heartbeats.rs
+++ b/landingdrift/tests/node_harness/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::{info, response_and_proposals, NodeHarness};
 use landingdrift::node::{Heartbeat, RunningAttempt};
-use landingdrift::sans_io::{Effect, Msg, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Request, Response, StateMachine};
 use landingdrift::state::{Command, EndReport, Outcome, RunName};
 
 /// Interval of ticks and heartbeats while time passes, in milliseconds.
--- a/landingdrift/tests/node_harness/mod.rs
+++ b/landingdrift/tests/node_harness/mod.rs
@@ -5,7 +5,7 @@
 pub mod heartbeats;
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Response, StateMachine};
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::state::{
     pack_apply_result, ClusterState, Command, EndReport, JobSpec, Outcome, Placement, StepSpec,
@@ -135,7 +135,7 @@
         };
         let body = Body::ProposeResponse(Box::new(response));
         let now = self.now();
-        let effects = self.node.step(now, Msg::Wire(REPLICA.into(), body));
+        let effects = self.node.step(now, Msg::Received(REPLICA.into(), body));
         (command, effects)
     }
 
@@ -190,7 +190,7 @@
         let now = self.now();
         self.node.step(
             now,
-            Msg::Wire(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
+            Msg::Received(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
         )
     }
 
@@ -212,7 +212,7 @@
     /// Accepts a job of one step with `count` tasks.
     pub fn accept(&mut self, id: &str, count: u32) {
         let seen = self.state.applied_index;
-        self.append(Command::AcceptJob {
+        self.append(Command::SubmitJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
@@ -273,7 +273,7 @@
             task,
             ..template
         };
-        self.append(Command::AcceptJob {
+        self.append(Command::SubmitJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
@@ -299,7 +299,7 @@
     let mut proposed = Vec::new();
     for effect in effects {
         match effect {
-            Effect::Answer(_, answer) => response = Some(answer),
+            Effect::Respond(_, answer) => response = Some(answer),
             Effect::Send(_, Body::ProposeRequest(request)) => {
                 proposed.push(Command::unpack(&request.command).expect("a command"))
             }
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -4,7 +4,7 @@
 use landingdrift::daemon::{
     HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Process,
 };
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::{Bounds, Settings};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -32,7 +32,7 @@
     exit_at_next_tick: Option<Arc<AtomicBool>>,
 }
 
-impl Part for SlowPart {
+impl StateMachine for SlowPart {
     fn step(&mut self, _: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Call(call, _) => self.waiting.push(call),
@@ -44,7 +44,7 @@
                     .is_some_and(|e| e.load(Ordering::SeqCst));
                 let answers = self.waiting.drain(..);
                 return answers
-                    .map(|call| Effect::Answer(call, Response::new(200, call.into())))
+                    .map(|call| Effect::Respond(call, Response::new(200, call.into())))
                     .chain(ends.then_some(Effect::Exit))
                     .collect();
             }
--- a/landingdrift/tests/orders.rs
+++ b/landingdrift/tests/orders.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{put, Cluster, Reply};
+use common::{put, ClientResponse, Cluster};
 use landingdrift::sans_io::Request;
 use serde_json::json;
 
@@ -49,13 +49,13 @@
 fn an_order_committed_after_its_deadline_has_no_effect() {
     let mut cluster = Cluster::new(1);
     let mut begin = cluster.call(0, evacuation("PUT"));
-    cluster.pass(60_000);
+    cluster.advance(60_000);
     let late = cluster.commit(&mut begin);
     assert!(
         cluster.state.evacuated_zones.is_empty(),
         "the late order took effect"
     );
-    let reply = cluster.answer(&begin, &late).expect("answered");
+    let reply = cluster.deliver_result(&begin, &late).expect("answered");
     assert_eq!((reply.status, reply.kind()), (503, "unsure"));
 }
 
@@ -76,7 +76,7 @@
         body: body.to_string().into_bytes(),
         ..Request::default()
     };
-    cluster.pass(10);
+    cluster.advance(10);
     let mut submit = cluster.call(0, submit);
     cluster.commit(&mut submit);
     cluster.commit(&mut cancel);
@@ -91,7 +91,7 @@
     let mut cluster = Cluster::new(2);
     let mut early = cluster.call(0, put(2, "", &json!({"notes": {"by": "a"}})));
     let refused = cluster.commit(&mut early);
-    let reply = cluster.answer(&early, &refused).expect("answered");
+    let reply = cluster.deliver_result(&early, &refused).expect("answered");
     assert_eq!((reply.status, reply.kind()), (409, "rival"));
     cluster.order(1, put(1, "", &json!({"notes": {"by": "b"}})));
     assert_eq!(cluster.state.version, 2);
@@ -115,7 +115,7 @@
     cluster.commit(&mut other);
     let again = cluster.commit(&mut mine);
     assert_eq!(again.response, taken.response);
-    let reply = cluster.answer(&mine, &again).expect("answered");
+    let reply = cluster.deliver_result(&mine, &again).expect("answered");
     assert_eq!((reply.status, reply.version()), (200, 2));
 }
 
@@ -124,7 +124,7 @@
     let mut cluster = Cluster::new(2);
     assert_eq!(cluster.order(0, change(1, "mine", "a")).status, 200);
     for n in 0..300 {
-        cluster.pass(1000);
+        cluster.advance(1000);
         let reply = cluster.order(1, change(2 + n, &format!("o{n}"), "b"));
         assert_eq!(reply.status, 200);
     }
@@ -136,7 +136,7 @@
 fn the_newest_change_is_acknowledged_again_however_late() {
     let mut cluster = Cluster::new(1);
     cluster.order(0, change(1, "mine", "a"));
-    cluster.pass(30 * DAY_MS);
+    cluster.advance(30 * DAY_MS);
     let again = cluster.order(0, change(1, "mine", "a"));
     assert_eq!((again.status, again.version()), (200, 2));
 }
@@ -146,7 +146,7 @@
     let mut cluster = Cluster::new(1);
     let before = cluster.state.pack().len();
     for n in 0..3000 {
-        cluster.pass(DAY_MS / 1000);
+        cluster.advance(DAY_MS / 1000);
         let digest = "0".repeat(64);
         cluster.order(0, change(1 + n, &format!("v{n}-{n}-{digest}"), "a"));
     }
@@ -157,7 +157,7 @@
 }
 
 /// Eight operators submit conflicting changes at three nodes; returns the cluster and the responses.
-fn race(seed: u64) -> (Cluster, Vec<Option<Reply>>) {
+fn race(seed: u64) -> (Cluster, Vec<Option<ClientResponse>>) {
     let mut cluster = Cluster::new(3);
     let mut rng = landingdrift::sans_io::Rng::new(seed);
     let mut calls: Vec<_> = (0..8)
@@ -169,7 +169,7 @@
     // Copies are committed in random order, some repeatedly; some responses are lost, and some replicas no longer lead.
     for _ in 0..40 {
         let n = rng.below(8) as usize;
-        cluster.pass(rng.below(20));
+        cluster.advance(rng.below(20));
         match rng.below(4) {
             0 => cluster.refuse_as_follower(&mut calls[n]),
             1 => {
@@ -177,11 +177,11 @@
             }
             _ => {
                 let result = cluster.commit(&mut calls[n]);
-                cluster.answer(&calls[n], &result);
+                cluster.deliver_result(&calls[n], &result);
             }
         }
     }
-    cluster.pass_without_replies(5000);
+    cluster.advance_without_responses(5000);
     let replies = calls.iter().map(|call| cluster.reply(call)).collect();
     (cluster, replies)
 }
--- a/landingdrift/tests/redirected_reads.rs
+++ b/landingdrift/tests/redirected_reads.rs
@@ -4,7 +4,7 @@
 mod node_harness;
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::Settings;
 use landingdrift::state::Command;
 use node_harness::{NodeHarness, REPLICA};
@@ -61,7 +61,7 @@
     let now = harness.now();
     let effects = harness.node.step(now, Msg::Call(CALL, request));
     effects.into_iter().find_map(|effect| match effect {
-        Effect::Answer(CALL, response) => Some(response),
+        Effect::Respond(CALL, response) => Some(response),
         _ => None,
     })
 }
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -8,7 +8,7 @@
 pub use disk::{Behaviour, TestDisk};
 
 use landingdrift::consensus::Replica;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::{Limits, Settings};
 use landingdrift::state::Command;
 use landingdrift::wire::{
@@ -150,7 +150,7 @@
         self.now_ms += 1;
         while let Some((_, message)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.now_ms) {
             match (0..3).find(|i| name(*i) == message.to) {
-                Some(i) => self.step(i, Msg::Wire(message.from, message.body)),
+                Some(i) => self.step(i, Msg::Received(message.from, message.body)),
                 None => self.external_messages.push(message),
             }
         }
@@ -187,7 +187,7 @@
                     self.send(i, SentMessage { from, to, body });
                 }
                 Effect::Persist(save) => self.disks[i].pending.push_back(save),
-                Effect::Answer(call, v) => {
+                Effect::Respond(call, v) => {
                     self.responses.insert(call, v);
                 }
                 Effect::Log(text) => {
@@ -236,7 +236,7 @@
 
     /// Delivers a message from an external sender to a replica at once.
     pub fn deliver(&mut self, i: usize, from: &str, body: Body) {
-        self.step(i, Msg::Wire(from.into(), body));
+        self.step(i, Msg::Received(from.into(), body));
     }
 
     /// Proposes a configuration change that adds a note of `bytes` bytes; returns its token.
--- a/landingdrift/tests/reported_ends.rs
+++ b/landingdrift/tests/reported_ends.rs
@@ -3,7 +3,7 @@
 
 mod node_harness;
 
-use landingdrift::sans_io::{Effect, Msg, Part};
+use landingdrift::sans_io::{Effect, Msg, StateMachine};
 use landingdrift::state::{AttemptState, Command, Outcome};
 use landingdrift::wire::Body;
 use node_harness::{response_and_proposals, NodeHarness};
--- a/landingdrift/tests/responses.rs
+++ b/landingdrift/tests/responses.rs
@@ -1,7 +1,7 @@
 //! A response is accepted only from the peer that was asked, only for the request that was sent, and only once.
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, StateMachine};
 use landingdrift::settings::Settings;
 use landingdrift::state::{pack_apply_result, ClusterState, Command};
 use landingdrift::wire::{
@@ -73,7 +73,7 @@
     }
 
     fn receive(&mut self, from: &str, body: Body) -> Vec<Effect> {
-        self.step(Msg::Wire(from.into(), body))
+        self.step(Msg::Received(from.into(), body))
     }
 
     fn call(&mut self, method: &str, path: &str, body: &str) -> Vec<Effect> {
@@ -119,7 +119,7 @@
 /// The responses to the caller: status and body.
 fn answers(effects: &[Effect]) -> Vec<(u16, serde_json::Value)> {
     let answers = effects.iter().filter_map(|e| match e {
-        Effect::Answer(7, v) => Some((v.status, v.body.clone())),
+        Effect::Respond(7, v) => Some((v.status, v.body.clone())),
         _ => None,
     });
     answers.collect()
--- a/landingdrift/tests/routed_calls.rs
+++ b/landingdrift/tests/routed_calls.rs
@@ -2,7 +2,7 @@
 
 mod node_harness;
 
-use landingdrift::sans_io::{Effect, Msg, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Request, Response, StateMachine};
 use landingdrift::state::Command;
 use node_harness::NodeHarness;
 use serde_json::json;
@@ -18,7 +18,7 @@
     let now = harness.now();
     let effects = harness.node.step(now, Msg::Call(harness.call, request));
     let mut answers = effects.into_iter().filter_map(|effect| match effect {
-        Effect::Answer(_, response) => Some(response),
+        Effect::Respond(_, response) => Some(response),
         _ => None,
     });
     answers.next_back().expect("an answer")
--- a/landingdrift/tests/start_orders.rs
+++ b/landingdrift/tests/start_orders.rs
@@ -43,7 +43,7 @@
         },
         ..StepSpec::default()
     };
-    harness.append(Command::AcceptJob {
+    harness.append(Command::SubmitJob {
         spec: JobSpec {
             id: "j".into(),
             queue: "q".into(),
--- a/landingdrift/tests/stored/history.rs
+++ b/landingdrift/tests/stored/history.rs
@@ -105,7 +105,7 @@
                 http: node.replace(":7000", ":8000"),
             });
         }
-        self.accepted(Command::RemoveNode {
+        self.accepted(Command::MarkNodeGone {
             node: "10.0.1.2:7000".into(),
         });
     }
@@ -165,7 +165,7 @@
 
     fn accept(&mut self, spec: JobSpec, hash: u64) -> bool {
         let seen = self.state.applied_index;
-        self.apply(Command::AcceptJob { spec, hash, seen })
+        self.apply(Command::SubmitJob { spec, hash, seen })
     }
 
     fn start(&mut self, job: &str, owner_epoch: u64, tasks: &[u32], worker: &str) {
@@ -273,14 +273,14 @@
         assert!(self.accept(job("unsure", "fast", vec![task("a"), task("b")]), 105));
         self.start("unsure", 3, &[0], "w3");
         self.start("unsure", 3, &[1], "w3");
-        self.accepted(Command::WorkerLost {
+        self.accepted(Command::MarkWorkerLost {
             worker: "w3".into(),
             incarnation: 11,
             zone_epoch: 2,
         });
         self.order(
             2,
-            Command::ResolveAttempt {
+            Command::ResolveTask {
                 job: "unsure".into(),
                 task: "b".into(),
                 succeeded: false,
--- a/landingdrift/tests/stored/mod.rs
+++ b/landingdrift/tests/stored/mod.rs
@@ -7,7 +7,9 @@
 use landingdrift::disk::DataFolder;
 use landingdrift::node::Node;
 use landingdrift::replay::{RecordedEntry, Recording};
-use landingdrift::sans_io::{Effect, HardState, Msg, Now, Part, Request, Snapshot, WriteBatch};
+use landingdrift::sans_io::{
+    Effect, HardState, Msg, Now, Request, Snapshot, StateMachine, WriteBatch,
+};
 use landingdrift::settings::{Bounds, Hopper, Limits, Settings};
 use landingdrift::state::{ClusterState, Command, ProposalId};
 use landingdrift::wire::{Body, DurabilityWitness, Entry, WatchBatch};
@@ -178,14 +180,14 @@
         path: format!("/v1/jobs/{job}"),
         ..Request::default()
     };
-    let watch = || Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(watch_batch(state))));
+    let watch = || Msg::Received(CORE.into(), Body::WatchBatch(Box::new(watch_batch(state))));
     let mut effects = node.step(now, watch());
     effects.extend(node.step(now, Msg::Call(1, call)));
     effects.extend(node.step(now, watch()));
     effects
         .into_iter()
         .find_map(|effect| match effect {
-            Effect::Answer(1, answer) => Some(answer.body.to_string()),
+            Effect::Respond(1, answer) => Some(answer.body.to_string()),
             _ => None,
         })
         .expect("the call is answered")
@@ -275,19 +277,19 @@
     match command {
         Command::TermStarted { .. } => 0,
         Command::UpdateConfig { .. } => 1,
-        Command::AcceptJob { .. } => 2,
+        Command::SubmitJob { .. } => 2,
         Command::CancelJob { .. } => 3,
         Command::StartAttempts { .. } => 4,
         Command::UpdateWorker { .. } => 5,
         Command::ReportAttempts { .. } => 6,
-        Command::WorkerLost { .. } => 7,
+        Command::MarkWorkerLost { .. } => 7,
         Command::ExpireAttempts { .. } => 8,
         Command::RescheduleAttempts { .. } => 9,
         Command::SetEvacuation { .. } => 10,
-        Command::ResolveAttempt { .. } => 11,
+        Command::ResolveTask { .. } => 11,
         Command::GrantLease { .. } => 12,
         Command::RegisterNode { .. } => 13,
-        Command::RemoveNode { .. } => 14,
+        Command::MarkNodeGone { .. } => 14,
         Command::FoundCluster { .. } => 15,
         Command::UpdateReplica { .. } => 16,
         Command::RemoveReplica { .. } => 17,
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -169,7 +169,7 @@
         state.live.len(),
         state.queues["fast"].durations.len(),
         state.queues["fast"].job_ends.len(),
-        state.workers["w2"].ends.len(),
+        state.workers["w2"].recent_outcomes.len(),
         state.workers["w2"].attempts.len(),
     ];
     assert!(!sizes.contains(&0), "{sizes:?}");
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -59,7 +59,7 @@
 /// Waits for the next frame; returns its sender and body.
 fn next(rx: &Receiver<Input>) -> (String, Body) {
     match rx.recv_timeout(TEST_TIMEOUT) {
-        Ok(Input::Msg(Msg::Wire(from, body))) => (from, body),
+        Ok(Input::Msg(Msg::Received(from, body))) => (from, body),
         _ => panic!("no frame was received"),
     }
 }
--- a/landingdrift/tests/watch_flow.rs
+++ b/landingdrift/tests/watch_flow.rs
@@ -4,7 +4,7 @@
 mod node_harness;
 mod replicas;
 
-use landingdrift::sans_io::{Effect, Msg, Part};
+use landingdrift::sans_io::{Effect, Msg, StateMachine};
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, WatchBatch, WatchRequest, WatchSnapshotChunk};
 use node_harness::{NodeHarness, REPLICA};
@@ -112,7 +112,7 @@
 fn receive(harness: &mut NodeHarness, from: &str, chunk: WatchSnapshotChunk) -> Vec<Effect> {
     let now = harness.now();
     let body = Body::WatchSnapshotChunk(Box::new(chunk));
-    harness.node.step(now, Msg::Wire(from.into(), body))
+    harness.node.step(now, Msg::Received(from.into(), body))
 }
 
 #[test]
@@ -184,7 +184,7 @@
         config_index: 0,
     };
     let body = Body::WatchBatch(Box::new(batch));
-    harness.node.step(now, Msg::Wire(REPLICA.into(), body));
+    harness.node.step(now, Msg::Received(REPLICA.into(), body));
     assert!(harness.node.is_ready(now));
 }
 
--- a/landingdrift/tests/watch_identity.rs
+++ b/landingdrift/tests/watch_identity.rs
@@ -4,7 +4,7 @@
 mod node_harness;
 mod replicas;
 
-use landingdrift::sans_io::{Effect, Msg, Part};
+use landingdrift::sans_io::{Effect, Msg, StateMachine};
 use landingdrift::settings::Limits;
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, Entry, WatchBatch, WatchRequest};
@@ -21,7 +21,7 @@
 fn receive(harness: &mut NodeHarness, batch: WatchBatch) -> Vec<Effect> {
     let now = harness.now();
     let body = Body::WatchBatch(Box::new(batch));
-    harness.node.step(now, Msg::Wire(REPLICA.into(), body))
+    harness.node.step(now, Msg::Received(REPLICA.into(), body))
 }
 
 fn is_ready(harness: &NodeHarness) -> bool {
--- a/landingdrift/tests/worker_proxy.rs
+++ b/landingdrift/tests/worker_proxy.rs
@@ -1,6 +1,6 @@
 //! The worker proxy, which forwards a worker's calls. Each test drives a proxy by messages.
 
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::Settings;
 use landingdrift::wire::{Body, ForwardResponse, RequestToken};
 use landingdrift::worker_proxy::{WorkerProxy, LEAVING};
@@ -42,7 +42,7 @@
 
 fn response_among(effects: &[Effect]) -> Option<Response> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Answer(7, response) => Some(response.clone()),
+        Effect::Respond(7, response) => Some(response.clone()),
         _ => None,
     })
 }
@@ -56,7 +56,7 @@
         by: by.into(),
         config_version: 0,
     };
-    Msg::Wire(from.into(), Body::ForwardResponse(Box::new(response)))
+    Msg::Received(from.into(), Body::ForwardResponse(Box::new(response)))
 }
 
 #[test]
--- a/landingdrift/tests/zone_offers.rs
+++ b/landingdrift/tests/zone_offers.rs
@@ -2,7 +2,7 @@
 
 mod node_harness;
 
-use landingdrift::sans_io::{Effect, Msg, Part};
+use landingdrift::sans_io::{Effect, Msg, StateMachine};
 use landingdrift::state::Command;
 use landingdrift::wire::{
     Body, Entry, Offer, OfferResponse, ProposeResponse, RequestToken, Reservation, Reserve,
@@ -50,7 +50,7 @@
     let now = harness.now();
     let effects = harness.node.step(
         now,
-        Msg::Wire(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
+        Msg::Received(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
     );
     let placed = effects.iter().any(|effect| match effect {
         Effect::Send(to, Body::Reserve(reserve)) => {
@@ -95,7 +95,8 @@
         reservations: vec![reservation],
     };
     let now = harness.now();
-    let mut receive = |from: &str, body: Body| harness.node.step(now, Msg::Wire(from.into(), body));
+    let mut receive =
+        |from: &str, body: Body| harness.node.step(now, Msg::Received(from.into(), body));
     let made = offers(
         &receive(scheduler, Body::Reserve(Box::new(reserve))),
         scheduler,
@@ -171,7 +172,7 @@
         };
         let now = self.now();
         let body = Body::ProposeResponse(Box::new(response));
-        start_proposals(self.node.step(now, Msg::Wire(from.into(), body)))
+        start_proposals(self.node.step(now, Msg::Received(from.into(), body)))
     }
 }
 
--- a/landingdrift/tests/zone_scheduler.rs
+++ b/landingdrift/tests/zone_scheduler.rs
@@ -3,7 +3,7 @@
 mod node_harness;
 
 use landingdrift::node::Heartbeat;
-use landingdrift::sans_io::{Effect, Msg, Part};
+use landingdrift::sans_io::{Effect, Msg, StateMachine};
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, ForwardRequest, RequestToken};
 use node_harness::{info, never_started, response_and_proposals, NodeHarness};
@@ -110,7 +110,7 @@
     let now = harness.now();
     let effects = harness.node.step(
         now,
-        Msg::Wire(
+        Msg::Received(
             "10.0.0.9:1".into(),
             Body::ForwardRequest(Box::new(forwarded)),
         ),
--- a/testkit/src/explorer/client.rs
+++ b/testkit/src/explorer/client.rs
@@ -30,7 +30,7 @@
             command: command.pack(),
         };
         let body = Body::ProposeRequest(Box::new(propose));
-        self.step(machine_index, Msg::Wire(CLIENT.into(), body));
+        self.step(machine_index, Msg::Received(CLIENT.into(), body));
     }
 
     /// A client outputs a machine for the index of the last committed entry.
@@ -40,7 +40,7 @@
         let body = Body::ReadIndexRequest(Box::new(ReadIndexRequest {
             token: request_token(number),
         }));
-        self.step(machine_index, Msg::Wire(CLIENT.into(), body));
+        self.step(machine_index, Msg::Received(CLIENT.into(), body));
     }
 
     fn next_request_number(&mut self) -> u64 {
--- a/testkit/src/explorer/cluster.rs
+++ b/testkit/src/explorer/cluster.rs
@@ -4,7 +4,7 @@
 use super::planted_bug::{distort, PlantedBug};
 use crate::simulator::disk::SimDisk;
 use landingdrift::consensus::Replica;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, WriteBatch};
+use landingdrift::sans_io::{Effect, Msg, Now, StateMachine, WriteBatch};
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::wire::Body;
 
@@ -257,7 +257,7 @@
             Effect::Persist(batch) => self.write(machine_index, batch),
             Effect::Exit => self.crash(machine_index, usize::MAX),
             Effect::Log(text) => self.log_line(machine_index, &text),
-            Effect::Answer(..) => {}
+            Effect::Respond(..) => {}
         }
     }
 
@@ -322,7 +322,7 @@
             .iter()
             .position(|machine| machine.address == message.to && machine.replica.is_some());
         if let Some(machine_index) = to {
-            self.step(machine_index, Msg::Wire(message.from, message.body));
+            self.step(machine_index, Msg::Received(message.from, message.body));
         }
     }
 }
--- a/testkit/src/fleet/drive.rs
+++ b/testkit/src/fleet/drive.rs
@@ -156,7 +156,7 @@
             Some(proxy) => vec![proxy.clone()],
             None => self.fleet.nodes(),
         };
-        let seed = self.rng.number();
+        let seed = self.rng.next_u64();
         let slot = &mut self.workers[index];
         slot.incarnation += 1;
         slot.info.incarnation = slot.incarnation;
--- a/testkit/src/measure/capacity/metered_day.rs
+++ b/testkit/src/measure/capacity/metered_day.rs
@@ -93,17 +93,17 @@
     for (index, address) in replicas.iter().enumerate() {
         let loaded = PersistedState {
             // Odd, as no disk has the number 0.
-            disk: rng.number() | 1,
+            disk: rng.next_u64() | 1,
             ..PersistedState::default()
         };
-        let replica = Replica::new(settings(address, index, "d"), loaded, now, rng.number());
+        let replica = Replica::new(settings(address, index, "d"), loaded, now, rng.next_u64());
         let replica = replica.expect("an empty disk loads");
         let part = Part::Replica(Box::new(replica));
         processes.push(Process::new(address.clone(), part));
     }
     for index in 0..size.nodes {
         let address = node_address(index);
-        let node = Node::new(settings(&address, index, ""), now, rng.number());
+        let node = Node::new(settings(&address, index, ""), now, rng.next_u64());
         processes.push(Process::new(address, Part::Node(Box::new(node))));
     }
     processes
@@ -129,9 +129,9 @@
         let by_address = addresses.clone().zip(0..).collect();
         let nodes: Vec<String> = addresses.skip(REPLICAS).collect();
         let workers = (0..size.workers)
-            .map(|index| Worker::new(load::info(index), nodes.clone(), rng.number()))
+            .map(|index| Worker::new(load::info(index), nodes.clone(), rng.next_u64()))
             .collect();
-        let mut operator = Operator::new("op", nodes, rng.number());
+        let mut operator = Operator::new("op", nodes, rng.next_u64());
         operator.apply(false, load::config());
         let mut day = Self {
             now: 0,
--- a/testkit/src/measure/capacity/metered_day/actions.rs
+++ b/testkit/src/measure/capacity/metered_day/actions.rs
@@ -130,7 +130,7 @@
         tally.bytes_in += frame.len() as f64;
         tally.wire += spent;
         if let Ok(envelope) = envelope {
-            self.step(to, Msg::Wire(envelope.from, envelope.body));
+            self.step(to, Msg::Received(envelope.from, envelope.body));
         }
     }
 
@@ -207,7 +207,7 @@
                 let delay_ms = WRITE_MS + self.rng.below(WRITE_SPREAD_MS);
                 self.schedule_in(delay_ms, Action::CompleteWrite { process, write_id });
             }
-            Effect::Answer(call, response) => {
+            Effect::Respond(call, response) => {
                 if let Some(open) = self.open_calls.remove(&call) {
                     let latency_ms = 1 + self.rng.below(LATENCY_SPREAD_MS);
                     self.schedule_in(latency_ms, Action::Answer { open, response });
--- a/testkit/src/measure/capacity/metered_day/process.rs
+++ b/testkit/src/measure/capacity/metered_day/process.rs
@@ -3,7 +3,7 @@
 use crate::measure::capacity::meter::Tally;
 use landingdrift::consensus::Replica;
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part as _};
+use landingdrift::sans_io::{Effect, Msg, Now, StateMachine as _};
 use landingdrift::state::ClusterState;
 
 /// The part of a process, as far as the product's public interface shows it.
--- a/testkit/src/scale/drive.rs
+++ b/testkit/src/scale/drive.rs
@@ -227,7 +227,7 @@
         match input {
             Input::Frame(node_index, frame) => {
                 if let Ok(envelope) = unpack(&self.cluster, &frame) {
-                    self.step(node_index, Msg::Wire(envelope.from, envelope.body));
+                    self.step(node_index, Msg::Received(envelope.from, envelope.body));
                 }
             }
             Input::Answer(key, response) => {
--- a/testkit/src/scale/hollow.rs
+++ b/testkit/src/scale/hollow.rs
@@ -3,7 +3,7 @@
 use super::drive::{CallKey, Caller, ScaleRun};
 use crate::calls::OutgoingCall;
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, StateMachine};
 use landingdrift::wire::{pack, Body};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -57,7 +57,7 @@
         for effect in self.nodes[node_index].node.step(now, message) {
             match effect {
                 Effect::Send(to, body) => self.send(node_index, &to, body),
-                Effect::Answer(call, response) => {
+                Effect::Respond(call, response) => {
                     if let Some(key) = self.calls.remove(&call) {
                         self.answered(key, &response);
                     }
@@ -72,7 +72,7 @@
         if let Some(node_index) = self.by_listen.get(to).copied() {
             self.local_messages.push_back(LocalMessage {
                 node_index,
-                message: Msg::Wire(address.clone(), body),
+                message: Msg::Received(address.clone(), body),
             });
         } else {
             let frame = pack(&self.cluster, address, &body);
--- a/testkit/src/scale/setup.rs
+++ b/testkit/src/scale/setup.rs
@@ -82,7 +82,7 @@
         };
         HollowNode {
             address: settings.listen.clone(),
-            node: Node::new(settings, now, rng.number()),
+            node: Node::new(settings, now, rng.next_u64()),
         }
     };
     (0..options.nodes).map(hollow_node).collect()
@@ -115,9 +115,9 @@
         let by_listen = nodes.iter().map(|node| node.address.clone()).zip(0..);
         let all_http: Vec<String> = fleet.nodes().into_iter().chain(hollow_http).collect();
         let workers = (0..options.workers)
-            .map(|index| Worker::new(info(index), all_http.clone(), rng.number()))
+            .map(|index| Worker::new(info(index), all_http.clone(), rng.next_u64()))
             .collect();
-        let mut operator = Operator::new("op", fleet.nodes(), rng.number());
+        let mut operator = Operator::new("op", fleet.nodes(), rng.next_u64());
         operator.apply(false, config());
         Ok(Self {
             options,
--- a/testkit/src/simulator/world/callers.rs
+++ b/testkit/src/simulator/world/callers.rs
@@ -51,7 +51,7 @@
             Some(proxy) => vec![proxy.clone()],
             None => self.node_addresses(),
         };
-        let seed = self.rng.number();
+        let seed = self.rng.next_u64();
         let machine = &mut self.workers[number];
         machine.incarnation += 1;
         machine.is_frozen = false;
--- a/testkit/src/simulator/world/links.rs
+++ b/testkit/src/simulator/world/links.rs
@@ -103,7 +103,7 @@
     pub(super) fn deliver(&mut self, to: usize, from: String, frame: &[u8]) {
         let wire_version = self.processes[to].wire_version;
         match unpack_with_version(wire_version, &self.settings.cluster, frame) {
-            Ok(envelope) => self.step(to, Msg::Wire(from, envelope.body)),
+            Ok(envelope) => self.step(to, Msg::Received(from, envelope.body)),
             Err(WireError::Version(_)) => {
                 let counters = &mut self.processes[to].counters;
                 *counters
--- a/testkit/src/simulator/world/process.rs
+++ b/testkit/src/simulator/world/process.rs
@@ -4,7 +4,7 @@
 use crate::simulator::disk::SimDisk;
 use landingdrift::consensus::Replica;
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Msg, Part as _};
+use landingdrift::sans_io::{Msg, StateMachine as _};
 use landingdrift::settings::Settings;
 use landingdrift::wire::WIRE_VERSION;
 use landingdrift::worker_proxy::WorkerProxy;
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -8,7 +8,7 @@
 use crate::simulator::EPOCH;
 use landingdrift::consensus::Replica;
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part as _, WriteBatch};
+use landingdrift::sans_io::{Effect, Msg, Now, StateMachine as _, WriteBatch};
 use landingdrift::settings::Settings;
 use landingdrift::worker_proxy::WorkerProxy;
 
@@ -48,7 +48,7 @@
     /// Adds a replica with an empty disk, and starts it.
     pub(in crate::simulator) fn add_replica(&mut self, zone: usize, address: String) {
         // The number of a disk must not be 0.
-        let disk = SimDisk::new(self.rng.number() | 1);
+        let disk = SimDisk::new(self.rng.next_u64() | 1);
         let part = Part::Replica {
             replica: None,
             disk: Box::new(disk),
@@ -90,7 +90,7 @@
             return;
         }
         self.processes[number].steady_offset_ms = self.rng.below(CLOCK_START_MS);
-        let seed = self.rng.number();
+        let seed = self.rng.next_u64();
         let now = self.clocks(number);
         let settings = self.settings_for(number);
         let process = &mut self.processes[number];
@@ -219,7 +219,7 @@
         match effect {
             Effect::Send(to, body) => self.send(number, &to, &body),
             Effect::Persist(batch) => self.write(number, batch),
-            Effect::Answer(call, response) => self.send_answer(number, call, response),
+            Effect::Respond(call, response) => self.send_answer(number, call, response),
             Effect::Log(text) => {
                 let address = &self.processes[number].address;
                 let line = format!("{address} {text}");
--- a/testkit/src/simulator/world/setup.rs
+++ b/testkit/src/simulator/world/setup.rs
@@ -39,7 +39,7 @@
             now: 0,
             actions_scheduled: 0,
             queue: BinaryHeap::new(),
-            client: Client::new("j", Vec::new(), scenario.mix(), rng.number(), EPOCH),
+            client: Client::new("j", Vec::new(), scenario.mix(), rng.next_u64(), EPOCH),
             operators: Vec::new(),
             rng,
             shape: scenario.shape,
@@ -128,8 +128,8 @@
 
     /// Creates the client, which replaces the placeholder of [`World::new`], and the two operators.
     fn add_callers(&mut self, scenario: &Scenario, nodes: Vec<String>) {
-        let client_seed = self.rng.number();
-        let operator_seeds = [self.rng.number(), self.rng.number()];
+        let client_seed = self.rng.next_u64();
+        let operator_seeds = [self.rng.next_u64(), self.rng.next_u64()];
         self.client = Client::new("j", nodes.clone(), scenario.mix(), client_seed, EPOCH);
         self.operators = vec![
             Operator::new("op0", nodes.clone(), operator_seeds[0]),
@@ -167,7 +167,7 @@
             queue["speculationPercent"] = json!(speculation_percent);
         }
         let nodes = self.node_addresses();
-        let operator_seed = self.rng.number();
+        let operator_seed = self.rng.next_u64();
         self.operators[0] = Operator::new("op0", nodes, operator_seed);
         self.operators[0].apply(false, config);
         self.planned_jobs = jobs.into();
