--- a/landingdrift/src/daemon/control.rs
+++ b/landingdrift/src/daemon/control.rs
@@ -3,22 +3,23 @@
 use super::disk_writer::DiskWriter;
 use super::input::Input;
 use super::pending_calls::PendingCalls;
-use super::shutdown_timer::{GracePeriods, ShutdownTimer};
+use super::shutdown_timer::{GracePeriod, ShutdownTimer};
 use super::traffic::Transport;
 use crate::sans_io::{Effect, Msg, Now, StateMachine};
 use crate::settings::Settings;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The most inputs in one round. Bounds the delay of effects while inputs arrive faster than they are handled.
+/// The maximum number of inputs in a round. It bounds the delay of effects while inputs arrive faster than they are
+/// handled.
 const MAX_INPUTS_PER_ROUND: usize = 256;
 
-/// The monotonic and the wall clock of the process.
+/// Reads the monotonic clock, relative to the start of the process, and the wall clock.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts the monotonic clock at 1 ms.
+    /// A clock whose monotonic time starts now, at 1 ms.
     pub fn start() -> Self {
         Self(Instant::now())
     }
@@ -46,7 +47,7 @@
     pub disk: Option<DiskWriter>,
     /// HTTP calls that wait for their response.
     pub calls: PendingCalls,
-    /// The interval between [`Msg::Tick`] inputs.
+    /// The interval between [`Msg::Tick`] messages.
     pub tick: Duration,
     /// Decides when the thread ends after a request to stop.
     pub shutdown_timer: ShutdownTimer,
@@ -69,11 +70,11 @@
             disk,
             calls,
             tick: Duration::from_millis(settings.bounds.tick_interval()),
-            shutdown_timer: ShutdownTimer::new(GracePeriods::from_bounds(&settings.bounds)),
+            shutdown_timer: ShutdownTimer::new(GracePeriod::from_bounds(&settings.bounds)),
         }
     }
 
-    /// Runs until the part has ended, or every sender of inputs is gone.
+    /// Runs until the part has ended or every sender of inputs is dropped.
     pub fn run(mut self, inputs: &Receiver<Input>) {
         let mut next_tick = Instant::now();
         let mut effects = Vec::new();
@@ -89,8 +90,8 @@
             if tick.is_some() {
                 next_tick = now + self.tick;
             }
-            let msgs = first.into_iter().chain(inputs.try_iter()).map(Msg::from);
-            let mut round = tick.into_iter().chain(msgs.take(MAX_INPUTS_PER_ROUND));
+            let messages = first.into_iter().chain(inputs.try_iter()).map(Msg::from);
+            let mut round = tick.into_iter().chain(messages.take(MAX_INPUTS_PER_ROUND));
             let is_last_step = round.any(|msg| self.step(msg, &mut effects));
             for effect in effects.drain(..) {
                 self.execute(effect);
@@ -107,7 +108,7 @@
         match &msg {
             Msg::SettingsChanged(settings) => {
                 self.tick = Duration::from_millis(settings.bounds.tick_interval());
-                self.shutdown_timer.periods = GracePeriods::from_bounds(&settings.bounds);
+                self.shutdown_timer.grace_period = GracePeriod::from_bounds(&settings.bounds);
             }
             Msg::Stop => self.shutdown_timer.stop_requested(Instant::now()),
             _ => {}
--- a/landingdrift/src/daemon/disk_writer.rs
+++ b/landingdrift/src/daemon/disk_writer.rs
@@ -12,15 +12,16 @@
 
 /// Storage that the disk writer writes to; a [`DataFolder`] outside of tests.
 pub trait Store: Send {
-    /// Writes a batch and syncs once. The batch is durable only if this succeeds.
-    fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError>;
-    /// Makes the store usable after a failed write: keeps all acknowledged data, and nothing of the failed batch.
+    /// Writes the batches and syncs once. They are durable only if this succeeds.
+    fn save(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError>;
+    /// Makes the store usable after a failed write: keeps all acknowledged data and removes what was
+    /// written of the failed batches.
     fn recover(&mut self) -> Result<(), StorageError>;
 }
 
 impl Store for DataFolder {
-    fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError> {
-        DataFolder::save(self, batch)
+    fn save(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
+        DataFolder::save(self, batches)
     }
     fn recover(&mut self) -> Result<(), StorageError> {
         DataFolder::recover(self)
@@ -37,7 +38,8 @@
 }
 
 impl Backoff {
-    /// Backoff from one heartbeat interval up to the longest pause that the time bounds allow for a disk.
+    /// Backoff that starts at one heartbeat interval and is capped at the longest disk retry interval under these
+    /// bounds.
     pub fn from_bounds(bounds: &Bounds) -> Self {
         Self {
             next: Duration::from_millis(bounds.heartbeat_interval()),
@@ -65,11 +67,11 @@
         inputs: Sender<Input>,
         backoff: Backoff,
     ) -> Result<Self, ProcessError> {
-        let (queue, queued) = channel::<WriteBatch>();
+        let (batch_sender, batch_receiver) = channel::<WriteBatch>();
         threads::spawn("disk", threads::DEFAULT_STACK_BYTES, move || {
-            write_all(store, &queued, &inputs, backoff);
+            write_all(store, &batch_receiver, &inputs, backoff);
         })?;
-        Ok(Self(queue))
+        Ok(Self(batch_sender))
     }
 
     /// Queues a batch; the control thread receives [`Msg::Persisted`] once it is durable.
@@ -81,35 +83,35 @@
 /// Writes queued batches until the queue is closed or the control thread has ended.
 fn write_all(
     mut store: impl Store,
-    queued: &Receiver<WriteBatch>,
+    batch_receiver: &Receiver<WriteBatch>,
     inputs: &Sender<Input>,
     backoff: Backoff,
 ) {
-    while let Ok(first) = queued.recv() {
-        let mut batch = vec![first];
-        batch.extend(queued.try_iter());
-        let write_id = batch.last().map_or(0, |last| last.write_id);
-        let written = save_with_retries(&mut store, &batch, inputs, backoff);
-        if written.is_none() || inputs.send(Input::Msg(Msg::Persisted(write_id))).is_err() {
+    while let Ok(first) = batch_receiver.recv() {
+        let mut batches = vec![first];
+        batches.extend(batch_receiver.try_iter());
+        let write_id = batches.last().map_or(0, |last| last.write_id);
+        let durable = save_with_retries(&mut store, &batches, inputs, backoff);
+        if durable.is_none() || inputs.send(Input::Msg(Msg::Persisted(write_id))).is_err() {
             return;
         }
     }
 }
 
-/// Retries until the batch is durable; `None` if the control thread has ended.
+/// Retries until the batches are durable; `None` if the control thread has ended.
 fn save_with_retries(
     store: &mut impl Store,
-    batch: &[WriteBatch],
+    batches: &[WriteBatch],
     inputs: &Sender<Input>,
     mut backoff: Backoff,
 ) -> Option<()> {
-    let mut written = store.save(batch);
-    while let Err(error) = written {
+    let mut saved = store.save(batches);
+    while let Err(error) = saved {
         let failure = Msg::DiskFailed(error.to_string());
         inputs.send(Input::Msg(failure)).ok()?;
         sleep(backoff.next().unwrap_or_default());
-        // A partly written batch is truncated first, then the whole batch is written again in order.
-        written = store.recover().and_then(|()| store.save(batch));
+        // Partly written batches are truncated first, then all batches are written again in order.
+        saved = store.recover().and_then(|()| store.save(batches));
     }
     Some(())
 }
--- a/landingdrift/src/daemon/error.rs
+++ b/landingdrift/src/daemon/error.rs
@@ -1,10 +1,10 @@
-//! Errors that keep a process from starting or that end it.
+//! Errors that prevent a process from starting or make it exit.
 
 use crate::disk::StorageError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a process failed to start, or ended without being asked to. Messages name the remedy.
+/// An error that prevents a process from starting or makes it exit. Messages name the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// A thread could not be started.
@@ -46,8 +46,8 @@
     /// A control thread has panicked.
     #[error("a control thread panicked; restart the process")]
     Panicked,
-    /// A part has ended without being asked to.
-    #[error("a part ended without being asked to; restart the process")]
+    /// A part has ended without a request to stop.
+    #[error("the replica, node or worker proxy ended unexpectedly; restart the process")]
     PartEnded,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Lets programs that only print the error use `String` as their error type.
+/// For programs that use `String` as their error type because they only print errors.
 impl From<ProcessError> for String {
     fn from(error: ProcessError) -> Self {
         error.to_string()
--- a/landingdrift/src/daemon/input.rs
+++ b/landingdrift/src/daemon/input.rs
@@ -1,4 +1,5 @@
-//! Inputs of a control thread. Senders and receivers both import this module, so it must not depend on either.
+//! Inputs of a control thread. The traffic, disk and control modules all import this module, so it must not depend on
+//! them.
 
 use crate::sans_io::{Msg, Request};
 
@@ -6,7 +7,7 @@
 pub enum Input {
     /// A message for the part that the thread runs.
     Msg(Msg),
-    /// An HTTP call, and its number in [`PendingCalls`](super::PendingCalls).
+    /// An HTTP call and its number in [`PendingCalls`](super::PendingCalls).
     Call(Request, u64),
 }
 
--- a/landingdrift/src/daemon/mod.rs
+++ b/landingdrift/src/daemon/mod.rs
@@ -27,8 +27,8 @@
 pub use pending_calls::PendingCalls;
 pub use process::Process;
 pub use running_part::PartHandle;
-pub use shutdown_timer::{GracePeriods, ShutdownTimer};
+pub use shutdown_timer::{GracePeriod, ShutdownTimer};
 pub use traffic::{
-    FrameOptions, HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Traffic,
+    AdapterResult, FrameOptions, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Traffic,
     Transport,
 };
--- a/landingdrift/src/daemon/open_folder.rs
+++ b/landingdrift/src/daemon/open_folder.rs
@@ -1,4 +1,4 @@
-//! Opens a replica's data folder, and retries while the disk returns errors that may pass.
+//! Opens a replica's data folder, and retries while the disk returns transient errors.
 
 use super::disk_writer::Backoff;
 use super::input::Input;
@@ -15,7 +15,7 @@
 /// How long callers should wait before they retry, in milliseconds.
 const RETRY_MS: u64 = 1000;
 
-/// Opens the data folder that the settings name.
+/// Opens the data folder in the settings.
 pub fn open(settings: &Settings, seed: u64) -> Result<(DataFolder, PersistedState), StorageError> {
     // A disk ID of 0 means that the disk has none, so the lowest bit is always set.
     let disk_id = seed | 1;
@@ -28,9 +28,8 @@
     )
 }
 
-/// Retries opening a data folder after `last_error`, with growing pauses; `None` if the part is asked to stop before.
-///
-/// Errors that can't pass by themselves end the retries.
+/// Retries opening a data folder after `last_error`, with increasing pauses; `None` if the part is asked to stop
+/// before the folder is open. Retries only transient errors; any other error is returned at once.
 pub fn open_with_retries(
     settings: &Settings,
     seed: u64,
@@ -70,7 +69,7 @@
                 calls.answer(call, response(&request, error, retries))
             }
             Ok(Input::Msg(Msg::Stop)) | Err(RecvTimeoutError::Disconnected) => return false,
-            // Other processes repeat their messages, so those that come before the replica runs can be dropped.
+            // Other processes repeat their messages, so those that arrive before the replica runs can be dropped.
             Ok(Input::Msg(_)) => {}
             Err(RecvTimeoutError::Timeout) => return true,
         }
--- a/landingdrift/src/daemon/pending_calls.rs
+++ b/landingdrift/src/daemon/pending_calls.rs
@@ -6,10 +6,12 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Shards of the map. Only two threads use it: the traffic thread and one control thread.
+/// The number of shards of the map of pending calls. Only two threads use the map: the traffic thread and one control
+/// thread.
 const SHARDS: usize = 2;
 
-/// HTTP calls that wait for a response. One control thread answers them; any number of HTTP addresses may open them.
+/// HTTP calls that wait for a response. One control thread answers them; calls that arrive at any HTTP
+/// address may be added.
 #[derive(Clone)]
 pub struct PendingCalls {
     pending: Arc<DashMap<u64, Sender<Response>>>,
@@ -31,8 +33,8 @@
 impl PendingCalls {
     /// Sends the response to the caller, if it still waits.
     pub fn answer(&self, call: u64, response: Response) {
-        if let Some((_, caller)) = self.pending.remove(&call) {
-            let _ = caller.send(response);
+        if let Some((_, response_sender)) = self.pending.remove(&call) {
+            let _ = response_sender.send(response);
         }
     }
 
@@ -41,7 +43,7 @@
         self.pending.is_empty()
     }
 
-    /// Fails all waiting calls, and every later one, at once: the control thread has ended.
+    /// Fails all waiting calls and every later one at once, because the control thread has ended.
     pub(super) fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
         self.pending.clear();
@@ -55,8 +57,8 @@
     /// Adds a call; the caller awaits the response on the returned value.
     pub(super) fn open(&self) -> PendingCall {
         let call = self.next_number.fetch_add(1, Ordering::Relaxed);
-        let (caller, response) = channel();
-        self.pending.insert(call, caller);
+        let (response_sender, response) = channel();
+        self.pending.insert(call, response_sender);
         // If the calls were closed in the meantime, dropping the sender fails the call.
         if self.is_closed() {
             self.pending.remove(&call);
@@ -69,7 +71,7 @@
     }
 }
 
-/// The caller's end of a call. Dropping it removes the call, as when the caller hangs up.
+/// The caller's end of a call. Dropping it, for example because the caller hung up, removes the call.
 pub(super) struct PendingCall {
     pub number: u64,
     pub response: Receiver<Response>,
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -18,7 +18,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often a process that is shutting down checks whether all calls are answered and all parts have ended.
+/// The interval at which a process that is shutting down checks whether all calls are answered and all parts have
+/// ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A process that runs one or more parts. Each part has its own control thread and address; all share the traffic
@@ -31,11 +32,11 @@
     parts: Vec<RunningPart>,
 }
 
-/// The transport of a part, and both ends of its input queue.
+/// The transport of a part and both ends of its input queue.
 struct PartChannels {
     transport: Transport,
     inputs: Sender<Input>,
-    received: Receiver<Input>,
+    input_receiver: Receiver<Input>,
 }
 
 impl Process {
@@ -72,16 +73,18 @@
         let PartChannels {
             transport,
             inputs,
-            received,
+            input_receiver,
         } = self.listen(settings)?;
         let calls = PendingCalls::default();
         let control =
             ControlThread::new(part, self.clock, transport, None, calls.clone(), settings);
-        self.spawn_control(settings, inputs, calls, move || control.run(&received))
+        self.spawn_control(settings, inputs, calls, move || {
+            control.run(&input_receiver)
+        })
     }
 
-    /// Starts a replica on its data folder. If the disk returns an error that may pass, opening the folder is retried
-    /// in the background while the other parts of the process serve.
+    /// Starts a replica on its data folder. If the disk returns a transient error, opening the folder is retried in the
+    /// background while the other parts of the process serve.
     pub fn start_replica(&mut self, settings: &Settings) -> Result<PartHandle, ProcessError> {
         let seed = self.seed(&settings.listen);
         let opened = open_folder::open(settings, seed);
@@ -92,7 +95,7 @@
         let PartChannels {
             transport,
             inputs,
-            received,
+            input_receiver,
         } = self.listen(settings)?;
         let calls = PendingCalls::default();
         let start = ReplicaStart {
@@ -105,17 +108,19 @@
         };
         match opened {
             Ok(opened) => {
-                let control = start.control_thread(opened)?;
-                self.spawn_control(settings, inputs, calls, move || control.run(&received))
-            }
-            Err(error) => {
-                self.spawn_control(settings, inputs, calls, move || start.run(error, &received))
+                let control = start.build_control_thread(opened)?;
+                self.spawn_control(settings, inputs, calls, move || {
+                    control.run(&input_receiver)
+                })
             }
+            Err(error) => self.spawn_control(settings, inputs, calls, move || {
+                start.run(error, &input_receiver)
+            }),
         }
     }
 
     fn listen(&self, settings: &Settings) -> Result<PartChannels, ProcessError> {
-        let (inputs, received) = channel::<Input>();
+        let (inputs, input_receiver) = channel::<Input>();
         let options = FrameOptions {
             cluster: settings.cluster.clone(),
             own_address: settings.listen.clone(),
@@ -126,7 +131,7 @@
         Ok(PartChannels {
             transport,
             inputs,
-            received,
+            input_receiver,
         })
     }
 
@@ -143,7 +148,7 @@
             let _close_signals = close_signals;
             run();
         })?;
-        log::info!("{} in zone {}", settings.listen, settings.zone);
+        log::info!("listening at {} in zone {}", settings.listen, settings.zone);
         let handle = PartHandle { calls, inputs };
         self.parts.push(RunningPart {
             handle: handle.clone(),
@@ -167,7 +172,7 @@
         Ok(())
     }
 
-    /// Runs until the process is asked to stop or a part ends by itself, then shuts down gracefully. `reload` returns
+    /// Runs until the process is asked to stop or a part ends unexpectedly, then shuts down gracefully. `reload` returns
     /// the parts' settings in the order in which the parts were started; it is called on SIGHUP.
     pub fn run(
         mut self,
@@ -177,7 +182,7 @@
         let reason = if asked_to_stop {
             "asked to stop"
         } else {
-            "a part has ended"
+            "the replica, node or worker proxy ended unexpectedly"
         };
         log::info!("shutting down: {reason}");
         let panicked = self.stop();
@@ -199,8 +204,8 @@
                 return true;
             }
             match reload() {
-                Ok(all) => {
-                    for (part, settings) in self.parts.iter_mut().zip(&all) {
+                Ok(new_settings) => {
+                    for (part, settings) in self.parts.iter_mut().zip(&new_settings) {
                         part.update_settings(settings, logger);
                     }
                 }
@@ -217,11 +222,11 @@
     /// whether a control thread panicked.
     fn stop(&mut self) -> bool {
         let stop_requested_at = Instant::now();
-        let serving_time = self.longest_bound(Bounds::serving_time_after_stop);
-        let deadline = self.longest_bound(Bounds::process_deadline);
-        let flush = self.longest_bound(Bounds::flush_timeout);
+        let serving_time = self.longest_period(Bounds::serving_time_after_stop);
+        let deadline = self.longest_period(Bounds::process_deadline);
+        let flush = self.longest_period(Bounds::flush_timeout);
         let serving = self.traffic.serving().clone();
-        serving.leave();
+        serving.begin_drain();
         for part in &self.parts {
             part.send(Msg::Stop);
         }
@@ -241,13 +246,13 @@
         self.join_ended()
     }
 
-    /// The largest value of a bound among the parts.
-    fn longest_bound(&self, bound_ms: fn(&Bounds) -> u64) -> Duration {
-        let bounds_ms = self
+    /// The largest value among the parts of a period that follows from the time bounds.
+    fn longest_period(&self, period_ms: fn(&Bounds) -> u64) -> Duration {
+        let periods_ms = self
             .parts
             .iter()
-            .map(|part| bound_ms(&part.settings.bounds));
-        Duration::from_millis(bounds_ms.max().unwrap_or(0))
+            .map(|part| period_ms(&part.settings.bounds));
+        Duration::from_millis(periods_ms.max().unwrap_or(0))
     }
 
     /// Whether a call is in flight or a part still runs.
@@ -255,8 +260,8 @@
         serving.in_flight() > 0 || !self.parts.iter().all(RunningPart::has_ended)
     }
 
-    /// Joins the threads that have ended, up to the first that panicked; returns whether one did. Threads that still
-    /// run end with the process.
+    /// Joins the threads that have ended, up to the first that panicked; returns whether one did. Threads that are
+    /// still running end with the process.
     fn join_ended(&mut self) -> bool {
         self.parts
             .drain(..)
--- a/landingdrift/src/daemon/replica_start.rs
+++ b/landingdrift/src/daemon/replica_start.rs
@@ -12,7 +12,7 @@
 use crate::settings::Settings;
 use std::sync::mpsc::{Receiver, Sender};
 
-/// Everything that a replica needs to start, except for its open data folder.
+/// The values from which a replica is started, except for its open data folder.
 pub struct ReplicaStart {
     pub settings: Settings,
     pub seed: u64,
@@ -26,7 +26,7 @@
     /// Retries opening the data folder after `error`, then runs the replica until it ends.
     pub fn run(self, error: StorageError, received: &Receiver<Input>) {
         let calls = self.calls.clone();
-        match self.control_thread_with_retries(error, received) {
+        match self.build_control_thread_with_retries(error, received) {
             Ok(Some(control)) => control.run(received),
             Ok(None) => {}
             Err(error) => log::error!("failed to start the core: {error}"),
@@ -35,7 +35,7 @@
     }
 
     /// Builds the control thread once the folder is open; `None` if the replica is asked to stop before that.
-    fn control_thread_with_retries(
+    fn build_control_thread_with_retries(
         self,
         error: StorageError,
         received: &Receiver<Input>,
@@ -48,13 +48,13 @@
             received,
         )?;
         match opened {
-            Some(opened) => self.control_thread(opened).map(Some),
+            Some(opened) => self.build_control_thread(opened).map(Some),
             None => Ok(None),
         }
     }
 
     /// Builds the control thread from the open folder and the data that was loaded from it.
-    pub fn control_thread(
+    pub fn build_control_thread(
         self,
         (folder, loaded): (DataFolder, PersistedState),
     ) -> Result<ControlThread, ProcessError> {
--- a/landingdrift/src/daemon/roles.rs
+++ b/landingdrift/src/daemon/roles.rs
@@ -41,7 +41,7 @@
             crate::outln!("  --{flag} {help}");
         }
     }
-    crate::outln!("  --check  check the settings and exit\n  --help");
+    crate::outln!("  --check  check the settings and exit\n  --help  print this help and exit");
 }
 
 fn run(role: &'static str, arguments: Vec<OsString>) -> i32 {
@@ -104,10 +104,10 @@
     process.run(&reload).map(|()| 0)
 }
 
-/// Concurrent HTTP calls, as a multiple of the limit that the part itself enforces. The margin is for heartbeats and
-/// probes, which the part always accepts.
+/// The limit of concurrent HTTP calls, as a multiple of the limit that the part itself enforces. The margin is for
+/// heartbeats and probes, which the part always accepts.
 const HTTP_CALLS_FACTOR: u64 = 2;
-/// The largest part of a request body that is neither job nor configuration.
+/// The maximum size of a request body beyond the job or configuration in it.
 const BODY_OVERHEAD_BYTES: u64 = 1024;
 
 fn limits(settings: &Settings) -> HttpLimits {
--- a/landingdrift/src/daemon/running_part.rs
+++ b/landingdrift/src/daemon/running_part.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::Sender;
 use std::thread::JoinHandle;
 
-/// A handle to a part of this process, for passing it HTTP calls and messages.
+/// A handle to a part of this process, through which the part gets HTTP calls and messages.
 #[derive(Clone)]
 pub struct PartHandle {
     pub(super) calls: PendingCalls,
@@ -36,8 +36,8 @@
 
     /// Applies the settings that can change while the process runs, and warns about the others.
     pub fn update_settings(&mut self, new: &Settings, logger: Option<&LoggerHandle>) {
-        let (updated, fixed) = self.settings.with_reloadable_from(new);
-        for setting in fixed {
+        let (updated, unchangeable) = self.settings.with_reloadable_from(new);
+        for setting in unchangeable {
             log::warn!("setting '{setting}' can't change while the process runs; restart the process to apply it");
         }
         if updated == self.settings {
--- a/landingdrift/src/daemon/shutdown_timer.rs
+++ b/landingdrift/src/daemon/shutdown_timer.rs
@@ -1,19 +1,19 @@
-//! Decides when a part that was asked to stop is ended.
+//! Decides when the control thread of a part ends.
 
 use crate::settings::Bounds;
 use std::time::{Duration, Instant};
 
-/// How long a part keeps running after it was asked to stop.
+/// The shortest and the longest time that a part keeps running after a request to stop.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct GracePeriods {
+pub struct GracePeriod {
     /// The part runs at least this long, even if it is done earlier, so that its callers can move to another process.
     pub min: Duration,
-    /// The part is ended after this time, even if it is not done.
+    /// The part ends after this time, even if it is not done.
     pub max: Duration,
 }
 
-impl GracePeriods {
-    /// The grace periods that the time bounds in the settings allow.
+impl GracePeriod {
+    /// The grace period that follows from the time bounds in the settings.
     pub fn from_bounds(bounds: &Bounds) -> Self {
         Self {
             min: Duration::from_millis(bounds.serving_time_after_stop()),
@@ -22,26 +22,27 @@
     }
 }
 
-/// Decides when the control thread of a part ends. A part that was asked to stop keeps running until its callers had
-/// time to find another process and no caller waits any more. A part that exits by itself ends at once.
+/// Decides when the control thread of a part ends. A part that was asked to stop keeps running until its callers
+/// have had time to find another process and no call is pending, or until the longest grace period is over. A part that
+/// exits without a request to stop ends at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShutdownTimer {
     /// The shortest and the longest time that the shutdown may take.
-    pub periods: GracePeriods,
+    pub grace_period: GracePeriod,
     stop_requested_at: Option<Instant>,
     done: bool,
 }
 
 impl ShutdownTimer {
-    /// A timer for a part that was not asked to stop yet.
-    pub fn new(periods: GracePeriods) -> Self {
+    /// A timer for a part that has not been asked to stop yet.
+    pub fn new(grace_period: GracePeriod) -> Self {
         Self {
-            periods,
+            grace_period,
             ..Self::default()
         }
     }
 
-    /// Starts the grace periods; later calls have no effect.
+    /// Starts the grace period; later calls have no effect.
     pub fn stop_requested(&mut self, now: Instant) {
         self.stop_requested_at.get_or_insert(now);
     }
@@ -57,7 +58,7 @@
             return self.done;
         };
         let elapsed = now.saturating_duration_since(stop_requested_at);
-        let min_passed = elapsed >= self.periods.min;
-        (self.done && min_passed && no_pending_calls) || elapsed >= self.periods.max
+        let min_passed = elapsed >= self.grace_period.min;
+        (self.done && min_passed && no_pending_calls) || elapsed >= self.grace_period.max
     }
 }
--- a/landingdrift/src/daemon/signals.rs
+++ b/landingdrift/src/daemon/signals.rs
@@ -4,8 +4,8 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::{Handle, Signals};
 
-/// Ends the wait for signals when it is dropped. Each control thread owns one, so that the main thread notices the end
-/// of a control thread even if it panicked.
+/// Closes the signal iterator when it is dropped, which ends the main thread's wait for signals. Each control thread
+/// owns one, so that the main thread notices the end of a control thread even if it panicked.
 pub struct CloseSignalsOnDrop(pub Handle);
 
 impl Drop for CloseSignalsOnDrop {
--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -18,9 +18,9 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// The upper limit of a frame's length, whatever the settings say.
-const MAX_FRAME_BYTES_CAP: u64 = 256 << 20;
-/// The largest part of a frame that is neither jobs nor configuration.
+/// The maximum length of a frame, regardless of the settings.
+const FRAME_BYTES_CAP: u64 = 256 << 20;
+/// The maximum size of a frame beyond the jobs and configuration in it.
 const FRAME_OVERHEAD_BYTES: u64 = 16 << 20;
 
 /// The idle timeout of a connection, as a multiple of the write timeout.
@@ -33,7 +33,7 @@
     pub cluster: String,
     /// The address to listen at, which is also the sender address in all frames.
     pub own_address: String,
-    /// The timeout of a single write. Connecting gets a quarter of it.
+    /// The timeout of a single write. The connect timeout is a quarter of it.
     pub timeout: Duration,
     /// The longest frame that is sent or received, in bytes.
     pub max_frame_bytes: u32,
@@ -47,7 +47,7 @@
             .saturating_mul(limits.job_bytes)
             .saturating_add(limits.config_bytes)
             .saturating_add(FRAME_OVERHEAD_BYTES)
-            .min(MAX_FRAME_BYTES_CAP) as u32
+            .min(FRAME_BYTES_CAP) as u32
     }
 
     /// How long a sender keeps a connection open without sending a frame.
@@ -62,7 +62,7 @@
     handle: Handle,
     queues: HashMap<String, Queue>,
     listener: AbortHandle,
-    /// The number of frames that were dropped since a queue was full or they were too long.
+    /// The number of frames that were dropped because a queue was full or because they were too long.
     pub dropped: u64,
 }
 
@@ -102,7 +102,8 @@
         &self.options.own_address
     }
 
-    /// Queues a frame for a receiver. Like a network, drops it if the queue is full or the address is invalid.
+    /// Queues a frame for a receiver, best effort: drops the frame if the queue is full, the frame is too long or the
+    /// address is invalid.
     pub fn send(&mut self, to: &str, body: &Body) {
         let Ok(addr) = to.parse::<SocketAddr>() else {
             return;
@@ -110,18 +111,18 @@
         let bytes = pack(&self.options.cluster, &self.options.own_address, body);
         if bytes.len() > self.options.max_frame_bytes as usize {
             log::error!(
-                "dropped a frame of {} bytes for {to}, as the limit is {}; lower limits.open_jobs, limits.job_bytes or limits.retain_ms",
+                "dropped a frame of {} bytes for {to}: longer than the limit of {} bytes; lower limits.open_jobs, limits.job_bytes or limits.retain_ms",
                 bytes.len(),
                 self.options.max_frame_bytes
             );
             self.dropped += 1;
             return;
         }
-        let pushed = match self.queues.get(to) {
+        let push_result = match self.queues.get(to) {
             Some(queue) => queue.push(bytes),
             None => Err(PushError::Closed(bytes)),
         };
-        match pushed {
+        match push_result {
             Ok(()) => {}
             Err(PushError::Full) => self.dropped += 1,
             Err(PushError::Closed(bytes)) => {
--- a/landingdrift/src/daemon/traffic/frames/queue.rs
+++ b/landingdrift/src/daemon/traffic/frames/queue.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// The most frames that are queued for one receiver.
+/// The maximum number of frames that are queued for one receiver.
 const MAX_QUEUED_FRAMES: usize = 4096;
-/// The most bytes that are queued for one receiver. A single larger frame is accepted by an empty queue.
+/// The maximum size of the frames that are queued for one receiver. An empty queue also accepts a single larger frame.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 
 /// The sending end of the queue.
@@ -15,7 +15,7 @@
     bytes: Arc<AtomicUsize>,
 }
 
-/// A frame in a queue. It counts towards the bytes of the queue until it is dropped.
+/// A frame in a queue. Its size counts towards the queue's total for as long as this value lives.
 pub struct QueuedFrame {
     frame: Vec<u8>,
     queue_bytes: Arc<AtomicUsize>,
@@ -35,15 +35,15 @@
     }
 }
 
-/// Why a frame was not queued.
+/// The reason for which a frame was not queued.
 pub enum PushError {
-    /// The queue is full, as the receiver is too slow; the frame is dropped.
+    /// The queue is full because the receiver is too slow; the frame is dropped.
     Full,
     /// The sending task has ended; the frame is returned.
     Closed(Vec<u8>),
 }
 
-/// Creates an empty queue, and its receiving end.
+/// Creates an empty queue; returns its sending and receiving ends.
 pub fn queue() -> (Queue, Receiver<QueuedFrame>) {
     let (sender, receiver) = channel(MAX_QUEUED_FRAMES);
     let bytes = Arc::default();
--- a/landingdrift/src/daemon/traffic/frames/receive.rs
+++ b/landingdrift/src/daemon/traffic/frames/receive.rs
@@ -14,7 +14,7 @@
 /// The size of a connection's read buffer.
 const READ_BUFFER_BYTES: usize = 4 << 10;
 
-/// Why reading frames from a connection ended.
+/// The reason for which reading from a connection ended.
 enum ReceiveError {
     FrameTooLong(u32),
     Disconnected,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Accepts connections, and spawns a task for each, until this task is aborted.
+/// Accepts connections and spawns a task for each. Runs until it is aborted.
 pub async fn accept(listener: TcpListener, options: FrameOptions, inputs: Sender<Input>) {
     loop {
         match listener.accept().await {
@@ -64,7 +64,7 @@
         let bytes = match read_frame(options, &mut reader).await {
             Ok(bytes) => bytes,
             Err(ReceiveError::FrameTooLong(length)) => {
-                log::warn!("closing a connection that announced a frame of {length} bytes, as the limit is {}; if the peer speaks HTTP, point it at the HTTP address, otherwise give both processes the same limits", options.max_frame_bytes);
+                log::warn!("closing a connection: a frame of {length} bytes exceeds the limit of {} bytes; if the peer speaks HTTP, point it at the HTTP address, otherwise give both processes the same limits", options.max_frame_bytes);
                 return;
             }
             Err(ReceiveError::Disconnected) => return,
@@ -91,7 +91,7 @@
     options: &FrameOptions,
     reader: &mut (impl AsyncRead + Unpin),
 ) -> Result<Vec<u8>, ReceiveError> {
-    // A sender closes its idle connections itself; one that is still open after twice that time is dead.
+    // A sender closes its own idle connections, so one that is still open after twice the idle timeout is dead.
     let dead_after = options.idle_timeout() * 2;
     let mut length = [0; 4];
     timeout(dead_after, reader.read_exact(&mut length)).await??;
--- a/landingdrift/src/daemon/traffic/frames/send.rs
+++ b/landingdrift/src/daemon/traffic/frames/send.rs
@@ -11,14 +11,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Small frames are combined into one write of up to this size.
+/// The size from which no further frames are added to a write.
 const WRITE_BUFFER_BYTES: usize = 16 << 10;
 
-/// Starts the task that sends to one receiver. The task ends when its queue was empty for the idle timeout.
+/// Starts the task that sends to one receiver. The task ends when its queue has been empty for the
+/// idle timeout.
 pub fn start(handle: &Handle, addr: SocketAddr, options: &FrameOptions) -> Queue {
-    let (queue, queued) = queue();
+    let (queue, receiver) = queue();
     let (timeout, idle_timeout) = (options.timeout, options.idle_timeout());
-    handle.spawn(send_all(addr, timeout, idle_timeout, queued));
+    handle.spawn(send_all(addr, timeout, idle_timeout, receiver));
     queue
 }
 
@@ -26,16 +27,16 @@
     addr: SocketAddr,
     write_timeout: Duration,
     idle_timeout: Duration,
-    mut queued: Receiver<QueuedFrame>,
+    mut receiver: Receiver<QueuedFrame>,
 ) {
     let mut connection: Option<TcpStream> = None;
     loop {
-        let first = match timeout(idle_timeout, queued.recv()).await {
+        let first = match timeout(idle_timeout, receiver.recv()).await {
             Ok(Some(frame)) => frame,
             Ok(None) => return,
             Err(_) => {
                 // Frames that were queued in the meantime are still sent, then the task ends.
-                queued.close();
+                receiver.close();
                 continue;
             }
         };
@@ -44,18 +45,18 @@
             None => connect(addr, write_timeout).await,
         };
         let Some(mut open) = connection.take() else {
-            // The receiver can't be reached. QueuedFrame frames are outdated by the time it can be; senders repeat
-            // those that matter.
-            while queued.try_recv().is_ok() {}
+            // The receiver can't be reached. Queued frames would be outdated by the time it can be reached, so they are
+            // dropped; senders repeat the frames that matter.
+            while receiver.try_recv().is_ok() {}
             continue;
         };
-        let written = write(&mut open, write_timeout, first, &mut queued).await;
+        let written = write(&mut open, write_timeout, first, &mut receiver).await;
         connection = written.ok().map(|()| open);
     }
 }
 
 /// Connects with a short timeout. TCP repeats a lost SYN only after a second, so a new attempt reaches a machine that
-/// just came up sooner.
+/// has just come up earlier than a retransmitted SYN would.
 async fn connect(addr: SocketAddr, write_timeout: Duration) -> Option<TcpStream> {
     let connected = timeout(write_timeout / 4, TcpStream::connect(addr)).await;
     let connection = connected.ok()?.ok()?;
@@ -74,7 +75,7 @@
     connection: &mut TcpStream,
     write_timeout: Duration,
     first: QueuedFrame,
-    queued: &mut Receiver<QueuedFrame>,
+    receiver: &mut Receiver<QueuedFrame>,
 ) -> io::Result<()> {
     let mut out = Vec::with_capacity(first.bytes().len().min(WRITE_BUFFER_BYTES) + 4);
     let mut next = Some(first);
@@ -87,7 +88,7 @@
         }
         out.extend(bytes);
         next = if out.len() < WRITE_BUFFER_BYTES {
-            queued.try_recv().ok()
+            receiver.try_recv().ok()
         } else {
             None
         };
--- a/landingdrift/src/daemon/traffic/http/http_adapter.rs
+++ b/landingdrift/src/daemon/traffic/http/http_adapter.rs
@@ -30,8 +30,8 @@
     pub body: Vec<u8>,
 }
 
-/// The action that the server takes on a request.
-pub enum HandlerAction {
+/// The translation of an HTTP request: a call of the part, or a finished response.
+pub enum AdapterResult {
     /// Passes the request to the part, and translates the part's response with the function.
     Call(Request, Box<dyn FnOnce(Response) -> HttpResponse + Send>),
     /// Sends this response without calling the part.
@@ -41,35 +41,35 @@
 /// Translates HTTP requests at one address into requests to the part, and the part's responses into HTTP responses.
 #[derive(Clone)]
 pub struct HttpAdapter {
-    pub(super) read: Arc<dyn Fn(HttpRequest) -> HandlerAction + Send + Sync>,
+    pub(super) translate_request: Arc<dyn Fn(HttpRequest) -> AdapterResult + Send + Sync>,
 }
 
 impl HttpAdapter {
     /// An adapter with a custom translation.
-    pub fn new(read: Arc<dyn Fn(HttpRequest) -> HandlerAction + Send + Sync>) -> Self {
-        Self { read }
+    pub fn new(translate_request: Arc<dyn Fn(HttpRequest) -> AdapterResult + Send + Sync>) -> Self {
+        Self { translate_request }
     }
 }
 
 impl Default for HttpAdapter {
     /// The adapter for landingdrift's own API: JSON bodies, and plain text where the body is a string.
     fn default() -> Self {
-        Self::new(Arc::new(read))
+        Self::new(Arc::new(translate_request))
     }
 }
 
-fn read(http: HttpRequest) -> HandlerAction {
+fn translate_request(http: HttpRequest) -> AdapterResult {
     let request = Request {
         method: http.method,
         path: http.path,
         query: http.query,
         body: http.body,
     };
-    HandlerAction::Call(request, Box::new(write))
+    AdapterResult::Call(request, Box::new(format_response))
 }
 
 /// Formats a response of landingdrift's own API.
-pub(super) fn write(mut response: Response) -> HttpResponse {
+pub(super) fn format_response(mut response: Response) -> HttpResponse {
     let retry_ms = response.retry_ms;
     if let Value::Object(fields) = &mut response.body {
         if retry_ms > 0 {
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -5,7 +5,7 @@
 mod request_handler;
 mod serving;
 
-pub use http_adapter::{HandlerAction, HttpAdapter, HttpRequest, HttpResponse};
+pub use http_adapter::{AdapterResult, HttpAdapter, HttpRequest, HttpResponse};
 pub use serving::ServingState;
 
 use crate::daemon::error::ProcessError;
@@ -26,11 +26,11 @@
 /// The limits of one HTTP address.
 #[derive(Clone, Debug)]
 pub struct HttpLimits {
-    /// The timeout of reading a request body, and again of waiting for the response of the part.
+    /// The timeout for reading a request body, and separately for waiting for the part's response.
     pub timeout: Duration,
-    /// The longest request body, in bytes.
+    /// The maximum length of a request body, in bytes.
     pub body_bytes: u64,
-    /// The most concurrent calls; further calls are rejected and may be retried.
+    /// The maximum number of concurrent calls; further calls are rejected and may be retried.
     pub calls: u64,
 }
 
@@ -67,31 +67,31 @@
         serving: serving.clone(),
         permits: Arc::new(Semaphore::new(permits)),
     };
-    // One message when the server listens, one when it has ended.
-    let (launched, launch_result) = sync_channel(2);
+    // The channel holds two messages: one when the server listens, one when it has ended.
+    let (result_sender, launch_result) = sync_channel(2);
     let http_error = move |error: String| ProcessError::Http { at: addr, error };
-    handle.spawn(launch(addr, request_handler, launched));
+    handle.spawn(launch(addr, request_handler, result_sender));
     let bound = launch_result
         .recv()
         .map_err(|error| http_error(error.to_string()))?;
     bound.map_err(http_error)
 }
 
-/// The bound address, or error the server failed to start.
+/// The bound address, or the error that kept the server from starting or ended it.
 type LaunchResult = Result<SocketAddr, String>;
 
 async fn launch(
     addr: SocketAddr,
     request_handler: RequestHandler,
-    launched: SyncSender<LaunchResult>,
+    result_sender: SyncSender<LaunchResult>,
 ) {
-    let lifted_off = launched.clone();
+    let launch_sender = result_sender.clone();
     let serving = request_handler.serving.clone();
-    let listening = serving.clone();
+    let serving_state = serving.clone();
     let on_liftoff = AdHoc::on_liftoff("launched", move |rocket| {
-        listening.add(rocket.shutdown());
+        serving_state.add(rocket.shutdown());
         let bound = SocketAddr::new(rocket.config().address, rocket.config().port);
-        let _ = lifted_off.try_send(Ok(bound));
+        let _ = launch_sender.try_send(Ok(bound));
         Box::pin(async {})
     });
     let ended: Result<Rocket<Ignite>, rocket::Error> = rocket::custom(config(addr))
@@ -104,8 +104,10 @@
         .launch()
         .await;
     let error = ended.map_or_else(|error| error.to_string(), |_| "it was shut down".into());
-    if launched.try_send(Err(error.clone())).is_err() && !serving.is_rejecting() {
-        log::error!("the HTTP server at {addr} ended: {error}; the process exits, restart it");
+    if result_sender.try_send(Err(error.clone())).is_err() && !serving.is_rejecting() {
+        log::error!(
+            "the HTTP server at {addr} ended unexpectedly: {error}; exiting, restart the process"
+        );
         std::process::exit(1);
     }
 }
--- a/landingdrift/src/daemon/traffic/http/request_handler.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -1,8 +1,8 @@
 //! Handles the HTTP requests that arrive at one address.
 
-use super::http_adapter::write;
+use super::http_adapter::format_response;
 use super::serving::{Body, InFlight, ServingState};
-use super::{HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse};
+use super::{AdapterResult, HttpAdapter, HttpLimits, HttpRequest, HttpResponse};
 use crate::daemon::input::Input;
 use crate::daemon::pending_calls::PendingCalls;
 use crate::sans_io::Response;
@@ -17,7 +17,7 @@
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 
-/// How long a caller should wait before it retries a call that the part did not answer, in milliseconds.
+/// The time after which a caller should retry a call that the part did not answer, in milliseconds.
 const RETRY_MS: u64 = 1000;
 
 /// Handles all requests at one address.
@@ -34,15 +34,15 @@
 impl RequestHandler {
     async fn reply(&self, request: &Request<'_>, data: Data<'_>) -> HttpResponse {
         let Ok(_permit) = self.permits.try_acquire() else {
-            return write(busy());
+            return format_response(busy());
         };
         let body = match self.read_body(data).await {
             Ok(body) => body,
-            Err(error_response) => return write(error_response),
+            Err(error_response) => return format_response(error_response),
         };
-        match (self.http_adapter.read)(http_request(request, body)) {
-            HandlerAction::Call(request, translate) => translate(self.call(request).await),
-            HandlerAction::Respond(response) => response,
+        match (self.http_adapter.translate_request)(http_request(request, body)) {
+            AdapterResult::Call(request, translate) => translate(self.call(request).await),
+            AdapterResult::Respond(response) => response,
         }
     }
 
@@ -52,18 +52,18 @@
             let message = format!("failed to read the request body: {error}; send it again");
             Response::error(400, "noBody", message)
         };
-        let whole = timeout(
+        let capped = timeout(
             self.limits.timeout,
             data.open(max_bytes.bytes()).into_bytes(),
         )
         .await
         .map_err(|_| unreadable("timed out".into()))?
         .map_err(|error| unreadable(error.to_string()))?;
-        if !whole.is_complete() {
+        if !capped.is_complete() {
             let message = format!("the request body is longer than the limit of {max_bytes} bytes: send a shorter one");
             return Err(Response::error(413, "tooLarge", message));
         }
-        Ok(whole.into_inner())
+        Ok(capped.into_inner())
     }
 
     /// Passes a request to the control thread and waits for its response.
@@ -88,7 +88,7 @@
         for (name, value) in response.headers {
             builder.header_adjoin(Header::new(name, value));
         }
-        if self.serving.is_leaving() {
+        if self.serving.is_draining() {
             builder.header(Header::new("Connection", "close"));
         }
         builder
@@ -99,14 +99,14 @@
 
 /// The response to a call that exceeds the limit of concurrent calls.
 fn busy() -> Response {
-    let message = "this process has reached its limit of concurrent calls and rejected this one without any effect: retry later, or call another node";
+    let message = "this process has reached its limit of concurrent calls and did not execute this one: retry later, or call another node";
     Response::error(503, "busy", message).retry(RETRY_MS)
 }
 
-/// The response to a call that was not passed to the part, since the process is shutting down.
+/// The response to a call that was not passed to the part because the process is shutting down.
 fn shutting_down() -> Response {
     let message =
-        "this process is shutting down and rejected this call without any effect: call another one";
+        "this process is shutting down and did not execute this call: call another process";
     Response::error(503, "leaving", message).retry(RETRY_MS)
 }
 
@@ -138,18 +138,18 @@
 #[rocket::async_trait]
 impl Handler for RequestHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let in_flight = self.serving.enter();
+        let in_flight = self.serving.begin_call();
         let response = self.reply(request, data).await;
         Outcome::Success(self.respond(response, in_flight))
     }
 }
 
-/// Requests that the HTTP library itself rejects get an error response in the same form.
+/// Answers requests that the HTTP library itself rejects with JSON errors like those of the API.
 #[rocket::async_trait]
 impl catcher::Handler for RequestHandler {
     async fn handle<'r>(&self, status: Status, _: &'r Request<'_>) -> catcher::Result<'r> {
         let message = format!("this HTTP request can't be served ({}): docs/operators/api.md lists the methods and routes", status.reason_lossy());
         let response = Response::error(status.code, "wrongRequest", message);
-        Ok(self.respond(write(response), self.serving.enter()))
+        Ok(self.respond(format_response(response), self.serving.begin_call()))
     }
 }
--- a/landingdrift/src/daemon/traffic/http/serving.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -14,7 +14,7 @@
 enum ServingPhase {
     Serving,
     /// Calls are served, and each response closes its connection.
-    Leaving,
+    Draining,
     /// New calls are rejected at once, and no connection is accepted any more.
     Rejecting,
 }
@@ -40,12 +40,12 @@
 }
 
 impl ServingState {
-    /// Makes each response close its connection from now on, so that no idle connection is left when the process ends.
-    pub fn leave(&self) {
-        self.advance(ServingPhase::Leaving);
+    /// From now on, each response closes its connection, so that no idle connection is left when the process ends.
+    pub fn begin_drain(&self) {
+        self.advance(ServingPhase::Draining);
     }
 
-    /// Rejects calls and stops accepting connections from now on.
+    /// From now on, rejects new calls and accepts no connections.
     pub fn reject_calls(&self) {
         self.advance(ServingPhase::Rejecting);
         let mut servers = self.servers();
@@ -54,14 +54,14 @@
         }
     }
 
-    /// The number of calls that were read and whose responses are not written yet.
+    /// The number of calls that have been read but whose responses are not written yet.
     pub fn in_flight(&self) -> u64 {
         self.0.in_flight.load(Ordering::SeqCst)
     }
 
     /// Whether responses close their connections.
-    pub fn is_leaving(&self) -> bool {
-        self.reached(ServingPhase::Leaving)
+    pub fn is_draining(&self) -> bool {
+        self.reached(ServingPhase::Draining)
     }
 
     /// Whether new calls are rejected.
@@ -79,7 +79,7 @@
     }
 
     /// Counts a call as in flight until the returned guard is dropped.
-    pub(super) fn enter(&self) -> InFlight {
+    pub(super) fn begin_call(&self) -> InFlight {
         self.0.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight(self.clone())
     }
--- a/landingdrift/src/daemon/traffic/mod.rs
+++ b/landingdrift/src/daemon/traffic/mod.rs
@@ -4,7 +4,7 @@
 mod http;
 
 pub use frames::{FrameOptions, Transport};
-pub use http::{HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, ServingState};
+pub use http::{AdapterResult, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, ServingState};
 
 use super::error::ProcessError;
 use super::input::Input;
@@ -34,9 +34,9 @@
             .build()
             .map_err(ProcessError::Sockets)?;
         let handle = runtime.handle().clone();
-        let (stop, stopped) = oneshot::channel::<()>();
+        let (stop, stop_receiver) = oneshot::channel::<()>();
         let thread = threads::spawn("traffic", threads::DEFAULT_STACK_BYTES, move || {
-            let _ = runtime.block_on(stopped);
+            let _ = runtime.block_on(stop_receiver);
             runtime.shutdown_background();
         })?;
         Ok(Self {
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -2,7 +2,7 @@
 //! a shutdown that is too short for callers to notice or longer than the grace period.
 
 use landingdrift::daemon::{
-    HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Process,
+    AdapterResult, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Process,
 };
 use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::{Bounds, Settings};
@@ -101,7 +101,7 @@
             headers: vec![("Retry-After".into(), response.retry_ms.to_string())],
             body: vec![b'x'; 3000],
         };
-        HandlerAction::Call(req, Box::new(to_http))
+        AdapterResult::Call(req, Box::new(to_http))
     }))
 }
 
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -4,7 +4,7 @@
 mod traffic_common;
 
 use landingdrift::daemon::{
-    HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Input, PendingCalls, Traffic,
+    AdapterResult, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Input, PendingCalls, Traffic,
 };
 use landingdrift::sans_io::{Request, Response};
 use serde_json::json;
@@ -86,7 +86,7 @@
                 path,
                 ..Request::default()
             };
-            HandlerAction::Call(
+            AdapterResult::Call(
                 req,
                 Box::new(|v| HttpResponse {
                     status: v.status + 1,
