--- a/landingdrift/src/lib.rs
+++ b/landingdrift/src/lib.rs
@@ -1,7 +1,7 @@
 //! landingdrift: a cluster scheduler for jobs on workers that may leave at any time.
 //!
-//! Every part (a replica, a node, a worker proxy) is a [`sans_io::Part`]: a state machine that handles one message at a
-//! time and returns effects. The daemon and the simulator of the test kit run the same parts. See docs/architecture.md.
+//! Every part (a replica, a node, a worker proxy) is a [`sans_io::StateMachine`], which handles one message at a time and
+//! returns effects. The daemon and the simulator of the test kit run the same parts. See docs/architecture.md.
 
 #![warn(missing_docs)]
 
@@ -20,7 +20,7 @@
 pub mod wire;
 pub mod worker_proxy;
 
-/// Prints a line to standard output. Unlike `println!`, ignores errors such as a closed pipe instead of panicking.
+/// Prints a line to standard output. Unlike `println!`, it ignores errors such as a closed pipe instead of panicking.
 #[macro_export]
 macro_rules! outln {
     ($($text:tt)*) => {{
--- a/landingdrift/src/operator/apply.rs
+++ b/landingdrift/src/operator/apply.rs
@@ -5,7 +5,7 @@
 use super::command_line::Arguments;
 use serde_json::Value;
 
-/// Applies the configuration or patch in `value` on top of the version given with `--base`, or of the current one.
+/// Applies the configuration or patch in `value` on top of the version given with `--base`, or of the version in force.
 pub(super) fn apply(
     client: &ControlClient,
     arguments: &Arguments,
--- a/landingdrift/src/operator/change.rs
+++ b/landingdrift/src/operator/change.rs
@@ -5,7 +5,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often a condition is polled. Short enough for a person who waits, long enough not to load a node.
+/// The interval at which a condition is polled: short enough for a person who waits, long enough not to load a node.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A new ID for a change. Nodes make a change with the same ID only once, so it can be sent again if a response is
@@ -58,7 +58,7 @@
         if start.elapsed() > Duration::from_secs(timeout_s) {
             return Err(ClientError::Rejected {
                 status: 504,
-                body: json!({"message": format!("not finished after {timeout_s} s, but it continues: check later with 'status'; {status}")}),
+                body: json!({"message": format!("timed out after {timeout_s} s; the change is still in progress, check it later with 'status': {status}")}),
             });
         }
         sleep(POLL_INTERVAL);
--- a/landingdrift/src/operator/client.rs
+++ b/landingdrift/src/operator/client.rs
@@ -1,5 +1,5 @@
-//! The operator's HTTP client. It sends a request again only if that request may be repeated, and leaves no such
-//! decision to the HTTP library.
+//! The operator's HTTP client. It sends a request again only if that request may be repeated. The HTTP library's own
+//! retries and redirects are disabled.
 
 use crate::worker_proxy::may_repeat;
 use reqwest::blocking::{Client, RequestBuilder, Response};
@@ -11,12 +11,12 @@
 
 /// The timeout of a single request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most redirects that a call follows.
+/// The maximum number of redirects that a call follows.
 const MAX_REDIRECTS: usize = 2;
-/// The pause before all nodes are tried again, unless a node's response names another one.
+/// The pause before all nodes are tried again, unless a node's response specifies a pause.
 const DEFAULT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Why an operator's command failed.
+/// An error that makes an operator's command fail.
 #[derive(Debug)]
 pub enum ClientError {
     /// The command line is invalid.
@@ -39,14 +39,14 @@
     OutcomeUnknown {
         /// The address of the node that was called.
         node: String,
-        /// The error that hides the outcome.
+        /// The error because of which the outcome is unknown.
         error: String,
     },
     /// A roll-out was halted and rolled back: the previous configuration is in force again, as a new version.
     Halted {
         /// The stage that was halted.
         stage: String,
-        /// Why the roll-out was halted.
+        /// The reason for which the roll-out was halted.
         reason: String,
         /// The new version, which has the previous content.
         version: u64,
@@ -71,7 +71,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Usage(error) => write!(formatter, "{error}: see 'landingdrift operator --help'"),
-            Self::Unreachable { nodes, error } => write!(formatter, "no node accepted the request at {}: {error}; check --at, or name other nodes", nodes.join(", ")),
+            Self::Unreachable { nodes, error } => write!(formatter, "no node accepted the request at {}: {error}; check --at, or pass the addresses of other nodes", nodes.join(", ")),
             Self::OutcomeUnknown { node, error } => write!(formatter, "unknown whether {node} executed the command: {error}; check the state, and repeat the command if it had no effect"),
             Self::Halted { stage, reason, version } => write!(
                 formatter,
@@ -82,11 +82,11 @@
     }
 }
 
-/// Calls the nodes one after the other, until one accepts or rejects the request or the timeout is over.
+/// Calls the nodes one after the other, until one accepts or rejects the request or the timeout expires.
 pub struct ControlClient {
     /// The addresses of the nodes.
     nodes: Vec<String>,
-    /// How long a call is retried.
+    /// The time for which a call is retried.
     timeout: Duration,
     client: Client,
 }
@@ -124,11 +124,11 @@
         let is_repeatable = may_repeat(method, route, query);
         let method = Method::from_bytes(method.as_bytes())
             .map_err(|error| ClientError::Usage(error.to_string()))?;
-        let mut last_error = String::from("no node was named");
+        let mut last_error = String::from("no node was given");
         loop {
             let mut pause = DEFAULT_RETRY_PAUSE;
             for node in &self.nodes {
-                match outcome(self.send(&method, node, path, body, is_repeatable)) {
+                match classify(self.send(&method, node, path, body, is_repeatable)) {
                     Outcome::Done(body) => return Ok(body),
                     Outcome::Rejected { status, body } => {
                         return Err(ClientError::Rejected { status, body })
@@ -208,8 +208,8 @@
     Unknown(String),
 }
 
-fn outcome(sent: reqwest::Result<Response>) -> Outcome {
-    let response = match sent {
+fn classify(send_result: reqwest::Result<Response>) -> Outcome {
+    let response = match send_result {
         Ok(response) => response,
         Err(error) if error.is_connect() => {
             return Outcome::NoEffect {
@@ -226,7 +226,7 @@
         (200..=299 | 503, None) => {
             Outcome::Unknown("the response was incomplete or not JSON".into())
         }
-        (503, Some(body)) => unavailable(&body),
+        (503, Some(body)) => classify_unavailable(&body),
         (_, body) => Outcome::Rejected {
             status,
             body: body.unwrap_or_default(),
@@ -235,7 +235,7 @@
 }
 
 /// The outcome of a request that a node answered with status 503.
-fn unavailable(body: &Value) -> Outcome {
+fn classify_unavailable(body: &Value) -> Outcome {
     let message = body["message"].as_str().unwrap_or("not ready").to_string();
     if body["error"] == "unsure" {
         return Outcome::Unknown(message);
--- a/landingdrift/src/operator/command_line.rs
+++ b/landingdrift/src/operator/command_line.rs
@@ -9,14 +9,14 @@
     ("apply", "FILE [--base N] [--patch] [--wait]  apply a configuration (default base: the current version)"),
     (
         "rollout",
-        "FILE --stages Q,.. [--watch SECONDS]  apply a configuration queue by queue, the rest last; halt and roll back if a queue exceeds its failure allowance or a node does not follow",
+        "FILE --stages Q,.. [--watch SECONDS]  apply a configuration queue by queue, the rest last; halt and roll back if a queue exceeds its failure allowance or the change is not in force on all nodes in time",
     ),
     ("get", "print the desired state in force, with its version"),
     ("change", "ID  print the progress of a change, node by node"),
     ("status", "print the state of queues and their deadlines, zones, nodes and cores"),
-    ("drain", "ZONE [--worker W] [--wait]  start nothing new there; running work finishes"),
-    ("evacuate", "ZONE [--wait]  start nothing new there; stop repeatable work and run it elsewhere"),
-    ("restore", "ZONE [--worker W]  start work there again"),
+    ("drain", "ZONE [--worker W] [--wait]  start no new attempts in the zone or on the worker, let running ones finish"),
+    ("evacuate", "ZONE [--wait]  start no new attempts in the zone, stop the repeatable ones and reschedule them elsewhere"),
+    ("restore", "ZONE [--worker W]  start attempts in the zone or on the worker again"),
     ("submit", "FILE  submit a job"),
     ("job", "ID  print the state of a job"),
     ("jobs", "[--queue Q] [--limit N] [--after ID]  list jobs"),
@@ -48,7 +48,7 @@
 const DEFAULT_NODE: &str = "127.0.0.1:8000";
 /// The default of `--within`.
 const DEFAULT_TIMEOUT_SECONDS: u64 = 10;
-/// The default of `--watch`: how long each stage of a roll-out is watched.
+/// The default of `--watch`: the time for which each stage of a roll-out is watched.
 const DEFAULT_WATCH_SECONDS: u64 = 5;
 
 /// The parsed command line after `operator`.
--- a/landingdrift/src/operator/commands.rs
+++ b/landingdrift/src/operator/commands.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Parses the JSON file that the command's first argument names.
+/// Parses the JSON file whose path is the command's first argument.
 fn read_file(arguments: &Arguments) -> Result<Value, ClientError> {
     let path = arguments.argument(1, "a FILE")?;
     let text = std::fs::read_to_string(path)
--- a/landingdrift/src/operator/rollout.rs
+++ b/landingdrift/src/operator/rollout.rs
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How often the queues are polled while a stage is watched.
+/// The interval at which the queues are polled while a stage is watched.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One stage of a roll-out.
@@ -17,7 +17,7 @@
     body: Value,
 }
 
-/// Why a roll-out was halted.
+/// The reason for which a roll-out was halted.
 #[derive(Debug, thiserror::Error)]
 enum HaltReason {
     #[error("the change is not in force on all nodes: {0}")]
@@ -29,7 +29,7 @@
 }
 
 /// Applies a configuration queue by queue, the rest last. Each stage is watched for `watch`. If a queue exceeds its
-/// failure allowance or a node does not follow, the previous configuration is applied again as a new version.
+/// failure allowance or the change is not in force on all nodes in time, the previous configuration is applied again as a new version.
 pub fn rollout(
     client: &ControlClient,
     stages: &[String],
@@ -37,7 +37,7 @@
     timeout_s: u64,
     value: &Value,
 ) -> Result<Value, ClientError> {
-    let stages = stages_of(stages, value)?;
+    let stages = split_into_stages(stages, value)?;
     let previous = client.call("GET", "/v1/desired", None)?;
     let exceeded = queues_over_allowance(&client.call("GET", "/v1/status", None)?);
     let mut version = previous["version"].as_u64().unwrap_or(0);
@@ -60,7 +60,10 @@
 }
 
 /// One stage for each named queue in the given order, then one for the rest of the configuration.
-fn stages_of<'a>(names: &'a [String], value: &Value) -> Result<Vec<Stage<'a>>, ClientError> {
+fn split_into_stages<'a>(
+    names: &'a [String],
+    value: &Value,
+) -> Result<Vec<Stage<'a>>, ClientError> {
     let mut stages = Vec::new();
     for name in names {
         let name = name.as_str();
--- a/landingdrift/src/operator/verify.rs
+++ b/landingdrift/src/operator/verify.rs
@@ -23,7 +23,7 @@
         Ok(findings) => {
             crate::outln!("{}", serde_json::to_string(&findings).unwrap_or_default());
             if findings.damaged {
-                eprintln!("landingdrift verify: acknowledged entries can't be read: start the core, which fetches them from the other cores, or replace it by an empty one");
+                eprintln!("landingdrift verify: acknowledged entries can't be read: start the core, which fetches them from the other cores, or replace the core with an empty one");
             }
             i32::from(findings.damaged)
         }
--- a/landingdrift/src/operator/zones.rs
+++ b/landingdrift/src/operator/zones.rs
@@ -5,7 +5,7 @@
 use super::command_line::Arguments;
 use serde_json::{json, Value};
 
-/// How often a change is retried after a conflict with another change before the conflict is reported.
+/// The maximum number of retries after a conflict with another change.
 const MAX_CONFLICT_RETRIES: u32 = 20;
 
 /// Changes the state of a zone, or of one of its workers. With `--wait`, waits until nothing runs in the zone.
--- a/landingdrift/src/replay/command.rs
+++ b/landingdrift/src/replay/command.rs
@@ -18,10 +18,10 @@
 
 Exit codes: 0 done, 1 results differ (check), 2 invalid command line, recording or file.";
 
-/// The most differences that are printed; the rest is only counted.
+/// The maximum number of differences or jobs that are printed; the others are only counted.
 const MAX_SHOWN: usize = 20;
 
-/// Why a replay command failed.
+/// An error that makes a replay command fail.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error("{0}\n\n{help}", help = HELP)]
@@ -31,12 +31,12 @@
     #[error("unknown command '{0}'\n\n{help}", help = HELP)]
     UnknownCommand(String),
     #[error("values of flags must be valid UTF-8")]
-    FlagNotUtf8,
+    FlagValueNotUtf8,
     #[error("arguments must be valid UTF-8")]
     ArgumentNotUtf8,
-    #[error("failed to write '{file}': {error}; name another file")]
+    #[error("failed to write '{file}': {error}; pass another file")]
     Write { file: String, error: std::io::Error },
-    #[error("failed to read '{file}': {error}; name another file")]
+    #[error("failed to read '{file}': {error}; pass another file")]
     Read { file: String, error: std::io::Error },
     #[error("'{file}' is not valid JSON: {error}; correct it")]
     InvalidJson {
@@ -119,7 +119,7 @@
 fn text(parser: &mut lexopt::Parser) -> Result<String, CommandError> {
     let value = parser.value().map_err(CommandError::Arguments)?;
     let value = value.into_string();
-    value.map_err(|_| CommandError::FlagNotUtf8)
+    value.map_err(|_| CommandError::FlagValueNotUtf8)
 }
 
 /// Executes a command; returns the exit code.
@@ -213,11 +213,15 @@
     if as_json {
         crate::outln!(
             "{}",
-            json!({"recorded": summary(recorded), "now": summary(now), "otherEnds": jobs_ending_differently, "otherWorkers": moved, "tasks": tasks})
+            json!({"recorded": summary_json(recorded), "now": summary_json(now), "otherEnds": jobs_ending_differently, "otherWorkers": moved, "tasks": tasks})
         );
         return;
     }
-    crate::outln!("recorded {}\nnow      {}", summary(recorded), summary(now));
+    crate::outln!(
+        "recorded {}\nnow      {}",
+        summary_json(recorded),
+        summary_json(now)
+    );
     crate::outln!("{moved} of {tasks} tasks ended on another worker");
     crate::outln!(
         "{} jobs ended in another state",
@@ -246,7 +250,7 @@
     placed.filter(|(task, worker)| moved(task, worker)).count()
 }
 
-fn summary(summary: &Summary) -> Value {
+fn summary_json(summary: &Summary) -> Value {
     json!({"jobs": summary.states.len(), "done": summary.turnaround_ms.len(), "medianMs": quantile(summary, 0.5), "p95Ms": quantile(summary, 0.95), "kept": summary.kept, "missed": summary.missed, "copies": summary.copies})
 }
 
--- a/landingdrift/src/replay/recording.rs
+++ b/landingdrift/src/replay/recording.rs
@@ -10,7 +10,7 @@
 /// The version of the file format; recordings of other versions are rejected.
 pub const FORMAT_VERSION: u16 = 1;
 
-/// Why a recording could not be read or made.
+/// An error that prevents a recording from being read or made.
 #[derive(Debug)]
 pub enum RecordingError {
     /// The file can't be read.
@@ -32,14 +32,14 @@
     },
     /// A line can't be parsed.
     InvalidLine {
-        /// The line number, from 1. If made from a data folder: the log index of the entry.
+        /// The 1-based line number, or the log index of the entry if the recording is made from a data folder.
         line: usize,
         /// The parser's error.
         error: String,
     },
-    /// The file ends before its closing line.
+    /// The file ends before the end line, which has the number of entries.
     Truncated {
-        /// The number of lines before the end.
+        /// The number of lines in the file.
         lines: usize,
     },
     /// The data folder can't be read.
@@ -51,11 +51,11 @@
 impl fmt::Display for RecordingError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Read { file, error } => write!(formatter, "failed to read '{file}': {error}; name a recording made with 'landingdrift replay record'"),
+            Self::Read { file, error } => write!(formatter, "failed to read '{file}': {error}; pass a recording made with 'landingdrift replay record'"),
             Self::NotARecording { file } => write!(formatter, "'{file}' is not a recording, as line 1 has no 'landingdriftDay'; make one with 'landingdrift replay record'"),
             Self::UnsupportedVersion { found } => write!(formatter, "the recording has format version {found}, but this build supports only {FORMAT_VERSION}; use the build that made it"),
             Self::InvalidLine { line, error } => write!(formatter, "line {line} is invalid: {error}; make the recording again"),
-            Self::Truncated { lines } => write!(formatter, "the recording ends after line {lines} without its closing line; copy the whole file again"),
+            Self::Truncated { lines } => write!(formatter, "the recording ends after line {lines} without its end line; copy the whole file again"),
             Self::Disk(error) => write!(formatter, "{error}"),
             Self::Damaged => write!(formatter, "the data folder is damaged; record from the folder of another core"),
         }
@@ -112,16 +112,17 @@
         };
         let mut state = start.clone();
         let mut entries = Vec::new();
-        for logged in loaded.entries {
-            let entry =
-                Command::unpack(&logged.command).map_err(|error| RecordingError::InvalidLine {
-                    line: logged.index as usize,
+        for log_entry in loaded.entries {
+            let entry = Command::unpack(&log_entry.command).map_err(|error| {
+                RecordingError::InvalidLine {
+                    line: log_entry.index as usize,
                     error,
-                })?;
-            let result = apply(&mut state, logged.index, logged.at, &entry);
+                }
+            })?;
+            let result = apply(&mut state, log_entry.index, log_entry.at, &entry);
             entries.push(RecordedEntry {
-                log_index: logged.index,
-                at: logged.at,
+                log_index: log_entry.index,
+                at: log_entry.at,
                 entry,
                 result,
             });
@@ -164,7 +165,8 @@
             if let Some(number) = value.get("end") {
                 if number.as_u64() != Some(entries.len() as u64) {
                     return Err(invalid(
-                        "the number of entries differs from the closing line".into(),
+                        "the end line gives another number of entries than the recording has"
+                            .into(),
                     ));
                 }
                 return Ok(Self { start, entries });
--- a/landingdrift/src/replay/rerun/mod.rs
+++ b/landingdrift/src/replay/rerun/mod.rs
@@ -1,9 +1,9 @@
-//! Reruns a recording in virtual time. Jobs, cancellations, configuration changes and workers come as recorded; all
-//! scheduling decisions are made again.
+//! Reruns a recording in virtual time. Jobs, cancellations, configuration changes and workers are taken from the
+//! recording; all scheduling decisions are made again.
 //!
 //! - `simulation` runs the only node and simulates the replica and the workers around it.
-//! - `simulated_worker` is one worker.
-//! - `recorded_runs` has the outcomes and durations of each task's runs in the recording.
+//! - `simulated_worker` simulates one worker.
+//! - `recorded_runs` provides the outcomes and durations of each task's runs in the recording.
 //! - `summary` is the summary of a recording or a rerun.
 
 mod recorded_runs;
@@ -57,9 +57,9 @@
     simulation.summary()
 }
 
-/// Replays an entry with an external cause: a configuration change, a job, a cancellation or a change of a worker.
-/// Entries with the cluster's own decisions are skipped, as they are made again. `with_config_changes` is false if the
-/// rerun uses another configuration.
+/// Replays an entry with an external cause: a configuration change, a job, a cancellation, or the registration or
+/// loss of a worker. Entries with the cluster's own decisions are skipped, because the rerun makes those decisions itself.
+/// Recorded configuration changes are replayed only if `with_config_changes` is set.
 fn replay_entry(simulation: &mut Simulation, entry: &Command, with_config_changes: bool) {
     match entry.action() {
         Command::UpdateConfig { .. } if with_config_changes => {
--- a/landingdrift/src/replay/rerun/recorded_runs.rs
+++ b/landingdrift/src/replay/rerun/recorded_runs.rs
@@ -3,7 +3,7 @@
 use crate::state::{Attempt, AttemptState, ClusterState, Job, Outcome};
 use std::collections::BTreeMap;
 
-/// The duration of a run whose task never succeeded in the recording. As its real duration is unknown, it is short.
+/// The assumed duration of a run that has no recorded counterpart and whose task never succeeded in the recording.
 const DEFAULT_RUN_MS: u64 = 100;
 
 /// The outcome and the duration of a run.
@@ -19,7 +19,7 @@
 /// The recorded runs of all tasks, and the number of runs of each task in the rerun so far.
 pub(super) struct RecordedRuns {
     runs: BTreeMap<TaskKey, Vec<RecordedRun>>,
-    used: BTreeMap<TaskKey, usize>,
+    used_counts: BTreeMap<TaskKey, usize>,
 }
 
 impl RecordedRuns {
@@ -33,7 +33,7 @@
         }
         Self {
             runs,
-            used: BTreeMap::new(),
+            used_counts: BTreeMap::new(),
         }
     }
 
@@ -41,9 +41,9 @@
     /// successful one.
     pub fn next(&mut self, key: TaskKey) -> RecordedRun {
         let recorded = self.runs.get(&key).map_or(&[][..], Vec::as_slice);
-        let used = self.used.entry(key).or_default();
-        let next = recorded.get(*used).copied();
-        *used += 1;
+        let used_count = self.used_counts.entry(key).or_default();
+        let next = recorded.get(*used_count).copied();
+        *used_count += 1;
         next.unwrap_or_else(|| last_success(recorded))
     }
 }
--- a/landingdrift/src/replay/rerun/simulated_worker.rs
+++ b/landingdrift/src/replay/rerun/simulated_worker.rs
@@ -1,4 +1,4 @@
-//! The workers of a rerun: they send heartbeats, follow the orders in the responses, and end their runs as recorded.
+//! A simulated worker of a rerun.
 
 use super::recorded_runs::RecordedRun;
 use crate::node::{Heartbeat, RunningAttempt};
@@ -9,17 +9,18 @@
 /// Virtual milliseconds between two heartbeats of a worker: slightly less than the default bounds require.
 const HEARTBEAT_INTERVAL_MS: u64 = 240;
 
-/// A running attempt; its times are virtual milliseconds since the beginning.
-struct Execution {
+/// An attempt that runs on the worker. Times are virtual milliseconds since the beginning of the rerun.
+struct SimulatedAttempt {
     started_at: u64,
     ends_at: u64,
     outcome: Outcome,
 }
 
-/// A simulated worker of a rerun.
+/// A worker that sends heartbeats, follows the orders in the responses, and ends its attempts after the recorded
+/// durations with the recorded outcomes.
 pub(super) struct SimulatedWorker {
     info: WorkerInfo,
-    running: BTreeMap<u64, Execution>,
+    running: BTreeMap<u64, SimulatedAttempt>,
     /// Reports of ended attempts that were not acknowledged yet.
     ended: Vec<EndReport>,
     /// Attempts that have ended on this worker or were stopped before they started.
@@ -60,16 +61,20 @@
         self.heartbeats_stopped = true;
     }
 
-    /// Whether the worker sends a heartbeat now: the interval has passed, or a run has ended.
-    pub fn is_due(&self, now_ms: u64) -> bool {
-        let has_ended = || self.running.values().any(|run| now_ms >= run.ends_at);
+    /// Whether the worker sends a heartbeat now: the interval has passed, or an attempt has ended.
+    pub fn heartbeat_is_due(&self, now_ms: u64) -> bool {
+        let has_ended = || {
+            self.running
+                .values()
+                .any(|attempt| now_ms >= attempt.ends_at)
+        };
         !self.heartbeats_stopped && (now_ms >= self.next_heartbeat_ms || has_ended())
     }
 
-    /// Ends the runs that are due to end, and returns the heartbeat that reports them.
+    /// Ends the attempts that are due to end, and returns the heartbeat that reports them.
     pub fn heartbeat(&mut self, now_ms: u64) -> Heartbeat {
         self.next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
-        self.end_runs(now_ms);
+        self.end_due_attempts(now_ms);
         let running = self.running.keys().map(|attempt| RunningAttempt {
             attempt: *attempt,
             ..RunningAttempt::default()
@@ -82,7 +87,7 @@
         }
     }
 
-    fn end_runs(&mut self, now_ms: u64) {
+    fn end_due_attempts(&mut self, now_ms: u64) {
         let due = self.running.iter().filter(|(_, run)| now_ms >= run.ends_at);
         let due: Vec<u64> = due.map(|(attempt, _)| *attempt).collect();
         for attempt in due {
@@ -102,11 +107,11 @@
         });
     }
 
-    /// Drops acknowledged end reports, and stops runs as ordered.
+    /// Drops acknowledged end reports, and stops attempts as ordered.
     pub fn apply_orders(&mut self, response: &Value) {
-        let acknowledged = numbers(&response["settled"]);
+        let acknowledged = attempt_numbers(&response["settled"]);
         self.ended.retain(|end| !acknowledged.contains(&end.no));
-        for attempt in numbers(&response["stops"]) {
+        for attempt in attempt_numbers(&response["stops"]) {
             if self.running.remove(&attempt).is_some() {
                 self.report_end(attempt, Outcome::Stopped, 0);
             } else if !self.finished.contains(&attempt) {
@@ -116,31 +121,31 @@
     }
 
     /// Whether an attempt runs or has finished on this worker.
-    pub fn has_seen(&self, attempt: u64) -> bool {
+    pub fn runs_or_has_run(&self, attempt: u64) -> bool {
         self.running.contains_key(&attempt) || self.finished.contains(&attempt)
     }
 
-    /// Starts an attempt, which will end as recorded.
+    /// Starts an attempt, which ends after the recorded duration with the recorded outcome.
     pub fn start(&mut self, attempt: u64, now_ms: u64, run: RecordedRun) {
-        // At least 1 ms: a step handles ends before starts, so even a run of no duration ends in the next step.
+        // At least 1 ms: a step handles ends before starts, so a run of 0 ms ends in the next step.
         let ends_at = now_ms + run.ran_ms.max(1);
-        let execution = Execution {
+        let simulated = SimulatedAttempt {
             started_at: now_ms,
             ends_at,
             outcome: run.outcome,
         };
-        self.running.insert(attempt, execution);
+        self.running.insert(attempt, simulated);
     }
 }
 
-/// The numbers of the attempts that the response to a heartbeat orders to start.
+/// The numbers of the attempts that the worker has to start according to the response to its heartbeat.
 pub(super) fn start_orders(response: &Value) -> Vec<u64> {
     let starts = response["starts"].as_array();
     let starts = starts.into_iter().flatten();
     starts.filter_map(|start| start["no"].as_u64()).collect()
 }
 
-fn numbers(list: &Value) -> Vec<u64> {
+fn attempt_numbers(list: &Value) -> Vec<u64> {
     let list = list.as_array().into_iter().flatten();
     list.filter_map(Value::as_u64).collect()
 }
--- a/landingdrift/src/replay/rerun/simulation.rs
+++ b/landingdrift/src/replay/rerun/simulation.rs
@@ -22,10 +22,10 @@
 const ZONE: &str = "replay";
 /// The term of all log entries of a rerun, in which there are no elections.
 const TERM: u64 = 1;
-/// The random seed of the node. Fixed, so that reruns of the same recording give the same summary.
+/// The random seed of the node. It is fixed so that reruns of the same recording give the same summary.
 const SEED: u64 = 1;
-/// The retention time of ended jobs. Longer than any recording, since the summary is made from ended jobs; a quarter of
-/// the range, so that sums with it don't overflow.
+/// The retention time of ended jobs. It exceeds the length of any recording, so that ended jobs are kept for the summary,
+/// and is only a quarter of the range, so that sums with it don't overflow.
 const RETAIN_ALL_MS: u64 = u64::MAX / 4;
 
 /// An applied command: its log index and its encoded result.
@@ -38,17 +38,17 @@
 pub(super) struct Simulation {
     /// The cluster state of the replica.
     state: ClusterState,
-    /// Log entries that were not sent to the node yet.
+    /// Log entries that have not been sent to the node yet.
     log: VecDeque<Entry>,
     node: Node,
     /// Virtual milliseconds since the beginning of the rerun.
     elapsed_ms: u64,
-    /// The cluster time at the beginning.
+    /// The cluster time at the beginning of the recording.
     started_at: u64,
     workers: BTreeMap<String, SimulatedWorker>,
-    runs: RecordedRuns,
+    recorded_runs: RecordedRuns,
     /// The workers whose heartbeats wait for a response, by call number.
-    calls: BTreeMap<u64, String>,
+    heartbeat_calls: BTreeMap<u64, String>,
     next_call: u64,
 }
 
@@ -75,8 +75,8 @@
             elapsed_ms: 0,
             started_at,
             workers: BTreeMap::new(),
-            runs: RecordedRuns::from_state(&recording.final_state()),
-            calls: BTreeMap::new(),
+            recorded_runs: RecordedRuns::from_state(&recording.final_state()),
+            heartbeat_calls: BTreeMap::new(),
             next_call: 0,
         };
         simulation.append(&Command::RegisterNode {
@@ -102,12 +102,12 @@
         self.started_at + self.elapsed_ms
     }
 
-    /// Virtual milliseconds since the beginning.
+    /// Virtual milliseconds since the beginning of the rerun.
     pub fn elapsed(&self) -> u64 {
         self.elapsed_ms
     }
 
-    /// Virtual milliseconds from the beginning to a cluster time.
+    /// Virtual milliseconds from the beginning of the rerun to a cluster time.
     pub fn since_start(&self, at: u64) -> u64 {
         at.saturating_sub(self.started_at)
     }
@@ -212,7 +212,7 @@
     }
 
     /// Sends the node the entries since the last batch. Sends a snapshot instead if the node has no state yet and the
-    /// entries don't go back to the first one.
+    /// pending entries don't begin with log index 1.
     pub fn send_watch_batch(&mut self) {
         let entries: Vec<Entry> = std::mem::take(&mut self.log).into();
         let is_empty = self.node.state().applied_index == 0;
@@ -257,7 +257,7 @@
                 Effect::Send(_, Body::ProposeRequest(proposal)) => self.on_propose(&proposal),
                 Effect::Send(_, Body::ReadIndexRequest(request)) => self.on_read_index(&request),
                 Effect::Respond(call, response) => {
-                    if let Some(worker) = self.calls.remove(&call) {
+                    if let Some(worker) = self.heartbeat_calls.remove(&call) {
                         self.on_heartbeat_response(&worker, &response);
                     }
                 }
@@ -292,11 +292,11 @@
         self.send(Body::ReadIndexResponse(Box::new(response)));
     }
 
-    /// Sends the heartbeats that are due; each reports the runs that have ended.
+    /// Sends the heartbeats that are due; each reports the attempts that have ended.
     pub fn step_workers(&mut self) {
         let now_ms = self.elapsed_ms;
         let workers = self.workers.iter();
-        let due = workers.filter(|(_, worker)| worker.is_due(now_ms));
+        let due = workers.filter(|(_, worker)| worker.heartbeat_is_due(now_ms));
         let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
         for name in due {
             let Some(worker) = self.workers.get_mut(&name) else {
@@ -305,7 +305,7 @@
             let heartbeat = worker.heartbeat(now_ms);
             self.next_call += 1;
             let call = self.next_call;
-            self.calls.insert(call, name);
+            self.heartbeat_calls.insert(call, name);
             let request = Request {
                 method: "POST".into(),
                 path: "/v1/beats".into(),
@@ -316,20 +316,20 @@
         }
     }
 
-    /// A worker applies the orders in the response to its heartbeat.
+    /// Lets a worker apply the orders in the response to its heartbeat.
     fn on_heartbeat_response(&mut self, worker: &str, response: &Response) {
         let Some(worker) = self.workers.get_mut(worker) else {
             return;
         };
         worker.apply_orders(&response.body);
         for attempt in start_orders(&response.body) {
-            if worker.has_seen(attempt) {
+            if worker.runs_or_has_run(attempt) {
                 continue;
             }
             let Some(key) = self.state.live.get(&attempt).cloned() else {
                 continue;
             };
-            worker.start(attempt, self.elapsed_ms, self.runs.next(key));
+            worker.start(attempt, self.elapsed_ms, self.recorded_runs.next(key));
         }
     }
 }
