--- a/testkit/src/checkers/configuration.rs
+++ b/testkit/src/checkers/configuration.rs
@@ -1,4 +1,5 @@
-//! Checkers of the configuration: one of two concurrent changes wins, changes take effect, and none is lost.
+//! Checkers of the configuration: at most one of two concurrent changes is accepted, accepted changes take effect, and
+//! none of them is lost.
 
 use super::conditions::Conditions;
 use super::quotas::quotas;
@@ -36,25 +37,26 @@
         changes
     }
 
-    /// Describes why a version must not carry the mark of a change; none if it may.
+    /// The reason why a version must not have the content of a change, or none.
     fn content_mismatch(&self, version: u64, change: &str) -> Option<String> {
         if self.refused.contains(change) {
             return Some(format!(
                 "{change} was refused, but its content is in version {version}"
             ));
         }
-        let maker = self.by_version.get(&version)?;
-        (*maker != change).then(|| {
-            format!("version {version} was created by {maker} but has the content of {change}")
+        let accepted_change = self.by_version.get(&version)?;
+        (*accepted_change != change).then(|| {
+            format!("version {version} was created by {accepted_change} but has the content of {change}")
         })
     }
 }
 
-/// Of two changes based on the same version only one is accepted, and the content of the other appears nowhere.
-pub fn one_winner(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+/// Of two changes based on the same version, at most one is accepted, and the content of a refused change appears in no
+/// version.
+pub fn one_of_two_accepted(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let changes = Changes::new(history);
-    let mut winner_on_base: BTreeMap<u64, &str> = BTreeMap::new();
-    let mut winner_of_version: BTreeMap<u64, &str> = BTreeMap::new();
+    let mut accepted_on_base: BTreeMap<u64, &str> = BTreeMap::new();
+    let mut accepted_as_version: BTreeMap<u64, &str> = BTreeMap::new();
     let mut violations = Vec::new();
     let mut add_violation = |at_ms, description| {
         violations.push(Violation::new("one of two rivals", at_ms, description));
@@ -68,12 +70,12 @@
                 version,
                 ..
             } => {
-                let is_other = |winner: &str| winner != change;
-                let has_rival = winner_on_base.insert(*base, change).is_some_and(is_other)
-                    || winner_of_version
+                let is_other = |accepted: &str| accepted != change;
+                let conflicts = accepted_on_base.insert(*base, change).is_some_and(is_other)
+                    || accepted_as_version
                         .insert(*version, change)
                         .is_some_and(is_other);
-                if has_rival {
+                if conflicts {
                     let description =
                         format!("{change} and another change were both accepted on version {base}");
                     add_violation(timed.at_ms, description);
@@ -180,8 +182,8 @@
     violations
 }
 
-/// An accepted change is in force within its bound on every node that reports ready, and every node that can work
-/// becomes ready within its bound.
+/// An accepted change is in force within `config_ms` on every node that reports ready, every node that is up and
+/// connected becomes ready within `ready_ms`, and queues respect their quotas.
 pub fn takes_effect(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut nodes = NodeReadiness {
         conditions: Conditions::new(history, bounds),
@@ -205,10 +207,10 @@
                 version,
                 ready: true,
                 ..
-            } => nodes.ready(node, *version, timed.at_ms),
+            } => nodes.on_ready(node, *version, timed.at_ms),
             Event::NodeVersion {
                 node, ready: false, ..
-            } => nodes.not_ready(node, timed.at_ms),
+            } => nodes.on_not_ready(node, timed.at_ms),
             _ => {}
         }
     }
@@ -217,7 +219,7 @@
     violations
 }
 
-/// Compares the readiness and versions that nodes report with the conditions they run under.
+/// The state of [`takes_effect`]: the accepted versions, and since when each node has been unready.
 struct NodeReadiness<'a> {
     conditions: Conditions<'a>,
     bounds: &'a PromisedBounds,
@@ -232,18 +234,19 @@
         self.violations.push(violation);
     }
 
-    fn ready(&mut self, node: &str, version: u64, now: u64) {
+    fn on_ready(&mut self, node: &str, version: u64, now: u64) {
         self.unready_since.remove(node);
         let expected = self
             .accepted
             .newest_before(now.saturating_sub(self.bounds.config_ms));
         if version < expected {
-            self.add_violation(now, format!("{node} reports ready with version {version}, but version {expected} was accepted long before"));
+            self.add_violation(now, format!("{node} reports ready with version {version}, but version {expected} was accepted more than {} ms before", self.bounds.config_ms));
         }
     }
 
-    /// A node must not escape the bound by reporting not ready: if it is up and connected, it has to become ready.
-    fn not_ready(&mut self, node: &'a str, now: u64) {
+    /// A node can't avoid the bound by reporting not ready: while it is up and connected, it has to become ready within
+    /// `ready_ms`.
+    fn on_not_ready(&mut self, node: &'a str, now: u64) {
         let since = *self.unready_since.entry(node).or_insert(now);
         let is_late = now > since + self.bounds.ready_ms;
         if is_late && self.conditions.node_could_work(node, since, now) {
--- a/testkit/src/checkers/interval.rs
+++ b/testkit/src/checkers/interval.rs
@@ -13,7 +13,7 @@
         Self { from, to }
     }
 
-    /// Whether the two intervals share a moment.
+    /// Whether the two intervals overlap, if only at an end point.
     pub fn overlaps(&self, other: &Self) -> bool {
         self.from <= other.to && self.to >= other.from
     }
--- a/testkit/src/checkers/jobs.rs
+++ b/testkit/src/checkers/jobs.rs
@@ -5,16 +5,15 @@
 use crate::history::{Event, FinalState, History};
 use std::collections::BTreeMap;
 
-/// After answers stop being lost, clients need up to this long to get one, in milliseconds: they retry after a timeout
-/// of their own.
+/// The time that clients may need for an answer after a lost-answers fault ends, in milliseconds: the timeout of a poll.
 const CLIENT_RETRY_MS: u64 = 1000;
 
-/// How the descriptions of faults that lose answers begin: the name of
+/// The prefix of the descriptions of faults that lose answers: the name of
 /// [`FaultKind::LostAnswers`](crate::scenario::FaultKind::LostAnswers).
-const LOST_ANSWERS: &str = "LostAnswers";
+const LOST_ANSWERS_PREFIX: &str = "LostAnswers";
 
-/// Whether a state in the API is a final one.
-pub fn has_ended(state: &str) -> bool {
+/// Whether a job state of the API is final.
+pub fn is_final_state(state: &str) -> bool {
     ["done", "failed", "cancelled"].contains(&state)
 }
 
@@ -59,13 +58,13 @@
     known.violations
 }
 
-/// The accepted jobs and final states that clients know of.
+/// Accepted jobs and final states as clients observed them, with the violations found.
 #[derive(Default)]
 struct KnownJobs<'a> {
-    /// When each job was first known to be accepted.
+    /// When each job was first known to be accepted, in milliseconds.
     accepted: BTreeMap<&'a str, u64>,
-    /// The final state of each job that has ended.
-    ends: BTreeMap<&'a str, &'a str>,
+    /// The first final state that was reported for each job.
+    final_states: BTreeMap<&'a str, &'a str>,
     violations: Vec<Violation>,
 }
 
@@ -83,13 +82,14 @@
     }
 
     fn check_state(&mut self, id: &'a str, state: &'a str, stale: bool, at_ms: u64) {
-        match self.ends.get(id) {
-            Some(end) if *end != state && !stale => {
-                let description = format!("job {id} was reported as {end} but is {state} now");
+        match self.final_states.get(id) {
+            Some(final_state) if *final_state != state && !stale => {
+                let description =
+                    format!("job {id} was reported as {final_state} but is {state} now");
                 self.add_violation(at_ms, description);
             }
-            None if has_ended(state) => {
-                self.ends.insert(id, state);
+            None if is_final_state(state) => {
+                self.final_states.insert(id, state);
             }
             _ => {}
         }
@@ -104,11 +104,11 @@
                 ));
             }
         }
-        for (id, end) in &self.ends {
+        for (id, final_state) in &self.final_states {
             let Some(last) = jobs.get(*id) else { continue };
-            if last.state != *end {
+            if last.state != *final_state {
                 descriptions.push(format!(
-                    "job {id} was reported as {end} but is {} at the end of the day",
+                    "job {id} was reported as {final_state} but is {} at the end of the day",
                     last.state
                 ));
             }
@@ -119,48 +119,48 @@
     }
 }
 
-/// From acceptance on, clients that poll ready nodes get the job's state within its bound.
+/// Once a job is accepted, clients that poll it get its state within `state_ms`.
 pub fn state_in_time(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
-    unanswered_times(history, bounds)
+    unanswered_intervals(history, bounds)
         .into_iter()
-        .filter(|time| time.duration_ms > bounds.state_ms)
-        .map(|time| {
+        .filter(|unanswered| unanswered.duration_ms > bounds.state_ms)
+        .map(|unanswered| {
             Violation::new(
                 "state within its bound",
-                time.until,
+                unanswered.until,
                 format!(
                     "the state of job {} was unavailable for {} ms",
-                    time.job, time.duration_ms
+                    unanswered.job, unanswered.duration_ms
                 ),
             )
         })
         .collect()
 }
 
-/// A time in which a client polled an accepted job without getting its state.
-pub struct UnansweredTime<'a> {
+/// An interval in which a client polled an accepted job without getting its state.
+pub struct UnansweredInterval<'a> {
     pub job: &'a str,
-    /// When it ended, in milliseconds.
+    /// The end of the interval, in milliseconds.
     pub until: u64,
-    /// How long it lasted without its excused parts, in milliseconds.
+    /// The length of the interval without its excused parts, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// All times in which clients polled accepted jobs without getting their states.
-pub fn unanswered_times<'a>(
+/// All intervals in which clients polled accepted jobs without getting their states.
+pub fn unanswered_intervals<'a>(
     history: &'a History,
     bounds: &PromisedBounds,
-) -> Vec<UnansweredTime<'a>> {
+) -> Vec<UnansweredInterval<'a>> {
     let mut conditions = Conditions::new(history, bounds);
     excuse_lost_answers(&mut conditions, history);
-    let unanswered_time = |job: &'a str, from: u64, until: u64| UnansweredTime {
+    let unanswered_interval = |job: &'a str, from: u64, until: u64| UnansweredInterval {
         job,
         until,
         duration_ms: conditions.unexcused_ms(from, until),
     };
     let mut accepted: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut asking_since: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut times = Vec::new();
+    let mut polling_since: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut intervals = Vec::new();
     for timed in &history.events {
         let now = timed.at_ms;
         if let Some(id) = accepted_job(&timed.event) {
@@ -168,39 +168,39 @@
         }
         match &timed.event {
             Event::StateRequested { id } if accepted.contains_key(id.as_str()) => {
-                asking_since.entry(id).or_insert(now);
+                polling_since.entry(id).or_insert(now);
             }
             Event::StateAnswered {
                 id, status: 200, ..
             } => {
-                if let Some(from) = asking_since.remove(id.as_str()) {
-                    times.push(unanswered_time(id, from, now));
+                if let Some(from) = polling_since.remove(id.as_str()) {
+                    intervals.push(unanswered_interval(id, from, now));
                 }
             }
             // The client stops polling when it cancels.
             Event::CancelRequested { id } => {
-                asking_since.remove(id.as_str());
+                polling_since.remove(id.as_str());
             }
             Event::DayEnded { .. } => {
-                for (id, from) in &asking_since {
-                    times.push(unanswered_time(id, *from, now));
+                for (id, from) in &polling_since {
+                    intervals.push(unanswered_interval(id, *from, now));
                 }
             }
             _ => {}
         }
     }
-    times
+    intervals
 }
 
-/// Excuses the times in which answers are lost, and the clients' retry timeout after them.
+/// Excuses the intervals in which answers are lost, and [`CLIENT_RETRY_MS`] after each.
 fn excuse_lost_answers(conditions: &mut Conditions, history: &History) {
     let mut lost_since = None;
     for timed in &history.events {
         match &timed.event {
-            Event::FaultBegan { description } if description.starts_with(LOST_ANSWERS) => {
+            Event::FaultBegan { description } if description.starts_with(LOST_ANSWERS_PREFIX) => {
                 lost_since = lost_since.or(Some(timed.at_ms));
             }
-            Event::FaultEnded { description } if description.starts_with(LOST_ANSWERS) => {
+            Event::FaultEnded { description } if description.starts_with(LOST_ANSWERS_PREFIX) => {
                 if let Some(from) = lost_since.take() {
                     conditions.excuse(from, timed.at_ms + CLIENT_RETRY_MS);
                 }
@@ -210,12 +210,12 @@
     }
 }
 
-/// The state of the calls that submit one job.
+/// The calls that submit one job, and their outcomes so far.
 #[derive(Default)]
 struct SubmitCalls {
     /// The latest call has no answer yet.
     is_open: bool,
-    /// The outcome of an earlier call is unknown: it may have been accepted.
+    /// The outcome of an earlier call is unknown: it may have caused the job to be accepted.
     is_uncertain: bool,
     is_accepted: bool,
     /// When the job was definitely refused, in milliseconds.
@@ -223,19 +223,19 @@
 }
 
 impl SubmitCalls {
-    fn requested(&mut self) {
+    fn on_requested(&mut self) {
         self.is_uncertain |= self.is_open;
         self.is_open = true;
         self.refused_ms = None;
     }
 
-    fn answered(&mut self, status: u16, code: &str, at_ms: u64) {
+    fn on_answered(&mut self, status: u16, code: &str, at_ms: u64) {
         self.is_open = false;
         match status {
             200 | 202 => self.is_accepted = true,
             // Refusals of the job itself.
             400 | 413 | 429 => self.refused_ms = Some(at_ms),
-            // Refusals of this call only: an earlier one may have been accepted.
+            // Refusals of this call only: the job may have been accepted by an earlier call.
             503 if code != "unsure" => self.refused_ms = (!self.is_uncertain).then_some(at_ms),
             _ => self.is_uncertain = true,
         }
@@ -248,10 +248,10 @@
     let mut violations = Vec::new();
     for timed in &history.events {
         match &timed.event {
-            Event::SubmitRequested { id } => jobs.entry(id).or_default().requested(),
+            Event::SubmitRequested { id } => jobs.entry(id).or_default().on_requested(),
             Event::SubmitAnswered { id, status, code } => {
                 let calls = jobs.entry(id).or_default();
-                calls.answered(*status, code, timed.at_ms);
+                calls.on_answered(*status, code, timed.at_ms);
             }
             Event::CancelAcknowledged { id } => jobs.entry(id).or_default().is_accepted = true,
             Event::RunStarted { job, worker, .. } => {
@@ -271,7 +271,7 @@
 }
 
 /// No run of a job starts later than `cancel_ms` after its cancel was acknowledged.
-pub fn cancelled(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+pub fn cancelled_stays_cancelled(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut acknowledged: BTreeMap<&str, u64> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
@@ -283,13 +283,13 @@
                 let Some(cancelled_ms) = acknowledged.get(job.as_str()) else {
                     continue;
                 };
-                let late_ms = timed.at_ms - cancelled_ms;
-                if late_ms > bounds.cancel_ms {
+                let delay_ms = timed.at_ms - cancelled_ms;
+                if delay_ms > bounds.cancel_ms {
                     violations.push(Violation::new(
                         "cancelled stays cancelled",
                         timed.at_ms,
                         format!(
-                            "{job}/{task} started {late_ms} ms after its cancel was acknowledged"
+                            "{job}/{task} started {delay_ms} ms after its cancel was acknowledged"
                         ),
                     ));
                 }
@@ -300,8 +300,8 @@
     violations
 }
 
-/// At the end of the day, every accepted job has ended or is reported as unsure.
-pub fn all_end(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+/// At the end of the day, every job has ended or has a task whose outcome is unknown (`unsure`).
+pub fn all_jobs_end(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut newest_first = history.events.iter().rev();
     let day_end = newest_first.find_map(|timed| match &timed.event {
         Event::DayEnded { jobs, .. } => Some((timed.at_ms, jobs)),
@@ -311,9 +311,9 @@
         return Vec::new();
     };
     jobs.iter()
-        .filter(|(_, last)| !has_ended(&last.state) && !last.unsure)
+        .filter(|(_, last)| !is_final_state(&last.state) && !last.unsure)
         .map(|(id, last)| {
-            let description = format!("job {id} is still {}", last.state);
+            let description = format!("job {id} is still {} at the end of the day", last.state);
             Violation::new("all come to an end", at_ms, description)
         })
         .collect()
--- a/testkit/src/checkers/mod.rs
+++ b/testkit/src/checkers/mod.rs
@@ -1,5 +1,5 @@
-//! Checkers of the system's promises. They read only histories and share no rules with the product, so that a fault in
-//! the product's rules can't hide itself.
+//! Checkers of the system's promises. They read only histories and reuse none of the scheduler's decision logic, so that
+//! a bug there can't also hide in its checker.
 
 mod conditions;
 mod configuration;
@@ -14,14 +14,14 @@
 
 use crate::history::History;
 
-/// A violated rule.
+/// One violation of a rule, found in a history.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// The name of the rule.
     pub rule: &'static str,
     /// When it was violated, in milliseconds since the beginning of the day.
     pub at_ms: u64,
-    /// The parts involved and the values observed, for people.
+    /// A message that names the job, worker or node involved and the observed values.
     pub description: String,
 }
 
@@ -51,11 +51,11 @@
 pub struct PromisedBounds {
     /// How long clients may be unable to get an accepted job's state.
     pub state_ms: u64,
-    /// How long after the acknowledgement of a cancel a run of the job may still start.
+    /// How long a run of a job may still start after the job's cancel was acknowledged.
     pub cancel_ms: u64,
-    /// How long after a worker announced that it leaves a run may still start on it.
+    /// How long a run may still start on a worker after the worker announced that it is leaving.
     pub leave_ms: u64,
-    /// How long after a zone was drained or evacuated a run may still start in it.
+    /// How long a run may still start in a zone after the zone was drained or evacuated.
     pub empty_zone_ms: u64,
     /// How long an accepted change of the configuration may take to be in force everywhere.
     pub config_ms: u64,
@@ -63,11 +63,12 @@
     pub outage_ms: u64,
     /// How long before its due time a run may start.
     pub early_ms: u64,
-    /// How long a gang member may run without its partners if no fault affects the gang.
-    pub alone_ms: u64,
-    /// How long a gang member may run without its partners if a fault affects the gang.
-    pub alone_in_fault_ms: u64,
-    /// How long service may take to return after a loss of the majority that was no total outage.
+    /// How long a gang member may run without one of its partners if no fault affects the gang.
+    pub without_partner_ms: u64,
+    /// How long a gang member may run without one of its partners if a fault affects the gang.
+    pub without_partner_in_fault_ms: u64,
+    /// How long service may take to return after the replicas lost their majority, or no node could reach them, without
+    /// a total outage.
     pub recover_ms: u64,
     /// How long a node that is up and connected may take to be ready.
     pub ready_ms: u64,
@@ -85,8 +86,8 @@
             config_ms: 2000,
             outage_ms: 12_000,
             early_ms: 250,
-            alone_ms: 1000,
-            alone_in_fault_ms: 4500,
+            without_partner_ms: 1000,
+            without_partner_in_fault_ms: 4500,
             recover_ms: 5000,
             ready_ms: 5000,
             epoch_ms: 0,
@@ -113,28 +114,28 @@
     checker("never forgotten", jobs::never_forgotten),
     checker("state within its bound", jobs::state_in_time),
     checker("turned away never runs", jobs::refused_never_runs),
-    checker("no repeat without leave", runs::no_repeat),
-    checker("steps in order", runs::steps_in_order),
-    checker("not before its time", runs::not_early),
-    checker("room", runs::capacity),
-    checker("fitting workers", runs::fitting),
+    checker("no repeat without leave", runs::no_unpermitted_repeat),
+    checker("steps in order", runs::dependencies_first),
+    checker("not before its time", runs::not_before_due_time),
+    checker("room", runs::within_capacity),
+    checker("fitting workers", runs::only_fitting_workers),
     checker("tries", runs::max_attempts),
-    checker("cancelled stays cancelled", jobs::cancelled),
-    checker("leaving workers", runs::leaving),
-    checker("emptied zones", runs::emptied_zones),
-    checker("gangs together", runs::gangs),
-    checker("one of two rivals", configuration::one_winner),
+    checker("cancelled stays cancelled", jobs::cancelled_stays_cancelled),
+    checker("leaving workers", runs::no_start_on_leaving_workers),
+    checker("emptied zones", runs::no_start_in_emptied_zones),
+    checker("gangs together", runs::gangs_together),
+    checker("one of two rivals", configuration::one_of_two_accepted),
     checker(
         "configuration never slides back",
         configuration::never_reverts,
     ),
     checker("configuration takes hold", configuration::takes_effect),
     checker("back after an outage", outage::service_returns),
-    checker("all come to an end", jobs::all_end),
+    checker("all come to an end", jobs::all_jobs_end),
 ];
 
-/// Rules that bound durations. With real processes their results depend on the machine as much as on the system.
-pub const TIMED: &[&str] = &[
+/// Rules whose results with real processes depend on the speed of the machine as much as on the system.
+pub const MACHINE_DEPENDENT: &[&str] = &[
     "state within its bound",
     "configuration takes hold",
     "back after an outage",
--- a/testkit/src/checkers/outage.rs
+++ b/testkit/src/checkers/outage.rs
@@ -15,8 +15,8 @@
     let mut violations = Vec::new();
     for from in outage_ends {
         let until = from + bounds.outage_ms;
-        // A fault in between may delay the recovery beyond the bound.
-        if until > history.end_ms() || has_fault_between(history, from, until) {
+        // A fault that begins in between may delay the recovery beyond the bound.
+        if until > history.end_ms() || fault_began_between(history, from, until) {
             continue;
         }
         for missing in missing_service(history, from, until) {
@@ -30,14 +30,14 @@
     violations
 }
 
-fn has_fault_between(history: &History, from: u64, until: u64) -> bool {
+fn fault_began_between(history: &History, from: u64, until: u64) -> bool {
     history.events.iter().any(|timed| {
         let is_between = timed.at_ms > from && timed.at_ms < until;
         is_between && matches!(timed.event, Event::FaultBegan { .. })
     })
 }
 
-/// The queues, zones and nodes that have to be served at a time.
+/// The queues, zones, workers and nodes of the deployment at one time.
 #[derive(Default)]
 struct Deployment<'a> {
     queue_of_job: BTreeMap<&'a str, &'a str>,
@@ -94,7 +94,7 @@
     }
 }
 
-/// The service observed between two times.
+/// The queues, zones and nodes that were observed to work.
 #[derive(Default)]
 struct Service<'a> {
     accepting_queues: BTreeSet<&'a str>,
@@ -104,7 +104,8 @@
 }
 
 impl<'a> Service<'a> {
-    /// Only the ends of recovery jobs count: other jobs may take too long to end in time.
+    /// Records the service that an event proves. Only the ends of recovery jobs show that a queue finishes jobs: other
+    /// jobs may take longer than the bound.
     fn observe(
         &mut self,
         event: &'a Event,
@@ -144,7 +145,7 @@
 }
 
 /// The ids of the recovery jobs, which are offered to test whether every queue is served.
-fn recovery_jobs<'a>(events: &[&'a TimedEvent]) -> BTreeSet<&'a str> {
+fn recovery_job_ids<'a>(events: &[&'a TimedEvent]) -> BTreeSet<&'a str> {
     let offered = events.iter().filter_map(|timed| match &timed.event {
         Event::Offered { spec } => Some(spec.id.as_str()),
         _ => None,
@@ -154,6 +155,7 @@
         .collect()
 }
 
+/// A phrase for each queue, zone or node that did not work within an interval.
 fn missing_service(history: &History, from: u64, until: u64) -> Vec<String> {
     let events: Vec<&TimedEvent> = history
         .events
@@ -161,7 +163,7 @@
         .filter(|timed| timed.at_ms >= from && timed.at_ms <= until)
         .collect();
     let deployment = Deployment::at(history, until);
-    let recovery_jobs = recovery_jobs(&events);
+    let recovery_jobs = recovery_job_ids(&events);
     let queues: BTreeSet<&str> = recovery_jobs
         .iter()
         .filter_map(|id| deployment.queue_of_job.get(id).copied())
--- a/testkit/src/checkers/quotas.rs
+++ b/testkit/src/checkers/quotas.rs
@@ -1,7 +1,7 @@
-//! The checker of quotas: a queue accepts no job beyond its quota of unfinished ones.
+//! The checker of quotas: a queue accepts no more unfinished jobs than its quota.
 
 use super::interval::Interval;
-use super::jobs::has_ended;
+use super::jobs::is_final_state;
 use super::runs::Limits;
 use super::{PromisedBounds, Violation};
 use crate::history::{Event, History};
@@ -13,14 +13,14 @@
     queues: BTreeMap<&'a str, &'a str>,
     requested_ms: BTreeMap<&'a str, u64>,
     accepted_ms: BTreeMap<&'a str, u64>,
-    /// When each job was last observed unfinished.
+    /// When each job was last observed unfinished, in milliseconds.
     unfinished_ms: BTreeMap<&'a str, u64>,
 }
 
 /// The acceptance of a new job (status 202).
 struct Acceptance<'a> {
     job: &'a str,
-    /// The time from the request to its answer.
+    /// The interval from the request to its answer.
     call: Interval,
     /// The largest quota that may have been in force during the call.
     quota: u32,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Violations by jobs that were accepted although the queue certainly had its quota of unfinished jobs already.
+/// A violation for each job that was accepted while its queue certainly had at least its quota of other unfinished jobs.
 pub(super) fn quotas(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut limits = Limits::default();
     let mut jobs = Jobs::default();
@@ -80,7 +80,7 @@
                 status: 200,
                 state,
                 ..
-            } if !has_ended(state) => {
+            } if !is_final_state(state) => {
                 jobs.unfinished_ms.insert(id, timed.at_ms);
             }
             _ => {}
@@ -88,14 +88,14 @@
     }
     acceptances
         .iter()
-        .filter_map(|acceptance| exceeded(&jobs, acceptance))
+        .filter_map(|acceptance| quota_violation(&jobs, acceptance))
         .collect()
 }
 
-/// The violation of the quota by an acceptance, if it is one.
-fn exceeded(jobs: &Jobs, acceptance: &Acceptance) -> Option<Violation> {
+/// The violation by an acceptance that exceeds its quota; none if it does not.
+fn quota_violation(jobs: &Jobs, acceptance: &Acceptance) -> Option<Violation> {
     let quota = acceptance.quota as usize;
-    // Most quotas exceed the whole day's load; those need no count.
+    // Most quotas exceed the number of jobs in the whole day; these need no count.
     if quota >= jobs.accepted_ms.len() {
         return None;
     }
--- a/testkit/src/checkers/runs/gangs.rs
+++ b/testkit/src/checkers/runs/gangs.rs
@@ -8,15 +8,15 @@
 use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
-/// How long after its end a fault may still delay orders to workers, in milliseconds.
+/// The time for which a fault may still delay orders to workers after it ends, in milliseconds.
 const ORDER_DELAY_AFTER_FAULT_MS: u64 = 4000;
 
-/// How long after it is reachable again a worker may still miss orders, in milliseconds.
+/// The time for which a worker may still miss orders after it becomes reachable again, in milliseconds.
 const ORDER_DELAY_AFTER_UNREACHABLE_MS: u64 = 2000;
 
-/// How the descriptions of faults that delay no orders to workers begin: names of variants of
-/// [`FaultKind`](crate::scenario::FaultKind) and marks of reachability.
-const HARMLESS_FAULTS: [&str; 14] = [
+/// The prefixes of the descriptions of faults that delay no orders to workers: names of variants of
+/// [`FaultKind`](crate::scenario::FaultKind), and changes of a worker's reachability, which are considered separately.
+const HARMLESS_FAULT_PREFIXES: [&str; 14] = [
     "Crowd",
     "Huge",
     "Doomed",
@@ -33,40 +33,43 @@
     WORKER_REACHABLE,
 ];
 
-/// No gang member runs longer than its bound without all partners that have not succeeded yet.
-pub fn gangs(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+/// No gang member runs without one of its partners for longer than the bound, unless that partner has succeeded.
+pub fn gangs_together(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for alone in alone_times(history, bounds) {
-        let (max_ms, cause) = if alone.in_fault {
-            (bounds.alone_in_fault_ms, " during a fault")
+    for time in times_without_partner(history, bounds) {
+        let (max_ms, suffix) = if time.in_fault {
+            (bounds.without_partner_in_fault_ms, " during a fault")
         } else {
-            (bounds.alone_ms, "")
+            (bounds.without_partner_ms, "")
         };
-        if alone.duration_ms > max_ms {
+        if time.duration_ms > max_ms {
             let description = format!(
-                "{} ran without a partner for {} ms{cause}",
-                alone.member, alone.duration_ms
+                "{} ran without a partner for {} ms{suffix}",
+                time.member, time.duration_ms
             );
-            violations.push(Violation::new("gangs together", alone.from, description));
+            violations.push(Violation::new("gangs together", time.from, description));
         }
     }
     violations
 }
 
-/// A time in which a gang member ran without one of its partners.
-pub struct AloneTime {
+/// The time that one run of a gang member went without one of its partners.
+pub struct TimeWithoutPartner {
     /// The member's job, task and worker, for messages.
     pub member: String,
     /// When the member started, in milliseconds.
     pub from: u64,
-    /// How long it ran without the partner, without excused times, in milliseconds.
+    /// How long the member ran without the partner, less the excused intervals, in milliseconds.
     pub duration_ms: u64,
     /// A fault that may have delayed orders to workers was active during that time.
     pub in_fault: bool,
 }
 
-/// The time that each run of a gang member went without each partner, one entry per run and partner.
-pub fn alone_times(history: &History, bounds: &PromisedBounds) -> Vec<AloneTime> {
+/// The times that runs of gang members went without their partners, one entry per run and partner.
+pub fn times_without_partner(
+    history: &History,
+    bounds: &PromisedBounds,
+) -> Vec<TimeWithoutPartner> {
     let specs = Specs::new(history);
     let all_runs = runs(history);
     // The runs of each gang, by job and gang name.
@@ -78,79 +81,85 @@
             runs_of_gang.entry(gang).or_default().push(run);
         }
     }
-    let circumstances = Circumstances {
+    let context = GangContext {
         conditions: Conditions::new(history, bounds),
-        unreachable: unreachable_times(history),
-        faults: fault_times(history),
+        unreachable: unreachable_intervals(history),
+        faults: fault_intervals(history),
         end_ms: history.end_ms(),
     };
-    let mut alone_times = Vec::new();
-    for ((job, gang), runs) in &runs_of_gang {
+    let mut times_without_partner = Vec::new();
+    for ((job, gang), gang_runs) in &runs_of_gang {
         let Some(spec) = specs.job(job) else { continue };
         let members = spec.tasks.iter().filter(|task| task.gang == *gang);
         let members: Vec<&str> = members.map(|task| task.name.as_str()).collect();
-        for run in runs {
+        for run in gang_runs {
             for other in members.iter().filter(|member| **member != run.task) {
-                let partners = runs.iter().filter(|partner| partner.task == *other);
-                alone_times.push(circumstances.alone_time(run, partners.copied()));
+                let partners = gang_runs.iter().filter(|partner| partner.task == *other);
+                times_without_partner.push(context.time_without_partner(run, partners.copied()));
             }
         }
     }
-    alone_times
+    times_without_partner
 }
 
-/// The circumstances that decide how long a run may be without its partners.
-struct Circumstances<'a> {
+/// The service conditions, unreachable workers and faults of a day.
+struct GangContext<'a> {
     conditions: Conditions<'a>,
-    unreachable: Vec<UnreachableTime<'a>>,
+    unreachable: Vec<UnreachableInterval<'a>>,
     faults: Vec<Interval>,
     /// The end of the history, in milliseconds.
     end_ms: u64,
 }
 
-impl Circumstances<'_> {
-    /// The time that a run went without any run of one partner.
-    fn alone_time<'r>(&self, run: &Run, partners: impl Iterator<Item = &'r Run<'r>>) -> AloneTime {
-        // They are together from the partner's start if that had not ended before the run began; a partner that had
-        // succeeded counts as present at once.
+impl GangContext<'_> {
+    /// The time that a run went without any run of one partner, whose runs are `partners`.
+    fn time_without_partner<'r>(
+        &self,
+        run: &Run,
+        partners: impl Iterator<Item = &'r Run<'r>>,
+    ) -> TimeWithoutPartner {
+        // A partner's run counts from its start, or from the start of `run` if it started earlier. It does not count if
+        // it had ended before without success.
         let together_since = partners
             .filter(|partner| partner.to >= run.from || partner.outcome == Some(Outcome::Succeeded))
             .map(|partner| partner.from.max(run.from))
             .min()
             .unwrap_or(u64::MAX);
         let until = together_since.min(self.stoppable_until(run));
-        let alone = Interval::new(run.from, until);
-        AloneTime {
+        let interval = Interval::new(run.from, until);
+        TimeWithoutPartner {
             member: format!("{}/{} on {}", run.job, run.task, run.worker),
             from: run.from,
-            // Without a majority of replicas no stop order can be given.
+            // Without a majority of the replicas, no stop order can be issued.
             duration_ms: self.conditions.unexcused_ms(run.from, until.max(run.from)),
-            in_fault: self.faults.iter().any(|fault| fault.overlaps(&alone)),
+            in_fault: self.faults.iter().any(|fault| fault.overlaps(&interval)),
         }
     }
 
-    /// The time until which the run's worker could receive a stop order: its end, or the first time it was unreachable.
+    /// The time until which the run's worker could receive a stop order: the end of the run, or the first time in it at
+    /// which the worker was unreachable.
     fn stoppable_until(&self, run: &Run) -> u64 {
         let to = run.to.min(self.end_ms);
-        let whole = Interval::new(run.from, to);
+        let run_interval = Interval::new(run.from, to);
         let first_unreachable = self
             .unreachable
             .iter()
-            .filter(|time| time.worker == run.worker && time.interval.overlaps(&whole))
+            .filter(|time| time.worker == run.worker && time.interval.overlaps(&run_interval))
             .map(|time| time.interval.from)
             .min();
         first_unreachable.map_or(to, |from| to.min(from.max(run.from)))
     }
 }
 
-/// Times in which a fault that may delay orders to workers was active, each extended by [`ORDER_DELAY_AFTER_FAULT_MS`].
-fn fault_times(history: &History) -> Vec<Interval> {
-    let mut times: Vec<Interval> = Vec::new();
+/// Intervals in which a fault that may delay orders to workers was active, each extended by
+/// [`ORDER_DELAY_AFTER_FAULT_MS`].
+fn fault_intervals(history: &History) -> Vec<Interval> {
+    let mut intervals: Vec<Interval> = Vec::new();
     let mut open: BTreeMap<&str, u64> = BTreeMap::new();
     for timed in &history.events {
         match &timed.event {
             Event::FaultBegan { description } => {
-                let is_harmless = HARMLESS_FAULTS
+                let is_harmless = HARMLESS_FAULT_PREFIXES
                     .iter()
                     .any(|harmless| description.starts_with(harmless));
                 if !is_harmless {
@@ -159,7 +168,7 @@
             }
             Event::FaultEnded { description } => {
                 if let Some(from) = open.remove(description.as_str()) {
-                    times.push(Interval::new(
+                    intervals.push(Interval::new(
                         from,
                         timed.at_ms + ORDER_DELAY_AFTER_FAULT_MS,
                     ));
@@ -168,34 +177,35 @@
             _ => {}
         }
     }
-    let lasting = open.into_values();
-    times.extend(lasting.map(|from| Interval::new(from, u64::MAX)));
-    times
+    let ongoing = open.into_values();
+    intervals.extend(ongoing.map(|from| Interval::new(from, u64::MAX)));
+    intervals
 }
 
-/// A time in which a worker could not be reached.
-struct UnreachableTime<'a> {
+/// An interval in which a worker could not be reached.
+struct UnreachableInterval<'a> {
     worker: &'a str,
     interval: Interval,
 }
 
-/// Times in which workers were unreachable, from the marks in the descriptions of faults.
-fn unreachable_times(history: &History) -> Vec<UnreachableTime<'_>> {
-    let mut times: Vec<UnreachableTime> = Vec::new();
+/// Intervals in which workers were unreachable, derived from the [`Event::FaultBegan`] events that mark a worker as
+/// unreachable or reachable.
+fn unreachable_intervals(history: &History) -> Vec<UnreachableInterval<'_>> {
+    let mut times: Vec<UnreachableInterval> = Vec::new();
     for timed in &history.events {
         let Event::FaultBegan { description } = &timed.event else {
             continue;
         };
         if let Some(worker) = description.strip_prefix(WORKER_UNREACHABLE) {
-            times.push(UnreachableTime {
+            times.push(UnreachableInterval {
                 worker,
                 interval: Interval::new(timed.at_ms, u64::MAX),
             });
         } else if let Some(worker) = description.strip_prefix(WORKER_REACHABLE) {
-            let lasting = times
+            let ongoing = times
                 .iter_mut()
                 .filter(|time| time.worker == worker && time.interval.to == u64::MAX);
-            lasting
+            ongoing
                 .for_each(|time| time.interval.to = timed.at_ms + ORDER_DELAY_AFTER_UNREACHABLE_MS);
         }
     }
--- a/testkit/src/checkers/runs/limits.rs
+++ b/testkit/src/checkers/runs/limits.rs
@@ -8,7 +8,7 @@
 use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
-/// A value of a limit, with the change that sets it and the times that bound when it can be in force.
+/// A requested value of a limit, with its change and the times of the request and of the acknowledgement.
 struct Limit {
     change: String,
     value: u32,
@@ -29,15 +29,15 @@
 pub struct Limits<'a>(BTreeMap<&'a str, Vec<Limit>>);
 
 impl<'a> Limits<'a> {
-    /// Updates the limits from an event; `limits_in` selects this kind of limit from the settings of a change.
+    /// Updates the limits from an event; `select` returns this kind of limit from the settings of a change.
     pub fn observe(
         &mut self,
         timed: &'a TimedEvent,
-        limits_in: impl Fn(&'a RuleSettings) -> &'a BTreeMap<String, u32>,
+        select: impl Fn(&'a RuleSettings) -> &'a BTreeMap<String, u32>,
     ) {
         match &timed.event {
             Event::ConfigRequested { change, settings } => {
-                for (queue, value) in limits_in(settings) {
+                for (queue, value) in select(settings) {
                     self.request(queue, change, *value, timed.at_ms);
                 }
             }
@@ -79,29 +79,32 @@
         }
     }
 
-    /// The largest value of a queue's limit that can be in force at some moment of a time, given that an acknowledged
-    /// change takes effect within `config_ms`.
-    pub fn largest(&self, queue: &str, time: Interval, config_ms: u64) -> Option<u32> {
+    /// The largest value of a queue's limit that can be in force during an interval, given that an acknowledged change
+    /// takes effect within `config_ms`.
+    pub fn largest(&self, queue: &str, interval: Interval, config_ms: u64) -> Option<u32> {
         let limits = self.0.get(queue)?;
         let in_force = limits
             .iter()
             .filter_map(|limit| limit.acknowledged)
-            .filter(|acknowledged| acknowledged.at_ms + config_ms < time.from);
-        let newest_in_force = in_force.map(|limit| limit.version).max().unwrap_or(0);
+            .filter(|acknowledged| acknowledged.at_ms + config_ms < interval.from);
+        let newest_in_force = in_force
+            .map(|acknowledged| acknowledged.version)
+            .max()
+            .unwrap_or(0);
         let is_replaced = |limit: &Limit| {
             let version = limit.acknowledged.map(|acknowledged| acknowledged.version);
             version.is_some_and(|version| version < newest_in_force)
         };
         limits
             .iter()
-            .filter(|limit| limit.requested_ms <= time.to)
+            .filter(|limit| limit.requested_ms <= interval.to)
             .filter(|limit| !limit.is_refused && !is_replaced(limit))
             .map(|limit| limit.value)
             .max()
     }
 }
 
-/// A task that has failed as often as its queue permits is not started again.
+/// A task does not start again after as many failures as its queue's limit on attempts.
 pub fn max_attempts(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let unreported = unreported_ends(history);
--- a/testkit/src/checkers/runs/mod.rs
+++ b/testkit/src/checkers/runs/mod.rs
@@ -1,13 +1,15 @@
-//! Checkers of runs: when and where they start, how often, and together with which others.
+//! Checkers of runs: their start times, their placement, their number of attempts, and the members of gangs.
 
 mod gangs;
 mod limits;
 mod placement;
 mod unreported;
 
-pub use gangs::{alone_times, gangs};
+pub use gangs::{gangs_together, times_without_partner};
 pub use limits::{max_attempts, Limits};
-pub use placement::{capacity, emptied_zones, fitting, leaving};
+pub use placement::{
+    no_start_in_emptied_zones, no_start_on_leaving_workers, only_fitting_workers, within_capacity,
+};
 
 use crate::checkers::{PromisedBounds, Violation};
 use crate::history::{Event, History};
@@ -49,9 +51,9 @@
     job: &'a str,
     task: &'a str,
     from: u64,
-    /// When it ended, in milliseconds; `u64::MAX` if it has not ended.
+    /// When the run ended, in milliseconds; `u64::MAX` if it has not ended.
     to: u64,
-    /// Its outcome; none if it has not ended, if its worker died, or if the worker could not report the end.
+    /// The outcome of the run; none if it has not ended, if its worker died, or if the worker could not report the end.
     outcome: Option<Outcome>,
 }
 
@@ -59,7 +61,7 @@
 fn runs(history: &History) -> Vec<Run<'_>> {
     let unreported = unreported_ends(history);
     let mut runs: Vec<Run> = Vec::new();
-    // Indices into `runs` of those that have not ended, by worker and attempt.
+    // The indices in `runs` of the runs that have not ended, by worker and attempt.
     let mut open: BTreeMap<(&str, u64), usize> = BTreeMap::new();
     for timed in &history.events {
         match &timed.event {
@@ -92,8 +94,8 @@
                     runs[position].outcome = is_reported.then_some(*outcome);
                 }
             }
-            Event::WorkerDied { worker } => open.retain(|(runs_on, _), position| {
-                let has_died = runs_on == worker;
+            Event::WorkerDied { worker } => open.retain(|(run_worker, _), position| {
+                let has_died = run_worker == worker;
                 if has_died {
                     runs[*position].to = timed.at_ms;
                 }
@@ -106,7 +108,7 @@
 }
 
 /// A task that may not be repeated never runs twice at the same time, and never again after it succeeded.
-pub fn no_repeat(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+pub fn no_unpermitted_repeat(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let mut runs_of_task: BTreeMap<TaskKey, Vec<Run>> = BTreeMap::new();
     for run in runs(history) {
@@ -120,23 +122,23 @@
     for runs in runs_of_task.values() {
         for (position, run) in runs.iter().enumerate() {
             let earlier = runs[..position].iter();
-            violations.extend(earlier.filter_map(|before| repeated(before, run)));
+            violations.extend(earlier.filter_map(|earlier| repeat_violation(earlier, run)));
         }
     }
     violations
 }
 
-/// The violation by a run of a task that had the run `before` already, if it is one.
-fn repeated(before: &Run, run: &Run) -> Option<Violation> {
+/// The violation if `run` must not follow the earlier run of the same task; none if it may.
+fn repeat_violation(earlier: &Run, run: &Run) -> Option<Violation> {
     let Run {
         job, task, worker, ..
     } = run;
-    let description = if before.to > run.from {
+    let description = if earlier.to > run.from {
         format!(
             "{job}/{task} started on {worker} while it ran on {}",
-            before.worker
+            earlier.worker
         )
-    } else if before.outcome == Some(Outcome::Succeeded) {
+    } else if earlier.outcome == Some(Outcome::Succeeded) {
         format!("{job}/{task} started again on {worker} after it had succeeded")
     } else {
         return None;
@@ -149,7 +151,7 @@
 }
 
 /// No task starts before the tasks that it depends on have succeeded.
-pub fn steps_in_order(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+pub fn dependencies_first(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let mut succeeded: BTreeSet<TaskKey> = BTreeSet::new();
     let mut violations = Vec::new();
@@ -184,7 +186,7 @@
 }
 
 /// No task starts more than `early_ms` before its due time.
-pub fn not_early(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+pub fn not_before_due_time(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let mut violations = Vec::new();
     for timed in &history.events {
--- a/testkit/src/checkers/runs/placement.rs
+++ b/testkit/src/checkers/runs/placement.rs
@@ -1,14 +1,14 @@
-//! Checkers of placement: capacity, services and labels, leaving workers, emptied zones.
+//! Checkers of placement: the capacity, service and labels of workers, leaving workers and emptied zones.
 
 use super::Specs;
 use crate::checkers::{PromisedBounds, Violation};
 use crate::history::{is_serving, Event, History, RuleSettings};
 use std::collections::BTreeMap;
 
-/// The runs on a worker never need more than its capacity.
-pub fn capacity(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+/// The runs on a worker never use more than its capacity.
+pub fn within_capacity(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut capacity: BTreeMap<&str, u32> = BTreeMap::new();
-    // The capacity that each worker's runs use, by attempt.
+    // The capacity that each run on a worker uses, by worker and attempt.
     let mut used: BTreeMap<&str, BTreeMap<u64, u32>> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
@@ -39,12 +39,12 @@
                 let runs = used.entry(worker).or_default();
                 runs.insert(*attempt, *cpu);
                 let sum: u32 = runs.values().sum();
-                let most = capacity.get(worker.as_str()).copied();
-                if sum > most.unwrap_or(0) {
+                let max_cpu = capacity.get(worker.as_str()).copied().unwrap_or(0);
+                if sum > max_cpu {
                     violations.push(Violation::new(
                         "room",
                         timed.at_ms,
-                        format!("the runs on {worker} use {sum}, its capacity is {most:?}"),
+                        format!("the runs on {worker} use {sum}, its capacity is {max_cpu}"),
                     ));
                 }
             }
@@ -61,7 +61,7 @@
 }
 
 /// Tasks run only on workers of their service that have all their labels.
-pub fn fitting(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+pub fn only_fitting_workers(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let mut properties: BTreeMap<&str, WorkerProperties> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -108,8 +108,8 @@
     violations
 }
 
-/// No run starts on a worker later than `leave_ms` after it announced that it leaves.
-pub fn leaving(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+/// No run starts on a worker later than `leave_ms` after the worker announced that it is leaving.
+pub fn no_start_on_leaving_workers(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut leaving_since: BTreeMap<&str, u64> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
@@ -124,12 +124,14 @@
                 let Some(since) = leaving_since.get(worker.as_str()) else {
                     continue;
                 };
-                let late_ms = timed.at_ms - since;
-                if late_ms > bounds.leave_ms {
+                let delay_ms = timed.at_ms - since;
+                if delay_ms > bounds.leave_ms {
                     violations.push(Violation::new(
                         "leaving workers",
                         timed.at_ms,
-                        format!("{worker} got work {late_ms} ms after it announced that it leaves"),
+                        format!(
+                            "{worker} got work {delay_ms} ms after it announced that it is leaving"
+                        ),
                     ));
                 }
             }
@@ -142,14 +144,14 @@
 /// The zones that are drained or evacuated.
 #[derive(Default)]
 struct EmptiedZones<'a> {
-    /// When the change of each of them was acknowledged, in milliseconds.
+    /// The acknowledgement time of the change that emptied each zone, in milliseconds.
     since: BTreeMap<&'a str, u64>,
     /// The newest version of the configuration that was acknowledged.
     newest_version: u64,
 }
 
 impl<'a> EmptiedZones<'a> {
-    fn acknowledged(&mut self, settings: &'a RuleSettings, version: u64, at_ms: u64) {
+    fn on_acknowledged(&mut self, settings: &'a RuleSettings, version: u64, at_ms: u64) {
         if version <= self.newest_version {
             return;
         }
@@ -163,8 +165,8 @@
         }
     }
 
-    /// A zone may get work again from the moment a change to serving is requested.
-    fn requested(&mut self, settings: &RuleSettings) {
+    /// Forgets emptied zones for which a change to serving is requested: they may get work from then on.
+    fn on_requested(&mut self, settings: &RuleSettings) {
         for (zone, state) in &settings.zones {
             if is_serving(state) {
                 self.since.remove(zone.as_str());
@@ -174,33 +176,33 @@
 }
 
 /// No run starts in a zone later than `empty_zone_ms` after it was drained or evacuated.
-pub fn emptied_zones(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
-    let mut zone_of: BTreeMap<&str, &str> = BTreeMap::new();
+pub fn no_start_in_emptied_zones(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+    let mut zone_of_worker: BTreeMap<&str, &str> = BTreeMap::new();
     let mut emptied = EmptiedZones::default();
     let mut violations = Vec::new();
     for timed in &history.events {
         match &timed.event {
             Event::WorkerUp { worker, zone, .. } => {
-                zone_of.insert(worker, zone);
+                zone_of_worker.insert(worker, zone);
             }
             Event::ConfigAnswered {
                 status: 200,
                 settings,
                 version,
                 ..
-            } => emptied.acknowledged(settings, *version, timed.at_ms),
-            Event::ConfigRequested { settings, .. } => emptied.requested(settings),
+            } => emptied.on_acknowledged(settings, *version, timed.at_ms),
+            Event::ConfigRequested { settings, .. } => emptied.on_requested(settings),
             Event::RunStarted { worker, .. } => {
-                let zone = zone_of.get(worker.as_str());
+                let zone = zone_of_worker.get(worker.as_str());
                 let Some(since) = zone.and_then(|zone| emptied.since.get(zone)) else {
                     continue;
                 };
-                let late_ms = timed.at_ms - since;
-                if late_ms > bounds.empty_zone_ms {
+                let delay_ms = timed.at_ms - since;
+                if delay_ms > bounds.empty_zone_ms {
                     violations.push(Violation::new(
                         "emptied zones",
                         timed.at_ms,
-                        format!("{worker} got work {late_ms} ms after its zone was emptied"),
+                        format!("{worker} got work {delay_ms} ms after its zone was emptied"),
                     ));
                 }
             }
--- a/testkit/src/checkers/runs/unreported.rs
+++ b/testkit/src/checkers/runs/unreported.rs
@@ -1,4 +1,5 @@
-//! Ends of runs that were never reported: the worker's lease expired, or its process died, before an acknowledgement.
+//! Ends of runs that were not acknowledged before their worker's lease expired. A worker with a lease that dies counts
+//! as one whose lease expires.
 
 use crate::history::{Event, History};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,8 +7,8 @@
 /// Runs, identified by worker and attempt.
 pub(super) type RunIds<'a> = BTreeSet<(&'a str, u64)>;
 
-/// The runs whose ends were not acknowledged before their worker's lease expired. A later report does not show whether
-/// the run was counted in time. Empty if workers have no leases.
+/// The runs whose ends were not acknowledged before their worker's lease expired. Checkers ignore their outcomes, as the
+/// system may never have received them. Empty if workers have no leases.
 pub(super) fn unreported_ends(history: &History) -> RunIds<'_> {
     let mut open: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
     let mut unreported = RunIds::new();
@@ -23,7 +24,11 @@
             }
             Event::LeaseExpired { worker } => {
                 let attempts = open.remove(worker.as_str()).unwrap_or_default();
-                unreported.extend(attempts.into_iter().map(|no| (worker.as_str(), no)));
+                unreported.extend(
+                    attempts
+                        .into_iter()
+                        .map(|attempt| (worker.as_str(), attempt)),
+                );
             }
             _ => {}
         }
--- a/testkit/src/checkers/summary.rs
+++ b/testkit/src/checkers/summary.rs
@@ -1,15 +1,15 @@
 //! Summary figures of a day.
 
-use super::jobs::unanswered_times;
-use super::runs::alone_times;
+use super::jobs::unanswered_intervals;
+use super::runs::times_without_partner;
 use super::PromisedBounds;
 use crate::history::{is_serving, Event, FinalState, History, RuleSettings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Numbers of jobs and runs in a day, and how close each bounded promise came to its bound.
+/// Numbers of jobs and runs in a day, and the largest observed value for each promised bound.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Summary {
-    /// Jobs that clients created.
+    /// Jobs that clients created and were about to submit.
     pub offered: usize,
     /// Jobs with at least one accepted submission.
     pub accepted: usize,
@@ -29,7 +29,7 @@
     pub copies: usize,
     /// The longest time from the acknowledgement of a job's cancel to the start of one of its runs.
     pub latest_start_after_cancel_ms: u64,
-    /// The longest time from a worker's announcement that it leaves to the start of a run on it.
+    /// The longest time from a worker's announcement that it is leaving to the start of a run on it.
     pub latest_start_after_leaving_ms: u64,
     /// The longest time from the end of a total outage to the first start of a run.
     pub longest_outage_ms: u64,
@@ -37,7 +37,7 @@
     pub latest_start_after_emptying_ms: u64,
     /// The longest time after the acceptance of a change at which a ready node still had an older version.
     pub latest_old_version_ms: u64,
-    /// The longest time that a client polled an accepted job without getting its state, without excused times.
+    /// The longest time that a client polled an accepted job without getting its state, less the excused intervals.
     pub longest_unknown_state_ms: u64,
     /// The longest time that a gang member ran without a partner while no fault affected the gang.
     pub longest_alone_ms: u64,
@@ -53,16 +53,16 @@
     }
     let mut summary = summarizer.summary;
     summary.accepted = summarizer.accepted.len();
-    let times = unanswered_times(history, bounds).into_iter();
-    let unanswered_ms = times.map(|time| time.duration_ms);
+    let unanswered = unanswered_intervals(history, bounds).into_iter();
+    let unanswered_ms = unanswered.map(|interval| interval.duration_ms);
     summary.longest_unknown_state_ms = unanswered_ms.max().unwrap_or(0);
-    for alone in alone_times(history, bounds) {
-        let longest = if alone.in_fault {
+    for time in times_without_partner(history, bounds) {
+        let longest = if time.in_fault {
             &mut summary.longest_alone_struck_ms
         } else {
             &mut summary.longest_alone_ms
         };
-        *longest = alone.duration_ms.max(*longest);
+        *longest = time.duration_ms.max(*longest);
     }
     summary
 }
@@ -80,7 +80,7 @@
     is_copy: bool,
 }
 
-/// The state of a pass over a history.
+/// The summary so far, and the earlier events that later figures depend on.
 #[derive(Default)]
 struct Summarizer<'a> {
     summary: Summary,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A zone may get work again from the moment a change to serving is requested.
+    /// Forgets emptied zones for which a change to serving is requested: they may get work from then on.
     fn config_requested(&mut self, settings: &RuleSettings) {
         for (zone, state) in &settings.zones {
             if is_serving(state) {
@@ -163,14 +163,20 @@
     }
 
     fn node_version(&mut self, version: u64, now: u64) {
-        let newer = self.versions.iter().filter(|newer| newer.version > version);
-        let late_ms = newer.map(|newer| now - newer.at_ms).max().unwrap_or(0);
+        let newer = self
+            .versions
+            .iter()
+            .filter(|accepted| accepted.version > version);
+        let age_ms = newer
+            .map(|accepted| now - accepted.at_ms)
+            .max()
+            .unwrap_or(0);
         let latest = &mut self.summary.latest_old_version_ms;
-        *latest = late_ms.max(*latest);
+        *latest = age_ms.max(*latest);
     }
 
     fn run_started(&mut self, start: &Start, now: u64) {
-        let late_ms = |since: Option<u64>| since.map_or(0, |since| now - since);
+        let elapsed_ms = |since: Option<u64>| since.map_or(0, |since| now - since);
         let cancelled_ms = self.cancelled_ms.get(start.job).copied();
         let leaving_since = self.leaving_since.get(start.worker).copied();
         let zone = self.zone_of_worker.get(start.worker);
@@ -186,7 +192,7 @@
             (&mut summary.latest_start_after_emptying_ms, emptied_since),
             (&mut summary.longest_outage_ms, outage_ended_ms),
         ] {
-            *figure = late_ms(since).max(*figure);
+            *figure = elapsed_ms(since).max(*figure);
         }
     }
 
--- a/testkit/src/fleet/drive/close.rs
+++ b/testkit/src/fleet/drive/close.rs
@@ -114,7 +114,7 @@
         let usual = PromisedBounds::default();
         let bounds = PromisedBounds {
             epoch_ms,
-            alone_ms: usual.alone_in_fault_ms,
+            without_partner_ms: usual.without_partner_in_fault_ms,
             ..usual
         };
         let mut violations = check(&self.history, &bounds);
--- a/testkit/src/fleet/soak.rs
+++ b/testkit/src/fleet/soak.rs
@@ -3,7 +3,7 @@
 //! Clients and workers keep their connections and use them until the process at the other end is gone.
 
 use super::Options;
-use crate::checkers::{Violation, TIMED};
+use crate::checkers::{Violation, MACHINE_DEPENDENT};
 use crate::scenario::{Fault, FaultKind, NodeClass, Shape};
 use landingdrift::sans_io::Rng;
 use std::path::PathBuf;
@@ -105,7 +105,7 @@
 /// Violations that don't depend on how long things took on this machine.
 pub fn untimed(violations: Vec<Violation>) -> Vec<Violation> {
     let mut violations = violations;
-    violations.retain(|violation| !TIMED.contains(&violation.rule));
+    violations.retain(|violation| !MACHINE_DEPENDENT.contains(&violation.rule));
     violations
 }
 
