--- a/testkit/src/checkers/conditions.rs
+++ b/testkit/src/checkers/conditions.rs
@@ -27,8 +27,8 @@
 }
 
 impl<'a> Conditions<'a> {
-    /// Derives the conditions from a history. After a time without a majority or without any connected node, recovery is
-    /// bounded by `recover_ms`; after a time without any replica, by `outage_ms`.
+    /// Derives the conditions from a history. After a time without a majority or without any connected node, recovery
+    /// is bounded by `recover_ms`; after a time without any replica, by `outage_ms`.
     pub fn new(history: &'a History, bounds: &PromisedBounds) -> Self {
         let mut conditions = Self {
             excused: Vec::new(),
--- a/testkit/src/checkers/jobs.rs
+++ b/testkit/src/checkers/jobs.rs
@@ -5,7 +5,8 @@
 use crate::history::{Event, FinalState, History};
 use std::collections::BTreeMap;
 
-/// The time that clients may need for an answer after a lost-answers fault ends, in milliseconds: the timeout of a poll.
+/// The time that clients may need for an answer after a lost-answers fault ends, in milliseconds: the timeout of a
+/// poll.
 const CLIENT_RETRY_MS: u64 = 1000;
 
 /// The prefix of the descriptions of faults that lose answers: the name of
--- a/testkit/src/checkers/mod.rs
+++ b/testkit/src/checkers/mod.rs
@@ -1,5 +1,5 @@
-//! Checkers of the system's promises. They read only histories and reuse none of the scheduler's decision logic, so that
-//! a bug there can't also hide in its checker.
+//! Checkers of the system's promises. They read only histories and reuse none of the scheduler's decision logic, so
+//! that a bug there can't also hide in its checker.
 
 mod conditions;
 mod configuration;
--- a/testkit/src/checkers/quotas.rs
+++ b/testkit/src/checkers/quotas.rs
@@ -44,7 +44,8 @@
     }
 }
 
-/// A violation for each job that was accepted while its queue certainly had at least its quota of other unfinished jobs.
+/// A violation for each job that was accepted while its queue certainly had at least its quota of other unfinished
+/// jobs.
 pub(super) fn quotas(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut limits = Limits::default();
     let mut jobs = Jobs::default();
--- a/testkit/src/checkers/runs/unreported.rs
+++ b/testkit/src/checkers/runs/unreported.rs
@@ -7,8 +7,8 @@
 /// Runs, identified by worker and attempt.
 pub(super) type RunIds<'a> = BTreeSet<(&'a str, u64)>;
 
-/// The runs whose ends were not acknowledged before their worker's lease expired. Checkers ignore their outcomes, as the
-/// system may never have received them. Empty if workers have no leases.
+/// The runs whose ends were not acknowledged before their worker's lease expired. Checkers ignore their outcomes, as
+/// the system may never have received them. Empty if workers have no leases.
 pub(super) fn unreported_ends(history: &History) -> RunIds<'_> {
     let mut open: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
     let mut unreported = RunIds::new();
--- a/testkit/src/explorer/cluster.rs
+++ b/testkit/src/explorer/cluster.rs
@@ -192,7 +192,8 @@
         }
     }
 
-    /// Ends a process. After a loss of power only the first `persisted_writes` of the unconfirmed writes are on the disk.
+    /// Ends a process. After a loss of power only the first `persisted_writes` of the unconfirmed writes are on the
+    /// disk.
     pub fn crash(&mut self, machine_index: usize, persisted_writes: usize) {
         let machine = &mut self.machines[machine_index];
         machine.replica = None;
