--- a/landingdrift/src/config/check.rs
+++ b/landingdrift/src/config/check.rs
@@ -24,7 +24,7 @@
         /// Description of the error.
         why: String,
     },
-    /// A value is out of range or contradicts another.
+    /// A value is out of range, or contradicts another value.
     Value {
         /// Path of the invalid field.
         path: String,
@@ -79,6 +79,7 @@
     Ok(())
 }
 
+/// Returns an error about the field at a path unless a condition holds.
 fn ensure(holds: bool, path: &str, remedy: &str) -> Result<(), ConfigError> {
     if holds {
         return Ok(());
@@ -89,18 +90,18 @@
     })
 }
 
-/// A queue, service or zone to validate, by its path.
+/// The path of a queue, service or zone, for errors about its fields.
 struct Item {
     path: String,
 }
 
 impl Item {
-    /// Creates an item of a kind, after validating its name.
+    /// Validates the name of an item, for example of kind `queues`, and builds its path.
     fn named(kind: &str, name: &str) -> Result<Self, ConfigError> {
         let path = format!("{kind}.{name}");
-        let is_usual = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         let is_short = (1..=MAX_NAME_CHARACTERS).contains(&name.len());
-        ensure(is_short && name.chars().all(is_usual), &path, NAME_REMEDY)?;
+        ensure(is_short && name.chars().all(is_allowed), &path, NAME_REMEDY)?;
         Ok(Self { path })
     }
 
@@ -111,19 +112,23 @@
 
 fn check_queue(name: &str, queue: &Queue) -> Result<(), ConfigError> {
     let item = Item::named("queues", name)?;
-    let attempts = (1..=MAX_ATTEMPTS).contains(&queue.max_attempts);
-    item.ensure(attempts, "tries", "give a number from 1 to 1000000")?;
+    let attempts_in_range = (1..=MAX_ATTEMPTS).contains(&queue.max_attempts);
+    item.ensure(
+        attempts_in_range,
+        "tries",
+        "give a number from 1 to 1000000",
+    )?;
     item.ensure(queue.quota >= 1, "quota", "give at least 1")?;
-    let percent = "give 0 to 100";
-    let allowance = queue.failure_allowance_percent <= 100;
-    item.ensure(allowance, "defectAllowancePercent", percent)?;
-    let speculation = queue.speculation_percent <= 100;
-    item.ensure(speculation, "speculationPercent", percent)?;
-    item.ensure(queue.priority <= MAX_PRIORITY, "priority", percent)?;
-    let at_least = "give at least 1000";
-    item.ensure(queue.window_ms >= MIN_WINDOW_MS, "windowMs", at_least)?;
-    let unsure_bound = queue.unsure_bound_ms >= MIN_WINDOW_MS;
-    item.ensure(unsure_bound, "unsureBoundMs", at_least)
+    let range_remedy = "give 0 to 100";
+    let allowance_in_range = queue.failure_allowance_percent <= 100;
+    item.ensure(allowance_in_range, "defectAllowancePercent", range_remedy)?;
+    let speculation_in_range = queue.speculation_percent <= 100;
+    item.ensure(speculation_in_range, "speculationPercent", range_remedy)?;
+    item.ensure(queue.priority <= MAX_PRIORITY, "priority", range_remedy)?;
+    let min_remedy = "give at least 1000";
+    item.ensure(queue.window_ms >= MIN_WINDOW_MS, "windowMs", min_remedy)?;
+    let is_bound_long_enough = queue.unsure_bound_ms >= MIN_WINDOW_MS;
+    item.ensure(is_bound_long_enough, "unsureBoundMs", min_remedy)
 }
 
 /// Checks that no two queues have the same host and prefix, and that each queue with a prefix has a declared service.
@@ -135,14 +140,14 @@
         }
         let item = Item::named("queues", name)?;
         let route = (canonical_host(&queue.host), &queue.prefix);
-        let is_own = routes.insert(route, name).is_none();
-        let same = "another queue has the same host and prefix: give one of them another";
-        item.ensure(is_own, "prefix", same)?;
+        let is_unique = routes.insert(route, name).is_none();
+        let remedy = "another queue has the same host and prefix: give one of them another";
+        item.ensure(is_unique, "prefix", remedy)?;
         let has_slash = queue.prefix.starts_with('/');
         item.ensure(has_slash, "prefix", "begin the prefix with '/'")?;
         let is_known = config.services.contains_key(&queue.service);
-        let unknown = "declare the service, or name one that is declared";
-        item.ensure(is_known, "service", unknown)?;
+        let remedy = "declare the service, or name one that is declared";
+        item.ensure(is_known, "service", remedy)?;
     }
     Ok(())
 }
@@ -150,8 +155,8 @@
 fn check_service(name: &str, service: &Service) -> Result<(), ConfigError> {
     let item = Item::named("services", name)?;
     item.ensure(service.max_task_cpu >= 1, "taskRoom", "give at least 1")?;
-    let holds_task = service.max_gang_cpu >= service.max_task_cpu;
-    item.ensure(holds_task, "gangRoom", "give at least taskRoom")
+    let gang_fits_task = service.max_gang_cpu >= service.max_task_cpu;
+    item.ensure(gang_fits_task, "gangRoom", "give at least taskRoom")
 }
 
 fn check_zone(name: &str, zone: &Zone) -> Result<(), ConfigError> {
--- a/landingdrift/src/config/mod.rs
+++ b/landingdrift/src/config/mod.rs
@@ -32,14 +32,15 @@
     pub retire_queues: bool,
 }
 
-/// A queue, its limits and its promise on completion times.
+/// A queue, its limits, and its promise: the objective for the completion time of its jobs.
 #[derive(Clone, PartialEq, prost::Message, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 pub struct Queue {
     /// Promised completion time of jobs, in milliseconds; 0 for no promise.
     #[prost(uint64, tag = "1")]
     pub finish_within_ms: u64,
-    /// Percentage of the jobs that end within the window which may fail or miss the promise.
+    /// Failure allowance: the maximum percentage of the jobs ended within the window that may have failed or missed the
+    /// promise.
     #[prost(uint32, tag = "2")]
     #[serde(rename = "defectAllowancePercent")]
     pub failure_allowance_percent: u32,
@@ -50,7 +51,8 @@
     /// Maximum number of unfinished jobs in the queue.
     #[prost(uint32, tag = "4")]
     pub quota: u32,
-    /// Priority from 0 to 100; jobs of higher priority go first among jobs of similar size. Weighs the virtual size V.
+    /// Priority from 0 to 100; jobs of higher priority go first among jobs of similar size. The
+    /// scheduling policy divides the rank of a job by 1 + priority.
     #[prost(uint32, tag = "5")]
     pub priority: u32,
     /// Maximum number of running speculative copies, in percent of the queue's running attempts.
@@ -65,13 +67,15 @@
     /// Service that runs the tasks of jobs submitted by host and prefix.
     #[prost(string, tag = "9")]
     pub service: String,
-    /// Requests to this host whose path begins with `prefix` are submitted to the queue as jobs.
+    /// Host whose requests are submitted to the queue as jobs if their path begins with `prefix`.
     #[prost(string, tag = "10")]
     pub host: String,
-    /// Path prefix of its requests; the longest matching prefix wins. Empty if it gets no jobs by host and prefix.
+    /// Path prefix of the queue's requests; the longest matching prefix wins. Empty if the queue gets no jobs by host and
+    /// prefix.
     #[prost(string, tag = "11")]
     pub prefix: String,
-    /// Additional promise relative to the job: this many times the length of its longest dependency chain.
+    /// Promised completion time as a multiple of the run time of the job's longest dependency chain; stored, but not
+    /// evaluated.
     #[prost(double, tag = "12")]
     pub stretch: f64,
     /// Free-form annotation, stored but not interpreted.
@@ -129,7 +133,7 @@
             .get(zone)
             .is_none_or(|z| z.serving() && !z.drained_workers.iter().any(|w| w == worker))
     }
-    /// Whether a zone is evacuated, so that repeatable work in it is stopped.
+    /// Whether the configuration evacuates a zone, so that repeatable work in it is stopped.
     pub fn evacuated(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(|z| z.state == "evacuated")
     }
--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -1,4 +1,4 @@
-//! The sans-IO core: every part of the system is a state machine that takes messages and returns effects.
+//! The sans-IO core: the system consists of state machines that take messages and return effects.
 
 mod outbox;
 pub mod roles;
@@ -9,7 +9,7 @@
 use crate::wire::{Body, DurabilityWitness, Entry};
 use serde_json::Value;
 
-/// The time at which a step is taken. Durations are measured by `mono`, points in time by `wall`.
+/// The time of a step, by two clocks: `mono` measures durations, `wall` tells the time of day.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
     /// Milliseconds by a monotonic clock.
@@ -78,7 +78,7 @@
     }
 }
 
-/// The inputs of a part.
+/// The inputs of a state machine.
 #[derive(Clone, Debug)]
 pub enum Msg {
     /// Periodic timer.
@@ -89,7 +89,7 @@
     Persisted(u64),
     /// A write to the disk failed, with the reason.
     DiskFailed(String),
-    /// An HTTP request, with the number of the call that its response must carry.
+    /// An HTTP request, with the call number that its response must carry.
     Call(u64, Request),
     /// Settings that can change at run time have changed.
     SettingsChanged(Box<Settings>),
@@ -140,7 +140,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// The outputs of a part, which its runtime carries out.
+/// The outputs of a state machine, which its runtime carries out.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Sends a message to the process at an address.
@@ -151,11 +151,12 @@
     Respond(u64, Response),
     /// Writes a line to the process's log.
     Log(String),
-    /// Reports that the part has finished, so that the process may end.
+    /// Reports that the state machine has finished, so that the process may end.
     Exit,
 }
 
-/// A state machine that takes one message per step and returns effects. It has no access to clocks, sockets or files.
+/// A state machine that processes one message per step and returns effects. It has no access to clocks, sockets or
+/// files.
 pub trait StateMachine: Send {
     /// Processes one message.
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect>;
@@ -197,23 +198,23 @@
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// Returns a random item of a slice; `None` if it is empty.
-    pub fn pick<'a, T>(&mut self, of: &'a [T]) -> Option<&'a T> {
-        of.get(self.below(of.len() as u64) as usize)
+    pub fn pick<'a, T>(&mut self, items: &'a [T]) -> Option<&'a T> {
+        items.get(self.below(items.len() as u64) as usize)
     }
 }
 
 /// Assumed minimum bandwidth of a link, in bytes per millisecond; slower links cause needless retransmissions.
 pub const MIN_LINK_BYTES_PER_MS: u64 = 128;
 
-/// Maximum transfer time of a number of bytes on the slowest assumed link, in milliseconds. Messages are not considered
-/// lost before it has passed.
+/// Maximum transfer time of a number of bytes on the slowest assumed link, in milliseconds. A message isn't considered
+/// lost before this time has passed.
 pub fn transfer_ms(bytes: u64) -> u64 {
     bytes / MIN_LINK_BYTES_PER_MS
 }
 
 /// The 64-bit FNV-1a hash of bytes; the same on every machine.
-pub fn fnv1a(text: &[u8]) -> u64 {
-    text.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+pub fn fnv1a(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
     })
 }
--- a/landingdrift/src/sans_io/outbox.rs
+++ b/landingdrift/src/sans_io/outbox.rs
@@ -1,4 +1,4 @@
-//! Collects the effects of a part's step, and its counters.
+//! Collects the effects and the counters of a state machine.
 
 use super::{Effect, Response, WriteBatch};
 use crate::wire::Body;
@@ -32,7 +32,7 @@
         self.effects.push(Effect::Log(text));
     }
 
-    /// Reports that the part has finished.
+    /// Reports that the state machine has finished.
     pub fn exit(&mut self) {
         self.effects.push(Effect::Exit);
     }
--- a/landingdrift/src/settings/bounds.rs
+++ b/landingdrift/src/settings/bounds.rs
@@ -20,13 +20,13 @@
     pub config_ms: u64,
     /// Maximum time until service is restored after a total outage.
     pub outage_ms: u64,
-    /// A third of the time without contact after which a standby is removed from the membership.
+    /// A standby is removed from the membership after three times this duration without contact.
     pub replace_ms: u64,
-    /// Duration of a worker's lease on its attempts after each heartbeat; when it expires, the worker kills them. 0 for
-    /// no expiry.
+    /// Duration of a worker's lease on its attempts after each heartbeat. When the lease expires, the worker kills the
+    /// attempts. 0 for leases that don't expire.
     #[serde(rename = "hold_ms")]
     pub lease_ms: u64,
-    /// Interval of workers' heartbeats; 0 for an eighth of `leave_ms`.
+    /// Interval of workers' heartbeats; 0 means an eighth of `leave_ms`.
     #[serde(rename = "beat_ms")]
     pub heartbeat_ms: u64,
     /// Time that a process has to stop gracefully before it is killed.
@@ -51,7 +51,7 @@
 }
 
 impl Bounds {
-    /// Interval of a part's ticks.
+    /// Interval of the ticks of all state machines.
     pub fn tick_interval(&self) -> u64 {
         self.config_ms / 100
     }
@@ -72,7 +72,7 @@
         4 * self.election_timeout()
     }
 
-    /// How long a stopping replica waits for a standby to replace it as a voter.
+    /// How long a replica that shuts down waits for a standby to replace it as a voter.
     pub fn voter_handover_timeout(&self) -> u64 {
         self.grace_ms * 5 / 8
     }
@@ -82,19 +82,19 @@
         self.outage_ms / 8
     }
 
-    /// Maximum age of a node's watch for answering clients from it, so that responses reflect cancellations and
-    /// configuration changes within their bounds.
+    /// Maximum age of a node's watch up to which the node answers clients from it. Responses thus reflect cancellations
+    /// and configuration changes within their bounds.
     pub fn max_watch_age(&self) -> u64 {
         (self.cancel_ms / 3).min(self.config_ms * 2 / 3)
     }
 
-    /// Maximum age of a node's watch for acting as a zone scheduler, which sends orders to workers and renews their
-    /// leases.
+    /// Maximum age of a node's watch up to which the node acts as a zone scheduler, that is, sends orders to workers and
+    /// renews their leases.
     pub fn max_watch_age_for_zones(&self) -> u64 {
         self.cancel_ms / 6
     }
 
-    /// Maximum age of a heartbeat response for the worker to still obey a start order in it.
+    /// Maximum age of a heartbeat response up to which the worker obeys start orders in it.
     pub fn max_start_order_age(&self) -> u64 {
         self.cancel_ms / 3
     }
@@ -106,8 +106,8 @@
         self.cancel_ms * 11 / 20
     }
 
-    /// Time without contact to a node after which its queue leases are granted to others. It can be short, because the
-    /// cluster state alone fences the starts that their holders propose.
+    /// Time without contact to a node after which its queue leases are granted to others. A short time is safe, because
+    /// the cluster state rejects starts that a former holder proposes.
     pub fn queue_lease_timeout(&self) -> u64 {
         self.cancel_ms / 4
     }
@@ -131,12 +131,12 @@
         self.cancel_ms
     }
 
-    /// How long a request is processed before it is answered with `unsure`.
+    /// How long a node processes a request before it responds with `unsure`.
     pub fn request_timeout(&self) -> u64 {
         self.state_ms * 4 / 5
     }
 
-    /// How long an offer of a slot waits for its response.
+    /// How long the offer of a slot stays open without a response.
     pub fn offer_timeout(&self) -> u64 {
         self.config_ms / 4
     }
@@ -146,7 +146,7 @@
         self.config_ms / 4
     }
 
-    /// Interval after which reservations are placed again.
+    /// Interval at which the reservations of waiting tasks are sent again.
     pub fn reservation_interval(&self) -> u64 {
         self.config_ms / 2
     }
@@ -156,7 +156,7 @@
         self.grace_ms * 5 / 12
     }
 
-    /// Time after a stop request at which the parts of a process are ended, even if they have not finished.
+    /// Time after a stop request at which the state machines of a process are ended, even if they have not finished.
     pub fn parts_deadline(&self) -> u64 {
         self.grace_ms * 2 / 3
     }
@@ -167,7 +167,7 @@
         self.grace_ms * 4 / 5
     }
 
-    /// How long the transmission of the last responses may take.
+    /// How long a stopping process may take to transmit its last responses.
     pub fn flush_timeout(&self) -> u64 {
         self.grace_ms / 60
     }
--- a/landingdrift/src/settings/check.rs
+++ b/landingdrift/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Validation of settings; each error names the setting and the remedy.
+//! Validation of settings; each error contains the name of the setting and the remedy.
 
 use super::read::SettingsError;
 use super::{Bounds, Hopper, Limits, Settings};
@@ -10,7 +10,7 @@
 const MAX_VOTERS: u32 = 15;
 /// Minimum memory for jobs, in bytes.
 const MIN_JOBS_MEMORY_BYTES: u64 = 1 << 20;
-/// Minimum of a time bound, in milliseconds; parts tick every hundredth of one.
+/// Minimum of `bounds.config_ms` and `bounds.leave_ms`, in milliseconds: ticks are a hundredth of the former apart.
 const MIN_BOUND_MS: u64 = 400;
 
 /// Validates all settings; returns the first error.
@@ -22,9 +22,9 @@
     check_hopper(&settings.hopper)
 }
 
-/// Returns an error about a setting unless it is `ok`.
-fn ensure(ok: bool, setting: &'static str, remedy: &str) -> Result<(), SettingsError> {
-    if ok {
+/// Returns an error about a setting unless a condition holds.
+fn ensure(holds: bool, setting: &'static str, remedy: &str) -> Result<(), SettingsError> {
+    if holds {
         return Ok(());
     }
     Err(SettingsError::Value {
@@ -33,7 +33,8 @@
     })
 }
 
-/// Whether a text is an address that other processes can connect to: an IP address, not unspecified, and a port.
+/// Whether a text is an address that other processes can connect to: a port, and an IP address other than the
+/// unspecified one.
 fn is_reachable(address: &str) -> bool {
     let parsed = address.parse::<SocketAddr>();
     parsed.is_ok_and(|address| address.port() != 0 && !address.ip().is_unspecified())
@@ -76,7 +77,7 @@
             .iter()
             .all(|address| is_reachable(address)),
         "founders",
-        "give the IP:PORT addresses of the initial cores",
+        "give the IP:PORT addresses of the initial replicas (cores)",
     )?;
     Ok(())
 }
@@ -85,7 +86,7 @@
     ensure(
         !is_replica || !settings.data.is_empty(),
         "data",
-        "a core requires a data folder: give one",
+        "a replica (core) requires a data folder: give one",
     )?;
     ensure(
         is_replica || settings.data.is_empty(),
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -38,7 +38,8 @@
     /// Number of log entries between two snapshots.
     #[serde(rename = "capture_every")]
     pub snapshot_every: u64,
-    /// Maximum size of the log entries that a replica keeps in memory, in bytes; a snapshot is taken after half of it.
+    /// Maximum size of the log entries that a replica keeps in memory, in bytes. A snapshot is taken once the log has grown
+    /// by half of this size since the latest one.
     pub log_bytes: u64,
     /// Size at which a log segment is closed, in bytes.
     pub segment_bytes: u64,
@@ -71,7 +72,8 @@
     pub refusals: u32,
     /// ε of the fairness guarantee: each job gets at least 1 - ε of its fair share.
     pub epsilon: f64,
-    /// Fraction of the smallest jobs, from 0 to 1, among which a job whose data is near goes first.
+    /// Fraction of the reservations, smallest first, within which one whose data is near the worker is preferred; from 0
+    /// to 1.
     pub locality: f64,
     /// An attempt counts as slow once it has run for this many times the median duration of its queue.
     pub slow_factor: f64,
@@ -109,8 +111,8 @@
     pub join_only: bool,
     /// Number of voting replicas: 2f+1 to tolerate the loss of f machines at once. Further replicas are standbys.
     pub voters: u32,
-    /// Whether this replica votes only if too few others can. Its machine then doesn't count among those that may be
-    /// lost.
+    /// Whether this replica becomes a voter only if too few others can vote. Its machine then doesn't count towards the
+    /// losses that the cluster tolerates.
     pub standby_only: bool,
     /// CPU that this process may use, in thousandths of a core; nodes with more are preferred for leases.
     pub share: u32,
--- a/landingdrift/src/settings/read.rs
+++ b/landingdrift/src/settings/read.rs
@@ -9,16 +9,22 @@
 pub const FLAGS: &[(&str, &str)] = &[
     ("settings", "FILE  read settings from this TOML file"),
     ("cluster", "NAME  name of the cluster"),
-    ("listen", "IP:PORT  address for the system's own processes"),
+    (
+        "listen",
+        "IP:PORT  address for the cluster's other processes",
+    ),
     (
         "http",
-        "IP:PORT  address for callers, workers and operators",
+        "IP:PORT  address for clients, workers and operators",
     ),
     ("zone", "NAME  zone of this machine"),
-    ("seeds", "A,B,C  addresses of other processes to start from"),
+    (
+        "seeds",
+        "A,B,C  addresses of processes through which this one finds the cluster",
+    ),
     (
         "founders",
-        "A,B,C  first cores of a new cluster (default: the seeds)",
+        "A,B,C  initial cores of a new cluster (default: the seeds)",
     ),
     ("data", "FOLDER  data folder (core only)"),
     ("log", "LEVEL  error, warn, info or debug"),
@@ -36,7 +42,7 @@
         /// Error of the file system.
         why: String,
     },
-    /// The file's content is invalid.
+    /// The file isn't valid TOML, or a setting in it is unknown or of the wrong type.
     Content {
         /// Path of the file.
         file: String,
@@ -65,8 +71,11 @@
 
 /// The result of parsing the command line after a role's name.
 pub struct ParsedArguments {
+    /// The settings from the file, overridden by the flags.
     pub settings: Settings,
+    /// Whether to validate the settings and then exit (`--check`).
     pub check_only: bool,
+    /// Whether to print the help text and then exit. The settings are not validated in this case.
     pub help: bool,
 }
 
@@ -110,23 +119,23 @@
 }
 
 fn read_flags(arguments: Vec<OsString>) -> Result<Flags, SettingsError> {
-    let wrong = |why: lexopt::Error| SettingsError::Flag(why.to_string());
+    let to_error = |why: lexopt::Error| SettingsError::Flag(why.to_string());
     let is_known = |name: &str| FLAGS.iter().any(|(flag, _)| *flag == name);
     let mut flags = Flags::default();
     let mut parser = lexopt::Parser::from_args(arguments);
-    while let Some(arg) = parser.next().map_err(wrong)? {
+    while let Some(arg) = parser.next().map_err(to_error)? {
         match arg {
             lexopt::Arg::Long("check") => flags.check_only = true,
             lexopt::Arg::Long("help") | lexopt::Arg::Short('h') => flags.help = true,
             lexopt::Arg::Long(name) if is_known(name) => {
                 let name = name.to_string();
-                let value = parser.value().map_err(wrong)?;
+                let value = parser.value().map_err(to_error)?;
                 let value = value.into_string().map_err(|_| {
                     SettingsError::Flag(format!("the value of --{name} must be valid UTF-8"))
                 })?;
                 flags.given.push(GivenFlag { name, value });
             }
-            other => return Err(wrong(other.unexpected())),
+            other => return Err(to_error(other.unexpected())),
         }
     }
     Ok(flags)
@@ -143,7 +152,7 @@
     })
 }
 
-/// Overrides the setting that a flag names.
+/// Overrides the setting that corresponds to a flag.
 fn apply_flag(settings: &mut Settings, flag: &GivenFlag) {
     let value = flag.value.clone();
     match flag.name.as_str() {
