--- a/landingdrift/src/state/apply/attempts.rs
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Ends a live attempt: frees its resources, updates its queue's statistics, and derives the state of its task.
+    /// Ends a live attempt: frees its resources, and updates the statistics of its queue and the state of its task.
     pub(super) fn end_attempt(
         &mut self,
         attempt_no: u64,
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Stops the live attempts of a task's gang after one member failed to complete, so that all members restart
-    /// together.
+    /// Requests that the live attempts of a task's gang stop after one member has ended without success, so that all
+    /// members can restart together.
     pub(super) fn stop_gang(&mut self, id: &str, task_no: u32) {
         let Some(job) = self.jobs.get(id) else { return };
         let mut to_stop = Vec::new();
@@ -105,7 +105,7 @@
         };
         if attempt.state != AttemptState::Unsure {
             attempt.state = AttemptState::Unsure;
-            // While the outcome is unknown, `ended` is the time since when it is.
+            // For an unsure attempt, `ended` is the time at which its outcome became unknown.
             attempt.ended = at;
         }
         // The other members must not wait for an attempt that may never end.
@@ -131,11 +131,11 @@
     }
 }
 
-/// Derives the state of a task after one of its attempts has ended.
+/// Updates the state of a task after one of its attempts has ended.
 fn update_task_state(job: &mut Job, task: usize, is_first_success: bool, max_attempts: u32) {
     if is_first_success {
         if job.gang_succeeds_together(task) {
-            // The members end together, so this success counts for all of them.
+            // The success of one member counts for all of them.
             for member in job.gang_members(task) {
                 job.set_task_state(member, TaskState::Done);
             }
@@ -159,12 +159,12 @@
     }
 }
 
-/// The live attempts of a finished task, which must be stopped. Gangs that end as one are exempt: their members end by
-/// themselves.
+/// The live attempts of a finished task, which must be stopped. Gangs whose members succeed together are exempt:
+/// their other members end without a stop request.
 fn superseded_attempts(job: &Job, task_no: usize, is_first_success: bool) -> Vec<u64> {
     let task: &Task = &job.tasks[task_no];
-    let ends_by_itself = is_first_success && job.gang_succeeds_together(task_no);
-    if task.state == TaskState::Waiting || ends_by_itself {
+    let gang_ends_by_itself = is_first_success && job.gang_succeeds_together(task_no);
+    if task.state == TaskState::Waiting || gang_ends_by_itself {
         return Vec::new();
     }
     task.live().map(|attempt| attempt.no).collect()
--- a/landingdrift/src/state/apply/config_update.rs
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -38,7 +38,7 @@
 }
 
 impl ClusterState {
-    /// Puts a configuration change into force. Only one change can be based on each version; a retry of an accepted
+    /// Puts a configuration change into force. At most one change per base version is accepted; a retry of an accepted
     /// change gets the same result again.
     pub(super) fn update_config(&mut self, update: &ConfigUpdate) -> ApplyResult {
         let digest = update.digest();
@@ -54,9 +54,9 @@
         )?;
         self.drop_old_changes();
         ensure(self.changes.len() < MAX_CHANGES, Rejection::TooManyChanges)?;
-        let is_higher = update.version == 0 || update.version > current;
+        let is_valid_version = update.version == 0 || update.version > current;
         ensure(
-            is_higher,
+            is_valid_version,
             Rejection::Invalid {
                 path: "version".into(),
                 remedy: format!("give a number above the current one, {current}"),
@@ -78,7 +78,7 @@
         Ok(json!({"version": self.version, "place": self.applied_index}))
     }
 
-    /// Computes and validates the configuration that an update results in.
+    /// Computes and validates the configuration that results from an update.
     fn read_update(&self, update: &ConfigUpdate) -> Result<ClusterConfig, Rejection> {
         let mut value = update.value.clone();
         if update.is_patch {
@@ -91,33 +91,33 @@
         })
     }
 
-    /// Retires the queues that a new configuration removes although they have unfinished jobs. Rejects such a
-    /// configuration unless it sets `retireQueues`.
+    /// Retires the queues with unfinished jobs that a new configuration removes. If there are any, the configuration is
+    /// rejected unless it sets `retireQueues`.
     fn retire_queues(&mut self, config: &ClusterConfig) -> Result<(), Rejection> {
         let has_unfinished = |queue: &String| {
             let stats = self.queues.get(queue);
             stats.is_some_and(|stats| stats.unfinished > 0)
         };
-        let mut dropped: BTreeMap<String, Queue> = BTreeMap::new();
+        let mut retired: BTreeMap<String, Queue> = BTreeMap::new();
         for (name, queue) in &self.config.queues {
             if !config.queues.contains_key(name) && has_unfinished(name) {
-                dropped.insert(name.clone(), queue.clone());
+                retired.insert(name.clone(), queue.clone());
             }
         }
-        if let (Some(queue), false) = (dropped.keys().next(), config.retire_queues) {
+        if let (Some(queue), false) = (retired.keys().next(), config.retire_queues) {
             return Err(Rejection::Invalid {
                 path: format!("queues.{queue}"),
                 remedy: format!("queues.{queue}: it holds unfinished jobs: let them end or cancel them, then remove it"),
             });
         }
-        self.retired_queues.extend(dropped);
+        self.retired_queues.extend(retired);
         self.retired_queues
             .retain(|queue, _| !config.queues.contains_key(queue));
         Ok(())
     }
 
-    /// Drops the identities of changes older than the retention time, except the newest: its retries are acknowledged
-    /// however late they arrive.
+    /// Drops the identities of changes older than the retention time. The newest change is kept, so that retries of it
+    /// are acknowledged however late they arrive.
     fn drop_old_changes(&mut self) {
         let kept_from = self.at.saturating_sub(CHANGE_RETENTION_MS);
         while self.changes.len() > 1 && self.changes[0].at < kept_from {
@@ -125,11 +125,11 @@
         }
     }
 
-    /// Fails the tasks that have reached a lowered limit of attempts; otherwise they would wait forever without being
-    /// retried.
+    /// Fails the tasks that have reached the maximum number of attempts after the new configuration lowered it; otherwise
+    /// they would wait forever without being retried.
     fn fail_exhausted_tasks(&mut self) {
-        let open: Vec<String> = self.unfinished_jobs.iter().cloned().collect();
-        for id in open {
+        let unfinished: Vec<String> = self.unfinished_jobs.iter().cloned().collect();
+        for id in unfinished {
             let max_attempts = self.max_attempts_of(&id);
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
@@ -182,6 +182,7 @@
         self.request_stops(to_stop.collect());
     }
 
+    /// Whether an attempt must be stopped, see [`Self::stop_disallowed_attempts`].
     fn is_disallowed(&self, attempt_no: u64) -> bool {
         let Some((_, task)) = self.live.get(&attempt_no) else {
             return false;
@@ -192,8 +193,8 @@
         let worker = self.workers.get(&attempt.worker);
         let zone = worker.map_or("", |worker| worker.info.zone.as_str());
         let has_started = attempt.state != AttemptState::Ordered;
-        let is_closed = !self.allows_new_work(zone, &attempt.worker);
+        let gets_no_new_work = !self.allows_new_work(zone, &attempt.worker);
         let may_repeat = job.task_spec(*task as usize).may_repeat;
-        (!has_started && is_closed) || (may_repeat && self.config.evacuated(zone))
+        (!has_started && gets_no_new_work) || (may_repeat && self.config.evacuated(zone))
     }
 }
--- a/landingdrift/src/state/apply/garbage_collection.rs
+++ b/landingdrift/src/state/apply/garbage_collection.rs
@@ -4,7 +4,8 @@
 use crate::state::{Attempt, AttemptState, ClusterState, Job, TaskState, Tombstone};
 use serde_json::Value;
 
-/// How long the id of a rejected job is remembered, in milliseconds; far longer than any request is processed.
+/// How long the id of a rejected job is remembered, in milliseconds; far longer than processing any request
+/// takes.
 const REJECTED_IDS_KEPT_MS: u64 = 60_000;
 /// Maximum number of jobs and tombstones that one entry drops.
 const MAX_DROPPED: usize = 1000;
@@ -27,7 +28,7 @@
         [unsure, expiry, lost, rejected].into_iter().flatten().min()
     }
 
-    /// The attempts whose outcome is unknown: the time at which each counts as failed, and its number.
+    /// The attempts whose outcome is unknown, each as the time from which it counts as failed and its number.
     fn unsure_attempts(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         let live = self.live.keys().filter_map(|no| self.attempt(*no));
         live.filter(|(_, _, attempt)| attempt.state == AttemptState::Unsure)
@@ -40,8 +41,8 @@
         attempt.ended + bound_ms
     }
 
-    /// Enforces expired bounds and drops expired records. Ended jobs are retained for `retain_ms`, their tombstones for
-    /// `identity_ms` after that.
+    /// Fails attempts whose outcome has been unknown for too long, and drops expired records. Ended jobs are retained
+    /// for `retain_ms`, their tombstones for `identity_ms` after that.
     pub(super) fn collect_garbage(&mut self, retain_ms: u64, identity_ms: u64) -> ApplyResult {
         self.fail_unsure_attempts();
         self.drop_ended_jobs(retain_ms, identity_ms);
@@ -56,7 +57,7 @@
         Ok(Value::Null)
     }
 
-    /// Fails the attempts whose outcome has been unknown for longer than their queue's bound.
+    /// Fails the attempts whose outcome has been unknown for longer than their queue allows.
     fn fail_unsure_attempts(&mut self) {
         let at = self.at;
         let due = self.unsure_attempts().filter(|(due_at, _)| *due_at <= at);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Drops recorded ends of jobs that are older than their queue's window.
+    /// Drops the records of jobs that ended before their queue's window.
     fn drop_old_job_ends(&mut self) {
         for (name, queue) in &self.config.queues {
             let Some(stats) = self.queues.get_mut(name) else {
--- a/landingdrift/src/state/apply/job_state.rs
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -2,7 +2,7 @@
 
 use crate::state::{ClusterState, Job, JobState, Task, TaskState};
 
-/// Maximum number of job ends recorded per queue for its promise.
+/// Maximum number of ended jobs recorded per queue to evaluate its promise.
 const MAX_JOB_ENDS: usize = 4096;
 
 impl ClusterState {
--- a/landingdrift/src/state/apply/membership.rs
+++ b/landingdrift/src/state/apply/membership.rs
@@ -1,6 +1,6 @@
 //! Grants of leases, and membership of nodes and replicas.
 //!
-//! Rules that don't depend on reachability are checked here, regardless of the proposer.
+//! The leader checks the rules about reachability before it proposes; all other rules are checked here.
 
 use super::{ensure, ApplyResult};
 use crate::state::{ClusterState, Lease, NodeMember, Rejection, ReplicaMember};
@@ -48,8 +48,8 @@
         Ok(Value::Null)
     }
 
-    /// Marks a node as gone. Only a limited number of gone nodes is remembered, to bound the table; holders of leases
-    /// are never dropped.
+    /// Marks a node as gone, and drops gone nodes beyond `MAX_GONE_NODES` to bound the table; holders of leases are never
+    /// dropped.
     pub(super) fn mark_node_gone(&mut self, node: &str) -> ApplyResult {
         if let Some(member) = self.nodes.get_mut(node) {
             member.alive = false;
--- a/landingdrift/src/state/apply/orders.rs
+++ b/landingdrift/src/state/apply/orders.rs
@@ -1,5 +1,5 @@
-//! At-most-once execution of orders: the first copy that enters the log in time takes effect, and later copies get the
-//! same result.
+//! At-most-once execution of orders: the first copy that enters the log before the deadline takes effect, and later
+//! copies get the same result.
 
 use super::{ensure, pack_apply_result, unpack_apply_result, ApplyResult};
 use crate::state::{ClusterState, Order, Rejection};
--- a/landingdrift/src/state/apply/placement_rules.rs
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -7,29 +7,32 @@
     Worker,
 };
 
-/// Number of attempts of a task that may be running.
+/// Numbers of a task's attempts that may be running.
 struct LiveAttempts {
     /// Attempts that are ordered or running.
-    sure: u32,
+    ordered_or_running: u32,
     /// Attempts whose outcome is unknown.
     unsure: u32,
 }
 
 impl LiveAttempts {
     fn of(task: &Task) -> Self {
-        let mut counted = Self { sure: 0, unsure: 0 };
+        let mut counted = Self {
+            ordered_or_running: 0,
+            unsure: 0,
+        };
         for attempt in task.live() {
             if attempt.state == AttemptState::Unsure {
                 counted.unsure += 1;
             } else {
-                counted.sure += 1;
+                counted.ordered_or_running += 1;
             }
         }
         counted
     }
 
     fn all(&self) -> u32 {
-        self.sure + self.unsure
+        self.ordered_or_running + self.unsure
     }
 }
 
@@ -54,14 +57,14 @@
         ensure(at >= job.task_due(task_no), Rejection::NotDue)?;
         ensure(job.are_dependencies_done(task_no), Rejection::Waiting)?;
         let live = LiveAttempts::of(task);
-        let is_repeat = if spec.may_repeat {
-            // A regular attempt requires that no other runs; a copy requires exactly one, outside a gang.
-            live.sure != u32::from(copy) || (copy && job.in_gang(task_no))
+        let is_excess = if spec.may_repeat {
+            // A regular attempt requires that no other one is running; a copy requires exactly one, and no gang.
+            live.ordered_or_running != u32::from(copy) || (copy && job.in_gang(task_no))
         } else {
-            // No attempt while another may be running, and no copies at all.
+            // No attempt may start while another may be running, and copies are never allowed.
             copy || live.all() > 0
         };
-        ensure(!is_repeat, Rejection::AlreadyRunning)?;
+        ensure(!is_excess, Rejection::AlreadyRunning)?;
         // Attempts that may be running count as well: each may still fail, or may have failed unnoticed.
         let attempts = task.failures + live.all();
         let may_try_again = spec.long_running || attempts < queue.max_attempts;
@@ -102,19 +105,19 @@
         self.ensure_usable(worker, placement)?;
         let spec = job.task_spec(placement.task as usize);
         ensure_served(worker, spec)?;
-        let may_get_it = worker.probation == 0
+        let passes_probation = worker.probation == 0
             || self.is_free_for_trial(worker, spec)
             || (job.is_idle_too_long(at) && self.has_spare_capacity(&spec.service));
-        ensure(may_get_it, unsuitable("on probation, one at a time"))?;
+        ensure(passes_probation, unsuitable("on probation, one at a time"))?;
         let mut live = task.live();
-        let is_there = live.any(|attempt| attempt.worker == placement.worker);
-        ensure(!is_there, Rejection::AlreadyRunning)?;
+        let has_live_attempt = live.any(|attempt| attempt.worker == placement.worker);
+        ensure(!has_live_attempt, Rejection::AlreadyRunning)?;
         ensure_anti_affinity(job, placement, 0)
     }
 
-    /// Whether a worker on probation is free to get a task. It gets one task at a time, in addition to long-running
-    /// attempts, which never end and so neither prove the worker's health nor become free. A long-running task needs a
-    /// worker without any attempts.
+    /// Whether a worker on probation may get a task on trial. It gets one task at a time, in addition to long-running
+    /// attempts: these run until their job is cancelled, so they neither prove the worker's health nor free its slot. A
+    /// long-running task is placed only on a worker without any attempts.
     fn is_free_for_trial(&self, worker: &Worker, spec: &TaskSpec) -> bool {
         if spec.long_running {
             worker.attempts.is_empty()
@@ -130,8 +133,8 @@
         ensure(is_same_process, unsuitable("it has started anew"))?;
         ensure(!worker.lost, unsuitable("it is lost"))?;
         ensure(!info.leaving, unsuitable("it is leaving"))?;
-        let is_open = self.allows_new_work(&info.zone, &placement.worker);
-        ensure(is_open, unsuitable("its zone or itself is drained"))
+        let gets_new_work = self.allows_new_work(&info.zone, &placement.worker);
+        ensure(gets_new_work, unsuitable("its zone or itself is drained"))
     }
 }
 
@@ -147,19 +150,19 @@
     ensure(has_labels, unsuitable("a label is missing"))
 }
 
-/// Checks that a worker gets no more tasks of a step than the step's anti-affinity allows. `placed_on_same_worker` is
-/// the number of such tasks that the same entry has already placed there.
+/// Checks that a worker gets no more tasks of a step than the step's anti-affinity allows. `step_tasks_on_same_worker`
+/// is the number of the step's tasks that the same entry has already placed on the worker.
 pub(super) fn ensure_anti_affinity(
     job: &Job,
     placement: &Placement,
-    placed_on_same_worker: u32,
+    step_tasks_on_same_worker: u32,
 ) -> Result<(), Rejection> {
     let task = placement.task as usize;
     let allowed = job.task_spec(task).anti_affinity;
-    let has_space = allowed == 0
-        || job.step_attempts_on(task, &placement.worker) + placed_on_same_worker < allowed;
+    let is_below_limit = allowed == 0
+        || job.step_attempts_on(task, &placement.worker) + step_tasks_on_same_worker < allowed;
     ensure(
-        has_space,
+        is_below_limit,
         unsuitable("as many tasks of the step are there as it allows"),
     )
 }
--- a/landingdrift/src/state/apply/start_attempts.rs
+++ b/landingdrift/src/state/apply/start_attempts.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The run that an attempt belongs to. Members of a gang share its number and checkpoint.
+/// The run that an attempt belongs to. The members of a gang have the same run number and checkpoint.
 struct Run {
     number: u32,
     /// Checkpoint that it resumes from; empty for none.
@@ -51,8 +51,8 @@
         let mut needed: BTreeMap<&str, Resources> = BTreeMap::new();
         for (i, placement) in placements.iter().enumerate() {
             let before = &placements[..i];
-            let is_double = before.iter().any(|other| other.task == placement.task);
-            ensure(!is_double, Rejection::AlreadyRunning)?;
+            let is_duplicate = before.iter().any(|other| other.task == placement.task);
+            ensure(!is_duplicate, Rejection::AlreadyRunning)?;
             self.check_start(id, placement.task, placement.copy, self.at)?;
             self.check_placement(id, placement, self.at)?;
             let sum = needed.entry(placement.worker.as_str()).or_default();
@@ -62,7 +62,7 @@
             ensure_anti_affinity(
                 job,
                 placement,
-                placed_on_same_worker(job, placement, before),
+                step_tasks_on_same_worker(job, placement, before),
             )?;
         }
         ensure(
@@ -135,11 +135,11 @@
 }
 
 /// Number of tasks of the same step that the entry places on the same worker before this placement.
-fn placed_on_same_worker(job: &Job, placement: &Placement, before: &[Placement]) -> u32 {
+fn step_tasks_on_same_worker(job: &Job, placement: &Placement, before: &[Placement]) -> u32 {
     let step_of = |p: &Placement| job.tasks[p.task as usize].step;
-    let is_beside =
+    let is_same_step_and_worker =
         |p: &&Placement| p.worker == placement.worker && step_of(p) == step_of(placement);
-    before.iter().filter(is_beside).count() as u32
+    before.iter().filter(is_same_step_and_worker).count() as u32
 }
 
 fn next_run(job: &Job, placement: &Placement) -> Run {
--- a/landingdrift/src/state/apply/worker_trust.rs
+++ b/landingdrift/src/state/apply/worker_trust.rs
@@ -3,22 +3,22 @@
 
 use crate::state::{AttemptState, ClusterState, Worker};
 
-/// Number of most recent ends per worker that its failure rate is based on.
+/// Number of most recent outcomes per worker that its failure rate is based on.
 const MAX_RECENT_OUTCOMES: usize = 12;
 /// Number of consecutive successes that end a probation.
 const PROBATION_SUCCESSES: u32 = 3;
-/// Minimum number of failures among the recent ends for probation.
+/// Minimum number of failures among the recent outcomes for probation.
 const MIN_FAILURES: usize = 4;
-/// Minimum failure rate for probation, as a divisor: at least one in this many recent ends.
+/// Minimum failure rate for probation, as a divisor: at least one in this many recent outcomes is a failure.
 const FAILURE_RATE_DIVISOR: usize = 3;
 /// Minimum ratio of the worker's failure rate to that of all other workers for probation.
 const FLEET_RATE_FACTOR: usize = 3;
 
-/// Failures among a number of recent ends.
+/// Number of failures among the recent outcomes of one or more workers.
 #[derive(Clone, Copy, Default)]
 struct FailureRate {
     failures: usize,
-    ends: usize,
+    outcomes: usize,
 }
 
 impl FailureRate {
@@ -29,27 +29,27 @@
                 .iter()
                 .filter(|succeeded| !**succeeded)
                 .count(),
-            ends: worker.recent_outcomes.len(),
+            outcomes: worker.recent_outcomes.len(),
         }
     }
 
     fn plus(self, other: Self) -> Self {
         Self {
             failures: self.failures + other.failures,
-            ends: self.ends + other.ends,
+            outcomes: self.outcomes + other.outcomes,
         }
     }
 
     fn is_much_worse_than(self, fleet: Self) -> bool {
-        let fleet_share = FLEET_RATE_FACTOR * fleet.failures * self.ends;
+        let threshold = FLEET_RATE_FACTOR * fleet.failures * self.outcomes;
         self.failures >= MIN_FAILURES
-            && self.failures * FAILURE_RATE_DIVISOR >= self.ends
-            && self.failures * fleet.ends.max(1) >= fleet_share
+            && self.failures * FAILURE_RATE_DIVISOR >= self.outcomes
+            && self.failures * fleet.outcomes.max(1) >= threshold
     }
 }
 
 impl ClusterState {
-    /// Puts a worker on probation, and clears its recent ends.
+    /// Puts a worker on probation, and clears its recent outcomes.
     pub(super) fn start_probation(&mut self, worker: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.probation = PROBATION_SUCCESSES;
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Records a success or failure of a worker, and starts, continues or ends its probation. Other ends say nothing
-    /// about the worker and are ignored.
+    /// Records a success or failure of a worker, and starts, continues or ends its probation. Attempts that ended in any
+    /// other state are ignored, since they are no evidence of the worker's health.
     pub(super) fn record_outcome(&mut self, name: &str, state: AttemptState) {
         let has_succeeded = match state {
             AttemptState::Succeeded => true,
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The worker process that an entry is about: its name and incarnation.
+/// The worker process that an entry concerns, identified by its name and incarnation.
 #[derive(Clone, Copy)]
 pub(super) struct WorkerProcess<'a> {
     pub name: &'a str,
@@ -15,7 +15,7 @@
 }
 
 impl ClusterState {
-    /// Checks that an entry about a zone's workers was proposed under the current lease of the zone.
+    /// Checks that an entry concerning a zone's workers was proposed under the current lease of the zone.
     fn ensure_zone_epoch(&self, zone: &str, zone_epoch: u64) -> Result<(), Rejection> {
         let lease = self.current_lease(&zone_lease(zone));
         let is_current = lease.is_some_and(|lease| lease.epoch == zone_epoch);
@@ -28,8 +28,8 @@
         })
     }
 
-    /// The worker that an entry is about. Fails unless the entry was proposed under the current lease of its zone and
-    /// is about the worker's current incarnation.
+    /// The worker that an entry concerns. Fails unless the entry was proposed under the current lease of the worker's
+    /// zone and refers to the worker's current incarnation.
     fn current_worker(&self, worker: WorkerProcess, zone_epoch: u64) -> Result<&Worker, Rejection> {
         let known = self.known_worker(worker.name)?;
         self.ensure_zone_epoch(&known.info.zone, zone_epoch)?;
@@ -62,14 +62,14 @@
                 self.end_after_restart(*attempt_no, info.incarnation);
             }
         }
-        self.stop_unstarted_where_unfit(info, attempts);
+        self.stop_unsuitable_unstarted_attempts(info, attempts);
         Ok(Value::Null)
     }
 
-    /// Stops unstarted attempts on a worker that may not get new work, is overcommitted or no longer serves their
-    /// tasks.
-    fn stop_unstarted_where_unfit(&mut self, info: &WorkerInfo, attempts: Vec<u64>) {
-        let is_closed = info.leaving || !self.allows_new_work(&info.zone, &info.worker);
+    /// Requests that unstarted attempts on a worker stop if the worker may not get new work, is overcommitted or no
+    /// longer serves their tasks.
+    fn stop_unsuitable_unstarted_attempts(&mut self, info: &WorkerInfo, attempts: Vec<u64>) {
+        let gets_no_new_work = info.leaving || !self.allows_new_work(&info.zone, &info.worker);
         let worker = self.workers.get(&info.worker);
         let is_overcommitted = worker.is_some_and(|w| !info.total_resources().covers(w.used));
         let must_stop = |attempt_no: &u64| {
@@ -79,17 +79,19 @@
             let task = self.live.get(attempt_no).map(|(_, task)| *task as usize);
             let is_served = task.is_some_and(|task| info.serves(job.task_spec(task)));
             let has_started = attempt.state != AttemptState::Ordered;
-            !has_started && (is_closed || is_overcommitted || !is_served)
+            !has_started && (gets_no_new_work || is_overcommitted || !is_served)
         };
         let to_stop = attempts.into_iter().filter(must_stop).collect();
         self.request_stops(to_stop);
     }
 
-    /// Expires the attempts of earlier workers at a worker's address, if its reports prove that they are gone.
+    /// Expires the attempts of earlier workers at the reporting worker's address if the report proves that those workers
+    /// are gone.
     ///
     /// Two workers never run at one address at the same time, but the order of their first heartbeats isn't the order
-    /// in which they ran, because heartbeats can be delayed. A worker that reports an attempt ran after the attempt was
-    /// placed, so another worker at the address that became known before that ran earlier.
+    /// in which they ran, because heartbeats can be delayed. A worker that reports an attempt was alive after the
+    /// attempt's placement. Every other worker at the address that registered before the placement is therefore an
+    /// earlier one.
     fn displace_predecessors(
         &mut self,
         worker: WorkerProcess,
@@ -100,11 +102,11 @@
             return;
         };
         let address = known.info.address.clone();
-        let Some(alive_after) = self.last_placement(worker.name, running, ends) else {
+        let Some(last_placed_at) = self.last_placement(worker.name, running, ends) else {
             return;
         };
         let others = self.workers.iter().filter(|(name, other)| {
-            let is_predecessor = other.info.address == address && other.since < alive_after;
+            let is_predecessor = other.info.address == address && other.since < last_placed_at;
             is_predecessor && *name != worker.name && !other.attempts.is_empty()
         });
         let displaced: Vec<String> = others.map(|(name, _)| name.clone()).collect();
@@ -119,11 +121,11 @@
             .iter()
             .filter(|end| end.outcome != Outcome::NeverStarted);
         let reported = running.iter().copied().chain(received.map(|end| end.no));
-        let own = reported.filter_map(|no| {
+        let on_this_worker = reported.filter_map(|no| {
             let (_, _, attempt) = self.attempt(no)?;
             (attempt.worker == worker).then_some(attempt.ordered)
         });
-        own.max()
+        on_this_worker.max()
     }
 
     /// Expires all attempts of a displaced worker, and marks it as lost until its next heartbeat.
@@ -165,15 +167,17 @@
         for (attempt_no, checkpoint) in checkpoints {
             self.store_checkpoint(*attempt_no, checkpoint);
         }
-        // A late copy of the entry must not end attempts that were placed since, so only the named ones are ended.
+        // A late copy of the entry must not end attempts that were placed in the meantime, so only those listed in the
+        // entry are ended.
         let running = &self.workers[worker.name].attempts;
         let named = attempts.iter().copied();
-        let own: BTreeSet<u64> = named.filter(|no| running.contains(no)).collect();
-        self.expire_all(own);
+        let on_this_worker: BTreeSet<u64> = named.filter(|no| running.contains(no)).collect();
+        self.expire_all(on_this_worker);
         Ok(Value::Null)
     }
 
-    /// Stops attempts so that they are restarted elsewhere. With `blame`, the worker is at fault and goes on probation.
+    /// Requests that attempts stop, so that they are restarted elsewhere. With `blame`, the worker is at fault and is put
+    /// on probation.
     pub(super) fn reschedule_attempts(
         &mut self,
         worker: &str,
@@ -188,12 +192,12 @@
         }
         let running = &self.workers[worker].attempts;
         let named = attempts.iter().copied();
-        let own = named.filter(|no| running.contains(no)).collect();
-        self.request_stops(own);
+        let on_this_worker = named.filter(|no| running.contains(no)).collect();
+        self.request_stops(on_this_worker);
         Ok(Value::Null)
     }
 
-    /// Handles an attempt of a worker whose process has restarted: it no longer runs, but may have succeeded.
+    /// Handles an attempt of a worker whose process has restarted: the attempt no longer runs, but may have succeeded.
     fn end_after_restart(&mut self, attempt_no: u64, incarnation: u64) {
         let Some((id, task)) = self.live.get(&attempt_no).cloned() else {
             return;
@@ -260,8 +264,9 @@
         let Some(attempt) = self.attempt_mut(attempt_no) else {
             return;
         };
-        let is_own = attempt.worker == worker.name && attempt.incarnation == worker.incarnation;
-        if !is_own {
+        let is_on_this_process =
+            attempt.worker == worker.name && attempt.incarnation == worker.incarnation;
+        if !is_on_this_process {
             return;
         }
         attempt.state = AttemptState::Running;
--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -74,10 +74,10 @@
         incarnation: u64,
         /// Numbers of the running attempts.
         running: Vec<u64>,
-        /// Ends of attempts.
+        /// Reports of ended attempts.
         ends: Vec<EndReport>,
     },
-    /// Marks a worker as lost because its heartbeats stopped.
+    /// Marks a worker as lost because it has sent no heartbeats for too long.
     #[serde(rename = "Lost")]
     MarkWorkerLost {
         /// The worker's name.
@@ -126,7 +126,7 @@
     SetEvacuation {
         /// The zone.
         zone: String,
-        /// Whether it is evacuated.
+        /// Whether it is to be evacuated, or returned to service.
         on: bool,
     },
     /// Sets the outcome of a task's attempts whose outcome is unknown, by decision of the operator.
@@ -136,7 +136,7 @@
         job: String,
         /// The name of the task.
         task: String,
-        /// Whether it succeeded.
+        /// Whether the attempts count as succeeded; otherwise they count as failed.
         #[serde(rename = "well")]
         succeeded: bool,
     },
@@ -192,7 +192,7 @@
         /// Its disk identity, see [`ReplicaMember::disk`].
         disk: u64,
     },
-    /// Enforces time bounds that have passed, and drops records whose retention period is over.
+    /// Fails attempts whose outcome has been unknown for too long, and drops records whose retention period is over.
     #[serde(rename = "Sweep")]
     CollectGarbage {
         /// How long ended jobs are retained in full, in milliseconds.
@@ -240,13 +240,13 @@
         if number == kind::ORDER {
             number = take_kind(rest).map_or(kind::TERM_STARTED, |(number, _)| number);
         }
-        let of_the_whole = [
+        let cluster_kinds = [
             kind::TERM_STARTED,
             kind::UPDATE_CONFIG,
             kind::SET_EVACUATION,
         ];
-        let of_members = kind::GRANT_LEASE..=kind::REMOVE_REPLICA;
-        of_the_whole.contains(&number) || of_members.contains(&number)
+        let lease_and_member_kinds = kind::GRANT_LEASE..=kind::REMOVE_REPLICA;
+        cluster_kinds.contains(&number) || lease_and_member_kinds.contains(&number)
     }
 
     /// Whether a process other than the leader may propose the entry. Commands about terms, leases, members and garbage
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -2,15 +2,15 @@
 
 use super::{ClusterState, Job, QueueStats, Task, TaskState};
 
-/// Minimum number of durations for a median.
+/// Number of durations needed to compute a median.
 const MIN_DURATIONS_FOR_MEDIAN: usize = 5;
-/// Minimum number of durations for an estimate of the tail index.
+/// Number of durations needed to estimate the tail index.
 const MIN_DURATIONS_FOR_BETA: usize = 20;
 /// Number of most recent durations kept per queue.
 const MAX_DURATIONS: usize = 256;
 /// Number of new durations after which the estimates are refreshed, once there are enough for the tail index.
 const REFRESH_INTERVAL: usize = 8;
-/// One in this many durations, namely the shortest ones, is left out of the tail fit.
+/// The shortest 1/20 of the durations are left out of the tail fit.
 const TAIL_DIVISOR: usize = 20;
 /// Tail index β of a queue until there are enough durations; the estimate is clamped to the two bounds below.
 const DEFAULT_BETA: f64 = 1.5;
@@ -21,7 +21,7 @@
 const MAX_ALPHA: f64 = 4.0;
 /// A task counts as ready this long before it is due, in milliseconds.
 const DUE_SOON_MS: u64 = 1000;
-/// Minimum number of jobs that must have ended within a queue's window before its failure allowance applies.
+/// Number of jobs that must have ended within a queue's window before its failure allowance applies.
 const MIN_JOBS_FOR_ALLOWANCE: u32 = 20;
 
 /// The sizes by which the policy ranks a job.
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Number of unfinished jobs that use a slot or could use one at time `at`. Jobs whose tasks are all not due yet
-    /// get no share.
+    /// Number of unfinished jobs that have a live attempt, or a task that is ready at time `at`. Each of them gets a fair
+    /// share of the slots.
     pub fn runnable_job_count(&self, at: u64) -> usize {
         let can_run = |job: &Job, i: usize, task: &Task| {
             let is_ready = task.state == TaskState::Waiting
--- a/landingdrift/src/state/idle_jobs.rs
+++ b/landingdrift/src/state/idle_jobs.rs
@@ -1,4 +1,4 @@
-//! Idle jobs: jobs with a due task but no running attempt.
+//! Idle jobs: jobs with a waiting task that is due, and without an attempt that is ordered or running.
 //!
 //! Probation restricts the tasks that a worker gets, and a gang's claim reserves workers against other jobs. Both may
 //! delay a job but must not starve it: neither applies to a job that has been idle for too long while its service has
@@ -14,15 +14,16 @@
 const SPARE_CAPACITY_PERCENT: u64 = 67;
 
 impl Job {
-    /// Since when the job has been idle, by the cluster clock; `None` while an attempt is surely running or if no task
-    /// waits.
+    /// When the job became or will become idle, by the cluster clock; `None` while an attempt is ordered or running, or if
+    /// no task is waiting.
     fn idle_since(&self) -> Option<u64> {
         let mut last_end = self.accepted;
         let mut first_due = None;
         for (task_no, task) in self.tasks.iter().enumerate() {
             for attempt in &task.attempts {
-                let surely_runs = attempt.state.live() && attempt.state != AttemptState::Unsure;
-                if surely_runs {
+                let is_ordered_or_running =
+                    attempt.state.live() && attempt.state != AttemptState::Unsure;
+                if is_ordered_or_running {
                     return None;
                 }
                 last_end = last_end.max(attempt.ended);
--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -55,9 +55,9 @@
     pub dependencies: Vec<u32>,
     /// Newest known checkpoint; empty for none.
     pub checkpoint: String,
-    /// Index of its step; 0 in a job of single tasks, as are `time` and `index`.
+    /// Index of its step; 0 in a job of single tasks, as are `repetition` and `index`.
     pub step: u32,
-    /// Which repetition of the job it belongs to, from 0.
+    /// Index of the repetition that it belongs to, from 0.
     #[serde(rename = "time")]
     pub repetition: u32,
     /// Index within the step.
@@ -93,7 +93,7 @@
 pub struct Job {
     /// The job as the client submitted it.
     pub spec: JobSpec,
-    /// Hash of the request body, to detect another job under the same id.
+    /// Hash of the request body, to detect a different submission with the same id.
     pub hash: u64,
     /// State of the job, derived from its tasks.
     pub state: JobState,
@@ -107,7 +107,7 @@
     pub tasks: Vec<Task>,
     /// Why it failed or was cancelled.
     pub reason: String,
-    /// Number of tasks done, by repetition and step.
+    /// Number of tasks done for each step of each repetition, ordered by repetition and then step.
     pub done: Vec<u32>,
 }
 
@@ -139,11 +139,11 @@
                 ..Task::default()
             });
         }
-        for time in 0..times {
+        for repetition in 0..times {
             for (step, step_spec) in spec.steps.iter().enumerate() {
                 tasks.extend((0..step_spec.count).map(|index| Task {
                     step: step as u32,
-                    repetition: time,
+                    repetition,
                     index,
                     ..Task::default()
                 }));
@@ -176,48 +176,48 @@
         &self.spec.steps[self.tasks[task].step as usize]
     }
 
-    /// Name of a task within its job: the submitted name, or TIME.STEP.INDEX for tasks of steps.
+    /// Name of a task within its job: the submitted name, or REPETITION.STEP.INDEX for tasks of steps.
     pub fn task_name(&self, task: usize) -> String {
         if !self.has_steps() {
             return self.spec.tasks[task].name.clone();
         }
         let Task {
-            repetition: time,
+            repetition,
             step,
             index,
             ..
         } = &self.tasks[task];
-        format!("{time}.{step}.{index}")
+        format!("{repetition}.{step}.{index}")
     }
 
-    /// Index of the task with a name.
+    /// Index of the task with the given name.
     pub fn find_task(&self, name: &str) -> Option<usize> {
         if !self.has_steps() {
             let mut tasks = self.spec.tasks.iter();
             return tasks.position(|task| task.name == name);
         }
         let mut parts = name.split('.').map(|part| part.parse::<u32>().ok());
-        let time = parts.next()??;
+        let repetition = parts.next()??;
         let step = parts.next()??;
         let index = parts.next()??;
         let step_spec = self.spec.steps.get(step as usize)?;
-        let exists = time < self.spec.times.max(1) && index < step_spec.count;
-        let is_whole = parts.next().is_none();
-        (exists && is_whole).then(|| self.first_task_of(time, step) + index as usize)
+        let exists = repetition < self.spec.times.max(1) && index < step_spec.count;
+        let has_three_parts = parts.next().is_none();
+        (exists && has_three_parts).then(|| self.first_task_of(repetition, step) + index as usize)
     }
 
     /// Index of the first task of a step in a repetition.
-    fn first_task_of(&self, time: u32, step: u32) -> usize {
+    fn first_task_of(&self, repetition: u32, step: u32) -> usize {
         let count = |steps: &[StepSpec]| steps.iter().map(|s| s.count as usize).sum::<usize>();
-        let tasks_per_time = count(&self.spec.steps);
+        let tasks_per_repetition = count(&self.spec.steps);
         let before = count(&self.spec.steps[..step as usize]);
-        time as usize * tasks_per_time + before
+        repetition as usize * tasks_per_repetition + before
     }
 
     /// When a task is due, in milliseconds since 1970.
     pub fn task_due(&self, task: usize) -> u64 {
-        let time = u64::from(self.tasks[task].repetition);
-        let after_first = time.saturating_mul(self.spec.period_ms);
+        let repetition = u64::from(self.tasks[task].repetition);
+        let after_first = repetition.saturating_mul(self.spec.period_ms);
         let job_due = self.spec.first_due.saturating_add(after_first);
         self.task_spec(task).due.max(job_due)
     }
@@ -237,18 +237,18 @@
     }
 
     /// Index into [`Job::done`] for a step in a repetition.
-    fn done_index(&self, time: u32, step: u32) -> usize {
-        time as usize * self.spec.steps.len() + step as usize
+    fn done_index(&self, repetition: u32, step: u32) -> usize {
+        repetition as usize * self.spec.steps.len() + step as usize
     }
 
     /// Sets the state of a task, and updates the number of tasks done in its step.
     pub fn set_task_state(&mut self, task_no: usize, state: TaskState) {
         let task = &mut self.tasks[task_no];
         let before = std::mem::replace(&mut task.state, state);
-        let (time, step) = (task.repetition, task.step);
-        let group = self.done_index(time, step);
+        let (repetition, step) = (task.repetition, task.step);
+        let done_index = self.done_index(repetition, step);
         let becomes_done = state == TaskState::Done && before != TaskState::Done;
-        if let Some(done) = self.done.get_mut(group) {
+        if let Some(done) = self.done.get_mut(done_index) {
             *done += u32::from(becomes_done);
         }
     }
@@ -283,8 +283,8 @@
         (first..first + count).collect()
     }
 
-    /// Whether a task is the one by which its gang is scheduled: the first member, or in a job of single tasks the
-    /// first member that is not done.
+    /// Whether the task's gang is scheduled through this task: the first member, or in a job of single tasks the first
+    /// member that is not done.
     pub fn leads_gang(&self, task: usize) -> bool {
         if self.has_steps() {
             return self.in_gang(task) && self.tasks[task].index == 0;
--- a/landingdrift/src/state/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -11,7 +11,7 @@
 /// Maximum number of tasks of all steps of a job, over all repetitions.
 pub const MAX_STEP_TASKS: u64 = 20_000;
 
-/// Maximum length of the name of a job or a task, in characters.
+/// Maximum length of a job id or a task name, in characters.
 const MAX_NAME_CHARACTERS: usize = 128;
 const NAME_REMEDY: &str = "use 1 to 128 letters, digits, '-', '_', '.' or ':'";
 
@@ -46,21 +46,21 @@
     }
 }
 
-/// A task spec to check: that of a single task, or that of a step's tasks.
-struct TaskKind<'a> {
+/// The spec of a single task, or of the tasks of a step.
+struct CheckedSpec<'a> {
     /// Path of the spec within the job.
     path: String,
     task: &'a TaskSpec,
-    /// Number of its tasks that form one gang; 1 for none.
+    /// Number of tasks in the step's gang; 1 for single tasks and for steps without a gang.
     gang_size: u32,
 }
 
 impl JobSpec {
-    /// Parses a job from JSON; an error names the invalid field.
+    /// Parses a job from JSON; an error contains the path of the invalid field.
     pub fn read(body: &[u8]) -> Result<Self, SpecError> {
         let json = &mut serde_json::Deserializer::from_slice(body);
         serde_path_to_error::deserialize(json)
-            .map_err(|fault| error(fault.path().to_string(), fault.inner().to_string()))
+            .map_err(|e| error(e.path().to_string(), e.inner().to_string()))
     }
 
     /// Checks the structure of the job: names, steps, cycles, gangs. Returns the dependencies of each single task as
@@ -84,10 +84,10 @@
     /// Checks each single task, and returns the task indices by name.
     fn check_tasks(&self) -> Result<BTreeMap<&str, u32>, SpecError> {
         let mut by_name = BTreeMap::new();
-        for (number, task) in self.tasks.iter().enumerate() {
-            let at = |field: &str, remedy: &str| error(format!("tasks[{number}].{field}"), remedy);
+        for (index, task) in self.tasks.iter().enumerate() {
+            let at = |field: &str, remedy: &str| error(format!("tasks[{index}].{field}"), remedy);
             ensure(is_name(&task.name), || at("name", NAME_REMEDY))?;
-            let same_name = by_name.insert(task.name.as_str(), number as u32);
+            let same_name = by_name.insert(task.name.as_str(), index as u32);
             let remedy = "give every task of a job a name of its own";
             ensure(same_name.is_none(), || at("name", remedy))?;
             ensure(task.cpu >= 1, || at("room", "give at least 1"))?;
@@ -98,67 +98,67 @@
     /// Resolves the dependencies of each task to task indices.
     fn dependencies(&self, by_name: &BTreeMap<&str, u32>) -> Result<Vec<Vec<u32>>, SpecError> {
         let mut waits = Vec::new();
-        for (number, task) in self.tasks.iter().enumerate() {
-            let mut of_task = Vec::new();
+        for (index, task) in self.tasks.iter().enumerate() {
+            let mut task_dependencies = Vec::new();
             for name in &task.depends_on {
                 let dependency = by_name.get(name.as_str()).ok_or_else(|| {
-                    let path = format!("tasks[{number}].dependsOn");
+                    let path = format!("tasks[{index}].dependsOn");
                     error(
                         path,
                         format!("'{name}' is no task of this job: correct the name"),
                     )
                 })?;
-                of_task.push(*dependency);
+                task_dependencies.push(*dependency);
             }
-            waits.push(of_task);
+            waits.push(task_dependencies);
         }
         Ok(waits)
     }
 
-    /// Checks the number of tasks over all steps, and each step.
+    /// Checks the total number of tasks of all steps, and each step.
     fn check_steps(&self) -> Result<(), SpecError> {
         let remedy = "give single tasks or steps, not both";
         ensure(self.tasks.is_empty(), || error("tasks", remedy))?;
         let is_allowed = (1..=MAX_STEP_TASKS).contains(&self.task_count());
         let remedy = "give 1 to 20000 tasks over all times; split a larger job";
         ensure(is_allowed, || error("steps", remedy))?;
-        for (number, step) in self.steps.iter().enumerate() {
-            step.check(number)?;
+        for (index, step) in self.steps.iter().enumerate() {
+            step.check(index)?;
         }
         Ok(())
     }
 
-    /// The distinct task specs of the job: one per single task and one per step.
-    fn task_kinds(&self) -> Vec<TaskKind<'_>> {
-        let mut kinds = Vec::new();
-        for (number, task) in self.tasks.iter().enumerate() {
-            kinds.push(TaskKind {
-                path: format!("tasks[{number}]"),
+    /// The task specs to check: one per single task and one per step.
+    fn task_specs(&self) -> Vec<CheckedSpec<'_>> {
+        let mut specs = Vec::new();
+        for (index, task) in self.tasks.iter().enumerate() {
+            specs.push(CheckedSpec {
+                path: format!("tasks[{index}]"),
                 task,
                 gang_size: 1,
             });
         }
-        for (number, step) in self.steps.iter().enumerate() {
-            kinds.push(TaskKind {
-                path: format!("steps[{number}].task"),
+        for (index, step) in self.steps.iter().enumerate() {
+            specs.push(CheckedSpec {
+                path: format!("steps[{index}].task"),
                 task: &step.task,
                 gang_size: if step.gang { step.count } else { 1 },
             });
         }
-        kinds
+        specs
     }
 
     /// Checks that no member of a gang depends on another member, directly or indirectly, since members start together.
     fn check_gangs(&self, waits: &[Vec<u32>]) -> Result<(), SpecError> {
-        for (number, task) in self.tasks.iter().enumerate() {
+        for (index, task) in self.tasks.iter().enumerate() {
             if task.gang.is_empty() {
                 continue;
             }
             let gang = &task.gang;
-            let dependencies = all_dependencies(number, waits);
+            let dependencies = all_dependencies(index, waits);
             let mut gangs = dependencies.iter().map(|task| &self.tasks[*task].gang);
             ensure(gangs.all(|other| other != gang), || {
-                let path = format!("tasks[{number}].dependsOn");
+                let path = format!("tasks[{index}].dependsOn");
                 error(path, format!("a member of gang '{gang}' can't wait for another member: remove the dependsOn or the gang"))
             })?;
         }
@@ -173,13 +173,13 @@
             error("queue", remedy)
         })?;
         let mut gang_cpu: BTreeMap<(String, &str), u32> = BTreeMap::new();
-        for kind in self.task_kinds() {
-            let service = kind.service(config)?;
-            kind.check_task(service)?;
-            if let Some(gang) = kind.gang() {
-                let cpu = gang_cpu.entry((gang, &kind.task.service)).or_default();
-                *cpu = cpu.saturating_add(kind.task.cpu.saturating_mul(kind.gang_size));
-                kind.check_gang(*cpu, service)?;
+        for spec in self.task_specs() {
+            let service = spec.service(config)?;
+            spec.check_task(service)?;
+            if let Some(gang) = spec.gang() {
+                let cpu = gang_cpu.entry((gang, &spec.task.service)).or_default();
+                *cpu = cpu.saturating_add(spec.task.cpu.saturating_mul(spec.gang_size));
+                spec.check_gang(*cpu, service)?;
             }
         }
         Ok(())
@@ -187,12 +187,12 @@
 }
 
 impl StepSpec {
-    /// Checks the step at index `number`.
-    fn check(&self, number: usize) -> Result<(), SpecError> {
-        let at = |field: &str, remedy: &str| error(format!("steps[{number}].{field}"), remedy);
+    /// Checks the step, which has the given index in the job.
+    fn check(&self, index: usize) -> Result<(), SpecError> {
+        let at = |field: &str, remedy: &str| error(format!("steps[{index}].{field}"), remedy);
         ensure(self.count >= 1, || at("count", "give at least 1"))?;
         let mut dependencies = self.depends_on.iter();
-        let are_earlier = dependencies.all(|step| (*step as usize) < number);
+        let are_earlier = dependencies.all(|step| (*step as usize) < index);
         let remedy = "name earlier steps by their numbers, counted from 0";
         ensure(are_earlier, || at("dependsOn", remedy))?;
         let has_neither = self.task.gang.is_empty() && self.task.depends_on.is_empty();
@@ -201,7 +201,7 @@
     }
 }
 
-impl TaskKind<'_> {
+impl CheckedSpec<'_> {
     /// Builds an error about one of its fields.
     fn error(&self, field: &str, remedy: String) -> SpecError {
         error(format!("{}.{field}", self.path), remedy)
@@ -230,9 +230,9 @@
                 )
             })?;
         }
-        let most = service.max_task_cpu;
-        ensure(self.task.cpu <= most, || {
-            let remedy = format!("service '{name}' gives a task at most {most}: ask for less");
+        let max_cpu = service.max_task_cpu;
+        ensure(self.task.cpu <= max_cpu, || {
+            let remedy = format!("service '{name}' gives a task at most {max_cpu}: ask for less");
             self.error("room", remedy)
         })
     }
@@ -247,11 +247,11 @@
 
     /// Checks that the service allows a gang the CPU that it needs in total.
     fn check_gang(&self, cpu: u32, service: &Service) -> Result<(), SpecError> {
-        let (most, name) = (service.max_gang_cpu, &self.task.service);
-        ensure(cpu <= most, || {
+        let (max_cpu, name) = (service.max_gang_cpu, &self.task.service);
+        ensure(cpu <= max_cpu, || {
             let gang = self.gang().unwrap_or_default();
             self.error("gang", format!(
-                "gang '{gang}' needs more than the {most} that service '{name}' gives a gang: make it smaller"
+                "gang '{gang}' needs more than the {max_cpu} that service '{name}' gives a gang: make it smaller"
             ))
         })
     }
@@ -297,7 +297,7 @@
     dependencies
 }
 
-/// Whether a text is a valid name of a job or a task.
+/// Whether a text is a valid job id or task name.
 fn is_name(name: &str) -> bool {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
     !name.is_empty() && name.len() <= MAX_NAME_CHARACTERS && name.chars().all(is_allowed)
--- a/landingdrift/src/state/job/spec.rs
+++ b/landingdrift/src/state/job/spec.rs
@@ -17,7 +17,7 @@
     /// Steps of identical tasks; each step is stored once, not once per task.
     #[serde(default)]
     pub steps: Vec<StepSpec>,
-    /// Passed unchanged to the workers of all steps.
+    /// Passed unchanged to the workers that run the job's tasks.
     #[serde(default)]
     pub payload: String,
     /// Number of repetitions of the steps, each with its own due time; 0 and 1 both mean once.
@@ -34,16 +34,17 @@
 impl JobSpec {
     /// The latest due time of its tasks, in milliseconds since 1970.
     pub fn last_due(&self) -> u64 {
-        let later_times = u64::from(self.times.max(1)) - 1;
-        let after_first = later_times.saturating_mul(self.period_ms);
-        let last_time = self.first_due.saturating_add(after_first);
+        let further_repetitions = u64::from(self.times.max(1)) - 1;
+        let after_first = further_repetitions.saturating_mul(self.period_ms);
+        let last_repetition_due = self.first_due.saturating_add(after_first);
         let single = self.tasks.iter().map(|task| task.due);
         let steps = self.steps.iter().map(|step| step.task.due);
-        single.chain(steps).fold(last_time, u64::max)
+        single.chain(steps).fold(last_repetition_due, u64::max)
     }
 }
 
-/// A step: a number of identical tasks. They are named TIME.STEP.INDEX, each counted from 0; TIME is the repetition.
+/// A step: a number of identical tasks. They are named REPETITION.STEP.INDEX, each counted from
+/// 0.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct StepSpec {
@@ -102,7 +103,7 @@
     /// Maximum number of tasks of its step on one worker; 0 for no limit.
     #[serde(default)]
     pub anti_affinity: u32,
-    /// Whether the task runs until the job is cancelled; it is restarted however it ends.
+    /// Whether the task runs until the job is cancelled. It is restarted whenever an attempt ends, even after a success.
     #[serde(default)]
     pub long_running: bool,
     /// Whether the task saves checkpoints and resumes from the newest one when it is restarted.
--- a/landingdrift/src/state/members.rs
+++ b/landingdrift/src/state/members.rs
@@ -17,7 +17,7 @@
     /// Outcomes of its most recent attempts; true for success.
     #[serde(rename = "ends")]
     pub recent_outcomes: VecDeque<bool>,
-    /// When it became known, or lost; in milliseconds since 1970 by the cluster clock.
+    /// When it was registered or, later, last marked as lost; in milliseconds since 1970 by the cluster clock.
     pub since: u64,
     /// Resources of the attempts that may be running on it.
     pub used: Resources,
--- a/landingdrift/src/state/memory.rs
+++ b/landingdrift/src/state/memory.rs
@@ -14,7 +14,7 @@
 /// Memory of a task and its first attempt, in bytes. Every task is expected to get at least one attempt.
 const TASK_BYTES: u64 = size_of::<Task>() as u64 + ATTEMPT_BYTES;
 
-fn text_bytes<'a>(texts: impl IntoIterator<Item = &'a String>) -> u64 {
+fn strings_memory<'a>(texts: impl IntoIterator<Item = &'a String>) -> u64 {
     texts
         .into_iter()
         .map(|text| (size_of::<String>() + text.len()) as u64)
@@ -29,9 +29,9 @@
         };
         let names = [&self.name, &self.service, &self.gang, &self.near];
         size_of::<Self>() as u64
-            + text_bytes(names)
-            + text_bytes(&self.labels)
-            + text_bytes(&self.depends_on)
+            + strings_memory(names)
+            + strings_memory(&self.labels)
+            + strings_memory(&self.depends_on)
             + payload
     }
 }
@@ -46,15 +46,15 @@
 impl JobSpec {
     /// Number of tasks of the job over all repetitions.
     pub fn task_count(&self) -> u64 {
-        let per_time: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        let of_steps = per_time.saturating_mul(u64::from(self.times.max(1)));
-        of_steps.saturating_add(self.tasks.len() as u64)
+        let tasks_per_repetition: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
+        let step_tasks = tasks_per_repetition.saturating_mul(u64::from(self.times.max(1)));
+        step_tasks.saturating_add(self.tasks.len() as u64)
     }
 
     fn spec_bytes(&self) -> u64 {
         let tasks: u64 = self.tasks.iter().map(TaskSpec::memory_bytes).sum();
         let steps: u64 = self.steps.iter().map(StepSpec::memory_bytes).sum();
-        text_bytes([&self.id, &self.queue, &self.payload]) + tasks + steps
+        strings_memory([&self.id, &self.queue, &self.payload]) + tasks + steps
     }
 
     /// Memory that the job takes once it is accepted, with one attempt per task, in bytes.
@@ -69,9 +69,9 @@
 impl Job {
     /// Memory that the job takes, counting at least one attempt per task, in bytes.
     pub fn memory_bytes(&self) -> u64 {
-        let retries = |task: &Task| task.attempts.len().saturating_sub(1) as u64;
-        let retries: u64 = self.tasks.iter().map(retries).sum();
-        self.spec.memory_bytes() + retries * ATTEMPT_BYTES
+        let extra_attempts = |task: &Task| task.attempts.len().saturating_sub(1) as u64;
+        let extra_attempts: u64 = self.tasks.iter().map(extra_attempts).sum();
+        self.spec.memory_bytes() + extra_attempts * ATTEMPT_BYTES
     }
 }
 
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -144,11 +144,13 @@
             ));
         }
         pack::unpack(bytes).map_err(|e| {
-            format!("failed to decode the snapshot: {e}; fetch it again from another core")
+            format!(
+                "failed to decode the snapshot: {e}; fetch it again from another replica (core)"
+            )
         })
     }
 
-    /// A copy of the state with configuration, leases and members only, as small nodes follow it.
+    /// The light copy of the state that small nodes follow: everything except jobs, workers and queue statistics.
     pub fn without_jobs_and_workers(&self) -> Self {
         Self {
             format: self.format,
@@ -174,8 +176,8 @@
         self.changes.back().map_or(0, |change| change.log_index)
     }
 
-    /// Log index of the entry that put the configuration into force which was current at `index`; 0 if that entry is no
-    /// longer remembered.
+    /// Log index of the entry that introduced the configuration current at `index`; 0 if that entry is no longer
+    /// remembered.
     pub fn config_index_at(&self, index: u64) -> u64 {
         let mut changes = self.changes.iter().rev();
         let newest = changes.find(|change| change.log_index <= index);
@@ -198,7 +200,7 @@
         !worker.lost && !worker.info.leaving && self.allows_new_work(&worker.info.zone, name)
     }
 
-    /// The current grant of a lease, by the lease's name.
+    /// The lease with the given name, as last granted.
     pub fn current_lease(&self, lease: &str) -> Option<&Lease> {
         self.leases.get(lease)
     }
@@ -212,7 +214,7 @@
         job.is_some_and(|job| job.task_spec(*task as usize).long_running)
     }
 
-    /// Whether a worker has live attempts of tasks that end by themselves. Only these can bring a worker off probation.
+    /// Whether a worker has live attempts of tasks that aren't long-running. Only their outcomes can end a probation.
     pub fn has_finite_attempts(&self, worker: &Worker) -> bool {
         let mut attempts = worker.attempts.iter();
         attempts.any(|attempt_no| !self.is_long_running(*attempt_no))
--- a/landingdrift/src/state/rejection.rs
+++ b/landingdrift/src/state/rejection.rs
@@ -56,11 +56,11 @@
     #[error("too many configuration changes within a day: retry later")]
     TooManyChanges,
     /// The proposer's lease, or the worker's incarnation, is not the current one.
-    #[error("the lease has been granted to another node: propose again through its holder")]
+    #[error("the lease or the worker's incarnation is not the current one: propose again through the lease's current holder")]
     #[serde(rename = "StaleGrant")]
     StaleLease,
     /// The job or the task has already ended, or the cluster is already founded.
-    #[error("it has already ended: it can't be changed any more")]
+    #[error("the job or task has already ended, or the cluster is already founded: no further change is possible")]
     Ended,
     /// The job has been cancelled.
     #[error("the job has been cancelled: submit a new one")]
@@ -76,7 +76,9 @@
     #[serde(rename = "NoRoom")]
     InsufficientResources,
     /// An attempt may be running, and the task may not be repeated or has its maximum of parallel attempts.
-    #[error("an attempt may be running and the task may not be repeated: wait for its end")]
+    #[error(
+        "no further attempt of the task may start while others may be running: wait for their end"
+    )]
     #[serde(rename = "Repeat")]
     AlreadyRunning,
     /// The task has failed as often as its queue allows.
@@ -101,7 +103,7 @@
     /// The job would exceed the limit on unfinished jobs or on their memory. The leader responds with this instead of
     /// appending an entry.
     #[error(
-        "not enough capacity for this job beside the existing ones: retry later, or split the job"
+        "the existing jobs leave too little capacity for this one: retry later, or split the job"
     )]
     InsufficientCapacity,
 }
--- a/landingdrift/src/state/report.rs
+++ b/landingdrift/src/state/report.rs
@@ -39,7 +39,7 @@
     Expired,
 }
 
-/// Identifies a run by names, for workers that do not store attempt numbers.
+/// Identifies a run by job id, task name and run number, for workers that do not store attempt numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct RunName {
--- a/landingdrift/src/state/retained.rs
+++ b/landingdrift/src/state/retained.rs
@@ -1,4 +1,4 @@
-//! Records kept after the fact: tombstones of jobs, past configuration changes and queue statistics.
+//! Tombstones of jobs, past configuration changes, and queue statistics.
 
 use super::JobState;
 use serde::{Deserialize, Serialize};
@@ -43,7 +43,7 @@
     /// Number of durations added so far, including those no longer kept.
     #[serde(rename = "seen")]
     pub durations_seen: u32,
-    /// Ends of jobs within the queue's window: the time, and whether the promise was kept.
+    /// Jobs that ended within the queue's window: when, and whether they kept the promise.
     #[serde(rename = "promises")]
     pub job_ends: VecDeque<(u64, bool)>,
     /// Number of jobs that have not ended.
--- a/landingdrift/src/state/worker_info.rs
+++ b/landingdrift/src/state/worker_info.rs
@@ -27,10 +27,11 @@
     /// Total number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
-    /// Rack that the worker is in; empty if racks don't matter.
+    /// Rack that the worker is in; empty for none.
     #[serde(default)]
     pub rack: String,
-    /// Network address. A newer worker at the same address proves that this one is gone.
+    /// Network address. Another worker at the same address proves that this one is gone if it reports an attempt that was
+    /// placed after this one registered.
     #[serde(default)]
     pub address: String,
     /// Whether the worker is about to leave and accepts no new work.
@@ -49,8 +50,8 @@
 
     /// Whether the worker is at a location, given as the name of a zone, rack or worker.
     pub fn near(&self, location: &str) -> bool {
-        let own = [&self.worker, &self.zone, &self.rack];
-        !location.is_empty() && own.into_iter().any(|name| name == location)
+        let locations = [&self.worker, &self.zone, &self.rack];
+        !location.is_empty() && locations.into_iter().any(|name| name == location)
     }
 
     /// Whether the worker offers the task's service and has all its labels.
