--- a/landingdrift/tests/attempts.rs
+++ b/landingdrift/tests/attempts.rs
@@ -1,5 +1,6 @@
 //! Rules for attempts in the cluster state: tasks that may not be repeated are not restarted while an attempt may be
-//! running, the maximum of attempts and the speculation budget hold, and late reports don't revive ended attempts.
+//! running, the maximum number of attempts and the speculation budget are enforced, and late reports don't revive ended
+//! attempts.
 
 mod cluster_state_fixture;
 
@@ -56,16 +57,16 @@
         .expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("placed");
     assert_eq!(
-        fixture.start_as("j", &[(0, "w")], 2, 1, true),
+        fixture.start_copy("j", &[(0, "w")]),
         Err(Rejection::AlreadyRunning),
         "a copy on the worker of its original"
     );
     fixture
-        .start_as("j", &[(0, "v")], 2, 1, true)
+        .start_copy("j", &[(0, "v")])
         .expect("a copy on another worker");
     fixture.update_worker("x", 1, false);
     assert_eq!(
-        fixture.start_as("j", &[(0, "x")], 2, 1, true),
+        fixture.start_copy("j", &[(0, "x")]),
         Err(Rejection::AlreadyRunning),
         "a second copy"
     );
@@ -89,7 +90,7 @@
         .expect("accepted");
     fixture.start("k", &[(0, "w")]).expect("placed");
     assert_eq!(
-        fixture.start_as("k", &[(0, "v")], 2, 1, true),
+        fixture.start_copy("k", &[(0, "v")]),
         Err(Rejection::SpeculationBudgetExhausted)
     );
     fixture.apply_ok(Command::MarkWorkerLost {
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_task_that_reached_its_maximum_of_attempts_is_not_retried() {
+fn a_task_that_reached_its_maximum_number_of_attempts_is_not_retried() {
     let mut fixture = StateFixture::new();
     fixture.accept("j", vec![task("a")]).expect("accepted");
     for no in 1..=2 {
@@ -140,10 +141,8 @@
     fixture.start("j", &[(0, "w")]).expect("placed");
     fixture.report_end("w", 1, Outcome::Failed);
     fixture.start("j", &[(0, "w")]).expect("placed again");
-    fixture
-        .start_as("j", &[(0, "v")], 2, 1, true)
-        .expect("a copy");
-    // With a maximum of two attempts, the failure of the copy exhausts them while the original still runs.
+    fixture.start_copy("j", &[(0, "v")]).expect("a copy");
+    // With a maximum of two attempts, the failure of the copy is the last one allowed, but the original still runs.
     fixture.apply_ok(max_attempts(2, 2));
     fixture.report_end("v", 3, Outcome::Failed);
     assert_eq!(fixture.job_state("j"), JobState::Running);
@@ -165,7 +164,7 @@
         .start("j", &[(0, "w")])
         .expect("the second and last attempt");
     assert_eq!(
-        fixture.start_as("j", &[(0, "v")], 2, 1, true),
+        fixture.start_copy("j", &[(0, "v")]),
         Err(Rejection::AttemptsExhausted),
         "a copy would be the third attempt"
     );
@@ -185,11 +184,11 @@
 
 #[test]
 fn a_late_running_report_changes_nothing_after_the_worker_was_lost_or_restarted() {
-    for anew in [false, true] {
+    for restarted in [false, true] {
         let mut fixture = StateFixture::new();
         fixture.accept("j", vec![task("a")]).expect("accepted");
         fixture.start("j", &[(0, "w")]).expect("started");
-        if anew {
+        if restarted {
             fixture.update_worker("w", 2, false);
         } else {
             fixture.apply_ok(Command::MarkWorkerLost {
@@ -205,7 +204,11 @@
             ends: vec![],
         });
         let state = fixture.state.attempt(1).map(|(_, _, s)| s.state);
-        assert_eq!(state, Some(AttemptState::Unsure), "started anew: {anew}");
+        assert_eq!(
+            state,
+            Some(AttemptState::Unsure),
+            "worker restarted: {restarted}"
+        );
         fixture.report_end("w", 1, Outcome::Succeeded);
         assert_eq!(
             fixture.job_state("j"),
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn a_late_copy_of_an_expiry_does_not_end_newer_attempts() {
+fn a_repeated_expire_command_does_not_end_newer_attempts() {
     let mut fixture = StateFixture::new();
     fixture.accept("j", vec![task("a")]).expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("starts");
@@ -259,7 +262,7 @@
     fixture.apply_ok(expire_attempts.clone());
     assert_eq!(fixture.state.jobs["j"].tasks[0].failures, 0);
     fixture.update_worker("w", 1, false);
-    fixture.start("j", &[(0, "w")]).expect("again");
+    fixture.start("j", &[(0, "w")]).expect("placed again");
     fixture.apply_ok(expire_attempts);
     assert_eq!(fixture.state.jobs["j"].tasks[0].live().count(), 1);
 }
--- a/landingdrift/tests/bounds.rs
+++ b/landingdrift/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Internal durations stay within the bounds that they must keep.
+//! Internal durations respect the bounds that are promised to operators.
 
 use landingdrift::settings::Bounds;
 
@@ -11,14 +11,14 @@
                 cancel_ms,
                 ..Bounds::default()
             };
-            let fresh_ms = bounds.max_watch_age();
+            let max_age_ms = bounds.max_watch_age();
             assert!(
-                fresh_ms < config_ms,
-                "{fresh_ms} of {config_ms}, {cancel_ms}"
+                max_age_ms < config_ms,
+                "max watch age {max_age_ms} with config_ms {config_ms}, cancel_ms {cancel_ms}"
             );
             assert!(
-                fresh_ms < cancel_ms,
-                "{fresh_ms} of {config_ms}, {cancel_ms}"
+                max_age_ms < cancel_ms,
+                "max watch age {max_age_ms} with config_ms {config_ms}, cancel_ms {cancel_ms}"
             );
         }
     }
--- a/landingdrift/tests/cluster_state.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -1,4 +1,4 @@
-//! `ClusterState::apply` enforces its rules, whatever a stale, frozen or faulty node proposes.
+//! `ClusterState::apply` enforces its rules regardless of the proposer.
 
 mod cluster_state_fixture;
 
@@ -45,11 +45,11 @@
         Err(Rejection::UnsuitableWorker { .. })
     ));
     assert_eq!(
-        fixture.start_as("j", &[(0, "w")], 1, 1, false),
+        fixture.start_under("j", &[(0, "w")], 1, 1, false),
         Err(Rejection::StaleLease)
     );
     assert_eq!(
-        fixture.start_as("j", &[(0, "w")], 2, 9, false),
+        fixture.start_under("j", &[(0, "w")], 2, 9, false),
         Err(Rejection::StaleLease)
     );
     assert_eq!(
@@ -123,42 +123,51 @@
 }
 
 #[test]
-fn errors_of_invalid_jobs_name_the_field() {
-    let read = |v: serde_json::Value| {
-        JobSpec::read(v.to_string().as_bytes()).and_then(|s| s.check().map(|_| s))
+fn an_error_about_an_invalid_job_contains_the_field() {
+    let read = |json: serde_json::Value| {
+        JobSpec::read(json.to_string().as_bytes()).and_then(|spec| spec.check().map(|_| spec))
     };
-    let one = |t: serde_json::Value| {
-        read(json!({"id": "j", "queue": "q", "tasks": [t]})).map_err(|e| e.path)
+    let path_of_error = |task: serde_json::Value| {
+        read(json!({"id": "j", "queue": "q", "tasks": [task]})).map_err(|e| e.path)
     };
     assert_eq!(
-        one(json!({"name": "a", "service": "s", "room": "big"})),
+        path_of_error(json!({"name": "a", "service": "s", "room": "big"})),
         Err("tasks[0].room".into())
     );
     assert_eq!(
-        one(json!({"name": "a", "service": "s", "room": 1, "colour": 1})),
+        path_of_error(json!({"name": "a", "service": "s", "room": 1, "colour": 1})),
         Err("tasks[0].colour".into())
     );
     assert_eq!(
-        one(json!({"name": "a", "service": "s", "room": 0})),
+        path_of_error(json!({"name": "a", "service": "s", "room": 0})),
         Err("tasks[0].room".into())
     );
     assert_eq!(
-        one(json!({"name": "a", "service": "s", "room": 1, "dependsOn": ["b"]})),
+        path_of_error(json!({"name": "a", "service": "s", "room": 1, "dependsOn": ["b"]})),
         Err("tasks[0].dependsOn".into())
     );
-    let t = |n: &str, d: &[&str], g: &str| json!({"name": n, "service": "s", "room": 1, "dependsOn": d, "gang": g});
-    let many = |of: Vec<serde_json::Value>| {
-        read(json!({"id": "j", "queue": "q", "tasks": of})).map_err(|e| e.remedy)
+    let task_json = |name: &str, depends_on: &[&str], gang: &str| json!({"name": name, "service": "s", "room": 1, "dependsOn": depends_on, "gang": gang});
+    let remedy_of_error = |tasks: Vec<serde_json::Value>| {
+        read(json!({"id": "j", "queue": "q", "tasks": tasks})).map_err(|e| e.remedy)
     };
-    assert!(many(vec![t("a", &["b"], ""), t("b", &["a"], "")]).is_err_and(|r| r.contains("circle")));
-    assert!(many(vec![t("a", &[], "g"), t("b", &["a"], "g")]).is_err_and(|r| r.contains("gang")));
-    assert!(many(vec![
-        t("a", &[], "g"),
-        t("x", &["a"], ""),
-        t("b", &["x"], "g")
+    assert!(
+        remedy_of_error(vec![task_json("a", &["b"], ""), task_json("b", &["a"], "")])
+            .is_err_and(|r| r.contains("circle"))
+    );
+    assert!(
+        remedy_of_error(vec![task_json("a", &[], "g"), task_json("b", &["a"], "g")])
+            .is_err_and(|r| r.contains("gang"))
+    );
+    assert!(remedy_of_error(vec![
+        task_json("a", &[], "g"),
+        task_json("x", &["a"], ""),
+        task_json("b", &["x"], "g")
     ])
     .is_err_and(|r| r.contains("gang")));
-    assert!(many(vec![t("a", &[], ""), t("a", &[], "")]).is_err_and(|r| r.contains("name")));
+    assert!(
+        remedy_of_error(vec![task_json("a", &[], ""), task_json("a", &[], "")])
+            .is_err_and(|r| r.contains("name"))
+    );
 }
 
 #[test]
@@ -243,7 +252,7 @@
 
 #[test]
 fn unstarted_attempts_are_stopped_on_a_worker_that_no_longer_fits() {
-    let changed = |cpu, labels: &[&str]| Command::UpdateWorker {
+    let update_worker_command = |cpu, labels: &[&str]| Command::UpdateWorker {
         info: WorkerInfo {
             worker: "w".into(),
             incarnation: 1,
@@ -267,7 +276,7 @@
         };
         fixture.accept("j", vec![needs]).expect("accepted");
         fixture.start("j", &[(0, "w")]).expect("started");
-        fixture.apply_ok(changed(cpu, &labels));
+        fixture.apply_ok(update_worker_command(cpu, &labels));
         assert_eq!(
             fixture.state.attempt(1).is_some_and(|(_, _, s)| s.stop),
             stops,
@@ -277,7 +286,7 @@
 }
 
 #[test]
-fn jobs_that_are_not_due_count_for_no_share_of_slots() {
+fn jobs_without_due_tasks_are_not_counted_as_runnable() {
     let mut fixture = StateFixture::new();
     let later = TaskSpec {
         due: fixture.at + 60_000,
--- a/landingdrift/tests/cluster_state_fixture/mod.rs
+++ b/landingdrift/tests/cluster_state_fixture/mod.rs
@@ -49,15 +49,16 @@
         fixture
     }
     /// Applies a command 10 ms after the previous one.
-    pub fn apply(&mut self, c: Command) -> ApplyResult {
+    pub fn apply(&mut self, command: Command) -> ApplyResult {
         self.last_index += 1;
         self.at += 10;
-        self.state.apply(self.last_index, self.at, &c)
+        self.state.apply(self.last_index, self.at, &command)
     }
     /// Applies a command that must be accepted.
-    pub fn apply_ok(&mut self, c: Command) -> serde_json::Value {
-        let shown = format!("{c:?}");
-        self.apply(c).unwrap_or_else(|e| panic!("{shown}: {e}"))
+    pub fn apply_ok(&mut self, command: Command) -> serde_json::Value {
+        let command_text = format!("{command:?}");
+        self.apply(command)
+            .unwrap_or_else(|e| panic!("{command_text}: {e}"))
     }
     /// Registers or updates a worker with 4 CPU in zone `z`.
     pub fn update_worker(&mut self, worker: &str, incarnation: u64, leaving: bool) {
@@ -91,20 +92,24 @@
         })
     }
     /// Starts attempts of tasks, each on a worker, under the current leases.
-    pub fn start(&mut self, job: &str, of: &[(u32, &str)]) -> ApplyResult {
-        self.start_as(job, of, 2, 1, false)
+    pub fn start(&mut self, job: &str, placements: &[(u32, &str)]) -> ApplyResult {
+        self.start_under(job, placements, 2, 1, false)
     }
-    /// Starts attempts under the given lease epochs, optionally as speculative copies.
-    pub fn start_as(
+    /// Starts speculative copies of tasks, each on a worker, under the current leases.
+    pub fn start_copy(&mut self, job: &str, placements: &[(u32, &str)]) -> ApplyResult {
+        self.start_under(job, placements, 2, 1, true)
+    }
+    /// Starts attempts under the given epochs of the queue lease and the zone lease, optionally as speculative copies.
+    pub fn start_under(
         &mut self,
         job: &str,
-        of: &[(u32, &str)],
+        placements: &[(u32, &str)],
         owner_epoch: u64,
         zone_epoch: u64,
         copy: bool,
     ) -> ApplyResult {
         let incarnation = |w: &str| self.state.workers.get(w).map_or(0, |w| w.info.incarnation);
-        let placements = of
+        let placements = placements
             .iter()
             .map(|(task, w)| Placement {
                 task: *task,
@@ -139,7 +144,7 @@
     }
 }
 
-/// A configuration with queue `q`, service `s` and zone `z`.
+/// A configuration with queue `q`, service `s` and zone `z`; tasks of the queue get at most `max_attempts` attempts.
 pub fn config(max_attempts: u32) -> serde_json::Value {
     json!({"queues": {"q": {"tries": max_attempts, "quota": 3, "windowMs": 60_000, "unsureBoundMs": 5000, "speculationPercent": 50, "defectAllowancePercent": 100}},
            "services": {"s": {"labels": ["l", "m"], "taskRoom": 4, "gangRoom": 8}}, "zones": {"z": {}}})
@@ -155,6 +160,7 @@
     }
 }
 
+/// A task that needs 3 CPU and may be repeated.
 pub fn repeatable(name: &str) -> TaskSpec {
     TaskSpec {
         may_repeat: true,
--- a/landingdrift/tests/common/mod.rs
+++ b/landingdrift/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Nodes around a single cluster state in place of replicas and a log; the test decides when and how often each
-//! proposal is committed.
+//! A test cluster: nodes, and one cluster state that stands in for the replicas and their log. The test decides when
+//! and how often each proposal is committed.
 
 use landingdrift::node::Node;
 use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-pub const CORE: &str = "10.0.0.2:1";
+pub const REPLICA: &str = "10.0.0.2:1";
 const START_MS: u64 = 1_000_000;
 
 /// A request at a node, and the proposal that the node made for it.
@@ -43,7 +43,7 @@
     }
 }
 
-/// A request that replaces the configuration, based on a version.
+/// A request that replaces the configuration, given its base version and further query parameters.
 pub fn put(base: u64, query: &str, body: &Value) -> Request {
     Request {
         method: "PUT".into(),
@@ -62,11 +62,11 @@
 }
 
 impl Cluster {
-    /// Nodes that follow a cluster state with version 1 in force, one queue and one service.
+    /// Creates nodes that follow a cluster state with version 1 in force, one queue and one service.
     pub fn new(nodes: usize) -> Self {
         let settings = |n: usize| Settings {
             listen: format!("10.0.1.{n}:1"),
-            seeds: vec![CORE.into()],
+            seeds: vec![REPLICA.into()],
             ..Settings::default()
         };
         let now = Now { mono: 1, wall: 1 };
@@ -87,7 +87,10 @@
                 "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
         };
         let at = cluster.cluster_time();
-        cluster.state.apply(1, at, &first).expect("a right one");
+        cluster
+            .state
+            .apply(1, at, &first)
+            .expect("a valid configuration");
         (0..nodes).for_each(|n| cluster.follow(n));
         cluster
     }
@@ -109,8 +112,8 @@
 
     fn follow(&mut self, node: usize) {
         let batch = WatchBatch {
-            replica: CORE.into(),
-            leader: CORE.into(),
+            replica: REPLICA.into(),
+            leader: REPLICA.into(),
             ok: true,
             sent: self.elapsed,
             quorum_age: 0,
@@ -119,7 +122,7 @@
             snapshot: self.state.pack(),
             snapshot_index: self.state.applied_index,
             entries: Vec::new(),
-            replicas: vec![CORE.into()],
+            replicas: vec![REPLICA.into()],
             light: false,
             reached: self.state.applied_index,
             incarnation: 0,
@@ -127,7 +130,7 @@
             config_index: 0,
         };
         let body = Body::WatchBatch(Box::new(batch));
-        self.step(node, Msg::Received(CORE.into(), body));
+        self.step(node, Msg::Received(REPLICA.into(), body));
     }
 
     fn step(&mut self, node: usize, msg: Msg) -> Vec<Effect> {
@@ -179,9 +182,9 @@
         }
     }
 
-    fn deliver_response(&mut self, order: &Order, answer: ProposeResponse) {
-        let body = Body::ProposeResponse(Box::new(answer));
-        self.step(order.node, Msg::Received(CORE.into(), body));
+    fn deliver_response(&mut self, order: &Order, response: ProposeResponse) {
+        let body = Body::ProposeResponse(Box::new(response));
+        self.step(order.node, Msg::Received(REPLICA.into(), body));
     }
 
     /// Delivers the result of a copy to the node; returns the response that the client gets.
@@ -190,41 +193,42 @@
         order: &Order,
         result: &ProposalResult,
     ) -> Option<ClientResponse> {
-        let answer = ProposeResponse {
+        let response = ProposeResponse {
             token: order.propose.token,
             outcome: 0,
             log_index: result.log_index,
-            leader: CORE.into(),
+            leader: REPLICA.into(),
             response: result.response.clone(),
         };
-        self.deliver_response(order, answer);
+        self.deliver_response(order, response);
         self.reply(order)
     }
 
-    /// Lets the replica that got the newest copy refuse it because it doesn't lead: the node sends another copy.
+    /// Answers the newest copy as a replica that isn't the leader, unless the copy was committed or the client already
+    /// has a response. The node then sends another copy.
     pub fn refuse_as_follower(&mut self, order: &mut Order) {
         if order.committed || self.reply(order).is_some() {
             return;
         }
-        let answer = ProposeResponse {
+        let response = ProposeResponse {
             token: order.propose.token,
             outcome: 1,
             log_index: 0,
             leader: String::new(),
             response: Vec::new(),
         };
-        self.deliver_response(order, answer);
+        self.deliver_response(order, response);
         self.advance(50);
         let sent = self.step(order.node, Msg::Tick);
-        let own = |p: &ProposeRequest| p.command == order.propose.command;
-        let again = sent.into_iter().find_map(|e| match e {
-            Effect::Send(_, Body::ProposeRequest(p)) if own(&p) => Some(*p),
+        let is_copy = |p: &ProposeRequest| p.command == order.propose.command;
+        let next_copy = sent.into_iter().find_map(|e| match e {
+            Effect::Send(_, Body::ProposeRequest(p)) if is_copy(&p) => Some(*p),
             _ => None,
         });
-        order.propose = again.unwrap_or_else(|| order.propose.clone());
+        order.propose = next_copy.unwrap_or_else(|| order.propose.clone());
     }
 
-    /// Lets time pass at all nodes while no replica responds.
+    /// Advances the time, with ticks at all nodes, while no replica responds.
     pub fn advance_without_responses(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
             self.advance(20);
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Sends a request whose proposal is committed and answered immediately.
+    /// Sends a request, commits its proposal once, and delivers the result immediately; returns the client's response.
     pub fn order(&mut self, node: usize, request: Request) -> ClientResponse {
         let mut order = self.call(node, request);
         let result = self.commit(&mut order);
--- a/landingdrift/tests/config_updates.rs
+++ b/landingdrift/tests/config_updates.rs
@@ -56,7 +56,7 @@
         Err(Rejection::OverQuota { quota: 3 })
     );
     fixture.apply_ok(Command::CancelJob { job: "k".into() });
-    // An older request with the same id, received elsewhere before the rejection, is not accepted.
+    // An older request with the same id, received by another node before the rejection, is rejected.
     assert_eq!(
         fixture.apply(Command::SubmitJob {
             spec: spec("m", 3),
@@ -143,27 +143,27 @@
 }
 
 #[test]
-fn a_queue_with_unfinished_jobs_can_not_be_removed() {
+fn a_queue_with_unfinished_jobs_is_not_removed_without_retire_queues() {
     let mut fixture = StateFixture::new();
     fixture.accept("j", vec![task("a")]).expect("accepted");
-    let without = |change: &str| Command::UpdateConfig {
+    let remove_queue = |change: &str| Command::UpdateConfig {
         change: change.into(),
         base: 1,
         patch: true,
         number: 0,
         value: json!({"queues": {"q": null}}),
     };
-    let refused = fixture.apply(without("a"));
+    let rejected = fixture.apply(remove_queue("a"));
     assert!(
-        matches!(&refused, Err(Rejection::Invalid { path, .. }) if path == "queues.q"),
-        "{refused:?}"
+        matches!(&rejected, Err(Rejection::Invalid { path, .. }) if path == "queues.q"),
+        "{rejected:?}"
     );
     fixture.apply_ok(Command::CancelJob { job: "j".into() });
-    fixture.apply_ok(without("b"));
+    fixture.apply_ok(remove_queue("b"));
 }
 
 #[test]
-fn a_lowered_maximum_of_attempts_fails_exhausted_tasks_and_stops_unstarted_attempts() {
+fn a_lowered_maximum_number_of_attempts_fails_exhausted_tasks_and_stops_unstarted_attempts() {
     let mut fixture = StateFixture::new();
     fixture.accept("idle", vec![task("a")]).expect("accepted");
     fixture
@@ -204,8 +204,8 @@
 fn two_queues_whose_hosts_differ_only_in_spelling_are_rejected() {
     for other in ["HOST.example", "host.example:80", "Host.Example:8080"] {
         let read = landingdrift::config::read(&two_queues(["host.example", other]));
-        let refused = read.expect_err(other);
-        assert_eq!(refused.path(), "queues.other.prefix", "{other}");
+        let rejected = read.expect_err(other);
+        assert_eq!(rejected.path(), "queues.other.prefix", "{other}");
     }
     let read = landingdrift::config::read(&two_queues(["host.example", "host.example.org"]));
     read.expect("two different hosts");
--- a/landingdrift/tests/gang_claims.rs
+++ b/landingdrift/tests/gang_claims.rs
@@ -23,9 +23,9 @@
     }
 }
 
-/// A worker with 4 CPU on which a job with `cpu` runs, a gang that has been waiting for all of the worker, and a small
-/// job.
-fn gang_waiting_beside(running: StepSpec, cpu: u32) -> NodeHarness {
+/// A harness whose worker has 4 CPU: one job that needs `cpu` runs on it, a gang that needs all 4 has been waiting for
+/// it, and a small job was just submitted.
+fn harness_with_waiting_gang(running: StepSpec, cpu: u32) -> NodeHarness {
     let mut harness = NodeHarness::new();
     harness.accept_single("running", running, cpu);
     harness.append_start("running");
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn a_gang_does_not_claim_a_worker_that_a_long_running_task_keeps_too_full_for_it() {
-    let mut harness = gang_waiting_beside(long_running(), 1);
+fn a_gang_does_not_claim_a_worker_that_can_not_become_free_enough() {
+    let mut harness = harness_with_waiting_gang(long_running(), 1);
     assert_eq!(harness.pass_time(3000, &["running"]), ["small"]);
 }
 
-/// Guards against LOST: a job had nothing running for 3 s because a gang claimed a worker that was busy for minutes.
-/// The gang has priority only for a part of these 3 s.
+/// Regression test for a violation of the rule LOST in RULES.md: a job had no running attempt for 3 s because a gang
+/// claimed a worker that was busy for minutes. The gang may have priority only for a part of these 3 s.
 #[test]
-fn a_claim_keeps_no_spare_capacity_from_a_job_with_nothing_running() {
-    let mut harness = gang_waiting_beside(StepSpec::default(), 1);
+fn an_idle_job_starts_despite_a_claim_when_there_is_spare_capacity() {
+    let mut harness = harness_with_waiting_gang(StepSpec::default(), 1);
     assert_eq!(
         harness.pass_time(1000, &["running"]),
         Vec::<String>::new(),
@@ -57,9 +57,9 @@
     assert_eq!(harness.pass_time(2000, &["running"]), ["small"]);
 }
 
-/// RULES.md, LOST, allows the wait: it counts while "less than half of the service's room is in use".
+/// The job may wait: the rule LOST in RULES.md applies only while "less than half of the service's room is in use".
 #[test]
-fn a_claim_applies_to_idle_jobs_while_the_service_has_no_spare_capacity() {
-    let mut harness = gang_waiting_beside(StepSpec::default(), 3);
+fn a_claim_blocks_idle_jobs_without_spare_capacity() {
+    let mut harness = harness_with_waiting_gang(StepSpec::default(), 3);
     assert_eq!(harness.pass_time(4000, &["running"]), Vec::<String>::new());
 }
--- a/landingdrift/tests/job_memory.rs
+++ b/landingdrift/tests/job_memory.rs
@@ -39,63 +39,72 @@
 }
 
 /// Submits a job to the leader; returns the outcome of the proposal.
-fn submit(cores: &mut TestCluster, spec: JobSpec) -> u8 {
-    let leader = cores.leader().expect("somebody leads");
-    let seen = cores.replica(leader).state().applied_index;
+fn submit(cluster: &mut TestCluster, spec: JobSpec) -> u8 {
+    let leader = cluster.leader().expect("a leader");
+    let seen = cluster.replica(leader).state().applied_index;
     let command = Command::SubmitJob {
         spec,
         hash: 1,
         seen,
     };
-    let token = cores.propose_command(leader, &command);
-    assert!(cores.run_until(2000, |cores| cores.proposal_response(token).is_some()));
-    cores.proposal_response(token).expect("an answer").outcome
+    let token = cluster.propose_command(leader, &command);
+    assert!(cluster.run_until(2000, |cluster| cluster.proposal_response(token).is_some()));
+    cluster
+        .proposal_response(token)
+        .expect("a response")
+        .outcome
 }
 
-fn cores_with_memory() -> TestCluster {
-    cores_with_a_queue(Limits {
+fn cluster_with_memory_limit() -> TestCluster {
+    cluster_with_queue(Limits {
         jobs_memory_bytes: MEMORY_BYTES,
         ..Limits::default()
     })
 }
 
-fn cores_with_a_queue(limits: Limits) -> TestCluster {
-    let mut cores = TestCluster::start(limits);
-    let leader = cores.leader().expect("somebody leads");
+fn cluster_with_queue(limits: Limits) -> TestCluster {
+    let mut cluster = TestCluster::start(limits);
+    let leader = cluster.leader().expect("a leader");
     let command = Command::UpdateConfig {
         change: "c".into(),
-        base: cores.version(leader),
+        base: cluster.version(leader),
         patch: true,
         number: 0,
         value: json!({"queues": {"q": {"tries": 3, "quota": 100_000, "windowMs": 1000, "unsureBoundMs": 1000, "speculationPercent": 0}},
             "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
     };
-    let token = cores.propose_command(leader, &command);
-    assert!(cores.run_until(2000, |cores| cores.is_confirmed(token)));
-    cores
+    let token = cluster.propose_command(leader, &command);
+    assert!(cluster.run_until(2000, |cluster| cluster.is_confirmed(token)));
+    cluster
 }
 
 #[test]
 fn recurring_jobs_do_not_exceed_the_memory_limit() {
-    let mut cores = cores_with_memory();
+    let mut cluster = cluster_with_memory_limit();
     let outcomes: Vec<u8> = (0..120)
-        .map(|number| submit(&mut cores, recurring(&format!("r{number}"), 1440)))
+        .map(|number| submit(&mut cluster, recurring(&format!("r{number}"), 1440)))
         .collect();
-    let leader = cores.leader().expect("somebody leads");
-    let bytes = cores.replica(leader).state().job_bytes();
+    let leader = cluster.leader().expect("a leader");
+    let bytes = cluster.replica(leader).state().job_bytes();
     assert!(bytes <= MEMORY_BYTES, "{bytes} bytes of {MEMORY_BYTES}");
     assert_eq!(outcomes[0], PROPOSAL_APPLIED);
     assert_eq!(outcomes[119], PROPOSAL_NO_CAPACITY);
-    assert!(cores.counter(leader, "jobs_without_capacity") > 0);
+    assert!(cluster.counter(leader, "jobs_without_capacity") > 0);
     // A retry of an accepted job is still acknowledged, and a small job still fits.
-    assert_eq!(submit(&mut cores, recurring("r0", 1440)), PROPOSAL_APPLIED);
-    assert_eq!(submit(&mut cores, recurring("small", 1)), PROPOSAL_APPLIED);
+    assert_eq!(
+        submit(&mut cluster, recurring("r0", 1440)),
+        PROPOSAL_APPLIED
+    );
+    assert_eq!(
+        submit(&mut cluster, recurring("small", 1)),
+        PROPOSAL_APPLIED
+    );
 }
 
 #[test]
 fn uncommitted_jobs_count_towards_the_memory_limit() {
-    let mut cores = cores_with_memory();
-    let leader = cores.leader().expect("somebody leads");
+    let mut cluster = cluster_with_memory_limit();
+    let leader = cluster.leader().expect("a leader");
     let tokens: Vec<u64> = (0..120)
         .map(|number| {
             let command = Command::SubmitJob {
@@ -103,13 +112,13 @@
                 hash: 1,
                 seen: 0,
             };
-            cores.propose_command(leader, &command)
+            cluster.propose_command(leader, &command)
         })
         .collect();
     let last = *tokens.last().expect("a token");
-    assert!(cores.run_until(2000, |cores| cores.proposal_response(last).is_some()));
-    cores.run(1000);
-    let bytes = cores.replica(leader).state().job_bytes();
+    assert!(cluster.run_until(2000, |cluster| cluster.proposal_response(last).is_some()));
+    cluster.run(1000);
+    let bytes = cluster.replica(leader).state().job_bytes();
     assert!(bytes <= MEMORY_BYTES, "{bytes} bytes of {MEMORY_BYTES}");
 }
 
@@ -129,36 +138,36 @@
 /// Guards against refusing all jobs that are due now because jobs that are due later have filled the memory.
 #[test]
 fn jobs_that_are_due_later_leave_memory_for_those_that_are_due_now() {
-    let mut cores = cores_with_a_queue(Limits {
+    let mut cluster = cluster_with_queue(Limits {
         jobs_memory_bytes: 1 << 20,
         ..Limits::default()
     });
     let later: Vec<u8> = (0..200)
-        .map(|number| submit(&mut cores, single(&format!("later{number}"), LATER)))
+        .map(|number| submit(&mut cluster, single(&format!("later{number}"), LATER)))
         .collect();
     assert_eq!(later[0], PROPOSAL_APPLIED);
     assert_eq!(*later.last().expect("an outcome"), PROPOSAL_NO_CAPACITY);
     for number in 0..20 {
-        let outcome = submit(&mut cores, single(&format!("now{number}"), 0));
+        let outcome = submit(&mut cluster, single(&format!("now{number}"), 0));
         assert_eq!(outcome, PROPOSAL_APPLIED, "job {number} is due now");
     }
 }
 
-/// The same for the number of jobs, where they are small. PROTOCOL.md, Jobs, allows the refusals: "A 429 or 503 means
-/// it was not taken and will never run".
+/// The limit on the number of unfinished jobs also leaves room for jobs that are due now. The protocol permits the
+/// refusals (PROTOCOL.md, section Jobs): "A 429 or 503 means it was not taken and will never run".
 #[test]
-fn jobs_due_later_leave_capacity_for_jobs_due_now() {
-    let mut cores = cores_with_a_queue(Limits {
+fn jobs_due_later_leave_capacity_within_the_limit_on_unfinished_jobs() {
+    let mut cluster = cluster_with_queue(Limits {
         open_jobs: 20,
         ..Limits::default()
     });
     let later: Vec<u8> = (0..20)
-        .map(|number| submit(&mut cores, single(&format!("later{number}"), LATER)))
+        .map(|number| submit(&mut cluster, single(&format!("later{number}"), LATER)))
         .collect();
     let accepted = later.iter().filter(|outcome| **outcome == PROPOSAL_APPLIED);
     assert_eq!(accepted.count(), 10);
     for number in 0..10 {
-        let outcome = submit(&mut cores, single(&format!("now{number}"), 0));
+        let outcome = submit(&mut cluster, single(&format!("now{number}"), 0));
         assert_eq!(outcome, PROPOSAL_APPLIED, "job {number} is due now");
     }
 }
@@ -167,8 +176,8 @@
 fn the_memory_bound_of_a_job_covers_its_tasks() {
     let spec = recurring("r", 1440);
     let job = Job::new(spec.clone(), Vec::new());
-    let in_tasks = job.tasks.capacity() * std::mem::size_of_val(&job.tasks[0]);
-    assert!(spec.memory_bytes() > in_tasks as u64);
+    let task_table_bytes = job.tasks.capacity() * std::mem::size_of_val(&job.tasks[0]);
+    assert!(spec.memory_bytes() > task_table_bytes as u64);
     assert_eq!(job.memory_bytes(), spec.memory_bytes());
 }
 
@@ -191,8 +200,8 @@
     })
 }
 
-/// Lets the leader refuse a proposal for lack of capacity; returns the node's response to the client.
-fn no_capacity(harness: &mut NodeHarness, request: &ProposeRequest) -> Option<Response> {
+/// Delivers a refusal for lack of capacity to the node; returns the node's response to the client.
+fn respond_no_capacity(harness: &mut NodeHarness, request: &ProposeRequest) -> Option<Response> {
     let response = ProposeResponse {
         token: request.token,
         outcome: PROPOSAL_NO_CAPACITY,
@@ -210,18 +219,18 @@
 }
 
 #[test]
-fn a_job_without_capacity_is_answered_with_a_retry_hint() {
+fn a_submission_refused_for_lack_of_capacity_gets_a_retry_hint() {
     let mut harness = NodeHarness::new();
     harness.follow();
     let request = submit_at_node(&mut harness);
-    let response = no_capacity(&mut harness, &request).expect("an answer");
+    let response = respond_no_capacity(&mut harness, &request).expect("a response");
     assert_eq!(response.status, 503);
     assert!(response.retry_ms > 0);
     assert_eq!(response.body["error"], "full");
 }
 
 #[test]
-fn a_job_whose_earlier_copy_may_be_in_the_log_is_not_rejected() {
+fn a_refused_retry_is_not_answered_while_an_earlier_copy_may_be_in_the_log() {
     let mut harness = NodeHarness::new();
     harness.follow();
     submit_at_node(&mut harness);
@@ -233,5 +242,5 @@
             break request;
         }
     };
-    assert_eq!(no_capacity(&mut harness, &second), None);
+    assert_eq!(respond_no_capacity(&mut harness, &second), None);
 }
--- a/landingdrift/tests/orders.rs
+++ b/landingdrift/tests/orders.rs
@@ -29,12 +29,12 @@
 #[test]
 fn a_late_copy_of_a_zone_order_does_not_undo_the_opposite_order() {
     let mut cluster = Cluster::new(1);
-    let mut begin = cluster.call(0, evacuation("PUT"));
-    let first = cluster.commit(&mut begin);
-    let mut finish = cluster.call(0, evacuation("DELETE"));
-    cluster.commit(&mut finish);
+    let mut evacuate = cluster.call(0, evacuation("PUT"));
+    let first = cluster.commit(&mut evacuate);
+    let mut end_evacuation = cluster.call(0, evacuation("DELETE"));
+    cluster.commit(&mut end_evacuation);
     assert!(cluster.state.evacuated_zones.is_empty());
-    let second = cluster.commit(&mut begin);
+    let second = cluster.commit(&mut evacuate);
     assert!(
         cluster.state.evacuated_zones.is_empty(),
         "the late copy evacuated the zone"
@@ -48,19 +48,19 @@
 #[test]
 fn an_order_committed_after_its_deadline_has_no_effect() {
     let mut cluster = Cluster::new(1);
-    let mut begin = cluster.call(0, evacuation("PUT"));
+    let mut evacuate = cluster.call(0, evacuation("PUT"));
     cluster.advance(60_000);
-    let late = cluster.commit(&mut begin);
+    let late = cluster.commit(&mut evacuate);
     assert!(
         cluster.state.evacuated_zones.is_empty(),
         "the late order took effect"
     );
-    let reply = cluster.deliver_result(&begin, &late).expect("answered");
+    let reply = cluster.deliver_result(&evacuate, &late).expect("answered");
     assert_eq!((reply.status, reply.kind()), (503, "unsure"));
 }
 
 #[test]
-fn a_late_copy_of_a_rejected_cancel_does_not_cancel_a_new_job_with_the_same_id() {
+fn a_late_copy_of_a_rejected_cancellation_does_not_cancel_a_new_job_with_the_same_id() {
     let mut cluster = Cluster::new(1);
     let cancel = Request {
         method: "DELETE".into(),
@@ -90,13 +90,13 @@
 fn a_late_copy_of_a_rejected_change_stays_rejected_when_its_base_becomes_current() {
     let mut cluster = Cluster::new(2);
     let mut early = cluster.call(0, put(2, "", &json!({"notes": {"by": "a"}})));
-    let refused = cluster.commit(&mut early);
-    let reply = cluster.deliver_result(&early, &refused).expect("answered");
+    let rejected = cluster.commit(&mut early);
+    let reply = cluster.deliver_result(&early, &rejected).expect("answered");
     assert_eq!((reply.status, reply.kind()), (409, "rival"));
     cluster.order(1, put(1, "", &json!({"notes": {"by": "b"}})));
     assert_eq!(cluster.state.version, 2);
     let late = cluster.commit(&mut early);
-    assert_eq!(late.response, refused.response);
+    assert_eq!(late.response, rejected.response);
     assert_eq!(
         (
             cluster.state.version,
@@ -109,13 +109,15 @@
 #[test]
 fn a_change_whose_response_was_lost_is_acknowledged_after_another_change() {
     let mut cluster = Cluster::new(2);
-    let mut mine = cluster.call(0, put(1, "", &json!({"notes": {"by": "a"}})));
-    let taken = cluster.commit(&mut mine);
+    let mut first_change = cluster.call(0, put(1, "", &json!({"notes": {"by": "a"}})));
+    let committed = cluster.commit(&mut first_change);
     let mut other = cluster.call(1, put(2, "", &json!({"notes": {"by": "b"}})));
     cluster.commit(&mut other);
-    let again = cluster.commit(&mut mine);
-    assert_eq!(again.response, taken.response);
-    let reply = cluster.deliver_result(&mine, &again).expect("answered");
+    let repeated = cluster.commit(&mut first_change);
+    assert_eq!(repeated.response, committed.response);
+    let reply = cluster
+        .deliver_result(&first_change, &repeated)
+        .expect("answered");
     assert_eq!((reply.status, reply.version()), (200, 2));
 }
 
@@ -128,8 +130,8 @@
         let reply = cluster.order(1, change(2 + n, &format!("o{n}"), "b"));
         assert_eq!(reply.status, 200);
     }
-    let again = cluster.order(1, change(1, "mine", "a"));
-    assert_eq!((again.status, again.version()), (200, 2));
+    let repeated = cluster.order(1, change(1, "mine", "a"));
+    assert_eq!((repeated.status, repeated.version()), (200, 2));
 }
 
 #[test]
@@ -137,12 +139,12 @@
     let mut cluster = Cluster::new(1);
     cluster.order(0, change(1, "mine", "a"));
     cluster.advance(30 * DAY_MS);
-    let again = cluster.order(0, change(1, "mine", "a"));
-    assert_eq!((again.status, again.version()), (200, 2));
+    let repeated = cluster.order(0, change(1, "mine", "a"));
+    assert_eq!((repeated.status, repeated.version()), (200, 2));
 }
 
 #[test]
-fn a_thousand_changes_a_day_are_remembered_for_a_day_in_little_space() {
+fn a_day_of_1000_changes_is_remembered_in_less_than_200_kb() {
     let mut cluster = Cluster::new(1);
     let before = cluster.state.pack().len();
     for n in 0..3000 {
@@ -151,12 +153,15 @@
         cluster.order(0, change(1 + n, &format!("v{n}-{n}-{digest}"), "a"));
     }
     let kept = cluster.state.changes.len();
-    assert!((1000..=1001).contains(&kept), "{kept} changes are kept");
-    let grown = cluster.state.pack().len() - before;
-    assert!(grown < 200_000, "{grown} bytes for a day's changes");
+    assert!(
+        (1000..=1001).contains(&kept),
+        "{kept} changes are remembered"
+    );
+    let growth = cluster.state.pack().len() - before;
+    assert!(growth < 200_000, "{growth} bytes for a day's changes");
 }
 
-/// Eight operators submit conflicting changes at three nodes; returns the cluster and the responses.
+/// Lets eight operators submit conflicting changes at three nodes; returns the cluster and the responses.
 fn race(seed: u64) -> (Cluster, Vec<Option<ClientResponse>>) {
     let mut cluster = Cluster::new(3);
     let mut rng = landingdrift::sans_io::Rng::new(seed);
@@ -166,7 +171,8 @@
             cluster.call(rng.below(3) as usize, put(1, "version=7", &by))
         })
         .collect();
-    // Copies are committed in random order, some repeatedly; some responses are lost, and some replicas no longer lead.
+    // Copies are committed in random order, some repeatedly; some responses are lost, and some copies go to a replica
+    // that isn't the leader.
     for _ in 0..40 {
         let n = rng.below(8) as usize;
         cluster.advance(rng.below(20));
@@ -195,13 +201,16 @@
         for (n, reply) in replies.iter().enumerate() {
             let reply = reply.as_ref().expect("every call is answered");
             let won = n.to_string() == winner;
-            let right = match reply.status {
+            let is_consistent = match reply.status {
                 200 => won && reply.version() == 7,
                 409 => !won,
                 503 => reply.kind() == "unsure" || reply.kind() == "noCore" && !won,
                 _ => false,
             };
-            assert!(right, "seed {seed}: {n} got {reply:?}, {winner} won");
+            assert!(
+                is_consistent,
+                "seed {seed}: {n} got {reply:?}, {winner} won"
+            );
         }
     }
 }
--- a/landingdrift/tests/probation.rs
+++ b/landingdrift/tests/probation.rs
@@ -1,4 +1,4 @@
-//! Workers on probation get tasks that end even beside long-running ones, and probation does not starve idle jobs.
+//! A worker on probation gets finite tasks in addition to long-running ones, and probation does not starve idle jobs.
 
 mod cluster_state_fixture;
 mod node_harness;
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn a_worker_on_probation_gets_work_beside_a_long_running_task() {
+fn a_worker_on_probation_gets_a_finite_task_in_addition_to_a_long_running_one() {
     let mut fixture = on_probation();
     fixture
         .accept("j", vec![small("a"), small("b")])
         .expect("accepted");
-    fixture.start("j", &[(0, "w")]).expect("one task that ends");
+    fixture.start("j", &[(0, "w")]).expect("one finite task");
     let second = fixture.start("j", &[(1, "w")]);
     assert!(
         matches!(second, Err(Rejection::UnsuitableWorker { .. })),
@@ -55,9 +55,9 @@
     );
 }
 
-/// Guards against LOST: of several jobs with one long-running task each, only the first ever started on a worker on
-/// probation. Until the job is idle too long the limit holds, which RULES.md, LOST, allows: it counts "for 3 s, a job
-/// has nothing running".
+/// Regression test: of several jobs with one long-running task each, only the first ever started on a worker on
+/// probation. Until a job has been idle for too long, the limit of one attempt applies. The rule LOST in RULES.md
+/// permits that, since it is violated only when "for 3 s, a job has nothing running".
 #[test]
 fn a_worker_on_probation_gets_a_second_long_running_task_once_its_job_is_idle_too_long() {
     let mut fixture = on_probation();
@@ -75,12 +75,13 @@
         .expect("the job has been idle for too long");
 }
 
-/// RULES.md, LOST, allows the final rejection: it counts while "a job has nothing running".
+/// The rule LOST in RULES.md permits the final rejection: it applies only while "a job has nothing running", and the
+/// job then has a running attempt.
 #[test]
-fn a_worker_on_probation_gets_work_of_an_idle_job_beside_a_task_that_ends() {
+fn a_worker_on_probation_gets_a_second_finite_task_of_an_idle_job() {
     let mut fixture = on_probation();
     fixture.accept("j", vec![small("a")]).expect("accepted");
-    fixture.start("j", &[(0, "w")]).expect("one task that ends");
+    fixture.start("j", &[(0, "w")]).expect("one finite task");
     fixture
         .accept("k", vec![small("a"), small("b")])
         .expect("accepted");
@@ -95,26 +96,26 @@
     );
 }
 
-/// RULES.md, LOST, allows the wait: it counts while "less than half of the service's room is in use".
+/// The job may wait: the rule LOST in RULES.md applies only while "less than half of the service's room is in use".
 #[test]
 fn a_worker_on_probation_gets_one_task_at_a_time_while_the_service_has_no_spare_capacity() {
     let mut fixture = on_probation();
-    let wide = TaskSpec {
+    let large = TaskSpec {
         cpu: 4,
         ..task("b")
     };
     fixture
-        .accept("j", vec![small("a"), wide])
+        .accept("j", vec![small("a"), large])
         .expect("accepted");
     fixture
         .start("j", &[(0, "w"), (1, "v")])
-        .expect("one task that ends, and one on another worker");
+        .expect("one finite task, and one on another worker");
     fixture.accept("k", vec![small("a")]).expect("accepted");
     fixture.at += 10 * MAX_IDLE_MS;
-    let beside = fixture.start("k", &[(0, "w")]);
+    let additional = fixture.start("k", &[(0, "w")]);
     assert!(
-        matches!(beside, Err(Rejection::UnsuitableWorker { .. })),
-        "six of eight CPU are in use: {beside:?}"
+        matches!(additional, Err(Rejection::UnsuitableWorker { .. })),
+        "six of eight CPU are in use: {additional:?}"
     );
 }
 
@@ -141,7 +142,7 @@
     }
 }
 
-/// Guards against LOST: the node itself must offer and propose the idle job's start within the 3 s of the rule.
+/// The node must offer the worker and propose the start within the 3 s of the rule LOST in RULES.md.
 #[test]
 fn a_job_idle_too_long_is_offered_a_worker_on_probation() {
     let cases = [
--- a/landingdrift/tests/stored/history.rs
+++ b/landingdrift/tests/stored/history.rs
@@ -1,4 +1,5 @@
-//! The log entries of a small cluster, with every kind of command. They leave no collection of the cluster state empty.
+//! The log entries of a small cluster, with every kind of command. Together they fill every collection
+//! of the cluster state.
 
 use landingdrift::state::{
     ClusterState, Command, EndReport, JobSpec, Order, Outcome, Placement, ProposalId,
@@ -27,21 +28,22 @@
 }
 
 impl History {
-    /// Builds the whole history. Every entry is accepted, except those that are meant to be rejected.
-    pub fn whole() -> Self {
+    /// Builds the history. One job submission is rejected because its queue has reached its quota; all other entries are
+    /// accepted.
+    pub fn build() -> Self {
         let mut history = Self {
             entries: Vec::new(),
             state: ClusterState::new("stored"),
         };
-        history.members();
-        history.leases_and_configuration();
-        history.workers();
-        history.job_with_tombstone();
-        history.job_of_steps();
-        history.running_jobs();
-        history.lost_worker();
-        history.retired_queue();
-        history.orders();
+        history.add_members();
+        history.add_leases_and_configuration();
+        history.add_workers();
+        history.add_job_with_tombstone();
+        history.add_job_of_steps();
+        history.add_running_jobs();
+        history.add_lost_worker();
+        history.add_retired_queue();
+        history.add_orders();
         history
     }
 
@@ -57,9 +59,9 @@
         accepted
     }
 
-    fn accepted(&mut self, command: Command) {
-        let shown = format!("{command:?}");
-        assert!(self.apply(command), "rejected: {shown}");
+    fn apply_ok(&mut self, command: Command) {
+        let command_text = format!("{command:?}");
+        assert!(self.apply(command), "rejected: {command_text}");
     }
 
     fn order(&mut self, number: u64, action: Command) {
@@ -68,14 +70,14 @@
             incarnation: 5,
             number,
         };
-        self.accepted(Command::Order(Order {
+        self.apply_ok(Command::Order(Order {
             action: Box::new(action),
             proposal,
             deadline: DEADLINE_MS,
         }));
     }
 
-    fn members(&mut self) {
+    fn add_members(&mut self) {
         let member = |disk: u64, voter: bool| ReplicaMember {
             voter,
             disk,
@@ -83,37 +85,38 @@
             standby_only: !voter,
         };
         let replica = |disk: u64| format!("10.0.0.{disk}:7000");
-        self.accepted(Command::TermStarted { leader: replica(1) });
+        self.apply_ok(Command::TermStarted { leader: replica(1) });
         let replicas = (1..=3).map(|disk| (replica(disk), member(disk, true)));
-        self.accepted(Command::FoundCluster {
+        self.apply_ok(Command::FoundCluster {
             replicas: replicas.collect(),
         });
         for disk in [4, 5] {
-            self.accepted(Command::UpdateReplica {
+            self.apply_ok(Command::UpdateReplica {
                 replica: replica(disk),
                 member: member(disk, false),
             });
         }
-        self.accepted(Command::RemoveReplica {
+        self.apply_ok(Command::RemoveReplica {
             replica: replica(5),
             disk: 5,
         });
         for (node, zone) in [("10.0.1.1:7000", "z1"), ("10.0.1.2:7000", "z2")] {
-            self.accepted(Command::RegisterNode {
+            self.apply_ok(Command::RegisterNode {
                 node: node.into(),
                 zone: zone.into(),
                 http: node.replace(":7000", ":8000"),
             });
         }
-        self.accepted(Command::MarkNodeGone {
+        self.apply_ok(Command::MarkNodeGone {
             node: "10.0.1.2:7000".into(),
         });
     }
 
-    /// Epoch 1 is the zone scheduler of z1, 2 that of z2, 3 the queue `fast`, 4 the queue `old`.
-    fn leases_and_configuration(&mut self) {
+    /// Grants the leases, with epoch 1 for zone z1, 2 for zone z2, 3 for queue `fast` and 4 for queue `old`; then sets the
+    /// configuration.
+    fn add_leases_and_configuration(&mut self) {
         for lease in ["cell/z1", "cell/z2", "queue/fast", "queue/old"] {
-            self.accepted(Command::GrantLease {
+            self.apply_ok(Command::GrantLease {
                 lease: lease.into(),
                 holder: "10.0.1.1:7000".into(),
                 from_epoch: 0,
@@ -144,7 +147,7 @@
         );
     }
 
-    fn workers(&mut self) {
+    fn add_workers(&mut self) {
         for (worker, zone, zone_epoch) in [("w1", "z1", 1), ("w2", "z1", 1), ("w3", "z2", 2)] {
             let info = WorkerInfo {
                 worker: worker.into(),
@@ -159,7 +162,7 @@
                 address: format!("{worker}.example:9000"),
                 leaving: false,
             };
-            self.accepted(Command::UpdateWorker { info, zone_epoch });
+            self.apply_ok(Command::UpdateWorker { info, zone_epoch });
         }
     }
 
@@ -176,7 +179,7 @@
             zone_epoch: if worker == "w3" { 2 } else { 1 },
             copy: false,
         });
-        self.accepted(Command::StartAttempts {
+        self.apply_ok(Command::StartAttempts {
             job: job.into(),
             owner_epoch,
             placements: placements.collect(),
@@ -184,7 +187,7 @@
     }
 
     fn report(&mut self, worker: &str, running: &[u64], ends: Vec<EndReport>) {
-        self.accepted(Command::ReportAttempts {
+        self.apply_ok(Command::ReportAttempts {
             worker: worker.into(),
             incarnation: 11,
             running: running.to_vec(),
@@ -192,17 +195,17 @@
         });
     }
 
-    fn job_with_tombstone(&mut self) {
+    fn add_job_with_tombstone(&mut self) {
         assert!(self.accept(job("forgotten", "fast", vec![task("a")]), 101));
         self.start("forgotten", 3, &[0], "w1");
         self.report("w1", &[], vec![end(1, Outcome::Succeeded, 40)]);
-        self.accepted(Command::CollectGarbage {
+        self.apply_ok(Command::CollectGarbage {
             retain_ms: 0,
             identity_ms: 3_600_000,
         });
     }
 
-    fn job_of_steps(&mut self) {
+    fn add_job_of_steps(&mut self) {
         let one = TaskSpec {
             name: String::new(),
             ..task("")
@@ -230,8 +233,8 @@
         self.report("w2", &[3, 4], Vec::new());
     }
 
-    /// Attempts 5 (succeeded), 6 (asked to stop while it runs) and 7 (expired).
-    fn running_jobs(&mut self) {
+    /// Adds two jobs whose attempts are 5 (succeeded), 6 (running, asked to stop) and 7 (expired).
+    fn add_running_jobs(&mut self) {
         assert!(self.accept(job("done", "fast", vec![task("a")]), 103));
         self.start("done", 3, &[0], "w1");
         self.report("w1", &[5], vec![end(5, Outcome::Succeeded, 80)]);
@@ -244,13 +247,13 @@
         self.start("running", 3, &[0], "w1");
         self.start("running", 3, &[2], "w1");
         self.report("w1", &[6, 7], Vec::new());
-        self.accepted(Command::RescheduleAttempts {
+        self.apply_ok(Command::RescheduleAttempts {
             worker: "w1".into(),
             zone_epoch: 1,
             attempts: vec![6],
             blame: true,
         });
-        self.accepted(Command::ExpireAttempts {
+        self.apply_ok(Command::ExpireAttempts {
             worker: "w1".into(),
             incarnation: 11,
             zone_epoch: 1,
@@ -268,12 +271,13 @@
         self.report("w1", &[], vec![named]);
     }
 
-    /// Attempt 8 has an unknown outcome; that of attempt 9 was unknown until the operator resolved it.
-    fn lost_worker(&mut self) {
+    /// Adds a job on a worker that is then lost: the outcome of attempt 8 stays unknown, that of attempt 9 is resolved by
+    /// the operator.
+    fn add_lost_worker(&mut self) {
         assert!(self.accept(job("unsure", "fast", vec![task("a"), task("b")]), 105));
         self.start("unsure", 3, &[0], "w3");
         self.start("unsure", 3, &[1], "w3");
-        self.accepted(Command::MarkWorkerLost {
+        self.apply_ok(Command::MarkWorkerLost {
             worker: "w3".into(),
             incarnation: 11,
             zone_epoch: 2,
@@ -288,7 +292,7 @@
         );
     }
 
-    fn retired_queue(&mut self) {
+    fn add_retired_queue(&mut self) {
         let plain = || TaskSpec {
             service: "t".into(),
             cpu: 1,
@@ -298,7 +302,7 @@
         assert!(self.accept(job("last", "old", vec![plain()]), 106));
         let over_quota = self.accept(job("turned-away", "old", vec![plain()]), 107);
         assert!(!over_quota, "the queue's quota is one job");
-        self.accepted(Command::UpdateConfig {
+        self.apply_ok(Command::UpdateConfig {
             change: "second".into(),
             base: 7,
             patch: true,
@@ -307,7 +311,7 @@
         });
     }
 
-    fn orders(&mut self) {
+    fn add_orders(&mut self) {
         self.order(
             3,
             Command::SetEvacuation {
--- a/landingdrift/tests/stored/messages.rs
+++ b/landingdrift/tests/stored/messages.rs
@@ -1,4 +1,5 @@
-//! One wire message of each kind, with different values in all numeric fields of a message.
+//! One wire message of each kind, with distinct values in the numeric fields of a message, except those added
+//! later, which are 0.
 
 use landingdrift::wire::{
     AppendRequest, AppendResponse, Body, DurabilityWitness, Entry, ForwardRequest, ForwardResponse,
@@ -99,7 +100,7 @@
         last_term: 3,
         disk: 4,
     };
-    let answer = VoteResponse {
+    let vote_response = VoteResponse {
         pre: false,
         term: 1,
         granted: true,
@@ -113,7 +114,7 @@
     vec![
         Body::Hello(Box::new(hello)),
         Body::VoteRequest(Box::new(vote)),
-        Body::VoteResponse(Box::new(answer)),
+        Body::VoteResponse(Box::new(vote_response)),
         Body::TransferLeadership(Box::new(TransferLeadership { term: 9 })),
         Body::JoinCluster(Box::new(join)),
     ]
@@ -131,7 +132,7 @@
         clock: 7,
         may_leave: true,
     };
-    let appended = AppendResponse {
+    let append_response = AppendResponse {
         term: 1,
         ok: true,
         matched: 2,
@@ -153,7 +154,7 @@
         total: 8,
         checksum: 9,
     };
-    let installed = InstallSnapshotResponse {
+    let install_response = InstallSnapshotResponse {
         term: 1,
         index: 2,
         index_term: 3,
@@ -163,9 +164,9 @@
     };
     vec![
         Body::AppendRequest(Box::new(append)),
-        Body::AppendResponse(Box::new(appended)),
+        Body::AppendResponse(Box::new(append_response)),
         Body::InstallSnapshot(Box::new(install)),
-        Body::InstallSnapshotResponse(Box::new(installed)),
+        Body::InstallSnapshotResponse(Box::new(install_response)),
     ]
 }
 
@@ -243,14 +244,14 @@
         token: token(),
         command: vec![1, 2],
     };
-    let proposed = ProposeResponse {
+    let propose_response = ProposeResponse {
         token: token(),
         outcome: 1,
         log_index: 2,
         leader: "l".into(),
         response: vec![3],
     };
-    let log_index = ReadIndexResponse {
+    let read_index_response = ReadIndexResponse {
         token: token(),
         ok: true,
         log_index: 1,
@@ -269,7 +270,7 @@
         query: "q=1".into(),
         body: vec![1],
     };
-    let forwarded = ForwardResponse {
+    let forward_response = ForwardResponse {
         token: token(),
         status: 200,
         retry_ms: 1,
@@ -279,11 +280,11 @@
     };
     vec![
         Body::ProposeRequest(Box::new(propose)),
-        Body::ProposeResponse(Box::new(proposed)),
+        Body::ProposeResponse(Box::new(propose_response)),
         Body::ReadIndexRequest(Box::new(ReadIndexRequest { token: token() })),
-        Body::ReadIndexResponse(Box::new(log_index)),
+        Body::ReadIndexResponse(Box::new(read_index_response)),
         Body::ForwardRequest(Box::new(forward)),
-        Body::ForwardResponse(Box::new(forwarded)),
+        Body::ForwardResponse(Box::new(forward_response)),
     ]
 }
 
@@ -318,7 +319,7 @@
         accelerators: 5,
         refusable: true,
     };
-    let answer = OfferResponse {
+    let offer_response = OfferResponse {
         token: token(),
         worker: "w".into(),
         accepted: true,
@@ -328,7 +329,7 @@
         gone: false,
         sizes: vec![sizes],
     };
-    let done = OfferOutcome {
+    let outcome = OfferOutcome {
         token: token(),
         worker: "w".into(),
         placed: true,
@@ -338,7 +339,7 @@
             reservations: vec![reservation],
         })),
         Body::Offer(Box::new(offer)),
-        Body::OfferResponse(Box::new(answer)),
-        Body::OfferOutcome(Box::new(done)),
+        Body::OfferResponse(Box::new(offer_response)),
+        Body::OfferOutcome(Box::new(outcome)),
     ]
 }
--- a/landingdrift/tests/stored/mod.rs
+++ b/landingdrift/tests/stored/mod.rs
@@ -22,11 +22,11 @@
 pub const SEGMENT_BYTES: u64 = 512;
 /// Number of entries per write batch.
 const BATCH: usize = 5;
-/// The last entry of the first term.
-const FIRST_TERM_LAST: u64 = 38;
+/// Log index of the last entry of the first term.
+const LAST_INDEX_OF_FIRST_TERM: u64 = 38;
 /// The snapshot is taken this many entries before the end of the log.
 const ENTRIES_AFTER_SNAPSHOT: usize = 14;
-const CORE: &str = "10.0.0.1:7000";
+const REPLICA: &str = "10.0.0.1:7000";
 
 /// The path of a fixture.
 pub fn fixture(name: &str) -> PathBuf {
@@ -51,13 +51,13 @@
 
 /// Path of a scratch folder of this test process, which doesn't exist yet.
 pub fn scratch(name: &str) -> PathBuf {
-    let own = format!("landingdrift-stored-{}-{name}", std::process::id());
-    let path = std::env::temp_dir().join(own);
+    let folder_name = format!("landingdrift-stored-{}-{name}", std::process::id());
+    let path = std::env::temp_dir().join(folder_name);
     let _ = fs::remove_dir_all(&path);
     path
 }
 
-/// The log entry of a recorded entry.
+/// The log entry that a recorded entry stands for.
 pub fn entry(line: &RecordedEntry) -> Entry {
     Entry {
         index: line.log_index,
@@ -68,7 +68,7 @@
 }
 
 pub fn term(index: u64) -> u64 {
-    if index <= FIRST_TERM_LAST {
+    if index <= LAST_INDEX_OF_FIRST_TERM {
         1
     } else {
         2
@@ -78,9 +78,9 @@
 pub fn hard_state() -> HardState {
     HardState {
         term: 2,
-        vote: CORE.into(),
+        vote: REPLICA.into(),
         no_vote_through: 1,
-        founders: vec![CORE.into(), "10.0.0.2:7000".into()],
+        founders: vec![REPLICA.into(), "10.0.0.2:7000".into()],
     }
 }
 
@@ -91,18 +91,18 @@
         index,
         term: term(index),
     };
-    vec![witness(CORE, 1, 40), witness("10.0.0.2:7000", 2, 38)]
+    vec![witness(REPLICA, 1, 40), witness("10.0.0.2:7000", 2, 38)]
 }
 
-/// Number of recorded entries before the snapshot.
-pub fn before_snapshot(recording: &Recording) -> usize {
+/// Number of recorded entries that the snapshot covers.
+pub fn entries_before_snapshot(recording: &Recording) -> usize {
     recording.entries.len() - ENTRIES_AFTER_SNAPSHOT
 }
 
-/// The snapshot in the folder.
+/// The snapshot that is stored in the data folder: the state before the last [`ENTRIES_AFTER_SNAPSHOT`] entries.
 pub fn snapshot(recording: &Recording) -> Snapshot {
     let mut state = recording.start.clone();
-    for line in &recording.entries[..before_snapshot(recording)] {
+    for line in &recording.entries[..entries_before_snapshot(recording)] {
         let _ = state.apply(line.log_index, line.at, &line.entry);
     }
     Snapshot {
@@ -128,7 +128,9 @@
 
 /// Writes the whole folder: a log, a snapshot of it, and some entries after that.
 pub fn write_folder(path: &Path, recording: &Recording) {
-    let (before, after) = recording.entries.split_at(before_snapshot(recording));
+    let (before, after) = recording
+        .entries
+        .split_at(entries_before_snapshot(recording));
     let mut folder = write_log(path, before);
     let save = WriteBatch {
         snapshot: Some(snapshot(recording)),
@@ -148,14 +150,14 @@
     }
 }
 
-/// The results of orders as JSON pairs, since their keys can't be keys of a JSON object.
+/// The results of orders as a JSON list of pairs, since their keys aren't strings.
 pub fn orders_json(state: &ClusterState) -> String {
     let orders: Vec<(&(u64, ProposalId), &Vec<u8>)> = state.orders.iter().collect();
     serde_json::to_string(&orders).expect("JSON")
 }
 
 /// A recording without entries that starts from a cluster state. The results of orders are left out, since their keys
-/// can't be keys of a JSON object.
+/// aren't strings and can't become keys of a JSON object.
 pub fn recording_of(state: &ClusterState) -> Recording {
     let mut start = state.clone();
     start.orders.clear();
@@ -166,11 +168,11 @@
 }
 
 /// The response of a node that follows the cluster state to a query for a job.
-pub fn answer(state: &ClusterState, job: &str) -> String {
+pub fn job_response(state: &ClusterState, job: &str) -> String {
     let now = Now { mono: 1, wall: 1 };
     let settings = Settings {
         listen: "10.0.1.1:7000".into(),
-        seeds: vec![CORE.into()],
+        seeds: vec![REPLICA.into()],
         cluster: CLUSTER.into(),
         ..Settings::default()
     };
@@ -180,14 +182,19 @@
         path: format!("/v1/jobs/{job}"),
         ..Request::default()
     };
-    let watch = || Msg::Received(CORE.into(), Body::WatchBatch(Box::new(watch_batch(state))));
+    let watch = || {
+        Msg::Received(
+            REPLICA.into(),
+            Body::WatchBatch(Box::new(watch_batch(state))),
+        )
+    };
     let mut effects = node.step(now, watch());
     effects.extend(node.step(now, Msg::Call(1, call)));
     effects.extend(node.step(now, watch()));
     effects
         .into_iter()
         .find_map(|effect| match effect {
-            Effect::Respond(1, answer) => Some(answer.body.to_string()),
+            Effect::Respond(1, response) => Some(response.body.to_string()),
             _ => None,
         })
         .expect("the call is answered")
@@ -195,8 +202,8 @@
 
 fn watch_batch(state: &ClusterState) -> WatchBatch {
     WatchBatch {
-        replica: CORE.into(),
-        leader: CORE.into(),
+        replica: REPLICA.into(),
+        leader: REPLICA.into(),
         ok: true,
         sent: 1,
         quorum_age: 0,
@@ -205,7 +212,7 @@
         snapshot: state.pack(),
         snapshot_index: state.applied_index,
         entries: Vec::new(),
-        replicas: vec![CORE.into()],
+        replicas: vec![REPLICA.into()],
         light: false,
         reached: state.applied_index,
         incarnation: 0,
@@ -214,7 +221,8 @@
     }
 }
 
-/// Settings that all differ from their defaults, except `jobs_memory_bytes`, which is newer than the fixture.
+/// Settings that all differ from their defaults, except `jobs_memory_bytes`, which the fixture doesn't contain because
+/// it was added later.
 pub fn settings() -> Settings {
     Settings {
         cluster: CLUSTER.into(),
@@ -272,7 +280,7 @@
     }
 }
 
-/// The number of a command's kind. A new kind must get an entry in the history.
+/// The number of a command's kind. A new kind of command must be added here and to the history.
 pub fn kind(command: &Command) -> usize {
     match command {
         Command::TermStarted { .. } => 0,
--- a/landingdrift/tests/stored/variants.rs
+++ b/landingdrift/tests/stored/variants.rs
@@ -3,7 +3,8 @@
 use landingdrift::state::{AttemptState, JobState, Outcome, Rejection, TaskState};
 use serde::{Deserialize, Serialize};
 
-/// One value of every variant. The matches below are exhaustive, so that a new variant must be added to the lists.
+/// One value of every variant. The matches below are exhaustive, so that a new variant doesn't compile until it is
+/// numbered; it must be added to the lists as well.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Variants {
     pub outcomes: Vec<Outcome>,
@@ -48,7 +49,7 @@
                 AttemptState::NeverStarted,
                 AttemptState::Expired,
             ],
-            refusals: refusals(),
+            refusals: rejections(),
         }
     }
 
@@ -59,12 +60,12 @@
             self.jobs.iter().map(job).collect(),
             self.tasks.iter().map(task).collect(),
             self.attempts.iter().map(attempt).collect(),
-            self.refusals.iter().map(refusal).collect(),
+            self.refusals.iter().map(rejection).collect(),
         ]
     }
 }
 
-fn refusals() -> Vec<Rejection> {
+fn rejections() -> Vec<Rejection> {
     vec![
         Rejection::VersionConflict { current: 1 },
         Rejection::BodyMismatch,
@@ -91,8 +92,8 @@
     ]
 }
 
-fn outcome(of: &Outcome) -> usize {
-    match of {
+fn outcome(value: &Outcome) -> usize {
+    match value {
         Outcome::Succeeded => 0,
         Outcome::Failed => 1,
         Outcome::Stopped => 2,
@@ -101,8 +102,8 @@
     }
 }
 
-fn job(of: &JobState) -> usize {
-    match of {
+fn job(value: &JobState) -> usize {
+    match value {
         JobState::Waiting => 0,
         JobState::Running => 1,
         JobState::Cancelling => 2,
@@ -112,8 +113,8 @@
     }
 }
 
-fn task(of: &TaskState) -> usize {
-    match of {
+fn task(value: &TaskState) -> usize {
+    match value {
         TaskState::Waiting => 0,
         TaskState::Done => 1,
         TaskState::Failed => 2,
@@ -121,8 +122,8 @@
     }
 }
 
-fn attempt(of: &AttemptState) -> usize {
-    match of {
+fn attempt(value: &AttemptState) -> usize {
+    match value {
         AttemptState::Ordered => 0,
         AttemptState::Running => 1,
         AttemptState::Unsure => 2,
@@ -134,8 +135,8 @@
     }
 }
 
-fn refusal(of: &Rejection) -> usize {
-    match of {
+fn rejection(value: &Rejection) -> usize {
+    match value {
         Rejection::VersionConflict { .. } => 0,
         Rejection::BodyMismatch => 1,
         Rejection::Invalid { .. } => 2,
@@ -155,7 +156,7 @@
         Rejection::UnsuitableWorker { .. } => 16,
         Rejection::GangIncomplete => 17,
         Rejection::SpeculationBudgetExhausted => 18,
-        // Never the result of an entry: the leader responds with it instead of appending one.
+        // Not in the list, since it is never stored: the leader responds with it instead of appending an entry.
         Rejection::InsufficientCapacity => 19,
     }
 }
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -1,12 +1,12 @@
 //! Data stored by version 0.1.0 can be read by this build, and is still written byte for byte as it was then.
 //!
-//! The fixtures under `fixtures/stored` were written by version 0.1.0 (record format 3, wire 4, data folder 1,
-//! recording 1), by [`write_the_fixtures`] with the product as of commit d2b54ab:
+//! The fixtures under `fixtures/stored` were written by version 0.1.0 (cluster state 3, wire 4, data folder 1,
+//! recording 1), by [`write_the_fixtures`] with the code of commit d2b54ab:
 //!
 //! `cargo test -p landingdrift --test stored_data -- --ignored write_the_fixtures`
 //!
-//! Don't write them again unless a format gets a new version. Everything that has a name in JSON or TOML keeps that
-//! name, whatever it is called in the code, and everything that is packed keeps its order.
+//! Regenerate them only for a new format version. Names in JSON and TOML, and the order of packed fields and variants,
+//! are part of the formats, whatever the items are called in the code.
 
 mod stored;
 
@@ -23,9 +23,9 @@
 use stored::variants::Variants;
 use stored::{fixture, messages};
 
-const LOG: &str = "recording-of-log.day";
-const STATE: &str = "recording-of-state.day";
-const RECORD: &str = "record.postcard";
+const LOG_RECORDING: &str = "recording-of-log.day";
+const STATE_RECORDING: &str = "recording-of-state.day";
+const PACKED_STATE: &str = "record.postcard";
 const ORDERS: &str = "orders.json";
 const SETTINGS: &str = "settings.toml";
 const FOLDER: &str = "folder";
@@ -61,7 +61,7 @@
 #[test]
 #[ignore = "the fixtures were written once, by version 0.1.0"]
 fn write_the_fixtures() {
-    let history = History::whole();
+    let history = History::build();
     let log = stored::scratch("log");
     let lines: Vec<landingdrift::replay::RecordedEntry> = history
         .entries
@@ -76,11 +76,11 @@
     drop(stored::write_log(&log, &lines));
     let recording = Recording::from_data_folder(&log).expect("a sound folder");
     assert_eq!(recording.final_state(), history.state);
-    fs::create_dir_all(fixture("wire")).expect("made");
-    fs::write(fixture(LOG), recording.text()).expect("written");
+    fs::create_dir_all(fixture("wire")).expect("folder created");
+    fs::write(fixture(LOG_RECORDING), recording.text()).expect("written");
     let state = stored::recording_of(&history.state);
-    fs::write(fixture(STATE), state.text()).expect("written");
-    fs::write(fixture(RECORD), history.state.pack()).expect("written");
+    fs::write(fixture(STATE_RECORDING), state.text()).expect("written");
+    fs::write(fixture(PACKED_STATE), history.state.pack()).expect("written");
     fs::write(fixture(ORDERS), stored::orders_json(&history.state)).expect("written");
     let variants = Variants::all();
     let packed = pack(&variants);
@@ -90,8 +90,8 @@
     let settings = toml::to_string(&stored::settings()).expect("TOML");
     fs::write(fixture(SETTINGS), settings).expect("written");
     for job in JOBS {
-        let answer = stored::answer(&history.state, job);
-        fs::write(fixture(&job_file(job)), answer).expect("written");
+        let response = stored::job_response(&history.state, job);
+        fs::write(fixture(&job_file(job)), response).expect("written");
     }
     for body in messages::all() {
         let file = message_file(messages::number(&body));
@@ -100,7 +100,7 @@
     }
     let folder = stored::scratch("folder");
     stored::write_folder(&folder, &recording);
-    fs::create_dir_all(fixture(FOLDER)).expect("made");
+    fs::create_dir_all(fixture(FOLDER)).expect("folder created");
     for (name, bytes) in files(&folder) {
         fs::write(fixture(FOLDER).join(name), bytes).expect("written");
     }
@@ -110,7 +110,7 @@
 fn the_format_versions_match_the_fixtures() {
     assert_eq!((STATE_VERSION, WIRE_VERSION), (3, 4));
     assert_eq!(landingdrift::disk::FOLDER_VERSION, 1);
-    let head = stored::text(LOG);
+    let head = stored::text(LOG_RECORDING);
     assert!(
         head.starts_with(r#"{"landingdriftDay":1,"#),
         "the recording's version"
@@ -119,8 +119,8 @@
 
 #[test]
 fn a_packed_state_is_decoded_and_encoded_unchanged() {
-    let bytes = stored::bytes(RECORD);
-    let cluster = ClusterState::unpack(&bytes).expect("a record");
+    let bytes = stored::bytes(PACKED_STATE);
+    let cluster = ClusterState::unpack(&bytes).expect("a packed state");
     assert_eq!(cluster.pack(), bytes);
     let states = |state: JobState| cluster.jobs.values().filter(|j| j.state == state).count();
     assert_eq!(cluster.jobs.len(), 5);
@@ -149,8 +149,8 @@
 }
 
 #[test]
-fn the_stored_state_has_no_empty_collection_and_attempts_in_many_states() {
-    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+fn the_stored_state_covers_all_collections_and_five_attempt_states() {
+    let state = ClusterState::unpack(&stored::bytes(PACKED_STATE)).expect("a packed state");
     let sizes = [
         state.changes.len(),
         state.orders.len(),
@@ -193,11 +193,14 @@
 /// Guards against two fields of one type changing places: packed bytes have no names, so they are compared to the JSON.
 #[test]
 fn every_field_of_the_packed_state_matches_the_field_named_in_the_json() {
-    let unpacked = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+    let unpacked = ClusterState::unpack(&stored::bytes(PACKED_STATE)).expect("a packed state");
     let orders = unpacked.orders.clone();
     assert_eq!(stored::orders_json(&unpacked), stored::text(ORDERS));
-    let recorded = stored::recording(STATE);
-    assert_eq!(stored::recording_of(&unpacked).text(), stored::text(STATE));
+    let recorded = stored::recording(STATE_RECORDING);
+    assert_eq!(
+        stored::recording_of(&unpacked).text(),
+        stored::text(STATE_RECORDING)
+    );
     assert_eq!(
         ClusterState {
             orders,
@@ -225,10 +228,10 @@
 
 #[test]
 fn a_recording_is_read_and_written_unchanged_and_replayed_with_the_same_results() {
-    let recording = stored::recording(LOG);
-    assert_eq!(recording.text(), stored::text(LOG));
+    let recording = stored::recording(LOG_RECORDING);
+    assert_eq!(recording.text(), stored::text(LOG_RECORDING));
     assert_eq!(recording.differences(), Vec::new());
-    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+    let state = ClusterState::unpack(&stored::bytes(PACKED_STATE)).expect("a packed state");
     assert_eq!(recording.final_state(), state);
     let kinds: BTreeSet<usize> = recording
         .entries
@@ -240,7 +243,7 @@
 
 #[test]
 fn a_data_folder_has_the_same_entries_as_the_recording() {
-    let recording = stored::recording(LOG);
+    let recording = stored::recording(LOG_RECORDING);
     let (cluster, loaded) = read_folder(&fixture(FOLDER)).expect("a sound folder");
     assert_eq!((cluster.as_str(), loaded.disk), (stored::CLUSTER, 77));
     assert_eq!(
@@ -256,14 +259,14 @@
     assert_eq!(snapshot, stored::snapshot(&recording));
     let after = loaded.entries.iter().filter(|e| e.index > snapshot.index);
     let after: Vec<_> = after.cloned().collect();
-    let lines = &recording.entries[stored::before_snapshot(&recording)..];
+    let lines = &recording.entries[stored::entries_before_snapshot(&recording)..];
     assert_eq!(after, lines.iter().map(stored::entry).collect::<Vec<_>>());
     for (entry, line) in after.iter().zip(lines) {
         let command = Command::unpack(&entry.command).expect("a command");
         assert_eq!(command, line.entry);
         assert_eq!(command.pack(), entry.command);
     }
-    let mut state = ClusterState::unpack(&snapshot.bytes).expect("a record");
+    let mut state = ClusterState::unpack(&snapshot.bytes).expect("a packed state");
     assert!(state.jobs.contains_key("steps") && state.tombstones.contains_key("forgotten"));
     assert_eq!((state.workers.len(), state.leases.len()), (3, 4));
     assert_eq!(
@@ -274,22 +277,22 @@
     for entry in after {
         let _ = state.apply_bytes(entry.index, entry.at, &entry.command);
     }
-    assert_eq!(state.pack(), stored::bytes(RECORD));
+    assert_eq!(state.pack(), stored::bytes(PACKED_STATE));
 }
 
 #[test]
 fn a_data_folder_is_written_unchanged() {
-    let again = stored::scratch("again");
-    stored::write_folder(&again, &stored::recording(LOG));
-    assert_eq!(files(&again), files(&fixture(FOLDER)));
-    let findings = verify(&again).expect("looked");
+    let folder = stored::scratch("again");
+    stored::write_folder(&folder, &stored::recording(LOG_RECORDING));
+    assert_eq!(files(&folder), files(&fixture(FOLDER)));
+    let findings = verify(&folder).expect("a readable folder");
     assert!(!findings.damaged && !findings.torn_tail);
     assert_eq!((findings.term, findings.disk), (2, 77));
     let (_, loaded) =
-        DataFolder::open(&again, stored::CLUSTER, stored::SEGMENT_BYTES, 1).expect("opened");
+        DataFolder::open(&folder, stored::CLUSTER, stored::SEGMENT_BYTES, 1).expect("opened");
     assert_eq!(loaded.disk, 77);
     assert_eq!(loaded.hard_state, stored::hard_state());
-    let _ = fs::remove_dir_all(&again);
+    let _ = fs::remove_dir_all(&folder);
 }
 
 #[test]
@@ -312,10 +315,10 @@
 
 #[test]
 fn the_response_to_a_job_query_is_unchanged() {
-    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+    let state = ClusterState::unpack(&stored::bytes(PACKED_STATE)).expect("a packed state");
     for job in JOBS {
-        let then = stored::text(&job_file(job));
-        assert_eq!(stored::answer(&state, job), then, "{job}");
+        let expected = stored::text(&job_file(job));
+        assert_eq!(stored::job_response(&state, job), expected, "{job}");
     }
 }
 
@@ -324,7 +327,7 @@
     let text = stored::text(SETTINGS);
     let settings: Settings = toml::from_str(&text).expect("settings");
     assert_eq!(settings, stored::settings());
-    // The earlier build did not have this setting.
+    // Version 0.1.0 did not have this setting.
     let added = format!(
         "jobs_memory_bytes = {}\n",
         settings.limits.jobs_memory_bytes
--- a/landingdrift/tests/workers_at_one_address.rs
+++ b/landingdrift/tests/workers_at_one_address.rs
@@ -1,12 +1,12 @@
-//! Several workers at one address: a worker is considered gone only on proof, not by the order of first heartbeats,
-//! which may be delayed.
+//! Several workers at one address: a worker is considered gone only on proof. The order of first heartbeats is no
+//! proof, since heartbeats may be delayed.
 
 mod cluster_state_fixture;
 
 use cluster_state_fixture::{task, StateFixture};
 use landingdrift::state::{AttemptState, Command, Outcome, WorkerInfo};
 
-/// Registers a worker at the address that all workers of these tests share.
+/// Registers a worker at 10.0.0.9:8080, the address of all workers in this file.
 fn register(fixture: &mut StateFixture, worker: &str) {
     let info = WorkerInfo {
         worker: worker.into(),
@@ -44,21 +44,21 @@
 }
 
 #[test]
-fn a_late_first_heartbeat_of_a_dead_worker_does_not_end_attempts_of_the_living_one() {
+fn a_late_first_heartbeat_of_a_dead_worker_does_not_end_attempts_of_the_current_worker() {
     let mut fixture = StateFixture::new();
-    register(&mut fixture, "living");
-    place(&mut fixture, "j", "living");
-    report_running(&mut fixture, "living", 1);
+    register(&mut fixture, "current");
+    place(&mut fixture, "j", "current");
+    report_running(&mut fixture, "current", 1);
     register(&mut fixture, "dead");
     assert!(
         is_live(&fixture, 1),
-        "the attempt of the living worker goes on"
+        "the attempt of the current worker goes on"
     );
-    assert!(!fixture.state.workers["living"].lost);
-    // An attempt placed on the dead worker expires as soon as the living one proves that it ran later.
+    assert!(!fixture.state.workers["current"].lost);
+    // An attempt placed on the dead worker expires as soon as the current one proves that it ran later.
     place(&mut fixture, "k", "dead");
-    place(&mut fixture, "l", "living");
-    report_running(&mut fixture, "living", 3);
+    place(&mut fixture, "l", "current");
+    report_running(&mut fixture, "current", 3);
     assert!(is_live(&fixture, 1) && is_live(&fixture, 3));
     assert!(!is_live(&fixture, 2) && fixture.state.workers["dead"].lost);
 }
