--- a/landingdrift/src/consensus/leadership.rs
+++ b/landingdrift/src/consensus/leadership.rs
@@ -17,7 +17,8 @@
 pub(super) struct Leadership {
     /// The time at which this replica last became leader.
     pub since: u64,
-    /// The index of the first entry of this replica's term. Once it is committed, all earlier entries are known to be committed.
+    /// The index of the first entry of this replica's term. Once it is committed, all earlier entries are known to be
+    /// committed.
     pub term_start_index: u64,
     /// The index of the last command that the reconciliation appended; no further one is derived before it is applied.
     pub last_command_index: u64,
--- a/landingdrift/src/consensus/lease_assignment.rs
+++ b/landingdrift/src/consensus/lease_assignment.rs
@@ -12,7 +12,8 @@
 /// The share of a node co-located with a replica is divided by this, so that the loss of one machine is less likely to
 /// affect both a replica and many leases.
 const COLOCATED_DIVISOR: u64 = 4;
-/// The scale of [`PlacementCost::weight`]: the weight of one lease on a node with a CPU share of one thousandth of a core.
+/// The scale of [`PlacementCost::weight`]: the weight of one lease on a node with a CPU share of one thousandth of a
+/// core.
 const LEASE_WEIGHT: u64 = 1_000_000;
 /// Within a class of nodes, a lease moves only to a node whose weight is below 2/3 of the holder's.
 const MOVE_WEIGHT_NUMERATOR: u64 = 2;
@@ -173,9 +174,9 @@
         }
     }
 
-    /// Whether a lease stays with its holder, which must be alive and not leaving. The owner of a queue is replaced after a shorter timeout
-    /// than the holder of a zone: the owner's proposals are checked against the lease epoch when they are applied,
-    /// while the holder of a zone issues orders to workers directly.
+    /// Whether a lease stays with its holder, which must be alive and not leaving. The owner of a queue is replaced
+    /// after a shorter timeout than the holder of a zone: the owner's proposals are checked against the lease epoch
+    /// when they are applied, while the holder of a zone issues orders to workers directly.
     fn keeps_lease(&self, now: Now, wanted: &WantedLease, holder: &str) -> bool {
         let is_alive = self.state.nodes.get(holder).is_some_and(|n| n.alive);
         let watcher = self.watch.watchers.get(holder);
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -269,10 +269,10 @@
     /// Promotes a standby to replace a voter that is unreachable, leaving or without a working disk, or that is in a
     /// zone with at least two more voters than the standby's. The replaced voter is demoted next.
     ///
-    /// Demoting first could cost the majority permanently. An example with the voters A (the leader), B and C: C becomes
-    /// unreachable, A appends C's demotion, B is lost before that entry is committed, and C returns. A can't commit,
-    /// since its log lists only A and B as voters; C can't be elected, since its log is shorter. With promotion first,
-    /// every voter that returns counts towards the majority.
+    /// Demoting first could cost the majority permanently. An example with the voters A (the leader), B and C: C
+    /// becomes unreachable, A appends C's demotion, B is lost before that entry is committed, and C returns. A can't
+    /// commit, since its log lists only A and B as voters; C can't be elected, since its log is shorter. With promotion
+    /// first, every voter that returns counts towards the majority.
     fn promote_replacement(&self) -> Option<MembershipChange> {
         if self.voters().len() != self.target_voters {
             return None;
--- a/landingdrift/src/consensus/membership_state.rs
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -37,16 +37,16 @@
     pub zones: BTreeMap<String, String>,
     /// The time of this replica's last join request, in monotonic milliseconds.
     last_join_request_at: Option<u64>,
-    /// Whether this replica is not a founder of the cluster: it is configured to join, or its disk is empty while others
-    /// have a log. It then ignores the founders in the settings.
+    /// Whether this replica is not a founder of the cluster: it is configured to join, or its disk is empty while
+    /// others have a log. It then ignores the founders in the settings.
     pub joining: bool,
     /// The resilience as last logged.
     pub resilience: Resilience,
 }
 
 impl MembershipState {
-    /// The state after a start. `joining` must be true if no founders are stored on the disk: this replica then joins an
-    /// existing cluster.
+    /// The state after a start. `joining` must be true if no founders are stored on the disk: this replica then joins
+    /// an existing cluster.
     pub fn new(joining: bool) -> Self {
         Self {
             joining,
@@ -120,8 +120,8 @@
             .is_some_and(|member| member.disk == disk || member.disk == 0)
     }
 
-    /// One value for each voter: `own` for this replica, `value(progress)` for another, and 0 for one that responds with
-    /// another disk than the member's.
+    /// One value for each voter: `own` for this replica, `value(progress)` for another, and 0 for one that responds
+    /// with another disk than the member's.
     pub(super) fn voter_values(&mut self, own: u64, value: impl Fn(&Progress) -> u64) -> Vec<u64> {
         let mut values = Vec::new();
         for (address, member) in self.members() {
@@ -266,9 +266,9 @@
     }
 
     /// Whether proposals of nodes are accepted. Before the first configuration is accepted, a majority of the current
-    /// voters must be at least as large as a majority of the configured number of voters, so that accepted data survives
-    /// the losses that the latter tolerates. If there are too few machines for that, the leader accepts proposals
-    /// nevertheless after `bounds.outage_ms`.
+    /// voters must be at least as large as a majority of the configured number of voters, so that accepted data
+    /// survives the losses that the latter tolerates. If there are too few machines for that, the leader accepts
+    /// proposals nevertheless after `bounds.outage_ms`.
     pub(super) fn accepts_proposals(&mut self, now: Now) -> bool {
         if self.state.version > 0 {
             return true;
--- a/landingdrift/src/consensus/persistence.rs
+++ b/landingdrift/src/consensus/persistence.rs
@@ -119,8 +119,8 @@
             self.hard_state_write = self.last_write;
         }
         if let Some(first_removed) = batch.truncate_from {
-            // A write in flight may contain entries that this write removes: its confirmation must not raise the durable
-            // index beyond the entries kept.
+            // A write in flight may contain entries that this write removes: its confirmation must not raise the
+            // durable index beyond the entries kept.
             let last_kept = first_removed.saturating_sub(1);
             self.durable_index = self.durable_index.min(last_kept);
             for write in &mut self.in_flight {
--- a/landingdrift/src/consensus/progress.rs
+++ b/landingdrift/src/consensus/progress.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Records the identity of the responding disk. A change resets the progress, since the entries that an earlier disk
-    /// at this address acknowledged are lost with it.
+    /// Records the identity of the responding disk. A change resets the progress, since the entries that an earlier
+    /// disk at this address acknowledged are lost with it.
     pub fn record_disk(&mut self, disk: u64) {
         if self.disk != 0 && self.disk != disk {
             self.match_index = 0;
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -143,7 +143,8 @@
 
     /// Handles the recovery request of a replica that has started, or an answer to this replica's request.
     pub(super) fn on_hello(&mut self, now: Now, from: &str, mut hello: Hello) {
-        // Witnesses are forwarded between replicas, since the replica that recorded one may be unreachable when it is needed.
+        // Witnesses are forwarded between replicas, since the replica that recorded one may be unreachable when it is
+        // needed.
         self.remember_witnesses(std::mem::take(&mut hello.witnesses));
         self.membership
             .zones
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Handles the request of a replica that has restarted. It may have lost entries that it had acknowledged, so the leader
-    /// resets its progress.
+    /// Handles the request of a replica that has restarted. It may have lost entries that it had acknowledged, so the
+    /// leader resets its progress.
     fn on_recovery_request(&mut self, from: &str, request: &Hello) {
         if let Some(progress) = self.leadership.progress.get_mut(from) {
             progress.record_disk(request.disk);
@@ -243,7 +244,8 @@
         if let Some(floor) = floor.filter(|floor| *floor > last) {
             self.set_recovery_floor(floor, query.highest_term);
         }
-        // A longer log may contain entries that this replica acknowledged and lost, and of which no witness was recorded.
+        // A longer log may contain entries that this replica acknowledged and lost, and of which no witness was
+        // recorded.
         if query.longest_log > last {
             self.recovery.deferral = Deferral {
                 position: query.longest_log,
@@ -284,8 +286,8 @@
     }
 
     /// Whether a majority of the voters has answered, and either all others have answered or the wait is over. An
-    /// answer from a replaced disk does not count towards the majority, since the witnesses on the old disk are lost; but
-    /// the old disk will never answer, so there is nothing more to wait for from that voter.
+    /// answer from a replaced disk does not count towards the majority, since the witnesses on the old disk are lost;
+    /// but the old disk will never answer, so there is nothing more to wait for from that voter.
     fn has_enough_answers(&mut self, now: Now) -> bool {
         let Some(query) = self.recovery.query.as_ref() else {
             return false;
--- a/landingdrift/src/consensus/replication.rs
+++ b/landingdrift/src/consensus/replication.rs
@@ -177,8 +177,8 @@
         if response.ok {
             self.on_entries_matched(now, from, response, is_current);
         } else if is_current {
-            // Continue from an index at which the logs may match. If the log is shorter than the replica had acknowledged,
-            // its disk has lost entries.
+            // Continue from an index at which the logs may match. If the log is shorter than the replica had
+            // acknowledged, its disk has lost entries.
             progress.match_index = progress.match_index.min(response.last_index);
             progress.next_index = (response.last_index + 1).min(response.matched).max(1);
             self.replicate(now, from, true);
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -20,7 +20,8 @@
 const RETAINED_SNAPSHOT_INTERVALS: u64 = 4;
 /// A snapshot is due when the entries since the last one reach the log's byte limit divided by this.
 const DUE_LOG_BYTES_DIVISOR: u64 = 2;
-/// A compacted log keeps the last `limits.snapshot_every` entries divided by this, for replicas that are slightly behind.
+/// A compacted log keeps the last `limits.snapshot_every` entries divided by this, for replicas that are slightly
+/// behind.
 const KEPT_TAIL_DIVISOR: u64 = 2;
 
 /// A snapshot being sent to another replica.
@@ -208,8 +209,8 @@
         }
     }
 
-    /// Commits the entries up to a snapshot if the log already contains them; returns whether it does. Such a snapshot is
-    /// not installed, since that would discard acknowledged entries after it.
+    /// Commits the entries up to a snapshot if the log already contains them; returns whether it does. Such a snapshot
+    /// is not installed, since that would discard acknowledged entries after it.
     fn commit_if_in_log(&mut self, id: SnapshotId) -> bool {
         if id.index <= self.log.commit_index {
             return true;
@@ -285,8 +286,8 @@
         self.flush();
     }
 
-    /// Drops entries covered by the latest snapshot. A tail for replicas that are slightly behind, and the entries after
-    /// snapshots that are being sent, are kept within the log's byte limit.
+    /// Drops entries covered by the latest snapshot. A tail for replicas that are slightly behind, and the entries
+    /// after snapshots that are being sent, are kept within the log's byte limit.
     fn compact_log(&mut self) {
         let interval = self.settings.limits.snapshot_every;
         let latest_index = self.snapshots.latest_index;
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -15,7 +15,8 @@
 use crate::wire::{Body, Entry, WatchBatch, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node that lacks more entries than this starts over from a snapshot, which is then smaller than the missing entries.
+/// A node that lacks more entries than this starts over from a snapshot, which is then smaller than the missing
+/// entries.
 const MAX_ENTRIES_BEHIND: u64 = 1024;
 /// The maximum number of entries in one message to a node.
 const MAX_BATCH_ENTRIES: u64 = 512;
@@ -105,8 +106,8 @@
 }
 
 impl Watcher {
-    /// Whether entries sent to the requesting node are not acknowledged yet. False if its process or the kind of its copy
-    /// has changed, since nothing has been sent to it after that.
+    /// Whether entries sent to the requesting node are not acknowledged yet. False if its process or the kind of its
+    /// copy has changed, since nothing has been sent to it after that.
     fn has_unreceived_entries(&self, request: &WatchRequest, light: bool) -> bool {
         let is_same_kind = self.light == light && request.light == light;
         self.continues_last_request(request) && is_same_kind && self.sent_index > request.log_index
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -9,8 +9,7 @@
 
 /// The maximum number of full snapshots kept: one that is being fetched, and a newer one.
 const MAX_KEPT_FULL: usize = 2;
-/// The maximum number of light snapshots kept: they are small, and nodes on slow links need a long
-/// time to fetch one.
+/// The maximum number of light snapshots kept: they are small, and nodes on slow links need a long time to fetch one.
 const MAX_KEPT_LIGHT: usize = 8;
 /// A snapshot is shared with further nodes as long as it is at most this many entries behind the state.
 const MAX_SHARED_LAG_ENTRIES: u64 = 256;
@@ -159,8 +158,8 @@
         self.send(to, Body::WatchSnapshotChunk(Box::new(body)));
     }
 
-    /// The snapshot whose transfer to the node is in progress, if the log still contains all entries after it; otherwise
-    /// a recent one, which is created if necessary.
+    /// The snapshot whose transfer to the node is in progress, if the log still contains all entries after it;
+    /// otherwise a recent one, which is created if necessary.
     fn watch_snapshot(
         &mut self,
         now: Now,
--- a/landingdrift/src/disk/directory.rs
+++ b/landingdrift/src/disk/directory.rs
@@ -1,40 +1,40 @@
-use super::error::{io, StorageError};
+use super::error::{io_error_at, StorageError};
 use std::fs::{self, File, OpenOptions};
-use std::io::{self as std_io, Write};
+use std::io::{self, Write};
 use std::path::Path;
 
 /// Operations that change directory entries. Until the folder is synced, a power failure may keep or lose each change
-/// independently; tests model this in place of the file system.
+/// independently. Tests implement this trait to simulate that.
 pub trait Directory: Send {
     /// Creates a file, or truncates an existing one.
-    fn create(&self, path: &Path) -> std_io::Result<File>;
+    fn create(&self, path: &Path) -> io::Result<File>;
     /// Opens a file for appending, and creates it if it does not exist.
-    fn append(&self, path: &Path) -> std_io::Result<File>;
+    fn append(&self, path: &Path) -> io::Result<File>;
     /// Renames a file, replacing any file of the new name.
-    fn rename(&self, from: &Path, to: &Path) -> std_io::Result<()>;
+    fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     /// Removes a file.
-    fn remove(&self, path: &Path) -> std_io::Result<()>;
+    fn remove(&self, path: &Path) -> io::Result<()>;
     /// Makes all changes of directory entries in a folder durable.
-    fn sync(&self, folder: &Path) -> std_io::Result<()>;
+    fn sync(&self, folder: &Path) -> io::Result<()>;
 }
 
 /// Directory operations of the operating system's file system.
 pub struct FileSystem;
 
 impl Directory for FileSystem {
-    fn create(&self, path: &Path) -> std_io::Result<File> {
+    fn create(&self, path: &Path) -> io::Result<File> {
         File::create(path)
     }
-    fn append(&self, path: &Path) -> std_io::Result<File> {
+    fn append(&self, path: &Path) -> io::Result<File> {
         OpenOptions::new().create(true).append(true).open(path)
     }
-    fn rename(&self, from: &Path, to: &Path) -> std_io::Result<()> {
+    fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         fs::rename(from, to)
     }
-    fn remove(&self, path: &Path) -> std_io::Result<()> {
+    fn remove(&self, path: &Path) -> io::Result<()> {
         fs::remove_file(path)
     }
-    fn sync(&self, folder: &Path) -> std_io::Result<()> {
+    fn sync(&self, folder: &Path) -> io::Result<()> {
         File::open(folder).and_then(|d| d.sync_all())
     }
 }
@@ -44,10 +44,10 @@
     directory: &dyn Directory,
     path: &Path,
 ) -> Result<(), StorageError> {
-    fs::create_dir_all(path).map_err(io(path))?;
+    fs::create_dir_all(path).map_err(io_error_at(path))?;
     let parent = path.parent().filter(|p| !p.as_os_str().is_empty());
     let parent = parent.unwrap_or(Path::new("."));
-    directory.sync(parent).map_err(io(parent))
+    directory.sync(parent).map_err(io_error_at(parent))
 }
 
 /// Replaces a file atomically and durably: after a failure it has either all the new bytes or its previous content.
@@ -60,8 +60,8 @@
     directory
         .create(&new)
         .and_then(|mut f| f.write_all(bytes).and_then(|()| f.sync_all()))
-        .map_err(io(&new))?;
-    directory.rename(&new, path).map_err(io(path))?;
+        .map_err(io_error_at(&new))?;
+    directory.rename(&new, path).map_err(io_error_at(path))?;
     let folder = path.parent().unwrap_or(path);
-    directory.sync(folder).map_err(io(folder))
+    directory.sync(folder).map_err(io_error_at(folder))
 }
--- a/landingdrift/src/disk/error.rs
+++ b/landingdrift/src/disk/error.rs
@@ -2,7 +2,7 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// An error in opening, reading or writing a data folder.
+/// An error while opening, reading or writing a data folder.
 #[derive(Debug)]
 pub enum StorageError {
     /// A file system operation failed.
@@ -50,8 +50,8 @@
     }
 }
 
-/// Wraps an error of the file system with the path that it concerns.
-pub(super) fn io(path: &Path) -> impl Fn(std::io::Error) -> StorageError + '_ {
+/// Returns a function that adds `path` to an error of the file system.
+pub(super) fn io_error_at(path: &Path) -> impl Fn(std::io::Error) -> StorageError + '_ {
     move |source| StorageError::Io {
         path: path.to_path_buf(),
         source,
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -1,4 +1,4 @@
-use super::error::{io, StorageError};
+use super::error::{io_error_at, StorageError};
 use super::frames::Frame;
 use crate::sans_io::{HardState, Snapshot};
 use crate::wire::{DurabilityWitness, Entry};
@@ -12,22 +12,22 @@
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
     pub witnesses: Vec<DurabilityWitness>,
-    /// Confirmed data can't be read.
+    /// Whether confirmed data can't be read.
     pub damaged: bool,
-    /// The last write is incomplete, as after a crash.
+    /// Whether the last write is incomplete, as after a crash.
     pub torn_tail: bool,
     /// The numbers of the segments, each with the last index of the log at its end.
     pub segments: Vec<(u64, u64)>,
 }
 
 /// The files of a folder whose names consist of `prefix`, a number and `suffix`, sorted by that number.
-pub fn numbered(
+pub fn numbered_files(
     path: &Path,
     prefix: &str,
     suffix: &str,
 ) -> Result<Vec<(u64, PathBuf)>, StorageError> {
     let mut files: Vec<(u64, PathBuf)> = fs::read_dir(path)
-        .map_err(io(path))?
+        .map_err(io_error_at(path))?
         .filter_map(Result::ok)
         .filter_map(|e| {
             e.file_name()
@@ -48,8 +48,8 @@
 /// Reads the newest intact snapshot and all segments. With `repair`, truncates an incomplete write at the end.
 pub fn load(path: &Path, repair: bool) -> Result<FolderContents, StorageError> {
     let mut found = FolderContents::default();
-    for (_, p) in numbered(path, "capture-", ".capture")?.iter().rev() {
-        let bytes = fs::read(p).map_err(io(p))?;
+    for (_, p) in numbered_files(path, "capture-", ".capture")?.iter().rev() {
+        let bytes = fs::read(p).map_err(io_error_at(p))?;
         match Frame::read(&bytes) {
             Some((Frame::Snapshot(snapshot), _)) => {
                 found.snapshot = Some(snapshot);
@@ -59,9 +59,9 @@
         }
     }
     let base = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-    let segments = numbered(path, "log-", ".segment")?;
+    let segments = numbered_files(path, "log-", ".segment")?;
     for (i, (number, p)) in segments.iter().enumerate() {
-        let bytes = fs::read(p).map_err(io(p))?;
+        let bytes = fs::read(p).map_err(io_error_at(p))?;
         let mut at = 0;
         while at < bytes.len() {
             match Frame::read(&bytes[at..]) {
@@ -77,13 +77,13 @@
                             .write(true)
                             .open(p)
                             .and_then(|f| f.set_len(at as u64).and_then(|()| f.sync_all()))
-                            .map_err(io(p))?;
+                            .map_err(io_error_at(p))?;
                     }
                     break;
                 }
                 None => {
-                    // An incomplete end of an older segment was truncated when the folder was next opened, so this is
-                    // damage.
+                    // Damage: only the last segment can end with an interrupted write, since opening the folder
+                    // truncates it.
                     found.damaged = true;
                     match Frame::resync(&bytes[at..]) {
                         Some(skip) => at += skip,
@@ -108,7 +108,7 @@
             Frame::Entry(e) => match self.entries.last().map(|l| l.index) {
                 Some(last) if e.index == last + 1 => self.entries.push(e),
                 None if e.index <= base + 1 => self.entries.push(e),
-                // Entries after a gap can't be used.
+                // After a gap: damage, unless the snapshot covers the gap. Then the log restarts at this entry.
                 Some(last) if e.index > last + 1 => {
                     if last >= base {
                         self.damaged = true;
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -12,7 +12,7 @@
 use crate::sans_io::{HardState, Snapshot, WriteBatch};
 use crate::wire::DurabilityWitness;
 use directory::{create_durable_folder, write_atomically};
-use error::io;
+use error::io_error_at;
 use frames::Frame;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
@@ -33,18 +33,19 @@
     disk: u64,
 }
 
-/// The state written at the start of each segment, so that older segments can be removed: as of the last synced write.
+/// The state as of the last synced write. It is written at the start of each segment, so that older ones can be
+/// removed.
 #[derive(Clone, Debug)]
-struct SegmentHeader {
+struct SyncedState {
     hard_state: HardState,
     witnesses: Vec<DurabilityWitness>,
-    /// The last index of the log; entries after it in older segments are void.
+    /// The last index of the log; entries after it in older segments are ignored.
     last: u64,
 }
 
-impl SegmentHeader {
-    /// Updates the state with a write batch, and appends the frames of the batch to `bytes`.
-    fn write(&mut self, batch: &WriteBatch, bytes: &mut Vec<u8>) {
+impl SyncedState {
+    /// Applies a write batch to the state, and appends the frames of the batch to `bytes`.
+    fn apply_and_encode(&mut self, batch: &WriteBatch, bytes: &mut Vec<u8>) {
         batch.hard_state.iter().for_each(|hard_state| {
             self.hard_state = hard_state.clone();
             Frame::HardState(hard_state.clone()).write(bytes);
@@ -72,8 +73,8 @@
     number: u64,
     size: u64,
     segment_bytes: u64,
-    header: SegmentHeader,
-    /// The closed segments: number, and last index of the log at its end.
+    synced_state: SyncedState,
+    /// The number of each closed segment, and the last index of the log at its end.
     closed: Vec<(u64, u64)>,
     _lock: File,
 }
@@ -82,7 +83,7 @@
     folder.join(format!("log-{number:016}.segment"))
 }
 
-/// The result of checking a data folder offline.
+/// The result of verifying a data folder while no replica uses it.
 #[derive(Debug, Serialize)]
 pub struct FolderReport {
     /// The cluster to which it belongs.
@@ -98,9 +99,9 @@
     pub last: u64,
     /// The current term.
     pub term: u64,
-    /// Confirmed data can't be read.
+    /// Whether confirmed data can't be read.
     pub damaged: bool,
-    /// The last write is incomplete, as after a crash.
+    /// Whether the last write is incomplete, as after a crash.
     pub torn_tail: bool,
 }
 
@@ -166,7 +167,7 @@
             number,
             size: 0,
             segment_bytes,
-            header: SegmentHeader {
+            synced_state: SyncedState {
                 hard_state: loaded.hard_state.clone(),
                 witnesses: loaded.witnesses.clone(),
                 last,
@@ -191,12 +192,12 @@
     /// Writes several batches and syncs once for all of them. If this fails, none of them is confirmed: all must be
     /// written again after [`DataFolder::recover`].
     pub fn save(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
-        let mut header = self.header.clone();
+        let mut state = self.synced_state.clone();
         let mut bytes = Vec::new();
         batches
             .iter()
-            .for_each(|batch| header.write(batch, &mut bytes));
-        // Snapshots are written first: a truncation that relies on one must not become durable without it.
+            .for_each(|batch| state.apply_and_encode(batch, &mut bytes));
+        // Snapshots are written first: a truncation of entries that one replaces must not become durable without it.
         for snapshot in batches.iter().filter_map(|b| b.snapshot.as_ref()) {
             self.write_snapshot(snapshot)?;
         }
@@ -204,8 +205,8 @@
         self.segment
             .write_all(&bytes)
             .and_then(|()| self.segment.sync_data())
-            .map_err(io(&path))?;
-        self.header = header;
+            .map_err(io_error_at(&path))?;
+        self.synced_state = state;
         self.size += bytes.len() as u64;
         if let Some(snapshot) = batches.iter().rev().find_map(|b| b.snapshot.as_ref()) {
             self.remove_obsolete(snapshot.index)?;
@@ -219,13 +220,13 @@
     fn roll(&mut self) -> Result<(), StorageError> {
         let number = self.number + 1;
         self.segment = create_segment(self.directory.as_ref(), &self.path, number)?;
-        self.closed.push((self.number, self.header.last));
+        self.closed.push((self.number, self.synced_state.last));
         self.number = number;
         self.size = 0;
         let first = WriteBatch {
-            hard_state: Some(self.header.hard_state.clone()),
-            witnesses: self.header.witnesses.clone(),
-            truncate_from: Some(self.header.last + 1),
+            hard_state: Some(self.synced_state.hard_state.clone()),
+            witnesses: self.synced_state.witnesses.clone(),
+            truncate_from: Some(self.synced_state.last + 1),
             ..WriteBatch::default()
         };
         self.save(&[first])
@@ -234,20 +235,20 @@
     /// Makes the folder usable after a failed write: truncates unconfirmed data and starts a new segment. A failed sync
     /// may have lost any of the data, so none of the batch is kept; the caller writes the complete batch again.
     pub fn recover(&mut self) -> Result<(), StorageError> {
-        self.free_space()?;
+        self.reclaim_space()?;
         let path = segment_path(&self.path, self.number);
         OpenOptions::new()
             .write(true)
             .open(&path)
             .and_then(|f| f.set_len(self.size).and_then(|()| f.sync_all()))
-            .map_err(io(&path))?;
+            .map_err(io_error_at(&path))?;
         self.roll()
     }
 
     /// Frees space on a full disk: removes incomplete snapshots and all complete ones but the newest.
-    fn free_space(&self) -> Result<(), StorageError> {
-        let incomplete = load::numbered(&self.path, "capture-", ".new")?;
-        let complete = load::numbered(&self.path, "capture-", ".capture")?;
+    fn reclaim_space(&self) -> Result<(), StorageError> {
+        let incomplete = load::numbered_files(&self.path, "capture-", ".new")?;
+        let complete = load::numbered_files(&self.path, "capture-", ".capture")?;
         let older = complete.iter().rev().skip(1);
         incomplete.iter().chain(older).for_each(|(_, p)| {
             let _ = self.directory.remove(p);
@@ -274,7 +275,7 @@
         old.iter().for_each(|(n, _)| {
             let _ = self.directory.remove(&segment_path(&self.path, *n));
         });
-        let snapshots = load::numbered(&self.path, "capture-", ".capture")?;
+        let snapshots = load::numbered_files(&self.path, "capture-", ".capture")?;
         snapshots.iter().rev().skip(2).for_each(|(_, p)| {
             let _ = self.directory.remove(p);
         });
@@ -289,8 +290,8 @@
     number: u64,
 ) -> Result<File, StorageError> {
     let path = segment_path(folder, number);
-    let segment = directory.append(&path).map_err(io(&path))?;
-    directory.sync(folder).map_err(io(folder))?;
+    let segment = directory.append(&path).map_err(io_error_at(&path))?;
+    directory.sync(folder).map_err(io_error_at(folder))?;
     Ok(segment)
 }
 
@@ -303,7 +304,7 @@
 ) -> Result<FolderMarker, StorageError> {
     let marker_path = path.join(MARKER_FILE);
     if !marker_path.exists() {
-        let names = fs::read_dir(path).map_err(io(path))?;
+        let names = fs::read_dir(path).map_err(io_error_at(path))?;
         let has_other_files = names
             .filter_map(|e| e.ok().and_then(|e| e.file_name().into_string().ok()))
             .any(|n| !n.ends_with(".new") && n != "lock");
@@ -336,7 +337,7 @@
         .truncate(false)
         .write(true)
         .open(&path)
-        .map_err(io(&path))?;
+        .map_err(io_error_at(&path))?;
     lock.try_lock()
         .map_err(|_| StorageError::InUse(folder.to_path_buf()))?;
     Ok(lock)
@@ -344,7 +345,7 @@
 
 fn read_marker(path: &Path) -> Result<FolderMarker, StorageError> {
     let p = path.join(MARKER_FILE);
-    let bytes = fs::read(&p).map_err(io(&p))?;
+    let bytes = fs::read(&p).map_err(io_error_at(&p))?;
     let marker: FolderMarker = serde_json::from_slice(&bytes)
         .map_err(|_| StorageError::NotADataFolder(path.to_path_buf()))?;
     (marker.format == FOLDER_VERSION)
@@ -380,7 +381,7 @@
     ))
 }
 
-/// Checks a data folder without changing it.
+/// Verifies a data folder without changing it.
 pub fn verify(path: &Path) -> Result<FolderReport, StorageError> {
     let (marker, found) = read_contents(path)?;
     Ok(FolderReport {
--- a/landingdrift/src/peer_sampler/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -5,9 +5,9 @@
 use crate::wire::{PeerView, Shuffle};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum number of other processes in a view.
+/// The maximum number of peers in a view.
 pub const VIEW_SIZE: usize = 8;
-/// Peers of this age or older, in shuffles, are not added to a view: they are probably gone.
+/// Peers whose age in shuffles is at least this are not added to a view, since they have probably stopped.
 const MAX_AGE_SHUFFLES: u32 = 100;
 /// One in this many shuffles goes to a seed, so that parts of a cluster that no longer know each other reconnect.
 const SEED_SHUFFLE_ODDS: u64 = 8;
@@ -16,7 +16,7 @@
 /// The role of replicas, as written on the wire.
 const REPLICA_ROLE: &str = "core";
 
-/// A process in view.
+/// A process in the view.
 #[derive(Clone, Debug)]
 struct Peer {
     role: String,
@@ -25,7 +25,7 @@
     age: u32,
 }
 
-/// The partial view of one process.
+/// The peer sampler of one process, with its partial view of the cluster.
 #[derive(Clone, Debug, Default)]
 pub struct PeerSampler {
     own_address: String,
@@ -74,16 +74,16 @@
 
     /// A random sample of up to half a view, preceded by this process itself.
     fn sample(&self, rng: &mut Rng) -> Vec<PeerView> {
-        let mut left: Vec<(&String, &Peer)> = self.view.iter().collect();
+        let mut candidates: Vec<(&String, &Peer)> = self.view.iter().collect();
         let mut sample = vec![PeerView {
             addr: self.own_address.clone(),
             role: self.role.clone(),
             zone: self.zone.clone(),
             age: 0,
         }];
-        while sample.len() <= VIEW_SIZE / 2 && !left.is_empty() {
-            let index = rng.below(left.len() as u64) as usize;
-            let (address, peer) = left.swap_remove(index);
+        while sample.len() <= VIEW_SIZE / 2 && !candidates.is_empty() {
+            let index = rng.below(candidates.len() as u64) as usize;
+            let (address, peer) = candidates.swap_remove(index);
             sample.push(PeerView {
                 addr: address.clone(),
                 role: peer.role.clone(),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Removes the oldest peer, or a random one of several.
+    /// Removes the oldest peer; if several are equally old, a random one of them.
     fn remove_oldest(&mut self, rng: &mut Rng) {
         let greatest_age = self.view.values().map(|peer| peer.age).max().unwrap_or(0);
         let peers = self.view.iter();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The shuffle to start now and the peer to send it to, if one is due.
+    /// If a shuffle is due, returns it and the peer to send it to.
     pub fn tick(&mut self, now: Now, interval_ms: u64, rng: &mut Rng) -> Option<(String, Shuffle)> {
         if now.mono < self.next_shuffle {
             return None;
@@ -143,7 +143,7 @@
         }
         let to = self.shuffle_target(rng)?;
         let view = self.sample(rng);
-        // If it is alive, its reply adds it to the view again.
+        // The reply of a live peer adds it to the view again.
         self.view.remove(&to);
         let shuffle = Shuffle {
             reply: false,
@@ -188,7 +188,7 @@
         reply
     }
 
-    /// Replaces the replicas known from peers by those of the cluster state.
+    /// Replaces the replicas known from peers with those of the cluster state.
     pub fn set_replicas(&mut self, replicas: Vec<String>) {
         self.replicas = replicas.into_iter().collect();
     }
--- a/landingdrift/src/snapshot_chunks/mod.rs
+++ b/landingdrift/src/snapshot_chunks/mod.rs
@@ -4,7 +4,7 @@
 
 /// The maximum size of a chunk, in bytes.
 pub const CHUNK_BYTES: usize = 256 << 10;
-/// Snapshots announced as larger than this, in bytes, are rejected.
+/// The maximum total size of a snapshot, in bytes; larger ones are rejected.
 pub const MAX_SNAPSHOT_BYTES: u64 = 1 << 30;
 
 /// The identity of a snapshot.
@@ -101,8 +101,8 @@
         self.bytes.len() as u64
     }
 
-    /// Adds a chunk. A chunk of another snapshot starts over with that one; a chunk that does not follow the received
-    /// bytes is ignored.
+    /// Adds a chunk. A chunk of another snapshot discards the bytes received so far and begins the other one. A chunk
+    /// that does not start where the received bytes end is ignored.
     pub fn add_chunk(&mut self, id: SnapshotId, offset: u64, chunk: &[u8]) -> ChunkOutcome {
         if id != self.identity {
             self.identity = id;
@@ -127,7 +127,7 @@
         ChunkOutcome::Complete(complete)
     }
 
-    /// Discards everything received.
+    /// Discards the snapshot being received.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/landingdrift/src/wire/mod.rs
+++ b/landingdrift/src/wire/mod.rs
@@ -14,9 +14,9 @@
 
 /// The outcome of a proposal: it was applied, and `response` contains the result.
 pub const PROPOSAL_APPLIED: u8 = 0;
-/// The outcome of a proposal: the replica does not lead or is not ready to, and has appended nothing.
+/// The outcome of a proposal: the replica is not a leader that is ready to serve requests, and nothing was appended.
 pub const PROPOSAL_NOT_APPENDED: u8 = 1;
-/// The outcome of a proposal: the leader has no memory for the job and has appended nothing.
+/// The outcome of a proposal: the leader's limits leave no capacity for the job, and nothing was appended.
 pub const PROPOSAL_NO_CAPACITY: u8 = 2;
 
 /// The reason for which a frame was rejected.
@@ -48,7 +48,7 @@
     pack_with_version(WIRE_VERSION, cluster, from, body)
 }
 
-/// Like [`pack`], as a build with another wire version would.
+/// Like [`pack`], but with the wire version of another build.
 pub fn pack_with_version(version: u16, cluster: &str, from: &str, body: &Body) -> Vec<u8> {
     let env = Envelope {
         version,
@@ -64,7 +64,7 @@
     unpack_with_version(WIRE_VERSION, cluster, bytes)
 }
 
-/// Like [`unpack`], as a build with another wire version would.
+/// Like [`unpack`], but for the wire version of another build.
 pub fn unpack_with_version(
     version: u16,
     cluster: &str,
