--- a/landingdrift/tests/disk.rs
+++ b/landingdrift/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The data folder with incomplete writes, damaged files, files of others and folders of other clusters.
+//! The data folder with incomplete writes, damaged files or unknown files, and folders of other clusters.
 
 use landingdrift::disk::{verify, DataFolder, StorageError};
 use landingdrift::sans_io::{HardState, Snapshot, WriteBatch};
@@ -33,13 +33,13 @@
 }
 
 fn segments(path: &Path) -> Vec<PathBuf> {
-    let mut s: Vec<PathBuf> = fs::read_dir(path)
+    let mut paths: Vec<PathBuf> = fs::read_dir(path)
         .expect("a folder")
         .filter_map(|e| e.ok().map(|e| e.path()))
         .filter(|path| path.extension().is_some_and(|x| x == "segment"))
         .collect();
-    s.sort();
-    s
+    paths.sort();
+    paths
 }
 
 #[test]
@@ -113,8 +113,11 @@
     assert!(verify(&path).expect("verified").damaged);
     let (data, loaded) = DataFolder::open(&path, "c", 1 << 20, 8).expect("opened");
     assert!(loaded.damaged && loaded.hard_state.term == 9);
-    let n = loaded.entries.len() as u64;
-    assert!(n > 3 && n < 20, "kept {n}");
+    let intact_entries = loaded.entries.len() as u64;
+    assert!(
+        intact_entries > 3 && intact_entries < 20,
+        "{intact_entries} entries were kept"
+    );
     assert!(loaded
         .entries
         .iter()
@@ -123,12 +126,12 @@
     drop(data);
     // Intact entries are kept, and the folder can be used again.
     let (_, again) = DataFolder::open(&path, "c", 1 << 20, 8).expect("opened again");
-    assert_eq!(again.entries.len() as u64, n);
+    assert_eq!(again.entries.len() as u64, intact_entries);
 }
 
 #[test]
-fn a_snapshot_lets_old_segments_be_removed() {
-    let path = folder("captures");
+fn segments_covered_by_a_snapshot_are_removed() {
+    let path = folder("snapshots");
     let (mut data, _) = DataFolder::open(&path, "c", 600, 7).expect("created");
     write(&mut data, 1, 60);
     let before = segments(&path).len();
@@ -149,7 +152,7 @@
     );
     drop(data);
     let (_, loaded) = DataFolder::open(&path, "c", 600, 7).expect("opened");
-    assert_eq!(loaded.snapshot.map(|c| c.index), Some(50));
+    assert_eq!(loaded.snapshot.map(|snapshot| snapshot.index), Some(50));
     assert_eq!(
         loaded.entries.iter().map(|e| e.index).collect::<Vec<_>>(),
         (51..=62).collect::<Vec<_>>()
@@ -165,15 +168,15 @@
         DataFolder::open(&path, "c", 600, 7),
         Err(StorageError::NotADataFolder(_))
     ));
-    let q = folder("cluster");
-    let kept = DataFolder::open(&q, "c", 600, 7).expect("created");
+    let other_path = folder("cluster");
+    let locked_folder = DataFolder::open(&other_path, "c", 600, 7).expect("created");
     assert!(matches!(
-        DataFolder::open(&q, "c", 600, 7),
+        DataFolder::open(&other_path, "c", 600, 7),
         Err(StorageError::InUse(_))
     ));
-    drop(kept);
+    drop(locked_folder);
     assert!(matches!(
-        DataFolder::open(&q, "d", 600, 7),
+        DataFolder::open(&other_path, "d", 600, 7),
         Err(StorageError::Cluster { .. })
     ));
 }
--- a/landingdrift/tests/disk_health.rs
+++ b/landingdrift/tests/disk_health.rs
@@ -35,7 +35,7 @@
     assert_eq!(
         last,
         cluster.replica(faulty).state().applied_index,
-        "every applied entry is on its disk"
+        "every applied entry must be on its disk"
     );
     let disk = cluster.get(faulty, "/v1/status").body["disk"]["state"].clone();
     assert_eq!(disk, "sound");
@@ -69,33 +69,34 @@
     let (mut cluster, faulty) = start_with_faulty_leader_disk(Behaviour::Fails);
     expect_another_leader(&mut cluster, faulty);
     cluster.run(1000);
-    let (since, waiting) = (cluster.now_ms, cluster.disks[faulty].pending.len());
+    let (since, pending_before) = (cluster.now_ms, cluster.disks[faulty].pending.len());
     (0..20).for_each(|_| cluster.commit_change(1000));
     assert!(
-        cluster.disks[faulty].pending.len() <= waiting + 1,
-        "unconfirmed writes accumulate: {}",
+        cluster.disks[faulty].pending.len() <= pending_before + 1,
+        "unconfirmed writes must not accumulate: {}",
         cluster.disks[faulty].pending.len()
     );
     let faulty_name = name(faulty);
     let sent = cluster
         .sent
         .iter()
-        .filter(|(t, c)| *t > since && c.from == faulty_name);
-    sent.for_each(|(_, c)| match &c.body {
+        .filter(|(time, message)| *time > since && message.from == faulty_name);
+    sent.for_each(|(_, message)| match &message.body {
         Body::VoteResponse(v) => assert!(!v.granted),
-        Body::VoteRequest(_) => panic!("the replica requests votes"),
+        Body::VoteRequest(_) => panic!("a replica whose disk fails must not request votes"),
         _ => {}
     });
     let heartbeats = cluster
         .sent
         .iter()
-        .filter(|(t, c)| *t > since && c.to == faulty_name);
-    let entries = heartbeats
-        .filter(|(_, c)| matches!(&c.body, Body::AppendRequest(a) if !a.entries.is_empty()));
+        .filter(|(time, message)| *time > since && message.to == faulty_name);
+    let entries = heartbeats.filter(
+        |(_, message)| matches!(&message.body, Body::AppendRequest(a) if !a.entries.is_empty()),
+    );
     assert_eq!(
         entries.count(),
         0,
-        "no entries are sent to a disk that fails"
+        "no entries must be sent to a replica whose disk fails"
     );
     expect_recovery(&mut cluster, faulty);
 }
@@ -116,7 +117,7 @@
     cluster.run(5000);
     assert!(
         !cluster.is_confirmed(token),
-        "confirmed although only one disk works"
+        "a proposal must not be confirmed while only one disk works"
     );
     set_behaviour(&mut cluster, Behaviour::Works);
     assert!(cluster.run_until(5000, |cluster| cluster.leader().is_some()));
--- a/landingdrift/tests/disk_power.rs
+++ b/landingdrift/tests/disk_power.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex};
 
 const SEGMENT_BYTES: u64 = 600;
-/// Up to this many unsynced changes, all subsets of lost changes are checked; beyond it only those with a single change
-/// lost or kept, and with all or none lost.
-const ALL_SUBSETS_UP_TO: usize = 6;
+/// The maximum number of unsynced changes of which every subset is lost in turn. With more, only the subsets that lose
+/// none, one, all but one or all of them are checked.
+const MAX_EXHAUSTIVE_CHANGES: usize = 6;
 
 /// A change of a directory entry that is not synced yet, with the data to undo it.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     images: Vec<Image>,
 }
 
-/// The file system with a record of all changes that are not durable.
+/// The file system, with a record of all changes of directory entries that are not durable.
 #[derive(Clone)]
 struct UnsyncedTracker {
     folder: PathBuf,
@@ -57,7 +57,11 @@
     }
 
     fn record_change(&self, change: Unsynced) {
-        self.state.lock().expect("free").unsynced.push(change);
+        self.state
+            .lock()
+            .expect("not poisoned")
+            .unsynced
+            .push(change);
         self.record_image();
     }
 
@@ -68,14 +72,14 @@
             (name.into_owned(), fs::read(&path).expect("read"))
         });
         let files = files.filter(|(name, _)| name != "lock").collect();
-        let mut state = self.state.lock().expect("free");
+        let mut state = self.state.lock().expect("not poisoned");
         let unsynced = state.unsynced.clone();
         state.images.push(Image { files, unsynced });
     }
 
     fn take_images(&self) -> Vec<Image> {
         self.record_image();
-        std::mem::take(&mut self.state.lock().expect("free").images)
+        std::mem::take(&mut self.state.lock().expect("not poisoned").images)
     }
 }
 
@@ -117,7 +121,7 @@
     fn sync(&self, folder: &Path) -> io::Result<()> {
         FileSystem.sync(folder)?;
         if folder == self.folder {
-            self.state.lock().expect("free").unsynced.clear();
+            self.state.lock().expect("not poisoned").unsynced.clear();
         }
         Ok(())
     }
@@ -127,7 +131,7 @@
     path.file_name().expect("a name").into()
 }
 
-/// Writes an image to a folder, with the changes undone whose bits are set in `lost`.
+/// Writes an image to a folder, and undoes the changes whose bits are set in `lost`.
 fn restore(image: &Image, lost: usize, to: &Path) {
     let _ = fs::remove_dir_all(to);
     fs::create_dir_all(to).expect("made");
@@ -157,7 +161,7 @@
 }
 
 fn lost_subsets(changes: usize) -> Vec<usize> {
-    if changes <= ALL_SUBSETS_UP_TO {
+    if changes <= MAX_EXHAUSTIVE_CHANGES {
         return (0..1 << changes).collect();
     }
     let all = (1 << changes) - 1;
@@ -176,11 +180,12 @@
     last: u64,
     snapshot_index: u64,
     witnesses: usize,
-    /// An index and a term: entries from this index on must have at least this term.
-    min_term_from: Option<(u64, u64)>,
+    /// An index and a term: entries from this index on with a lower term were truncated, and must not reappear.
+    truncated_from: Option<(u64, u64)>,
 }
 
-struct Model {
+/// A data folder, the record of its unsynced changes, and the data that it must contain after a power failure.
+struct PowerFailureTest {
     folder: DataFolder,
     tracker: UnsyncedTracker,
     path: PathBuf,
@@ -195,13 +200,13 @@
     path
 }
 
-impl Model {
+impl PowerFailureTest {
     fn new(name: &str) -> Self {
         let path = temp_folder(name);
         fs::create_dir_all(&path).expect("made");
         let tracker = UnsyncedTracker::new(&path);
-        let made = DataFolder::open_with(Box::new(tracker.clone()), &path, "c", SEGMENT_BYTES, 7);
-        let (folder, _) = made.expect("made");
+        let opened = DataFolder::open_with(Box::new(tracker.clone()), &path, "c", SEGMENT_BYTES, 7);
+        let (folder, _) = opened.expect("made");
         tracker.take_images();
         Self {
             folder,
@@ -212,23 +217,25 @@
         }
     }
 
-    /// Saves a batch and checks every state that a power failure may leave: before the save returns, the data confirmed
-    /// earlier must be there; afterwards, also the batch.
-    fn save(&mut self, save: WriteBatch) {
+    /// Saves a batch and checks every state that a power failure may leave. Every state during the save must contain
+    /// the data confirmed before it, and the state after the save must contain the batch as well.
+    fn save(&mut self, batch: WriteBatch) {
         let before = self.confirmed.clone();
         self.folder
-            .save(std::slice::from_ref(&save))
+            .save(std::slice::from_ref(&batch))
             .expect("saved");
-        let c = &mut self.confirmed;
-        c.term = save.hard_state.map_or(c.term, |h| h.term);
-        c.snapshot_index = save.snapshot.map_or(c.snapshot_index, |x| x.index);
-        c.last = save.truncate_from.map_or(c.last, |cut| c.last.min(cut - 1));
-        c.last = save
+        let confirmed = &mut self.confirmed;
+        confirmed.term = batch.hard_state.map_or(confirmed.term, |h| h.term);
+        confirmed.snapshot_index = batch.snapshot.map_or(confirmed.snapshot_index, |x| x.index);
+        confirmed.last = batch.truncate_from.map_or(confirmed.last, |first_removed| {
+            confirmed.last.min(first_removed - 1)
+        });
+        confirmed.last = batch
             .entries
             .last()
-            .map_or(c.last, |e| e.index)
-            .max(c.snapshot_index);
-        c.witnesses = c.witnesses.max(save.witnesses.len());
+            .map_or(confirmed.last, |e| e.index)
+            .max(confirmed.snapshot_index);
+        confirmed.witnesses = confirmed.witnesses.max(batch.witnesses.len());
         let mut images = self.tracker.take_images();
         let last = images.pop().expect("an image");
         let confirmed = self.confirmed.clone();
@@ -242,25 +249,34 @@
             restore(image, lost, &scratch);
             let context = format!("{confirmed:?}, lost {lost:b} of {:?}", image.names());
             let opened = DataFolder::open(&scratch, "c", SEGMENT_BYTES, 8);
-            let (_, l) = opened.unwrap_or_else(|e| panic!("{e}: {context}"));
+            let (_, loaded) = opened.unwrap_or_else(|e| panic!("{e}: {context}"));
             self.images_checked += 1;
-            assert!(!l.damaged, "{context}");
-            assert!(l.hard_state.term >= confirmed.term, "{context}");
-            assert!(l.witnesses.len() >= confirmed.witnesses, "{context}");
-            let snapshot_index = l.snapshot.as_ref().map_or(0, |c| c.index);
+            assert!(!loaded.damaged, "{context}");
+            assert!(loaded.hard_state.term >= confirmed.term, "{context}");
+            assert!(loaded.witnesses.len() >= confirmed.witnesses, "{context}");
+            let snapshot_index = loaded
+                .snapshot
+                .as_ref()
+                .map_or(0, |snapshot| snapshot.index);
             assert!(snapshot_index >= confirmed.snapshot_index, "{context}");
-            let last = l.entries.last().map_or(snapshot_index, |e| e.index);
+            let last = loaded.entries.last().map_or(snapshot_index, |e| e.index);
             assert!(last >= confirmed.last, "{last}: {context}");
-            let first = l.entries.first().map_or(snapshot_index + 1, |e| e.index);
+            let first = loaded
+                .entries
+                .first()
+                .map_or(snapshot_index + 1, |e| e.index);
             assert!(
                 first == snapshot_index + 1,
                 "{first} after {snapshot_index}: {context}"
             );
-            if let Some((from, term)) = confirmed.min_term_from {
-                let old = l.entries.iter().find(|e| e.index >= from && e.term < term);
+            if let Some((from, term)) = confirmed.truncated_from {
+                let old = loaded
+                    .entries
+                    .iter()
+                    .find(|e| e.index >= from && e.term < term);
                 assert!(
                     old.is_none(),
-                    "truncated entries have reappeared: {context}"
+                    "truncated entries must not reappear: {context}"
                 );
             }
         }
@@ -305,8 +321,8 @@
 
 #[test]
 fn confirmed_data_survives_any_loss_of_unsynced_directory_changes() {
-    let mut m = Model::new("captures");
-    m.save(WriteBatch {
+    let mut test = PowerFailureTest::new("snapshots");
+    test.save(WriteBatch {
         hard_state: hard_state(3),
         witnesses: vec![DurabilityWitness {
             replica: "b".into(),
@@ -318,41 +334,41 @@
     });
     for round in 0..4 {
         let from = round * 30 + 1;
-        (from..from + 30).for_each(|i| m.save(entries(i, i, 3)));
-        m.save(WriteBatch {
+        (from..from + 30).for_each(|i| test.save(entries(i, i, 3)));
+        test.save(WriteBatch {
             snapshot: snapshot(from + 19, 3),
             ..WriteBatch::default()
         });
     }
-    assert!(m.images_checked > 200, "{} images", m.images_checked);
+    assert!(test.images_checked > 200, "{} images", test.images_checked);
 }
 
 #[test]
-fn replacing_the_log_by_a_snapshot_never_restores_truncated_entries() {
-    let mut m = Model::new("installs");
-    m.save(WriteBatch {
+fn replacing_the_log_with_a_snapshot_never_restores_truncated_entries() {
+    let mut test = PowerFailureTest::new("installs");
+    test.save(WriteBatch {
         hard_state: hard_state(2),
         ..WriteBatch::default()
     });
     // An uncommitted log that is longer than the snapshot that replaces it.
-    (1..=60).for_each(|i| m.save(entries(i, i, 1)));
-    m.confirmed.last = 0;
-    m.save(WriteBatch {
+    (1..=60).for_each(|i| test.save(entries(i, i, 1)));
+    test.confirmed.last = 0;
+    test.save(WriteBatch {
         hard_state: hard_state(5),
         truncate_from: Some(1),
         snapshot: snapshot(40, 4),
         ..WriteBatch::default()
     });
-    m.confirmed.min_term_from = Some((41, 4));
-    m.save(WriteBatch {
+    test.confirmed.truncated_from = Some((41, 4));
+    test.save(WriteBatch {
         witnesses: vec![DurabilityWitness::default()],
         ..WriteBatch::default()
     });
-    m.save(entries(41, 43, 5));
-    m.save(entries(44, 60, 5));
-    m.save(WriteBatch {
+    test.save(entries(41, 43, 5));
+    test.save(entries(44, 60, 5));
+    test.save(WriteBatch {
         snapshot: snapshot(55, 5),
         ..WriteBatch::default()
     });
-    assert!(m.images_checked > 60, "{} images", m.images_checked);
+    assert!(test.images_checked > 60, "{} images", test.images_checked);
 }
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -1,5 +1,5 @@
-//! A disk that fails writes for a while: nothing is confirmed meanwhile, nothing is lost, and writes are retried until
-//! they succeed.
+//! A disk that fails writes for a while: no write is confirmed until it succeeds, failed writes are retried in order,
+//! and no confirmed data is lost.
 
 use landingdrift::daemon::{Backoff, DiskWriter, Input, Store};
 use landingdrift::disk::{DataFolder, StorageError};
@@ -24,7 +24,7 @@
     path
 }
 
-fn save(write_id: u64, from: u64, to: u64) -> WriteBatch {
+fn batch_of_entries(write_id: u64, from: u64, to: u64) -> WriteBatch {
     let entry = |index| Entry {
         index,
         term: 1,
@@ -44,7 +44,8 @@
     }
 }
 
-fn indexes(path: &Path) -> Vec<u64> {
+/// The log indexes that an undamaged data folder contains.
+fn load_indexes(path: &Path) -> Vec<u64> {
     let (_, loaded) = DataFolder::open(path, "c", SEGMENT_BYTES, 7).expect("opened");
     assert!(!loaded.damaged);
     loaded.entries.iter().map(|e| e.index).collect()
@@ -66,8 +67,8 @@
                 source: std::io::ErrorKind::StorageFull.into(),
             });
         }
-        let mut written = self.written.lock().expect("free");
-        written.extend(batch.iter().map(|s| s.write_id));
+        let mut written = self.written.lock().expect("not poisoned");
+        written.extend(batch.iter().map(|written| written.write_id));
         Ok(())
     }
     fn recover(&mut self) -> Result<(), StorageError> {
@@ -88,11 +89,11 @@
     let mut failures = 0;
     loop {
         match rx.recv_timeout(RECEIVE_TIMEOUT) {
-            Ok(Input::Msg(Msg::DiskFailed(why))) => {
-                assert!(!why.is_empty());
+            Ok(Input::Msg(Msg::DiskFailed(reason))) => {
+                assert!(!reason.is_empty());
                 failures += 1;
             }
-            Ok(Input::Msg(Msg::Persisted(t))) if t == write_id => return failures,
+            Ok(Input::Msg(Msg::Persisted(id))) if id == write_id => return failures,
             Ok(Input::Msg(Msg::Persisted(_))) => {}
             _ => panic!("the writer thread has ended"),
         }
@@ -117,30 +118,30 @@
     let (tx, rx) = channel();
     let disk = DiskWriter::start(store, tx, backoff()).expect("starts");
     let since = Instant::now();
-    (1..=4).for_each(|write_id| disk.save(save(write_id, write_id, write_id)));
+    (1..=4).for_each(|write_id| disk.save(batch_of_entries(write_id, write_id, write_id)));
     assert_eq!(failures_until(&rx, 4), 5);
-    assert_eq!(*written.lock().expect("free"), [1, 2, 3, 4]);
+    assert_eq!(*written.lock().expect("not poisoned"), [1, 2, 3, 4]);
     assert_eq!(recovered.load(Ordering::SeqCst), 5);
-    let paused = Duration::from_millis(10 + 20 + 40 + 80 + 80);
-    assert!(since.elapsed() >= paused, "{:?}", since.elapsed());
+    let total_delay = Duration::from_millis(10 + 20 + 40 + 80 + 80);
+    assert!(since.elapsed() >= total_delay, "{:?}", since.elapsed());
 }
 
 #[test]
 fn a_batch_written_again_after_a_failure_is_stored_completely() {
     let (path, away) = (folder("middle"), folder("middle-away"));
     let (mut data, _) = DataFolder::open(&path, "c", SEGMENT_BYTES, 7).expect("created");
-    (1..=3).for_each(|i| data.save(&[save(i, i, i)]).expect("saved"));
+    (1..=3).for_each(|i| data.save(&[batch_of_entries(i, i, i)]).expect("saved"));
     // While the folder is moved away no new segment can be created, but writes to the open segment succeed.
     fs::rename(&path, &away).expect("moved");
-    let batch = [save(4, 4, 40), save(5, 41, 42)];
+    let batch = [batch_of_entries(4, 4, 40), batch_of_entries(5, 41, 42)];
     assert!(data.save(&batch).is_err());
     assert!(data.recover().is_err());
     fs::rename(&away, &path).expect("moved back");
     data.recover().expect("usable again");
     data.save(&batch).expect("saved again");
-    data.save(&[save(6, 43, 43)]).expect("saved");
+    data.save(&[batch_of_entries(6, 43, 43)]).expect("saved");
     drop(data);
-    assert_eq!(indexes(&path), (1..=43).collect::<Vec<_>>());
+    assert_eq!(load_indexes(&path), (1..=43).collect::<Vec<_>>());
 }
 
 #[test]
@@ -154,11 +155,11 @@
             no_vote_through: 0,
             founders: Vec::new(),
         }),
-        ..save(1, 1, 5)
+        ..batch_of_entries(1, 1, 5)
     };
     data.save(&[voted]).expect("saved");
     fs::rename(&path, &away).expect("moved");
-    let whole = WriteBatch {
+    let batch_with_snapshot = WriteBatch {
         truncate_from: Some(1),
         snapshot: Some(landingdrift::sans_io::Snapshot {
             index: 9,
@@ -167,12 +168,12 @@
         }),
         ..WriteBatch::default()
     };
-    assert!(data.save(&[whole]).is_err());
+    assert!(data.save(&[batch_with_snapshot]).is_err());
     fs::rename(&away, &path).expect("moved back");
     // The truncation must not take effect without the snapshot that it relies on.
     data.recover().expect("usable again");
     drop(data);
-    assert_eq!(indexes(&path), [1, 2, 3, 4, 5]);
+    assert_eq!(load_indexes(&path), [1, 2, 3, 4, 5]);
     let (_, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("opened");
     assert_eq!(
         (loaded.hard_state.term, loaded.hard_state.vote.as_str()),
@@ -191,11 +192,11 @@
             term: 1,
             bytes: vec![b's'; 100],
         };
-        let whole = WriteBatch {
+        let batch_with_snapshot = WriteBatch {
             snapshot: Some(snapshot),
-            ..save(n, 10 * n - 9, 10 * n)
+            ..batch_of_entries(n, 10 * n - 9, 10 * n)
         };
-        data.save(&[whole]).expect("saved");
+        data.save(&[batch_with_snapshot]).expect("saved");
     }
     // The file left behind when the disk ran full while a snapshot was written.
     fs::write(path.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
@@ -208,10 +209,10 @@
         .filter(|n| n.starts_with("capture-"))
         .collect();
     assert_eq!(snapshots, ["capture-0000000000000030.capture"]);
-    data.save(&[save(4, 31, 35)]).expect("saved");
+    data.save(&[batch_of_entries(4, 31, 35)]).expect("saved");
     drop(data);
     let (_, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("opened");
     assert!(!loaded.damaged);
-    assert_eq!(loaded.snapshot.map(|c| c.index), Some(30));
+    assert_eq!(loaded.snapshot.map(|snapshot| snapshot.index), Some(30));
     assert_eq!(loaded.entries.last().map(|e| e.index), Some(35));
 }
--- a/landingdrift/tests/membership.rs
+++ b/landingdrift/tests/membership.rs
@@ -1,4 +1,5 @@
-//! The membership reconciler: which sequence of changes it derives, and which losses the voters then survive.
+//! The membership reconciler: the sequence of changes that it derives, and the losses that the voters survive
+//! afterwards.
 
 use landingdrift::consensus::membership::{
     Health, JoinRequest, MemberStatus, MembershipChange, MembershipView, Resilience,
@@ -117,11 +118,11 @@
     }
 }
 
-const THREE: [(&str, &str); 3] = [("a", "z0"), ("b", "z1"), ("c", "z2")];
+const THREE_VOTERS: [(&str, &str); 3] = [("a", "z0"), ("b", "z1"), ("c", "z2")];
 
 #[test]
 fn a_planned_replacement_keeps_the_number_of_voters() {
-    let mut cluster = Cluster::new(3, &THREE, &[]);
+    let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
     cluster.request("d", 40, "z2");
     cluster.apply_all_changes();
     assert_eq!(
@@ -139,9 +140,9 @@
 
 #[test]
 fn three_successive_replacements_keep_a_zone_loss_survivable() {
-    let mut cluster = Cluster::new(3, &THREE, &[]);
-    for (newcomer, old, zone) in [("d", "c", "z2"), ("e", "b", "z1"), ("f", "d", "z2")] {
-        cluster.request(newcomer, u64::from(newcomer.as_bytes()[0]), zone);
+    let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
+    for (replacement, old, zone) in [("d", "c", "z2"), ("e", "b", "z1"), ("f", "d", "z2")] {
+        cluster.request(replacement, u64::from(replacement.as_bytes()[0]), zone);
         cluster.apply_all_changes();
         cluster.set_health(old, Health::Leaving);
         cluster.apply_all_changes();
@@ -154,7 +155,12 @@
 
 #[test]
 fn one_lost_voter_of_four_is_demoted() {
-    let four = [THREE[0], THREE[1], THREE[2], ("d", "z0")];
+    let four = [
+        THREE_VOTERS[0],
+        THREE_VOTERS[1],
+        THREE_VOTERS[2],
+        ("d", "z0"),
+    ];
     let mut cluster = Cluster::new(5, &four, &[]);
     cluster.set_health("c", Health::Unreachable);
     assert_eq!(cluster.resilience().machine_losses_left, 0);
@@ -165,7 +171,7 @@
 
 #[test]
 fn a_lost_voter_of_three_is_replaced_only_once_a_standby_is_ready() {
-    let mut cluster = Cluster::new(3, &THREE, &[]);
+    let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
     cluster.set_health("b", Health::Unreachable);
     assert_eq!(cluster.apply_all_changes(), []);
     cluster.request("d", 40, "z1");
@@ -194,7 +200,7 @@
 
 #[test]
 fn another_disk_at_the_address_of_a_member_is_a_new_replica() {
-    let mut cluster = Cluster::new(3, &THREE, &[]);
+    let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
     cluster.set_health("b", Health::Replaced);
     cluster.request("b", 77, "z1");
     let changes = cluster.apply_all_changes();
@@ -206,7 +212,7 @@
 
 #[test]
 fn a_disk_is_not_admitted_while_it_responds_at_another_address() {
-    let mut cluster = Cluster::new(3, &THREE, &[]);
+    let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
     let disk_of_b = cluster.members["b"].disk;
     cluster.request("x", disk_of_b, "z1");
     assert_eq!(cluster.apply_all_changes(), []);
@@ -219,9 +225,9 @@
 }
 
 #[test]
-fn voters_grow_by_two_and_spread_over_the_zones() {
+fn voters_are_promoted_in_pairs_and_spread_over_the_zones() {
     let standbys = [("d", "z0"), ("e", "z1"), ("f", "z2")];
-    let mut cluster = Cluster::new(5, &THREE, &standbys[..1]);
+    let mut cluster = Cluster::new(5, &THREE_VOTERS, &standbys[..1]);
     assert_eq!(
         cluster.apply_all_changes(),
         [],
@@ -259,7 +265,7 @@
 
 #[test]
 fn a_standby_only_replica_is_not_promoted_while_others_may_vote() {
-    let mut cluster = Cluster::new(3, &THREE, &[("d", "z1")]);
+    let mut cluster = Cluster::new(3, &THREE_VOTERS, &[("d", "z1")]);
     cluster.members.get_mut("d").expect("a member").standby_only = true;
     cluster.set_health("b", Health::Unreachable);
     assert_eq!(cluster.apply_all_changes(), []);
--- a/landingdrift/tests/replicas/behind.rs
+++ b/landingdrift/tests/replicas/behind.rs
@@ -5,7 +5,7 @@
 
 pub const SNAPSHOT_EVERY_ENTRIES: u64 = 40;
 
-/// This many changes of [`CHANGE_BYTES`] make a snapshot of several chunks.
+/// The number of changes of [`CHANGE_BYTES`] that the lagging replica misses: enough for a snapshot of several chunks.
 pub const MISSED_CHANGES: usize = 60;
 
 pub const CHANGE_BYTES: usize = 40_000;
@@ -17,15 +17,15 @@
     }
 }
 
-/// Starts three replicas and crashes one, then commits so many changes that the log does not reach back to its last
-/// entry. Returns the cluster, the leader and the crashed replica.
+/// Starts three replicas and crashes one, then commits changes until the log of the others no longer contains the
+/// entries that the crashed one lacks. Returns the cluster, the leader and the crashed replica.
 pub fn start_with_lagging_replica() -> (TestCluster, usize, usize) {
     let mut cluster = TestCluster::start(limits());
     cluster.commit_change(10);
     let leader = cluster.leader().expect("a leader");
-    let behind = (leader + 1) % 3;
-    cluster.crash(behind);
+    let lagging = (leader + 1) % 3;
+    cluster.crash(lagging);
     (0..MISSED_CHANGES).for_each(|_| cluster.commit_change(CHANGE_BYTES));
     cluster.sent.clear();
-    (cluster, leader, behind)
+    (cluster, leader, lagging)
 }
--- a/landingdrift/tests/replicas/disk.rs
+++ b/landingdrift/tests/replicas/disk.rs
@@ -4,7 +4,7 @@
 use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
-/// The reaction of a disk to writes.
+/// The reaction of a disk to writes: it confirms them, reports errors, or never responds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
     Works,
@@ -34,6 +34,7 @@
         }
     }
 
+    /// Makes all pending writes durable; returns the number of the last one.
     pub(super) fn complete_writes(&mut self) -> Option<u64> {
         let last = self.pending.back().map(|batch| batch.write_id);
         for batch in std::mem::take(&mut self.pending) {
@@ -57,9 +58,12 @@
 }
 
 fn write(to: &mut PersistedState, batch: WriteBatch) {
-    batch.hard_state.into_iter().for_each(|h| to.hard_state = h);
-    if let Some(cut) = batch.truncate_from {
-        to.entries.retain(|entry| entry.index < cut);
+    batch
+        .hard_state
+        .into_iter()
+        .for_each(|hard_state| to.hard_state = hard_state);
+    if let Some(first_removed) = batch.truncate_from {
+        to.entries.retain(|entry| entry.index < first_removed);
     }
     if let Some(snapshot) = batch.snapshot {
         to.entries.retain(|entry| entry.index > snapshot.index);
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const TICK_MS: u64 = 20;
-const LINK_MS: u64 = 1;
+const LINK_LATENCY_MS: u64 = 1;
 /// The interval between retries of writes to a failing disk.
 const RETRY_MS: u64 = 100;
 const CLIENT: &str = "10.9.9.9:1";
@@ -39,7 +39,7 @@
     pub settings: Vec<Settings>,
     /// The messages in flight with their time of arrival, in the order in which they were sent.
     in_flight: VecDeque<(u64, SentMessage)>,
-    /// Decides which messages are lost.
+    /// Returns whether a message is lost.
     pub drops_message: Box<dyn Fn(&SentMessage) -> bool>,
     /// All messages to receivers other than the replicas.
     pub external_messages: Vec<SentMessage>,
@@ -117,9 +117,11 @@
         self.replicas[i].as_ref().expect("a running replica")
     }
 
-    pub fn counter(&self, i: usize, of: &str) -> u64 {
+    pub fn counter(&self, i: usize, name: &str) -> u64 {
         let all = self.replica(i).counters();
-        all.into_iter().find(|(k, _)| k == of).map_or(0, |(_, v)| v)
+        all.into_iter()
+            .find(|(key, _)| key == name)
+            .map_or(0, |(_, value)| value)
     }
 
     /// The leader of the newest term.
@@ -163,11 +165,11 @@
     }
 
     fn step_disk(&mut self, i: usize) {
-        let (t, disk) = (self.now_ms, &mut self.disks[i]);
+        let (now_ms, disk) = (self.now_ms, &mut self.disks[i]);
         let msg = match disk.behaviour {
             Behaviour::Works => disk.complete_writes().map(Msg::Persisted),
-            Behaviour::Fails if !disk.pending.is_empty() && t >= disk.next_retry => {
-                disk.next_retry = t + RETRY_MS;
+            Behaviour::Fails if !disk.pending.is_empty() && now_ms >= disk.next_retry => {
+                disk.next_retry = now_ms + RETRY_MS;
                 Some(Msg::DiskFailed("the disk is full".into()))
             }
             _ => None,
@@ -186,9 +188,9 @@
                     let from = name(i);
                     self.send(i, SentMessage { from, to, body });
                 }
-                Effect::Persist(save) => self.disks[i].pending.push_back(save),
-                Effect::Respond(call, v) => {
-                    self.responses.insert(call, v);
+                Effect::Persist(batch) => self.disks[i].pending.push_back(batch),
+                Effect::Respond(call, response) => {
+                    self.responses.insert(call, response);
                 }
                 Effect::Log(text) => {
                     self.log_lines
@@ -203,7 +205,8 @@
         self.check_durability(i, &message);
         self.sent.push((self.now_ms, message.clone()));
         if !(self.drops_message)(&message) {
-            self.in_flight.push_back((self.now_ms + LINK_MS, message));
+            self.in_flight
+                .push_back((self.now_ms + LINK_LATENCY_MS, message));
         }
     }
 
@@ -257,7 +260,7 @@
         self.next += 1;
         let token = self.next;
         let propose = ProposeRequest {
-            token: request(token),
+            token: request_token(token),
             command: command.pack(),
         };
         self.deliver(i, CLIENT, Body::ProposeRequest(Box::new(propose)));
@@ -268,7 +271,7 @@
         self.external_messages
             .iter()
             .find_map(|message| match &message.body {
-                Body::ProposeResponse(p) if p.token == request(token) => Some((**p).clone()),
+                Body::ProposeResponse(p) if p.token == request_token(token) => Some((**p).clone()),
                 _ => None,
             })
     }
@@ -338,8 +341,8 @@
         }
     }
 
-    /// Starts a cluster, commits a change, and registers a node by its first watch request. Returns the cluster and the
-    /// index that the leader has applied, once no further commands follow from the registration.
+    /// Starts a cluster, commits a change, and registers a node by its first watch request. Waits until the leader has
+    /// applied all commands that follow from the registration; returns the cluster and the applied index.
     pub fn start_with_node() -> (Self, u64) {
         let mut cluster = Self::start(Limits::default());
         assert!(cluster.run_until(5000, |cluster| cluster.leader().is_some()));
@@ -352,15 +355,16 @@
     }
 
     pub fn batches(&self, node: &str) -> Vec<WatchBatch> {
-        let of = self
+        let messages = self
             .external_messages
             .iter()
             .filter(|message| message.to == node);
-        of.filter_map(|message| match &message.body {
-            Body::WatchBatch(b) => Some((**b).clone()),
-            _ => None,
-        })
-        .collect()
+        messages
+            .filter_map(|message| match &message.body {
+                Body::WatchBatch(b) => Some((**b).clone()),
+                _ => None,
+            })
+            .collect()
     }
 
     pub fn version(&self, i: usize) -> u64 {
@@ -386,7 +390,7 @@
 }
 
 /// The token of a client's request with the given number.
-fn request(number: u64) -> RequestToken {
+fn request_token(number: u64) -> RequestToken {
     RequestToken {
         incarnation: 1,
         number,
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -12,41 +12,51 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-fn installs(cluster: &TestCluster, to: usize) -> Vec<(u64, InstallSnapshot)> {
-    let of = cluster.sent.iter().filter(|(_, c)| c.to == name(to));
-    of.filter_map(|(t, c)| match &c.body {
-        Body::InstallSnapshot(m) => Some((*t, (**m).clone())),
-        _ => None,
-    })
-    .collect()
+fn install_requests(cluster: &TestCluster, to: usize) -> Vec<(u64, InstallSnapshot)> {
+    let messages = cluster
+        .sent
+        .iter()
+        .filter(|(_, message)| message.to == name(to));
+    messages
+        .filter_map(|(time, message)| match &message.body {
+            Body::InstallSnapshot(m) => Some((*time, (**m).clone())),
+            _ => None,
+        })
+        .collect()
 }
 
 fn heartbeats(cluster: &TestCluster, to: usize) -> Vec<u64> {
-    let of = cluster.sent.iter().filter(|(_, c)| c.to == name(to));
-    of.filter_map(|(t, c)| matches!(&c.body, Body::AppendRequest(_)).then_some(*t))
+    let messages = cluster
+        .sent
+        .iter()
+        .filter(|(_, message)| message.to == name(to));
+    messages
+        .filter_map(|(time, message)| {
+            matches!(&message.body, Body::AppendRequest(_)).then_some(*time)
+        })
         .collect()
 }
 
-fn expect_catch_up(cluster: &mut TestCluster, behind: usize) {
+fn expect_catch_up(cluster: &mut TestCluster, lagging: usize) {
     let caught_up = cluster.run_until(10_000, TestCluster::all_in_sync);
     assert!(caught_up, "{:#?}", cluster.log_lines);
-    assert!(cluster.counter(behind, "snapshots_installed") >= 1);
+    assert!(cluster.counter(lagging, "snapshots_installed") >= 1);
     cluster.run(200);
-    let last = cluster.disks[behind].last();
+    let last = cluster.disks[lagging].last();
     assert_eq!(
         last,
-        cluster.replica(behind).state().applied_index,
-        "every applied entry is on its disk"
+        cluster.replica(lagging).state().applied_index,
+        "every applied entry must be on its disk"
     );
 }
 
 #[test]
-fn a_replica_far_behind_is_sent_each_chunk_once_and_heartbeats_meanwhile() {
-    let (mut cluster, leader, behind) = start_with_lagging_replica();
-    cluster.start_replica(behind);
+fn a_lagging_replica_receives_each_chunk_once_and_heartbeats_during_the_transfer() {
+    let (mut cluster, leader, lagging) = start_with_lagging_replica();
+    cluster.start_replica(lagging);
     let since = cluster.now_ms;
-    expect_catch_up(&mut cluster, behind);
-    let sent = installs(&cluster, behind);
+    expect_catch_up(&mut cluster, lagging);
+    let sent = install_requests(&cluster, lagging);
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     let total = sent[0].1.total as usize;
     assert!(total > 3 * CHUNK_BYTES, "{total} bytes");
@@ -57,7 +67,7 @@
     assert!(sent.iter().all(|(_, m)| m.snapshot.len() <= CHUNK_BYTES));
     assert_eq!(cluster.counter(leader, "snapshots_sent"), 1);
     assert_eq!(cluster.counter(leader, "snapshot_chunks_repeated"), 0);
-    let first_heartbeat = heartbeats(&cluster, behind)[0];
+    let first_heartbeat = heartbeats(&cluster, lagging)[0];
     assert!(
         first_heartbeat <= since + 200,
         "heartbeats must not wait for the snapshot"
@@ -66,46 +76,53 @@
 
 #[test]
 fn an_unacknowledged_chunk_does_not_delay_heartbeats() {
-    let (mut cluster, leader, behind) = start_with_lagging_replica();
-    let me = name(behind);
-    cluster.drops_message = Box::new(move |c: &SentMessage| {
-        c.from == me && matches!(&c.body, Body::InstallSnapshotResponse(_))
+    let (mut cluster, leader, lagging) = start_with_lagging_replica();
+    let receiver = name(lagging);
+    cluster.drops_message = Box::new(move |message: &SentMessage| {
+        message.from == receiver && matches!(&message.body, Body::InstallSnapshotResponse(_))
     });
-    cluster.start_replica(behind);
+    cluster.start_replica(lagging);
     cluster.run(4000);
-    let sent = installs(&cluster, behind);
+    let sent = install_requests(&cluster, lagging);
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     assert!(offsets.iter().all(|o| *o == 0), "{offsets:?}");
     assert!((2..=12).contains(&offsets.len()), "{offsets:?}");
-    let heartbeat_times = heartbeats(&cluster, behind);
+    let heartbeat_times = heartbeats(&cluster, lagging);
     let gaps = heartbeat_times.windows(2).map(|w| w[1] - w[0]);
     assert!(gaps.max().is_some_and(|g| g <= 200), "{heartbeat_times:?}");
-    assert_eq!(cluster.leader(), Some(leader), "no election takes place");
+    assert_eq!(
+        cluster.leader(),
+        Some(leader),
+        "no election must take place"
+    );
     cluster.drops_message = Box::new(|_| false);
-    expect_catch_up(&mut cluster, behind);
+    expect_catch_up(&mut cluster, lagging);
 }
 
 #[test]
 fn lost_chunks_are_resent_and_the_snapshot_is_installed_once() {
-    let (mut cluster, _, behind) = start_with_lagging_replica();
+    let (mut cluster, _, lagging) = start_with_lagging_replica();
     let seen = Rc::new(Cell::new(0));
-    cluster.drops_message = Box::new(move |c: &SentMessage| {
-        let chunk = matches!(&c.body, Body::InstallSnapshot(_));
-        seen.set(seen.get() + u64::from(chunk));
-        chunk && seen.get().is_multiple_of(3)
+    cluster.drops_message = Box::new(move |message: &SentMessage| {
+        let is_chunk = matches!(&message.body, Body::InstallSnapshot(_));
+        seen.set(seen.get() + u64::from(is_chunk));
+        is_chunk && seen.get().is_multiple_of(3)
     });
-    cluster.start_replica(behind);
-    expect_catch_up(&mut cluster, behind);
-    assert_eq!(cluster.counter(behind, "snapshots_installed"), 1);
-    assert_eq!(cluster.counter(behind, "snapshots_refused"), 0);
+    cluster.start_replica(lagging);
+    expect_catch_up(&mut cluster, lagging);
+    assert_eq!(cluster.counter(lagging, "snapshots_installed"), 1);
+    assert_eq!(cluster.counter(lagging, "snapshots_refused"), 0);
 }
 
 #[test]
 fn another_leader_continues_when_the_sender_crashes() {
-    let (mut cluster, leader, behind) = start_with_lagging_replica();
-    cluster.start_replica(behind);
-    assert!(cluster.run_until(5000, |cluster| installs(cluster, behind).len() >= 2));
-    assert_eq!(cluster.counter(behind, "snapshots_installed"), 0);
+    let (mut cluster, leader, lagging) = start_with_lagging_replica();
+    cluster.start_replica(lagging);
+    assert!(
+        cluster.run_until(5000, |cluster| install_requests(cluster, lagging).len()
+            >= 2)
+    );
+    assert_eq!(cluster.counter(lagging, "snapshots_installed"), 0);
     cluster.crash(leader);
     let has_new_leader = cluster.run_until(10_000, |cluster| {
         cluster.leader().is_some_and(|l| l != leader)
@@ -113,42 +130,42 @@
     assert!(has_new_leader, "{:#?}", cluster.log_lines);
     assert_ne!(
         cluster.leader(),
-        Some(behind),
-        "a replica that lacks confirmed entries leads"
+        Some(lagging),
+        "a replica that lacks confirmed entries must not lead"
     );
     cluster.run(3000);
     cluster.start_replica(leader);
-    expect_catch_up(&mut cluster, behind);
+    expect_catch_up(&mut cluster, lagging);
 }
 
 #[test]
 fn the_next_leader_resumes_the_transfer_of_the_same_snapshot() {
     let snapshot = ChunkedSnapshot::new(7, 2, vec![9; 3 * CHUNK_BYTES]);
-    let of = snapshot.identity();
+    let id = snapshot.identity();
     let mut assembly = SnapshotAssembly::default();
     assert_eq!(
-        assembly.add_chunk(of, 0, snapshot.chunk(0)),
+        assembly.add_chunk(id, 0, snapshot.chunk(0)),
         ChunkOutcome::Incomplete
     );
-    // The next leader starts with the first chunk, and is told how many bytes the receiver has.
+    // The next leader starts with the first chunk; the receiver ignores it and answers with the number of bytes it has.
     assert_eq!(
-        assembly.add_chunk(of, 0, snapshot.chunk(0)),
+        assembly.add_chunk(id, 0, snapshot.chunk(0)),
         ChunkOutcome::Incomplete
     );
     assert_eq!(assembly.received(), CHUNK_BYTES as u64);
     let rest = [1, 2].map(|n| n * CHUNK_BYTES as u64);
     assert_eq!(
-        assembly.add_chunk(of, rest[0], snapshot.chunk(rest[0])),
+        assembly.add_chunk(id, rest[0], snapshot.chunk(rest[0])),
         ChunkOutcome::Incomplete
     );
-    let whole = assembly.add_chunk(of, rest[1], snapshot.chunk(rest[1]));
-    assert_eq!(whole, ChunkOutcome::Complete(vec![9; 3 * CHUNK_BYTES]));
+    let outcome = assembly.add_chunk(id, rest[1], snapshot.chunk(rest[1]));
+    assert_eq!(outcome, ChunkOutcome::Complete(vec![9; 3 * CHUNK_BYTES]));
     assert_eq!(assembly.received(), 0);
 }
 
-/// A whole snapshot in one chunk, as sent by the leader of `term`.
-fn install(term: u64, index: u64, bytes: &[u8]) -> InstallSnapshot {
-    let of = ChunkedSnapshot::new(index, term, bytes.to_vec()).identity();
+/// A complete snapshot in one chunk, as sent by the leader of `term`.
+fn install_request(term: u64, index: u64, bytes: &[u8]) -> InstallSnapshot {
+    let id = ChunkedSnapshot::new(index, term, bytes.to_vec()).identity();
     InstallSnapshot {
         term,
         round: 1,
@@ -156,18 +173,18 @@
         index_term: term,
         snapshot: bytes.to_vec(),
         offset: 0,
-        total: of.total,
-        checksum: of.checksum,
+        total: id.total,
+        checksum: id.checksum,
     }
 }
 
 fn last_snapshot_response(cluster: &TestCluster, from: usize) -> InstallSnapshotResponse {
-    let mut of = cluster
+    let mut messages = cluster
         .sent
         .iter()
         .rev()
-        .filter(|(_, c)| c.from == name(from));
-    let found = of.find_map(|(_, c)| match &c.body {
+        .filter(|(_, message)| message.from == name(from));
+    let found = messages.find_map(|(_, message)| match &message.body {
         Body::InstallSnapshotResponse(m) => Some((**m).clone()),
         _ => None,
     });
@@ -180,12 +197,12 @@
     (0..5).for_each(|_| cluster.commit_change(10));
     cluster.run(300);
     let leader = cluster.leader().expect("a leader");
-    let to = (leader + 1) % 3;
+    let follower = (leader + 1) % 3;
     let term = cluster.replica(leader).term();
-    let log_index = cluster.replica(to).state().applied_index;
-    let version = cluster.version(to);
+    let log_index = cluster.replica(follower).state().applied_index;
+    let version = cluster.version(follower);
     let bytes = landingdrift::state::ClusterState::new("landingdrift").pack();
-    let good = install(term, log_index + 10, &bytes);
+    let good = install_request(term, log_index + 10, &bytes);
     let corrupt = InstallSnapshot {
         checksum: good.checksum ^ 1,
         ..good.clone()
@@ -198,19 +215,19 @@
         term: term - 1,
         ..good.clone()
     };
-    let not_a_state = install(term, log_index + 10, b"nothing");
+    let not_a_state = install_request(term, log_index + 10, b"nothing");
     for (m, refused) in [
         (corrupt, true),
         (truncated, false),
         (outdated, true),
         (not_a_state, true),
     ] {
-        cluster.deliver(to, &name(leader), Body::InstallSnapshot(Box::new(m)));
-        assert_eq!(last_snapshot_response(&cluster, to).refused, refused);
-        assert_eq!(cluster.replica(to).state().applied_index, log_index);
+        cluster.deliver(follower, &name(leader), Body::InstallSnapshot(Box::new(m)));
+        assert_eq!(last_snapshot_response(&cluster, follower).refused, refused);
+        assert_eq!(cluster.replica(follower).state().applied_index, log_index);
     }
-    assert_eq!(cluster.version(to), version);
-    assert_eq!(cluster.counter(to, "snapshots_installed"), 0);
+    assert_eq!(cluster.version(follower), version);
+    assert_eq!(cluster.counter(follower, "snapshots_installed"), 0);
     cluster.commit_change(10);
     cluster.run(300);
     assert!(cluster.all_in_sync());
@@ -222,10 +239,10 @@
     (0..5).for_each(|_| cluster.commit_change(10));
     cluster.run(300);
     let leader = cluster.leader().expect("a leader");
-    let to = (leader + 1) % 3;
-    // Entries that this replica has acknowledged, but does not know to be committed.
-    let last = cluster.disks[to].last();
-    let tail: Vec<_> = cluster.disks[to].durable.entries.clone();
+    let follower = (leader + 1) % 3;
+    // Let the follower acknowledge entries that it does not know to be committed.
+    let last = cluster.disks[follower].last();
+    let tail: Vec<_> = cluster.disks[follower].durable.entries.clone();
     let term = tail.last().expect("entries").term;
     let mut more = tail.last().expect("entries").clone();
     let entries = [1, 2].map(|n| {
@@ -243,42 +260,50 @@
         clock: 0,
         may_leave: false,
     };
-    cluster.deliver(to, &name(leader), Body::AppendRequest(Box::new(append)));
+    cluster.deliver(
+        follower,
+        &name(leader),
+        Body::AppendRequest(Box::new(append)),
+    );
     cluster.run(3);
-    assert_eq!(cluster.disks[to].last(), last + 2);
-    let bytes = cluster.replica(to).state().pack();
-    let late_snapshot = install(term, last + 1, &bytes);
+    assert_eq!(cluster.disks[follower].last(), last + 2);
+    let bytes = cluster.replica(follower).state().pack();
+    let late_snapshot = install_request(term, last + 1, &bytes);
     cluster.deliver(
-        to,
+        follower,
         &name(leader),
         Body::InstallSnapshot(Box::new(late_snapshot)),
     );
     cluster.run(3);
     assert_eq!(
-        cluster.disks[to].last(),
+        cluster.disks[follower].last(),
         last + 2,
-        "acknowledged entries are lost"
+        "acknowledged entries must not be lost"
     );
-    assert_eq!(cluster.counter(to, "snapshots_installed"), 0);
+    assert_eq!(cluster.counter(follower, "snapshots_installed"), 0);
 }
 
 #[test]
 fn a_replica_that_crashes_during_an_install_never_leads_without_confirmed_entries() {
-    for at in [1, 3, 8, 15, 25, 60] {
-        let (mut cluster, leader, behind) = start_with_lagging_replica();
+    for crash_after_ms in [1, 3, 8, 15, 25, 60] {
+        let (mut cluster, leader, lagging) = start_with_lagging_replica();
         let confirmed = cluster.version(leader);
-        cluster.start_replica(behind);
-        assert!(cluster.run_until(5000, |cluster| !installs(cluster, behind).is_empty()));
-        cluster.run(at);
-        let whole = cluster.disks[behind].last() >= cluster.replica(leader).state().applied_index;
-        cluster.crash(behind);
+        cluster.start_replica(lagging);
+        assert!(
+            cluster.run_until(5000, |cluster| !install_requests(cluster, lagging)
+                .is_empty())
+        );
+        cluster.run(crash_after_ms);
+        let has_installed_snapshot =
+            cluster.disks[lagging].last() >= cluster.replica(leader).state().applied_index;
+        cluster.crash(lagging);
         cluster.crash(leader);
-        cluster.start_replica(behind);
+        cluster.start_replica(lagging);
         cluster.run(2000);
         let leader_now = cluster.leader();
         assert!(
-            whole || leader_now != Some(behind),
-            "killed after {at} ms: {:#?}",
+            has_installed_snapshot || leader_now != Some(lagging),
+            "a replica that crashed after {crash_after_ms} ms must not lead without confirmed entries: {:#?}",
             cluster.log_lines
         );
         assert!(leader_now.is_none_or(|l| cluster.version(l) >= confirmed));
@@ -288,21 +313,21 @@
             "{:#?}",
             cluster.log_lines
         );
-        assert_eq!(cluster.version(behind), confirmed);
+        assert_eq!(cluster.version(lagging), confirmed);
     }
 }
 
 #[test]
 fn the_log_is_kept_for_a_replica_that_catches_up_during_changes() {
-    let (mut cluster, leader, behind) = start_with_lagging_replica();
-    // As on a narrow link, the transfer is slow (every other chunk is lost), and a change is committed with each chunk.
+    let (mut cluster, leader, lagging) = start_with_lagging_replica();
+    // Slow down the transfer by losing every other chunk, and commit changes during it.
     let seen = Rc::new(Cell::new(0));
-    cluster.drops_message = Box::new(move |c: &SentMessage| {
-        let chunk = matches!(&c.body, Body::InstallSnapshot(_));
-        seen.set(seen.get() + u64::from(chunk));
-        chunk && seen.get() % 2 == 1
+    cluster.drops_message = Box::new(move |message: &SentMessage| {
+        let is_chunk = matches!(&message.body, Body::InstallSnapshot(_));
+        seen.set(seen.get() + u64::from(is_chunk));
+        is_chunk && seen.get() % 2 == 1
     });
-    cluster.start_replica(behind);
+    cluster.start_replica(lagging);
     for _ in 0..100 {
         cluster.commit_change(200);
         cluster.run(100);
@@ -310,12 +335,12 @@
     cluster.drops_message = Box::new(|_| false);
     cluster.run(1000);
     assert!(cluster.all_in_sync(), "{:#?}", cluster.log_lines);
-    let sent = installs(&cluster, behind);
+    let sent = install_requests(&cluster, lagging);
     let indexes: BTreeSet<u64> = sent.iter().map(|(_, m)| m.index).collect();
     assert_eq!(
         indexes.len(),
         1,
-        "the snapshot was replaced during the transfer: {indexes:?}"
+        "the snapshot must not be replaced during the transfer: {indexes:?}"
     );
     assert!(
         cluster.replica(leader).state().applied_index
--- a/landingdrift/tests/snapshots_to_nodes.rs
+++ b/landingdrift/tests/snapshots_to_nodes.rs
@@ -8,12 +8,16 @@
 use replicas::{TestCluster, NODE};
 
 fn snapshot_chunks(cluster: &TestCluster) -> Vec<WatchSnapshotChunk> {
-    let of = cluster.external_messages.iter().filter(|c| c.to == NODE);
-    of.filter_map(|c| match &c.body {
-        Body::WatchSnapshotChunk(m) => Some((**m).clone()),
-        _ => None,
-    })
-    .collect()
+    let messages = cluster
+        .external_messages
+        .iter()
+        .filter(|message| message.to == NODE);
+    messages
+        .filter_map(|message| match &message.body {
+            Body::WatchSnapshotChunk(m) => Some((**m).clone()),
+            _ => None,
+        })
+        .collect()
 }
 
 #[test]
@@ -24,7 +28,7 @@
     for _ in 0..200 {
         let before = snapshot_chunks(&cluster).len();
         let part = assembly.identity();
-        let ask = |cluster: &mut TestCluster| {
+        let send_request = |cluster: &mut TestCluster| {
             cluster.send_watch_request(WatchRequest {
                 part_index: part.index,
                 part_checksum: part.checksum,
@@ -32,21 +36,21 @@
                 ..TestCluster::watch_request_of(NODE, 0)
             });
         };
-        // However often the node requests it, a chunk is sent only once while it may be in flight.
-        (0..3).for_each(|_| ask(&mut cluster));
+        // A chunk that may be in flight is not sent again, however often the node requests it.
+        (0..3).for_each(|_| send_request(&mut cluster));
         cluster.commit_change(100);
         cluster.run(20);
-        let got = snapshot_chunks(&cluster);
-        assert_eq!(got.len(), before + 1, "each chunk is sent once");
-        let m = got.last().expect("a chunk");
+        let chunks = snapshot_chunks(&cluster);
+        assert_eq!(chunks.len(), before + 1, "each chunk must be sent once");
+        let m = chunks.last().expect("a chunk");
         assert!(m.bytes.len() <= CHUNK_BYTES);
-        let of = landingdrift::snapshot_chunks::SnapshotId {
+        let id = landingdrift::snapshot_chunks::SnapshotId {
             index: m.index,
             term: m.term,
             total: m.total,
             checksum: m.checksum,
         };
-        match assembly.add_chunk(of, m.offset, &m.bytes) {
+        match assembly.add_chunk(id, m.offset, &m.bytes) {
             ChunkOutcome::Incomplete => {}
             ChunkOutcome::Complete(bytes) => {
                 complete = Some((m.index, bytes));
@@ -77,7 +81,7 @@
     let sent: Vec<(u64, u32, usize)> = cluster
         .external_messages
         .iter()
-        .filter_map(|c| match &c.body {
+        .filter_map(|message| match &message.body {
             Body::WatchSnapshotChunk(m) => Some((m.index, m.checksum, m.bytes.len())),
             _ => None,
         })
--- a/landingdrift/tests/watch_flow.rs
+++ b/landingdrift/tests/watch_flow.rs
@@ -1,5 +1,5 @@
-//! Flow control of the watch: data in flight to a node is not resent, and a late snapshot never moves a node's copy
-//! back.
+//! Flow control of the watch: data in flight to a node is not resent, and a late snapshot never reverts a node's
+//! copy to an older state.
 
 mod node_harness;
 mod replicas;
@@ -19,9 +19,13 @@
     (cluster, applied)
 }
 
-/// Repeats a node's request every tenth of a heartbeat interval, as if nothing had arrived since; returns how often
-/// entries were sent.
-fn times_sent(cluster: &mut TestCluster, request: &WatchRequest, for_ms: u64) -> usize {
+/// Repeats a node's request every 10 ms, a tenth of a heartbeat interval, as if the responses were lost; returns the
+/// number of batches with entries that were sent.
+fn count_batches_with_entries(
+    cluster: &mut TestCluster,
+    request: &WatchRequest,
+    for_ms: u64,
+) -> usize {
     let before = cluster.batches(NODE).len();
     for _ in 0..for_ms / 10 {
         cluster.send_watch_request(request.clone());
@@ -38,9 +42,9 @@
     cluster.commit_change(200_000);
     let request = TestCluster::watch_request_of(NODE, applied);
     // The transfer of 200 kB over a link of 2 Mbit/s takes 800 ms.
-    assert_eq!(times_sent(&mut cluster, &request, 800), 1);
+    assert_eq!(count_batches_with_entries(&mut cluster, &request, 800), 1);
     // The retransmission timeout doubles each time.
-    let times = times_sent(&mut cluster, &request, 12_000);
+    let times = count_batches_with_entries(&mut cluster, &request, 12_000);
     assert!((2..=3).contains(&times), "{times}");
 }
 
@@ -49,7 +53,7 @@
     let (mut cluster, applied) = start_with_watching_node();
     cluster.commit_change(10);
     let request = TestCluster::watch_request_of(NODE, applied);
-    let times = times_sent(&mut cluster, &request, 4 * HEARTBEAT_MS);
+    let times = count_batches_with_entries(&mut cluster, &request, 4 * HEARTBEAT_MS);
     assert_eq!(times, 2);
 }
 
@@ -76,21 +80,25 @@
 }
 
 #[test]
-fn a_restarted_node_is_sent_the_entries_again() {
+fn entries_are_sent_again_to_a_restarted_node() {
     let (mut cluster, applied) = start_with_watching_node();
     cluster.commit_change(200_000);
     let request = WatchRequest {
         sent: 500,
         ..TestCluster::watch_request_of(NODE, applied)
     };
-    assert_eq!(times_sent(&mut cluster, &request, 20), 1);
+    assert_eq!(count_batches_with_entries(&mut cluster, &request, 20), 1);
     // A process that has just started: its clock differs, and it has applied fewer entries.
     let restarted = TestCluster::watch_request_of(NODE, 1);
-    assert_eq!(times_sent(&mut cluster, &restarted, 20), 1);
+    assert_eq!(count_batches_with_entries(&mut cluster, &restarted, 20), 1);
 }
 
-/// A single chunk with a whole snapshot of the replicas' current state.
-fn whole_snapshot(harness: &NodeHarness, light: bool, requested_from: u64) -> WatchSnapshotChunk {
+/// A single chunk with a complete snapshot of the replicas' current state.
+fn complete_snapshot_chunk(
+    harness: &NodeHarness,
+    light: bool,
+    requested_from: u64,
+) -> WatchSnapshotChunk {
     let bytes = if light {
         harness.state.without_jobs_and_workers().pack()
     } else {
@@ -116,9 +124,9 @@
 }
 
 #[test]
-fn a_chunk_that_arrives_after_the_replica_timed_out_is_used() {
+fn a_chunk_that_arrives_after_the_request_timed_out_is_used() {
     let mut harness = NodeHarness::new();
-    let chunk = whole_snapshot(&harness, true, 0);
+    let chunk = complete_snapshot_chunk(&harness, true, 0);
     // The node gets no answer to its request until the timeout, and asks other replicas.
     for _ in 0..100 {
         harness.elapsed_ms += 20;
@@ -133,9 +141,9 @@
 }
 
 #[test]
-fn a_late_chunk_of_an_older_snapshot_does_not_move_the_copy_back() {
+fn a_late_chunk_of_an_older_snapshot_does_not_revert_the_copy() {
     let mut harness = NodeHarness::new();
-    let older = whole_snapshot(&harness, false, 0);
+    let older = complete_snapshot_chunk(&harness, false, 0);
     harness.follow();
     harness.append(Command::SetEvacuation {
         zone: "z".into(),
@@ -148,9 +156,9 @@
 }
 
 #[test]
-fn a_copy_that_was_moved_back_is_not_served_until_it_has_caught_up() {
+fn a_node_reverted_to_an_older_snapshot_is_not_ready_until_it_has_caught_up() {
     let mut harness = NodeHarness::new();
-    let earlier = whole_snapshot(&harness, true, 0);
+    let earlier = complete_snapshot_chunk(&harness, true, 0);
     harness.append(Command::SetEvacuation {
         zone: "z".into(),
         on: true,
@@ -158,7 +166,7 @@
     harness.follow();
     let now = harness.now();
     assert!(harness.node.is_ready(now));
-    // The leader requires a light copy here, and has no light snapshot as new as this node's copy.
+    // The node's copy must become light, but the leader's newest light snapshot is older than that copy.
     let earlier = WatchSnapshotChunk {
         requested_from: harness.state.applied_index,
         ..earlier
@@ -188,7 +196,7 @@
     assert!(harness.node.is_ready(now));
 }
 
-/// The chunk at `offset` of a snapshot at `index`, 1000 bytes long.
+/// The chunk of 1000 bytes at `offset` of a snapshot at `index`.
 fn chunk(index: u64, offset: usize) -> WatchSnapshotChunk {
     const TOTAL: usize = 9000;
     const SIZE: usize = 1000;
@@ -224,7 +232,7 @@
     receive(&mut harness, REPLICA, chunk(1000, 1000));
     let effects = receive(&mut harness, REPLICA, chunk(1200, 1000));
     assert_eq!(part_received(&effects), Some((1200, 2000)));
-    // The node returns to an older snapshot only once no more chunks of this one arrive.
+    // The node returns to the older snapshot only once chunks of the newer one have stopped arriving.
     receive(&mut harness, REPLICA, chunk(1000, 0));
     let effects = receive(&mut harness, REPLICA, chunk(1200, 2000));
     assert_eq!(part_received(&effects), Some((1200, 3000)));
