--- a/landingdrift/src/config/mod.rs
+++ b/landingdrift/src/config/mod.rs
@@ -121,7 +121,7 @@
 
 impl Zone {
     /// Whether the zone may get new work.
-    pub fn serving(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.state.is_empty() || self.state == "serving"
     }
 }
@@ -131,10 +131,10 @@
     pub fn allows_new_work(&self, zone: &str, worker: &str) -> bool {
         self.zones
             .get(zone)
-            .is_none_or(|z| z.serving() && !z.drained_workers.iter().any(|w| w == worker))
+            .is_none_or(|z| z.is_serving() && !z.drained_workers.iter().any(|w| w == worker))
     }
     /// Whether the configuration evacuates a zone, so that repeatable work in it is stopped.
-    pub fn evacuated(&self, zone: &str) -> bool {
+    pub fn is_evacuated(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(|z| z.state == "evacuated")
     }
 }
--- a/landingdrift/src/node/calls/config.rs
+++ b/landingdrift/src/node/calls/config.rs
@@ -81,9 +81,9 @@
         };
         let command = Command::UpdateConfig {
             change: change.clone(),
-            base: requested.base,
-            patch,
-            number: requested.version,
+            base_version: requested.base,
+            is_patch: patch,
+            version: requested.version,
             value,
         };
         self.open_with_proposal(now, origin, &command, ProposedCall::UpdateConfig { change });
@@ -141,7 +141,7 @@
     pub(super) fn evacuate_zone(&mut self, now: Now, origin: Origin, zone: &str, on: bool) {
         let command = Command::SetEvacuation {
             zone: zone.into(),
-            on,
+            evacuate: on,
         };
         self.open_with_proposal(now, origin, &command, ProposedCall::SetEvacuation);
     }
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -172,7 +172,7 @@
     /// know the job or has not caught up, it asks a replica for the read index.
     pub(super) fn poll(&mut self, now: Now, origin: Origin, id: &str) {
         match self.known_state(id) {
-            Some(state) if state.ended() => {
+            Some(state) if state.has_ended() => {
                 if let Some(response) = self.job_response(id, false) {
                     self.reply(&origin, response);
                 }
--- a/landingdrift/src/node/scheduler/mod.rs
+++ b/landingdrift/src/node/scheduler/mod.rs
@@ -106,7 +106,7 @@
     /// The lease epoch under which this node places a job's tasks; none if the job has ended or is scheduled by another
     /// node.
     fn epoch_for(&self, job: &Job) -> Option<u64> {
-        if job.state.ended() || job.cancel {
+        if job.state.has_ended() || job.cancel {
             return None;
         }
         self.queue_epoch(&job.spec.queue)
--- a/landingdrift/src/node/scheduler/offers.rs
+++ b/landingdrift/src/node/scheduler/offers.rs
@@ -167,7 +167,7 @@
 /// Whether a job accepts a slot that it may refuse: it has fewer slots than its size or than the fair share, and in any
 /// case if it has none.
 fn wants_slot(share: &JobShare, fair_share: f64) -> bool {
-    share.occupied < share.sizing.size.max(fair_share).max(1.0)
+    share.occupied < share.sizes.size.max(fair_share).max(1.0)
 }
 
 fn refusal(offer: &Offer, gone: bool, sizes: Vec<Sizes>) -> OfferResponse {
--- a/landingdrift/src/node/scheduler/placement.rs
+++ b/landingdrift/src/node/scheduler/placement.rs
@@ -21,7 +21,7 @@
         let info = &self.state.workers.get(&offer.worker)?.info;
         let mut waiting = self.startable_tasks(now, &job.spec.id, job);
         // The sort is stable: tasks that are equally near stay in their order.
-        waiting.sort_by_key(|task| !info.near(&job.task_spec(*task as usize).near));
+        waiting.sort_by_key(|task| !info.is_near(&job.task_spec(*task as usize).near));
         let mut tried: Vec<&TaskSpec> = Vec::new();
         for task in waiting {
             let spec = job.task_spec(task as usize);
--- a/landingdrift/src/node/scheduler/reservations.rs
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -148,7 +148,7 @@
     let fits = |spec: &&&TaskSpec| info.serves(spec) && info.total_resources().covers(spec.needs());
     let mut fitting = specs.iter().filter(fits).peekable();
     fitting.peek()?;
-    Some(fitting.any(|spec| info.near(&spec.near)))
+    Some(fitting.any(|spec| info.is_near(&spec.near)))
 }
 
 /// Moves `number` randomly sampled candidates to the front, by the first steps of a Fisher-Yates shuffle.
--- a/landingdrift/src/node/scheduler/sizes.rs
+++ b/landingdrift/src/node/scheduler/sizes.rs
@@ -12,38 +12,38 @@
 
 /// A job's sizes and the number of slots that it occupies, including proposed starts.
 pub(super) struct JobShare {
-    pub sizing: JobSizes,
+    pub sizes: JobSizes,
     pub occupied: f64,
 }
 
 impl Node {
     /// The size by which a job is ranked; higher priority reduces it.
-    fn weighted_size(&self, job: &Job, sizing: &JobSizes) -> f64 {
+    fn weighted_size(&self, job: &Job, sizes: &JobSizes) -> f64 {
         let priority = self
             .state
             .queue(&job.spec.queue)
             .map_or(0, |queue| queue.priority);
-        sizing.rank / (1.0 + f64::from(priority))
+        sizes.rank / (1.0 + f64::from(priority))
     }
 
     /// The slots that a job needs and occupies.
     pub(super) fn share(&self, job: &Job) -> JobShare {
-        let sizing = self.state.job_sizes(job);
+        let sizes = self.state.job_sizes(job);
         let starting = self.starting_placements(&job.spec.id).count();
-        let occupied = f64::from(sizing.occupied) + starting as f64;
-        JobShare { sizing, occupied }
+        let occupied = f64::from(sizes.occupied) + starting as f64;
+        JobShare { sizes, occupied }
     }
 
     /// The sizes of a job as sent to zone schedulers, given the fair share.
     pub(super) fn sizes(&self, job: &Job, fair_share: f64) -> Sizes {
-        let JobShare { sizing, occupied } = self.share(job);
+        let JobShare { sizes, occupied } = self.share(job);
         Sizes {
             job: job.spec.id.clone(),
             scheduler: self.name.clone(),
-            remaining: sizing.remaining,
-            size: self.weighted_size(job, &sizing),
-            starved: occupied < fair_share && sizing.remaining > 0,
-            unsatisfied: occupied < sizing.size,
+            remaining: sizes.remaining,
+            size: self.weighted_size(job, &sizes),
+            starved: occupied < fair_share && sizes.remaining > 0,
+            unsatisfied: occupied < sizes.size,
         }
     }
 
--- a/landingdrift/src/replay/rerun/simulation.rs
+++ b/landingdrift/src/replay/rerun/simulation.rs
@@ -156,9 +156,9 @@
         let value = serde_json::to_value(config).unwrap_or_default();
         self.append(&Command::UpdateConfig {
             change: "replay".into(),
-            base,
-            patch: false,
-            number: 0,
+            base_version: base,
+            is_patch: false,
+            version: 0,
             value,
         });
     }
--- a/landingdrift/src/state/apply/config_update.rs
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -164,14 +164,14 @@
     }
 
     /// Starts or ends the evacuation of a zone; idempotent.
-    pub(super) fn set_evacuation(&mut self, zone: &str, on: bool) -> ApplyResult {
-        if on {
+    pub(super) fn set_evacuation(&mut self, zone: &str, evacuate: bool) -> ApplyResult {
+        if evacuate {
             self.evacuated_zones.insert(zone.into());
         } else {
             self.evacuated_zones.remove(zone);
         }
         self.stop_disallowed_attempts();
-        Ok(json!({"zone": zone, "emptied": on}))
+        Ok(json!({"zone": zone, "emptied": evacuate}))
     }
 
     /// Stops unstarted attempts on workers and in zones that may not get new work, and all attempts of repeatable tasks
@@ -195,6 +195,6 @@
         let has_started = attempt.state != AttemptState::Ordered;
         let gets_no_new_work = !self.allows_new_work(zone, &attempt.worker);
         let may_repeat = job.task_spec(*task as usize).may_repeat;
-        (!has_started && gets_no_new_work) || (may_repeat && self.config.evacuated(zone))
+        (!has_started && gets_no_new_work) || (may_repeat && self.config.is_evacuated(zone))
     }
 }
--- a/landingdrift/src/state/apply/job_state.rs
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -11,7 +11,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.state.ended() {
+        if job.state.has_ended() {
             return;
         }
         let any_failed = job.tasks.iter().any(|t| t.state == TaskState::Failed);
@@ -24,7 +24,7 @@
         if any_failed && !job.cancel {
             job.reason = failure_reason(job);
         }
-        if job.state.ended() {
+        if job.state.has_ended() {
             self.close_job(id);
         } else if any_failed {
             self.request_stops(live);
--- a/landingdrift/src/state/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -65,7 +65,7 @@
             what: format!("job '{id}'"),
         };
         let job = self.jobs.get_mut(id).ok_or_else(unknown)?;
-        if job.state.ended() || job.cancel {
+        if job.state.has_ended() || job.cancel {
             return Ok(json!({"state": job.state}));
         }
         job.cancel = true;
--- a/landingdrift/src/state/apply/start_attempts.rs
+++ b/landingdrift/src/state/apply/start_attempts.rs
@@ -46,7 +46,7 @@
         let lease = self.current_lease(&queue_lease(&job.spec.queue));
         let is_owner = lease.is_some_and(|lease| lease.epoch == owner_epoch);
         ensure(is_owner, Rejection::StaleLease)?;
-        ensure(!job.state.ended(), Rejection::Ended)?;
+        ensure(!job.state.has_ended(), Rejection::Ended)?;
         ensure(!job.cancel, Rejection::Cancelled)?;
         let mut needed: BTreeMap<&str, Resources> = BTreeMap::new();
         for (i, placement) in placements.iter().enumerate() {
--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -19,12 +19,15 @@
         /// Identity of the change; retries carry the same one.
         change: String,
         /// Configuration version that the change is based on.
-        base: u64,
+        #[serde(rename = "base")]
+        base_version: u64,
         /// Whether `value` is a merge patch; otherwise it replaces the whole configuration.
-        patch: bool,
+        #[serde(rename = "patch")]
+        is_patch: bool,
         /// Version that the new configuration gets; 0 for the next one.
         #[serde(default)]
-        number: u64,
+        #[serde(rename = "number")]
+        version: u64,
         /// The new configuration, or the patch.
         #[serde(with = "super::pack::json")]
         value: serde_json::Value,
@@ -127,7 +130,8 @@
         /// The zone.
         zone: String,
         /// Whether it is to be evacuated, or returned to service.
-        on: bool,
+        #[serde(rename = "on")]
+        evacuate: bool,
     },
     /// Sets the outcome of a task's attempts whose outcome is unknown, by decision of the operator.
     #[serde(rename = "Resolve")]
--- a/landingdrift/src/state/job/state.rs
+++ b/landingdrift/src/state/job/state.rs
@@ -23,7 +23,7 @@
 
 impl JobState {
     /// Whether the state is final.
-    pub fn ended(self) -> bool {
+    pub fn has_ended(self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
     }
 }
--- a/landingdrift/src/state/worker_info.rs
+++ b/landingdrift/src/state/worker_info.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether the worker is at a location, given as the name of a zone, rack or worker.
-    pub fn near(&self, location: &str) -> bool {
+    pub fn is_near(&self, location: &str) -> bool {
         let locations = [&self.worker, &self.zone, &self.rack];
         !location.is_empty() && locations.into_iter().any(|name| name == location)
     }
--- a/landingdrift/tests/attempts.rs
+++ b/landingdrift/tests/attempts.rs
@@ -80,9 +80,9 @@
     assert_eq!(fixture.job_state("j"), JobState::Done);
     fixture.apply_ok(Command::UpdateConfig {
         change: "none".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"speculationPercent": 0}}}),
     });
     fixture
@@ -120,9 +120,9 @@
     let mut fixture = StateFixture::new();
     let max_attempts = |base: u64, n: u32| Command::UpdateConfig {
         change: format!("tries{n}"),
-        base,
-        patch: true,
-        number: 0,
+        base_version: base,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"tries": n}}}),
     };
     fixture.apply_ok(max_attempts(1, 3));
--- a/landingdrift/tests/cluster_state.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -74,9 +74,9 @@
     fixture.update_worker("v", 2, false);
     fixture.apply_ok(Command::UpdateConfig {
         change: "drain".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"zones": {"z": {"state": "draining"}}}),
     });
     assert!(matches!(
@@ -175,9 +175,9 @@
     let mut fixture = StateFixture::new();
     fixture.apply_ok(Command::UpdateConfig {
         change: "more".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"tries": 100, "quota": 100}}}),
     });
     let mut no = 0;
--- a/landingdrift/tests/cluster_state_fixture/mod.rs
+++ b/landingdrift/tests/cluster_state_fixture/mod.rs
@@ -39,9 +39,9 @@
         });
         fixture.apply_ok(Command::UpdateConfig {
             change: "first".into(),
-            base: 0,
-            patch: false,
-            number: 0,
+            base_version: 0,
+            is_patch: false,
+            version: 0,
             value: config(2),
         });
         fixture.update_worker("w", 1, false);
--- a/landingdrift/tests/common/mod.rs
+++ b/landingdrift/tests/common/mod.rs
@@ -80,9 +80,9 @@
         };
         let first = Command::UpdateConfig {
             change: "first".into(),
-            base: 0,
-            patch: false,
-            number: 0,
+            base_version: 0,
+            is_patch: false,
+            version: 0,
             value: json!({"queues": {"q": {"tries": 3, "quota": 9, "windowMs": 1000, "unsureBoundMs": 1000, "speculationPercent": 0}},
                 "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
         };
--- a/landingdrift/tests/config_updates.rs
+++ b/landingdrift/tests/config_updates.rs
@@ -107,9 +107,9 @@
     let mut fixture = StateFixture::new();
     let change = |id: &str, base: u64, note: &str| Command::UpdateConfig {
         change: id.into(),
-        base,
-        patch: true,
-        number: 0,
+        base_version: base,
+        is_patch: true,
+        version: 0,
         value: json!({"notes": {"n": note}}),
     };
     fixture.apply_ok(change("a", 1, "x"));
@@ -124,9 +124,9 @@
     );
     let wrong = fixture.apply(Command::UpdateConfig {
         change: "c".into(),
-        base: 2,
-        patch: true,
-        number: 0,
+        base_version: 2,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"tries": "many"}}}),
     });
     assert!(
@@ -148,9 +148,9 @@
     fixture.accept("j", vec![task("a")]).expect("accepted");
     let remove_queue = |change: &str| Command::UpdateConfig {
         change: change.into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": null}}),
     };
     let rejected = fixture.apply(remove_queue("a"));
@@ -179,9 +179,9 @@
     let value = json!({"queues": {"q": {"tries": 1}}});
     let lower = |base| Command::UpdateConfig {
         change: format!("lower-{base}"),
-        base,
-        patch: true,
-        number: 0,
+        base_version: base,
+        is_patch: true,
+        version: 0,
         value: value.clone(),
     };
     fixture.apply_ok(lower(1));
--- a/landingdrift/tests/forwarded_reads.rs
+++ b/landingdrift/tests/forwarded_reads.rs
@@ -301,9 +301,9 @@
 fn add_route(harness: &mut NodeHarness) {
     harness.append(Command::UpdateConfig {
         change: "route".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"service": "s", "host": "host.example", "prefix": "/p/"}}}),
     });
 }
--- a/landingdrift/tests/job_memory.rs
+++ b/landingdrift/tests/job_memory.rs
@@ -67,9 +67,9 @@
     let leader = cluster.leader().expect("a leader");
     let command = Command::UpdateConfig {
         change: "c".into(),
-        base: cluster.version(leader),
-        patch: true,
-        number: 0,
+        base_version: cluster.version(leader),
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"tries": 3, "quota": 100_000, "windowMs": 1000, "unsureBoundMs": 1000, "speculationPercent": 0}},
             "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
     };
--- a/landingdrift/tests/light_copies.rs
+++ b/landingdrift/tests/light_copies.rs
@@ -18,9 +18,9 @@
         (
             Command::UpdateConfig {
                 change: text(),
-                base: 0,
-                patch: false,
-                number: 0,
+                base_version: 0,
+                is_patch: false,
+                version: 0,
                 value: json!({}),
             },
             true,
@@ -88,7 +88,7 @@
         (
             Command::SetEvacuation {
                 zone: text(),
-                on: true,
+                evacuate: true,
             },
             true,
         ),
--- a/landingdrift/tests/redirected_reads.rs
+++ b/landingdrift/tests/redirected_reads.rs
@@ -31,9 +31,9 @@
     }
     harness.append(Command::UpdateConfig {
         change: "large".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"notes": {"n": "x".repeat(note_bytes)}}),
     });
     harness
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -247,9 +247,9 @@
         let token = self.next + 1;
         let command = Command::UpdateConfig {
             change: format!("c{token}"),
-            base: self.version(i),
-            patch: true,
-            number: 0,
+            base_version: self.version(i),
+            is_patch: true,
+            version: 0,
             value: json!({"notes": {(format!("n{token}")): noise(token, bytes)}}),
         };
         self.propose_command(i, &command)
--- a/landingdrift/tests/routed_calls.rs
+++ b/landingdrift/tests/routed_calls.rs
@@ -28,9 +28,9 @@
 fn set_route(harness: &mut NodeHarness, host: &str) {
     harness.append(Command::UpdateConfig {
         change: "routes".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"service": "s", "host": host, "prefix": "/p/"}}}),
     });
     harness.follow();
--- a/landingdrift/tests/start_orders.rs
+++ b/landingdrift/tests/start_orders.rs
@@ -24,9 +24,9 @@
 fn place_many(harness: &mut NodeHarness) {
     harness.append(Command::UpdateConfig {
         change: "room".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: serde_json::json!({"services": {"s": {"taskRoom": 9999, "gangRoom": 9999}}}),
     });
     harness.append(Command::UpdateWorker {
--- a/landingdrift/tests/stored/history.rs
+++ b/landingdrift/tests/stored/history.rs
@@ -139,9 +139,9 @@
             1,
             Command::UpdateConfig {
                 change: "first".into(),
-                base: 0,
-                patch: false,
-                number: 7,
+                base_version: 0,
+                is_patch: false,
+                version: 7,
                 value,
             },
         );
@@ -304,9 +304,9 @@
         assert!(!over_quota, "the queue's quota is one job");
         self.apply_ok(Command::UpdateConfig {
             change: "second".into(),
-            base: 7,
-            patch: true,
-            number: 0,
+            base_version: 7,
+            is_patch: true,
+            version: 0,
             value: json!({"queues": {"old": null}}),
         });
     }
@@ -316,7 +316,7 @@
             3,
             Command::SetEvacuation {
                 zone: "z2".into(),
-                on: true,
+                evacuate: true,
             },
         );
         self.order(
--- a/landingdrift/tests/watch_flow.rs
+++ b/landingdrift/tests/watch_flow.rs
@@ -147,7 +147,7 @@
     harness.follow();
     harness.append(Command::SetEvacuation {
         zone: "z".into(),
-        on: true,
+        evacuate: true,
     });
     harness.follow();
     let newest = harness.node.state().applied_index;
@@ -161,7 +161,7 @@
     let earlier = complete_snapshot_chunk(&harness, true, 0);
     harness.append(Command::SetEvacuation {
         zone: "z".into(),
-        on: true,
+        evacuate: true,
     });
     harness.follow();
     let now = harness.now();
--- a/landingdrift/tests/watch_identity.rs
+++ b/landingdrift/tests/watch_identity.rs
@@ -42,9 +42,9 @@
 fn patch(base: u64, value: serde_json::Value) -> Command {
     Command::UpdateConfig {
         change: format!("on-{base}"),
-        base,
-        patch: true,
-        number: 0,
+        base_version: base,
+        is_patch: true,
+        version: 0,
         value,
     }
 }
@@ -95,7 +95,7 @@
     let first_entry = last_entry(&harness, &first);
     let second = Command::SetEvacuation {
         zone: "z".into(),
-        on: true,
+        evacuate: true,
     };
     harness.append(second.clone());
     let second_entry = last_entry(&harness, &second);
--- a/testkit/src/explorer/client.rs
+++ b/testkit/src/explorer/client.rs
@@ -15,9 +15,9 @@
         let value = json!({"queues": {}, "notes": {"by": change}});
         let command = Command::UpdateConfig {
             change,
-            base,
-            patch: false,
-            number: 0,
+            base_version: base,
+            is_patch: false,
+            version: 0,
             value,
         };
         self.propose_command(machine_index, number, &command);
