--- a/testkit/src/explorer/cluster.rs
+++ b/testkit/src/explorer/cluster.rs
@@ -198,9 +198,9 @@
         let machine = &mut self.machines[machine_index];
         machine.replica = None;
         machine.inbox.clear();
-        machine.disk.crash(persisted_writes);
+        machine.disk.drop_pending(persisted_writes);
         if self.planted_bug == Some(PlantedBug::ForgetsSilently) {
-            machine.disk.forget_log();
+            machine.disk.keep_only_hard_state();
         }
         let address = machine.address.clone();
         self.network
--- a/testkit/src/fakes/worker/mod.rs
+++ b/testkit/src/fakes/worker/mod.rs
@@ -70,7 +70,7 @@
 
 /// The random numbers of a run when policies are compared: they depend only on the task and on whether it is a copy, so
 /// that all policies see the same ones.
-pub fn paired_rng(seed: u64, job: &str, task: &str, copy: bool) -> Rng {
+pub fn common_rng(seed: u64, job: &str, task: &str, copy: bool) -> Rng {
     Rng::new(seed ^ fnv1a(format!("{job}/{task}/{copy}").as_bytes()))
 }
 
@@ -91,8 +91,8 @@
     current_node: usize,
     rng: Rng,
     seed: u64,
-    /// If set, a run's duration and outcome depend on its job and task only; see [`paired_rng`].
-    pub paired_seed: Option<u64>,
+    /// If set, a run's duration and outcome depend on its job and task only; see [`common_rng`].
+    pub common_seed: Option<u64>,
     /// The current runs, by attempt number.
     running: BTreeMap<u64, Run>,
     /// Ends that no node has acknowledged yet; each heartbeat reports them.
@@ -121,7 +121,7 @@
             current_node,
             rng,
             seed,
-            paired_seed: None,
+            common_seed: None,
             running: BTreeMap::new(),
             unreported_ends: Vec::new(),
             finished: BTreeSet::new(),
@@ -146,7 +146,7 @@
     }
 
     /// The event that it has started.
-    pub fn up_event(&self) -> Event {
+    pub fn started_event(&self) -> Event {
         let info = &self.info;
         Event::WorkerUp {
             worker: info.worker.clone(),
--- a/testkit/src/fakes/worker/orders.rs
+++ b/testkit/src/fakes/worker/orders.rs
@@ -1,6 +1,6 @@
 //! Handling of the answers to heartbeats: a worker starts and stops runs as ordered.
 
-use super::{paired_rng, Run, Worker, DEFAULT_HEARTBEAT_MS, END_REPORT_DELAY_MS};
+use super::{common_rng, Run, Worker, DEFAULT_HEARTBEAT_MS, END_REPORT_DELAY_MS};
 use crate::fakes::Output;
 use crate::history::Event;
 use landingdrift::sans_io::{Response, Rng};
@@ -125,8 +125,8 @@
             self.report_refused(now, order);
             return None;
         }
-        let mut rng = match self.paired_seed {
-            Some(seed) => paired_rng(seed, order.job, order.task, order.copy),
+        let mut rng = match self.common_seed {
+            Some(seed) => common_rng(seed, order.job, order.task, order.copy),
             None => Rng::new(self.seed ^ (attempt << 20)),
         };
         let duration_ms = self.random_duration_ms(&mut rng, order.payload);
--- a/testkit/src/fleet/drive.rs
+++ b/testkit/src/fleet/drive.rs
@@ -164,7 +164,7 @@
         if self.options.lease_ms > 0 {
             worker = worker.with_lease();
         }
-        let up = worker.up_event();
+        let up = worker.started_event();
         slot.worker = Some(worker);
         self.record(up);
     }
--- a/testkit/src/measure/comparators.rs
+++ b/testkit/src/measure/comparators.rs
@@ -2,7 +2,7 @@
 
 use super::workload::Load;
 use super::Figures;
-use crate::fakes::worker::paired_rng;
+use crate::fakes::worker::common_rng;
 use crate::scenario::Shape;
 use landingdrift::state::JobSpec;
 use std::cmp::Reverse;
@@ -231,7 +231,7 @@
         };
         self.free[job.service] -= 1;
         self.last_run += 1;
-        let mut rng = paired_rng(self.seed, &job.id, &format!("t{task}"), is_copy);
+        let mut rng = common_rng(self.seed, &job.id, &format!("t{task}"), is_copy);
         let tail_factor = (1.0 - rng.unit()).powf(-1.0 / job.tail);
         let duration_ms = (job.task_ms * tail_factor.min(MAX_TAIL_FACTOR)) as u64;
         let started_ms = self.now + self.delay_ms;
--- a/testkit/src/simulator/disk.rs
+++ b/testkit/src/simulator/disk.rs
@@ -4,11 +4,11 @@
 use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
-/// How many of the last confirmed batches a disk can still lose.
+/// The number of latest confirmed batches that a disk can still lose.
 const LOSABLE_BATCHES: usize = 64;
 
 /// The duration of a write on a healthy disk, in milliseconds.
-pub const SOUND_DELAY_MS: u64 = 2;
+pub const HEALTHY_WRITE_MS: u64 = 2;
 
 /// How a disk responds to writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,7 +27,7 @@
 pub struct SimDisk {
     /// The content that can't be lost any more.
     base: PersistedState,
-    /// Confirmed batches that follow it, oldest first.
+    /// Confirmed batches that follow `base` and can still be lost, oldest first.
     confirmed: VecDeque<WriteBatch>,
     /// Batches that are not confirmed yet, oldest first.
     pub pending: VecDeque<WriteBatch>,
@@ -67,7 +67,7 @@
             },
             confirmed: VecDeque::new(),
             pending: VecDeque::new(),
-            delay_ms: SOUND_DELAY_MS,
+            delay_ms: HEALTHY_WRITE_MS,
             condition: Condition::Sound,
         }
     }
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Simulates a crash: of the pending batches, only the first `persisted` are kept.
-    pub fn crash(&mut self, persisted: usize) {
+    /// Ends all pending batches, as when the process exits: the first `persisted` are confirmed, the others are lost.
+    pub fn drop_pending(&mut self, persisted: usize) {
         let persisted = persisted.min(self.pending.len());
         self.confirmed.extend(self.pending.drain(..persisted));
         self.pending.clear();
@@ -101,8 +101,8 @@
         lost.map(|batch| batch.entries.len()).sum()
     }
 
-    /// Loses everything except its number and the hard state: term, vote and founders.
-    pub fn forget_log(&mut self) {
+    /// Loses everything except the disk's number and the hard state (term, vote and founders).
+    pub fn keep_only_hard_state(&mut self) {
         let kept = self.load();
         self.confirmed.clear();
         self.pending.clear();
--- a/testkit/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -1,11 +1,11 @@
-//! Faults of a simulated day: how each selects its target, is injected and is healed.
+//! Faults of a simulated day: selection of their targets, injection and healing.
 
 mod links;
 mod load;
 mod machines;
 mod workers;
 
-use super::disk::{Condition, SOUND_DELAY_MS};
+use super::disk::{Condition, HEALTHY_WRITE_MS};
 use super::world::{Action, World};
 use crate::history::Event;
 use crate::scenario::{Fault, FaultKind};
@@ -14,31 +14,31 @@
 
 /// How long a slow disk takes to write, in milliseconds.
 const SLOW_DISK_MS: u64 = 120;
-/// The factor on message latencies over a slow link.
-const SLOW_LINK_FACTOR: u64 = 8;
+/// The slowness of a process with a slow link; see [`Process::slowness`](super::world::Process::slowness).
+const SLOW_LINK_SLOWNESS: u64 = 8;
 /// The factor on the durations of a slow worker's runs.
 const SLOW_WORKER_FACTOR: f64 = 6.0;
 /// The share of answers that are lost during a fault that loses answers, in percent.
 const LOST_ANSWERS_PERCENT: u64 = 50;
-/// The limit on attempts of every queue in the shapes' configurations.
+/// The limit on attempts of every queue in [`Shape::config`](crate::scenario::Shape::config), restored after a fault.
 const DEFAULT_MAX_ATTEMPTS: u32 = 3;
-/// The quota of every queue in the shapes' configurations.
+/// The quota of every queue in [`Shape::config`](crate::scenario::Shape::config), restored after a fault.
 const DEFAULT_QUOTA: u32 = 2000;
-/// The number of zones, and of queues, in every deployment.
-const ZONES: usize = 3;
+/// The number of zones in every deployment, which is also the number of queues.
+const ZONES_AND_QUEUES: usize = 3;
 
-/// The part of the world that a fault affects.
+/// The domain of a fault.
 enum FaultDomain {
     /// Processes, disks and clocks.
     Machines,
     /// The network between processes.
     Links,
     Workers,
-    /// The callers: jobs and changes of the configuration.
+    /// The load: jobs and changes of the configuration.
     Load,
 }
 
-/// The part that faults of a kind affect.
+/// The domain of faults of a kind.
 fn fault_domain(kind: FaultKind) -> FaultDomain {
     use FaultKind::*;
     match kind {
@@ -77,7 +77,7 @@
         let processes = 0..self.processes.len();
         processes
             .filter(|number| self.processes[*number].is_replica())
-            .filter(|number| !self.processes[*number].is_gone)
+            .filter(|number| !self.processes[*number].is_removed)
             .collect()
     }
 
@@ -86,11 +86,11 @@
         let processes = 0..self.processes.len();
         processes
             .filter(|number| self.processes[*number].is_node())
-            .filter(|number| !self.processes[*number].is_gone)
+            .filter(|number| !self.processes[*number].is_removed)
             .collect()
     }
 
-    /// The number of the process, worker, zone or queue that is a fault's target.
+    /// The target of a fault: the number of a process, worker, zone or queue.
     fn target(&self, fault: &Fault) -> usize {
         let replicas = self.replicas();
         if fault.target == "leader" {
@@ -105,18 +105,19 @@
             };
         }
         let candidates = self.candidates(fault.kind);
-        // Each fault has its own generator, so that leaving one out does not change the others' targets.
+        // Each fault has its own random generator, so that the removal of a fault from a scenario does not change the
+        // targets of the others.
         let mut rng = Rng::new(self.seed ^ fault.at_ms);
         rng.pick(&candidates).copied().unwrap_or(0)
     }
 
-    /// The possible targets of a fault of a kind that names none.
+    /// The possible targets, by its kind, of a fault that names no target.
     fn candidates(&self, kind: FaultKind) -> Vec<usize> {
         use FaultKind::*;
         match kind {
             SplitCore | SlowDisk | LoseTail | ReplaceCore | DiskFull | DiskStall => self.replicas(),
             SwapNode => self.nodes(),
-            Tries | Quota | LoseZone | Drain | Evacuate => (0..ZONES).collect(),
+            Tries | Quota | LoseZone | Drain | Evacuate => (0..ZONES_AND_QUEUES).collect(),
             _ if matches!(fault_domain(kind), FaultDomain::Workers) => {
                 (0..self.workers.len()).collect()
             }
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Injects the fault with a number, and schedules its end.
+    /// Injects the fault with this number, and schedules its end. Scheduled faults are skipped after the load has
+    /// ended.
     pub(super) fn inject_fault(&mut self, number: usize) {
         let fault = self.faults[number].clone();
         if self.has_load_ended && fault.at_ms < self.now {
@@ -188,7 +190,7 @@
             CutOneWay => self.block_outgoing(target, &self.all_processes()),
             SplitCore => self.partition(target, &self.replicas()),
             CutCores => self.partition_replicas_from_nodes(),
-            SlowLink => self.processes[target].slowness = SLOW_LINK_FACTOR,
+            SlowLink => self.processes[target].slowness = SLOW_LINK_SLOWNESS,
             FlakyLink => self.processes[target].is_flaky = true,
             LostAnswers => self.lost_answers_percent = LOST_ANSWERS_PERCENT,
             _ => {}
@@ -226,8 +228,8 @@
             Doomed => self.offer_doomed_jobs(),
             Urgent => self.offer_urgent_jobs(fault.amount),
             Wrong => self.offer_invalid_jobs(),
-            Storm => self.change_in_turn(),
-            Rivals => self.change_concurrently(),
+            Storm => self.change_configuration_in_turn(),
+            Rivals => self.submit_conflicting_changes(),
             LargeConfig => self.apply_large_configuration(fault.amount),
             HugeConfig => self.apply_huge_configuration(),
             Drain => self.set_zone(target, "draining"),
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Heals the fault with a number, if it is active.
+    /// Heals the fault with this number, if it is active.
     pub(super) fn heal_fault(&mut self, number: usize) {
         let Some(affected) = self.active_faults.remove(&number) else {
             return;
@@ -265,7 +267,7 @@
             Upgrade => self.upgrade(target),
             Freeze => self.resume(target),
             LoseZone => self.restore_zone(affected),
-            SlowDisk => self.set_disk_delays(target, fault, SOUND_DELAY_MS),
+            SlowDisk => self.set_disk_delays(target, fault, HEALTHY_WRITE_MS),
             DiskFull | DiskStall => self.set_disk_conditions(target, fault, Condition::Sound),
             Outage => self.end_outage(),
             ClockJump => {
--- a/testkit/src/simulator/faults/links.rs
+++ b/testkit/src/simulator/faults/links.rs
@@ -6,7 +6,7 @@
     /// Partitions a process from others, in both directions.
     pub(super) fn partition(&mut self, process: usize, others: &[usize]) {
         for other in others {
-            self.block(process, *other);
+            self.block_both_ways(process, *other);
         }
     }
 
@@ -17,17 +17,17 @@
         }
     }
 
-    /// Ends any partition between a process and others.
+    /// Ends any partition between a process and others, in both directions.
     pub(super) fn reconnect(&mut self, process: usize, others: &[usize]) {
         for other in others {
-            self.unblock(process, *other);
+            self.unblock_both_ways(process, *other);
         }
     }
 
     pub(super) fn partition_replicas_from_nodes(&mut self) {
         for replica in self.replicas() {
             for node in self.nodes() {
-                self.block(replica, node);
+                self.block_both_ways(replica, node);
             }
         }
     }
@@ -35,19 +35,20 @@
     pub(super) fn reconnect_replicas_to_nodes(&mut self) {
         for replica in self.replicas() {
             for node in self.nodes() {
-                self.unblock(replica, node);
+                self.unblock_both_ways(replica, node);
             }
         }
     }
 
-    fn block(&mut self, one: usize, other: usize) {
+    /// Blocks messages between two processes in both directions.
+    fn block_both_ways(&mut self, one: usize, other: usize) {
         if one != other {
             self.blocked.insert((one, other));
             self.blocked.insert((other, one));
         }
     }
 
-    fn unblock(&mut self, one: usize, other: usize) {
+    fn unblock_both_ways(&mut self, one: usize, other: usize) {
         self.blocked.remove(&(one, other));
         self.blocked.remove(&(other, one));
     }
--- a/testkit/src/simulator/faults/load.rs
+++ b/testkit/src/simulator/faults/load.rs
@@ -2,36 +2,36 @@
 
 use super::World;
 use crate::scenario::{random_job, Mix};
-use crate::simulator::world::repeat_first_task;
+use crate::simulator::world::replace_tasks_with_copies_of_first;
 use crate::simulator::EPOCH;
 use landingdrift::state::JobSpec;
 use serde_json::{json, Map, Value};
 
-/// The number of jobs in a crowd, unless the fault gives an amount.
+/// The number of jobs in a burst, unless the fault gives an amount.
 const CROWD_JOBS: u64 = 60;
-/// The number of jobs that can never succeed, in one fault.
+/// The number of jobs in one fault that offers jobs which can never succeed.
 const DOOMED_JOBS: u64 = 40;
-/// The mean of the shortest durations of an urgent job's tasks, in milliseconds.
+/// The mean minimum duration of an urgent job's tasks, before the random tail factor, in milliseconds.
 const URGENT_TASK_MS: f64 = 60.0;
 /// The number of tasks of a huge job.
 const HUGE_JOB_TASKS: usize = 200;
-/// The number of invalid jobs in one fault: three of each of three kinds.
+/// The number of invalid jobs in one fault, three of each kind.
 const INVALID_JOBS: u64 = 9;
 /// The size of a payload that exceeds the limit on a job's size, in bytes.
 const TOO_LARGE_BYTES: usize = 1 << 20;
 /// The number of changes of the configuration in a storm.
 const STORM_CHANGES: usize = 30;
 /// The number of notes in a large configuration, unless the fault gives an amount.
-const LARGE_NOTES: usize = 2000;
-/// The size of each of those notes, in bytes.
+const LARGE_CONFIG_NOTES: usize = 2000;
+/// The size of each note in a large configuration, in bytes.
 const LARGE_NOTE_BYTES: usize = 50;
-/// The number of notes that bring a configuration close to the limit of 4 MiB.
-const HUGE_NOTES: usize = 1000;
-/// The size of each of those notes, in bytes.
+/// The number of notes in a huge configuration, which together come close to the limit of 4 MiB.
+const HUGE_CONFIG_NOTES: usize = 1000;
+/// The size of each note in a huge configuration, in bytes.
 const HUGE_NOTE_BYTES: usize = 3900;
 
 impl World {
-    /// Offers `amount` jobs at once, [`CROWD_JOBS`] if 0.
+    /// Offers `amount` jobs of a mix at once, [`CROWD_JOBS`] if 0.
     pub(super) fn offer_crowd(&mut self, amount: u64, mix: &Mix) {
         let count = if amount > 0 { amount } else { CROWD_JOBS };
         for index in 0..count {
@@ -49,7 +49,7 @@
         self.offer_crowd(DOOMED_JOBS, &mix);
     }
 
-    /// Offers short jobs in the most urgent queue.
+    /// Offers `amount` short jobs in the most urgent queue, [`CROWD_JOBS`] if 0.
     pub(super) fn offer_urgent_jobs(&mut self, amount: u64) {
         let mut mix = self.shape.mix();
         mix.queues = vec![mix.queues[2].clone()];
@@ -60,7 +60,7 @@
     pub(super) fn offer_huge_job(&mut self) {
         let id = format!("huge-{}", self.now);
         let spec = self.random_job(&self.single_task_mix(), &id);
-        self.offer(repeat_first_task(spec, HUGE_JOB_TASKS));
+        self.offer(replace_tasks_with_copies_of_first(spec, HUGE_JOB_TASKS));
     }
 
     /// Offers invalid jobs: with a task that depends on itself, with an unknown queue, and with an oversized body.
@@ -90,42 +90,42 @@
         random_job(&mut self.rng, mix, id, EPOCH + self.now)
     }
 
-    /// Has two operators change the configuration in turn.
-    pub(super) fn change_in_turn(&mut self) {
+    /// Queues [`STORM_CHANGES`] changes of the configuration with two operators in turn.
+    pub(super) fn change_configuration_in_turn(&mut self) {
         for index in 0..STORM_CHANGES {
             let change = json!({"notes": {"storm": index.to_string()}});
             self.operators[index % 2].apply(true, change);
         }
     }
 
-    /// Has two operators submit changes based on the same version.
-    pub(super) fn change_concurrently(&mut self) {
+    /// Queues two changes based on the same version, one with each operator.
+    pub(super) fn submit_conflicting_changes(&mut self) {
         let base = self.operators[0].version.max(self.operators[1].version);
         self.operators[0].patch_version(base, json!({"notes": {"rival": "a"}}));
         self.operators[1].patch_version(base, json!({"notes": {"rival": "b"}}));
     }
 
-    /// Applies a large configuration of `amount` notes, [`LARGE_NOTES`] if 0.
+    /// Applies a large configuration of `amount` notes, [`LARGE_CONFIG_NOTES`] if 0.
     pub(super) fn apply_large_configuration(&mut self, amount: u64) {
         let text = json!("x".repeat(LARGE_NOTE_BYTES));
         let count = if amount > 0 {
             amount as usize
         } else {
-            LARGE_NOTES
+            LARGE_CONFIG_NOTES
         };
         self.set_notes("n", count, &text);
     }
 
     pub(super) fn apply_huge_configuration(&mut self) {
         let text = json!("y".repeat(HUGE_NOTE_BYTES));
-        self.set_notes("h", HUGE_NOTES, &text);
+        self.set_notes("h", HUGE_CONFIG_NOTES, &text);
     }
 
     pub(super) fn remove_huge_configuration(&mut self) {
-        self.set_notes("h", HUGE_NOTES, &Value::Null);
+        self.set_notes("h", HUGE_CONFIG_NOTES, &Value::Null);
     }
 
-    /// Sets `count` notes of the configuration to `text`, or removes them if it is null.
+    /// Sets `count` notes of the configuration to `text`; null removes them.
     fn set_notes(&mut self, prefix: &str, count: usize, text: &Value) {
         let note = |index| (format!("{prefix}{index}"), text.clone());
         let notes: Map<String, Value> = (0..count).map(note).collect();
--- a/testkit/src/simulator/faults/machines.rs
+++ b/testkit/src/simulator/faults/machines.rs
@@ -8,18 +8,19 @@
 
 /// The size of a clock jump, unless the fault gives one, in milliseconds: an hour.
 const CLOCK_JUMP_MS: i64 = 3_600_000;
-/// The last part of the first address for replacements, above the addresses that a day starts with.
-const FIRST_REPLACEMENT_ADDRESS: usize = 50;
-/// The most confirmed batches that a disk loses in one fault.
+/// The number added to a replacement's process number for the last octet of its address, above the addresses that a day
+/// starts with.
+const REPLACEMENT_OCTET_OFFSET: usize = 50;
+/// The maximum number of confirmed batches that a disk loses in one fault.
 const MAX_LOST_BATCHES: u64 = 4;
 
 impl World {
     /// Kills all processes and workers in a zone; returns the processes.
     pub(super) fn lose_zone(&mut self, zone: usize) -> Vec<usize> {
-        let runs_there =
-            |process: &Process| process.zone == zone && !process.is_gone && process.is_up();
+        let is_running_in_zone =
+            |process: &Process| process.zone == zone && !process.is_removed && process.is_up();
         let mut lost = self.all_processes();
-        lost.retain(|number| runs_there(&self.processes[*number]));
+        lost.retain(|number| is_running_in_zone(&self.processes[*number]));
         for process in &lost {
             self.kill(*process);
         }
@@ -31,22 +32,22 @@
         lost
     }
 
-    /// Removes a replica permanently, and adds one with an empty disk in its zone.
+    /// Removes a replica permanently, and adds another with an empty disk in the same zone.
     pub(super) fn replace_replica(&mut self, replaced: usize) {
         self.observe_availability();
         self.kill(replaced);
-        self.processes[replaced].is_gone = true;
+        self.processes[replaced].is_removed = true;
         let replacement = self.processes.len();
         let zone = self.processes[replaced].zone;
         self.add_replica(zone, new_address(zone, replacement));
         self.record_disk_loss(replacement);
     }
 
-    /// Removes a node permanently, adds another in its zone, and updates the callers' lists of nodes, as the platform
-    /// does.
+    /// Removes a node permanently, adds another in the same zone, and updates the callers' lists of nodes, as the
+    /// platform does.
     pub(super) fn replace_node(&mut self, replaced: usize) {
         self.kill(replaced);
-        self.processes[replaced].is_gone = true;
+        self.processes[replaced].is_removed = true;
         let replacement = self.processes.len();
         let zone = self.processes[replaced].zone;
         let machine = Machine {
@@ -59,15 +60,15 @@
         for operator in &mut self.operators {
             operator.nodes = nodes.clone();
         }
-        let machines = self.workers.iter_mut();
-        let without_proxy = machines.filter(|machine| machine.proxy.is_none());
+        let worker_machines = self.workers.iter_mut();
+        let without_proxy = worker_machines.filter(|machine| machine.proxy.is_none());
         for worker in without_proxy.filter_map(|machine| machine.worker.as_mut()) {
             worker.nodes = nodes.clone();
         }
     }
 
-    /// Kills all processes at once. The disks of `disks_lost` replicas, starting with `first_lost`, lose the last
-    /// batches that they had confirmed.
+    /// Kills all processes at once. The disks of `disks_lost` replicas, from `first_lost` on, lose the last batches
+    /// that they had confirmed.
     pub(super) fn begin_outage(&mut self, first_lost: usize, disks_lost: usize) {
         self.observe_availability();
         for process in self.all_processes() {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Has a replica's disk lose the last batches that it had confirmed.
+    /// Makes a replica's disk lose the last batches that it had confirmed.
     pub(super) fn lose_confirmed(&mut self, replica: usize) {
         self.record_disk_loss(replica);
         let batches = 1 + self.rng.below(MAX_LOST_BATCHES) as usize;
@@ -92,7 +93,7 @@
         self.log_line(&line);
     }
 
-    /// Has wall clocks jump; returns the affected processes.
+    /// Makes the wall clocks of the target and of other replicas jump; returns the affected processes.
     pub(super) fn jump_clocks(&mut self, target: usize, fault: &Fault) -> Vec<usize> {
         let jump_ms = match fault.clock_jump_ms {
             0 if fault.duration_ms.is_multiple_of(2) => CLOCK_JUMP_MS,
@@ -108,7 +109,7 @@
         affected
     }
 
-    /// The target, and further replicas up to the fault's amount.
+    /// The target and other replicas: `amount` processes in all, one if it is 0.
     fn affected_replicas(&self, target: usize, fault: &Fault) -> Vec<usize> {
         let others = self.replicas().into_iter();
         let others = others.filter(|replica| *replica != target);
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Restarts a stopped process with the next wire version.
+    /// Ends a process, if it is still running, and starts it with the next wire version.
     pub(super) fn upgrade(&mut self, process: usize) {
         self.kill(process);
         self.processes[process].wire_version += 1;
@@ -171,7 +172,7 @@
             return;
         }
         let inbox = std::mem::take(&mut process.inbox);
-        // Whether it handles a tick before the waiting messages is random.
+        // A tick may come before the waiting messages, at random.
         if self.rng.below(2) == 0 {
             self.step(number, Msg::Tick);
         }
@@ -182,5 +183,5 @@
 }
 
 fn new_address(zone: usize, process: usize) -> String {
-    format!("10.0.{zone}.{}:7000", FIRST_REPLACEMENT_ADDRESS + process)
+    format!("10.0.{zone}.{}:7000", REPLACEMENT_OCTET_OFFSET + process)
 }
--- a/testkit/src/simulator/faults/workers.rs
+++ b/testkit/src/simulator/faults/workers.rs
@@ -9,13 +9,13 @@
 impl World {
     pub(super) fn freeze_worker(&mut self, number: usize) {
         self.workers[number].is_frozen = true;
-        self.record_reachable(number, false);
+        self.record_reachability(number, false);
     }
 
     /// Resumes a frozen worker, which then handles the answers that arrived in the meantime.
     pub(super) fn resume_worker(&mut self, number: usize) {
         self.workers[number].is_frozen = false;
-        self.record_reachable(number, true);
+        self.record_reachability(number, true);
         for waiting in std::mem::take(&mut self.workers[number].inbox) {
             self.with_worker(number, |worker, now| {
                 worker.answer(now, waiting.call, &waiting.response)
@@ -26,17 +26,17 @@
     /// Partitions a worker from all processes, or reconnects it.
     pub(super) fn set_worker_partitioned(&mut self, number: usize, is_partitioned: bool) {
         self.workers[number].is_partitioned = is_partitioned;
-        self.record_reachable(number, !is_partitioned);
+        self.record_reachability(number, !is_partitioned);
     }
 
-    /// Kills a worker's process, if it runs.
+    /// Kills a worker's process, if it is running.
     pub(super) fn crash_worker(&mut self, number: usize) {
         let machine = &mut self.workers[number];
         if let Some(dead) = machine.worker.take() {
             machine.incarnation += 1;
             let worker = machine.info.worker.clone();
             if dead.has_lease() {
-                // The ends that it has not reported are lost.
+                // The outcomes that the worker has not reported are lost, as when its lease expires.
                 let worker = worker.clone();
                 self.record(Event::LeaseExpired { worker });
             }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Has `percent` of a worker's runs fail; 0 stands for [`FAILING_SHARE`].
+    /// Makes `percent` of a worker's runs fail; 0 stands for [`FAILING_SHARE`].
     pub(super) fn fail_runs(&mut self, number: usize, percent: u64) {
         let share = match percent {
             0 => FAILING_SHARE,
@@ -65,7 +65,8 @@
         }
     }
 
-    fn record_reachable(&mut self, number: usize, is_reachable: bool) {
+    /// Records that a worker has become reachable or unreachable, in either case as a [`Event::FaultBegan`].
+    fn record_reachability(&mut self, number: usize, is_reachable: bool) {
         let state = if is_reachable {
             WORKER_REACHABLE
         } else {
--- a/testkit/src/simulator/mod.rs
+++ b/testkit/src/simulator/mod.rs
@@ -1,4 +1,5 @@
-//! The simulator: runs the parts of the real processes in virtual time. A seed determines the whole day.
+//! The simulator: runs replicas, nodes and worker proxies in virtual time, without sockets or threads. A seed
+//! determines the whole day.
 
 pub(crate) mod disk;
 mod faults;
@@ -9,7 +10,7 @@
 use crate::checkers::{check, PromisedBounds, Violation};
 use crate::scenario::Scenario;
 
-/// The wall clocks' time at time 0 of the day, in milliseconds since 1970.
+/// The time that the wall clocks show at the beginning of the day, in milliseconds since 1970.
 pub const EPOCH: u64 = 1_700_000_000_000;
 
 /// The promised bounds, with the simulator's epoch.
--- a/testkit/src/simulator/world/callers.rs
+++ b/testkit/src/simulator/world/callers.rs
@@ -9,9 +9,9 @@
 use landingdrift::sans_io::Response;
 use landingdrift::state::{JobSpec, TaskSpec, WorkerInfo};
 
-/// The spread of call latencies above 1 ms, in milliseconds.
+/// The range of random call latencies, which begin at 1 ms, in milliseconds.
 const CALL_LATENCY_SPREAD_MS: u64 = 4;
-/// The number of tasks of a recovery job: enough for every zone to get some.
+/// The number of tasks of a recovery job: large enough that every zone gets some of them.
 const RECOVERY_JOB_TASKS: usize = 24;
 
 /// An answer that reached a worker while it was frozen.
@@ -20,24 +20,24 @@
     pub response: Response,
 }
 
-/// A worker's machine: the worker, if it runs, and the faults that affect it.
+/// A worker's machine: the worker, if it is running, and the faults that affect it.
 pub(in crate::simulator) struct WorkerMachine {
     pub worker: Option<Worker>,
     /// The description that the worker starts with.
     pub info: WorkerInfo,
     pub zone: usize,
     pub is_frozen: bool,
-    /// It is partitioned from all processes.
+    /// The worker is partitioned from all processes.
     pub is_partitioned: bool,
-    /// Answers that arrived while it was frozen.
+    /// Answers that arrived while the worker was frozen.
     pub inbox: Vec<WaitingAnswer>,
     /// Incremented at each start and end of the worker.
     pub incarnation: u64,
-    /// The address of the proxy on its machine, which it calls instead of nodes.
+    /// The address of the proxy on the same machine, which the worker calls instead of nodes.
     pub proxy: Option<String>,
 }
 
-/// The caller of a call. Workers include their incarnation, so that answers to an earlier one are dropped.
+/// The caller of a call. Workers include their incarnation, so that answers to an earlier incarnation are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::simulator) enum Caller {
     Worker { worker: usize, incarnation: u64 },
@@ -61,22 +61,22 @@
         if self.scenario.lease_ms > 0 {
             worker = worker.with_lease();
         }
-        let up = worker.up_event();
+        let started_event = worker.started_event();
         machine.worker = Some(worker);
-        let tick = Action::TickWorker {
+        let first_tick = Action::TickWorker {
             worker: number,
             incarnation: machine.incarnation,
         };
-        self.record(up);
+        self.record(started_event);
         let jitter_ms = self.rng.below(TICK_MS);
-        self.schedule_in(1 + jitter_ms, tick);
+        self.schedule_in(1 + jitter_ms, first_tick);
     }
 
-    /// Performs `act` on a worker, if it runs, and handles the outputs.
+    /// Calls `action` with a worker, if it is running, and handles the outputs.
     pub(in crate::simulator) fn with_worker(
         &mut self,
         number: usize,
-        act: impl FnOnce(&mut Worker, u64) -> Vec<Output>,
+        action: impl FnOnce(&mut Worker, u64) -> Vec<Output>,
     ) {
         let now = self.now;
         let machine = &mut self.workers[number];
@@ -85,7 +85,7 @@
             incarnation: machine.incarnation,
         };
         if let Some(worker) = &mut machine.worker {
-            let outputs = act(worker, now);
+            let outputs = action(worker, now);
             self.handle_outputs(caller, outputs);
         }
     }
@@ -97,11 +97,11 @@
         if !self.workers[number].is_frozen {
             self.with_worker(number, Worker::tick);
         }
-        let next = Action::TickWorker {
+        let next_tick = Action::TickWorker {
             worker: number,
             incarnation,
         };
-        self.schedule_in(TICK_MS, next);
+        self.schedule_in(TICK_MS, next_tick);
     }
 
     /// Offers the planned jobs that are due, and ticks the client and the operators.
@@ -120,7 +120,7 @@
         self.schedule_in(TICK_MS, Action::TickCallers);
     }
 
-    /// Has the client offer a job.
+    /// Makes the client offer a job.
     pub(in crate::simulator) fn offer(&mut self, spec: JobSpec) {
         let outputs = self.client.offer(self.now, spec);
         self.handle_outputs(Caller::Client, outputs);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Offers a job for every queue and service, to test after an outage whether all are served.
+    /// Offers a job for every combination of queue and service after an outage, to test whether all of them are served.
     pub(in crate::simulator) fn offer_recovery_jobs(&mut self) {
         let mix = self.shape.mix();
         for queue in &mix.queues {
@@ -201,12 +201,15 @@
         };
         let id = format!("{RECOVERY_JOB_PREFIX}{}-{queue}-{service}", self.now);
         let spec = random_job(&mut self.rng, &mix, &id, EPOCH + self.now);
-        repeat_first_task(spec, RECOVERY_JOB_TASKS)
+        replace_tasks_with_copies_of_first(spec, RECOVERY_JOB_TASKS)
     }
 }
 
-/// Replaces a job's tasks with `count` copies of its first one.
-pub(in crate::simulator) fn repeat_first_task(mut spec: JobSpec, count: usize) -> JobSpec {
+/// Replaces a job's tasks with `count` copies of the first task.
+pub(in crate::simulator) fn replace_tasks_with_copies_of_first(
+    mut spec: JobSpec,
+    count: usize,
+) -> JobSpec {
     let first = spec.tasks[0].clone();
     let task = |index: usize| TaskSpec {
         name: format!("t{index}"),
--- a/testkit/src/simulator/world/day.rs
+++ b/testkit/src/simulator/world/day.rs
@@ -1,4 +1,5 @@
-//! The course of a day: the load, the time after it, and the closing reads.
+//! The course of a day: the load, the time after it, and the closing reads, which are the last polls of jobs and reads
+//! of the configuration.
 
 use super::{Report, World};
 use crate::fakes::operator::Operator;
@@ -7,13 +8,15 @@
 use landingdrift::sans_io::Rng;
 use std::cmp::Reverse;
 
-/// The limit on actions per second of a day, above which it counts as livelocked; a busy second has a tenth of it.
+/// The limit on the mean number of actions per second; a day above the limit counts as livelocked. A busy second has
+/// about a tenth as many actions.
 const MAX_ACTIONS_PER_SECOND: u64 = 60_000;
-/// The shortest time from the end of the load to an early end of the day: late effects of faults show by then.
+/// The minimum time from the end of the load to an early end of the day, in seconds, so that late effects of faults
+/// still fall within the day.
 const MIN_SETTLE_SECONDS: u64 = 15;
 /// The interval of checks for an early end of the day, in milliseconds.
 const END_CHECK_EVERY_MS: u64 = 1000;
-/// Mixed into the seed for the last fault, so that it does not depend on other samples.
+/// A constant that gives the last fault a random stream of its own.
 const LAST_FAULT_SEED: u64 = 0x1a57;
 
 impl World {
@@ -40,7 +43,7 @@
         self.into_report(is_livelocked)
     }
 
-    /// Whether the load has ended and no job, change or fault is open, so that the day may end early.
+    /// Whether the load has ended and no job, operation or fault is outstanding, so that the day may end early.
     fn is_quiescent(&self) -> bool {
         let earliest_ms = (self.scenario.seconds + MIN_SETTLE_SECONDS) * 1000;
         self.has_load_ended
@@ -51,8 +54,8 @@
             && self.active_faults.is_empty()
     }
 
-    /// Begins the closing reads of the configuration and of every accepted job, after the last fault if the scenario
-    /// has one.
+    /// Begins the closing reads of the configuration and of every ended job, after the injection of the last fault if
+    /// the scenario has one.
     fn begin_closing_reads(&mut self) {
         self.is_closing = true;
         if self.scenario.has_last_fault {
--- a/testkit/src/simulator/world/link.rs
+++ b/testkit/src/simulator/world/link.rs
@@ -1,12 +1,12 @@
-//! The network link of a machine: all its traffic shares the bandwidth, first in, first out.
+//! The network link of a machine: all traffic of the machine shares the bandwidth, first in, first out.
 
-/// The limit on bytes that wait for a link; a sender drops messages beyond it, as the transport does.
+/// The limit on bytes that wait for a link; messages beyond the limit are dropped, as the real transport does.
 const MAX_QUEUED_BYTES: u64 = 4 << 20;
 
 /// One direction of a link.
 #[derive(Clone, Debug, Default)]
 struct Direction {
-    /// When all bytes queued so far have passed, in milliseconds since the beginning of the day.
+    /// When the last byte queued so far has passed the link, in milliseconds since the beginning of the day.
     free_at_ms: u64,
 }
 
@@ -21,7 +21,7 @@
 
 impl Link {
     /// A link with a bandwidth in kilobits per second; 0 for unlimited.
-    pub fn of_kbps(kbps: u64) -> Self {
+    pub fn with_bandwidth_kbps(kbps: u64) -> Self {
         let bytes_per_ms = kbps / 8;
         Self {
             bytes_per_ms: if kbps > 0 { bytes_per_ms.max(1) } else { 0 },
@@ -34,12 +34,13 @@
         self.bytes_per_ms > 0
     }
 
-    /// Sends bytes at a time; returns when the last one has left, or none if the queue is full.
+    /// Sends bytes at a time; returns the time at which the last byte has left, or none if the queue is full.
     pub fn send(&mut self, at_ms: u64, bytes: u64) -> Option<u64> {
         self.outgoing.transmit(at_ms, bytes, self.bytes_per_ms)
     }
 
-    /// Receives bytes that arrive from a time on; returns when the last one is there, or none if the queue is full.
+    /// Receives bytes that arrive from a time on; returns the time at which the last byte has arrived, or none if the
+    /// queue is full.
     pub fn receive(&mut self, at_ms: u64, bytes: u64) -> Option<u64> {
         self.incoming.transmit(at_ms, bytes, self.bytes_per_ms)
     }
--- a/testkit/src/simulator/world/links.rs
+++ b/testkit/src/simulator/world/links.rs
@@ -4,19 +4,20 @@
 use landingdrift::sans_io::{Msg, Request, Response};
 use landingdrift::wire::{pack_with_version, unpack_with_version, Body, WireError};
 
-/// The spread of message latencies above 1 ms, in milliseconds; multiplied by the slowness of the sender.
+/// The range of random message latencies, which begin at 1 ms, in milliseconds; multiplied by the slowness of the
+/// sender.
 const LATENCY_SPREAD_MS: u64 = 3;
-/// The latency that each unit of slowness above 1 adds, in milliseconds.
+/// The latency that each unit of a process's slowness above 1 adds, in milliseconds.
 const SLOW_LINK_LATENCY_MS: u64 = 20;
 /// The share of messages over a flaky link that are lost, in percent.
 const FLAKY_LOSS_PERCENT: u64 = 15;
 /// The share of messages over a flaky link that are delayed, in percent.
-const FLAKY_DELAY_PERCENT: u64 = 40;
-/// The additional delay of such a message is below this, in milliseconds.
+const FLAKY_DELAYED_PERCENT: u64 = 40;
+/// The exclusive upper bound of the additional delay of a delayed message on a flaky link, in milliseconds.
 const MAX_FLAKY_DELAY_MS: u64 = 400;
 /// The share of messages over a flaky link that arrive twice, in percent.
 const FLAKY_DUPLICATE_PERCENT: u64 = 10;
-/// The delay of the duplicate is below this, in milliseconds.
+/// The exclusive upper bound of the delay of a duplicate after the original, in milliseconds.
 const MAX_DUPLICATE_DELAY_MS: u64 = 500;
 
 impl World {
@@ -26,7 +27,8 @@
         1 + self.rng.below(LATENCY_SPREAD_MS) * slowness + (slowness - 1) * SLOW_LINK_LATENCY_MS
     }
 
-    /// Sends a message from a process to the one at an address; it is lost if that one is down or unreachable.
+    /// Sends a message from a process to the process at an address; the message is lost if the receiver is down or
+    /// unreachable.
     pub(super) fn send(&mut self, from: usize, to_address: &str, body: &Body) {
         let Some(to) = self.process_up_at(to_address) else {
             return;
@@ -55,14 +57,14 @@
             return;
         };
         if !is_flaky {
-            // A connection delivers in order, even over a slow link.
-            let last = self.arrivals.entry((from, to)).or_default();
+            // A connection delivers messages in order, even over a slow link.
+            let last = self.latest_arrivals_ms.entry((from, to)).or_default();
             at_ms = at_ms.max(*last);
             *last = at_ms;
         }
         if is_flaky && self.rng.below(100) < FLAKY_DUPLICATE_PERCENT {
-            let again_ms = at_ms + self.rng.below(MAX_DUPLICATE_DELAY_MS);
-            self.schedule_delivery(again_ms, from, to, frame.clone());
+            let duplicate_at_ms = at_ms + self.rng.below(MAX_DUPLICATE_DELAY_MS);
+            self.schedule_delivery(duplicate_at_ms, from, to, frame.clone());
         }
         self.schedule_delivery(at_ms, from, to, frame);
     }
@@ -81,12 +83,12 @@
         if self.rng.below(100) < FLAKY_LOSS_PERCENT {
             return None;
         }
-        let late_ms = if self.rng.below(100) < FLAKY_DELAY_PERCENT {
+        let delay_ms = if self.rng.below(100) < FLAKY_DELAYED_PERCENT {
             self.rng.below(MAX_FLAKY_DELAY_MS)
         } else {
             0
         };
-        Some(self.now + latency_ms + late_ms)
+        Some(self.now + latency_ms + delay_ms)
     }
 
     fn schedule_delivery(&mut self, at_ms: u64, from: usize, to: usize, frame: Vec<u8>) {
@@ -99,7 +101,7 @@
         self.schedule(at_ms, delivery);
     }
 
-    /// Delivers a frame to its receiver; counts one of another wire version and drops it.
+    /// Delivers a frame to its receiver; a frame of another wire version is counted and dropped.
     pub(super) fn deliver(&mut self, to: usize, from: String, frame: &[u8]) {
         let wire_version = self.processes[to].wire_version;
         match unpack_with_version(wire_version, &self.settings.cluster, frame) {
@@ -131,7 +133,7 @@
         self.step(to, Msg::Call(self.last_call, request));
     }
 
-    /// Sends the answer of a process to the caller, unless a fault loses it.
+    /// Sends the answer of a process to the caller, unless the answer is lost by a fault.
     pub(super) fn send_answer(&mut self, from: usize, call: u64, response: Response) {
         let Some(open) = self.open_calls.remove(&call) else {
             return;
@@ -152,7 +154,7 @@
         self.schedule_in(latency_ms, answer);
     }
 
-    /// When an answer has left a process's machine through the limited bandwidth of its link; none if it is dropped.
+    /// The time at which the last byte of an answer has left its process's machine; none if the answer is dropped.
     fn transmit_answer(&mut self, from: usize, response: &Response) -> Option<u64> {
         let now = self.now;
         let link = &mut self.processes[from].machine.link;
@@ -163,7 +165,7 @@
     }
 
     fn process_up_at(&self, address: &str) -> Option<usize> {
-        let process = self.by_address.get(address).copied();
+        let process = self.process_by_address.get(address).copied();
         process.filter(|process| self.processes[*process].is_up())
     }
 }
--- a/testkit/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated world: the state of all simulated parts, and the event loop that drives them.
+//! The simulated world: the state of all processes and callers, and the event loop that drives them.
 
 mod callers;
 mod day;
@@ -13,9 +13,9 @@
 
 pub use report::Report;
 
-pub(in crate::simulator) use callers::{repeat_first_task, Caller, WorkerMachine};
+pub(in crate::simulator) use callers::{replace_tasks_with_copies_of_first, Caller, WorkerMachine};
 pub(in crate::simulator) use link::Link;
-pub(in crate::simulator) use process::{Machine, Part, Process};
+pub(in crate::simulator) use process::{Machine, Process, ProcessRole};
 pub(in crate::simulator) use schedule::Action;
 
 use crate::fakes::client::Client;
@@ -29,13 +29,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-/// The interval of every part's ticks, in milliseconds.
+/// The interval of the ticks of processes and callers, in milliseconds.
 const TICK_MS: u64 = 20;
 
 /// A call that waits for its answer.
 struct OpenCall {
     caller: Caller,
-    /// The number that its caller gave it.
+    /// The number that the caller gave the call.
     call: u64,
 }
 
@@ -47,7 +47,7 @@
     pub spec: JobSpec,
 }
 
-/// The processes that could work at a moment.
+/// The processes that could provide service at one time.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Availability {
     /// The size of the largest group of available replicas that are connected to each other.
@@ -56,8 +56,8 @@
     nodes: Vec<String>,
 }
 
-/// A simulated day: all parts, the messages and calls between them, and the history so far. Processes, workers and
-/// operators are numbered by their indices in the lists here.
+/// A simulated day: all processes and callers, the messages and calls between them, and the history so far. Processes,
+/// workers and operators are identified by their indices in the lists here.
 pub struct World {
     /// Milliseconds since the beginning of the day.
     pub(in crate::simulator) now: u64,
@@ -68,11 +68,11 @@
     pub(in crate::simulator) shape: Shape,
     scenario: Scenario,
     pub(in crate::simulator) faults: Vec<Fault>,
-    /// The active faults by number, each with the processes, workers or zones that it affects.
+    /// The active faults by number, each with the numbers of the processes, workers, zones or queues that it affects.
     pub(in crate::simulator) active_faults: BTreeMap<usize, Vec<usize>>,
     pub(in crate::simulator) processes: Vec<Process>,
-    /// The numbers of the processes, by address.
-    pub(in crate::simulator) by_address: BTreeMap<String, usize>,
+    /// The number of each process, by its address.
+    pub(in crate::simulator) process_by_address: BTreeMap<String, usize>,
     pub(in crate::simulator) workers: Vec<WorkerMachine>,
     pub(in crate::simulator) client: Client,
     pub(in crate::simulator) operators: Vec<Operator>,
@@ -89,13 +89,13 @@
     planned_jobs: VecDeque<PlannedJob>,
     /// The number of messages sent between processes.
     messages: u64,
-    /// When the latest message from one process to another arrives, in milliseconds; keeps their order.
-    arrivals: BTreeMap<(usize, usize), u64>,
+    /// The latest arrival time by sender and receiver, in milliseconds, which later messages must not precede.
+    latest_arrivals_ms: BTreeMap<(usize, usize), u64>,
     /// The share of answers to calls that are lost, in percent.
     pub(in crate::simulator) lost_answers_percent: u64,
     availability: Availability,
     /// The highest log index that any replica has applied.
-    committed: u64,
+    highest_applied_index: u64,
     /// The closing reads have begun.
     is_closing: bool,
 }
--- a/testkit/src/simulator/world/observe.rs
+++ b/testkit/src/simulator/world/observe.rs
@@ -7,13 +7,13 @@
 use landingdrift::state::ClusterState;
 
 /// The interval at which the platform checks which nodes are ready, in milliseconds.
-const READY_EVERY_MS: u64 = PROBE_EVERY_MS;
+const READINESS_CHECK_MS: u64 = PROBE_EVERY_MS;
 /// The interval at which an operator reads the configuration, in milliseconds.
-const READ_EVERY_MS: u64 = 3000;
+const CONFIG_READ_MS: u64 = 3000;
 
 impl World {
-    /// Records the current availability if it has changed; every [`READY_EVERY_MS`], updates the client's list of ready
-    /// nodes.
+    /// Records the current availability if it has changed. Updates the client's list of ready nodes at intervals of
+    /// [`READINESS_CHECK_MS`].
     pub(in crate::simulator) fn observe_availability(&mut self) {
         let availability = self.current_availability();
         if availability != self.availability {
@@ -23,9 +23,9 @@
                 nodes: availability.nodes,
             });
         }
-        if self.now.is_multiple_of(READY_EVERY_MS) {
+        if self.now.is_multiple_of(READINESS_CHECK_MS) {
             let processes = 0..self.processes.len();
-            let ready = processes.filter(|number| self.is_open_to_clients(*number));
+            let ready = processes.filter(|number| self.receives_clients(*number));
             let ready = ready.map(|number| self.processes[number].address.clone());
             self.client.ready_nodes = ready.collect();
         }
@@ -39,8 +39,8 @@
         let group = self.largest_group(newest);
         let reaches_group = |number: usize| {
             let process = &self.processes[number];
-            let is_awake_node = process.is_node() && process.is_awake();
-            is_awake_node && group.iter().all(|replica| self.is_linked(number, *replica))
+            let is_responsive_node = process.is_node() && process.is_responsive();
+            is_responsive_node && group.iter().all(|replica| self.is_linked(number, *replica))
         };
         let nodes = (0..self.processes.len()).filter(|number| reaches_group(*number));
         let nodes = nodes.map(|number| self.processes[number].address.clone());
@@ -48,7 +48,7 @@
             replicas: group.len(),
             nodes: nodes.collect(),
         };
-        self.committed = self.committed.max(applied_index);
+        self.highest_applied_index = self.highest_applied_index.max(applied_index);
         availability
     }
 
@@ -68,18 +68,18 @@
         groups.max_by_key(Vec::len).unwrap_or_default()
     }
 
-    /// Whether two processes can exchange messages: no partition, and the same wire version.
+    /// Whether two processes can exchange messages: they are not partitioned and speak the same wire version.
     fn is_linked(&self, one: usize, other: usize) -> bool {
         self.processes[one].wire_version == self.processes[other].wire_version
             && !self.blocked.contains(&(one, other))
             && !self.blocked.contains(&(other, one))
     }
 
-    /// Whether the platform routes clients to a process: a ready node, or any running node if the scenario says so.
-    fn is_open_to_clients(&self, number: usize) -> bool {
+    /// Whether the platform routes clients to a process: a ready node, or any running node if `clients_call_any_node`.
+    fn receives_clients(&self, number: usize) -> bool {
         let process = &self.processes[number];
         if self.scenario.clients_call_any_node {
-            process.is_node() && process.is_awake()
+            process.is_node() && process.is_responsive()
         } else {
             self.is_ready_node(number)
         }
@@ -91,8 +91,8 @@
         node.is_some_and(|node| node.is_ready(self.clocks(number)))
     }
 
-    /// Records the version in force and the readiness of each node; every [`READ_EVERY_MS`], has an operator read the
-    /// configuration.
+    /// Records the version in force and the readiness of each node. Makes an operator read the configuration at
+    /// intervals of [`CONFIG_READ_MS`].
     pub(super) fn probe(&mut self) {
         for number in 0..self.processes.len() {
             let process = &self.processes[number];
@@ -102,19 +102,19 @@
             let event = Event::NodeVersion {
                 node: process.address.clone(),
                 version: node.state().version,
-                change: change_mark(node.state()),
+                change: change_id_in_notes(node.state()),
                 ready: node.is_ready(self.clocks(number)),
             };
             self.record(event);
         }
-        if self.now.is_multiple_of(READ_EVERY_MS) {
+        if self.now.is_multiple_of(CONFIG_READ_MS) {
             self.operators[1].read();
         }
     }
 }
 
-/// Whether a process is an awake voter that has applied again what its disk lost. Before the cluster has members, every
-/// replica counts as a voter.
+/// Whether a process is a running, unfrozen voter that has caught up again after a loss of data. Before the cluster has
+/// members, every replica counts as a voter.
 fn is_available(process: &Process, newest: Option<&ClusterState>) -> bool {
     let Some(replica) = process.replica() else {
         return false;
@@ -124,11 +124,11 @@
         let member = members.get(&process.address);
         members.is_empty() || member.is_some_and(|member| member.voter)
     });
-    let is_whole = replica.state().applied_index >= process.recovery_index;
-    process.is_awake() && is_voter && is_whole
+    let has_recovered = replica.state().applied_index >= process.recovery_index;
+    process.is_responsive() && is_voter && has_recovered
 }
 
-/// The id of the change that last marked the configuration, from its notes; empty if there is none.
-pub(super) fn change_mark(state: &ClusterState) -> String {
+/// The id of the last change of the configuration, which operators write to the note `by`; empty if there is none.
+pub(super) fn change_id_in_notes(state: &ClusterState) -> String {
     state.config.notes.get("by").cloned().unwrap_or_default()
 }
--- a/testkit/src/simulator/world/process.rs
+++ b/testkit/src/simulator/world/process.rs
@@ -1,4 +1,4 @@
-//! Simulated processes, each with its part, machine, clocks and disk.
+//! Simulated processes, each with its role, machine, clocks and disk.
 
 use super::link::Link;
 use crate::simulator::disk::SimDisk;
@@ -10,8 +10,8 @@
 use landingdrift::worker_proxy::WorkerProxy;
 use std::collections::BTreeMap;
 
-/// The part that a process runs; the option is none while the process is down.
-pub(in crate::simulator) enum Part {
+/// The role of a process, with its running state machine; none while the process is down.
+pub(in crate::simulator) enum ProcessRole {
     Replica {
         replica: Option<Box<Replica>>,
         disk: Box<SimDisk>,
@@ -39,55 +39,56 @@
 
 /// A simulated process, with its clocks and its disk.
 pub(in crate::simulator) struct Process {
-    pub part: Part,
+    pub role: ProcessRole,
     pub address: String,
     pub zone: usize,
     pub machine: Machine,
     /// Incremented at each start and end; actions for an earlier incarnation are dropped.
     pub incarnation: u64,
     pub is_frozen: bool,
-    /// It is lost permanently.
-    pub is_gone: bool,
-    /// Messages that arrived while it was frozen.
+    /// The process is lost permanently and never starts again.
+    pub is_removed: bool,
+    /// Messages that arrived while the process was frozen.
     pub inbox: Vec<Msg>,
-    /// The error of its wall clock, in milliseconds.
+    /// The error of the process's wall clock, in milliseconds.
     pub wall_offset_ms: i64,
-    /// The factor on the latencies of its messages; 1 without a fault.
+    /// How slow the process's link is; 1 without a fault. Scales the random latency of sent messages, and adds a fixed
+    /// latency per unit above 1 to sent and received ones.
     pub slowness: u64,
-    /// The time of its monotonic clock at the beginning of the day, in milliseconds.
-    pub steady_offset_ms: u64,
-    /// The version of the configuration that was last recorded as in force while it was ready.
+    /// The offset of the process's monotonic clock from the time of the day, in milliseconds; sampled at each start.
+    pub mono_offset_ms: u64,
+    /// The version of the configuration that was last recorded as in force while the process was a ready node.
     pub config_version: u64,
-    /// Messages from and to it may be delayed, duplicated, reordered or lost.
+    /// Messages from and to the process may be delayed, duplicated, reordered or lost.
     pub is_flaky: bool,
-    /// The wire version that its build speaks.
+    /// The wire version that the process's build speaks.
     pub wire_version: u16,
-    /// After a loss of data, the log index that the replica has to reach again before it counts as available.
+    /// After a loss of data, the log index that the replica has to apply before it counts as available.
     pub recovery_index: u64,
-    /// The sums of its ended incarnations' counters, by role and name.
+    /// The sums of the counters of ended incarnations, by role and name.
     pub counters: BTreeMap<String, u64>,
 }
 
 impl Process {
     pub fn new(
-        part: Part,
+        role: ProcessRole,
         address: String,
         zone: usize,
         machine: Machine,
-        steady_offset_ms: u64,
+        mono_offset_ms: u64,
     ) -> Self {
         Self {
-            part,
+            role,
             address,
             zone,
             machine,
             incarnation: 0,
             is_frozen: false,
-            is_gone: false,
+            is_removed: false,
             inbox: Vec::new(),
             wall_offset_ms: 0,
             slowness: 1,
-            steady_offset_ms,
+            mono_offset_ms,
             config_version: 0,
             is_flaky: false,
             wire_version: WIRE_VERSION,
@@ -97,50 +98,50 @@
     }
 
     pub fn is_up(&self) -> bool {
-        match &self.part {
-            Part::Replica { replica, .. } => replica.is_some(),
-            Part::Node(node) => node.is_some(),
-            Part::WorkerProxy(proxy) => proxy.is_some(),
+        match &self.role {
+            ProcessRole::Replica { replica, .. } => replica.is_some(),
+            ProcessRole::Node(node) => node.is_some(),
+            ProcessRole::WorkerProxy(proxy) => proxy.is_some(),
         }
     }
 
-    /// Whether it is up and not frozen.
-    pub fn is_awake(&self) -> bool {
-        self.is_up() && !self.is_frozen && !self.is_gone
+    /// Whether the process is up and not frozen.
+    pub fn is_responsive(&self) -> bool {
+        self.is_up() && !self.is_frozen && !self.is_removed
     }
 
-    /// The running replica, if it is one.
+    /// The replica that the process runs, if any.
     pub fn replica(&self) -> Option<&Replica> {
-        match &self.part {
-            Part::Replica { replica, .. } => replica.as_deref(),
-            Part::Node(_) | Part::WorkerProxy(_) => None,
+        match &self.role {
+            ProcessRole::Replica { replica, .. } => replica.as_deref(),
+            ProcessRole::Node(_) | ProcessRole::WorkerProxy(_) => None,
         }
     }
 
-    /// The running node, if it is one.
+    /// The node that the process runs, if any.
     pub fn node(&self) -> Option<&Node> {
-        match &self.part {
-            Part::Node(node) => node.as_deref(),
-            Part::Replica { .. } | Part::WorkerProxy(_) => None,
+        match &self.role {
+            ProcessRole::Node(node) => node.as_deref(),
+            ProcessRole::Replica { .. } | ProcessRole::WorkerProxy(_) => None,
         }
     }
 
-    /// The disk, if it is a replica; it exists also while the process is down.
+    /// The disk of a replica, up or down; none for other processes.
     pub fn disk_mut(&mut self) -> Option<&mut SimDisk> {
-        match &mut self.part {
-            Part::Replica { disk, .. } => Some(disk),
-            Part::Node(_) | Part::WorkerProxy(_) => None,
+        match &mut self.role {
+            ProcessRole::Replica { disk, .. } => Some(disk),
+            ProcessRole::Node(_) | ProcessRole::WorkerProxy(_) => None,
         }
     }
 
-    /// Whether it is a node, up or down.
+    /// Whether the process is a node, up or down.
     pub fn is_node(&self) -> bool {
-        matches!(self.part, Part::Node(_))
+        matches!(self.role, ProcessRole::Node(_))
     }
 
-    /// Whether it is a replica, up or down.
+    /// Whether the process is a replica, up or down.
     pub fn is_replica(&self) -> bool {
-        matches!(self.part, Part::Replica { .. })
+        matches!(self.role, ProcessRole::Replica { .. })
     }
 
     pub fn begin_incarnation(&mut self) {
@@ -150,17 +151,19 @@
         self.inbox.clear();
     }
 
-    /// Adds the counters of the running part to the sums of earlier incarnations.
+    /// Adds the counters of the current incarnation to the sums of ended ones.
     pub fn accumulate_counters(&mut self) {
-        let (role, counters) = match &self.part {
-            Part::Replica { replica, .. } => {
+        let (role_name, counters) = match &self.role {
+            ProcessRole::Replica { replica, .. } => {
                 ("core", replica.as_ref().map(|replica| replica.counters()))
             }
-            Part::Node(node) => ("node", node.as_ref().map(|node| node.counters())),
-            Part::WorkerProxy(proxy) => ("proxy", proxy.as_ref().map(|proxy| proxy.counters())),
+            ProcessRole::Node(node) => ("node", node.as_ref().map(|node| node.counters())),
+            ProcessRole::WorkerProxy(proxy) => {
+                ("proxy", proxy.as_ref().map(|proxy| proxy.counters()))
+            }
         };
         for (name, value) in counters.unwrap_or_default() {
-            let key = format!("{role}_{name}");
+            let key = format!("{role_name}_{name}");
             *self.counters.entry(key).or_default() += value;
         }
     }
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -1,7 +1,7 @@
-//! The system's processes: adding, starting and killing them, and how they handle messages.
+//! The system's processes: addition, start and kill, and the handling of messages and of their effects.
 
-use super::observe::change_mark;
-use super::process::{Machine, Part, Process};
+use super::observe::change_id_in_notes;
+use super::process::{Machine, Process, ProcessRole};
 use super::{Action, World, TICK_MS};
 use crate::history::Event;
 use crate::simulator::disk::{Condition, SimDisk};
@@ -12,21 +12,21 @@
 use landingdrift::settings::Settings;
 use landingdrift::worker_proxy::WorkerProxy;
 
-/// The interval at which writes on a failing disk are retried, in milliseconds.
+/// The interval of retries of writes on a full or stalled disk, in milliseconds.
 const WRITE_RETRY_MS: u64 = 200;
-/// The random part of a write's duration is below this, in milliseconds.
+/// The exclusive upper bound of the random component of a write's duration, in milliseconds.
 const WRITE_JITTER_MS: u64 = 3;
-/// When a process is killed, a random number below this of its pending writes still reach the disk.
-const PERSISTED_WRITES: u64 = 3;
-/// Monotonic clocks start at a random time below this, in milliseconds.
-const CLOCK_START_MS: u64 = 1 << 40;
+/// The exclusive upper bound of the random number of pending writes that survive the kill of a process.
+const SURVIVING_WRITES_BOUND: u64 = 3;
+/// The exclusive upper bound of the random start of a monotonic clock, in milliseconds.
+const CLOCK_START_BOUND_MS: u64 = 1 << 40;
 
 impl World {
     /// The addresses of all nodes that are not lost permanently, up or down, as the platform lists them.
     pub(in crate::simulator) fn node_addresses(&self) -> Vec<String> {
         let processes = self.processes.iter();
         processes
-            .filter(|process| process.is_node() && !process.is_gone)
+            .filter(|process| process.is_node() && !process.is_removed)
             .map(|process| process.address.clone())
             .collect()
     }
@@ -49,68 +49,80 @@
     pub(in crate::simulator) fn add_replica(&mut self, zone: usize, address: String) {
         // The number of a disk must not be 0.
         let disk = SimDisk::new(self.rng.next_u64() | 1);
-        let part = Part::Replica {
+        let role = ProcessRole::Replica {
             replica: None,
             disk: Box::new(disk),
         };
-        self.add(part, zone, address, Machine::default());
+        self.add(role, zone, address, Machine::default());
     }
 
     /// Adds a node on a machine, and starts it.
-    pub(in crate::simulator) fn add_node(&mut self, zone: usize, address: String, on: Machine) {
-        self.add(Part::Node(None), zone, address, on);
+    pub(in crate::simulator) fn add_node(
+        &mut self,
+        zone: usize,
+        address: String,
+        machine: Machine,
+    ) {
+        self.add(ProcessRole::Node(None), zone, address, machine);
     }
 
     /// Adds the proxy of a worker, and starts it.
     pub(in crate::simulator) fn add_worker_proxy(&mut self, zone: usize, address: String) {
-        self.add(Part::WorkerProxy(None), zone, address, Machine::default());
+        self.add(
+            ProcessRole::WorkerProxy(None),
+            zone,
+            address,
+            Machine::default(),
+        );
     }
 
-    fn add(&mut self, part: Part, zone: usize, address: String, machine: Machine) {
+    fn add(&mut self, role: ProcessRole, zone: usize, address: String, machine: Machine) {
         let number = self.processes.len();
-        self.by_address.insert(address.clone(), number);
-        let steady_offset_ms = self.rng.below(CLOCK_START_MS);
-        let process = Process::new(part, address, zone, machine, steady_offset_ms);
+        self.process_by_address.insert(address.clone(), number);
+        let mono_offset_ms = self.rng.below(CLOCK_START_BOUND_MS);
+        let process = Process::new(role, address, zone, machine, mono_offset_ms);
         self.processes.push(process);
         self.start(number);
     }
 
-    /// The times of a process's clocks.
+    /// The current times of a process's clocks.
     pub(super) fn clocks(&self, process: usize) -> Now {
         let process = &self.processes[process];
         Now {
-            mono: process.steady_offset_ms + self.now + 1,
+            mono: process.mono_offset_ms + self.now + 1,
             wall: (EPOCH + self.now).saturating_add_signed(process.wall_offset_ms),
         }
     }
 
-    /// Starts a process that is down.
+    /// Starts a process that is down and not removed.
     pub(in crate::simulator) fn start(&mut self, number: usize) {
-        if self.processes[number].is_up() || self.processes[number].is_gone {
+        if self.processes[number].is_up() || self.processes[number].is_removed {
             return;
         }
-        self.processes[number].steady_offset_ms = self.rng.below(CLOCK_START_MS);
+        self.processes[number].mono_offset_ms = self.rng.below(CLOCK_START_BOUND_MS);
         let seed = self.rng.next_u64();
         let now = self.clocks(number);
         let settings = self.settings_for(number);
         let process = &mut self.processes[number];
         process.begin_incarnation();
-        match &mut process.part {
-            Part::Replica { replica, disk } => {
+        match &mut process.role {
+            ProcessRole::Replica { replica, disk } => {
                 let started = Replica::new(settings, disk.load(), now, seed);
                 *replica = Some(Box::new(
                     started.expect("failed to load the disk of a simulated replica"),
                 ));
             }
-            Part::Node(node) => *node = Some(Box::new(Node::new(settings, now, seed))),
-            Part::WorkerProxy(proxy) => *proxy = Some(Box::new(WorkerProxy::new(settings, seed))),
+            ProcessRole::Node(node) => *node = Some(Box::new(Node::new(settings, now, seed))),
+            ProcessRole::WorkerProxy(proxy) => {
+                *proxy = Some(Box::new(WorkerProxy::new(settings, seed)))
+            }
         }
-        let tick = Action::TickProcess {
+        let first_tick = Action::TickProcess {
             process: number,
             incarnation: process.incarnation,
         };
         let jitter_ms = self.rng.below(TICK_MS);
-        self.schedule_in(1 + jitter_ms, tick);
+        self.schedule_in(1 + jitter_ms, first_tick);
     }
 
     /// Kills a process without a graceful stop.
@@ -118,44 +130,45 @@
         if !self.processes[number].is_up() {
             return;
         }
-        let persisted = self.rng.below(PERSISTED_WRITES) as usize;
+        let persisted = self.rng.below(SURVIVING_WRITES_BOUND) as usize;
         let process = &mut self.processes[number];
         process.accumulate_counters();
         process.begin_incarnation();
-        match &mut process.part {
-            Part::Replica { replica, disk } => {
+        match &mut process.role {
+            ProcessRole::Replica { replica, disk } => {
                 *replica = None;
-                disk.crash(persisted);
+                disk.drop_pending(persisted);
             }
-            Part::Node(node) => {
+            ProcessRole::Node(node) => {
                 *node = None;
                 let node = process.address.clone();
                 self.record(Event::NodeDown { node });
             }
-            Part::WorkerProxy(proxy) => *proxy = None,
+            ProcessRole::WorkerProxy(proxy) => *proxy = None,
         }
     }
 
-    /// Records that a replica's disk has lost data: it is not available until it has again applied all that was
-    /// committed.
+    /// Records that a replica's disk has lost data: the replica counts as unavailable until it has applied every log
+    /// entry that any replica had applied before.
     pub(in crate::simulator) fn record_disk_loss(&mut self, process: usize) {
-        self.processes[process].recovery_index = self.committed;
+        self.processes[process].recovery_index = self.highest_applied_index;
     }
 
-    /// The leader with the highest term that is not frozen.
+    /// The leader that is not frozen and has the highest term.
     pub(in crate::simulator) fn leader(&self) -> Option<usize> {
         let leading_term = |process: &Process| {
             let replica = process.replica().filter(|replica| replica.is_leader())?;
             Some(replica.term())
         };
-        let awake = self.processes.iter().enumerate();
-        let awake = awake.filter(|(_, process)| !process.is_frozen);
-        let leaders = awake.filter_map(|(number, process)| Some((leading_term(process)?, number)));
+        let unfrozen = self.processes.iter().enumerate();
+        let unfrozen = unfrozen.filter(|(_, process)| !process.is_frozen);
+        let leaders =
+            unfrozen.filter_map(|(number, process)| Some((leading_term(process)?, number)));
         leaders.max().map(|(_, number)| number)
     }
 
-    /// Delivers a message to a process and applies the effects. If the process is frozen, the message waits; ticks are
-    /// dropped.
+    /// Delivers a message to a process and applies the effects. While the process is frozen, messages wait, and ticks
+    /// are dropped.
     pub(in crate::simulator) fn step(&mut self, number: usize, message: Msg) {
         let now = self.clocks(number);
         let process = &mut self.processes[number];
@@ -165,16 +178,16 @@
             }
             return;
         }
-        let effects = match &mut process.part {
-            Part::Replica {
+        let effects = match &mut process.role {
+            ProcessRole::Replica {
                 replica: Some(replica),
                 ..
             } => replica.step(now, message),
-            Part::Node(Some(node)) => node.step(now, message),
-            Part::WorkerProxy(Some(proxy)) => proxy.step(now, message),
-            Part::Replica { replica: None, .. } | Part::Node(None) | Part::WorkerProxy(None) => {
-                Vec::new()
-            }
+            ProcessRole::Node(Some(node)) => node.step(now, message),
+            ProcessRole::WorkerProxy(Some(proxy)) => proxy.step(now, message),
+            ProcessRole::Replica { replica: None, .. }
+            | ProcessRole::Node(None)
+            | ProcessRole::WorkerProxy(None) => Vec::new(),
         };
         for effect in effects {
             self.apply(number, effect);
@@ -190,7 +203,7 @@
         if version == process.config_version || !node.is_ready(now) {
             return;
         }
-        let change = change_mark(node.state());
+        let change = change_id_in_notes(node.state());
         process.config_version = version;
         let node = process.address.clone();
         self.record(Event::NodeVersion {
@@ -201,18 +214,18 @@
         });
     }
 
-    /// Reports an error if the disk is full, and schedules the write again.
+    /// Reports an error to the process if the disk is full, and schedules the write again.
     pub(super) fn retry_write(&mut self, process: usize, incarnation: u64, write_id: u64) {
         let disk = self.processes[process].disk_mut();
         if disk.is_some_and(|disk| disk.condition == Condition::Full) {
             self.step(process, Msg::DiskFailed("no space left".into()));
         }
-        let again = Action::CompleteWrite {
+        let retry = Action::CompleteWrite {
             process,
             incarnation,
             write_id,
         };
-        self.schedule_in(WRITE_RETRY_MS, again);
+        self.schedule_in(WRITE_RETRY_MS, retry);
     }
 
     fn apply(&mut self, number: usize, effect: Effect) {
@@ -228,7 +241,7 @@
             Effect::Exit => {
                 // A graceful exit: pending writes reach the disk.
                 if let Some(disk) = self.processes[number].disk_mut() {
-                    disk.crash(usize::MAX);
+                    disk.drop_pending(usize::MAX);
                 }
                 self.kill(number);
             }
@@ -245,11 +258,11 @@
         };
         disk.pending.push_back(batch);
         let delay_ms = disk.delay_ms + jitter_ms;
-        let complete = Action::CompleteWrite {
+        let completion = Action::CompleteWrite {
             process: number,
             incarnation,
             write_id,
         };
-        self.schedule_in(delay_ms, complete);
+        self.schedule_in(delay_ms, completion);
     }
 }
--- a/testkit/src/simulator/world/report.rs
+++ b/testkit/src/simulator/world/report.rs
@@ -1,6 +1,6 @@
 //! The report of a simulated day.
 
-use super::observe::change_mark;
+use super::observe::change_id_in_notes;
 use super::{Process, World};
 use crate::checkers::{summary, Summary};
 use crate::history::{Event, FinalState, History};
@@ -13,17 +13,17 @@
 pub struct Report {
     pub history: History,
     pub summary: Summary,
-    /// The latency of each job that is done, in milliseconds, in the order of their ends.
+    /// The latency of each done job, in milliseconds, in the order in which the client observed the ends.
     pub latencies_ms: Vec<u64>,
-    /// The same, by job id.
+    /// The latency of each done job, in milliseconds, by job id.
     pub latency_of_job_ms: BTreeMap<String, u64>,
-    /// The sums of all parts' counters, by role and name.
+    /// The sums of the counters of all processes, by role and name.
     pub counters: BTreeMap<String, u64>,
-    /// The faults of the scenario, with the sampled ones.
+    /// The faults that the scenario names and the sampled ones.
     pub faults: Vec<Fault>,
-    /// The log: lines of the parts, the faults, and the jobs that are still open at the end.
+    /// Log lines of processes and of faults, and one for each job that is unfinished at the end.
     pub log: Vec<String>,
-    /// The day exceeded the limit on actions: the parts keep each other busy without end.
+    /// The day exceeded the limit on actions, as when processes send messages to each other without end.
     pub is_livelocked: bool,
     /// The number of speculative copies that ended before the original run.
     pub copies_won: u64,
@@ -32,7 +32,7 @@
 }
 
 impl World {
-    /// Ends the day with the final state: the leader's, or that of the replica that has applied most.
+    /// Ends the day and records the final state: that of the leader, or of the replica with the highest applied index.
     pub(super) fn into_report(mut self, is_livelocked: bool) -> Report {
         let mut counters: BTreeMap<String, u64> = BTreeMap::new();
         for process in &mut self.processes {
@@ -42,16 +42,16 @@
             }
         }
         let replicas = self.processes.iter().filter_map(Process::replica);
-        let best =
+        let most_current =
             replicas.max_by_key(|replica| (replica.is_leader(), replica.state().applied_index));
-        let state = best.map(|replica| replica.state().clone());
+        let state = most_current.map(|replica| replica.state().clone());
         let state = state.unwrap_or_default();
-        for line in open_jobs(&state) {
+        for line in unfinished_job_lines(&state) {
             self.log_line(&line);
         }
         self.record(Event::DayEnded {
             version: state.version,
-            change: change_mark(&state),
+            change: change_id_in_notes(&state),
             jobs: final_states(&state),
         });
         let queues = state.queues.values();
@@ -71,15 +71,15 @@
     }
 }
 
-/// A log line for each job that is still open, with its attempts, for debugging.
-fn open_jobs(state: &ClusterState) -> Vec<String> {
+/// A log line for each unfinished job, with its attempts, for debugging.
+fn unfinished_job_lines(state: &ClusterState) -> Vec<String> {
     let jobs = state
         .unfinished_jobs
         .iter()
         .filter_map(|id| state.jobs.get(id));
     jobs.map(|job| {
         let json = serde_json::to_string(job).unwrap_or_default();
-        format!("still open: {json}")
+        format!("still unfinished: {json}")
     })
     .collect()
 }
--- a/testkit/src/simulator/world/schedule.rs
+++ b/testkit/src/simulator/world/schedule.rs
@@ -1,6 +1,6 @@
-//! The queue of scheduled actions, and how each is performed.
+//! The queue of scheduled actions, and the performance of each.
 
-use super::{Caller, Part, World, TICK_MS};
+use super::{Caller, ProcessRole, World, TICK_MS};
 use crate::simulator::disk::Condition;
 use landingdrift::sans_io::{Msg, Request, Response};
 use std::cmp::{Ordering, Reverse};
@@ -10,21 +10,21 @@
 /// The interval of observations of the availability, in milliseconds.
 const OBSERVE_EVERY_MS: u64 = 100;
 
-/// An action at a time of the day. Actions for a process or worker include its incarnation, and are dropped if it has
-/// changed.
+/// An action that the event loop performs. Actions for a process or worker include its incarnation, and are dropped if
+/// the incarnation has changed.
 pub(in crate::simulator) enum Action {
     TickProcess {
         process: usize,
         incarnation: u64,
     },
-    /// A frame arrives.
+    /// A frame arrives at a process.
     Deliver {
         to: usize,
         incarnation: u64,
         from: String,
         frame: Vec<u8>,
     },
-    /// The duration of a write on a disk is over.
+    /// A write on a disk completes, unless the disk is full or stalled.
     CompleteWrite {
         process: usize,
         incarnation: u64,
@@ -47,17 +47,17 @@
         worker: usize,
         incarnation: u64,
     },
-    /// The client and the operators tick.
+    /// The planned jobs that are due are offered, and the client and the operators make the calls that are due.
     TickCallers,
     /// The fault with this number begins.
     InjectFault(usize),
     /// The fault with this number ends.
     HealFault(usize),
-    /// The load ends.
+    /// No more jobs are offered, and all faults are healed.
     EndLoad,
     /// The versions and readiness of the nodes are recorded.
     Probe,
-    /// The availability is observed.
+    /// The availability of replicas and nodes is recorded if it has changed.
     ObserveAvailability,
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl World {
-    /// Schedules an action at a time in milliseconds.
+    /// Schedules an action at a time in milliseconds since the beginning of the day.
     pub(in crate::simulator) fn schedule(&mut self, at_ms: u64, action: Action) {
         self.actions_scheduled += 1;
         self.queue.push(Reverse(ScheduledAction {
@@ -100,7 +100,7 @@
         }));
     }
 
-    /// Schedules an action after a time in milliseconds.
+    /// Schedules an action after a delay in milliseconds.
     pub(in crate::simulator) fn schedule_in(&mut self, delay_ms: u64, action: Action) {
         self.schedule(self.now + delay_ms, action);
     }
@@ -161,18 +161,18 @@
             return;
         }
         self.step(process, Msg::Tick);
-        let next = Action::TickProcess {
+        let next_tick = Action::TickProcess {
             process,
             incarnation,
         };
-        self.schedule_in(TICK_MS, next);
+        self.schedule_in(TICK_MS, next_tick);
     }
 
     fn complete_write(&mut self, process: usize, incarnation: u64, write_id: u64) {
         if self.processes[process].incarnation != incarnation {
             return;
         }
-        let Part::Replica { disk, .. } = &mut self.processes[process].part else {
+        let ProcessRole::Replica { disk, .. } = &mut self.processes[process].role else {
             return;
         };
         if disk.condition == Condition::Sound {
--- a/testkit/src/simulator/world/setup.rs
+++ b/testkit/src/simulator/world/setup.rs
@@ -15,12 +15,12 @@
 
 /// The number of zones in every deployment, each with one replica.
 const ZONES: usize = 3;
-/// The last part of the first node's address; that of replicas is 1.
-const FIRST_NODE_ADDRESS: usize = 10;
-/// Mixed into the seed for random faults, so that they do not depend on other samples.
+/// The last octet of the first node's address; replicas have 1.
+const FIRST_NODE_OCTET: usize = 10;
+/// A constant that gives random faults a random stream of their own.
 const FAULTS_SEED: u64 = 0xfa17;
-/// The quota of queues when policies are compared: large enough that no job is refused.
-const MEASURED_QUOTA: u64 = 20_000;
+/// The quota of queues when policies are measured: large enough that no job is refused.
+const MEASUREMENT_QUOTA: u64 = 20_000;
 
 impl World {
     /// A world at the beginning of a day.
@@ -39,6 +39,7 @@
             now: 0,
             actions_scheduled: 0,
             queue: BinaryHeap::new(),
+            // A placeholder until the addresses of the nodes are known; see `add_callers`.
             client: Client::new("j", Vec::new(), scenario.mix(), rng.next_u64(), EPOCH),
             operators: Vec::new(),
             rng,
@@ -47,7 +48,7 @@
             faults: planned_faults(scenario, seed),
             active_faults: BTreeMap::new(),
             processes: Vec::new(),
-            by_address: BTreeMap::new(),
+            process_by_address: BTreeMap::new(),
             workers: Vec::new(),
             blocked: BTreeSet::new(),
             history: History::default(),
@@ -59,10 +60,10 @@
             seed,
             planned_jobs: VecDeque::new(),
             messages: 0,
-            arrivals: BTreeMap::new(),
+            latest_arrivals_ms: BTreeMap::new(),
             lost_answers_percent: 0,
             availability: Availability::default(),
-            committed: 0,
+            highest_applied_index: 0,
             is_closing: false,
         };
         for zone in 0..ZONES {
@@ -70,11 +71,11 @@
         }
         for index in 0..scenario.total_nodes() {
             let zone = index % ZONES;
-            let address = format!("10.0.{zone}.{}:7000", FIRST_NODE_ADDRESS + index);
+            let address = format!("10.0.{zone}.{}:7000", FIRST_NODE_OCTET + index);
             let class = scenario.class_of_node(index);
             let machine = Machine {
                 share: class.share,
-                link: Link::of_kbps(class.link_kbps),
+                link: Link::with_bandwidth_kbps(class.link_kbps),
             };
             world.add_node(zone, address, machine);
         }
@@ -85,8 +86,8 @@
         world
     }
 
-    /// Starts the workers of the scenario. Services, labels and zones repeat with different periods, so that most
-    /// combinations occur.
+    /// Adds and starts the workers of the scenario. Services, labels and zones repeat with different periods, so that
+    /// most combinations of them occur.
     fn add_workers(&mut self, scenario: &Scenario) {
         let services = scenario.shape.mix().services;
         for index in 0..scenario.worker_count() {
@@ -118,7 +119,7 @@
                 proxy: None,
             });
             if scenario.has_worker_proxies {
-                let address = format!("10.1.{zone}.{}:7000", FIRST_NODE_ADDRESS + index);
+                let address = format!("10.1.{zone}.{}:7000", FIRST_NODE_OCTET + index);
                 self.workers[index].proxy = Some(address.clone());
                 self.add_worker_proxy(zone, address);
             }
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Creates the client, which replaces the placeholder of [`World::new`], and the two operators.
+    /// Creates the two operators, and the client that calls the nodes.
     fn add_callers(&mut self, scenario: &Scenario, nodes: Vec<String>) {
         let client_seed = self.rng.next_u64();
         let operator_seeds = [self.rng.next_u64(), self.rng.next_u64()];
@@ -149,8 +150,8 @@
         self.schedule(scenario.seconds * 1000, Action::EndLoad);
     }
 
-    /// Turns this into a day that measures a policy: only the planned jobs are offered, and scheduling and
-    /// speculation use the given parameters.
+    /// Prepares the world to measure a policy: only the planned jobs are offered, and scheduling and speculation use
+    /// the given parameters.
     pub fn prepare_measurement(
         &mut self,
         jobs: Vec<PlannedJob>,
@@ -160,10 +161,9 @@
         let mut config = self.shape.config();
         let queues = config["queues"].as_object_mut().into_iter().flatten();
         for (_, queue) in queues {
-            // With this load deadlines would be missed, which would use up the queues' allowances and so stop all
-            // speculative copies.
+            // No deadline: missed deadlines would use up the queues' allowances and disable speculative copies.
             queue["finishWithinMs"] = json!(0);
-            queue["quota"] = json!(MEASURED_QUOTA);
+            queue["quota"] = json!(MEASUREMENT_QUOTA);
             queue["speculationPercent"] = json!(speculation_percent);
         }
         let nodes = self.node_addresses();
@@ -176,7 +176,7 @@
         self.settings.hopper = hopper;
         let machines = self.workers.iter_mut();
         for worker in machines.filter_map(|machine| machine.worker.as_mut()) {
-            worker.paired_seed = Some(self.seed);
+            worker.common_seed = Some(self.seed);
         }
         for process in 0..self.processes.len() {
             let settings = self.settings_for(process);
@@ -185,7 +185,7 @@
     }
 }
 
-/// The faults of the scenario and the random ones, ordered by time.
+/// The faults that the scenario names and the random ones, ordered by time.
 fn planned_faults(scenario: &Scenario, seed: u64) -> Vec<Fault> {
     let mut rng = Rng::new(seed ^ FAULTS_SEED);
     let end_ms = scenario.seconds * 1000;
