--- a/landingdrift/src/consensus/client_requests.rs
+++ b/landingdrift/src/consensus/client_requests.rs
@@ -155,23 +155,23 @@
         }
     }
 
-    /// The log index and configuration version that each live node has applied. Nodes that are gone are left out, so
-    /// that they do not block a configuration change.
+    /// The log index and configuration version that each live node has applied. Nodes that are not alive are
+    /// omitted, so that they do not block a configuration change.
     fn node_progress(&self, now: Now) -> Vec<NodeProgress> {
-        let mut all = Vec::new();
+        let mut progress = Vec::new();
         for (node, watcher) in &self.watch.watchers {
             if !self.state.nodes.get(node).is_some_and(|n| n.alive) {
                 continue;
             }
             let mut changes = self.state.changes.iter().rev();
             let newest_applied = changes.find(|c| c.log_index <= watcher.applied_index);
-            all.push(NodeProgress {
+            progress.push(NodeProgress {
                 node: node.clone(),
                 log_index: watcher.applied_index,
                 version: newest_applied.map_or(0, |change| change.version),
                 age: now.mono.saturating_sub(watcher.last_heard_at),
             });
         }
-        all
+        progress
     }
 }
--- a/landingdrift/src/consensus/clock.rs
+++ b/landingdrift/src/consensus/clock.rs
@@ -39,7 +39,8 @@
     reading: ClockReading,
 }
 
-/// The clock on which the replicas agree: agreed on once, then extrapolated by monotonic clocks; it never goes back.
+/// A clock on which the replicas agree. Its time is set once, is then extrapolated by monotonic clocks and never goes
+/// back.
 ///
 /// Wall clocks are used only when no process has an agreed time, that is at the first start and after a total outage.
 /// A wall clock that jumps while its process runs has no effect.
--- a/landingdrift/src/consensus/disk_health.rs
+++ b/landingdrift/src/consensus/disk_health.rs
@@ -18,7 +18,7 @@
     #[default]
     Sound,
     /// A write failed with an error.
-    Refusing,
+    Failing,
     /// A write has been unconfirmed for too long.
     Stalled,
 }
@@ -27,7 +27,7 @@
     fn name(self) -> &'static str {
         match self {
             Self::Sound => "sound",
-            Self::Refusing => "refusing",
+            Self::Failing => "refusing",
             Self::Stalled => "stalled",
         }
     }
@@ -74,16 +74,16 @@
             return None;
         }
         let unusable_ms = at.saturating_sub(self.since);
-        self.enter(Condition::Sound, at, String::new());
+        self.set_condition(Condition::Sound, at, String::new());
         self.restart_timeouts(at);
         Some(unusable_ms)
     }
 
     /// Records that a write failed. Returns true if this is the first failure since the disk was in another condition.
-    pub fn record_refusal(&mut self, at: u64, reason: &str) -> bool {
-        let has_changed = self.condition != Condition::Refusing;
+    pub fn record_failure(&mut self, at: u64, reason: &str) -> bool {
+        let has_changed = self.condition != Condition::Failing;
         if has_changed {
-            self.enter(Condition::Refusing, at, reason.into());
+            self.set_condition(Condition::Failing, at, reason.into());
         }
         has_changed
     }
@@ -96,7 +96,7 @@
         let has_changed = overdue && self.accepts_writes();
         if has_changed {
             let reason = format!("no write completed for {timeout_ms} ms");
-            self.enter(Condition::Stalled, at, reason);
+            self.set_condition(Condition::Stalled, at, reason);
         }
         has_changed
     }
@@ -118,7 +118,7 @@
         })
     }
 
-    fn enter(&mut self, condition: Condition, at: u64, reason: String) {
+    fn set_condition(&mut self, condition: Condition, at: u64, reason: String) {
         self.condition = condition;
         self.since = at;
         self.reason = reason;
@@ -128,7 +128,7 @@
 impl Replica {
     /// Handles a failed write.
     pub(super) fn on_disk_error(&mut self, now: Now, reason: &str) {
-        if !self.disk_health.record_refusal(now.mono, reason) {
+        if !self.disk_health.record_failure(now.mono, reason) {
             self.count("disk_retries", 1);
             return;
         }
--- a/landingdrift/src/consensus/inspect.rs
+++ b/landingdrift/src/consensus/inspect.rs
@@ -5,7 +5,7 @@
 use crate::wire::Entry;
 
 impl Replica {
-    /// The cluster state as far as this replica has applied it.
+    /// The cluster state after the entries that this replica has applied.
     pub fn state(&self) -> &ClusterState {
         &self.state
     }
--- a/landingdrift/src/consensus/leadership.rs
+++ b/landingdrift/src/consensus/leadership.rs
@@ -37,7 +37,7 @@
 }
 
 impl Leadership {
-    /// Resets the state at the start of a leadership, with nothing known of the other replicas' logs.
+    /// Resets the state at the start of a leadership, with the initial progress of the other replicas.
     pub fn start(&mut self, now: Now, progress: BTreeMap<String, Progress>) {
         self.since = now.mono;
         self.last_command_index = 0;
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -77,7 +77,7 @@
     pub voters: usize,
     /// The number of standbys.
     pub standbys: usize,
-    /// The number of further machines that may be lost, whichever they are; below zero there is no majority.
+    /// The number of further machines that may be lost, in any combination; negative if there is no majority.
     pub machine_losses_left: i64,
     /// Whether a majority would survive the loss of any single zone.
     pub zone_loss_survivable: bool,
@@ -111,11 +111,18 @@
     pub fn resilience(&self) -> Resilience {
         let voters = self.voters();
         let needed = majority(voters.len()) as i64;
-        let answering =
+        let is_responding =
             |address: &str| matches!(self.health(address), Health::Reachable | Health::Leaving);
-        let reachable: Vec<&str> = voters.iter().copied().filter(|v| answering(v)).collect();
-        let outside = |zone: &str| reachable.iter().filter(|v| self.zone(v) != zone).count() as i64;
-        let zone_loss_survivable = reachable.iter().all(|v| outside(self.zone(v)) >= needed);
+        let reachable: Vec<&str> = voters
+            .iter()
+            .copied()
+            .filter(|v| is_responding(v))
+            .collect();
+        let reachable_outside =
+            |zone: &str| reachable.iter().filter(|v| self.zone(v) != zone).count() as i64;
+        let zone_loss_survivable = reachable
+            .iter()
+            .all(|v| reachable_outside(self.zone(v)) >= needed);
         Resilience {
             voters: voters.len(),
             standbys: self.members.len() - voters.len(),
@@ -158,18 +165,19 @@
 
     /// Standbys that can be promoted now.
     fn ready_standbys(&self) -> Vec<&str> {
-        let ready = |address: &str| {
+        let is_ready = |address: &str| {
             let observed = self.observed.get(address);
             observed.is_some_and(|o| o.caught_up && o.health == Health::Reachable)
         };
-        let all: Vec<(&str, bool)> = self
+        let ready: Vec<(&str, bool)> = self
             .members
             .iter()
-            .filter(|(address, m)| !m.voter && ready(address))
+            .filter(|(address, m)| !m.voter && is_ready(address))
             .map(|(address, m)| (address.as_str(), m.standby_only))
             .collect();
         let some_may_vote = self.members.values().any(|m| !m.standby_only);
-        all.into_iter()
+        ready
+            .into_iter()
             .filter(|(_, standby_only)| !standby_only || !some_may_vote)
             .map(|(address, _)| address)
             .collect()
@@ -183,11 +191,11 @@
     }
 
     fn remove_replaced(&self) -> Option<MembershipChange> {
-        let gone = self
+        let replaced = self
             .members
             .keys()
             .find(|address| self.health(address) == Health::Replaced)?;
-        Some(MembershipChange::Remove(gone.clone()))
+        Some(MembershipChange::Remove(replaced.clone()))
     }
 
     fn admit(&self) -> Option<MembershipChange> {
@@ -225,11 +233,11 @@
             };
             (health, self.voters_in(self.zone(address)))
         };
-        let worst = voters
+        let most_dispensable = voters
             .into_iter()
             .filter(|v| *v != self.leader)
             .max_by_key(|v| dispensability(v))?;
-        Some(MembershipChange::Demote(worst.to_string()))
+        Some(MembershipChange::Demote(most_dispensable.to_string()))
     }
 
     /// If the number of voters is even, demotes one that is unreachable, leaving or impaired, which makes the majority
@@ -297,9 +305,9 @@
                 .get(address)
                 .is_some_and(|o| o.long_unreachable)
         };
-        let (gone, _) = self.members.iter().find(|(address, m)| {
+        let (unreachable, _) = self.members.iter().find(|(address, m)| {
             !m.voter && *address != self.leader && is_long_unreachable(address)
         })?;
-        Some(MembershipChange::Remove(gone.clone()))
+        Some(MembershipChange::Remove(unreachable.clone()))
     }
 }
--- a/landingdrift/src/consensus/membership_state.rs
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -133,8 +133,8 @@
                 continue;
             }
             let progress = self.leadership.progress.get(&address);
-            let identified = progress.filter(|p| member.disk == 0 || p.disk == member.disk);
-            values.push(identified.map_or(0, &value));
+            let with_member_disk = progress.filter(|p| member.disk == 0 || p.disk == member.disk);
+            values.push(with_member_disk.map_or(0, &value));
         }
         values
     }
@@ -185,9 +185,10 @@
         }
         let led_ms = now.mono.saturating_sub(self.leadership.since);
         let waited = led_ms >= self.settings.bounds.election_timeout();
-        let all_heard = replicas.len() == founders.len();
-        let all_but_one_heard = replicas.len() + 1 == founders.len();
-        (all_heard || (waited && all_but_one_heard)).then_some(Command::FoundCluster { replicas })
+        let all_responded = replicas.len() == founders.len();
+        let all_but_one_responded = replicas.len() + 1 == founders.len();
+        (all_responded || (waited && all_but_one_responded))
+            .then_some(Command::FoundCluster { replicas })
     }
 
     /// The disk and the zone of a founder; 0 and empty if unknown.
@@ -246,13 +247,13 @@
         } else {
             Health::Reachable
         };
-        let answers =
+        let is_responding =
             since_contact < self.settings.bounds.election_timeout() && progress.disk == member.disk;
         let is_near_commit_index = progress.match_index > 0
             && progress.match_index + CAUGHT_UP_MAX_LAG_ENTRIES >= self.log.commit_index;
         MemberStatus {
             health,
-            caught_up: answers && is_near_commit_index,
+            caught_up: is_responding && is_near_commit_index,
             long_unreachable: since_contact
                 > STANDBY_REMOVAL_REPLACE_TIMEOUTS * self.settings.bounds.replace_ms,
         }
@@ -273,9 +274,9 @@
         if self.state.version > 0 {
             return true;
         }
-        let disks_needed = majority(self.settings.voters as usize);
+        let required_majority = majority(self.settings.voters as usize);
         let led_ms = now.mono.saturating_sub(self.leadership.since);
-        self.majority() >= disks_needed || led_ms > self.settings.bounds.outage_ms
+        self.majority() >= required_majority || led_ms > self.settings.bounds.outage_ms
     }
 
     /// Logs the resilience whenever it changes.
@@ -320,8 +321,8 @@
         let interval = JOIN_EVERY_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let last_request_at = self.membership.last_join_request_at;
         let is_due = last_request_at.is_none_or(|at| now.mono >= at + interval);
-        let needs_to_ask = !is_admitted || has_lost_leader;
-        if self.is_recovering() || self.role == Role::Leader || !is_due || !needs_to_ask {
+        let needs_to_join = !is_admitted || has_lost_leader;
+        if self.is_recovering() || self.role == Role::Leader || !is_due || !needs_to_join {
             return;
         }
         self.membership.last_join_request_at = Some(now.mono);
@@ -358,7 +359,7 @@
 
 /// The command that carries out a membership change.
 fn command_for(members: &Members, change: MembershipChange) -> Command {
-    let with_vote = |replica: String, voter: bool| {
+    let with_voting_right = |replica: String, voter: bool| {
         let known = members.get(&replica).cloned();
         let member = ReplicaMember {
             voter,
@@ -367,8 +368,8 @@
         Command::UpdateReplica { replica, member }
     };
     match change {
-        MembershipChange::Promote(replica) => with_vote(replica, true),
-        MembershipChange::Demote(replica) => with_vote(replica, false),
+        MembershipChange::Promote(replica) => with_voting_right(replica, true),
+        MembershipChange::Demote(replica) => with_voting_right(replica, false),
         MembershipChange::Remove(replica) => {
             let disk = members.get(&replica).map_or(0, |m| m.disk);
             Command::RemoveReplica { replica, disk }
--- a/landingdrift/src/consensus/node_registry.rs
+++ b/landingdrift/src/consensus/node_registry.rs
@@ -35,16 +35,16 @@
 
     fn node_to_remove(&self, now: Now) -> Option<Command> {
         let timeout = self.settings.bounds.node_timeout();
-        let has_led_long = now.mono.saturating_sub(self.leadership.since) > timeout;
+        let has_led_beyond_timeout = now.mono.saturating_sub(self.leadership.since) > timeout;
         for (name, node) in &self.state.nodes {
-            let is_gone = match self.watch.watchers.get(name) {
+            let is_lost_or_has_left = match self.watch.watchers.get(name) {
                 Some(watcher) => {
                     let is_timed_out = now.mono.saturating_sub(watcher.last_heard_at) > timeout;
                     is_timed_out || (watcher.leaving && !self.holds_lease(name))
                 }
-                None => has_led_long,
+                None => has_led_beyond_timeout,
             };
-            if node.alive && is_gone {
+            if node.alive && is_lost_or_has_left {
                 return Some(Command::MarkNodeGone { node: name.clone() });
             }
         }
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -235,8 +235,8 @@
 
     fn finish_recovery(&mut self, now: Now, query: &RecoveryQuery) {
         let last = self.log.last();
-        // The floor is the position that others have recorded for this disk; if none has and the disk is damaged, the
-        // end of the longest log.
+        // The floor is the position that others have recorded for this disk; if there is none and the disk is damaged,
+        // it is the end of the longest log found.
         let damaged_floor =
             (query.anyone_has_log && self.recovery.disk_damaged).then_some(query.longest_log);
         let witnessed = query.witnessed.filter(|position| *position > last);
@@ -323,12 +323,15 @@
     /// recovery floor and, for a while, the end of the longest log found during recovery.
     pub(super) fn required_position(&self, now: Now) -> LogPosition {
         let deferral = &self.recovery.deferral;
-        let deferred_to = if now.mono < deferral.until {
+        let deferral_position = if now.mono < deferral.until {
             deferral.position
         } else {
             LogPosition::ORIGIN
         };
-        self.recovery.floor.max(self.log.last()).max(deferred_to)
+        self.recovery
+            .floor
+            .max(self.log.last())
+            .max(deferral_position)
     }
 
     /// Records, for each disk of another replica, the highest position that it has acknowledged.
--- a/landingdrift/src/consensus/replication.rs
+++ b/landingdrift/src/consensus/replication.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Sends a replica the entries that it lacks. Only one batch is in flight at a time; heartbeats are sent meanwhile.
+    /// Sends a replica the entries that it lacks. Only one batch is in flight at a time; heartbeats continue while
+    /// it is.
     pub(super) fn replicate(&mut self, now: Now, to: &str, heartbeat: bool) {
         let resend_after = RESEND_AFTER_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let Some(progress) = self.leadership.progress.get_mut(to) else {
@@ -84,7 +85,8 @@
         };
         let previous_term = self.log.term_at(previous_index);
         if previous_term.is_none() && !is_paused {
-            // The log does not reach back that far: a snapshot must be installed first. Heartbeats are sent meanwhile.
+            // The log no longer contains the entries that the replica needs, so a snapshot must be installed first.
+            // Heartbeats continue during the transfer.
             self.send_snapshot(now, to);
             if !heartbeat {
                 return;
@@ -251,8 +253,9 @@
     }
     progress.last_heard_at = now.mono;
     progress.acked_round_sent_at = progress.acked_round_sent_at.max(round_sent_at);
-    let refused_before = std::mem::replace(&mut progress.disk_refuses_writes, response.refuses);
-    if response.refuses || refused_before {
+    let refused_writes_before =
+        std::mem::replace(&mut progress.disk_refuses_writes, response.refuses);
+    if response.refuses || refused_writes_before {
         // Sending resumes after the last entry known to be durable, once the disk accepts writes.
         progress.rewind();
     }
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -323,7 +323,7 @@
     }
 }
 
-/// The snapshot that a chunk belongs to. Older builds send a snapshot as a whole, without its length and checksum.
+/// The snapshot that a chunk belongs to. Older builds send a snapshot in one message, without its length and checksum.
 fn snapshot_id(chunk: &InstallSnapshot) -> SnapshotId {
     let is_whole = chunk.total == 0;
     let (total, checksum) = if is_whole {
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -43,7 +43,7 @@
     pub zone: String,
     pub http: String,
     pub leaving: bool,
-    /// The node that should take over its leases when it leaves; empty for any.
+    /// The node that should take over its leases when it leaves; empty if any node may.
     pub successor: String,
     /// Its CPU share, in thousandths of a core.
     pub share: u32,
@@ -115,8 +115,10 @@
 
     /// Whether the request acknowledges the last of the entries that were in flight to the node.
     fn has_received_all(&self, request: &WatchRequest) -> bool {
-        let had_more = self.sent_index > self.applied_index;
-        had_more && self.continues_last_request(request) && request.log_index >= self.sent_index
+        let had_entries_in_flight = self.sent_index > self.applied_index;
+        had_entries_in_flight
+            && self.continues_last_request(request)
+            && request.log_index >= self.sent_index
     }
 
     /// Whether a request comes from the process that sent the last one, and its copy has not gone back to an earlier
@@ -172,15 +174,15 @@
         }
         let origin = RequestOrigin::of(&request);
         if self.has_entries_in_flight(&request.node) {
-            let nothing = SentEntries::none(request.log_index);
-            self.send_entries(now, from, origin, true, nothing);
+            let no_entries = SentEntries::none(request.log_index);
+            self.send_entries(now, from, origin, true, no_entries);
             return;
         }
         self.send_watch_batch(now, from, origin, Some(from_index));
     }
 
-    /// Whether entries are in flight to a node. It is not sent further ones meanwhile: a node with a light copy can't
-    /// detect a gap, and a slow link must not be saturated.
+    /// Whether entries are in flight to a node. Until they are acknowledged, no further ones are sent: a node with a
+    /// light copy can't detect a gap, and a slow link must not be saturated.
     fn has_entries_in_flight(&self, node: &str) -> bool {
         let watcher = self.watch.watchers.get(node);
         watcher.is_some_and(|watcher| watcher.sent_index > watcher.applied_index)
@@ -255,10 +257,10 @@
     pub(super) fn push_to_watchers(&mut self, now: Now) {
         let leases = self.state.leases.values();
         let holders: BTreeSet<String> = leases.map(|lease| lease.holder.clone()).collect();
-        let fresh_ms = self.settings.bounds.max_watch_age();
+        let max_age_ms = self.settings.bounds.max_watch_age();
         let mut due = Vec::new();
         for (node, watcher) in &self.watch.watchers {
-            let is_fresh = now.mono.saturating_sub(watcher.last_heard_at) < fresh_ms;
+            let is_fresh = now.mono.saturating_sub(watcher.last_heard_at) < max_age_ms;
             let lacks_entries = watcher.sent_index < self.log.commit_index;
             let has_full_copy = !watcher.light;
             let may_be_sent = holders.contains(node) && has_full_copy && lacks_entries && is_fresh;
@@ -271,9 +273,10 @@
         }
     }
 
-    /// Whether a node that has applied entries up to an index must start over from a snapshot: the log does not reach
-    /// back to that index, ends before it (as after a total loss), or the node lacks too many entries. A node that has
-    /// just fetched a snapshot continues with the log, however many entries were added meanwhile.
+    /// Whether a node that has applied entries up to an index must start over from a snapshot: the log no longer
+    /// contains all entries after that index, ends before it (as after a total loss), or the node lacks too many
+    /// entries. A node that has just fetched a snapshot continues with the log, even if many entries were added during
+    /// the transfer.
     fn needs_snapshot(&self, node: &str, index: u64) -> bool {
         let watcher = self.watch.watchers.get(node);
         let light = watcher.is_some_and(|w| w.light);
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -140,8 +140,8 @@
             watcher.rate = rate;
             watcher.fetched_index = id.index;
         }
-        let begins = offset == 0 && !is_repeated;
-        self.count("watch_snapshots", u64::from(begins));
+        let starts_transfer = offset == 0 && !is_repeated;
+        self.count("watch_snapshots", u64::from(starts_transfer));
         self.count("watch_chunks", 1);
         self.count("watch_chunks_repeated", u64::from(is_repeated));
         let body = WatchSnapshotChunk {
@@ -210,12 +210,12 @@
 
     fn create_watch_snapshot(&self, light: bool, min_index: u64) -> Arc<ChunkedSnapshot> {
         let applied = self.state.applied_index;
-        let own = &self.snapshots.latest;
-        let own_index = own.identity().index;
-        let log_reaches_back = own_index > 0 && own_index >= self.log.base().index;
-        let is_usable = log_reaches_back && own_index >= min_index;
-        if !light && is_usable && applied - own_index <= MAX_SHARED_LAG_ENTRIES {
-            return own.clone();
+        let latest = &self.snapshots.latest;
+        let latest_index = latest.identity().index;
+        let log_reaches_back = latest_index > 0 && latest_index >= self.log.base().index;
+        let is_usable = log_reaches_back && latest_index >= min_index;
+        if !light && is_usable && applied - latest_index <= MAX_SHARED_LAG_ENTRIES {
+            return latest.clone();
         }
         let bytes = if light {
             self.state.without_jobs_and_workers().pack()
--- a/landingdrift/src/disk/directory.rs
+++ b/landingdrift/src/disk/directory.rs
@@ -35,7 +35,7 @@
         fs::remove_file(path)
     }
     fn sync(&self, folder: &Path) -> io::Result<()> {
-        File::open(folder).and_then(|d| d.sync_all())
+        File::open(folder).and_then(|folder| folder.sync_all())
     }
 }
 
@@ -56,12 +56,14 @@
     path: &Path,
     bytes: &[u8],
 ) -> Result<(), StorageError> {
-    let new = path.with_extension("new");
+    let temporary_path = path.with_extension("new");
     directory
-        .create(&new)
-        .and_then(|mut f| f.write_all(bytes).and_then(|()| f.sync_all()))
-        .map_err(io_error_at(&new))?;
-    directory.rename(&new, path).map_err(io_error_at(path))?;
+        .create(&temporary_path)
+        .and_then(|mut file| file.write_all(bytes).and_then(|()| file.sync_all()))
+        .map_err(io_error_at(&temporary_path))?;
+    directory
+        .rename(&temporary_path, path)
+        .map_err(io_error_at(path))?;
     let folder = path.parent().unwrap_or(path);
     directory.sync(folder).map_err(io_error_at(folder))
 }
--- a/landingdrift/src/disk/frames.rs
+++ b/landingdrift/src/disk/frames.rs
@@ -21,25 +21,25 @@
 impl Frame {
     /// Appends the frame's length, checksum and payload to `out`.
     pub fn write(&self, out: &mut Vec<u8>) {
-        let mut body = Vec::new();
+        let mut payload = Vec::new();
         match self {
             Self::HardState(hard_state) => {
-                body.push(1);
-                body.extend(serde_json::to_vec(hard_state).unwrap_or_default());
+                payload.push(1);
+                payload.extend(serde_json::to_vec(hard_state).unwrap_or_default());
             }
             Self::Truncate(index) => {
-                body.push(2);
-                body.extend(index.to_le_bytes());
+                payload.push(2);
+                payload.extend(index.to_le_bytes());
             }
             Self::Entry(entry) => {
-                body.push(3);
+                payload.push(3);
                 [entry.index, entry.term, entry.at]
                     .iter()
-                    .for_each(|n| body.extend(n.to_le_bytes()));
-                body.extend(&entry.command);
+                    .for_each(|n| payload.extend(n.to_le_bytes()));
+                payload.extend(&entry.command);
             }
             Self::Witnesses(witnesses) => {
-                body.push(4);
+                payload.push(4);
                 let rows: Vec<(&str, u64, u64, u64)> = witnesses
                     .iter()
                     .map(|witness| {
@@ -51,19 +51,19 @@
                         )
                     })
                     .collect();
-                body.extend(serde_json::to_vec(&rows).unwrap_or_default());
+                payload.extend(serde_json::to_vec(&rows).unwrap_or_default());
             }
             Self::Snapshot(snapshot) => {
-                body.push(5);
+                payload.push(5);
                 [snapshot.index, snapshot.term]
                     .iter()
-                    .for_each(|n| body.extend(n.to_le_bytes()));
-                body.extend(&snapshot.bytes);
+                    .for_each(|n| payload.extend(n.to_le_bytes()));
+                payload.extend(&snapshot.bytes);
             }
         }
-        out.extend((body.len() as u32).to_le_bytes());
-        out.extend(crc32fast::hash(&body).to_le_bytes());
-        out.extend(body);
+        out.extend((payload.len() as u32).to_le_bytes());
+        out.extend(crc32fast::hash(&payload).to_le_bytes());
+        out.extend(payload);
     }
 
     /// Reads the frame at the start of `bytes`, and returns it with its length in bytes. `None` if it is incomplete or
@@ -71,18 +71,18 @@
     pub fn read(bytes: &[u8]) -> Option<(Self, usize)> {
         let len = u32::from_le_bytes(bytes.get(0..4)?.try_into().ok()?) as usize;
         let checksum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
-        let body = (1..=MAX_FRAME_BYTES)
+        let payload = (1..=MAX_FRAME_BYTES)
             .contains(&len)
             .then(|| bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + len))
             .flatten()?;
-        (crc32fast::hash(body) == checksum).then_some(())?;
-        let rest = &body[1..];
+        (crc32fast::hash(payload) == checksum).then_some(())?;
+        let rest = &payload[1..];
         let number_at = |i: usize| {
             rest.get(i * 8..i * 8 + 8)
                 .and_then(|b| b.try_into().ok())
                 .map(u64::from_le_bytes)
         };
-        let frame = match body[0] {
+        let frame = match payload[0] {
             1 => Self::HardState(serde_json::from_slice(rest).ok()?),
             2 => Self::Truncate(number_at(0)?),
             3 => Self::Entry(Entry {
@@ -115,7 +115,7 @@
     }
 
     /// The offset of the next intact frame in `bytes` after damage.
-    pub fn resync(bytes: &[u8]) -> Option<usize> {
+    pub fn find_next(bytes: &[u8]) -> Option<usize> {
         (1..bytes.len().saturating_sub(FRAME_HEADER_BYTES))
             .find(|i| Self::read(&bytes[*i..]).is_some())
     }
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -47,56 +47,59 @@
 
 /// Reads the newest intact snapshot and all segments. With `repair`, truncates an incomplete write at the end.
 pub fn load(path: &Path, repair: bool) -> Result<FolderContents, StorageError> {
-    let mut found = FolderContents::default();
-    for (_, p) in numbered_files(path, "capture-", ".capture")?.iter().rev() {
-        let bytes = fs::read(p).map_err(io_error_at(p))?;
+    let mut contents = FolderContents::default();
+    for (_, file_path) in numbered_files(path, "capture-", ".capture")?.iter().rev() {
+        let bytes = fs::read(file_path).map_err(io_error_at(file_path))?;
         match Frame::read(&bytes) {
             Some((Frame::Snapshot(snapshot), _)) => {
-                found.snapshot = Some(snapshot);
+                contents.snapshot = Some(snapshot);
                 break;
             }
-            _ => found.damaged = true,
+            _ => contents.damaged = true,
         }
     }
-    let base = found.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+    let base = contents
+        .snapshot
+        .as_ref()
+        .map_or(0, |snapshot| snapshot.index);
     let segments = numbered_files(path, "log-", ".segment")?;
-    for (i, (number, p)) in segments.iter().enumerate() {
-        let bytes = fs::read(p).map_err(io_error_at(p))?;
-        let mut at = 0;
-        while at < bytes.len() {
-            match Frame::read(&bytes[at..]) {
+    for (i, (number, file_path)) in segments.iter().enumerate() {
+        let bytes = fs::read(file_path).map_err(io_error_at(file_path))?;
+        let mut offset = 0;
+        while offset < bytes.len() {
+            match Frame::read(&bytes[offset..]) {
                 Some((frame, len)) => {
-                    found.apply(frame, base);
-                    at += len;
+                    contents.apply(frame, base);
+                    offset += len;
                 }
                 // No intact frame follows: the last write was interrupted and never confirmed.
-                None if i + 1 == segments.len() && Frame::resync(&bytes[at..]).is_none() => {
-                    found.torn_tail = true;
+                None if i + 1 == segments.len() && Frame::find_next(&bytes[offset..]).is_none() => {
+                    contents.torn_tail = true;
                     if repair {
                         fs::OpenOptions::new()
                             .write(true)
-                            .open(p)
-                            .and_then(|f| f.set_len(at as u64).and_then(|()| f.sync_all()))
-                            .map_err(io_error_at(p))?;
+                            .open(file_path)
+                            .and_then(|f| f.set_len(offset as u64).and_then(|()| f.sync_all()))
+                            .map_err(io_error_at(file_path))?;
                     }
                     break;
                 }
                 None => {
                     // Damage: only the last segment can end with an interrupted write, since opening the folder
                     // truncates it.
-                    found.damaged = true;
-                    match Frame::resync(&bytes[at..]) {
-                        Some(skip) => at += skip,
+                    contents.damaged = true;
+                    match Frame::find_next(&bytes[offset..]) {
+                        Some(skip) => offset += skip,
                         None => break,
                     }
                 }
             }
         }
-        let last = found.entries.last().map_or(base, |e| e.index);
-        found.segments.push((*number, last));
+        let last = contents.entries.last().map_or(base, |e| e.index);
+        contents.segments.push((*number, last));
     }
-    found.entries.retain(|e| e.index > base);
-    Ok(found)
+    contents.entries.retain(|e| e.index > base);
+    Ok(contents)
 }
 
 impl FolderContents {
@@ -105,21 +108,21 @@
             Frame::HardState(hard_state) => self.hard_state = hard_state,
             Frame::Truncate(index) => self.entries.retain(|entry| entry.index < index),
             Frame::Witnesses(witnesses) => self.witnesses = witnesses,
-            Frame::Entry(e) => match self.entries.last().map(|l| l.index) {
-                Some(last) if e.index == last + 1 => self.entries.push(e),
-                None if e.index <= base + 1 => self.entries.push(e),
+            Frame::Entry(entry) => match self.entries.last().map(|l| l.index) {
+                Some(last) if entry.index == last + 1 => self.entries.push(entry),
+                None if entry.index <= base + 1 => self.entries.push(entry),
                 // After a gap: damage, unless the snapshot covers the gap. Then the log restarts at this entry.
-                Some(last) if e.index > last + 1 => {
+                Some(last) if entry.index > last + 1 => {
                     if last >= base {
                         self.damaged = true;
                     } else {
-                        self.entries = vec![e];
+                        self.entries = vec![entry];
                     }
                 }
                 None => self.damaged = true,
                 Some(_) => {
-                    self.entries.retain(|x| x.index < e.index);
-                    self.entries.push(e);
+                    self.entries.retain(|kept| kept.index < entry.index);
+                    self.entries.push(entry);
                 }
             },
             Frame::Snapshot(_) => {}
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -198,7 +198,7 @@
         };
         data.save(&[batch_with_snapshot]).expect("saved");
     }
-    // The file left behind when the disk ran full while a snapshot was written.
+    // Simulates the file that remains after the disk ran full during the write of a snapshot.
     fs::write(path.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
     data.recover().expect("usable again");
     let files = fs::read_dir(&path)
