--- a/landingdrift/src/node/zone_scheduler/departure.rs
+++ b/landingdrift/src/node/zone_scheduler/departure.rs
@@ -1,25 +1,24 @@
 //! Departure reports of workers.
 //!
-//! A report announces that the worker is leaving; it does not prove that its runs have ended, because a worker may send
-//! it first and keep running and sending heartbeats for many seconds. So the worker gets no new work from then on, and
-//! its runs count as ended only when its lease expires, as for any unresponsive worker. The report is final, i.e. the
-//! last message of the worker, only if earlier heartbeats announced that it is leaving, or if workers have no leases,
-//! since then no expiry follows.
+//! A worker that has sent a report gets no new work. Its runs still count as live until its lease expires, as for any
+//! unresponsive worker: it may send the report first and keep running and sending heartbeats for many seconds. A report
+//! is final, i.e. the worker's last message, if earlier heartbeats announced the departure. It also counts as final if
+//! workers have no leases, because no lease expiry would end the runs.
 
 use crate::node::Node;
 use crate::sans_io::Now;
 use crate::state::{zone_lease, Command, WorkerInfo};
 
-/// What is known about a worker's departure. Times are milliseconds by this node's monotonic clock.
+/// A worker's departure, as far as it was announced or reported. Times are in monotonic milliseconds.
 #[derive(Default)]
 pub(super) struct Departure {
     /// The incarnation of the worker process that this state belongs to.
     incarnation: u64,
     /// The newest heartbeat announced that the worker is leaving.
     announced: bool,
-    /// When the departure report was first received.
+    /// Arrival time of the first departure report.
     reported_at: Option<u64>,
-    /// The worker has ended, or is about to, once it has sent the report.
+    /// The departure report is the worker's last message.
     is_final: bool,
 }
 
@@ -51,15 +50,17 @@
         self.incarnation == incarnation && self.reported_at.is_some()
     }
 
-    /// Whether the worker has ended: its report was final, and no heartbeat has arrived for `timeout_ms` since.
-    pub fn has_ended(&self, now: Now, last_heartbeat: u64, timeout_ms: u64) -> bool {
+    /// Whether the worker process has exited: its report was final, and no heartbeat has arrived for `timeout_ms`
+    /// since.
+    pub fn has_exited(&self, now: Now, last_heartbeat: u64, timeout_ms: u64) -> bool {
         let Some(reported_at) = self.reported_at.filter(|_| self.is_final) else {
             return false;
         };
         now.mono >= reported_at.max(last_heartbeat) + timeout_ms
     }
 
-    /// The minimum remaining time of a worker whose report is not final, if workers stay for `leave_ms` after it.
+    /// The minimum remaining time of a worker whose report is not final, assuming that it exits `leave_ms` after the
+    /// report.
     pub fn remaining_ms(&self, now: Now, leave_ms: u64) -> Option<u64> {
         let reported_at = self.reported_at.filter(|_| !self.is_final)?;
         Some((reported_at + leave_ms).saturating_sub(now.mono))
@@ -68,7 +69,7 @@
 
 impl Node {
     /// Records a departure report: from now on this node does not offer the worker's slots.
-    pub(in crate::node) fn on_worker_left(&mut self, now: Now, worker: &str) {
+    pub(in crate::node) fn on_departure_report(&mut self, now: Now, worker: &str) {
         let has_lease = self.settings.bounds.lease_ms > 0;
         let incarnation = self.incarnation_of(worker);
         for worker in self.workers_named(worker) {
@@ -98,8 +99,8 @@
         Some(Command::UpdateWorker { info, zone_epoch })
     }
 
-    /// Whether a worker is leaving whatever its heartbeat says: it has sent a departure report, or its process is
-    /// marked as leaving in the cluster state.
+    /// Whether a worker counts as leaving regardless of its heartbeat: it has sent a departure report, or its process
+    /// is marked as leaving in the cluster state.
     pub(super) fn is_leaving(&self, info: &WorkerInfo) -> bool {
         let worker = self.worker(&info.zone, &info.worker);
         let known = self.state.workers.get(&info.worker);
--- a/landingdrift/src/node/zone_scheduler/end_reports.rs
+++ b/landingdrift/src/node/zone_scheduler/end_reports.rs
@@ -9,7 +9,8 @@
 use crate::sans_io::Now;
 use crate::state::{Command, EndReport};
 
-/// Number of missed heartbeats after which remaining ends are proposed without waiting for another heartbeat.
+/// Number of missed heartbeats after which ends that are not in the log yet are proposed without waiting for another
+/// heartbeat.
 const MISSED_HEARTBEATS: u64 = 2;
 
 impl Node {
@@ -37,44 +38,44 @@
     }
 
     /// Proposes the ends in a heartbeat that arrives too late to renew the worker's lease; they are still valid.
-    pub(super) fn report_late_ends(&mut self, now: Now, heartbeat: &Heartbeat) {
-        let ends = self.live_ends(now, heartbeat);
+    pub(super) fn report_ends_of_late_heartbeat(&mut self, now: Now, heartbeat: &Heartbeat) {
+        let ends = self.ends_of_live_runs(now, heartbeat);
         let info = &heartbeat.info;
         let Some(worker) = self.worker_mut(&info.zone, &info.worker) else {
             return;
         };
         worker.record_ends(&ends);
-        if ends.is_empty() || worker.report_proposed {
+        if ends.is_empty() || worker.report_pending {
             return;
         }
-        worker.report_proposed = true;
+        worker.report_pending = true;
         self.propose_report(now, heartbeat, Vec::new(), ends);
     }
 
-    /// A report has completed or timed out. Ends that arrived meanwhile or did not reach the log are proposed with the
-    /// next heartbeat, or by `report_remaining_ends` if no heartbeat arrives.
+    /// Handles the completion or timeout of a report proposal. Ends that arrived meanwhile or were not committed are
+    /// proposed with the next heartbeat, or by `propose_unrecorded_ends` if no heartbeat arrives.
     pub(in crate::node) fn on_report_proposal_done(&mut self, worker: &str) {
         for worker in self.workers_named(worker) {
-            worker.report_proposed = false;
+            worker.report_pending = false;
         }
     }
 
     /// Proposes reported ends that are neither in the cluster state nor in a pending report, for workers whose
     /// heartbeats are missing.
-    pub(super) fn report_remaining_ends(&mut self, now: Now) {
+    pub(super) fn propose_unrecorded_ends(&mut self, now: Now) {
         let wait_ms = MISSED_HEARTBEATS * self.settings.bounds.worker_heartbeat_interval();
-        let mut remaining: Vec<(String, Vec<EndReport>)> = Vec::new();
+        let mut unrecorded: Vec<(String, Vec<EndReport>)> = Vec::new();
         for zone_scheduler in self.zone_schedulers.values_mut() {
             for (name, worker) in &mut zone_scheduler.workers {
-                if worker.has_remaining_ends(now, wait_ms) {
-                    worker.report_proposed = true;
+                if worker.must_propose_ends(now, wait_ms) {
+                    worker.report_pending = true;
                     worker.last_report_at = now.mono;
                     let ends = worker.reported_ends.values().cloned().collect();
-                    remaining.push((name.clone(), ends));
+                    unrecorded.push((name.clone(), ends));
                 }
             }
         }
-        for (worker, ends) in remaining {
+        for (worker, ends) in unrecorded {
             let command = Command::ReportAttempts {
                 incarnation: self.incarnation_of(&worker),
                 running: Vec::new(),
@@ -94,9 +95,10 @@
         }
     }
 
-    /// Whether unreported ends are due for a report without a heartbeat: none was received or reported for `wait_ms`.
-    fn has_remaining_ends(&self, now: Now, wait_ms: u64) -> bool {
+    /// Whether ends that are not in the log yet must be proposed without waiting for a heartbeat, because neither a
+    /// heartbeat nor a proposed report occurred for `wait_ms`.
+    fn must_propose_ends(&self, now: Now, wait_ms: u64) -> bool {
         let is_due = now.mono >= self.last_heartbeat.max(self.last_report_at) + wait_ms;
-        !self.reported_ends.is_empty() && !self.report_proposed && is_due
+        !self.reported_ends.is_empty() && !self.report_pending && is_due
     }
 }
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -80,7 +80,7 @@
         self.count("heartbeats", 1);
         self.resolve_run_names(&mut heartbeat);
         if self.is_late(&heartbeat) {
-            self.report_late_ends(now, &heartbeat);
+            self.report_ends_of_late_heartbeat(now, &heartbeat);
             return self.late_heartbeat_response();
         }
         let known = self.state.workers.get(&heartbeat.info.worker);
@@ -90,7 +90,7 @@
         }
         self.update_departure(&mut heartbeat);
         self.track_unknown_runs(now, &heartbeat);
-        self.observe_late_ends(&heartbeat);
+        self.log_ends_of_dead_runs(&heartbeat);
         let info_changed = known.info != heartbeat.info || known.lost;
         let due = self.record_heartbeat(now, &heartbeat, info_changed);
         self.reschedule_stragglers(now, &heartbeat, epoch);
@@ -103,7 +103,8 @@
         self.orders_response(&heartbeat, epoch)
     }
 
-    /// Records whether the worker is leaving. Once it has been, the heartbeat counts as leaving whatever it says.
+    /// Records whether the worker is leaving. A worker that was leaving stays so, even if a later heartbeat does not
+    /// say it.
     fn update_departure(&mut self, heartbeat: &mut Heartbeat) {
         let reports_leaving = heartbeat.info.leaving;
         heartbeat.info.leaving |= self.is_leaving(&heartbeat.info);
@@ -123,10 +124,9 @@
         heartbeat: &Heartbeat,
         info_changed: bool,
     ) -> DueProposals {
-        let mut ends = self.live_ends(now, heartbeat);
+        let mut ends = self.ends_of_live_runs(now, heartbeat);
         let running = self.newly_running(heartbeat);
-        // Started runs are reported to the log together with the next end, or after this interval: few decisions depend
-        // on them, and a log entry is expensive.
+        // Recording started runs is not urgent: to save log entries, they wait for the next end or for this interval.
         let report_interval = self.settings.bounds.cancel_ms / 4;
         let zone_scheduler = self.zone_schedulers.entry(heartbeat.info.zone.clone());
         let workers = &mut zone_scheduler.or_default().workers;
@@ -138,13 +138,13 @@
         let report_overdue = now.mono >= worker.last_report_at + report_interval;
         let has_report = !ends.is_empty() || (!running.is_empty() && report_overdue);
         let due = DueProposals {
-            info: info_changed && !worker.info_proposed,
-            report: has_report && !worker.report_proposed,
+            info: info_changed && !worker.worker_update_pending,
+            report: has_report && !worker.report_pending,
             running,
             ends,
         };
-        worker.info_proposed |= info_changed;
-        worker.report_proposed |= has_report;
+        worker.worker_update_pending |= info_changed;
+        worker.report_pending |= has_report;
         if due.report {
             worker.last_report_at = now.mono;
         }
@@ -157,7 +157,7 @@
         let Some(worker) = self.worker(&info.zone, &info.worker) else {
             return;
         };
-        if worker.reschedule_proposed {
+        if worker.reschedule_pending {
             return;
         }
         let leave_ms = self.settings.bounds.leave_ms;
@@ -170,12 +170,12 @@
         }
     }
 
-    /// The response if this node can't act for the zone now.
+    /// The response if this node does not hold the zone's lease, or its copy of the cluster state is stale.
     pub(in crate::node) fn not_ready_response(&self) -> Response {
         Response::error(
             503,
             "notReady",
-            "this node can't act as the zone's scheduler now: send the heartbeat again, here or to another node",
+            "this node does not hold the zone's lease, or its copy of the cluster state is stale: send the request again, here or to another node",
         )
         .retry(self.settings.bounds.worker_heartbeat_interval())
     }
@@ -217,8 +217,8 @@
         }
     }
 
-    /// The reported ends of runs that are live on the worker by the cluster state.
-    pub(super) fn live_ends(&self, now: Now, heartbeat: &Heartbeat) -> Vec<EndReport> {
+    /// The reported ends of runs that are live on the worker according to the cluster state.
+    pub(super) fn ends_of_live_runs(&self, now: Now, heartbeat: &Heartbeat) -> Vec<EndReport> {
         let worker = self.worker(&heartbeat.info.zone, &heartbeat.info.worker);
         let mut ends = Vec::new();
         for end in &heartbeat.ended {
@@ -242,7 +242,7 @@
         ends
     }
 
-    /// The running attempts in a heartbeat that are not yet running by the cluster state.
+    /// The running attempts in a heartbeat that are not yet running according to the cluster state.
     fn newly_running(&self, heartbeat: &Heartbeat) -> Vec<u64> {
         let is_new = |number: &u64| {
             let known = self.state.attempt(*number);
@@ -286,8 +286,8 @@
     /// Ends for attempts that were never started and never will be.
     ///
     /// A worker sends its heartbeats in sequence and drops a response that arrives after it has sent the next one. So
-    /// an unwanted attempt that a heartbeat does not report, although an earlier response carried its start order, was
-    /// never started and never will be.
+    /// an attempt that must not run and that a heartbeat does not report, although an earlier response carried its
+    /// start order, was never started and never will be.
     fn never_started(&mut self, state: &ClusterState, heartbeat: &Heartbeat) -> Vec<EndReport> {
         let Some(known) = state.workers.get(&heartbeat.info.worker) else {
             self.sent_starts.clear();
@@ -304,11 +304,13 @@
             let Some((_, _, attempt)) = state.attempt(*number) else {
                 continue;
             };
-            let unwanted = attempt.stop || attempt.state == AttemptState::Unsure;
-            let sent_with = self.sent_starts.get(number);
-            let order_is_void = sent_with.is_none_or(|sequence| *sequence < heartbeat.sequence);
-            let of_this_incarnation = attempt.incarnation == heartbeat.info.incarnation;
-            if unwanted && order_is_void && of_this_incarnation && !reported.contains(number) {
+            let must_not_run = attempt.stop || attempt.state == AttemptState::Unsure;
+            let sent_in_response_to = self.sent_starts.get(number);
+            let is_order_expired =
+                sent_in_response_to.is_none_or(|sequence| *sequence < heartbeat.sequence);
+            let is_same_incarnation = attempt.incarnation == heartbeat.info.incarnation;
+            if must_not_run && is_order_expired && is_same_incarnation && !reported.contains(number)
+            {
                 ends.push(EndReport {
                     no: *number,
                     outcome: Outcome::NeverStarted,
--- a/landingdrift/src/node/zone_scheduler/late_ends.rs
+++ b/landingdrift/src/node/zone_scheduler/late_ends.rs
@@ -1,4 +1,4 @@
-//! Reported ends of runs that are not live by the cluster state, compared with the state that is recorded there.
+//! Metrics and log messages about reported ends of runs that are no longer live in the cluster state.
 
 use super::Heartbeat;
 use crate::node::Node;
@@ -6,8 +6,9 @@
 
 impl Node {
     /// Logs and counts the reported ends whose attempt is unknown, or whose outcome contradicts the cluster state.
-    pub(super) fn observe_late_ends(&mut self, heartbeat: &Heartbeat) {
+    pub(super) fn log_ends_of_dead_runs(&mut self, heartbeat: &Heartbeat) {
         let worker = &heartbeat.info.worker;
+        // `resolve_run_names` sets number 0 if the run has no live attempt.
         for end in heartbeat.ended.iter().filter(|end| end.no == 0) {
             let Some(name) = &end.name else { continue };
             let known = self.attempt_by_name(worker, name);
@@ -16,7 +17,7 @@
                     self.count("ends_of_unknown_runs", 1);
                     self.log_late_end(worker, name, end, "there is no such attempt");
                 }
-                Some(state) if !agrees(state, end.outcome) => {
+                Some(state) if !is_consistent(state, end.outcome) => {
                     self.count("ends_contradicting_state", 1);
                     self.log_late_end(worker, name, end, &format!("its state is {state:?}"));
                 }
@@ -35,7 +36,7 @@
 }
 
 /// Whether a reported outcome is consistent with the state of the attempt.
-fn agrees(state: AttemptState, outcome: Outcome) -> bool {
+fn is_consistent(state: AttemptState, outcome: Outcome) -> bool {
     match outcome {
         Outcome::Succeeded => state == AttemptState::Succeeded,
         Outcome::Failed => state == AttemptState::Failed,
--- a/landingdrift/src/node/zone_scheduler/lease_expiry.rs
+++ b/landingdrift/src/node/zone_scheduler/lease_expiry.rs
@@ -1,4 +1,5 @@
-//! Failure detection: unresponsive workers, and workers that have ended or whose lease has expired.
+//! Failure detection: unresponsive workers are marked as lost; the attempts of workers that have exited or whose lease
+//! has expired are expired.
 
 use super::stragglers::Stragglers;
 use super::WorkerState;
@@ -8,13 +9,13 @@
 use crate::settings::Bounds;
 use crate::state::{ClusterState, Command, Worker};
 
-/// A worker that has not sent a heartbeat within `worker_lost`.
+/// A worker that has not sent a heartbeat within the worker timeout.
 struct LostWorker {
     worker: String,
     zone_epoch: u64,
 }
 
-/// A worker that has ended or whose lease has expired, with its attempts to be expired.
+/// A worker that has exited or whose lease has expired, with its attempts to be expired.
 struct ExpiredWorker {
     worker: String,
     zone_epoch: u64,
@@ -23,11 +24,10 @@
 }
 
 impl Node {
-    /// Detects lost, ended and expired workers, and offers free slots.
+    /// Detects lost workers and expired leases, proposes the consequences, and offers free slots.
     pub(in crate::node) fn zone_schedulers_tick(&mut self, now: Now) {
         if !self.fresh_for_zones(now) {
-            // Nothing is decided on a stale copy of the cluster state, and missing heartbeats don't count against
-            // workers meanwhile.
+            // A stale copy of the cluster state is no basis for decisions; heartbeats missed meanwhile don't count.
             let lost_after = self.settings.bounds.worker_timeout();
             let earliest = now.mono.saturating_sub(lost_after / 2);
             for worker in self.all_workers() {
@@ -35,8 +35,8 @@
             }
             return;
         }
-        let (lost, expired) = self.detect_failures(now);
-        self.report_remaining_ends(now);
+        let (lost, expired) = self.update_workers(now);
+        self.propose_unrecorded_ends(now);
         for worker in lost {
             self.propose_lost(now, worker);
         }
@@ -46,8 +46,9 @@
         self.offer_all(now);
     }
 
-    /// Returns the workers that are newly lost, and those whose expiry is to be proposed.
-    fn detect_failures(&mut self, now: Now) -> (Vec<LostWorker>, Vec<ExpiredWorker>) {
+    /// Updates all workers' state for the current time; returns the newly lost workers, and those whose attempts must
+    /// be expired. The proposals for both are marked as pending.
+    fn update_workers(&mut self, now: Now) -> (Vec<LostWorker>, Vec<ExpiredWorker>) {
         let bounds = &self.settings.bounds;
         let mut lost = Vec::new();
         let mut expired = Vec::new();
@@ -61,7 +62,7 @@
                     worker.begin_expiry(now, bounds, known);
                 }
                 if worker.needs_expiry_proposal(&self.state) {
-                    worker.expiry_proposed = true;
+                    worker.expiry_pending = true;
                     let checkpoints = std::mem::take(&mut worker.checkpoints);
                     expired.push(ExpiredWorker {
                         worker: name.clone(),
@@ -72,9 +73,9 @@
                 }
                 let since_heartbeat = now.mono.saturating_sub(worker.last_heartbeat);
                 let is_unresponsive = since_heartbeat > bounds.worker_timeout();
-                let not_known_as_lost = known.is_some_and(|known| !known.lost);
-                if is_unresponsive && not_known_as_lost && !worker.info_proposed {
-                    worker.info_proposed = true;
+                let is_known_alive = known.is_some_and(|known| !known.lost);
+                if is_unresponsive && is_known_alive && !worker.worker_update_pending {
+                    worker.worker_update_pending = true;
                     lost.push(LostWorker {
                         worker: name.clone(),
                         zone_epoch,
@@ -107,7 +108,7 @@
         let worker = expired.worker;
         let incarnation = self.incarnation_of(&worker);
         self.log(format!(
-            "worker {worker} has ended or its lease has expired: its attempts are ended"
+            "worker {worker} exited or its lease expired: ending its attempts"
         ));
         self.count("workers_lease_expired", 1);
         let command = Command::ExpireAttempts {
@@ -132,10 +133,10 @@
         known.map_or(0, |worker| worker.info.incarnation)
     }
 
-    /// A proposal to expire a worker's attempts is in the log at `log_index`, or has timed out and will be repeated.
+    /// Handles the end of an expiry proposal. `log_index` is 0 if it timed out; it is then proposed again.
     pub(in crate::node) fn on_expiry_proposal_done(&mut self, worker: &str, log_index: u64) {
         for worker in self.workers_named(worker) {
-            worker.expiry_proposed = false;
+            worker.expiry_pending = false;
             worker.expiry_log_index = log_index;
         }
     }
@@ -154,7 +155,7 @@
         } = stragglers;
         let suspect_until = now.mono + self.settings.bounds.cancel_ms;
         if let Some(worker) = self.workers_named(worker).next() {
-            worker.reschedule_proposed = true;
+            worker.reschedule_pending = true;
             if blame_worker {
                 worker.suspect_until = suspect_until;
             }
@@ -184,26 +185,26 @@
         );
     }
 
-    /// A proposal to reschedule attempts has completed or timed out.
+    /// Handles the completion or timeout of a proposal to reschedule attempts.
     pub(in crate::node) fn on_reschedule_proposal_done(&mut self, worker: &str) {
         for worker in self.workers_named(worker) {
-            worker.reschedule_proposed = false;
+            worker.reschedule_pending = false;
         }
     }
 }
 
 impl WorkerState {
-    /// Selects the worker's attempts for expiry if it has ended or its lease has expired.
+    /// Selects the worker's attempts for expiry if it has exited or its lease has expired.
     fn begin_expiry(&mut self, now: Now, bounds: &Bounds, known: &Worker) {
         let timeout_ms = bounds.max_start_order_age() / 2;
-        let has_left = self
+        let has_exited = self
             .departure
-            .has_ended(now, self.last_heartbeat, timeout_ms);
+            .has_exited(now, self.last_heartbeat, timeout_ms);
         let expires_after = bounds.lease_expired_after();
         let unrenewed_for = now.mono.saturating_sub(self.lease_renewed_at);
         let lease_expired = expires_after > 0 && unrenewed_for > expires_after;
-        let under_way = !self.expiring.is_empty() || self.info_proposed;
-        if (has_left || lease_expired) && !under_way {
+        let is_pending = !self.expiring.is_empty() || self.worker_update_pending;
+        if (has_exited || lease_expired) && !is_pending {
             // Attempts with a reported end keep the reported outcome.
             let is_unreported = |attempt: &&u64| !self.reported_ends.contains_key(*attempt);
             let unreported = known.attempts.iter().filter(is_unreported);
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Forgets the ends and expiries that are in the cluster state by now.
+    /// Removes the ends and expiries that are in the cluster state.
     fn forget_applied(&mut self, state: &ClusterState) {
         self.reported_ends
             .retain(|attempt, _| state.live.contains_key(attempt));
@@ -222,6 +223,6 @@
     /// Whether attempts are waiting to be expired and no proposal for them is pending or yet to be applied here.
     fn needs_expiry_proposal(&self, state: &ClusterState) -> bool {
         let has_applied_expiry = state.applied_index >= self.expiry_log_index;
-        !self.expiring.is_empty() && !self.expiry_proposed && has_applied_expiry
+        !self.expiring.is_empty() && !self.expiry_pending && has_applied_expiry
     }
 }
--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -4,9 +4,9 @@
 //! - `heartbeats` processes the reports of workers,
 //! - `orders` derives the start and stop orders in the responses,
 //! - `end_reports` proposes the ends of runs to the log,
-//! - `late_ends` counts and logs reported ends that contradict the cluster state,
+//! - `late_ends` counts and logs reported ends that contradict the cluster state or have no attempt,
 //! - `departure` tracks workers that have reported that they are leaving,
-//! - `lease_expiry` detects workers that are unresponsive or have ended,
+//! - `lease_expiry` detects workers that are unresponsive or have exited,
 //! - `stragglers` finds runs that should be rescheduled, by their `run_progress`,
 //! - `unknown_runs` tracks reported runs that this copy of the cluster state does not have,
 //! - `reservations` and `offers` offer free slots to the schedulers that reserved them, in the order of `targets`.
@@ -41,7 +41,7 @@
 /// Prefix of the name of a zone scheduler's lease; the zone follows.
 const ZONE_LEASE_PREFIX: &str = "cell/";
 
-/// The epoch of the very first lease that a cluster grants, which has no previous holder. Epochs are cluster-wide.
+/// Epochs are numbered cluster-wide. The first lease that a cluster grants has this epoch and no previous holder.
 const FIRST_EPOCH: u64 = 1;
 
 /// The zone that a lease is for; none for the leases of queues.
@@ -56,7 +56,8 @@
     pub workers: BTreeMap<String, WorkerState>,
 }
 
-/// The zone scheduler's state of a worker beyond the cluster state. Times are by this node's monotonic clock.
+/// The zone scheduler's local state of a worker, which is not in the cluster state. Times are in monotonic
+/// milliseconds.
 #[derive(Default)]
 pub struct WorkerState {
     pub last_heartbeat: u64,
@@ -67,13 +68,14 @@
     /// Resources promised to accepted offers whose start is not in the cluster state yet.
     promises: Vec<PromisedResources>,
     no_offers_until: u64,
-    info_proposed: bool,
-    report_proposed: bool,
+    /// A proposal to update the worker or to mark it as lost is pending.
+    worker_update_pending: bool,
+    report_pending: bool,
     /// Reported ends that are not in the cluster state yet, by attempt number.
     reported_ends: BTreeMap<u64, EndReport>,
     /// Attempts that are being ended because the worker's lease has expired; meanwhile the lease is not renewed.
     expiring: Vec<u64>,
-    expiry_proposed: bool,
+    expiry_pending: bool,
     /// Log index of the newest expiry. Until this node has applied it, the attempts still appear live in its copy.
     expiry_log_index: u64,
     lease_renewed_at: u64,
@@ -83,11 +85,11 @@
     /// Sequence numbers of the first and the newest heartbeat received by this lease holder.
     first_sequence: u64,
     newest_sequence: u64,
-    /// By attempt whose start order was sent: sequence number of the newest heartbeat whose response carried the order.
+    /// Sent start orders by attempt, each with the sequence number of the newest heartbeat answered with it.
     sent_starts: BTreeMap<u64, u64>,
     checkpoints: BTreeMap<u64, String>,
     progress: BTreeMap<u64, RunProgress>,
-    reschedule_proposed: bool,
+    reschedule_pending: bool,
     /// Until this time the worker's slots are not offered, because it stalled or was slow.
     suspect_until: u64,
 }
@@ -129,7 +131,7 @@
             ..ZoneScheduler::default()
         });
         // The previous holder may have renewed worker leases until it learned that the zone's lease had moved.
-        let predecessor_ms = if epoch > FIRST_EPOCH {
+        let predecessor_renewal_ms = if epoch > FIRST_EPOCH {
             self.settings.bounds.max_watch_age_for_zones()
         } else {
             0
@@ -141,17 +143,17 @@
             let worker = zone_scheduler.workers.entry(name);
             worker.or_insert_with(|| WorkerState {
                 last_heartbeat: now.mono,
-                lease_renewed_at: now.mono + predecessor_ms,
+                lease_renewed_at: now.mono + predecessor_renewal_ms,
                 resources,
                 ..WorkerState::default()
             });
         }
     }
 
-    /// A proposal to update or lose a worker has completed or timed out.
-    pub(in crate::node) fn on_info_proposal_done(&mut self, worker: &str) {
+    /// Handles the completion or timeout of a proposal to update a worker or to mark it as lost.
+    pub(in crate::node) fn on_worker_update_done(&mut self, worker: &str) {
         for worker in self.workers_named(worker) {
-            worker.info_proposed = false;
+            worker.worker_update_pending = false;
         }
     }
 
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -8,8 +8,9 @@
 use crate::state::{ClusterState, Resources, Worker};
 use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, RequestToken};
 
-/// Time for which the resources of an accepted offer stay promised, in offer timeouts: its start may take that long.
-const PROMISE_OFFER_TIMEOUTS: u64 = 2;
+/// Factor from the offer timeout to the time for which the resources of an accepted offer stay promised. It equals the
+/// factor for the timeout of a proposed start, which must end before its resources are released.
+const PROMISE_TIMEOUT_FACTOR: u64 = 2;
 
 /// The names of a worker and of the zone whose scheduler it belongs to.
 struct ZoneWorker {
@@ -63,16 +64,16 @@
         }
     }
 
-    /// The resources of a worker that are neither used nor promised; none if it takes no new work.
+    /// The resources of a worker that are neither used nor promised; zero if the worker may not get a new task.
     fn free_resources(&self, now: Now, zone: &str, worker: &str) -> Resources {
         let known = self.state.workers.get(worker);
         let (Some(known), Some(worker_state)) = (known, self.worker(zone, worker)) else {
             return Resources::default();
         };
-        let is_open = self.state.accepts_new_tasks(worker, known)
+        let may_get_task = self.state.accepts_new_tasks(worker, known)
             && (!is_probation_slot_taken(&self.state, known, worker_state)
-                || self.has_idle_reservation(now, known, worker_state));
-        if !is_open {
+                || self.has_reservation_of_idle_job(now, known, worker_state));
+        if !may_get_task {
             return Resources::default();
         }
         let mut taken = known.used;
@@ -87,7 +88,12 @@
     }
 
     /// Whether a job with a reservation on a worker has been idle for too long while the service has spare capacity.
-    fn has_idle_reservation(&self, now: Now, known: &Worker, worker_state: &WorkerState) -> bool {
+    fn has_reservation_of_idle_job(
+        &self,
+        now: Now,
+        known: &Worker,
+        worker_state: &WorkerState,
+    ) -> bool {
         // Checked first because it is cheap: in a busy service many jobs are idle.
         if !self.state.has_spare_capacity(&known.info.service) {
             return false;
@@ -102,17 +108,17 @@
 
     /// Starts a round of offers for a free slot of a worker.
     fn start_offer_round(&mut self, now: Now, zone: &str, worker: &str) {
-        let token = self.token();
+        let round_number = self.token();
         let Some(worker_state) = self.worker_mut(zone, worker) else {
             return;
         };
-        worker_state.offer_round = Some(OfferRound::new(token, now.mono));
+        worker_state.offer_round = Some(OfferRound::new(round_number, now.mono));
         self.offer_next(now, zone, worker);
     }
 
     /// Offers the slot of the current round to its next target, or ends the round.
     fn offer_next(&mut self, now: Now, zone: &str, worker: &str) {
-        // Generated for every offer, needed or not, so that the sequence of random numbers stays the same.
+        // Drawn for every offer, so that the random sequence does not depend on the target.
         let sample = self.rng.unit();
         let resources = self.free_resources(now, zone, worker);
         let worker_incarnation = self.incarnation_of(worker);
@@ -138,7 +144,7 @@
         };
         let token = RequestToken {
             incarnation: self.incarnation,
-            number: round.token,
+            number: round.round_number,
             attempt: round.refusals,
         };
         round.record_offer(token, &target);
@@ -179,7 +185,7 @@
         };
         let job = round.job.clone();
         if response.accepted {
-            let until = now.mono + timeout * PROMISE_OFFER_TIMEOUTS;
+            let until = now.mono + timeout * PROMISE_TIMEOUT_FACTOR;
             worker.on_accepted(promised_resources(from, &response, job, until));
             self.count("offers_accepted", 1);
             self.offer_all(now);
@@ -195,7 +201,9 @@
         for (zone, zone_scheduler) in &self.zone_schedulers {
             let worker = zone_scheduler.workers.get(&response.worker);
             let round = worker.and_then(|worker| worker.offer_round.as_ref());
-            if round.is_some_and(|round| round.offer == response.token && round.scheduler == from) {
+            if round
+                .is_some_and(|round| round.offer_token == response.token && round.scheduler == from)
+            {
                 return Some(zone.clone());
             }
         }
@@ -212,14 +220,14 @@
         if outcome.placed {
             return;
         }
-        let is_meant = |promise: &PromisedResources| {
-            promise.offer == outcome.token && promise.scheduler == from
+        let is_for_outcome = |promise: &PromisedResources| {
+            promise.offer_token == outcome.token && promise.scheduler == from
         };
-        // The scheduler's copy of the cluster state was newer: let this node catch up before the next offer.
+        // The start may have failed because this node's copy is behind: wait before the next offer.
         let until = now.mono + self.settings.bounds.heartbeat_interval();
         for worker in self.workers_named(&outcome.worker) {
-            if worker.promises.iter().any(is_meant) {
-                worker.promises.retain(|promise| !is_meant(promise));
+            if worker.promises.iter().any(is_for_outcome) {
+                worker.promises.retain(|promise| !is_for_outcome(promise));
                 worker.no_offers_until = until;
             }
         }
@@ -256,7 +264,7 @@
     until: u64,
 ) -> PromisedResources {
     PromisedResources {
-        offer: response.token,
+        offer_token: response.token,
         scheduler: scheduler.into(),
         job,
         resources: Resources {
@@ -272,8 +280,8 @@
     /// Whether the worker's slots may be offered now, regardless of free resources.
     fn may_be_offered(&self, now: Now) -> bool {
         let is_reserved = !self.reservations.is_empty();
-        let is_sound = !self.leaving && now.mono >= self.suspect_until;
-        self.offer_round.is_none() && is_reserved && is_sound && now.mono >= self.no_offers_until
+        let is_usable = !self.leaving && now.mono >= self.suspect_until;
+        self.offer_round.is_none() && is_reserved && is_usable && now.mono >= self.no_offers_until
     }
 
     /// Drops expired promises, and the round whose offer was not answered in time.
--- a/landingdrift/src/node/zone_scheduler/offers/tests.rs
+++ b/landingdrift/src/node/zone_scheduler/offers/tests.rs
@@ -1,4 +1,4 @@
-//! Unit test of promised resources, which are private to the zone scheduler.
+//! Unit test of promised resources, kept here because they are private to the module.
 
 use super::*;
 use crate::settings::Settings;
@@ -15,7 +15,7 @@
     };
     worker.promises = [(1, 3), (2, 5)]
         .map(|(offer, cpu)| PromisedResources {
-            offer: token(offer),
+            offer_token: token(offer),
             scheduler: "10.0.0.3:1".into(),
             job: "j".into(),
             resources: Resources {
--- a/landingdrift/src/node/zone_scheduler/orders.rs
+++ b/landingdrift/src/node/zone_scheduler/orders.rs
@@ -11,7 +11,7 @@
 /// Maximum bytes of start orders in one response: workers accept responses of up to 4 MiB. Further orders follow in the
 /// response to the next heartbeat.
 const MAX_START_BYTES: u64 = 1 << 20;
-/// Maximum number of stop orders for known attempts in one response.
+/// Maximum number of stop orders for known attempts in one response; those for unknown or ended runs are not limited.
 const MAX_STOPS: usize = 10_000;
 
 /// The start and stop orders of one response.
@@ -46,7 +46,7 @@
     /// them.
     pub(super) fn orders_response(&mut self, heartbeat: &Heartbeat, epoch: u64) -> Response {
         let mut orders = self.run_orders(heartbeat);
-        self.stop_unknown_runs(heartbeat, &mut orders);
+        self.stop_dead_runs(heartbeat, &mut orders);
         if heartbeat.sequence > 0 {
             self.record_sent_starts(heartbeat, &orders.starts);
         }
@@ -102,10 +102,10 @@
                 }
                 continue;
             }
-            let unstarted = attempt.state == AttemptState::Ordered && !is_reported;
-            let wanted = !job.cancel && task.state == TaskState::Waiting;
+            let awaits_start = attempt.state == AttemptState::Ordered && !is_reported;
+            let is_task_waiting = !job.cancel && task.state == TaskState::Waiting;
             let fits = info.serves(spec) && free.covers(spec.needs());
-            if unstarted && wanted && takes_work && fits && !orders.is_full() {
+            if awaits_start && is_task_waiting && takes_work && fits && !orders.is_full() {
                 free = free.minus(spec.needs());
                 orders.add_start(start_order(job, index, attempt));
             }
@@ -128,10 +128,10 @@
         left
     }
 
-    /// Adds stop orders for running runs that are not live by the cluster state.
-    fn stop_unknown_runs(&self, heartbeat: &Heartbeat, orders: &mut RunOrders) {
+    /// Adds stop orders for running runs that are not live according to the cluster state.
+    fn stop_dead_runs(&self, heartbeat: &Heartbeat, orders: &mut RunOrders) {
         for run in &heartbeat.running {
-            if self.is_over(run.attempt) {
+            if self.has_attempt_ended(run.attempt) {
                 orders.stops.insert(run.attempt);
             }
             if run.attempt != 0 {
@@ -146,17 +146,18 @@
         }
     }
 
-    /// Whether an attempt has ended by the cluster state. One that is newer than this copy may be live.
-    fn is_over(&self, attempt: u64) -> bool {
+    /// Whether an attempt has ended according to the cluster state. An attempt that is newer than this copy may be
+    /// live.
+    fn has_attempt_ended(&self, attempt: u64) -> bool {
         !self.state.live.contains_key(&attempt) && attempt < self.state.next_attempt
     }
 
     /// The length of the longest prefix of the reported ends that need not be reported again.
     fn acknowledged_prefix_len(&self, heartbeat: &Heartbeat) -> usize {
         let is_acknowledged = |end: &&EndReport| match &end.name {
-            Some(_) if end.no != 0 => self.is_over(end.no),
+            Some(_) if end.no != 0 => self.has_attempt_ended(end.no),
             Some(name) => self.is_run_over(heartbeat, name),
-            None => self.is_over(end.no),
+            None => self.has_attempt_ended(end.no),
         };
         heartbeat.ended.iter().take_while(is_acknowledged).count()
     }
@@ -164,7 +165,9 @@
     /// The attempts whose reported ends need not be reported again.
     fn acknowledged_ends(&self, heartbeat: &Heartbeat) -> Vec<u64> {
         let ended = heartbeat.ended.iter().map(|end| end.no);
-        ended.filter(|attempt| self.is_over(*attempt)).collect()
+        ended
+            .filter(|attempt| self.has_attempt_ended(*attempt))
+            .collect()
     }
 
     /// Records the sequence number of the heartbeat whose response carries each start order.
--- a/landingdrift/src/node/zone_scheduler/run_progress.rs
+++ b/landingdrift/src/node/zone_scheduler/run_progress.rs
@@ -11,7 +11,7 @@
 /// The reports that determine a run's rate of progress and for how long it has stalled.
 #[derive(Clone, Copy, Debug)]
 pub struct RunProgress {
-    /// The report that the rate is measured from.
+    /// The start of the rate measurement: the first report, or the report at which the run last restarted its work.
     first: ProgressPoint,
     /// The last report that differed from the one before.
     last_change: ProgressPoint,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// How long ago the run was first reported, in milliseconds.
+    /// Time since the first report, or since the run last restarted its work, in milliseconds.
     pub fn age(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.first.at_ms)
     }
@@ -55,10 +55,10 @@
         now_ms.saturating_sub(self.last_change.at_ms)
     }
 
-    /// Rate of progress in permille per millisecond; none before the run was observed for `patience_ms`.
-    pub(super) fn rate(&self, now_ms: u64, patience_ms: u64) -> Option<f64> {
+    /// Rate of progress in permille per millisecond; none until the run has been observed for `min_observation_ms`.
+    pub(super) fn rate(&self, now_ms: u64, min_observation_ms: u64) -> Option<f64> {
         let observed_ms = self.age(now_ms);
-        if observed_ms < patience_ms {
+        if observed_ms < min_observation_ms {
             return None;
         }
         let advanced = f64::from(self.last_change.permille - self.first.permille);
--- a/landingdrift/src/node/zone_scheduler/targets.rs
+++ b/landingdrift/src/node/zone_scheduler/targets.rs
@@ -1,5 +1,5 @@
-//! The order in which schedulers are offered a free slot, by the Hopper algorithm with a size-weighted random last
-//! target.
+//! The order in which schedulers are offered a free slot, by the Hopper algorithm. The last target of a round is drawn
+//! at random, weighted by size.
 
 use super::offer_round::OfferRound;
 use crate::settings::Hopper;
@@ -17,7 +17,8 @@
     pub refusable: bool,
 }
 
-/// Selects the next target of a slot: the smallest job first, then the one named in refusals, then one sampled by size.
+/// Selects the next target of a slot: first reserved jobs by priority, then the smallest job named in refusals, else a
+/// job sampled by size.
 ///
 /// `sample` is a uniform random number in [0, 1).
 pub(super) fn next_target(
@@ -59,11 +60,12 @@
         .then(a.job.cmp(&b.job))
 }
 
-/// The smallest reservation, unless the worker is near the data of another one within the smallest `locality` share.
+/// The first reservation whose job has its data near the worker within the leading `locality` fraction, else the first
+/// one of all.
 fn first_or_local<'a>(sorted: &[&'a Reservation], locality: f64) -> &'a Reservation {
-    let share = (sorted.len() as f64 * locality).ceil() as usize;
-    let smallest = &sorted[..share.clamp(1, sorted.len())];
-    let local = smallest.iter().find(|reservation| reservation.local);
+    let leading_len = (sorted.len() as f64 * locality).ceil() as usize;
+    let leading = &sorted[..leading_len.clamp(1, sorted.len())];
+    let local = leading.iter().find(|reservation| reservation.local);
     local.unwrap_or(&sorted[0])
 }
 
--- a/landingdrift/src/node/zone_scheduler/unknown_runs.rs
+++ b/landingdrift/src/node/zone_scheduler/unknown_runs.rs
@@ -16,8 +16,8 @@
 pub(super) struct UnknownRuns(BTreeMap<RunName, u64>);
 
 impl UnknownRuns {
-    /// Whether a run surely has no attempt: it was first reported no later than `complete_at`, up to which the copy is
-    /// known to be complete.
+    /// Whether it is certain that a run has no attempt: it was first reported no later than `complete_at`, up to which
+    /// the copy is known to be complete.
     fn is_missing(&self, name: &RunName, complete_at: u64) -> bool {
         let first_reported_at = self.0.get(name);
         first_reported_at.is_some_and(|reported_at| *reported_at <= complete_at)
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Whether a reported run is surely over by the cluster state: its attempt has ended, or never existed.
+    /// Whether it is certain according to the cluster state that a reported run is over: its attempt has ended, or
+    /// never existed.
     pub(super) fn is_run_over(&self, heartbeat: &Heartbeat, name: &RunName) -> bool {
         let info = &heartbeat.info;
         if let Some(attempt) = self.attempt_by_name(&info.worker, name) {
--- a/landingdrift/tests/stragglers.rs
+++ b/landingdrift/tests/stragglers.rs
@@ -3,8 +3,8 @@
 use landingdrift::node::{find_stragglers, ObservedRun, RescheduleReason, RunProgress};
 
 const PATIENCE_MS: u64 = 1000;
-/// Next group number: each run belongs to a step of its own unless a test says otherwise.
-static NEXT_GROUP: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
+/// Next step number: each run belongs to a step of its own unless a test says otherwise.
+static NEXT_STEP: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
 
 /// A run with an estimated duration of 4 s and the given progress reports: time in milliseconds and progress in
 /// permille.
@@ -15,7 +15,7 @@
     }
     ObservedRun {
         progress,
-        group: NEXT_GROUP.fetch_add(1, std::sync::atomic::Ordering::Relaxed),
+        step_key: NEXT_STEP.fetch_add(1, std::sync::atomic::Ordering::Relaxed),
         rescheduled_before: false,
         estimate_ms: 4000.0,
         may_repeat: false,
@@ -113,8 +113,8 @@
 
 #[test]
 fn the_tasks_of_one_step_count_once_and_move_once() {
-    let slow = |group, rescheduled_before| ObservedRun {
-        group,
+    let slow = |step_key, rescheduled_before| ObservedRun {
+        step_key,
         rescheduled_before,
         ..run(&steps(4, 20))
     };
