--- a/landingdrift/src/node/calls/answered_version.rs
+++ b/landingdrift/src/node/calls/answered_version.rs
@@ -10,7 +10,8 @@
 #[derive(Default)]
 pub(super) struct AnsweredVersion {
     version: u64,
-    /// When that answer arrived, in monotonic milliseconds. A copy at least this fresh has this version or a newer one.
+    /// Arrival time of that answer, in monotonic milliseconds. A copy at least this fresh has this version or a newer
+    /// one.
     at: u64,
 }
 
@@ -24,8 +25,8 @@
     pub(super) fn record_answered_version(&mut self, now: Now, call: u64, version: u64) {
         let open_call = self.calls.open.get(&call);
         let forward = open_call.and_then(|open_call| open_call.forward.as_ref());
-        let is_by_config = forward.is_some_and(|forward| depends_on_config(forward.path()));
-        if is_by_config && version > self.calls.answered_version.version {
+        let is_config_dependent = forward.is_some_and(|forward| depends_on_config(forward.path()));
+        if is_config_dependent && version > self.calls.answered_version.version {
             self.calls.answered_version = AnsweredVersion {
                 version,
                 at: now.mono,
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Whether a caller of this node was already answered from a newer configuration than this node has.
+    /// Whether a caller of this node was answered from a newer configuration than this copy has, and the copy is no
+    /// fresher than that answer.
     pub(super) fn is_behind_answered_version(&self) -> bool {
         let answered = &self.calls.answered_version;
         answered.version > self.state.version && answered.at >= self.watch.fresh_at
--- a/landingdrift/src/node/calls/config.rs
+++ b/landingdrift/src/node/calls/config.rs
@@ -1,17 +1,17 @@
-//! Calls that change the configuration, and the nodes on which a change is in force.
+//! Configuration changes, and their rollout status by node.
 
-use super::{param, rejected_response, Origin, ProposedCall, CONFIG_PATH};
+use super::{param, rejected_response, CallCommand, Origin, CONFIG_PATH};
 use crate::node::Node;
 use crate::sans_io::{Now, Request, Response};
 use crate::state::{ApplyResult, Command, Rejection};
 use crate::wire::NodeProgress;
 use serde_json::{json, Value};
 
-/// Multiple of the usual retry delay sent with a response that there were too many changes: changes come into force
-/// more slowly than calls are answered.
-const FULL_RETRY_FACTOR: u64 = 5;
+/// Factor applied to the usual retry delay when a change is rejected because of too many changes: changes come into
+/// force more slowly than calls are answered.
+const TOO_MANY_CHANGES_RETRY_FACTOR: u64 = 5;
 
-/// A configuration change requested by a call, without its value.
+/// The parameters of a requested configuration change: base version, new version and change id.
 struct RequestedChange {
     base: u64,
     /// The version number for the changed configuration; 0 for the next number.
@@ -20,8 +20,8 @@
     change: Option<String>,
 }
 
-/// Parses the requested change, except for its value; the error response describes the fault.
-fn read_change(request: &Request, max_bytes: u64) -> Result<RequestedChange, Response> {
+/// Parses the parameters of a requested change; the error response describes the error.
+fn parse_change(request: &Request, max_bytes: u64) -> Result<RequestedChange, Response> {
     if request.body.len() as u64 > max_bytes {
         let message = format!("the configuration exceeds the limit of {max_bytes} bytes: send a part of it with PATCH, or raise limits.desired_bytes");
         return Err(Response::error(413, "tooLarge", message));
@@ -44,8 +44,8 @@
     })
 }
 
-/// Parses the value of a change; the error response describes the fault.
-fn read_object(body: &[u8]) -> Result<Value, Response> {
+/// Parses the value of a change; the error response describes the error.
+fn parse_object(body: &[u8]) -> Result<Value, Response> {
     let wrong = |message: String| Response::error(400, "wrongDesired", message);
     let value: Value = serde_json::from_slice(body)
         .map_err(|error| wrong(format!("the body is not valid JSON: {error}")))?;
@@ -60,12 +60,12 @@
     /// Proposes a change of the configuration. If the change is large and this node has a narrow link, the caller is
     /// redirected to another node: sending the change to the leader would block this link for all other calls.
     pub(super) fn configure(&mut self, now: Now, origin: Origin, request: &Request, patch: bool) {
-        let requested = match read_change(request, self.settings.limits.config_bytes) {
+        let requested = match parse_change(request, self.settings.limits.config_bytes) {
             Ok(requested) => requested,
             Err(response) => return self.reply(&origin, response),
         };
         let bytes = request.body.len() as u64;
-        if let Some(address) = self.pick_wider_link(now, &origin, bytes) {
+        if let Some(address) = self.pick_redirect_target(now, &origin, bytes) {
             self.count("config_changes_redirected", 1);
             let path = format!("{CONFIG_PATH}?{}", request.query);
             return self.reply(&origin, Response::redirect(&address, &path));
@@ -75,7 +75,7 @@
             Some(change) => change,
             None => format!("c{:x}", self.rng.next_u64()),
         };
-        let value = match read_object(&request.body) {
+        let value = match parse_object(&request.body) {
             Ok(value) => value,
             Err(response) => return self.reply(&origin, response),
         };
@@ -86,10 +86,10 @@
             version: requested.version,
             value,
         };
-        self.open_with_proposal(now, origin, &command, ProposedCall::UpdateConfig { change });
+        self.propose_for_call(now, origin, &command, CallCommand::UpdateConfig { change });
     }
 
-    pub(super) fn configured_response(&mut self, change: &str, result: ApplyResult) -> Response {
+    pub(super) fn config_change_response(&mut self, change: &str, result: ApplyResult) -> Response {
         self.record_config_result(change, &result);
         match result {
             Ok(applied) => Response::new(
@@ -107,7 +107,7 @@
             }
             Err(rejection @ Rejection::TooManyChanges) => {
                 Response::error(503, "full", rejection.to_string())
-                    .retry(FULL_RETRY_FACTOR * self.settings.bounds.retry_after())
+                    .retry(TOO_MANY_CHANGES_RETRY_FACTOR * self.settings.bounds.retry_after())
             }
             Err(Rejection::Invalid { path, remedy }) => {
                 let mut response = Response::error(400, "wrongDesired", remedy);
@@ -143,7 +143,7 @@
             zone: zone.into(),
             evacuate: on,
         };
-        self.open_with_proposal(now, origin, &command, ProposedCall::SetEvacuation);
+        self.propose_for_call(now, origin, &command, CallCommand::SetEvacuation);
     }
 
     /// The rollout status of a change, node by node.
--- a/landingdrift/src/node/calls/forward.rs
+++ b/landingdrift/src/node/calls/forward.rs
@@ -1,9 +1,9 @@
 //! Forwarding of calls to other nodes.
 //!
-//! A repeatable call is forwarded to one node after another until one answers: immediately when a node refuses it, and
-//! after an exponentially growing timeout when a node does not respond. Retries are limited by the retry budget, and a
-//! read with a large answer is not retried after a timeout, because the answer may still be on its way. Any other call
-//! is forwarded once; if no response arrives, its outcome is unknown.
+//! A repeatable call is forwarded to one node after another until one answers: immediately when a node rejects it with
+//! 503, and after an exponentially growing timeout when a node does not respond. Retries are limited by the retry
+//! budget, and a read with a large answer is not retried after a timeout, because the answer may still be on its way.
+//! Any other call is forwarded once; if no response arrives, its outcome is unknown.
 
 use super::{CallState, OpenCall, Origin, CONFIG_PATH};
 use crate::node::Node;
@@ -19,14 +19,14 @@
 /// One attempt to have another node answer a call.
 pub(super) struct ForwardAttempt {
     pub to: String,
-    is_refused: bool,
+    is_rejected: bool,
 }
 
 /// The forwarding state of a repeatable call.
 pub(super) struct RepeatedForward {
     request: Request,
     attempts: Vec<ForwardAttempt>,
-    /// When the call is forwarded to the next node, in monotonic milliseconds; none if there are no more attempts.
+    /// Time of the next attempt, in monotonic milliseconds; none if there is none.
     next_at: Option<u64>,
 }
 
@@ -39,8 +39,7 @@
         }
     }
 
-    /// Whether the answer is small. A large answer saturates a narrow link, so no second node is asked while the first
-    /// may still be sending it.
+    /// Whether the answer is small, judged by the path.
     fn has_small_answer(&self) -> bool {
         let path = self.request.path.as_str();
         let large = [CONFIG_PATH, "/v1/status", "/v1/workers", "/v1/jobs"];
@@ -49,11 +48,11 @@
 
     /// Whether an attempt is due or may still be answered.
     fn is_open(&self) -> bool {
-        self.next_at.is_some() || self.attempts.iter().any(|attempt| !attempt.is_refused)
+        self.next_at.is_some() || self.attempts.iter().any(|attempt| !attempt.is_rejected)
     }
 
-    /// Comma-separated addresses of the nodes that were asked, for the log.
-    pub(super) fn asked(&self) -> String {
+    /// Comma-separated addresses of the nodes that the call was forwarded to, for log messages.
+    pub(super) fn targets(&self) -> String {
         let nodes = self.attempts.iter().map(|attempt| attempt.to.as_str());
         nodes.collect::<Vec<_>>().join(", ")
     }
@@ -71,7 +70,7 @@
             let response = self.no_full_copy_response();
             return self.reply(&origin, response);
         };
-        let call = self.open_call(now, origin, CallState::ForwardedRepeatedly);
+        let call = self.register_call(now, origin, CallState::ForwardedRepeatedly);
         self.set_forward(call, request.clone(), now.mono);
         self.advance_forward(now, call);
     }
@@ -83,7 +82,7 @@
     }
 
     /// Forwards an open call that this node can no longer answer.
-    pub(super) fn hand_over(&mut self, now: Now, call: u64, request: Request) {
+    pub(super) fn forward_open_call(&mut self, now: Now, call: u64, request: Request) {
         let Some(open_call) = self.calls.open.get_mut(&call) else {
             return;
         };
@@ -109,11 +108,11 @@
     }
 
     fn no_full_copy_response(&self) -> Response {
-        let message = "this node has no copy of the jobs and found no node that answers for them: retry later, or at another node";
+        let message = "this node does not store jobs and no node that does could be reached: retry later, or at another node";
         Response::error(503, "noDuty", message).retry(self.settings.bounds.retry_after())
     }
 
-    /// Forwards the calls whose last attempt has timed out to their next nodes.
+    /// Forwards each call whose next attempt is due to another node.
     pub(super) fn forwards_tick(&mut self, now: Now) {
         let is_due = |open_call: &OpenCall| {
             let forward = open_call.forward.as_ref();
@@ -130,7 +129,7 @@
         let open_call = self.calls.open.get(&call);
         let forward = open_call.and_then(|open_call| open_call.forward.as_ref());
         let last = forward.and_then(|forward| forward.attempts.last());
-        let Some(timed_out) = last.filter(|attempt| !attempt.is_refused) else {
+        let Some(timed_out) = last.filter(|attempt| !attempt.is_rejected) else {
             return;
         };
         let until = now.mono + self.settings.bounds.node_timeout();
@@ -150,19 +149,20 @@
             return;
         };
         let is_first = forward.attempts.is_empty();
-        let may_ask =
-            forward.attempts.len() < MAX_ATTEMPTS && self.calls.retry_budget.allows(now, is_first);
+        let is_within_budget = forward.attempts.len() < MAX_ATTEMPTS
+            && self.calls.retry_budget.try_charge(now, is_first);
         let target = self
             .pick_forward_target(now, &forward.attempts)
-            .filter(|_| may_ask);
+            .filter(|_| is_within_budget);
         match target {
             Some(to) => {
                 let attempt = forward.attempts.len();
                 self.send_forward(call, attempt, &to, &forward.request);
                 let retry_at = now.mono + (self.forward_retry_ms() << attempt);
+                // A large answer saturates a narrow link: no other node is asked while this one may be sending it.
                 forward.next_at = forward.has_small_answer().then_some(retry_at);
-                let is_refused = false;
-                forward.attempts.push(ForwardAttempt { to, is_refused });
+                let is_rejected = false;
+                forward.attempts.push(ForwardAttempt { to, is_rejected });
             }
             None => forward.next_at = None,
         }
@@ -171,8 +171,8 @@
             return;
         };
         open_call.forward = Some(forward);
-        let waits_here = !matches!(open_call.state, CallState::ForwardedRepeatedly);
-        if !is_open && !waits_here {
+        let is_handled_locally = !matches!(open_call.state, CallState::ForwardedRepeatedly);
+        if !is_open && !is_handled_locally {
             self.record_unanswered(now, call);
             let response = self.no_full_copy_response();
             self.finish(call, response);
@@ -180,7 +180,7 @@
     }
 
     fn send_forward(&mut self, call: u64, attempt: usize, to: &str, request: &Request) {
-        let forwarded = ForwardRequest {
+        let forward_request = ForwardRequest {
             token: self.request_token(call, attempt),
             method: request.method.clone(),
             path: request.path.clone(),
@@ -188,7 +188,7 @@
             body: request.body.clone(),
         };
         self.count("calls_forwarded", 1);
-        self.send(to, Body::ForwardRequest(Box::new(forwarded)));
+        self.send(to, Body::ForwardRequest(Box::new(forward_request)));
     }
 
     /// Forwards a call that must not be repeated to the given node.
@@ -197,7 +197,7 @@
             to: to.into(),
             path: request.path.clone(),
         };
-        let call = self.open_call(now, origin, state);
+        let call = self.register_call(now, origin, state);
         self.send_forward(call, 0, to, request);
     }
 
@@ -205,14 +205,14 @@
         &mut self,
         now: Now,
         from: &str,
-        forwarded: ForwardRequest,
+        request: ForwardRequest,
     ) {
-        let origin = Origin::Remote(from.into(), forwarded.token);
+        let origin = Origin::Remote(from.into(), request.token);
         let request = Request {
-            method: forwarded.method,
-            path: forwarded.path,
-            query: forwarded.query,
-            body: forwarded.body,
+            method: request.method,
+            path: request.path,
+            query: request.query,
+            body: request.body,
         };
         self.on_call(now, origin, request);
     }
@@ -221,30 +221,30 @@
         &mut self,
         now: Now,
         from: &str,
-        forwarded: ForwardResponse,
+        response: ForwardResponse,
     ) {
-        let call = forwarded.token.number;
-        let attempt = forwarded.token.attempt as usize;
+        let call = response.token.number;
+        let attempt = response.token.attempt as usize;
         let open_call = self.calls.open.get_mut(&call);
-        let is_repeatable = match open_call {
-            Some(open_call) => open_call.record_forward_response(from, attempt, forwarded.status),
+        let repeatable_attempt = match open_call {
+            Some(open_call) => open_call.record_forward_response(from, attempt, response.status),
             None => None,
         };
         self.calls.unresponsive_nodes.mark_responsive(from);
-        match is_repeatable {
+        match repeatable_attempt {
             None => self.count("responses_unexpected", 1),
-            Some(true) if forwarded.status == 503 => self.advance_forward(now, call),
+            Some(true) if response.status == 503 => self.advance_forward(now, call),
             Some(_) => {
-                self.record_answered_version(now, call, forwarded.config_version);
-                self.finish(call, response_of(forwarded));
+                self.record_answered_version(now, call, response.config_version);
+                self.finish(call, response_of(response));
             }
         }
     }
 }
 
 impl OpenCall {
-    /// Records the response to an attempt; returns whether the call may be repeated, or none if the response matches no
-    /// attempt.
+    /// Records the response to an attempt. Returns none if it matches no attempt, otherwise whether the call is
+    /// repeatable.
     fn record_forward_response(&mut self, from: &str, attempt: usize, status: u16) -> Option<bool> {
         if let CallState::ForwardedOnce { to, .. } = &self.state {
             return (to == from).then_some(false);
@@ -254,17 +254,17 @@
         if attempt.to != from {
             return None;
         }
-        attempt.is_refused = status == 503;
+        attempt.is_rejected = status == 503;
         Some(true)
     }
 }
 
-fn response_of(forwarded: ForwardResponse) -> Response {
+fn response_of(response: ForwardResponse) -> Response {
     Response {
-        status: forwarded.status,
-        retry_ms: forwarded.retry_ms,
-        body: serde_json::from_slice(&forwarded.body).unwrap_or(Value::Null),
-        answered_by: forwarded.by,
+        status: response.status,
+        retry_ms: response.retry_ms,
+        body: serde_json::from_slice(&response.body).unwrap_or(Value::Null),
+        answered_by: response.by,
         location: String::new(),
     }
 }
--- a/landingdrift/src/node/calls/forward_targets.rs
+++ b/landingdrift/src/node/calls/forward_targets.rs
@@ -37,12 +37,12 @@
     ) -> Option<String> {
         let mut fallback = Vec::new();
         for group in self.forward_target_groups() {
-            let (unresponsive, answering): (Vec<String>, Vec<String>) = group
+            let (unresponsive, responsive): (Vec<String>, Vec<String>) = group
                 .into_iter()
                 .filter(|node| *node != self.name && !node.is_empty())
                 .filter(|node| !attempts.iter().any(|attempt| attempt.to == *node))
                 .partition(|node| self.calls.unresponsive_nodes.contains(node, now));
-            if let Some(picked) = self.rng.pick(&answering) {
+            if let Some(picked) = self.rng.pick(&responsive) {
                 return Some(picked.clone());
             }
             fallback.extend(unresponsive);
@@ -50,15 +50,15 @@
         self.rng.pick(&fallback).cloned()
     }
 
-    /// The HTTP address of another node that has a full copy of the cluster state: an alive lease holder that was not
-    /// unresponsive lately.
-    pub(super) fn pick_full_copy(&mut self, now: Now) -> Option<String> {
+    /// The HTTP address of another node that has a full copy of the cluster state: a lease holder that is alive and has
+    /// not timed out recently.
+    pub(super) fn pick_full_copy_address(&mut self, now: Now) -> Option<String> {
         let mut addresses = BTreeSet::new();
         for lease in self.state.leases.values() {
             let holder = lease.holder.as_str();
             let member = self.state.nodes.get(holder);
-            let is_silent = self.calls.unresponsive_nodes.contains(holder, now);
-            let can_answer = holder != self.name && !is_silent;
+            let is_unresponsive = self.calls.unresponsive_nodes.contains(holder, now);
+            let can_answer = holder != self.name && !is_unresponsive;
             let alive = member.filter(|member| member.alive && can_answer);
             addresses.extend(alive.map(|member| member.http.clone()));
         }
@@ -67,7 +67,7 @@
         self.rng.pick(&addresses).cloned()
     }
 
-    /// Groups of nodes that may answer, in order of decreasing likelihood.
+    /// Groups of nodes, in order of decreasing likelihood that they can answer.
     fn forward_target_groups(&self) -> [Vec<String>; 4] {
         let leases = self.state.leases.values();
         let holders = leases.map(|lease| lease.holder.clone()).collect();
--- a/landingdrift/src/node/calls/heartbeats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -1,20 +1,20 @@
 //! Worker heartbeats and departure reports, which the holder of the worker's zone lease answers.
 
-use super::{param, Origin, ProposedCall};
+use super::{param, CallCommand, Origin};
 use crate::node::zone_scheduler::Heartbeat;
 use crate::node::Node;
 use crate::sans_io::{Now, Request, Response};
 use crate::state::{zone_lease, ApplyResult};
 use serde_json::json;
 
-/// Parses and checks a heartbeat; the error response describes the first fault.
+/// Parses and checks a heartbeat; the error response describes the first error.
 fn read_heartbeat(body: &[u8]) -> Result<Heartbeat, Response> {
     let wrong = |message: String| Response::error(400, "wrongBeat", message);
     let deserializer = &mut serde_json::Deserializer::from_slice(body);
     let heartbeat: Heartbeat = serde_path_to_error::deserialize(deserializer).map_err(|error| {
         let (path, message) = (error.path(), error.inner());
         wrong(format!(
-            "{path}: {message}; docs/operators/workers.md shows a beat"
+            "{path}: {message}; docs/operators/workers.md shows a heartbeat"
         ))
     })?;
     let info = &heartbeat.info;
@@ -26,7 +26,7 @@
 }
 
 /// The response that acknowledges a departure report.
-fn left_response(worker: &str) -> Response {
+fn departure_acknowledgement(worker: &str) -> Response {
     Response::new(200, json!({"worker": worker}))
 }
 
@@ -64,12 +64,14 @@
 
     /// Serves a worker's departure report, which the holder of its zone lease records.
     pub(super) fn on_left(&mut self, now: Now, origin: Origin, worker: &str, request: &Request) {
-        // A stale copy may not know the worker, and an acknowledged report must take effect.
+        // Reject the report unless the copy is fresh and knows this process of the worker: an acknowledged report must
+        // take effect.
         let incarnation = param(&request.query, "incarnation").and_then(|text| text.parse().ok());
         let known = self.state.workers.get(worker);
         let known = known.filter(|known| {
-            let is_meant = incarnation.is_none_or(|number: u64| number == known.info.incarnation);
-            is_meant && self.fresh(now)
+            let is_same_incarnation =
+                incarnation.is_none_or(|number: u64| number == known.info.incarnation);
+            is_same_incarnation && self.fresh(now)
         });
         let Some(known) = known else {
             let response = self.not_ready_response();
@@ -81,26 +83,26 @@
         if !holder.is_empty() && holder != self.name {
             return self.forward_to_holder(now, origin, holder, request);
         }
-        self.on_worker_left(now, worker);
+        self.on_departure_report(now, worker);
         let Some(command) = self.leaving_command(worker) else {
-            return self.reply(&origin, left_response(worker));
+            return self.reply(&origin, departure_acknowledgement(worker));
         };
-        // Acknowledged only once committed, so that later holders of the zone lease know of it as well.
+        // The report is acknowledged only once it is committed, so that later holders of the zone lease have it too.
         let worker = worker.into();
-        self.open_with_proposal(now, origin, &command, ProposedCall::Departure { worker });
+        self.propose_for_call(now, origin, &command, CallCommand::Departure { worker });
     }
 
     /// The response to a departure report, once its command was applied or rejected.
     pub(super) fn departure_response(&self, worker: &str, result: ApplyResult) -> Response {
         match result {
-            Ok(_) => left_response(worker),
+            Ok(_) => departure_acknowledgement(worker),
             // The zone's lease has moved or the worker's process was replaced meanwhile.
             Err(_) => self.not_ready_response(),
         }
     }
 
-    /// The response to a heartbeat from a zone without a scheduler: it is not declared in the configuration and has no
-    /// node.
+    /// The response to a heartbeat from a zone without a scheduler: the zone is not declared in the configuration and
+    /// has no node.
     fn unknown_zone_response(&self, heartbeat: &Heartbeat) -> Response {
         Response::error(
             503,
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -1,6 +1,6 @@
 //! Calls about jobs: submit, poll, list, cancel, and resolve attempts whose outcome is unknown.
 
-use super::{param, CallState, Origin, ProposedCall, ReadQuery};
+use super::{param, CallCommand, CallState, Origin, ReadQuery};
 use crate::node::Node;
 use crate::sans_io::{fnv1a, Now, Response};
 use crate::state::{ApplyResult, AttemptState, Command, Job, JobSpec, JobState, Rejection, Task};
@@ -11,13 +11,13 @@
 const MAX_PAGE: usize = 500;
 /// Number of jobs on a page when the caller sets no limit.
 const DEFAULT_PAGE: usize = 100;
-/// Multiple of the usual retry delay sent with a response that the cluster is full: jobs end more slowly than calls are
-/// answered.
-const FULL_RETRY_FACTOR: u64 = 5;
-/// Multiple of the usual retry delay sent with a response that the queue is over its quota.
+/// Factor applied to the usual retry delay when a job is rejected because the cluster is full: jobs end more slowly
+/// than calls are answered.
+const CLUSTER_FULL_RETRY_FACTOR: u64 = 5;
+/// Factor applied to the usual retry delay when a job is rejected because its queue is over its quota.
 const OVER_QUOTA_RETRY_FACTOR: u64 = 2;
 
-/// The response body for a job that is still kept.
+/// The response body for a job that has not been replaced by a tombstone.
 fn job_body(job: &Job) -> Value {
     let tasks: Vec<Value> = (0..job.tasks.len())
         .map(|task| task_body(job, task))
@@ -35,7 +35,7 @@
     let mut body = json!({"name": job.task_name(index), "state": task.state, "defects": task.failures, "sends": task.attempts});
     let mut attempts = task.attempts.iter();
     if attempts.any(|attempt| attempt.state == AttemptState::Unsure) {
-        body["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
+        body["unsure"] = json!("its worker is unresponsive: the task stays in this state until the worker reports, an operator resolves it, or the queue's time limit passes");
     }
     body
 }
@@ -63,7 +63,7 @@
         }
         let is_new = !self.state.unfinished_jobs.contains(&spec.id);
         if is_new && self.state.unfinished_jobs.len() as u64 >= self.settings.limits.open_jobs {
-            return self.reject_full(&origin);
+            return self.reject_at_job_limit(&origin);
         }
         let hash = fnv1a(&serde_json::to_vec(&spec).unwrap_or_default());
         let id = spec.id.clone();
@@ -78,16 +78,19 @@
         }
         let seen = self.state.applied_index;
         let command = Command::SubmitJob { spec, hash, seen };
-        self.open_with_proposal(now, origin, &command, ProposedCall::AcceptJob { id });
+        self.propose_for_call(now, origin, &command, CallCommand::SubmitJob { id });
     }
 
     /// Rejects a submission because the limit on unfinished jobs is reached.
-    fn reject_full(&mut self, origin: &Origin) {
+    fn reject_at_job_limit(&mut self, origin: &Origin) {
         self.count("jobs_rejected", 1);
         let message =
             "the limit on unfinished jobs is reached and this job was not accepted: retry later";
-        let pause = FULL_RETRY_FACTOR * self.settings.bounds.retry_after();
-        self.reply(origin, Response::error(503, "full", message).retry(pause));
+        let retry_ms = CLUSTER_FULL_RETRY_FACTOR * self.settings.bounds.retry_after();
+        self.reply(
+            origin,
+            Response::error(503, "full", message).retry(retry_ms),
+        );
     }
 
     /// The hash of a job's specification, from the job or its tombstone.
@@ -137,12 +140,12 @@
         match rejection {
             Rejection::BodyMismatch => Response::error(409, "otherBody", message),
             Rejection::OverQuota { .. } | Rejection::PreviouslyRejected => {
-                let pause = OVER_QUOTA_RETRY_FACTOR * self.settings.bounds.retry_after();
-                Response::error(429, "overQuota", message).retry(pause)
+                let retry_ms = OVER_QUOTA_RETRY_FACTOR * self.settings.bounds.retry_after();
+                Response::error(429, "overQuota", message).retry(retry_ms)
             }
             Rejection::InsufficientCapacity => {
-                let pause = FULL_RETRY_FACTOR * self.settings.bounds.retry_after();
-                Response::error(503, "full", message).retry(pause)
+                let retry_ms = CLUSTER_FULL_RETRY_FACTOR * self.settings.bounds.retry_after();
+                Response::error(503, "full", message).retry(retry_ms)
             }
             Rejection::Invalid { path, .. } if path == "queue" => {
                 Response::error(404, "noSuchQueue", message)
@@ -167,9 +170,10 @@
 
     /// Serves a request for a job's state.
     ///
-    /// The state of an ended job is final, so it is returned at once. Otherwise the watch must be at least as fresh as
-    /// the call, so that no caller sees an older state than another node has already returned. If this node does not
-    /// know the job or has not caught up, it asks a replica for the read index.
+    /// The state of an ended job is final, so it is returned at once. Otherwise this node's copy must contain
+    /// everything that was committed when the call was received, so that no caller sees an older state than another
+    /// node has already returned. If this node does not know the job or has not caught up, it asks a replica for the
+    /// read index.
     pub(super) fn poll(&mut self, now: Now, origin: Origin, id: &str) {
         match self.known_state(id) {
             Some(state) if state.has_ended() => {
@@ -183,7 +187,7 @@
                     received_at: now.mono,
                     answer_by: now.mono + self.settings.bounds.max_watch_age() / 2,
                 };
-                self.open_call(now, origin, state);
+                self.register_call(now, origin, state);
             }
             _ => self.read(now, origin, ReadQuery::Job { id: id.into() }),
         }
@@ -218,11 +222,11 @@
 
     pub(super) fn cancel(&mut self, now: Now, origin: Origin, id: &str) {
         let command = Command::CancelJob { job: id.into() };
-        self.open_with_proposal(
+        self.propose_for_call(
             now,
             origin,
             &command,
-            ProposedCall::CancelJob { id: id.into() },
+            CallCommand::CancelJob { id: id.into() },
         );
     }
 
@@ -248,11 +252,11 @@
             task: task.into(),
             succeeded,
         };
-        self.open_with_proposal(
+        self.propose_for_call(
             now,
             origin,
             &command,
-            ProposedCall::ResolveAttempt { id: id.into() },
+            CallCommand::ResolveTask { id: id.into() },
         );
     }
 }
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -3,7 +3,7 @@
 //! - `routes` dispatches a call to its handler in `jobs`, `routed_jobs`, `config`, `heartbeats` or `status`,
 //! - `read` serves linearizable reads,
 //! - `forward` forwards calls to other nodes, which `forward_targets` selects; `retry_budget` limits the retries,
-//! - `answered_version` keeps callers from being answered from an older configuration than before,
+//! - `answered_version` makes reads of the configuration monotonic,
 //! - `unanswered` counts and logs the calls that end without an answer.
 
 mod answered_version;
@@ -44,10 +44,10 @@
     Remote(String, RequestToken),
 }
 
-/// The command that a call has proposed; it determines the response once the command is applied or rejected.
+/// The kind of command that a call has proposed, which determines the response once the command is applied or rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ProposedCall {
-    AcceptJob {
+pub enum CallCommand {
+    SubmitJob {
         id: String,
     },
     CancelJob {
@@ -56,7 +56,7 @@
     UpdateConfig {
         change: String,
     },
-    ResolveAttempt {
+    ResolveTask {
         id: String,
     },
     SetEvacuation,
@@ -77,13 +77,14 @@
         /// The replicas asked so far, by attempt.
         asked: Vec<String>,
     },
-    /// Waits for the watch to reach the read index.
+    /// Waits for this node's copy to reach the read index.
     CatchingUp {
         query: ReadQuery,
         read_index: u64,
         nodes: Vec<NodeProgress>,
     },
-    /// Waits for the watch to be as fresh as the call; at `answer_by` it is answered from the current copy.
+    /// Waits until the copy contains everything that was committed before the call; at `answer_by` the call is answered
+    /// from the copy as it is.
     PollPending {
         id: String,
         received_at: u64,
@@ -145,7 +146,7 @@
                 } else {
                     response.answered_by
                 };
-                let forwarded = ForwardResponse {
+                let forward_response = ForwardResponse {
                     token: *token,
                     status: response.status,
                     retry_ms: response.retry_ms,
@@ -153,13 +154,13 @@
                     by,
                     config_version: self.state.version,
                 };
-                self.send(to, Body::ForwardResponse(Box::new(forwarded)));
+                self.send(to, Body::ForwardResponse(Box::new(forward_response)));
             }
         }
     }
 
     /// Registers a call that can't be answered at once; returns its number.
-    fn open_call(&mut self, now: Now, origin: Origin, state: CallState) -> u64 {
+    fn register_call(&mut self, now: Now, origin: Origin, state: CallState) -> u64 {
         let call = self.token();
         let open_call = OpenCall {
             origin,
@@ -172,16 +173,16 @@
     }
 
     /// Registers a call that is answered with the result of a proposal, and proposes the command.
-    fn open_with_proposal(
+    fn propose_for_call(
         &mut self,
         now: Now,
         origin: Origin,
         command: &Command,
-        proposed: ProposedCall,
+        call_command: CallCommand,
     ) {
         let timeout_ms = self.settings.bounds.request_timeout();
-        let call = self.open_call(now, origin, CallState::ProposalPending);
-        self.propose(now, command, Purpose::Call(call, proposed), timeout_ms);
+        let call = self.register_call(now, origin, CallState::ProposalPending);
+        self.propose(now, command, Purpose::Call(call, call_command), timeout_ms);
     }
 
     /// Answers and removes an open call.
@@ -193,10 +194,11 @@
 
     pub(super) fn calls_tick(&mut self, now: Now) {
         self.answer_due_polls(now);
-        // Calls that wait for a proposal are excluded: the proposal has a deadline of its own and ends the call.
+        // Calls that wait for a proposal are excluded: the proposal has its own deadline, at which the call is
+        // answered.
         let is_overdue = |open_call: &OpenCall| {
-            let proposed = matches!(open_call.state, CallState::ProposalPending);
-            now.mono >= open_call.deadline && !proposed
+            let awaits_proposal = matches!(open_call.state, CallState::ProposalPending);
+            now.mono >= open_call.deadline && !awaits_proposal
         };
         for call in self.calls_matching(is_overdue) {
             self.record_unanswered(now, call);
@@ -237,10 +239,10 @@
     }
 
     /// Answers a call whose command was applied to the cluster state or rejected.
-    pub(super) fn on_call_applied(
+    pub(super) fn on_call_result(
         &mut self,
         call: u64,
-        proposed: ProposedCall,
+        call_command: CallCommand,
         result: ApplyResult,
     ) {
         if result == Err(Rejection::DeadlinePassed) {
@@ -248,16 +250,16 @@
             let response = self.unsure_response();
             return self.finish(call, response);
         }
-        let response = match proposed {
-            ProposedCall::AcceptJob { id } => self.accepted_response(&id, result),
-            ProposedCall::CancelJob { id } => self.cancelled_response(&id, result),
-            ProposedCall::UpdateConfig { change } => self.configured_response(&change, result),
-            ProposedCall::SetEvacuation => match result {
+        let response = match call_command {
+            CallCommand::SubmitJob { id } => self.accepted_response(&id, result),
+            CallCommand::CancelJob { id } => self.cancelled_response(&id, result),
+            CallCommand::UpdateConfig { change } => self.config_change_response(&change, result),
+            CallCommand::SetEvacuation => match result {
                 Ok(body) => Response::new(200, body),
                 Err(rejection) => rejected_response(&rejection),
             },
-            ProposedCall::Departure { worker } => self.departure_response(&worker, result),
-            ProposedCall::ResolveAttempt { id } => match result {
+            CallCommand::Departure { worker } => self.departure_response(&worker, result),
+            CallCommand::ResolveTask { id } => match result {
                 Ok(_) => Response::new(200, json!({"id": id, "resolved": true})),
                 Err(rejection) => rejected_response(&rejection),
             },
@@ -266,7 +268,7 @@
     }
 }
 
-/// The response to a rejected command whose rejection has no specific response.
+/// The generic response to a rejected command.
 fn rejected_response(rejection: &Rejection) -> Response {
     Response::error(409, "refused", rejection.to_string())
 }
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads: this node catches up to the read index of a replica, or its watch is at least as fresh as the
-//! call.
+//! Linearizable reads. A read is answered once this node's copy has reached the read index of a replica, or contains
+//! everything that was committed before the call.
 
 use super::{CallState, OpenCall, Origin, CONFIG_PATH};
 use crate::node::Node;
@@ -9,12 +9,12 @@
 use prost::Message;
 use serde_json::json;
 
-/// Timeout of a read index request, in heartbeat intervals; then the request is sent again, possibly to another
+/// Timeout of a read index request, in heartbeat intervals, after which the request is sent again, possibly to another
 /// replica.
 const RETRY_HEARTBEATS: u64 = 5;
 
-/// A configuration whose transfer on the narrowest link takes longer than this, in milliseconds, is left to a node with
-/// a wider link.
+/// Maximum transfer time of a configuration over the narrowest link, in milliseconds; larger configurations are
+/// transferred by a node with a wider link.
 const MAX_TRANSFER_MS: u64 = 250;
 
 /// The data that a call reads once this node has caught up to the read index.
@@ -67,7 +67,8 @@
     nodes: Vec<NodeProgress>,
 }
 
-/// A request for a job's state that is to be answered now; `stale` if this node's copy is older than the request.
+/// A request for a job's state that is due to be answered; `stale` if this node's copy may lack entries committed
+/// before the request.
 struct DuePoll {
     call: u64,
     id: String,
@@ -132,7 +133,7 @@
             return self.reply(&origin, Response::error(503, "notReady", message));
         }
         let bytes = self.state.config.encoded_len() as u64;
-        let Some(address) = self.pick_wider_link(now, &origin, bytes) else {
+        let Some(address) = self.pick_redirect_target(now, &origin, bytes) else {
             return self.read(now, origin, ReadQuery::ClusterConfig);
         };
         self.count("reads_redirected", 1);
@@ -141,16 +142,16 @@
 
     /// The HTTP address of a node with a full copy to redirect a caller to, if transferring `bytes` over this node's
     /// link would take too long. Calls forwarded by other nodes are not redirected.
-    pub(super) fn pick_wider_link(
+    pub(super) fn pick_redirect_target(
         &mut self,
         now: Now,
         origin: &Origin,
         bytes: u64,
     ) -> Option<String> {
-        let is_slow = self.light && transfer_ms(bytes) > MAX_TRANSFER_MS;
+        let is_transfer_slow = self.light && transfer_ms(bytes) > MAX_TRANSFER_MS;
         let is_local = matches!(origin, Origin::Local(_));
-        if is_slow && is_local {
-            self.pick_full_copy(now)
+        if is_transfer_slow && is_local {
+            self.pick_full_copy_address(now)
         } else {
             None
         }
@@ -159,7 +160,7 @@
     /// Serves a linearizable read: the response reflects the cluster state at the time of the call or later.
     pub(super) fn read(&mut self, now: Now, origin: Origin, query: ReadQuery) {
         let request = query.to_request();
-        let is_rare = !query.needs_full_copy();
+        let is_config_read = !query.needs_full_copy();
         let state = CallState::ReadIndexPending {
             query,
             retry_at: now.mono,
@@ -167,8 +168,8 @@
         };
         // If a node with a fresh copy is slow to answer, it is overloaded and other nodes probably are too, so the
         // frequent reads of jobs are not hedged.
-        let may_hedge = matches!(origin, Origin::Local(_)) && (is_rare || !self.fresh(now));
-        let call = self.open_call(now, origin, state);
+        let may_hedge = matches!(origin, Origin::Local(_)) && (is_config_read || !self.fresh(now));
+        let call = self.register_call(now, origin, state);
         if may_hedge {
             self.hedge(now, call, request);
         }
@@ -236,13 +237,14 @@
         if !response.leader.is_empty() && response.leader != self.watch.leader {
             return self.send_read_index(now, call, Some(response.leader));
         }
-        // The replica does not lead and names no other leader: try a random one next.
+        // The replica does not lead and names no other leader: guess a random replica as the leader for the next
+        // request.
         let replicas = self.replicas();
         self.watch.leader = self.rng.pick(&replicas).cloned().unwrap_or_default();
     }
 
     /// Forwards open reads that this node can no longer answer because its copy has become a light one.
-    pub(in crate::node) fn hand_over_reads(&mut self, now: Now) {
+    pub(in crate::node) fn forward_open_reads(&mut self, now: Now) {
         if !self.light {
             return;
         }
@@ -253,7 +255,7 @@
             reads.extend(query.map(|query| (*call, query.to_request())));
         }
         for (call, request) in reads {
-            self.hand_over(now, call, request);
+            self.forward_open_call(now, call, request);
         }
     }
 
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Answers requests for a job's state that the watch is now fresh enough for or whose wait has timed out.
+    /// Answers requests for a job's state for which the copy is now fresh enough, or whose wait has timed out.
     pub(in crate::node) fn answer_due_polls(&mut self, now: Now) {
         let fresh_at = self.watch.fresh_at;
         let mut due = Vec::new();
--- a/landingdrift/src/node/calls/retry_budget.rs
+++ b/landingdrift/src/node/calls/retry_budget.rs
@@ -7,7 +7,7 @@
 const BUDGET_PER_CALL: u64 = 100;
 /// Budget earned per millisecond, in thousandths of a retry: one retry per second even when there are few calls.
 const BUDGET_PER_MS: u64 = 1;
-/// Cost of a retry, in thousandths of a retry.
+/// Cost of a retry, in the unit of the budget, which is a thousandth of a retry.
 const RETRY_COST: u64 = 1000;
 /// Maximum accumulated budget, in thousandths of a retry.
 const MAX_BUDGET: u64 = 10 * RETRY_COST;
@@ -16,7 +16,7 @@
 pub(super) struct RetryBudget {
     /// The available budget, in thousandths of a retry.
     available: u64,
-    /// When the budget was last updated, in monotonic milliseconds.
+    /// Time of the last update of the budget, in monotonic milliseconds.
     updated_at: u64,
 }
 
@@ -30,8 +30,8 @@
 }
 
 impl RetryBudget {
-    /// Whether an attempt may be made, and charges it to the budget. First attempts are always allowed and free.
-    pub fn allows(&mut self, now: Now, is_first: bool) -> bool {
+    /// Charges an attempt to the budget; returns whether it may be made. First attempts are always allowed and free.
+    pub fn try_charge(&mut self, now: Now, is_first: bool) -> bool {
         let elapsed_ms = now.mono.saturating_sub(self.updated_at);
         self.updated_at = now.mono;
         self.add(elapsed_ms.saturating_mul(BUDGET_PER_MS));
--- a/landingdrift/src/node/calls/routed_jobs.rs
+++ b/landingdrift/src/node/calls/routed_jobs.rs
@@ -19,10 +19,10 @@
 
 impl Node {
     /// The queue, with its name, that has this host and the longest prefix of the path.
-    fn routed(&self, host: &str, path: &str) -> Option<(&str, &Queue)> {
+    fn queue_for_route(&self, host: &str, path: &str) -> Option<(&str, &Queue)> {
         let is_match = |queue: &Queue| {
-            let of_host = !queue.prefix.is_empty() && is_same_host(&queue.host, host);
-            of_host && path.starts_with(&queue.prefix)
+            let matches_host = !queue.prefix.is_empty() && is_same_host(&queue.host, host);
+            matches_host && path.starts_with(&queue.prefix)
         };
         let queues = self.state.config.queues.iter();
         let (name, queue) = queues
@@ -46,7 +46,7 @@
         if self.is_behind_forwarder(request) {
             return self.forward_repeatable(now, origin, request);
         }
-        let Some((queue_name, queue)) = self.routed(host, path) else {
+        let Some((queue_name, queue)) = self.queue_for_route(host, path) else {
             let response = Response::error(
                 404,
                 "noSuchQueue",
@@ -62,8 +62,11 @@
         }
         match (request.method.as_str(), id.as_str()) {
             ("GET", "") => {
-                let waiting = self.waiting(&queue_name);
-                self.reply(&origin, Response::new(200, json!({"waiting": waiting})));
+                let waiting_count = self.waiting_count(&queue_name);
+                self.reply(
+                    &origin,
+                    Response::new(200, json!({"waiting": waiting_count})),
+                );
             }
             ("POST", _) => match routed_spec(&request.body, id, queue_name, &service) {
                 Ok(spec) => self.submit_spec(now, origin, spec),
@@ -105,12 +108,13 @@
         version.is_some_and(|version| version > self.state.version)
     }
 
-    /// The number of accepted jobs of a queue none of whose tasks has started running, whether placed or not.
-    fn waiting(&self, queue: &str) -> usize {
+    /// The number of unfinished jobs in a queue without a task that has started running; a task that is only placed has
+    /// not started.
+    fn waiting_count(&self, queue: &str) -> usize {
         let open = self.state.unfinished_jobs.iter();
         let jobs = open.filter_map(|id| self.state.jobs.get(id));
-        let of_queue = jobs.filter(|job| job.spec.queue == queue);
-        of_queue.filter(|job| !job.has_begun()).count()
+        let in_queue = jobs.filter(|job| job.spec.queue == queue);
+        in_queue.filter(|job| !job.has_begun()).count()
     }
 }
 
--- a/landingdrift/src/node/calls/routes.rs
+++ b/landingdrift/src/node/calls/routes.rs
@@ -16,12 +16,12 @@
 }
 
 /// Whether a call is subject to the limit on open calls: probes and heartbeats are always served.
-fn is_limited(parts: &[&str]) -> bool {
+fn counts_against_call_limit(parts: &[&str]) -> bool {
     let is_probe = parts.first() != Some(&"v1");
     !is_probe && parts != ["v1", "beats"]
 }
 
-/// Whether a route exists for some method.
+/// Whether a route with this path exists for any method.
 fn is_known_route(parts: &[&str]) -> bool {
     matches!(
         parts,
@@ -39,7 +39,9 @@
         self.count("calls", 1);
         let path = request.path.trim_end_matches('/').to_string();
         let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
-        if is_limited(&parts) && self.calls.len() as u64 >= self.settings.limits.calls {
+        if counts_against_call_limit(&parts)
+            && self.calls.len() as u64 >= self.settings.limits.calls
+        {
             return self.reject_busy(&origin);
         }
         if self.light && needs_full_copy(&request.method, &parts) {
--- a/landingdrift/src/node/calls/status.rs
+++ b/landingdrift/src/node/calls/status.rs
@@ -25,7 +25,7 @@
         let nodes_status: Vec<Value> = nodes.iter().map(node_status).collect();
         let latest = state.changes.iter().rev().take(MAX_CHANGES);
         let changes: Vec<Value> = latest.map(|change| change_status(change, nodes)).collect();
-        let jobs = json!({"open": state.unfinished_jobs.len(), "kept": state.jobs.len(), "unsureSends": unsure_attempts(state)});
+        let jobs = json!({"open": state.unfinished_jobs.len(), "kept": state.jobs.len(), "unsureSends": unsure_attempt_count(state)});
         Response::new(
             200,
             json!({"cluster": state.cluster, "place": state.applied_index, "at": state.at, "version": state.version, "jobs": jobs,
@@ -60,8 +60,8 @@
     } else {
         &zone.state
     };
-    let is_counted = |worker: &&Worker| worker.info.zone == name && !worker.lost;
-    let workers: Vec<&Worker> = state.workers.values().filter(is_counted).collect();
+    let is_present_in_zone = |worker: &&Worker| worker.info.zone == name && !worker.lost;
+    let workers: Vec<&Worker> = state.workers.values().filter(is_present_in_zone).collect();
     let running: usize = workers.iter().map(|worker| worker.attempts.len()).sum();
     json!({"state": zone_state, "workers": workers.len(), "running": running, "empty": running == 0})
 }
@@ -78,7 +78,7 @@
     json!({"change": change.change, "version": change.version, "at": change.at, "inForceOn": in_force})
 }
 
-fn unsure_attempts(state: &ClusterState) -> usize {
+fn unsure_attempt_count(state: &ClusterState) -> usize {
     let is_unsure = |number: &&u64| {
         let known = state.attempt(**number);
         known.is_some_and(|(_, _, attempt)| attempt.state == AttemptState::Unsure)
--- a/landingdrift/src/node/calls/unanswered.rs
+++ b/landingdrift/src/node/calls/unanswered.rs
@@ -8,16 +8,16 @@
 const MIN_LOG_INTERVAL_MS: u64 = 250;
 
 impl CallState {
-    /// The subject of the call, for the log.
-    fn subject(&self) -> String {
+    /// The request or data that the call was for, in log messages.
+    fn describe(&self) -> String {
         match self {
-            Self::ProposalPending => "for a change".into(),
+            Self::ProposalPending => "(change)".into(),
             Self::ReadIndexPending { query, .. } | Self::CatchingUp { query, .. } => {
-                format!("for {query:?}")
+                format!("({query:?})")
             }
-            Self::PollPending { id, .. } => format!("for job {id}"),
+            Self::PollPending { id, .. } => format!("(job {id})"),
             Self::ForwardedOnce { path, .. } => path.clone(),
-            Self::ForwardedRepeatedly => String::new(),
+            Self::ForwardedRepeatedly => "(forwarded)".into(),
         }
     }
 
@@ -67,13 +67,17 @@
     }
 }
 
-fn unanswered_message(open_call: &OpenCall, waited_for: &str, now: Now, call_ms: u64) -> String {
-    let opened_at = open_call.deadline.saturating_sub(call_ms);
+fn unanswered_message(open_call: &OpenCall, waited_for: &str, now: Now, timeout_ms: u64) -> String {
+    let opened_at = open_call.deadline.saturating_sub(timeout_ms);
     let waited_ms = now.mono.saturating_sub(opened_at);
-    let subject = open_call.state.subject();
+    let description = open_call.state.describe();
     let forwarded = match &open_call.forward {
-        Some(forward) => format!("; {} was forwarded to {}", forward.path(), forward.asked()),
+        Some(forward) => format!(
+            "; {} was forwarded to {}",
+            forward.path(),
+            forward.targets()
+        ),
         None => String::new(),
     };
-    format!("call {subject} ends without an answer after {waited_ms} ms: it waited for {waited_for}{forwarded}")
+    format!("call {description} was not answered within {waited_ms} ms: it waited for {waited_for}{forwarded}")
 }
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -1,6 +1,6 @@
 //! Proposals of commands to the replicas, with redirects, retries and timeouts.
 
-use super::calls::ProposedCall;
+use super::calls::CallCommand;
 use super::Node;
 use crate::sans_io::{transfer_ms, Now, Response};
 use crate::state::{unpack_apply_result, ApplyResult, Command, Order, ProposalId, Rejection};
@@ -34,7 +34,7 @@
 /// Why a command is proposed; this determines how its result is handled.
 #[derive(Clone, Debug)]
 pub enum Purpose {
-    Call(u64, ProposedCall),
+    Call(u64, CallCommand),
     Start {
         offer: RequestToken,
         zone_scheduler: String,
@@ -288,7 +288,7 @@
     /// Handles the result of a command that was applied to the cluster state or rejected.
     fn on_applied(&mut self, number: u64, purpose: Purpose, log_index: u64, result: ApplyResult) {
         match purpose {
-            Purpose::Call(call, proposed) => self.on_call_applied(call, proposed, result),
+            Purpose::Call(call, call_command) => self.on_call_result(call, call_command, result),
             purpose => self.on_own_proposal_done(number, purpose, log_index, result.is_ok()),
         }
     }
@@ -316,7 +316,7 @@
                 log_index,
                 placed: is_applied,
             }),
-            Purpose::UpdateWorker { worker } => self.on_info_proposal_done(&worker),
+            Purpose::UpdateWorker { worker } => self.on_worker_update_done(&worker),
             Purpose::Report { worker } => self.on_report_proposal_done(&worker),
             // A timed-out expiry may still be applied, so the worker's lease is not renewed before its attempts have
             // ended.
--- a/landingdrift/src/node/watch/entries.rs
+++ b/landingdrift/src/node/watch/entries.rs
@@ -61,7 +61,7 @@
     /// Reacts to a change of the cluster state: updates zone schedulers, answers reads, reserves and offers slots.
     pub(super) fn on_state_changed(&mut self, now: Now) {
         self.update_zone_schedulers(now);
-        self.hand_over_reads(now);
+        self.forward_open_reads(now);
         self.answer_ready_reads();
         self.schedule(now);
         self.offer_all(now);
