--- a/landingdrift/src/operator/client.rs
+++ b/landingdrift/src/operator/client.rs
@@ -1,7 +1,7 @@
 //! The operator's HTTP client. It sends a request again only if that request may be repeated. The HTTP library's own
 //! retries and redirects are disabled.
 
-use crate::worker_proxy::may_repeat;
+use crate::worker_proxy::is_idempotent;
 use reqwest::blocking::{Client, RequestBuilder, Response};
 use reqwest::header::LOCATION;
 use reqwest::{redirect, retry, Method, StatusCode};
@@ -121,7 +121,7 @@
     ) -> Result<Value, ClientError> {
         let start = Instant::now();
         let (route, query) = path.split_once('?').unwrap_or((path, ""));
-        let is_repeatable = may_repeat(method, route, query);
+        let is_repeatable = is_idempotent(method, route, query);
         let method = Method::from_bytes(method.as_bytes())
             .map_err(|error| ClientError::Usage(error.to_string()))?;
         let mut last_error = String::from("no node was given");
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -4,7 +4,7 @@
 mod open_call;
 mod repeat;
 
-pub use repeat::may_repeat;
+pub use repeat::is_idempotent;
 
 use crate::peer_sampler::PeerSampler;
 use crate::sans_io::{Effect, Msg, Now, Request, Response, Rng, StateMachine};
@@ -17,12 +17,12 @@
 /// Query string of a heartbeat in which the worker announces that it is leaving.
 pub const LEAVING: &str = "leaving";
 
-/// The retry timeout of a worker's call is the time in which a response is obeyed divided by this, so that several
+/// Divisor of the maximum age at which workers obey a response, giving the retry timeout of a worker's call: several
 /// nodes can be tried in time.
 const WORKER_RETRY_DIVISOR: u64 = 5;
-/// The retry timeout of any other repeatable call is the request timeout divided by this.
+/// Divisor of the request timeout, giving the retry timeout of any other repeatable call.
 const RETRY_DIVISOR: u64 = 3;
-/// The shuffle interval of a worker proxy is that of nodes times this, as there are as many worker proxies as workers.
+/// Factor from the nodes' shuffle interval to that of worker proxies, which are many: there is one per worker.
 const SHUFFLE_FACTOR: u64 = 10;
 
 /// The state machine of a worker proxy, driven by ticks, messages and calls.
@@ -95,7 +95,7 @@
         picked.cloned().unwrap_or_default()
     }
 
-    /// Forwards a call to a node that it was not sent to yet.
+    /// Forwards a call to a node that it was not sent to yet, if there is one, else to a seed again.
     fn forward(&mut self, now: Now, token: u64) {
         let Some(mut open_call) = self.open.remove(&token) else {
             return;
@@ -104,7 +104,7 @@
         let attempt = open_call.attempts.len() as u32;
         open_call.attempts.push(CallAttempt {
             node: to.clone(),
-            refused: false,
+            is_rejected: false,
         });
         let retry_after = if open_call.is_worker_call() {
             self.settings.bounds.max_start_order_age() / WORKER_RETRY_DIVISOR
@@ -113,7 +113,7 @@
         };
         open_call.retry_at = open_call.is_repeatable().then_some(now.mono + retry_after);
         let request = &open_call.request;
-        let forwarded = ForwardRequest {
+        let forward_request = ForwardRequest {
             token: RequestToken {
                 incarnation: self.incarnation,
                 number: token,
@@ -126,7 +126,7 @@
         };
         self.open.insert(token, open_call);
         self.count("forwarded");
-        let body = Body::ForwardRequest(Box::new(forwarded));
+        let body = Body::ForwardRequest(Box::new(forward_request));
         self.out.push(Effect::Send(to, body));
     }
 
@@ -157,16 +157,16 @@
     /// The open calls that meet a condition.
     fn calls_matching(&self, condition: impl Fn(&OpenCall) -> bool) -> Vec<u64> {
         let open = self.open.iter();
-        let meant = open.filter(|(_, open_call)| condition(open_call));
-        meant.map(|(token, _)| *token).collect()
+        let matching = open.filter(|(_, open_call)| condition(open_call));
+        matching.map(|(token, _)| *token).collect()
     }
 
     /// Answers a call that no node answered in time.
     ///
-    /// A worker whose heartbeat is rejected backs off exponentially, and its lease is not renewed meanwhile. So the
-    /// response to a heartbeat contains no orders and only the interval to the next heartbeat. This acknowledges
-    /// nothing, so the heartbeat of a leaving worker is rejected. For any other call that may have had an effect, the
-    /// outcome is unknown.
+    /// A heartbeat gets a response without orders, because a worker backs off exponentially after an error and its
+    /// lease is not renewed meanwhile. The heartbeat of a leaving worker gets an error, because a response without
+    /// orders would look like an acknowledgement. For any other call that may have had an effect, the outcome is
+    /// unknown.
     fn time_out(&mut self, token: u64) {
         let Some(open_call) = self.open.remove(&token) else {
             return;
@@ -179,8 +179,8 @@
                 200,
                 json!({"starts": [], "stops": [], "settled": [], "beatMs": heartbeat_ms}),
             )
-        } else if !open_call.is_heartbeat() && open_call.may_have_effect() {
-            unsure(heartbeat_ms)
+        } else if !open_call.is_heartbeat() && open_call.may_have_had_effect() {
+            unknown_outcome_response(heartbeat_ms)
         } else {
             let message = "no node answered for the zone: call again";
             Response::error(503, "noCell", message).retry(heartbeat_ms)
@@ -198,11 +198,11 @@
                 let response = self.metrics();
                 self.out.push(Effect::Respond(call, response));
             }
-            _ => self.open_call(now, call, request),
+            _ => self.register_call(now, call, request),
         }
     }
 
-    fn open_call(&mut self, now: Now, call: u64, request: Request) {
+    fn register_call(&mut self, now: Now, call: u64, request: Request) {
         self.next_token += 1;
         let token = self.next_token;
         let mut open_call = OpenCall {
@@ -221,12 +221,12 @@
     }
 
     /// Handles the response of a node to a forwarded call.
-    fn on_forward_response(&mut self, now: Now, from: &str, forwarded: ForwardResponse) {
+    fn on_forward_response(&mut self, now: Now, from: &str, node_response: ForwardResponse) {
         let RequestToken {
             number: token,
             incarnation,
             attempt: index,
-        } = forwarded.token;
+        } = node_response.token;
         let open_call = self.open.get_mut(&token);
         let attempt = open_call
             .filter(|_| incarnation == self.incarnation)
@@ -235,28 +235,28 @@
         let Some(attempt) = attempt else {
             return self.count("responses_unexpected");
         };
-        let body: Value = serde_json::from_slice(&forwarded.body).unwrap_or_default();
-        let unavailable = forwarded.status == 503;
-        let refused = unavailable && body["error"] != json!("unsure");
-        attempt.refused = refused;
+        let body: Value = serde_json::from_slice(&node_response.body).unwrap_or_default();
+        let is_service_unavailable = node_response.status == 503;
+        let is_rejected = is_service_unavailable && body["error"] != json!("unsure");
+        attempt.is_rejected = is_rejected;
         let repeatable = self.open.get(&token).is_some_and(OpenCall::is_repeatable);
-        if refused || (unavailable && repeatable) {
-            return self.try_another(now, token, from, forwarded.by);
+        if is_rejected || (is_service_unavailable && repeatable) {
+            return self.try_another(now, token, from, node_response.by);
         }
         let Some(open_call) = self.open.remove(&token) else {
             return;
         };
-        if forwarded.status == 200 {
-            let named = forwarded.by;
+        if node_response.status == 200 {
+            let named = node_response.by;
             self.holder = if named.is_empty() { from.into() } else { named };
         }
-        let rejected = (400..500).contains(&forwarded.status);
-        let response = if rejected && open_call.may_have_effect_elsewhere(index) {
-            unsure(self.settings.bounds.worker_heartbeat_interval())
+        let is_client_error = (400..500).contains(&node_response.status);
+        let response = if is_client_error && open_call.may_have_had_effect_elsewhere(index) {
+            unknown_outcome_response(self.settings.bounds.worker_heartbeat_interval())
         } else {
             Response {
-                status: forwarded.status,
-                retry_ms: forwarded.retry_ms,
+                status: node_response.status,
+                retry_ms: node_response.retry_ms,
                 body,
                 ..Response::default()
             }
@@ -264,8 +264,7 @@
         self.out.push(Effect::Respond(open_call.call, response));
     }
 
-    /// Retries a call at another node after a node that is not the lease holder, which it may name, or can't act for
-    /// the zone now.
+    /// Retries a call at another node after a rejection; `by` may name the lease holder.
     fn try_another(&mut self, now: Now, token: u64, from: &str, by: String) {
         let named = !by.is_empty() && by != from;
         self.holder = if named { by } else { String::new() };
@@ -282,7 +281,7 @@
 }
 
 /// The response to a call whose outcome is unknown because it may have had an effect.
-fn unsure(retry_ms: u64) -> Response {
+fn unknown_outcome_response(retry_ms: u64) -> Response {
     let message = "the outcome of this call is unknown: check the state, then call again";
     Response::error(503, "unsure", message).retry(retry_ms)
 }
@@ -296,8 +295,8 @@
                 // No reply: the proxy does not advertise its view.
                 let _ = self.peer_sampler.receive(*shuffle, &mut self.rng);
             }
-            Msg::Received(from, Body::ForwardResponse(forwarded)) => {
-                self.on_forward_response(now, &from, *forwarded)
+            Msg::Received(from, Body::ForwardResponse(response)) => {
+                self.on_forward_response(now, &from, *response)
             }
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => self.stopping = true,
--- a/landingdrift/src/worker_proxy/open_call.rs
+++ b/landingdrift/src/worker_proxy/open_call.rs
@@ -1,15 +1,16 @@
 //! The open calls of a worker proxy, each with its attempts.
 
-use super::may_repeat;
+use super::is_idempotent;
 use crate::sans_io::Request;
 
 /// A call that is waiting for a response.
 pub(super) struct OpenCall {
     pub call: u64,
     pub request: Request,
-    /// When the call times out, in monotonic milliseconds.
+    /// Time at which the call times out, in monotonic milliseconds.
     pub deadline: u64,
-    /// When the call is sent to another node; none for a call that must not be repeated and may have had an effect.
+    /// Time of the next attempt, in monotonic milliseconds; none for a call that must not be repeated and may have had
+    /// an effect.
     pub retry_at: Option<u64>,
     pub attempts: Vec<CallAttempt>,
 }
@@ -18,13 +19,13 @@
 pub(super) struct CallAttempt {
     pub node: String,
     /// The node has responded that the call had no effect there.
-    pub refused: bool,
+    pub is_rejected: bool,
 }
 
 impl OpenCall {
     /// Whether the call may be sent more than once.
     pub fn is_repeatable(&self) -> bool {
-        may_repeat(
+        is_idempotent(
             &self.request.method,
             &self.request.path,
             &self.request.query,
@@ -48,15 +49,15 @@
     }
 
     /// Whether the call may have had an effect at some node.
-    pub fn may_have_effect(&self) -> bool {
-        self.request.method != "GET" && self.attempts.iter().any(|attempt| !attempt.refused)
+    pub fn may_have_had_effect(&self) -> bool {
+        self.request.method != "GET" && self.attempts.iter().any(|attempt| !attempt.is_rejected)
     }
 
-    /// Whether the call may have an effect at a node other than that of this attempt, whatever that node answers.
-    pub fn may_have_effect_elsewhere(&self, attempt: u32) -> bool {
+    /// Whether another attempt of the call may have had an effect, regardless of the response to this one.
+    pub fn may_have_had_effect_elsewhere(&self, attempt: u32) -> bool {
         let mut others = self.attempts.iter().enumerate();
         self.request.method != "GET"
             && !self.is_worker_call()
-            && others.any(|(index, other)| index != attempt as usize && !other.refused)
+            && others.any(|(index, other)| index != attempt as usize && !other.is_rejected)
     }
 }
