--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -170,7 +170,7 @@
     /// Returns these settings with the reloadable ones taken from `new`, and the names of the other settings that
     /// differ in `new` and need a restart.
     pub fn with_reloadable_from(&self, new: &Settings) -> (Settings, Vec<&'static str>) {
-        let fixed = [
+        let not_reloadable = [
             ("cluster", self.cluster != new.cluster),
             ("listen", self.listen != new.listen),
             ("http", self.http != new.http),
@@ -191,7 +191,7 @@
             hopper: new.hopper.clone(),
             ..self.clone()
         };
-        let differing = fixed.into_iter().filter(|(_, differs)| *differs);
+        let differing = not_reloadable.into_iter().filter(|(_, differs)| *differs);
         (updated, differing.map(|(name, _)| name).collect())
     }
 }
--- a/landingdrift/src/state/apply/job_state.rs
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -55,10 +55,10 @@
             return;
         }
         let in_time = promised_ms == 0 || took_ms <= promised_ms;
-        let is_kept = state == JobState::Done && in_time;
-        stats.job_ends.push_back((at, is_kept));
-        stats.kept += u64::from(is_kept);
-        stats.missed += u64::from(!is_kept);
+        let kept_promise = state == JobState::Done && in_time;
+        stats.job_ends.push_back((at, kept_promise));
+        stats.kept += u64::from(kept_promise);
+        stats.missed += u64::from(!kept_promise);
         if stats.job_ends.len() > MAX_JOB_ENDS {
             stats.job_ends.pop_front();
         }
--- a/landingdrift/src/state/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -25,9 +25,9 @@
         let rejected = self.rejected_ids.get(&spec.id);
         let rejected_since = rejected.is_some_and(|(index, _)| *index > seen);
         ensure(!rejected_since, Rejection::PreviouslyRejected)?;
-        let waits = spec
+        let dependencies = spec
             .check()
-            .and_then(|waits| spec.check_against(&self.config).map(|()| waits))
+            .and_then(|dependencies| spec.check_against(&self.config).map(|()| dependencies))
             .map_err(|e| Rejection::Invalid {
                 path: e.path,
                 remedy: e.remedy,
@@ -41,7 +41,7 @@
         let job = Job {
             hash,
             accepted: self.at,
-            ..Job::new(spec.clone(), waits)
+            ..Job::new(spec.clone(), dependencies)
         };
         self.jobs.insert(spec.id.clone(), job);
         self.unfinished_jobs.insert(spec.id.clone());
--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -221,7 +221,7 @@
 }
 
 /// Splits a packed command into its discriminant and the remaining bytes.
-fn take_kind(bytes: &[u8]) -> Option<(u32, &[u8])> {
+fn split_kind(bytes: &[u8]) -> Option<(u32, &[u8])> {
     postcard::take_from_bytes::<u32>(bytes).ok()
 }
 
@@ -240,9 +240,9 @@
     /// Light copies of the state apply only such entries. Only the discriminant is decoded, for an order also that of
     /// its action.
     pub fn is_cluster_wide(bytes: &[u8]) -> bool {
-        let (mut number, rest) = take_kind(bytes).unwrap_or((kind::TERM_STARTED, &[]));
+        let (mut number, rest) = split_kind(bytes).unwrap_or((kind::TERM_STARTED, &[]));
         if number == kind::ORDER {
-            number = take_kind(rest).map_or(kind::TERM_STARTED, |(number, _)| number);
+            number = split_kind(rest).map_or(kind::TERM_STARTED, |(number, _)| number);
         }
         let cluster_kinds = [
             kind::TERM_STARTED,
@@ -256,7 +256,7 @@
     /// Whether a process other than the leader may propose the entry. Commands about terms, leases, members and garbage
     /// collection are reserved for the leader. Only the discriminant is decoded.
     pub fn may_be_proposed(bytes: &[u8]) -> bool {
-        match take_kind(bytes) {
+        match split_kind(bytes) {
             None | Some((kind::TERM_STARTED, _)) => false,
             Some((kind::GRANT_LEASE..=kind::COLLECT_GARBAGE, _)) => false,
             Some(_) => true,
@@ -265,7 +265,7 @@
 
     /// Whether an entry submits a job. Only the discriminant is decoded.
     pub fn submits_job(bytes: &[u8]) -> bool {
-        matches!(take_kind(bytes), Some((kind::SUBMIT_JOB, _)))
+        matches!(split_kind(bytes), Some((kind::SUBMIT_JOB, _)))
     }
 
     /// Whether the command must take effect at most once, and so must be proposed inside a [`Command::Order`].
--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -129,13 +129,14 @@
         attempts.any(Attempt::has_begun)
     }
 
-    /// Creates a job from a checked spec; `waits` are the dependencies of its single tasks, from [`JobSpec::check`].
-    pub fn new(spec: JobSpec, waits: Vec<Vec<u32>>) -> Self {
+    /// Creates a job from a checked spec; `dependencies` are those of each single task, from
+    /// [`JobSpec::check`].
+    pub fn new(spec: JobSpec, dependencies: Vec<Vec<u32>>) -> Self {
         let times = spec.times.max(1);
         let mut tasks = Vec::new();
-        for waits in waits {
+        for dependencies in dependencies {
             tasks.push(Task {
-                dependencies: waits,
+                dependencies,
                 ..Task::default()
             });
         }
@@ -289,8 +290,8 @@
         if self.has_steps() {
             return self.in_gang(task) && self.tasks[task].index == 0;
         }
-        let is_open = |member: &usize| self.tasks[*member].state != TaskState::Done;
-        self.gang_members(task).into_iter().find(is_open) == Some(task)
+        let is_unfinished = |member: &usize| self.tasks[*member].state != TaskState::Done;
+        self.gang_members(task).into_iter().find(is_unfinished) == Some(task)
     }
 
     /// Number of live attempts of the task's step on a worker.
--- a/landingdrift/src/state/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -75,10 +75,10 @@
         let remedy = "give 1 to 2000 tasks; split a larger job";
         ensure(is_allowed, || error("tasks", remedy))?;
         let by_name = self.check_tasks()?;
-        let waits = self.dependencies(&by_name)?;
-        check_cycle(&waits)?;
-        self.check_gangs(&waits)?;
-        Ok(waits)
+        let dependencies_by_task = self.dependencies(&by_name)?;
+        check_cycle(&dependencies_by_task)?;
+        self.check_gangs(&dependencies_by_task)?;
+        Ok(dependencies_by_task)
     }
 
     /// Checks each single task, and returns the task indices by name.
@@ -97,7 +97,7 @@
 
     /// Resolves the dependencies of each task to task indices.
     fn dependencies(&self, by_name: &BTreeMap<&str, u32>) -> Result<Vec<Vec<u32>>, SpecError> {
-        let mut waits = Vec::new();
+        let mut dependencies_by_task = Vec::new();
         for (index, task) in self.tasks.iter().enumerate() {
             let mut task_dependencies = Vec::new();
             for name in &task.depends_on {
@@ -110,9 +110,9 @@
                 })?;
                 task_dependencies.push(*dependency);
             }
-            waits.push(task_dependencies);
+            dependencies_by_task.push(task_dependencies);
         }
-        Ok(waits)
+        Ok(dependencies_by_task)
     }
 
     /// Checks the total number of tasks of all steps, and each step.
@@ -149,13 +149,13 @@
     }
 
     /// Checks that no member of a gang depends on another member, directly or indirectly, since members start together.
-    fn check_gangs(&self, waits: &[Vec<u32>]) -> Result<(), SpecError> {
+    fn check_gangs(&self, dependencies_by_task: &[Vec<u32>]) -> Result<(), SpecError> {
         for (index, task) in self.tasks.iter().enumerate() {
             if task.gang.is_empty() {
                 continue;
             }
             let gang = &task.gang;
-            let dependencies = all_dependencies(index, waits);
+            let dependencies = all_dependencies(index, dependencies_by_task);
             let mut gangs = dependencies.iter().map(|task| &self.tasks[*task].gang);
             ensure(gangs.all(|other| other != gang), || {
                 let path = format!("tasks[{index}].dependsOn");
@@ -258,10 +258,10 @@
 }
 
 /// Checks that the dependencies between tasks have no cycle.
-fn check_cycle(waits: &[Vec<u32>]) -> Result<(), SpecError> {
-    let mut unmet: Vec<usize> = waits.iter().map(Vec::len).collect();
-    let mut dependents: Vec<Vec<usize>> = vec![Vec::new(); waits.len()];
-    for (task, dependencies) in waits.iter().enumerate() {
+fn check_cycle(dependencies_by_task: &[Vec<u32>]) -> Result<(), SpecError> {
+    let mut unmet: Vec<usize> = dependencies_by_task.iter().map(Vec::len).collect();
+    let mut dependents: Vec<Vec<usize>> = vec![Vec::new(); dependencies_by_task.len()];
+    for (task, dependencies) in dependencies_by_task.iter().enumerate() {
         for dependency in dependencies {
             dependents[*dependency as usize].push(task);
         }
@@ -278,13 +278,15 @@
         }
     }
     let remedy = "the steps depend on each other in a circle: remove one dependsOn";
-    ensure(reached == waits.len(), || error("tasks", remedy))
+    ensure(reached == dependencies_by_task.len(), || {
+        error("tasks", remedy)
+    })
 }
 
 /// All direct and indirect dependencies of a task.
-fn all_dependencies(task: usize, waits: &[Vec<u32>]) -> Vec<usize> {
-    let mut to_visit = waits[task].clone();
-    let mut is_visited = vec![false; waits.len()];
+fn all_dependencies(task: usize, dependencies_by_task: &[Vec<u32>]) -> Vec<usize> {
+    let mut to_visit = dependencies_by_task[task].clone();
+    let mut is_visited = vec![false; dependencies_by_task.len()];
     let mut dependencies = Vec::new();
     while let Some(dependency) = to_visit.pop() {
         let dependency = dependency as usize;
@@ -292,7 +294,7 @@
             continue;
         }
         dependencies.push(dependency);
-        to_visit.extend(&waits[dependency]);
+        to_visit.extend(&dependencies_by_task[dependency]);
     }
     dependencies
 }
--- a/landingdrift/src/state/memory.rs
+++ b/landingdrift/src/state/memory.rs
@@ -14,6 +14,7 @@
 /// Memory of a task and its first attempt, in bytes. Every task is expected to get at least one attempt.
 const TASK_BYTES: u64 = size_of::<Task>() as u64 + ATTEMPT_BYTES;
 
+/// Memory of strings, including their headers, in bytes.
 fn strings_memory<'a>(texts: impl IntoIterator<Item = &'a String>) -> u64 {
     texts
         .into_iter()
@@ -51,6 +52,7 @@
         step_tasks.saturating_add(self.tasks.len() as u64)
     }
 
+    /// Memory of the spec, in bytes.
     fn spec_bytes(&self) -> u64 {
         let tasks: u64 = self.tasks.iter().map(TaskSpec::memory_bytes).sum();
         let steps: u64 = self.steps.iter().map(StepSpec::memory_bytes).sum();
--- a/landingdrift/src/state/retained.rs
+++ b/landingdrift/src/state/retained.rs
@@ -31,7 +31,7 @@
     pub at: u64,
 }
 
-/// Statistics of a queue, on which sizing, speculation and the queue's promise are based.
+/// Statistics of a queue, from which job sizes, speculation and the queue's promise are evaluated.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueStats {
     /// Durations of the most recent successful attempts in milliseconds, the latest last.
--- a/landingdrift/tests/orders.rs
+++ b/landingdrift/tests/orders.rs
@@ -89,13 +89,15 @@
 #[test]
 fn a_late_copy_of_a_rejected_change_stays_rejected_when_its_base_becomes_current() {
     let mut cluster = Cluster::new(2);
-    let mut early = cluster.call(0, put(2, "", &json!({"notes": {"by": "a"}})));
-    let rejected = cluster.commit(&mut early);
-    let reply = cluster.deliver_result(&early, &rejected).expect("answered");
+    let mut premature_change = cluster.call(0, put(2, "", &json!({"notes": {"by": "a"}})));
+    let rejected = cluster.commit(&mut premature_change);
+    let reply = cluster
+        .deliver_result(&premature_change, &rejected)
+        .expect("answered");
     assert_eq!((reply.status, reply.kind()), (409, "rival"));
     cluster.order(1, put(1, "", &json!({"notes": {"by": "b"}})));
     assert_eq!(cluster.state.version, 2);
-    let late = cluster.commit(&mut early);
+    let late = cluster.commit(&mut premature_change);
     assert_eq!(late.response, rejected.response);
     assert_eq!(
         (
--- a/landingdrift/tests/stored/history.rs
+++ b/landingdrift/tests/stored/history.rs
@@ -64,7 +64,7 @@
         assert!(self.apply(command), "rejected: {command_text}");
     }
 
-    fn order(&mut self, number: u64, action: Command) {
+    fn apply_order(&mut self, number: u64, action: Command) {
         let proposal = ProposalId {
             proposer: "10.0.1.1:7000".into(),
             incarnation: 5,
@@ -135,7 +135,7 @@
             "notes": {"by": "the generator"},
             "retireQueues": true,
         });
-        self.order(
+        self.apply_order(
             1,
             Command::UpdateConfig {
                 change: "first".into(),
@@ -206,7 +206,7 @@
     }
 
     fn add_job_of_steps(&mut self) {
-        let one = TaskSpec {
+        let unnamed_task = TaskSpec {
             name: String::new(),
             ..task("")
         };
@@ -214,7 +214,7 @@
             count,
             depends_on,
             gang,
-            task: one.clone(),
+            task: unnamed_task.clone(),
         };
         let spec = JobSpec {
             id: "steps".into(),
@@ -238,11 +238,15 @@
         assert!(self.accept(job("done", "fast", vec![task("a")]), 103));
         self.start("done", 3, &[0], "w1");
         self.report("w1", &[5], vec![end(5, Outcome::Succeeded, 80)]);
-        let after = TaskSpec {
+        let dependent_task = TaskSpec {
             depends_on: vec!["a".into()],
             ..task("b")
         };
-        let spec = job("running", "fast", vec![task("a"), after, task("c")]);
+        let spec = job(
+            "running",
+            "fast",
+            vec![task("a"), dependent_task, task("c")],
+        );
         assert!(self.accept(spec, 104));
         self.start("running", 3, &[0], "w1");
         self.start("running", 3, &[2], "w1");
@@ -282,7 +286,7 @@
             incarnation: 11,
             zone_epoch: 2,
         });
-        self.order(
+        self.apply_order(
             2,
             Command::ResolveTask {
                 job: "unsure".into(),
@@ -312,14 +316,14 @@
     }
 
     fn add_orders(&mut self) {
-        self.order(
+        self.apply_order(
             3,
             Command::SetEvacuation {
                 zone: "z2".into(),
                 evacuate: true,
             },
         );
-        self.order(
+        self.apply_order(
             4,
             Command::CancelJob {
                 job: "running".into(),
--- a/landingdrift/tests/stored/mod.rs
+++ b/landingdrift/tests/stored/mod.rs
@@ -21,7 +21,7 @@
 /// Small enough that the folder has several segments.
 pub const SEGMENT_BYTES: u64 = 512;
 /// Number of entries per write batch.
-const BATCH: usize = 5;
+const ENTRIES_PER_BATCH: usize = 5;
 /// Log index of the last entry of the first term.
 const LAST_INDEX_OF_FIRST_TERM: u64 = 38;
 /// The snapshot is taken this many entries before the end of the log.
@@ -141,7 +141,7 @@
 }
 
 fn save_entries(folder: &mut DataFolder, lines: &[RecordedEntry]) {
-    for batch in lines.chunks(BATCH) {
+    for batch in lines.chunks(ENTRIES_PER_BATCH) {
         let save = WriteBatch {
             entries: batch.iter().map(entry).collect(),
             ..WriteBatch::default()
--- a/landingdrift/tests/stored/variants.rs
+++ b/landingdrift/tests/stored/variants.rs
@@ -12,7 +12,8 @@
     pub tasks: Vec<TaskState>,
     #[serde(rename = "sends")]
     pub attempts: Vec<AttemptState>,
-    pub refusals: Vec<Rejection>,
+    #[serde(rename = "refusals")]
+    pub rejections: Vec<Rejection>,
 }
 
 impl Variants {
@@ -49,7 +50,7 @@
                 AttemptState::NeverStarted,
                 AttemptState::Expired,
             ],
-            refusals: rejections(),
+            rejections: rejections(),
         }
     }
 
@@ -60,7 +61,7 @@
             self.jobs.iter().map(job).collect(),
             self.tasks.iter().map(task).collect(),
             self.attempts.iter().map(attempt).collect(),
-            self.refusals.iter().map(rejection).collect(),
+            self.rejections.iter().map(rejection).collect(),
         ]
     }
 }
