--- a/landingdrift/src/node/calls/heartbeats.rs
+++ b/landingdrift/src/node/calls/heartbeats.rs
@@ -71,7 +71,7 @@
         let known = known.filter(|known| {
             let is_same_incarnation =
                 incarnation.is_none_or(|number: u64| number == known.info.incarnation);
-            is_same_incarnation && self.fresh(now)
+            is_same_incarnation && self.is_fresh(now)
         });
         let Some(known) = known else {
             let response = self.not_ready_response();
--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -231,7 +231,7 @@
         let open_call = self.calls.open.get(&call);
         let state = open_call.map(|open_call| &open_call.state);
         if let Some(CallState::ForwardedOnce { .. }) = state {
-            return self.unsure_response();
+            return self.unknown_outcome_response();
         }
         let message =
             "no replica and no other node answered in time, so the answer is unknown: retry later";
@@ -247,7 +247,7 @@
     ) {
         if result == Err(Rejection::DeadlinePassed) {
             // An earlier attempt of the proposal may have been applied.
-            let response = self.unsure_response();
+            let response = self.unknown_outcome_response();
             return self.finish(call, response);
         }
         let response = match call_command {
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -168,7 +168,8 @@
         };
         // If a node with a fresh copy is slow to answer, it is overloaded and other nodes probably are too, so the
         // frequent reads of jobs are not hedged.
-        let may_hedge = matches!(origin, Origin::Local(_)) && (is_config_read || !self.fresh(now));
+        let may_hedge =
+            matches!(origin, Origin::Local(_)) && (is_config_read || !self.is_fresh(now));
         let call = self.register_call(now, origin, state);
         if may_hedge {
             self.hedge(now, call, request);
--- a/landingdrift/src/node/calls/routed_jobs.rs
+++ b/landingdrift/src/node/calls/routed_jobs.rs
@@ -35,7 +35,7 @@
     pub(super) fn on_routed(&mut self, now: Now, origin: Origin, request: &Request) {
         let rest = request.path.strip_prefix(ROUTED_PREFIX).unwrap_or_default();
         let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-        if !self.fresh(now) || self.state.version == 0 || self.is_behind_answered_version() {
+        if !self.is_fresh(now) || self.state.version == 0 || self.is_behind_answered_version() {
             if request.method == "GET" {
                 return self.forward_by_path(now, origin, request);
             }
--- a/landingdrift/src/node/calls/routes.rs
+++ b/landingdrift/src/node/calls/routes.rs
@@ -106,7 +106,7 @@
     }
 
     fn ready_response(&self, now: Now) -> Response {
-        let ready = self.ready(now);
+        let ready = self.is_fresh_and_running(now);
         let status = if ready { 200 } else { 503 };
         let body = json!({"ready": ready, "place": self.state.applied_index, "version": self.state.version});
         Response::new(status, body)
--- a/landingdrift/src/node/gangs.rs
+++ b/landingdrift/src/node/gangs.rs
@@ -5,14 +5,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The gang that has waited longest, of those that have waited too long, and the workers that are kept free for it.
+/// Workers that are kept free for an overdue gang of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Claim {
     pub job: String,
     pub workers: BTreeSet<String>,
 }
 
-/// A gang that could start if there were free workers.
+/// An overdue gang that could start if there were free workers.
 struct WaitingGang<'a> {
     waiting_since: u64,
     job: &'a Job,
@@ -64,12 +64,12 @@
 /// long-running ones have ended.
 ///
 /// All nodes derive the same claim from the same cluster state, so that two gangs can't block each other.
-pub fn claim(state: &ClusterState, at: u64, patience: u64) -> Option<Claim> {
+pub fn claim(state: &ClusterState, at: u64, min_wait_ms: u64) -> Option<Claim> {
     let open = state
         .unfinished_jobs
         .iter()
         .filter_map(|id| state.jobs.get(id));
-    let waiting = open.filter_map(|job| waiting_gang(state, at, patience, job));
+    let waiting = open.filter_map(|job| waiting_gang(state, at, min_wait_ms, job));
     let mut waiting: Vec<WaitingGang> = waiting.collect();
     if waiting.is_empty() {
         return None;
@@ -83,7 +83,7 @@
     })
 }
 
-/// By worker: the resources used by long-running tasks, which do not become free by waiting.
+/// The resources used by long-running tasks on each worker; waiting does not free them.
 struct LongRunningUse<'a>(BTreeMap<&'a str, Resources>);
 
 impl<'a> LongRunningUse<'a> {
@@ -109,19 +109,19 @@
     }
 }
 
-/// A job's first startable gang that has waited for at least `patience`.
+/// A job's first startable gang that has waited for at least `min_wait_ms`.
 fn waiting_gang<'a>(
     state: &ClusterState,
     at: u64,
-    patience: u64,
+    min_wait_ms: u64,
     job: &'a Job,
 ) -> Option<WaitingGang<'a>> {
-    if job.cancel || at < job.accepted + patience {
+    if job.cancel || at < job.accepted + min_wait_ms {
         return None;
     }
     for task in 0..job.tasks.len() {
         let waits = job.in_gang(task) && job.tasks[task].state == TaskState::Waiting;
-        let is_overdue = at >= job.task_due(task) + patience;
+        let is_overdue = at >= job.task_due(task) + min_wait_ms;
         if waits && is_overdue && job.leads_gang(task) && is_startable(state, at, job, task as u32)
         {
             return Some(WaitingGang {
@@ -134,7 +134,7 @@
     None
 }
 
-/// Workers that a gang fits on beside the long-running tasks there; none if there are not enough.
+/// Selects workers that have room for a gang next to their long-running tasks; none if there are too few.
 fn claimed_workers(
     state: &ClusterState,
     long_running_use: &LongRunningUse,
@@ -151,9 +151,10 @@
         };
         // Prefer workers that are already claimed, then the largest.
         let reused = claimed.iter().find(|(name, worker)| {
-            let spread = spec.anti_affinity == 0 || worker.members < spec.anti_affinity;
+            let within_anti_affinity =
+                spec.anti_affinity == 0 || worker.members < spec.anti_affinity;
             let is_eligible = is_eligible(name, &state.workers[**name]);
-            is_eligible && spread && worker.free.covers(spec.needs())
+            is_eligible && within_anti_affinity && worker.free.covers(spec.needs())
         });
         let reused = reused.map(|(name, _)| *name);
         let chosen = match reused {
@@ -182,8 +183,8 @@
 }
 
 impl Node {
-    /// Places a whole gang on free resources by the cluster state, preferring the offered worker; `underway` has the
-    /// resources by worker that proposed starts not yet in the cluster state need.
+    /// Places a whole gang on free workers, preferring the offered one. `pending_resources` holds, by worker, the
+    /// resources of pending starts, which are not in the cluster state yet.
     ///
     /// A same-rack gang is placed on a single rack if one has the resources now, and is spread over racks only after it
     /// has waited for the reservation interval.
@@ -193,16 +194,16 @@
         job: &Job,
         task: u32,
         offered: &str,
-        underway: &BTreeMap<String, Resources>,
+        pending_resources: &BTreeMap<String, Resources>,
     ) -> Option<Vec<Placement>> {
         if !is_startable(&self.state, at, job, task) {
             return None;
         }
         let members = largest_members_first(job, task);
         let spec = job.task_spec(task as usize);
-        let free = self.free_workers(&spec.near, offered, underway);
+        let free = self.free_workers(&spec.near, offered, pending_resources);
         if !spec.same_rack {
-            return self.spread(at, job, &members, free);
+            return self.place_first_fit(at, job, &members, free);
         }
         let mut racks: Vec<&str> = Vec::new();
         for worker in &free {
@@ -212,14 +213,14 @@
         }
         for rack in racks {
             let on_rack = free.iter().filter(|worker| worker.rack == rack);
-            let placements = self.spread(at, job, &members, on_rack.copied().collect());
+            let placements = self.place_first_fit(at, job, &members, on_rack.copied().collect());
             if placements.is_some() {
                 return placements;
             }
         }
         let waiting_since = job.accepted.max(job.task_due(task as usize));
         if at >= waiting_since + self.settings.bounds.reservation_interval() {
-            self.spread(at, job, &members, free)
+            self.place_first_fit(at, job, &members, free)
         } else {
             None
         }
@@ -231,7 +232,7 @@
         &self,
         near: &str,
         offered: &str,
-        underway: &BTreeMap<String, Resources>,
+        pending_resources: &BTreeMap<String, Resources>,
     ) -> Vec<FreeWorker<'_>> {
         let mut workers: Vec<FreeWorker> = Vec::new();
         for (name, worker) in &self.state.workers {
@@ -240,7 +241,7 @@
             }
             let taken = worker
                 .used
-                .plus(underway.get(name).copied().unwrap_or_default());
+                .plus(pending_resources.get(name).copied().unwrap_or_default());
             workers.push(FreeWorker {
                 name,
                 rack: &worker.info.rack,
@@ -255,7 +256,7 @@
     }
 
     /// Places each task on the first worker that it fits on; none if some task fits nowhere.
-    fn spread(
+    fn place_first_fit(
         &self,
         at: u64,
         job: &Job,
@@ -274,10 +275,12 @@
                     .iter()
                     .filter(|p| p.worker == worker.name)
                     .count();
-                let beside = placed_here as u32 + job.step_attempts_on(index, worker.name);
-                let may_join = spec.anti_affinity == 0 || beside < spec.anti_affinity;
+                let attempts_on_worker =
+                    placed_here as u32 + job.step_attempts_on(index, worker.name);
+                let within_anti_affinity =
+                    spec.anti_affinity == 0 || attempts_on_worker < spec.anti_affinity;
                 let placement = self.placement(worker.name, *task, false);
-                may_join
+                within_anti_affinity
                     && self
                         .state
                         .check_placement(&job.spec.id, &placement, at)
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -25,7 +25,7 @@
 use crate::wire::{Body, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 
-/// If the time between two ticks exceeds the election timeout divided by this, the process was frozen meanwhile.
+/// Divisor of the election timeout: a longer time between two ticks means that the process was frozen.
 const FREEZE_TIMEOUT_DIVISOR: u64 = 2;
 
 /// The state machine of a node, driven by ticks, messages and calls.
@@ -39,7 +39,7 @@
     pub(crate) watch: watch::Watch,
     pub(crate) peer_sampler: PeerSampler,
     pub(crate) zone_schedulers: BTreeMap<String, zone_scheduler::ZoneScheduler>,
-    pub(crate) sched: scheduler::Scheduler,
+    pub(crate) scheduler: scheduler::Scheduler,
     pub(crate) calls: calls::Calls,
     pub(crate) proposals: BTreeMap<u64, propose::Proposal>,
     /// Random number of this process; responses to requests of an earlier process are dropped.
@@ -67,7 +67,7 @@
             watch: watch::Watch::new(now),
             peer_sampler: PeerSampler::new(&name, "node", &settings.zone, &settings.seeds),
             zone_schedulers: BTreeMap::new(),
-            sched: scheduler::Scheduler::default(),
+            scheduler: scheduler::Scheduler::default(),
             calls: calls::Calls::default(),
             proposals: BTreeMap::new(),
             incarnation,
@@ -125,12 +125,12 @@
     }
 
     /// Whether the watch is fresh enough to answer callers and place tasks.
-    pub(crate) fn fresh(&self, now: Now) -> bool {
+    pub(crate) fn is_fresh(&self, now: Now) -> bool {
         self.watch.has_snapshot && self.watch_age(now) <= self.settings.bounds.max_watch_age()
     }
 
     /// Whether the watch is fresh enough to act as a zone scheduler. A light copy never is, since it has no runs.
-    pub(crate) fn fresh_for_zones(&self, now: Now) -> bool {
+    pub(crate) fn is_fresh_for_zones(&self, now: Now) -> bool {
         !self.light
             && self.watch.has_snapshot
             && self.watch_age(now) <= self.settings.bounds.max_watch_age_for_zones()
@@ -140,8 +140,8 @@
         now.mono.saturating_sub(self.watch.fresh_at)
     }
 
-    fn ready(&self, now: Now) -> bool {
-        self.fresh(now) && self.stopping.is_none()
+    fn is_fresh_and_running(&self, now: Now) -> bool {
+        self.is_fresh(now) && self.stopping.is_none()
     }
 
     /// The epoch of a lease, if this node holds it.
@@ -154,7 +154,7 @@
         let since_last_tick = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
         if since_last_tick > self.settings.bounds.election_timeout() / FREEZE_TIMEOUT_DIVISOR {
-            // This process was frozen: heartbeats may be waiting unread, so workers are treated as if just heard from.
+            // This process was frozen: heartbeats may be unprocessed, so every worker counts as having just sent one.
             self.count("own_freezes", 1);
             for worker in self.all_workers() {
                 worker.last_heartbeat = now.mono;
@@ -175,14 +175,14 @@
         }
     }
 
-    /// Whether this node is alive or holds a lease by the cluster state.
+    /// Whether the cluster state lists this node as alive or as a lease holder.
     fn is_member(&self) -> bool {
         let known = self.state.nodes.get(&self.name);
         let mut leases = self.state.leases.values();
         leases.any(|lease| lease.holder == self.name) || known.is_some_and(|node| node.alive)
     }
 
-    fn on_wire(&mut self, now: Now, from: &str, body: Body) {
+    fn on_received(&mut self, now: Now, from: &str, body: Body) {
         match body {
             Body::WatchBatch(batch) => self.on_batch(now, from, *batch),
             Body::WatchSnapshotChunk(chunk) => self.on_watch_chunk(now, from, &chunk),
@@ -222,13 +222,13 @@
         &self.state
     }
 
-    /// Whether this node reports that it is ready.
+    /// Whether readiness probes of this node succeed: its copy is fresh and it is not stopping.
     pub fn is_ready(&self, now: Now) -> bool {
-        self.ready(now)
+        self.is_fresh_and_running(now)
     }
 
     /// The response to a call whose outcome is unknown because its command may have been appended.
-    pub(crate) fn unsure_response(&self) -> Response {
+    pub(crate) fn unknown_outcome_response(&self) -> Response {
         Response::error(
             503,
             "unsure",
@@ -242,7 +242,7 @@
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
-            Msg::Received(from, body) => self.on_wire(now, &from, body),
+            Msg::Received(from, body) => self.on_received(now, &from, body),
             Msg::Call(call, request) => self.on_call(now, calls::Origin::Local(call), request),
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => {
@@ -254,7 +254,7 @@
         }
         while let Some(body) = self.loopback.pop_front() {
             let own_address = self.name.clone();
-            self.on_wire(now, &own_address, body);
+            self.on_received(now, &own_address, body);
         }
         std::mem::take(&mut self.out)
     }
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -9,11 +9,11 @@
     PROPOSAL_NO_CAPACITY,
 };
 
-/// Maximum number of attempts that are redirected to a named leader at once: replicas that disagree on the leader could
-/// otherwise redirect a proposal in an endless loop.
+/// Maximum number of immediate redirects of a proposal to a leader that a replica names: replicas that disagree on the
+/// leader could otherwise redirect a proposal in an endless loop.
 const MAX_REDIRECTS: usize = 7;
-/// Response timeout of an attempt of an idempotent proposal, in heartbeat intervals, in addition to the transfer time
-/// on a narrow link.
+/// Heartbeat intervals to wait for a response before an idempotent proposal is sent again; the transfer time over a
+/// narrow link is added.
 const RESEND_AFTER_HEARTBEATS: u64 = 5;
 
 /// One attempt to submit a proposal to a replica.
@@ -31,7 +31,7 @@
     Rejected,
 }
 
-/// Why a command is proposed; this determines how its result is handled.
+/// The purpose of a proposal, which determines the handling of its result.
 #[derive(Clone, Debug)]
 pub enum Purpose {
     Call(u64, CallCommand),
@@ -57,15 +57,15 @@
 /// A pending proposal with its attempts.
 pub struct Proposal {
     pub purpose: Purpose,
-    command: PackedCommand,
+    command: ProposalCommand,
     /// Applying it twice has the effect of applying it once, so it may be sent again after a response timeout.
     idempotent: bool,
     deadline: u64,
     attempts: Vec<ProposalAttempt>,
 }
 
-/// The command of a proposal, encoded or not yet.
-enum PackedCommand {
+/// The command of a proposal, either encoded or waiting for the cluster time.
+enum ProposalCommand {
     Ready(Vec<u8>),
     /// An order, which is encoded with its deadline once the cluster time is known.
     AwaitsClusterTime(Command),
@@ -78,7 +78,7 @@
     TimeOut,
 }
 
-/// The outcome of a start that was proposed.
+/// The outcome of a proposed start.
 pub(super) struct StartResult {
     pub proposal: u64,
     pub offer: RequestToken,
@@ -101,9 +101,9 @@
         let send_again = match last.outcome {
             AttemptOutcome::Rejected => now.mono >= last.sent_at + heartbeat_ms / 4,
             AttemptOutcome::Unanswered => {
-                let patience_ms = RESEND_AFTER_HEARTBEATS * heartbeat_ms + self.transfer_ms();
-                let overdue_at = last.sent_at + patience_ms;
-                self.idempotent && now.mono >= overdue_at
+                let timeout_ms = RESEND_AFTER_HEARTBEATS * heartbeat_ms + self.transfer_ms();
+                let retry_at = last.sent_at + timeout_ms;
+                self.idempotent && now.mono >= retry_at
             }
         };
         if send_again {
@@ -116,13 +116,13 @@
     /// Transfer time of the encoded command on the narrowest link, in milliseconds.
     fn transfer_ms(&self) -> u64 {
         match &self.command {
-            PackedCommand::Ready(bytes) => transfer_ms(bytes.len() as u64),
-            PackedCommand::AwaitsClusterTime(_) => 0,
+            ProposalCommand::Ready(bytes) => transfer_ms(bytes.len() as u64),
+            ProposalCommand::AwaitsClusterTime(_) => 0,
         }
     }
 
-    /// Whether some replica may have appended the command.
-    pub fn may_be_appended(&self) -> bool {
+    /// Whether a replica may have appended the command, because an attempt was not rejected.
+    pub fn may_have_been_appended(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.outcome == AttemptOutcome::Unanswered)
@@ -141,9 +141,9 @@
         let number = self.token();
         let idempotent = !matches!(command, Command::StartAttempts { .. });
         let command = if command.is_order() {
-            PackedCommand::AwaitsClusterTime(command.clone())
+            ProposalCommand::AwaitsClusterTime(command.clone())
         } else {
-            PackedCommand::Ready(command.pack())
+            ProposalCommand::Ready(command.pack())
         };
         let proposal = Proposal {
             purpose,
@@ -196,8 +196,8 @@
         self.send(&to, Body::ProposeRequest(Box::new(request)));
     }
 
-    /// The leader that was just named, or else the leader known from the watch unless it was asked last, or else a
-    /// random replica other than the one asked last.
+    /// Picks the likely leader: the hint if there is one, else the watch's leader unless it was asked last, else
+    /// another random replica.
     pub(super) fn likely_leader(
         &mut self,
         leader_hint: Option<String>,
@@ -225,8 +225,8 @@
         };
         let proposal = self.proposals.get_mut(&number)?;
         let action = match &proposal.command {
-            PackedCommand::Ready(bytes) => return Some(bytes.clone()),
-            PackedCommand::AwaitsClusterTime(action) => action.clone(),
+            ProposalCommand::Ready(bytes) => return Some(bytes.clone()),
+            ProposalCommand::AwaitsClusterTime(action) => action.clone(),
         };
         let order = Order {
             action: Box::new(action),
@@ -234,7 +234,7 @@
             deadline: cluster_time? + proposal.deadline.saturating_sub(now.mono),
         };
         let bytes = Command::Order(order).pack();
-        proposal.command = PackedCommand::Ready(bytes.clone());
+        proposal.command = ProposalCommand::Ready(bytes.clone());
         Some(bytes)
     }
 
@@ -268,33 +268,33 @@
             return self.count("responses_unreadable", 1);
         };
         if let Some(proposal) = self.proposals.remove(&number) {
-            self.on_applied(number, proposal.purpose, response.log_index, result);
+            self.on_result(number, proposal.purpose, response.log_index, result);
         }
     }
 
-    /// The leader has no memory for a job and has not appended it. The proposal fails, unless an earlier attempt may
-    /// have been appended, whose outcome then counts.
+    /// Handles a rejection because the leader lacks memory for the job: the proposal fails, unless an earlier attempt
+    /// may have been appended, whose outcome then counts.
     fn on_no_capacity(&mut self, number: u64) {
         let proposal = self.proposals.get(&number);
-        if proposal.is_none_or(Proposal::may_be_appended) {
+        if proposal.is_none_or(Proposal::may_have_been_appended) {
             return;
         }
         if let Some(proposal) = self.proposals.remove(&number) {
             let result = Err(Rejection::InsufficientCapacity);
-            self.on_applied(number, proposal.purpose, 0, result);
+            self.on_result(number, proposal.purpose, 0, result);
         }
     }
 
     /// Handles the result of a command that was applied to the cluster state or rejected.
-    fn on_applied(&mut self, number: u64, purpose: Purpose, log_index: u64, result: ApplyResult) {
+    fn on_result(&mut self, number: u64, purpose: Purpose, log_index: u64, result: ApplyResult) {
         match purpose {
             Purpose::Call(call, call_command) => self.on_call_result(call, call_command, result),
             purpose => self.on_own_proposal_done(number, purpose, log_index, result.is_ok()),
         }
     }
 
-    /// Handles the end of a proposal that no call has made: applied, rejected or timed out. `log_index` is 0 if the
-    /// command is not known to be in the log.
+    /// Handles the end of a proposal that the node made for itself, not for a call: applied, rejected or timed out.
+    /// `log_index` is 0 if the command is not known to be in the log.
     fn on_own_proposal_done(
         &mut self,
         number: u64,
@@ -349,12 +349,12 @@
             return;
         };
         self.count("proposals_given_up", 1);
-        let may_be_appended = proposal.may_be_appended();
+        let may_have_been_appended = proposal.may_have_been_appended();
         let Purpose::Call(call, _) = proposal.purpose else {
             return self.on_own_proposal_done(number, proposal.purpose, 0, false);
         };
-        let response = if may_be_appended {
-            self.unsure_response()
+        let response = if may_have_been_appended {
+            self.unknown_outcome_response()
         } else {
             let message = "no replica could be reached and the call had no effect: retry later";
             Response::error(503, "noCore", message).retry(self.settings.bounds.retry_after())
--- a/landingdrift/src/node/scheduler/demand.rs
+++ b/landingdrift/src/node/scheduler/demand.rs
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Tasks of a job that may start now and have no proposed start.
+    /// Tasks of a job that may start now and have no pending start.
     pub(super) fn startable_tasks(&self, now: Now, id: &str, job: &Job) -> Vec<u32> {
         let cluster_time = self.cluster_time(now);
-        let underway = self.starting_tasks(id);
+        let pending = self.pending_tasks(id);
         let may_start = |task: u32| {
             self.state
                 .check_start(id, task, false, cluster_time)
                 .is_ok()
         };
         (0..job.tasks.len() as u32)
-            .filter(|task| !underway.contains(task) && may_start(*task))
+            .filter(|task| !pending.contains(task) && may_start(*task))
             .collect()
     }
 
@@ -58,14 +58,14 @@
         };
         let slow_after_ms = self.settings.hopper.slow_factor * median;
         let cluster_time = self.cluster_time(now);
-        let underway = self.starting_tasks(id);
+        let pending = self.pending_tasks(id);
         let mut slow: Vec<RunningTask> = Vec::new();
         for (i, state) in job.tasks.iter().enumerate() {
             let task = i as u32;
-            if !job.task_spec(i).may_repeat || underway.contains(&task) {
+            if !job.task_spec(i).may_repeat || pending.contains(&task) {
                 continue;
             }
-            let Some(ran_ms) = running_for(state, cluster_time) else {
+            let Some(ran_ms) = running_ms(state, cluster_time) else {
                 continue;
             };
             if ran_ms as f64 > slow_after_ms
@@ -80,7 +80,7 @@
 }
 
 /// Time in milliseconds for which a task has been running; none if it is not running or is being stopped.
-fn running_for(task: &Task, cluster_time: u64) -> Option<u64> {
+fn running_ms(task: &Task, cluster_time: u64) -> Option<u64> {
     let running = task
         .live()
         .find(|attempt| attempt.state == AttemptState::Running && !attempt.stop)?;
--- a/landingdrift/src/node/scheduler/offers.rs
+++ b/landingdrift/src/node/scheduler/offers.rs
@@ -9,8 +9,9 @@
 use crate::state::{Command, Job, Placement, Resources};
 use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, Sizes};
 
-/// Timeout of a proposed start, in offer timeouts; the zone scheduler reserves the resources for the same time.
-const START_OFFER_TIMEOUTS: u64 = 2;
+/// Factor from the offer timeout to the timeout of a proposed start; the zone scheduler keeps the resources promised
+/// for the same time.
+const START_TIMEOUT_FACTOR: u64 = 2;
 
 /// The tasks to start for an accepted offer, with the epoch of the queue's lease.
 struct Acceptance {
@@ -33,7 +34,7 @@
 }
 
 impl Node {
-    /// Handles an offer: accepts or refuses it.
+    /// Answers an offer of a slot, and proposes the start of the selected tasks if it is accepted.
     pub(in crate::node) fn on_offer(&mut self, now: Now, from: &str, offer: Offer) {
         let response = self.answer_offer(now, from, &offer);
         self.send(from, Body::OfferResponse(Box::new(response)));
@@ -47,7 +48,7 @@
         let fair_share = self.fair_share();
         let willing = !offer.refusable || wants_slot(&self.share(job), fair_share);
         let picked = if willing {
-            self.pick(now, job, offer)
+            self.pick_placements(now, job, offer)
         } else {
             None
         };
@@ -71,7 +72,7 @@
     fn job_of_offer(&self, now: Now, offer: &Offer) -> Option<(&Job, u64)> {
         let job = self.state.jobs.get(&offer.job)?;
         let epoch = self.epoch_for(job)?;
-        self.fresh(now).then_some((job, epoch))
+        self.is_fresh(now).then_some((job, epoch))
     }
 
     /// Refuses a slot that the job can't use or that exceeds its share. The refusal names the smallest job that could
@@ -81,6 +82,7 @@
         let gone = demand == Demand::default();
         let smallest = self.smallest_unsatisfied(now, offer);
         let own = Sizes {
+            // The job that has just refused the slot must not be named as one that could use it.
             unsatisfied: false,
             ..self.sizes(job, fair_share)
         };
@@ -116,7 +118,7 @@
     }
 
     fn propose_start(&mut self, now: Now, from: &str, offer: &Offer, acceptance: Acceptance) {
-        let timeout_ms = self.settings.bounds.offer_timeout() * START_OFFER_TIMEOUTS;
+        let timeout_ms = self.settings.bounds.offer_timeout() * START_TIMEOUT_FACTOR;
         let command = Command::StartAttempts {
             job: offer.job.clone(),
             owner_epoch: acceptance.owner_epoch,
@@ -135,18 +137,18 @@
             until: now.mono + timeout_ms,
             log_index: 0,
         };
-        self.sched.pending.insert(token, pending);
+        self.scheduler.pending.insert(token, pending);
     }
 
-    /// A proposed start was applied, rejected or timed out. If it did not succeed, the zone scheduler is notified.
+    /// Handles the end of a proposed start: if it was rejected or timed out, notifies the zone scheduler.
     pub(in crate::node) fn on_start_result(&mut self, result: StartResult) {
         let not_yet_applied_here = result.log_index > self.state.applied_index;
         if result.placed && not_yet_applied_here {
-            if let Some(pending) = self.sched.pending.get_mut(&result.proposal) {
+            if let Some(pending) = self.scheduler.pending.get_mut(&result.proposal) {
                 pending.log_index = result.log_index;
             }
         } else {
-            self.sched.pending.remove(&result.proposal);
+            self.scheduler.pending.remove(&result.proposal);
         }
         if result.placed {
             return;
@@ -167,7 +169,7 @@
 /// Whether a job accepts a slot that it may refuse: it has fewer slots than its size or than the fair share, and in any
 /// case if it has none.
 fn wants_slot(share: &JobShare, fair_share: f64) -> bool {
-    share.occupied < share.sizes.size.max(fair_share).max(1.0)
+    share.occupied < share.job_sizes.size.max(fair_share).max(1.0)
 }
 
 fn refusal(offer: &Offer, gone: bool, sizes: Vec<Sizes>) -> OfferResponse {
--- a/landingdrift/src/node/scheduler/placement.rs
+++ b/landingdrift/src/node/scheduler/placement.rs
@@ -8,7 +8,12 @@
 
 impl Node {
     /// Selects a waiting task, with the rest of its gang if it has one, or else a speculative copy of a slow task.
-    pub(super) fn pick(&self, now: Now, job: &Job, offer: &Offer) -> Option<Vec<Placement>> {
+    pub(super) fn pick_placements(
+        &self,
+        now: Now,
+        job: &Job,
+        offer: &Offer,
+    ) -> Option<Vec<Placement>> {
         if self.is_claimed_by_other(now, job, &offer.worker) {
             return None;
         }
@@ -51,10 +56,10 @@
         copies.next().map(|copy| vec![copy])
     }
 
-    /// Whether the worker is kept free for another job's gang that has waited too long. The claim does not apply to a
-    /// job that has been idle too long while the service has spare capacity.
+    /// Whether the worker is kept free for the overdue gang of another job. The claim does not apply to a job that has
+    /// been idle too long while the service has spare capacity.
     fn is_claimed_by_other(&self, now: Now, job: &Job, worker: &str) -> bool {
-        let claim = self.sched.claim.as_ref();
+        let claim = self.scheduler.claim.as_ref();
         let is_claimed =
             claim.is_some_and(|claim| claim.job != job.spec.id && claim.workers.contains(worker));
         if !is_claimed {
@@ -86,33 +91,35 @@
         fits.is_ok().then_some(placement)
     }
 
-    /// The placements of a whole gang, if they fit now and none was proposed yet. Only the first unfinished member of a
-    /// gang triggers its placement, so that each gang is tried once.
+    /// The placements of a whole gang, if it fits now and no start of its members is pending. Only the first unfinished
+    /// member of a gang triggers its placement, so that each gang is tried once.
     fn pick_gang(&self, now: Now, job: &Job, task: u32, offer: &Offer) -> Option<Vec<Placement>> {
         if !job.leads_gang(task as usize) {
             return None;
         }
-        let underway = self.resources_underway();
+        let pending_resources = self.pending_resources();
         let at = self.cluster_time(now);
-        let placements = self.place_gang(at, job, task, &offer.worker, &underway)?;
-        let starting = self.starting_tasks(&job.spec.id);
-        let all_new = placements
+        let placements = self.place_gang(at, job, task, &offer.worker, &pending_resources)?;
+        let pending_tasks = self.pending_tasks(&job.spec.id);
+        let none_pending = placements
             .iter()
-            .all(|placement| !starting.contains(&placement.task));
-        all_new.then_some(placements)
+            .all(|placement| !pending_tasks.contains(&placement.task));
+        none_pending.then_some(placements)
     }
 
-    /// By worker: the resources needed by proposed starts that are not in the cluster state yet.
-    fn resources_underway(&self) -> BTreeMap<String, Resources> {
-        let mut underway: BTreeMap<String, Resources> = BTreeMap::new();
-        for pending in self.sched.pending.values() {
+    /// The resources, by worker, that pending starts need.
+    fn pending_resources(&self) -> BTreeMap<String, Resources> {
+        let mut pending_resources: BTreeMap<String, Resources> = BTreeMap::new();
+        for pending in self.scheduler.pending.values() {
             let placed = pending.placements.iter().zip(&pending.reserved_resources);
             for (placement, resources) in placed {
-                let sum = underway.entry(placement.worker.clone()).or_default();
+                let sum = pending_resources
+                    .entry(placement.worker.clone())
+                    .or_default();
                 *sum = sum.plus(*resources);
             }
         }
-        underway
+        pending_resources
     }
 }
 
--- a/landingdrift/src/node/scheduler/reservations.rs
+++ b/landingdrift/src/node/scheduler/reservations.rs
@@ -10,14 +10,14 @@
 /// A worker that could run some task of a job.
 struct Candidate {
     worker: String,
-    /// The worker is near the data of such a task.
+    /// The worker is near the data of a task that it could run.
     local: bool,
 }
 
 impl Node {
     /// Places due reservations: for each task in a job's demand, on `probe_ratio` workers.
     pub(in crate::node) fn schedule(&mut self, now: Now) {
-        if !self.fresh(now) {
+        if !self.is_fresh(now) {
             return;
         }
         let mut by_holder: BTreeMap<String, Vec<Reservation>> = BTreeMap::new();
@@ -38,25 +38,25 @@
 
     /// The jobs whose demand may have changed; clears their dirty marks.
     fn take_dirty_jobs(&mut self) -> Vec<String> {
-        let dirty = std::mem::take(&mut self.sched.dirty);
-        if std::mem::take(&mut self.sched.all_dirty) {
+        let dirty = std::mem::take(&mut self.scheduler.dirty);
+        if std::mem::take(&mut self.scheduler.all_dirty) {
             self.state.unfinished_jobs.iter().cloned().collect()
         } else {
             dirty.into_iter().collect()
         }
     }
 
-    /// The number of a job's tasks for which reservations are due, if any: its whole demand once the last reservations
-    /// are old, before that the increase of its demand.
+    /// The number of a job's tasks for which reservations are due, if any: all tasks in its demand if the reservation
+    /// interval has passed, otherwise only those added since the last reservations.
     fn tasks_to_reserve(&mut self, now: Now, id: &str) -> Option<u32> {
         let job = self.state.jobs.get(id)?;
         self.epoch_for(job)?;
         let demand = self.demand(now, id, job);
         let wanted = demand.originals + demand.copies;
-        let last = self.sched.reserved.get(id).copied().unwrap_or_default();
-        let again =
+        let last = self.scheduler.reserved.get(id).copied().unwrap_or_default();
+        let is_interval_over =
             last.at == 0 || now.mono >= last.at + self.settings.bounds.reservation_interval();
-        let due = wanted > 0 && (again || wanted > last.tasks);
+        let due = wanted > 0 && (is_interval_over || wanted > last.tasks);
         if !due {
             if wanted < last.tasks {
                 self.record_reserved(id, last.at, wanted);
@@ -64,16 +64,21 @@
             return None;
         }
         self.record_reserved(id, now.mono, wanted);
-        let added = if again { wanted } else { wanted - last.tasks };
-        Some(added)
+        let due_tasks = if is_interval_over {
+            wanted
+        } else {
+            wanted - last.tasks
+        };
+        Some(due_tasks)
     }
 
     fn record_reserved(&mut self, id: &str, at: u64, tasks: u32) {
         let last = LastReserved { at, tasks };
-        self.sched.reserved.insert(id.to_string(), last);
+        self.scheduler.reserved.insert(id.to_string(), last);
     }
 
-    /// The node that holds the lease of a worker's zone; an unknown worker is assigned to the zone with the empty name.
+    /// The node that holds the lease of a worker's zone; an unknown worker is looked up under the empty zone name,
+    /// which usually has no lease.
     fn zone_scheduler_holder(&self, worker: &str) -> Option<String> {
         let known = self.state.workers.get(worker);
         let zone = known.map_or("", |worker| worker.info.zone.as_str());
@@ -115,7 +120,7 @@
             if !self.state.accepts_new_tasks(name, worker) {
                 continue;
             }
-            if let Some(local) = fits_any(worker, specs) {
+            if let Some(local) = locality(worker, specs) {
                 let worker = name.clone();
                 candidates.push(Candidate { worker, local });
             }
@@ -141,9 +146,8 @@
     specs
 }
 
-/// None if the worker could run none of the tasks even when idle; otherwise whether it is near the data of one that it
-/// could run.
-fn fits_any(worker: &Worker, specs: &[&TaskSpec]) -> Option<bool> {
+/// Whether the worker is near the data of a task that it could run; none if it could run no task even when idle.
+fn locality(worker: &Worker, specs: &[&TaskSpec]) -> Option<bool> {
     let info = &worker.info;
     let fits = |spec: &&&TaskSpec| info.serves(spec) && info.total_resources().covers(spec.needs());
     let mut fitting = specs.iter().filter(fits).peekable();
--- a/landingdrift/src/node/scheduler/sizes.rs
+++ b/landingdrift/src/node/scheduler/sizes.rs
@@ -6,50 +6,57 @@
 use crate::state::Job;
 use crate::wire::{Offer, Sizes};
 
-/// Maximum number of jobs tried to find one to name in a refusal: each try runs the placement of a task, and refusals
-/// are frequent.
+/// Maximum number of jobs that are tried when searching for the job to name in a refusal: each try runs the placement
+/// of a task, and refusals are frequent.
 const MAX_JOBS_TRIED: usize = 8;
 
-/// A job's sizes and the number of slots that it occupies, including proposed starts.
+/// The sizes of a job and its occupied slots, including pending starts.
 pub(super) struct JobShare {
-    pub sizes: JobSizes,
+    pub job_sizes: JobSizes,
     pub occupied: f64,
 }
 
 impl Node {
-    /// The size by which a job is ranked; higher priority reduces it.
-    fn weighted_size(&self, job: &Job, sizes: &JobSizes) -> f64 {
+    /// The size that is sent to zone schedulers and orders the jobs: the job's rank, reduced by the priority of its
+    /// queue.
+    fn priority_weighted_rank(&self, job: &Job, job_sizes: &JobSizes) -> f64 {
         let priority = self
             .state
             .queue(&job.spec.queue)
             .map_or(0, |queue| queue.priority);
-        sizes.rank / (1.0 + f64::from(priority))
+        job_sizes.rank / (1.0 + f64::from(priority))
     }
 
-    /// The slots that a job needs and occupies.
+    /// A job's sizes and the number of slots that it occupies, including pending starts.
     pub(super) fn share(&self, job: &Job) -> JobShare {
-        let sizes = self.state.job_sizes(job);
-        let starting = self.starting_placements(&job.spec.id).count();
-        let occupied = f64::from(sizes.occupied) + starting as f64;
-        JobShare { sizes, occupied }
+        let job_sizes = self.state.job_sizes(job);
+        let pending_starts = self.pending_placements(&job.spec.id).count();
+        let occupied = f64::from(job_sizes.occupied) + pending_starts as f64;
+        JobShare {
+            job_sizes,
+            occupied,
+        }
     }
 
     /// The sizes of a job as sent to zone schedulers, given the fair share.
     pub(super) fn sizes(&self, job: &Job, fair_share: f64) -> Sizes {
-        let JobShare { sizes, occupied } = self.share(job);
+        let JobShare {
+            job_sizes,
+            occupied,
+        } = self.share(job);
         Sizes {
             job: job.spec.id.clone(),
             scheduler: self.name.clone(),
-            remaining: sizes.remaining,
-            size: self.weighted_size(job, &sizes),
-            starved: occupied < fair_share && sizes.remaining > 0,
-            unsatisfied: occupied < sizes.size,
+            remaining: job_sizes.remaining,
+            size: self.priority_weighted_rank(job, &job_sizes),
+            starved: occupied < fair_share && job_sizes.remaining > 0,
+            unsatisfied: occupied < job_sizes.size,
         }
     }
 
     /// The number of slots that every job is guaranteed, rounded down, where a slot has the mean CPU of a task.
     pub(super) fn fair_share(&self) -> f64 {
-        let jobs = self.sched.runnable.max(1) as f64;
+        let jobs = self.scheduler.runnable_jobs.max(1) as f64;
         let guaranteed_cpu =
             (1.0 - self.settings.hopper.epsilon) * f64::from(self.state.total_cpu());
         (guaranteed_cpu / self.mean_task_cpu() / jobs).floor()
@@ -73,14 +80,14 @@
     pub(super) fn smallest_unsatisfied(&self, now: Now, offer: &Offer) -> Option<Sizes> {
         let fair_share = self.fair_share();
         // The ranking of the last full pass is accurate enough to select the jobs to try.
-        let others = self.sched.ranked.iter().filter(|id| **id != offer.job);
+        let others = self.scheduler.ranked.iter().filter(|id| **id != offer.job);
         let smallest = others
             .filter_map(|id| self.state.jobs.get(id))
             .filter(|job| self.epoch_for(job).is_some())
             .take(MAX_JOBS_TRIED);
         for job in smallest {
             let sizes = self.sizes(job, fair_share);
-            if sizes.unsatisfied && self.pick(now, job, offer).is_some() {
+            if sizes.unsatisfied && self.pick_placements(now, job, offer).is_some() {
                 return Some(sizes);
             }
         }
--- a/landingdrift/src/node/watch/catch_up.rs
+++ b/landingdrift/src/node/watch/catch_up.rs
@@ -1,14 +1,15 @@
-//! Diagnostics of a missing or outdated copy of the cluster state: what was received meanwhile, for the log.
+//! Log messages and statistics about catching up with the cluster state.
 
 use super::super::Node;
 use crate::sans_io::Now;
 
-/// Interval between progress reports of a node without a fresh copy, in multiples of the bound on freshness.
-const REPORT_INTERVAL_FRESH_BOUNDS: u64 = 2;
+/// Interval between progress messages of a node without a fresh copy, as a multiple of the maximum watch age.
+const REPORT_INTERVAL_FACTOR: u64 = 2;
 
 /// Events since the copy was last fresh, or since the process started. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CatchUp {
+    /// Time at which the copy was last fresh, or at which the process started.
     since: u64,
     next_report: u64,
     /// Batches received from leaders.
@@ -17,7 +18,7 @@
     pub chunks: u64,
     /// Received snapshot chunks that were discarded.
     pub unused_chunks: u64,
-    /// How often the node switched to another replica because the current one timed out.
+    /// Number of switches to another replica after a timeout.
     pub replica_switches: u64,
     /// Calls rejected because there was no fresh copy to answer from.
     pub rejected_calls: u64,
@@ -44,20 +45,20 @@
 }
 
 impl Node {
-    /// Logs at intervals that the copy is missing or outdated, and what was received since it was fresh.
+    /// While there is no fresh copy, logs the progress towards one at intervals.
     pub(in crate::node) fn report_catch_up(&mut self, now: Now) {
-        let fresh_ms = self.settings.bounds.max_watch_age();
-        if self.fresh(now) {
-            return self.log_fresh_copy(now);
+        let max_age_ms = self.settings.bounds.max_watch_age();
+        if self.is_fresh(now) {
+            return self.finish_catch_up(now);
         }
         let catch_up = &mut self.watch.catch_up;
         if catch_up.next_report == 0 {
-            catch_up.next_report = now.mono + fresh_ms;
+            catch_up.next_report = now.mono + max_age_ms;
         }
         if now.mono < catch_up.next_report {
             return;
         }
-        catch_up.next_report = now.mono + REPORT_INTERVAL_FRESH_BOUNDS * fresh_ms;
+        catch_up.next_report = now.mono + REPORT_INTERVAL_FACTOR * max_age_ms;
         let stale_ms = now.mono.saturating_sub(catch_up.since);
         let summary = catch_up.summary();
         let incoming = self.watch.incoming.identity();
@@ -71,7 +72,8 @@
         ));
     }
 
-    fn log_fresh_copy(&mut self, now: Now) {
+    /// Logs the end of a long catch-up, and resets the statistics.
+    fn finish_catch_up(&mut self, now: Now) {
         let missing_ms = now.mono.saturating_sub(self.watch.catch_up.since);
         if missing_ms > self.settings.bounds.max_watch_age() {
             let summary = self.watch.catch_up.summary();
--- a/landingdrift/src/node/watch/entries.rs
+++ b/landingdrift/src/node/watch/entries.rs
@@ -34,7 +34,7 @@
         changed
     }
 
-    /// Whether this copy has another configuration in force than the replicas had at the same log index.
+    /// Whether the configuration of this copy differs from that of the replicas at the same log index.
     pub(super) fn has_diverged(&self, batch: &WatchBatch) -> bool {
         let is_comparable = batch.config_index > 0
             && batch.light == self.light
@@ -46,19 +46,20 @@
     pub(super) fn discard_copy(&mut self, now: Now) {
         let index = self.state.applied_index;
         self.log(format!(
-            "discarding the copy of the cluster state at index {index}: its configuration differs from the replicas'"
+            "discarding the copy of the cluster state at index {index}: its configuration differs from that of the replicas"
         ));
         self.count("watch_copies_diverged", 1);
         self.state = ClusterState::new(&self.settings.cluster);
         self.light = false;
         self.watch.has_snapshot = false;
         self.watch.next_watch_request = now.mono;
-        self.sched.all_dirty = true;
-        self.sched.forget_reservations();
+        self.scheduler.all_dirty = true;
+        self.scheduler.forget_reservations();
         self.on_state_changed(now);
     }
 
-    /// Reacts to a change of the cluster state: updates zone schedulers, answers reads, reserves and offers slots.
+    /// Reacts to a change of the cluster state: updates zone schedulers, forwards or answers open reads, places
+    /// reservations and offers slots.
     pub(super) fn on_state_changed(&mut self, now: Now) {
         self.update_zone_schedulers(now);
         self.forward_open_reads(now);
@@ -70,7 +71,7 @@
     /// Applies an entry of the log to this node's copy of the cluster state.
     fn apply_entry(&mut self, entry: &Entry) {
         let command = Command::unpack(&entry.command).ok();
-        // Before the entry is applied, since the attempts that it ends are not live afterwards.
+        // This must run before the entry is applied: the attempts that it ends are not live afterwards.
         self.mark_dirty_jobs(command.as_ref().map(Command::action));
         let version = self.state.version;
         let result = self
@@ -101,17 +102,17 @@
             Some(Command::ReportAttempts { ends, .. }) => {
                 for end in ends {
                     if let Some((job, _)) = self.state.live.get(&end.no) {
-                        self.sched.dirty.insert(job.clone());
+                        self.scheduler.dirty.insert(job.clone());
                     }
                 }
             }
             Some(Command::SubmitJob { spec, .. }) => {
-                self.sched.dirty.insert(spec.id.clone());
+                self.scheduler.dirty.insert(spec.id.clone());
             }
             Some(Command::GrantLease { lease, .. }) => {
-                self.sched.all_dirty = true;
+                self.scheduler.all_dirty = true;
                 if zone_of_lease(lease).is_some() {
-                    self.sched.forget_reservations();
+                    self.scheduler.forget_reservations();
                 }
             }
             Some(
@@ -120,7 +121,7 @@
                 | Command::CancelJob { .. }
                 | Command::RegisterNode { .. },
             ) => {}
-            _ => self.sched.all_dirty = true,
+            _ => self.scheduler.all_dirty = true,
         }
     }
 }
--- a/landingdrift/src/node/watch/mod.rs
+++ b/landingdrift/src/node/watch/mod.rs
@@ -1,8 +1,8 @@
-//! The watch: how a node follows the cluster state.
+//! The watch keeps a node's copy of the cluster state up to date.
 //!
 //! - `snapshot` fetches and installs the snapshot that a node starts from,
 //! - `entries` applies the entries that follow,
-//! - `catch_up` logs what happens while the copy is missing or outdated.
+//! - `catch_up` logs the progress while the copy is missing or outdated.
 
 mod catch_up;
 mod entries;
@@ -16,8 +16,8 @@
 
 /// Timeout in request intervals after which a replica that does not respond is replaced by another.
 const RESPONSE_TIMEOUT_INTERVALS: u64 = 4;
-/// Maximum number of false suspicions that count, each of which doubles the response timeout. With 1 it doubles only
-/// once: a failed leader must be detected soon, and asking another replica meanwhile costs nothing.
+/// Maximum number of doublings of the response timeout after false suspicions. It is low because a failed leader must
+/// be detected soon, and asking another replica meanwhile costs nothing.
 const MAX_FALSE_SUSPICIONS: u32 = 1;
 
 /// The cluster time reported by a replica, and the local monotonic time at which the report arrived.
@@ -27,24 +27,27 @@
     read_at: u64,
 }
 
-/// The state of a node's watch. Times are by this node's monotonic clock, except for cluster times.
+/// The state of a node's watch. Times are in monotonic milliseconds, except for cluster times.
 pub struct Watch {
     /// The copy is complete: a snapshot was installed, or the log was followed from its beginning.
     pub has_snapshot: bool,
     /// Everything that was committed by this time has been applied.
     pub fresh_at: u64,
+    /// The process that watch requests are sent to; empty if none is known.
     pub replica: String,
+    /// The likely leader, to which proposals are sent; empty if none is known.
     pub leader: String,
     pub next_watch_request: u64,
+    /// Time of the last response of a leader, or of the last switch to another replica.
     pub last_response_at: u64,
-    /// The leader whose response timed out last, until a leader responds; empty for none.
+    /// The leader suspected of having failed, because its last response timed out; empty if there is none.
     suspect: String,
-    /// How often the current leader was suspected of having failed and then responded.
+    /// Number of false suspicions of the current leader, up to `MAX_FALSE_SUSPICIONS`.
     false_suspicions: u32,
     clock: ClockReading,
     /// The snapshot that is being fetched.
     incoming: SnapshotAssembly,
-    /// When the last useful chunk of the snapshot arrived.
+    /// Arrival time of the last useful chunk of the snapshot.
     snapshot_progress_at: u64,
     catch_up: CatchUp,
 }
@@ -210,8 +213,7 @@
         elsewhere.cloned().unwrap_or_default()
     }
 
-    /// Answers a watch request from a process that mistook this node for a replica, with the replicas that this node
-    /// knows.
+    /// Answers a watch request sent to this node, which is no replica, with the replicas that it knows.
     pub(super) fn on_misdirected_watch_request(&mut self, from: &str, request: &WatchRequest) {
         let batch = WatchBatch {
             replica: self.name.clone(),
@@ -243,13 +245,13 @@
         }
         self.record_leader(now, from);
         self.watch.catch_up.batches += 1;
-        let mut changed = self.install_snapshot_of(&batch);
+        let mut changed = self.install_batch_snapshot(&batch);
         changed |= self.apply_entries(&batch);
         if self.has_diverged(&batch) {
             return self.discard_copy(now);
         }
         if self.state.applied_index >= batch.commit && batch.commit > 0 {
-            self.caught_up(now, &batch);
+            self.record_caught_up(now, &batch);
         } else if self.state.applied_index < batch.commit && changed {
             // More entries are committed and the replica is delivering them: request the next batch at once.
             self.watch.next_watch_request = now.mono;
@@ -269,7 +271,8 @@
         own
     }
 
-    /// The process that was asked is not the leader: switches to the leader that it names, or to any other replica.
+    /// Handles a rejection by a process that is not the leader: switches to the leader that it names, or to any other
+    /// replica.
     fn on_watch_rejected(&mut self, now: Now, from: &str, batch: WatchBatch) {
         if from != self.watch.replica {
             return;
@@ -285,9 +288,9 @@
         self.watch.next_watch_request = self.watch.next_watch_request.min(soon);
     }
 
-    /// Updates freshness and cluster time, once everything that was committed when the leader answered has been
-    /// applied.
-    fn caught_up(&mut self, now: Now, batch: &WatchBatch) {
+    /// Records that everything that was committed when the leader answered has been applied: updates freshness and
+    /// cluster time.
+    fn record_caught_up(&mut self, now: Now, batch: &WatchBatch) {
         if !self.watch.has_snapshot {
             let index = self.state.applied_index;
             self.log(format!("watching the log from index {index}"));
--- a/landingdrift/src/node/watch/snapshot.rs
+++ b/landingdrift/src/node/watch/snapshot.rs
@@ -6,12 +6,12 @@
 use crate::state::ClusterState;
 use crate::wire::{WatchBatch, WatchSnapshotChunk};
 
-/// Heartbeat intervals without progress after which a snapshot transfer may be replaced by any other.
+/// Heartbeat intervals without progress after which a snapshot transfer may be replaced by that of any other snapshot.
 const STALLED_HEARTBEATS: u64 = 12;
 
 impl Node {
     /// Installs the snapshot in a batch if there is one and it is needed; returns whether it was installed.
-    pub(super) fn install_snapshot_of(&mut self, batch: &WatchBatch) -> bool {
+    pub(super) fn install_batch_snapshot(&mut self, batch: &WatchBatch) -> bool {
         let is_needed = batch.snapshot_index > self.state.applied_index
             || batch.commit < self.state.applied_index
             || batch.light != self.light;
@@ -73,18 +73,18 @@
     /// only by that of a newer snapshot, or after it has stalled: otherwise chunks of two snapshots in flight could
     /// displace each other forever.
     fn may_accept_chunk(&self, now: Now, id: SnapshotId, offset: u64) -> bool {
-        let begun = self.watch.incoming.identity();
-        if self.watch.incoming.received() == 0 || begun == id {
+        let in_progress = self.watch.incoming.identity();
+        if self.watch.incoming.received() == 0 || in_progress == id {
             return true;
         }
         let stalled_after = STALLED_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let is_stalled = now.mono >= self.watch.snapshot_progress_at + stalled_after;
-        offset == 0 && (id.index > begun.index || is_stalled)
+        offset == 0 && (id.index > in_progress.index || is_stalled)
     }
 
     /// Whether a chunk belongs to a snapshot that this node needs. An older snapshot, or one of the other kind (light
-    /// or full), is accepted only in response to a request from the current copy; any other such chunk was delayed in
-    /// transit.
+    /// or full), is accepted only if it was requested at this copy's log index; otherwise the chunk answers an earlier
+    /// request.
     fn needs_chunk(&self, chunk: &WatchSnapshotChunk) -> bool {
         let applied = self.state.applied_index;
         let starts_over = chunk.commit < applied || chunk.light != self.light;
@@ -102,18 +102,18 @@
         match ClusterState::unpack(bytes) {
             Ok(state) => {
                 if state.applied_index < self.state.applied_index {
-                    // The copy goes back in time: callers must not see it until it has caught up again.
+                    // The copy moves to an older log index: callers must not see it until it has caught up again.
                     self.watch.has_snapshot = false;
                 }
                 self.state = state;
                 self.light = light;
                 self.count("watch_snapshots", 1);
-                self.sched.all_dirty = true;
-                self.sched.forget_reservations();
+                self.scheduler.all_dirty = true;
+                self.scheduler.forget_reservations();
                 true
             }
-            Err(why) => {
-                self.log(why);
+            Err(error) => {
+                self.log(error);
                 false
             }
         }
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -73,7 +73,7 @@
     /// Processes a heartbeat as the holder of the worker's zone lease; returns the response.
     pub(in crate::node) fn heartbeat(&mut self, now: Now, mut heartbeat: Heartbeat) -> Response {
         let held_epoch = self.epoch(&zone_lease(&heartbeat.info.zone));
-        let Some(epoch) = held_epoch.filter(|_| self.fresh_for_zones(now)) else {
+        let Some(epoch) = held_epoch.filter(|_| self.is_fresh_for_zones(now)) else {
             return self.not_ready_response();
         };
         self.update_zone_schedulers(now);
--- a/landingdrift/src/node/zone_scheduler/offers.rs
+++ b/landingdrift/src/node/zone_scheduler/offers.rs
@@ -21,7 +21,7 @@
 impl Node {
     /// Offers every free slot.
     pub(in crate::node) fn offer_all(&mut self, now: Now) {
-        if !self.fresh_for_zones(now) || self.zone_schedulers.is_empty() {
+        if !self.is_fresh_for_zones(now) || self.zone_schedulers.is_empty() {
             return;
         }
         let idle = self.idle_workers(now);
