--- a/landingdrift/tests/command_line.rs
+++ b/landingdrift/tests/command_line.rs
@@ -1,5 +1,5 @@
 //! The command line of the program: invalid flags, settings and commands must fail with the right exit code and a
-//! message that names the fault, never with a panic.
+//! message that names the invalid flag, setting or command, never with a panic.
 
 use std::process::{Command, Output};
 
@@ -12,7 +12,7 @@
     } = Command::new(env!("CARGO_BIN_EXE_landingdrift"))
         .args(arguments)
         .output()
-        .expect("the program runs");
+        .expect("failed to run the program");
     (
         status.code().unwrap_or(-1),
         String::from_utf8_lossy(&stdout).to_string() + &String::from_utf8_lossy(&stderr),
@@ -31,11 +31,11 @@
     "127.0.0.1:7001",
 ];
 
-/// Runs a role with valid settings and further flags.
-fn run_role(role: &str, more: &[&str]) -> (i32, String) {
+/// Runs a role with valid settings and extra flags.
+fn run_role(role: &str, extra_flags: &[&str]) -> (i32, String) {
     let mut arguments = vec![role];
     arguments.extend(VALID_FLAGS);
-    arguments.extend(more);
+    arguments.extend(extra_flags);
     run(&arguments)
 }
 
@@ -44,8 +44,8 @@
     let file =
         std::env::temp_dir().join(format!("landingdrift-settings-{}.toml", std::process::id()));
     let file = file.to_string_lossy().to_string();
-    let write = |text: &str| std::fs::write(&file, text).expect("written");
-    for (more, named) in [
+    let write = |text: &str| std::fs::write(&file, text).expect("failed to write the file");
+    for (extra_flags, named) in [
         (vec!["--listen", "localhost:7000"], "listen"),
         (vec!["--http", "127.0.0.1:7001"], "http"),
         (vec!["--seeds", "x"], "seeds"),
@@ -56,11 +56,11 @@
         (vec!["--colour"], "--help"),
     ] {
         let mut arguments = vec!["--check"];
-        arguments.extend(&more);
+        arguments.extend(&extra_flags);
         let (code, output) = run_role("node", &arguments);
         assert!(
             code == 2 && output.contains(named),
-            "{more:?}: {code} {output}"
+            "{extra_flags:?}: {code} {output}"
         );
     }
     for (toml, named) in [
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn help_succeeds_for_every_command_and_invalid_commands_have_their_exit_codes() {
+fn help_exits_with_0_and_invalid_commands_with_2_or_3() {
     for arguments in [
         &["--help"][..],
         &["core", "--help"],
@@ -130,8 +130,8 @@
 #[test]
 fn a_folder_with_other_files_is_rejected_without_a_panic() {
     let folder = std::env::temp_dir().join(format!("landingdrift-foreign-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("made");
-    std::fs::write(folder.join("photos.txt"), "mine").expect("written");
+    std::fs::create_dir_all(&folder).expect("failed to create the folder");
+    std::fs::write(folder.join("photos.txt"), "mine").expect("failed to write the file");
     let (code, output) = run_role("core", &["--data", &folder.to_string_lossy()]);
     assert!(
         code == 1 && output.contains("is not a landingdrift data folder"),
--- a/landingdrift/tests/control_client.rs
+++ b/landingdrift/tests/control_client.rs
@@ -1,5 +1,5 @@
-//! The operator's client when connections break. Guards against a request that must not be repeated but is sent twice:
-//! a fake node breaks the connection after every number of bytes.
+//! The operator's client when connections break. Guards against a request that is sent twice but must not be repeated:
+//! a fake node breaks the connection after each possible number of bytes.
 
 use landingdrift::operator::{ClientError, ControlClient};
 use serde_json::{json, Value};
@@ -12,7 +12,7 @@
 const RESPONSE: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 11\r\n\r\n{\"done\": 1}";
 
-/// Where the fake node breaks the connection of the second request. It answers all others.
+/// The place at which the fake node breaks the connection of the second request. It answers all others.
 #[derive(Clone, Copy)]
 enum Break {
     /// After this many bytes of the request were read.
@@ -21,7 +21,7 @@
     Response(usize),
 }
 
-/// A fake node, which counts requests when they begin.
+/// A fake node. It counts a request per connection, and one per further request on it, complete or not.
 struct FakeNode {
     at: String,
     requests: Arc<AtomicUsize>,
@@ -52,9 +52,9 @@
 fn serve(mut connection: TcpStream, broken: Break, requests: &AtomicUsize) {
     let mut head = Vec::new();
     loop {
-        let second = requests.fetch_add(1, Ordering::SeqCst) == 1;
+        let is_second = requests.fetch_add(1, Ordering::SeqCst) == 1;
         let max_bytes = match broken {
-            Break::Request(max_bytes) if second => max_bytes,
+            Break::Request(max_bytes) if is_second => max_bytes,
             _ => usize::MAX,
         };
         // Waits for the first byte: a reset before it would count as a failure to connect, after which any request may
@@ -65,8 +65,8 @@
             max_bytes.saturating_sub(head.len()),
         ));
         match broken {
-            Break::Request(_) if second => return reset(&connection),
-            Break::Response(bytes) if second => {
+            Break::Request(_) if is_second => return reset(&connection),
+            Break::Response(bytes) if is_second => {
                 let _ = connection.write_all(&RESPONSE.as_bytes()[..bytes]);
                 return reset(&connection);
             }
@@ -83,42 +83,42 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let at = listener.local_addr().expect("bound").to_string();
     let requests = Arc::new(AtomicUsize::new(0));
-    let counted = requests.clone();
+    let request_count = requests.clone();
     std::thread::spawn(move || {
         for connection in listener.incoming().flatten() {
-            let counted = counted.clone();
-            std::thread::spawn(move || serve(connection, broken, &counted));
+            let request_count = request_count.clone();
+            std::thread::spawn(move || serve(connection, broken, &request_count));
         }
     });
     FakeNode { at, requests }
 }
 
-/// Sends a GET, after which the client could keep its connection, then the call. Returns the result of the call and how
-/// often it arrived.
+/// Sends a GET, so that a client that pools connections would have one open, then the call. Returns the result of the
+/// call and the number of times that it arrived.
 fn call(broken: Break, method: &str, path: &str) -> (Result<Value, ClientError>, usize) {
     let node = start_fake_node(broken);
     let client = ControlClient::new(vec![node.at.clone()], Duration::from_secs(5)).expect("made");
     client.call("GET", "/v1/status", None).expect("answered");
-    let done = client.call(method, path, None);
-    (done, node.requests.load(Ordering::SeqCst) - 1)
+    let result = client.call(method, path, None);
+    (result, node.requests.load(Ordering::SeqCst) - 1)
 }
 
-/// Every place at which the connection may break: in the request and in the response.
+/// Every place at which the connection may break, in the request and in the response.
 fn breaks() -> Vec<Break> {
-    let of_request = (0..80).map(Break::Request);
-    of_request
+    let request_breaks = (0..80).map(Break::Request);
+    request_breaks
         .chain((0..RESPONSE.len()).map(Break::Response))
         .collect()
 }
 
 #[test]
-fn a_call_that_must_not_be_repeated_arrives_once_wherever_its_connection_breaks() {
+fn a_non_repeatable_call_arrives_once_whatever_byte_its_connection_breaks_at() {
     for (number, broken) in breaks().into_iter().enumerate() {
-        let (done, arrived) = call(broken, "DELETE", "/v1/jobs/j");
+        let (result, arrived) = call(broken, "DELETE", "/v1/jobs/j");
         assert_eq!(arrived, 1, "break {number}: the request was sent again");
         assert!(
-            matches!(done, Err(ClientError::OutcomeUnknown { .. })),
-            "break {number}: {done:?}"
+            matches!(result, Err(ClientError::OutcomeUnknown { .. })),
+            "break {number}: {result:?}"
         );
     }
 }
@@ -131,20 +131,20 @@
         Break::Response(5),
         Break::Response(RESPONSE.len() - 1),
     ] {
-        let (done, arrived) = call(broken, "PUT", path);
-        assert_eq!(done.expect("answered"), json!({"done": 1}));
+        let (result, arrived) = call(broken, "PUT", path);
+        assert_eq!(result.expect("answered"), json!({"done": 1}));
         assert_eq!(arrived, 2);
     }
 }
 
 /// Starts a server that gives the same response to every request; returns its address.
-fn server_that_answers(answer: String) -> String {
+fn server_that_answers(response: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let at = listener.local_addr().expect("bound").to_string();
     std::thread::spawn(move || {
         for mut connection in listener.incoming().flatten() {
             read_head(&mut connection, usize::MAX);
-            connection.write_all(answer.as_bytes()).expect("written");
+            connection.write_all(response.as_bytes()).expect("written");
         }
     });
     at
@@ -160,8 +160,8 @@
 
 #[test]
 fn only_a_call_that_may_be_repeated_follows_a_redirect() {
-    let answering = server_that_answers(RESPONSE.into());
-    let redirecting = server_that_redirects(&answering);
+    let target = server_that_answers(RESPONSE.into());
+    let redirecting = server_that_redirects(&target);
     let client = ControlClient::new(vec![redirecting], Duration::from_secs(5)).expect("made");
     let read = client.call("GET", "/v1/desired", None);
     assert_eq!(read.expect("answered"), json!({"done": 1}));
@@ -193,8 +193,8 @@
 
 #[test]
 fn a_redirected_change_keeps_its_method_and_body() {
-    let answering = server_that_expects("{\"zones\":{}}");
-    let redirecting = server_that_redirects(&answering);
+    let target = server_that_expects("{\"zones\":{}}");
+    let redirecting = server_that_redirects(&target);
     let client = ControlClient::new(vec![redirecting], Duration::from_secs(1)).expect("made");
     let body = json!({"zones": {}});
     let change = client.call("PUT", "/v1/desired?base=1&change=c", Some(&body));
--- a/landingdrift/tests/control_thread.rs
+++ b/landingdrift/tests/control_thread.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A part that records the kinds of its inputs and exits at the request to stop.
+/// A part that records the kinds of its messages and exits when it is asked to stop.
 struct RecordingPart(Arc<Mutex<Vec<&'static str>>>);
 
 impl StateMachine for RecordingPart {
@@ -30,48 +30,52 @@
     }
 }
 
-/// Runs a control thread with these inputs; returns the kinds of the steps that its part made.
+/// Runs a control thread with these inputs; returns the kinds of the messages that its part was stepped with.
 fn run(tick: Duration, inputs: Vec<Input>) -> Vec<&'static str> {
     let traffic = Traffic::start().expect("starts");
-    let (tx, rx) = channel();
+    let (input_sender, input_receiver) = channel();
     let options = FrameOptions {
         cluster: "tests".into(),
         own_address: "127.0.0.1:0".into(),
         timeout: Duration::from_secs(1),
         max_frame_bytes: 1 << 20,
     };
-    let steps = Arc::new(Mutex::new(Vec::new()));
+    let kinds = Arc::new(Mutex::new(Vec::new()));
     let control = ControlThread {
-        part: Box::new(RecordingPart(steps.clone())),
+        part: Box::new(RecordingPart(kinds.clone())),
         clock: Clock::start(),
-        transport: traffic.listen(options, tx.clone()).expect("listens"),
+        transport: traffic
+            .listen(options, input_sender.clone())
+            .expect("listens"),
         disk: None,
         calls: PendingCalls::default(),
         tick,
         shutdown_timer: ShutdownTimer::default(),
     };
-    inputs.into_iter().for_each(|i| tx.send(i).expect("sent"));
-    control.run(&rx);
-    let steps = steps.lock().expect("free");
-    steps.clone()
+    inputs
+        .into_iter()
+        .for_each(|input| input_sender.send(input).expect("sent"));
+    control.run(&input_receiver);
+    let kinds = kinds.lock().expect("free");
+    kinds.clone()
 }
 
 #[test]
 fn a_busy_part_gets_one_tick_per_interval() {
     let calls = (0..1000).map(|n| Input::Call(Request::default(), n));
-    let steps = run(
+    let kinds = run(
         Duration::from_secs(3600),
         calls.chain([Input::Msg(Msg::Stop)]).collect(),
     );
-    let count = |kind| steps.iter().filter(|k| **k == kind).count();
+    let count = |kind| kinds.iter().filter(|k| **k == kind).count();
     assert_eq!((count("tick"), count("call"), count("stop")), (1, 1000, 1));
-    assert_eq!(steps.last(), Some(&"stop"));
+    assert_eq!(kinds.last(), Some(&"stop"));
 }
 
 #[test]
-fn nothing_is_stepped_after_the_end() {
+fn a_part_is_not_stepped_after_it_has_exited() {
     let stop = Input::Msg(Msg::Stop);
     let late = Input::Call(Request::default(), 1);
-    let steps = run(Duration::from_secs(3600), vec![stop, late]);
-    assert_eq!(steps, ["tick", "stop"]);
+    let kinds = run(Duration::from_secs(3600), vec![stop, late]);
+    assert_eq!(kinds, ["tick", "stop"]);
 }
--- a/landingdrift/tests/docs.rs
+++ b/landingdrift/tests/docs.rs
@@ -8,7 +8,8 @@
 
 /// The text of an operators' page.
 fn page(name: &str) -> String {
-    std::fs::read_to_string(format!("../docs/operators/{name}.md")).expect("the page is there")
+    std::fs::read_to_string(format!("../docs/operators/{name}.md"))
+        .expect("failed to read the page")
 }
 
 /// The code blocks of a page with the given info string.
@@ -21,35 +22,38 @@
 }
 
 #[test]
-fn the_page_lists_exactly_the_settings_with_their_defaults() {
-    let defaults = serde_json::to_value(Settings::default()).expect("settings are values");
+fn the_settings_page_lists_every_setting_with_its_default() {
+    let defaults =
+        serde_json::to_value(Settings::default()).expect("failed to serialize the settings");
     let mut expected: Vec<(String, String)> = Vec::new();
-    for (k, v) in defaults.as_object().expect("a table") {
-        let text = |v: &Value| {
-            v.as_str().map_or_else(
+    for (key, value) in defaults.as_object().expect("the settings are not a table") {
+        let text = |value: &Value| {
+            value.as_str().map_or_else(
                 || {
-                    if v.is_array() {
+                    if value.is_array() {
                         String::new()
                     } else {
-                        v.to_string()
+                        value.to_string()
                     }
                 },
                 str::to_string,
             )
         };
-        match v.as_object() {
-            Some(inner) => {
-                expected.extend(inner.iter().map(|(i, v)| (format!("{k}.{i}"), text(v))))
-            }
-            None => expected.push((k.clone(), text(v))),
+        match value.as_object() {
+            Some(table) => expected.extend(
+                table
+                    .iter()
+                    .map(|(field, value)| (format!("{key}.{field}"), text(value))),
+            ),
+            None => expected.push((key.clone(), text(value))),
         }
     }
     let text = page("settings");
     let mut listed: Vec<(String, String)> = text
         .lines()
-        .filter(|l| l.starts_with("| `"))
-        .map(|l| {
-            l.split('|')
+        .filter(|line| line.starts_with("| `"))
+        .map(|line| {
+            line.split('|')
                 .map(|cell| cell.trim().replace('`', ""))
                 .collect::<Vec<_>>()
         })
@@ -57,31 +61,32 @@
         .collect();
     listed
         .iter_mut()
-        .filter(|(n, _)| n == "founders")
-        .for_each(|(_, d)| d.clear());
+        .filter(|(name, _)| name == "founders")
+        .for_each(|(_, default)| default.clear());
     expected.sort();
     listed.sort();
     assert_eq!(expected, listed);
-    for e in examples(&text, "toml") {
-        toml::from_str::<Settings>(&e).expect("the example of a settings file is valid");
+    for example in examples(&text, "toml") {
+        toml::from_str::<Settings>(&example).expect("the example of a settings file is invalid");
     }
 }
 
 #[test]
-fn the_examples_are_valid() {
+fn the_examples_of_jobs_heartbeats_and_configurations_are_valid() {
     let jobs = examples(&page("api"), "json job");
     let heartbeats = examples(&page("workers"), "json beat");
     let configurations = examples(&page("configuration"), "json desired");
     assert!(!jobs.is_empty() && !heartbeats.is_empty() && !configurations.is_empty());
-    for j in jobs {
-        JobSpec::read(j.as_bytes())
-            .and_then(|s| s.check())
-            .unwrap_or_else(|e| panic!("{e}"));
+    for job in jobs {
+        JobSpec::read(job.as_bytes())
+            .and_then(|spec| spec.check())
+            .unwrap_or_else(|error| panic!("{error}"));
     }
-    for b in heartbeats {
-        serde_json::from_str::<Heartbeat>(&b).unwrap_or_else(|e| panic!("{e}"));
+    for heartbeat in heartbeats {
+        serde_json::from_str::<Heartbeat>(&heartbeat).unwrap_or_else(|error| panic!("{error}"));
     }
-    for c in configurations {
-        config::read(&serde_json::from_str(&c).expect("JSON")).unwrap_or_else(|e| panic!("{e}"));
+    for configuration in configurations {
+        config::read(&serde_json::from_str(&configuration).expect("JSON"))
+            .unwrap_or_else(|error| panic!("{error}"));
     }
 }
--- a/landingdrift/tests/opening_data_folder.rs
+++ b/landingdrift/tests/opening_data_folder.rs
@@ -1,5 +1,5 @@
 //! A replica whose data folder can't be opened. Guards against a process that exits instead of serving and retrying
-//! while the error may pass, and against retries when the folder belongs to something else.
+//! while the error is transient, and against retries on a folder that is not a landingdrift data folder.
 
 use landingdrift::daemon::{HttpAdapter, HttpLimits, Process};
 use landingdrift::settings::Settings;
@@ -10,7 +10,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A timeout that the test does not reach unless it fails.
+/// A timeout that is only reached if the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn free_address() -> SocketAddr {
@@ -34,14 +34,14 @@
     let _ = fs::remove_dir_all(&base);
     fs::create_dir_all(&base).expect("made");
     // A file in place of the parent folder, so that the data folder can't be created.
-    let disk = base.join("disk");
-    fs::write(&disk, "").expect("written");
+    let parent = base.join("disk");
+    fs::write(&parent, "").expect("written");
     let listen = free_address().to_string();
     let settings = Settings {
         seeds: vec![listen.clone()],
         listen,
         zone: "a".into(),
-        data: disk.join("data").to_string_lossy().into_owned(),
+        data: parent.join("data").to_string_lossy().into_owned(),
         ..Settings::default()
     };
     let mut process = Process::start("error").expect("starts");
@@ -63,7 +63,7 @@
     assert_eq!((get(at, "/live").0, get(at, "/ready").0), (200, 503));
     assert!(get(at, "/metrics").1.contains("landingdrift_disk_retries"));
     assert!(!running.is_finished());
-    fs::remove_file(&disk).expect("removed");
+    fs::remove_file(&parent).expect("removed");
     let since = Instant::now();
     while role(at) != "Leader" && since.elapsed() < TEST_TIMEOUT {
         sleep(Duration::from_millis(50));
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -20,16 +20,17 @@
 const GRACE_MS: u64 = 2400;
 /// The number of callers with persistent connections, and of callers without.
 const CALLERS: usize = 4;
-/// The least number of calls before a process is asked to stop.
+/// The minimum number of calls before a process is asked to stop.
 const MIN_CALLS: u64 = 100;
-/// The timeout for making these calls; long, as the machine may be busy.
+/// The timeout for making these calls. It is long because the machine may be busy.
 const CALLS_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A part that answers each call at the next tick and exits at once when it is asked to stop.
 #[derive(Default)]
 struct SlowPart {
     waiting: Vec<u64>,
-    exit_at_next_tick: Option<Arc<AtomicBool>>,
+    /// The part exits at the first tick at which the flag is set.
+    exit_flag: Option<Arc<AtomicBool>>,
 }
 
 impl StateMachine for SlowPart {
@@ -39,9 +40,9 @@
             Msg::Stop => return vec![Effect::Exit],
             Msg::Tick => {
                 let ends = self
-                    .exit_at_next_tick
+                    .exit_flag
                     .as_ref()
-                    .is_some_and(|e| e.load(Ordering::SeqCst));
+                    .is_some_and(|flag| flag.load(Ordering::SeqCst));
                 let answers = self.waiting.drain(..);
                 return answers
                     .map(|call| Effect::Respond(call, Response::new(200, call.into())))
@@ -61,13 +62,14 @@
 #[derive(Default)]
 struct Counts {
     /// Calls that the process received completely.
-    read: AtomicU64,
+    received: AtomicU64,
     /// Responses that the callers received completely.
     answered: AtomicU64,
     /// Responses with status 503.
-    refused: AtomicU64,
-    /// Calls without a complete response, and the time at which the first one was sent.
+    rejected: AtomicU64,
+    /// Calls without a complete response.
     unanswered: AtomicU64,
+    /// The time at which the first call without a complete response was sent.
     first_unanswered: Mutex<Option<Instant>>,
 }
 
@@ -91,7 +93,7 @@
 fn counting_adapter(counts: &Arc<Counts>) -> HttpAdapter {
     let counts = counts.clone();
     HttpAdapter::new(Arc::new(move |request: HttpRequest| {
-        counts.read.fetch_add(1, Ordering::SeqCst);
+        counts.received.fetch_add(1, Ordering::SeqCst);
         let req = Request {
             path: request.path,
             ..Request::default()
@@ -106,52 +108,52 @@
 }
 
 /// Reads a complete response; returns its status, and whether it closes the connection.
-fn read_response(r: &mut BufReader<TcpStream>) -> Option<(u16, bool)> {
+fn read_response(reader: &mut BufReader<TcpStream>) -> Option<(u16, bool)> {
     let (mut status, mut length, mut close) = (None, 0, false);
     loop {
         let mut line = String::new();
-        if r.read_line(&mut line).ok()? == 0 {
+        if reader.read_line(&mut line).ok()? == 0 {
             return None;
         }
         let line = line.trim().to_ascii_lowercase();
         if status.is_none() {
-            status = line.split(' ').nth(1).and_then(|s| s.parse().ok());
+            status = line.split(' ').nth(1).and_then(|text| text.parse().ok());
         }
-        if let Some(n) = line.strip_prefix("content-length: ") {
-            length = n.parse().ok()?;
+        if let Some(value) = line.strip_prefix("content-length: ") {
+            length = value.parse().ok()?;
         }
         close |= line == "connection: close";
         if line.is_empty() {
             break;
         }
     }
-    r.read_exact(&mut vec![0; length]).ok()?;
+    reader.read_exact(&mut vec![0; length]).ok()?;
     Some((status?, close))
 }
 
 /// Starts a caller, which makes calls until the address can't be reached. With `keep_alive` it reuses its connection.
 fn caller(at: SocketAddr, keep_alive: bool, counts: Arc<Counts>) -> JoinHandle<()> {
     spawn(move || {
-        let mut connection: Option<BufReader<TcpStream>> = None;
+        let mut kept: Option<BufReader<TcpStream>> = None;
         loop {
-            let mut c = match connection.take() {
-                Some(c) => c,
+            let mut connection = match kept.take() {
+                Some(connection) => connection,
                 None => match TcpStream::connect(at) {
-                    Ok(c) => BufReader::new(c),
+                    Ok(connection) => BufReader::new(connection),
                     Err(_) => return,
                 },
             };
             let sent_at = Instant::now();
-            let sent = c
+            let sent = connection
                 .get_mut()
                 .write_all(b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody");
-            match sent.ok().and_then(|()| read_response(&mut c)) {
+            match sent.ok().and_then(|()| read_response(&mut connection)) {
                 Some((status, close)) => {
                     counts.answered.fetch_add(1, Ordering::SeqCst);
                     counts
-                        .refused
+                        .rejected
                         .fetch_add(u64::from(status == 503), Ordering::SeqCst);
-                    connection = (keep_alive && !close).then_some(c);
+                    kept = (keep_alive && !close).then_some(connection);
                 }
                 None => {
                     counts.unanswered.fetch_add(1, Ordering::SeqCst);
@@ -172,7 +174,7 @@
     result: Result<(), String>,
 }
 
-/// Runs a process with two parts and several callers, and ends it: by a signal, or by the exit of a part.
+/// Runs a process with two parts and several callers, and ends it: by a signal or by the exit of a part.
 fn run(part_exits: bool) -> RunOutcome {
     let (counts, ends) = (
         Arc::new(Counts::default()),
@@ -183,7 +185,7 @@
         .start_part(Box::new(SlowPart::default()), &settings())
         .expect("starts");
     let other = SlowPart {
-        exit_at_next_tick: part_exits.then(|| ends.clone()),
+        exit_flag: part_exits.then(|| ends.clone()),
         ..SlowPart::default()
     };
     process
@@ -218,11 +220,11 @@
     }
     sleep(Duration::from_millis(100));
     signal_hook::low_level::raise(SIGHUP).expect("raised");
-    let result = running.join().expect("no panic");
+    let result = running.join().expect("the process panicked");
     let took = stop_requested_at.elapsed();
     callers
         .into_iter()
-        .for_each(|c| c.join().expect("no panic"));
+        .for_each(|caller| caller.join().expect("a caller panicked"));
     RunOutcome {
         counts,
         took,
@@ -234,7 +236,7 @@
 /// Waits until more than `min_calls` calls were received. How long that takes depends on the load of the machine.
 fn wait_for_calls(counts: &Counts, min_calls: u64) {
     let since = Instant::now();
-    while counts.read.load(Ordering::SeqCst) <= min_calls {
+    while counts.received.load(Ordering::SeqCst) <= min_calls {
         assert!(
             since.elapsed() < CALLS_TIMEOUT,
             "fewer than {min_calls} calls were made within {CALLS_TIMEOUT:?}"
@@ -244,20 +246,23 @@
     sleep(Duration::from_millis(300));
 }
 
-/// Asserts that every received call was answered, and that the shutdown took neither too short nor too long.
+/// Asserts that every received call was answered, and that the shutdown was neither too short nor too long.
 fn assert_graceful(outcome: &RunOutcome) {
     let load = |n: &AtomicU64| n.load(Ordering::SeqCst);
-    let (read, answered) = (load(&outcome.counts.read), load(&outcome.counts.answered));
+    let (received, answered) = (
+        load(&outcome.counts.received),
+        load(&outcome.counts.answered),
+    );
     let first_unanswered = outcome.counts.first_unanswered.lock().expect("free");
     let first_unanswered = first_unanswered.map(|at| at.duration_since(outcome.stop_requested_at));
     eprintln!(
-        "received {read}, answered {answered}, rejected {}, unanswered {}, first of these after {first_unanswered:?}, shutdown took {:?}",
-        load(&outcome.counts.refused),
+        "received {received}, answered {answered}, rejected {}, unanswered {}, first of these after {first_unanswered:?}, shutdown took {:?}",
+        load(&outcome.counts.rejected),
         load(&outcome.counts.unanswered),
         outcome.took
     );
-    assert!(read > MIN_CALLS, "{read} calls were received");
-    assert_eq!(read, answered, "complete calls and complete responses");
+    assert!(received > MIN_CALLS, "{received} calls were received");
+    assert_eq!(received, answered, "complete calls and complete responses");
     let bounds = settings().bounds;
     let serving_time = Duration::from_millis(bounds.serving_time_after_stop());
     assert!(
@@ -282,7 +287,7 @@
 }
 
 #[test]
-fn a_part_that_ends_by_itself_cuts_nothing_either() {
+fn every_received_call_is_answered_when_a_part_exits_by_itself() {
     let _one = ONE_AT_A_TIME.lock();
     let outcome = run(true);
     assert_graceful(&outcome);
@@ -295,7 +300,7 @@
     let (counts, ends) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(true)));
     let mut process = Process::start("error").expect("starts");
     let part = SlowPart {
-        exit_at_next_tick: Some(ends),
+        exit_flag: Some(ends),
         ..SlowPart::default()
     };
     let handle = process
@@ -312,10 +317,11 @@
         .expect("serves");
     sleep(Duration::from_millis(200));
     let since = Instant::now();
-    let mut c = TcpStream::connect(at).expect("connects");
-    c.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+    let mut connection = TcpStream::connect(at).expect("connects");
+    connection
+        .write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         .expect("written");
-    let response = read_response(&mut BufReader::new(c));
+    let response = read_response(&mut BufReader::new(connection));
     assert_eq!(response.map(|(status, _)| status), Some(503));
     assert!(
         since.elapsed() < Duration::from_secs(5),
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -1,5 +1,5 @@
 //! Frames between processes, all carried by one traffic thread. Guards against lost, repeated or reordered frames, and
-//! against one bad peer that affects the others.
+//! against a stalled or faulty peer that affects others.
 
 mod traffic_common;
 
@@ -26,9 +26,11 @@
 }
 
 fn listen(traffic: &Traffic) -> (Transport, Receiver<Input>) {
-    let (tx, rx) = channel();
-    let transport = traffic.listen(options("127.0.0.1:0"), tx).expect("listens");
-    (transport, rx)
+    let (input_sender, input_receiver) = channel();
+    let transport = traffic
+        .listen(options("127.0.0.1:0"), input_sender)
+        .expect("listens");
+    (transport, input_receiver)
 }
 
 fn token(number: u64) -> RequestToken {
@@ -38,13 +40,13 @@
     }
 }
 
-/// A small frame.
+/// The body of a small message.
 fn read_index_request(number: u64) -> Body {
     let token = token(number);
     Body::ReadIndexRequest(Box::new(ReadIndexRequest { token }))
 }
 
-/// A frame with a body of the given size.
+/// The body of a message of about the given size.
 fn forward_response(number: u64, bytes: usize) -> Body {
     Body::ForwardResponse(Box::new(ForwardResponse {
         token: token(number),
@@ -57,202 +59,237 @@
 }
 
 /// Waits for the next frame; returns its sender and body.
-fn next(rx: &Receiver<Input>) -> (String, Body) {
-    match rx.recv_timeout(TEST_TIMEOUT) {
+fn next(input_receiver: &Receiver<Input>) -> (String, Body) {
+    match input_receiver.recv_timeout(TEST_TIMEOUT) {
         Ok(Input::Msg(Msg::Received(from, body))) => (from, body),
         _ => panic!("no frame was received"),
     }
 }
 
-fn framed(bytes: &[u8]) -> Vec<u8> {
+fn with_length_prefix(bytes: &[u8]) -> Vec<u8> {
     let mut out = (bytes.len() as u32).to_le_bytes().to_vec();
     out.extend(bytes);
     out
 }
 
 /// Whether the peer closes the connection without sending anything.
-fn is_closed(mut c: TcpStream) -> bool {
-    c.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
-    c.read(&mut [0; 8])
-        .map_or_else(|e| e.kind() == ErrorKind::ConnectionReset, |n| n == 0)
+fn is_closed(mut connection: TcpStream) -> bool {
+    connection
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("set");
+    connection.read(&mut [0; 8]).map_or_else(
+        |error| error.kind() == ErrorKind::ConnectionReset,
+        |bytes| bytes == 0,
+    )
 }
 
 #[test]
 fn two_processes_exchange_frames() {
-    let (one, two) = (
+    let (traffic_a, traffic_b) = (
         Traffic::start().expect("starts"),
         Traffic::start().expect("starts"),
     );
-    let ((mut a, at_a), (mut b, at_b)) = (listen(&one), listen(&two));
-    a.send(b.own_address(), &read_index_request(1));
+    let ((mut transport_a, inputs_a), (mut transport_b, inputs_b)) =
+        (listen(&traffic_a), listen(&traffic_b));
+    transport_a.send(transport_b.own_address(), &read_index_request(1));
     assert_eq!(
-        next(&at_b),
-        (a.own_address().to_string(), read_index_request(1))
+        next(&inputs_b),
+        (transport_a.own_address().to_string(), read_index_request(1))
     );
-    b.send(a.own_address(), &read_index_request(2));
+    transport_b.send(transport_a.own_address(), &read_index_request(2));
     assert_eq!(
-        next(&at_a),
-        (b.own_address().to_string(), read_index_request(2))
+        next(&inputs_a),
+        (transport_b.own_address().to_string(), read_index_request(2))
     );
 }
 
 #[test]
-fn parts_in_one_process_share_the_thread_and_keep_their_addresses() {
+fn parts_of_one_process_share_a_traffic_thread_and_use_separate_addresses() {
     let traffic = Traffic::start().expect("starts");
-    let ((mut replica, at_core), (mut node, at_node)) = (listen(&traffic), listen(&traffic));
-    let (c, n) = (
+    let ((mut replica, replica_inputs), (mut node, node_inputs)) =
+        (listen(&traffic), listen(&traffic));
+    let (replica_address, node_address) = (
         replica.own_address().to_string(),
         node.own_address().to_string(),
     );
-    node.send(&c, &read_index_request(1));
-    replica.send(&n, &read_index_request(2));
-    node.send(&n, &read_index_request(3));
-    assert_eq!(next(&at_core), (n.clone(), read_index_request(1)));
-    let mut got = [next(&at_node), next(&at_node)];
-    got.sort_by_key(|(from, _)| *from == n);
+    node.send(&replica_address, &read_index_request(1));
+    replica.send(&node_address, &read_index_request(2));
+    node.send(&node_address, &read_index_request(3));
     assert_eq!(
-        got,
-        [(c, read_index_request(2)), (n, read_index_request(3))]
+        next(&replica_inputs),
+        (node_address.clone(), read_index_request(1))
+    );
+    let mut received = [next(&node_inputs), next(&node_inputs)];
+    received.sort_by_key(|(from, _)| *from == node_address);
+    assert_eq!(
+        received,
+        [
+            (replica_address, read_index_request(2)),
+            (node_address, read_index_request(3))
+        ]
     );
 }
 
 #[test]
 fn frames_of_any_size_keep_their_order() {
     let traffic = Traffic::start().expect("starts");
-    let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
+    let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
+        (listen(&traffic), listen(&traffic));
     let sizes = [0, 10, 900_000, 20, 16 << 10, 40_000, 1];
     for (i, bytes) in sizes.into_iter().enumerate() {
-        a.send(b.own_address(), &forward_response(i as u64, bytes));
+        transport_a.send(
+            transport_b.own_address(),
+            &forward_response(i as u64, bytes),
+        );
     }
     for (i, bytes) in sizes.into_iter().enumerate() {
-        assert_eq!(next(&at_b).1, forward_response(i as u64, bytes));
+        assert_eq!(next(&inputs_b).1, forward_response(i as u64, bytes));
     }
-    assert_eq!(a.dropped, 0);
+    assert_eq!(transport_a.dropped, 0);
 }
 
 #[test]
 fn a_stalled_receiver_does_not_delay_others() {
     let traffic = Traffic::start().expect("starts");
-    let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
+    let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
+        (listen(&traffic), listen(&traffic));
     let stalled = TcpListener::bind("127.0.0.1:0").expect("bound");
     let stalled_at = stalled.local_addr().expect("an address").to_string();
     let queued = (0..50_000)
         .take_while(|i| {
-            a.send(&stalled_at, &forward_response(*i, 8 << 10));
-            a.dropped == 0
+            transport_a.send(&stalled_at, &forward_response(*i, 8 << 10));
+            transport_a.dropped == 0
         })
         .count();
     assert!(queued < 50_000, "the queue is bounded");
-    a.send(b.own_address(), &read_index_request(1));
-    assert_eq!(next(&at_b).1, read_index_request(1));
+    transport_a.send(transport_b.own_address(), &read_index_request(1));
+    assert_eq!(next(&inputs_b).1, read_index_request(1));
 }
 
 #[test]
 fn the_queue_for_one_receiver_is_bounded_in_bytes() {
     const MAX_QUEUED_BYTES: usize = 4 << 20;
     let traffic = Traffic::start().expect("starts");
-    let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
+    let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
+        (listen(&traffic), listen(&traffic));
     let stalled = TcpListener::bind("127.0.0.1:0").expect("bound");
     let stalled_at = stalled.local_addr().expect("an address").to_string();
     for i in 0..200 {
-        a.send(&stalled_at, &forward_response(i, 500_000));
+        transport_a.send(&stalled_at, &forward_response(i, 500_000));
         assert!(
-            a.queued_bytes() <= MAX_QUEUED_BYTES,
+            transport_a.queued_bytes() <= MAX_QUEUED_BYTES,
             "{} bytes",
-            a.queued_bytes()
+            transport_a.queued_bytes()
         );
     }
-    assert!(a.dropped > 0);
-    a.send(b.own_address(), &read_index_request(1));
-    assert_eq!(next(&at_b).1, read_index_request(1));
+    assert!(transport_a.dropped > 0);
+    transport_a.send(transport_b.own_address(), &read_index_request(1));
+    assert_eq!(next(&inputs_b).1, read_index_request(1));
 }
 
 #[test]
 fn a_frame_that_is_too_long_closes_only_its_connection() {
     let traffic = Traffic::start().expect("starts");
-    let ((mut a, _at_a), (b, at_b)) = (listen(&traffic), listen(&traffic));
-    let mut c = TcpStream::connect(b.own_address()).expect("connects");
-    c.write_all(&(MAX_FRAME_BYTES + 1).to_le_bytes())
+    let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
+        (listen(&traffic), listen(&traffic));
+    let mut connection = TcpStream::connect(transport_b.own_address()).expect("connects");
+    connection
+        .write_all(&(MAX_FRAME_BYTES + 1).to_le_bytes())
         .expect("written");
-    assert!(is_closed(c));
-    a.send(b.own_address(), &read_index_request(1));
-    assert_eq!(next(&at_b).1, read_index_request(1));
-    a.send(
-        b.own_address(),
+    assert!(is_closed(connection));
+    transport_a.send(transport_b.own_address(), &read_index_request(1));
+    assert_eq!(next(&inputs_b).1, read_index_request(1));
+    transport_a.send(
+        transport_b.own_address(),
         &forward_response(2, MAX_FRAME_BYTES as usize + 1),
     );
-    assert_eq!(a.dropped, 1, "a frame that is too long is not sent either");
+    assert_eq!(
+        transport_a.dropped, 1,
+        "a frame that is too long is not sent either"
+    );
 }
 
 #[test]
 fn invalid_frames_and_frames_of_other_clusters_are_skipped() {
     let traffic = Traffic::start().expect("starts");
-    let (b, at_b) = listen(&traffic);
-    let mut c = TcpStream::connect(b.own_address()).expect("connects");
+    let (transport_b, inputs_b) = listen(&traffic);
+    let mut connection = TcpStream::connect(transport_b.own_address()).expect("connects");
     for bytes in [
         vec![1, 2, 3],
         pack("others", "127.0.0.1:1", &read_index_request(1)),
         pack("tests", "127.0.0.1:1", &read_index_request(2)),
     ] {
-        c.write_all(&framed(&bytes)).expect("written");
+        connection
+            .write_all(&with_length_prefix(&bytes))
+            .expect("written");
     }
-    assert_eq!(next(&at_b), ("127.0.0.1:1".into(), read_index_request(2)));
+    assert_eq!(
+        next(&inputs_b),
+        ("127.0.0.1:1".into(), read_index_request(2))
+    );
 }
 
 #[test]
 fn a_restarted_receiver_gets_frames_again() {
     let traffic = Traffic::start().expect("starts");
-    let (mut a, _at_a) = listen(&traffic);
+    let (mut transport_a, _inputs_a) = listen(&traffic);
     let first = Traffic::start().expect("starts");
-    let (b, at_b) = listen(&first);
-    let me = b.own_address().to_string();
-    a.send(&me, &read_index_request(1));
-    assert_eq!(next(&at_b).1, read_index_request(1));
-    drop((b, first));
+    let (transport_b, inputs_b) = listen(&first);
+    let receiver_address = transport_b.own_address().to_string();
+    transport_a.send(&receiver_address, &read_index_request(1));
+    assert_eq!(next(&inputs_b).1, read_index_request(1));
+    drop((transport_b, first));
     let second = Traffic::start().expect("starts");
-    let (tx, rx) = channel();
-    let _b = second
-        .listen(options(&me), tx)
+    let (input_sender, input_receiver) = channel();
+    let _transport_b = second
+        .listen(options(&receiver_address), input_sender)
         .expect("the address is free");
     let received = (2..200).any(|i| {
-        a.send(&me, &read_index_request(i));
-        rx.recv_timeout(Duration::from_millis(100)).is_ok()
+        transport_a.send(&receiver_address, &read_index_request(i));
+        input_receiver
+            .recv_timeout(Duration::from_millis(100))
+            .is_ok()
     });
     assert!(received);
 }
 
 /// Accepts a connection, reads the given number of bytes, then resets it.
 fn read_and_reset(listener: &TcpListener, bytes: usize) {
-    let (mut c, _) = listener.accept().expect("a connection");
-    c.read_exact(&mut vec![0; bytes]).expect("read");
+    let (mut connection, _) = listener.accept().expect("a connection");
+    connection.read_exact(&mut vec![0; bytes]).expect("read");
     let linger = Some(Duration::ZERO);
-    socket2::SockRef::from(&c).set_linger(linger).expect("set");
+    socket2::SockRef::from(&connection)
+        .set_linger(linger)
+        .expect("set");
 }
 
 #[test]
-fn a_frame_is_not_sent_again_wherever_its_connection_is_reset() {
+fn a_frame_is_not_sent_again_after_any_number_of_bytes_before_a_reset() {
     let traffic = Traffic::start().expect("starts");
-    let whole = framed(&pack("tests", "127.0.0.1:65535", &read_index_request(1))).len();
-    for bytes in 0..whole {
-        let (mut a, _at_a) = listen(&traffic);
+    let frame_bytes =
+        with_length_prefix(&pack("tests", "127.0.0.1:65535", &read_index_request(1))).len();
+    for bytes in 0..frame_bytes {
+        let (mut transport_a, _inputs_a) = listen(&traffic);
         let peer = TcpListener::bind("127.0.0.1:0").expect("bound");
         let peer_at = peer.local_addr().expect("an address").to_string();
-        a.send(&peer_at, &read_index_request(1));
+        transport_a.send(&peer_at, &read_index_request(1));
         read_and_reset(&peer, bytes);
-        // The next frame may be lost with the connection or arrive on a new one. The first must not arrive again.
+        // Later frames may be lost with the connection. The first one must not arrive on the new connection.
         peer.set_nonblocking(true).expect("set");
         let reconnected = (0..200).find_map(|_| {
-            a.send(&peer_at, &read_index_request(2));
+            transport_a.send(&peer_at, &read_index_request(2));
             std::thread::sleep(Duration::from_millis(2));
             peer.accept().ok()
         });
-        let (mut c, _) = reconnected.expect("a new connection");
-        c.set_nonblocking(false).expect("set");
-        c.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
+        let (mut connection, _) = reconnected.expect("a new connection");
+        connection.set_nonblocking(false).expect("set");
+        connection
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("set");
         let mut len = [0; 4];
-        c.read_exact(&mut len).expect("read");
+        connection.read_exact(&mut len).expect("read");
         let mut body = vec![0; u32::from_le_bytes(len) as usize];
-        c.read_exact(&mut body).expect("read");
+        connection.read_exact(&mut body).expect("read");
         let body = unpack("tests", &body).expect("a frame").body;
         assert_eq!(body, read_index_request(2), "after {bytes} bytes");
     }
@@ -261,21 +298,21 @@
 #[test]
 fn an_error_about_an_address_in_use_names_the_flag_to_change() {
     let traffic = Traffic::start().expect("starts");
-    let (a, _at_a) = listen(&traffic);
-    let (tx, _rx) = channel();
+    let (transport_a, _inputs_a) = listen(&traffic);
+    let (input_sender, _input_receiver) = channel();
     let error = traffic
-        .listen(options(a.own_address()), tx.clone())
+        .listen(options(transport_a.own_address()), input_sender.clone())
         .map(|_| ())
         .expect_err("in use");
     assert!(error.to_string().contains("--listen"), "{error}");
-    let in_use = a.own_address().parse().expect("an address");
+    let in_use = transport_a.own_address().parse().expect("an address");
     let error = traffic
         .serve_http(
             in_use,
             limits(),
             HttpAdapter::default(),
             PendingCalls::default(),
-            tx,
+            input_sender,
         )
         .expect_err("in use");
     assert!(error.to_string().contains("--http"), "{error}");
--- a/landingdrift/tests/traffic_common/mod.rs
+++ b/landingdrift/tests/traffic_common/mod.rs
@@ -1,9 +1,9 @@
-//! Shared by the tests of the traffic thread's frames and HTTP.
+//! Helpers for the tests of the traffic thread.
 
 use landingdrift::daemon::HttpLimits;
 use std::time::Duration;
 
-/// A timeout that no test reaches unless it fails.
+/// A timeout that is only reached if a test fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// HTTP limits for small requests and few concurrent calls.
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -1,5 +1,5 @@
-//! HTTP on the traffic thread. Guards against requests that reach the wrong part, and limits and failures that are not
-//! answered in the API's form.
+//! HTTP on the traffic thread. Guards against requests that reach the wrong part, and against limit violations and
+//! failures without an error response of the API.
 
 mod traffic_common;
 
@@ -23,11 +23,11 @@
 }
 
 fn serve(traffic: &Traffic, limits: HttpLimits, http_adapter: HttpAdapter) -> Server {
-    let (tx, inputs) = channel();
+    let (input_sender, inputs) = channel();
     let calls = PendingCalls::default();
     let any = "127.0.0.1:0".parse().expect("an address");
     let at = traffic
-        .serve_http(any, limits, http_adapter, calls.clone(), tx)
+        .serve_http(any, limits, http_adapter, calls.clone(), input_sender)
         .expect("serves");
     Server { at, calls, inputs }
 }
@@ -36,13 +36,14 @@
     /// Waits for the next call; returns the request and the call's number.
     fn next(&self) -> (Request, u64) {
         match self.inputs.recv_timeout(TEST_TIMEOUT) {
-            Ok(Input::Call(req, call)) => (req, call),
+            Ok(Input::Call(request, call)) => (request, call),
             _ => panic!("no call was received"),
         }
     }
 }
 
-/// Sends a request from another thread, which returns the status, the value of the `X-Answers` header and the body.
+/// Sends a request on a new thread. The thread returns the status, the value of the `X-Test-Response` header and the
+/// body.
 fn call(
     at: SocketAddr,
     path: &str,
@@ -52,14 +53,14 @@
     std::thread::spawn(move || {
         let response = reqwest::blocking::Client::new()
             .post(url)
-            .header("X-Asks", "tests")
+            .header("X-Test-Request", "tests")
             .body(body)
             .send()
             .expect("answered");
         let header = response
             .headers()
-            .get("X-Answers")
-            .and_then(|h| h.to_str().ok())
+            .get("X-Test-Response")
+            .and_then(|value| value.to_str().ok())
             .map(str::to_string);
         (
             response.status().as_u16(),
@@ -72,53 +73,56 @@
 #[test]
 fn two_addresses_have_separate_adapters_and_parts() {
     let traffic = Traffic::start().expect("starts");
-    let own = serve(&traffic, limits(), HttpAdapter::default());
-    let other = serve(
+    let default_server = serve(&traffic, limits(), HttpAdapter::default());
+    let custom_server = serve(
         &traffic,
         limits(),
         HttpAdapter::new(Arc::new(|request: HttpRequest| {
             let header = request
                 .headers
                 .iter()
-                .find(|(k, _)| k == "x-asks" || k == "X-Asks");
-            let path = header.map_or(String::new(), |(_, v)| v.clone());
-            let req = Request {
+                .find(|(name, _)| name == "x-test-request" || name == "X-Test-Request");
+            let path = header.map_or(String::new(), |(_, value)| value.clone());
+            let request = Request {
                 path,
                 ..Request::default()
             };
             AdapterResult::Call(
-                req,
-                Box::new(|v| HttpResponse {
-                    status: v.status + 1,
-                    headers: vec![("X-Answers".into(), "other".into())],
+                request,
+                Box::new(|response| HttpResponse {
+                    status: response.status + 1,
+                    headers: vec![("X-Test-Response".into(), "other".into())],
                     body: b"other".to_vec(),
                 }),
             )
         })),
     );
-    let (to_own, to_other) = (
-        call(own.at, "/a%20b?c=d", b"body".to_vec()),
-        call(other.at, "/x", Vec::new()),
+    let (default_call, custom_call) = (
+        call(default_server.at, "/a%20b?c=d", b"body".to_vec()),
+        call(custom_server.at, "/x", Vec::new()),
     );
-    let (req, n) = own.next();
+    let (request, number) = default_server.next();
     let expected = Request {
         method: "POST".into(),
         path: "/a b".into(),
         query: "c=d".into(),
         body: b"body".to_vec(),
     };
-    assert_eq!(req, expected);
-    own.calls
-        .answer(n, Response::new(200, json!({"own": true})));
-    let (req, n) = other.next();
-    assert_eq!(req.path, "tests");
-    other.calls.answer(n, Response::new(200, json!(null)));
+    assert_eq!(request, expected);
+    default_server
+        .calls
+        .answer(number, Response::new(200, json!({"own": true})));
+    let (request, number) = custom_server.next();
+    assert_eq!(request.path, "tests");
+    custom_server
+        .calls
+        .answer(number, Response::new(200, json!(null)));
     assert_eq!(
-        to_own.join().expect("called"),
+        default_call.join().expect("called"),
         (200, None, "{\"own\":true}\n".into())
     );
     assert_eq!(
-        to_other.join().expect("called"),
+        custom_call.join().expect("called"),
         (201, Some("other".into()), "other".into())
     );
 }
@@ -126,23 +130,25 @@
 #[test]
 fn calls_beyond_the_limit_are_rejected_with_a_retry_time() {
     let traffic = Traffic::start().expect("starts");
-    let one = HttpLimits {
+    let one_call_limit = HttpLimits {
         calls: 1,
         ..limits()
     };
-    let server = serve(&traffic, one, HttpAdapter::default());
+    let server = serve(&traffic, one_call_limit, HttpAdapter::default());
     let first = call(server.at, "/first", Vec::new());
-    let (_, n) = server.next();
+    let (_, number) = server.next();
     let (status, _, text) = call(server.at, "/second", Vec::new())
         .join()
         .expect("called");
     assert!(status == 503 && text.contains("retryMs"), "{status} {text}");
-    server.calls.answer(n, Response::new(200, json!("done")));
+    server
+        .calls
+        .answer(number, Response::new(200, json!("done")));
     assert_eq!(first.join().expect("called"), (200, None, "done".into()));
 }
 
 #[test]
-fn bodies_that_are_too_long_and_invalid_requests_get_errors_of_the_api() {
+fn oversized_bodies_and_invalid_requests_get_api_errors() {
     let traffic = Traffic::start().expect("starts");
     let server = serve(&traffic, limits(), HttpAdapter::default());
     let (status, _, text) = call(server.at, "/", vec![b'x'; 1001])
@@ -152,11 +158,12 @@
         status == 413 && text.contains("tooLarge"),
         "{status} {text}"
     );
-    let mut c = TcpStream::connect(server.at).expect("connects");
-    c.write_all(b"TRACE / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+    let mut connection = TcpStream::connect(server.at).expect("connects");
+    connection
+        .write_all(b"TRACE / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         .expect("written");
     let mut text = String::new();
-    c.read_to_string(&mut text).expect("read");
+    connection.read_to_string(&mut text).expect("read");
     assert!(text.contains("wrongRequest"), "{text}");
 }
 
