--- a/landingdrift/tests/control_client.rs
+++ b/landingdrift/tests/control_client.rs
@@ -32,7 +32,7 @@
     let linger = Some(Duration::ZERO);
     socket2::SockRef::from(connection)
         .set_linger(linger)
-        .expect("set");
+        .expect("failed to set the socket option");
 }
 
 /// Reads up to `max_bytes`, or to the end of the request's head; empty at the end of the connection.
@@ -59,7 +59,7 @@
         };
         // Waits for the first byte: a reset before it would count as a failure to connect, after which any request may
         // be sent to another node.
-        connection.peek(&mut [0]).expect("a request begins");
+        connection.peek(&mut [0]).expect("no request began");
         head.extend(read_head(
             &mut connection,
             max_bytes.saturating_sub(head.len()),
@@ -70,7 +70,9 @@
                 let _ = connection.write_all(&RESPONSE.as_bytes()[..bytes]);
                 return reset(&connection);
             }
-            _ => connection.write_all(RESPONSE.as_bytes()).expect("written"),
+            _ => connection
+                .write_all(RESPONSE.as_bytes())
+                .expect("failed to write"),
         }
         head = read_head(&mut connection, 1);
         if head.is_empty() {
@@ -80,8 +82,11 @@
 }
 
 fn start_fake_node(broken: Break) -> FakeNode {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let at = listener.local_addr().expect("bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    let at = listener
+        .local_addr()
+        .expect("failed to get the address")
+        .to_string();
     let requests = Arc::new(AtomicUsize::new(0));
     let request_count = requests.clone();
     std::thread::spawn(move || {
@@ -97,8 +102,11 @@
 /// call and the number of times that it arrived.
 fn call(broken: Break, method: &str, path: &str) -> (Result<Value, ClientError>, usize) {
     let node = start_fake_node(broken);
-    let client = ControlClient::new(vec![node.at.clone()], Duration::from_secs(5)).expect("made");
-    client.call("GET", "/v1/status", None).expect("answered");
+    let client = ControlClient::new(vec![node.at.clone()], Duration::from_secs(5))
+        .expect("failed to create");
+    client
+        .call("GET", "/v1/status", None)
+        .expect("the call failed");
     let result = client.call(method, path, None);
     (result, node.requests.load(Ordering::SeqCst) - 1)
 }
@@ -132,19 +140,24 @@
         Break::Response(RESPONSE.len() - 1),
     ] {
         let (result, arrived) = call(broken, "PUT", path);
-        assert_eq!(result.expect("answered"), json!({"done": 1}));
+        assert_eq!(result.expect("the call failed"), json!({"done": 1}));
         assert_eq!(arrived, 2);
     }
 }
 
 /// Starts a server that gives the same response to every request; returns its address.
 fn server_that_answers(response: String) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let at = listener.local_addr().expect("bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    let at = listener
+        .local_addr()
+        .expect("failed to get the address")
+        .to_string();
     std::thread::spawn(move || {
         for mut connection in listener.incoming().flatten() {
             read_head(&mut connection, usize::MAX);
-            connection.write_all(response.as_bytes()).expect("written");
+            connection
+                .write_all(response.as_bytes())
+                .expect("failed to write");
         }
     });
     at
@@ -162,11 +175,12 @@
 fn only_a_call_that_may_be_repeated_follows_a_redirect() {
     let target = server_that_answers(RESPONSE.into());
     let redirecting = server_that_redirects(&target);
-    let client = ControlClient::new(vec![redirecting], Duration::from_secs(5)).expect("made");
+    let client =
+        ControlClient::new(vec![redirecting], Duration::from_secs(5)).expect("failed to create");
     let read = client.call("GET", "/v1/desired", None);
-    assert_eq!(read.expect("answered"), json!({"done": 1}));
+    assert_eq!(read.expect("the call failed"), json!({"done": 1}));
     let change = client.call("PUT", "/v1/desired?base=1&change=c", None);
-    assert_eq!(change.expect("answered"), json!({"done": 1}));
+    assert_eq!(change.expect("the call failed"), json!({"done": 1}));
     for (method, path) in [("DELETE", "/v1/jobs/j"), ("PUT", "/v1/desired?base=1")] {
         let result = client.call(method, path, None);
         let is_rejected = matches!(result, Err(ClientError::Rejected { status: 307, .. }));
@@ -176,16 +190,23 @@
 
 /// Starts a server that answers one PUT request if it has this body; returns its address.
 fn server_that_expects(body: &'static str) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let at = listener.local_addr().expect("bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    let at = listener
+        .local_addr()
+        .expect("failed to get the address")
+        .to_string();
     std::thread::spawn(move || {
-        let (mut connection, _) = listener.accept().expect("a connection");
+        let (mut connection, _) = listener.accept().expect("failed to accept a connection");
         let head = read_head(&mut connection, usize::MAX);
         assert!(head.starts_with(b"PUT "), "{head:?}");
         let mut received = vec![0; body.len()];
-        connection.read_exact(&mut received).expect("a body");
+        connection
+            .read_exact(&mut received)
+            .expect("failed to read the body");
         if received == body.as_bytes() {
-            connection.write_all(RESPONSE.as_bytes()).expect("written");
+            connection
+                .write_all(RESPONSE.as_bytes())
+                .expect("failed to write");
         }
     });
     at
@@ -195,8 +216,9 @@
 fn a_redirected_change_keeps_its_method_and_body() {
     let target = server_that_expects("{\"zones\":{}}");
     let redirecting = server_that_redirects(&target);
-    let client = ControlClient::new(vec![redirecting], Duration::from_secs(1)).expect("made");
+    let client =
+        ControlClient::new(vec![redirecting], Duration::from_secs(1)).expect("failed to create");
     let body = json!({"zones": {}});
     let change = client.call("PUT", "/v1/desired?base=1&change=c", Some(&body));
-    assert_eq!(change.expect("answered"), json!({"done": 1}));
+    assert_eq!(change.expect("the call failed"), json!({"done": 1}));
 }
--- a/landingdrift/tests/control_thread.rs
+++ b/landingdrift/tests/control_thread.rs
@@ -22,7 +22,7 @@
             Msg::Stop => ("stop", vec![Effect::Exit]),
             _ => ("other", Vec::new()),
         };
-        self.0.lock().expect("free").push(kind);
+        self.0.lock().expect("the lock is poisoned").push(kind);
         effects
     }
     fn counters(&self) -> Vec<(String, u64)> {
@@ -32,7 +32,7 @@
 
 /// Runs a control thread with these inputs; returns the kinds of the messages that its part was stepped with.
 fn run(tick: Duration, inputs: Vec<Input>) -> Vec<&'static str> {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let (input_sender, input_receiver) = channel();
     let options = FrameOptions {
         cluster: "tests".into(),
@@ -46,7 +46,7 @@
         clock: Clock::start(),
         transport: traffic
             .listen(options, input_sender.clone())
-            .expect("listens"),
+            .expect("failed to listen"),
         disk: None,
         calls: PendingCalls::default(),
         tick,
@@ -54,9 +54,9 @@
     };
     inputs
         .into_iter()
-        .for_each(|input| input_sender.send(input).expect("sent"));
+        .for_each(|input| input_sender.send(input).expect("failed to send"));
     control.run(&input_receiver);
-    let kinds = kinds.lock().expect("free");
+    let kinds = kinds.lock().expect("the lock is poisoned");
     kinds.clone()
 }
 
--- a/landingdrift/tests/docs.rs
+++ b/landingdrift/tests/docs.rs
@@ -86,7 +86,7 @@
         serde_json::from_str::<Heartbeat>(&heartbeat).unwrap_or_else(|error| panic!("{error}"));
     }
     for configuration in configurations {
-        config::read(&serde_json::from_str(&configuration).expect("JSON"))
+        config::read(&serde_json::from_str(&configuration).expect("invalid JSON"))
             .unwrap_or_else(|error| panic!("{error}"));
     }
 }
--- a/landingdrift/tests/opening_data_folder.rs
+++ b/landingdrift/tests/opening_data_folder.rs
@@ -14,17 +14,20 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    listener.local_addr().expect("an address")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    listener.local_addr().expect("failed to get the address")
 }
 
 fn get(at: SocketAddr, path: &str) -> (u16, String) {
-    let response = reqwest::blocking::get(format!("http://{at}{path}")).expect("answered");
-    (response.status().as_u16(), response.text().expect("text"))
+    let response = reqwest::blocking::get(format!("http://{at}{path}")).expect("the call failed");
+    (
+        response.status().as_u16(),
+        response.text().expect("failed to read the body"),
+    )
 }
 
 fn role(at: SocketAddr) -> Value {
-    let status: Value = serde_json::from_str(&get(at, "/v1/status").1).expect("JSON");
+    let status: Value = serde_json::from_str(&get(at, "/v1/status").1).expect("invalid JSON");
     status["role"].clone()
 }
 
@@ -32,10 +35,10 @@
 fn opening_the_folder_is_retried_while_the_process_serves() {
     let base = std::env::temp_dir().join(format!("landingdrift-opening-{}", std::process::id()));
     let _ = fs::remove_dir_all(&base);
-    fs::create_dir_all(&base).expect("made");
+    fs::create_dir_all(&base).expect("failed to create");
     // A file in place of the parent folder, so that the data folder can't be created.
     let parent = base.join("disk");
-    fs::write(&parent, "").expect("written");
+    fs::write(&parent, "").expect("failed to write");
     let listen = free_address().to_string();
     let settings = Settings {
         seeds: vec![listen.clone()],
@@ -44,10 +47,10 @@
         data: parent.join("data").to_string_lossy().into_owned(),
         ..Settings::default()
     };
-    let mut process = Process::start("error").expect("starts");
+    let mut process = Process::start("error").expect("failed to start");
     let replica = process
         .start_replica(&settings)
-        .expect("starts without its folder");
+        .expect("failed to start without its folder");
     let at = free_address();
     let limits = HttpLimits {
         timeout: TEST_TIMEOUT,
@@ -56,22 +59,25 @@
     };
     process
         .serve_http(at, limits, HttpAdapter::default(), &replica)
-        .expect("serves");
+        .expect("failed to serve HTTP");
     let running = spawn(move || process.run(&|| Ok(Vec::new())));
     sleep(Duration::from_millis(500));
     assert_eq!(role(at), "Opening");
     assert_eq!((get(at, "/live").0, get(at, "/ready").0), (200, 503));
     assert!(get(at, "/metrics").1.contains("landingdrift_disk_retries"));
     assert!(!running.is_finished());
-    fs::remove_file(&parent).expect("removed");
+    fs::remove_file(&parent).expect("failed to remove the file");
     let since = Instant::now();
     while role(at) != "Leader" && since.elapsed() < TEST_TIMEOUT {
         sleep(Duration::from_millis(50));
     }
     assert_eq!(role(at), "Leader");
-    signal_hook::low_level::raise(SIGTERM).expect("raised");
+    signal_hook::low_level::raise(SIGTERM).expect("failed to raise the signal");
     assert_eq!(
-        running.join().expect("no panic").map_err(String::from),
+        running
+            .join()
+            .expect("the process panicked")
+            .map_err(String::from),
         Ok(())
     );
 }
@@ -80,18 +86,18 @@
 fn a_folder_with_other_files_is_rejected_at_once() {
     let base = std::env::temp_dir().join(format!("landingdrift-foreign-{}", std::process::id()));
     let _ = fs::remove_dir_all(&base);
-    fs::create_dir_all(&base).expect("made");
-    fs::write(base.join("photos.txt"), "mine").expect("written");
+    fs::create_dir_all(&base).expect("failed to create");
+    fs::write(base.join("photos.txt"), "mine").expect("failed to write");
     let settings = Settings {
         listen: free_address().to_string(),
         data: base.to_string_lossy().into_owned(),
         ..Settings::default()
     };
-    let mut process = Process::start("error").expect("starts");
+    let mut process = Process::start("error").expect("failed to start");
     let error = process
         .start_replica(&settings)
         .map(|_| ())
-        .expect_err("rejected");
+        .expect_err("the folder was accepted");
     assert!(
         error
             .to_string()
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -74,8 +74,8 @@
 }
 
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    listener.local_addr().expect("an address")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    listener.local_addr().expect("failed to get the address")
 }
 
 fn settings() -> Settings {
@@ -157,7 +157,10 @@
                 }
                 None => {
                     counts.unanswered.fetch_add(1, Ordering::SeqCst);
-                    let mut first = counts.first_unanswered.lock().expect("free");
+                    let mut first = counts
+                        .first_unanswered
+                        .lock()
+                        .expect("the lock is poisoned");
                     first.get_or_insert(sent_at);
                 }
             }
@@ -180,17 +183,17 @@
         Arc::new(Counts::default()),
         Arc::new(AtomicBool::new(false)),
     );
-    let mut process = Process::start("error").expect("starts");
+    let mut process = Process::start("error").expect("failed to start");
     let serving = process
         .start_part(Box::new(SlowPart::default()), &settings())
-        .expect("starts");
+        .expect("failed to start");
     let other = SlowPart {
         exit_flag: part_exits.then(|| ends.clone()),
         ..SlowPart::default()
     };
     process
         .start_part(Box::new(other), &settings())
-        .expect("starts");
+        .expect("failed to start");
     let at = free_address();
     let limits = HttpLimits {
         timeout: Duration::from_secs(3),
@@ -199,13 +202,13 @@
     };
     process
         .serve_http(at, limits, counting_adapter(&counts), &serving)
-        .expect("serves");
+        .expect("failed to serve HTTP");
     let running = spawn(move || process.run(&|| Ok(vec![settings(), settings()])));
     let callers: Vec<_> = (0..2 * CALLERS)
         .map(|n| caller(at, n < CALLERS, counts.clone()))
         .collect();
     wait_for_calls(&counts, MIN_CALLS / 2);
-    signal_hook::low_level::raise(SIGHUP).expect("raised");
+    signal_hook::low_level::raise(SIGHUP).expect("failed to raise the signal");
     wait_for_calls(&counts, MIN_CALLS);
     assert_eq!(
         counts.unanswered.load(Ordering::SeqCst),
@@ -216,10 +219,10 @@
     if part_exits {
         ends.store(true, Ordering::SeqCst);
     } else {
-        signal_hook::low_level::raise(SIGTERM).expect("raised");
+        signal_hook::low_level::raise(SIGTERM).expect("failed to raise the signal");
     }
     sleep(Duration::from_millis(100));
-    signal_hook::low_level::raise(SIGHUP).expect("raised");
+    signal_hook::low_level::raise(SIGHUP).expect("failed to raise the signal");
     let result = running.join().expect("the process panicked");
     let took = stop_requested_at.elapsed();
     callers
@@ -253,7 +256,11 @@
         load(&outcome.counts.received),
         load(&outcome.counts.answered),
     );
-    let first_unanswered = outcome.counts.first_unanswered.lock().expect("free");
+    let first_unanswered = outcome
+        .counts
+        .first_unanswered
+        .lock()
+        .expect("the lock is poisoned");
     let first_unanswered = first_unanswered.map(|at| at.duration_since(outcome.stop_requested_at));
     eprintln!(
         "received {received}, answered {answered}, rejected {}, unanswered {}, first of these after {first_unanswered:?}, shutdown took {:?}",
@@ -298,14 +305,14 @@
 fn calls_to_a_part_that_has_ended_are_rejected_at_once() {
     let _one = ONE_AT_A_TIME.lock();
     let (counts, ends) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(true)));
-    let mut process = Process::start("error").expect("starts");
+    let mut process = Process::start("error").expect("failed to start");
     let part = SlowPart {
         exit_flag: Some(ends),
         ..SlowPart::default()
     };
     let handle = process
         .start_part(Box::new(part), &settings())
-        .expect("starts");
+        .expect("failed to start");
     let at = free_address();
     let limits = HttpLimits {
         timeout: Duration::from_secs(30),
@@ -314,13 +321,13 @@
     };
     process
         .serve_http(at, limits, counting_adapter(&counts), &handle)
-        .expect("serves");
+        .expect("failed to serve HTTP");
     sleep(Duration::from_millis(200));
     let since = Instant::now();
-    let mut connection = TcpStream::connect(at).expect("connects");
+    let mut connection = TcpStream::connect(at).expect("failed to connect");
     connection
         .write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-        .expect("written");
+        .expect("failed to write");
     let response = read_response(&mut BufReader::new(connection));
     assert_eq!(response.map(|(status, _)| status), Some(503));
     assert!(
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -29,7 +29,7 @@
     let (input_sender, input_receiver) = channel();
     let transport = traffic
         .listen(options("127.0.0.1:0"), input_sender)
-        .expect("listens");
+        .expect("failed to listen");
     (transport, input_receiver)
 }
 
@@ -76,7 +76,7 @@
 fn is_closed(mut connection: TcpStream) -> bool {
     connection
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("set");
+        .expect("failed to set the socket option");
     connection.read(&mut [0; 8]).map_or_else(
         |error| error.kind() == ErrorKind::ConnectionReset,
         |bytes| bytes == 0,
@@ -86,8 +86,8 @@
 #[test]
 fn two_processes_exchange_frames() {
     let (traffic_a, traffic_b) = (
-        Traffic::start().expect("starts"),
-        Traffic::start().expect("starts"),
+        Traffic::start().expect("failed to start"),
+        Traffic::start().expect("failed to start"),
     );
     let ((mut transport_a, inputs_a), (mut transport_b, inputs_b)) =
         (listen(&traffic_a), listen(&traffic_b));
@@ -105,7 +105,7 @@
 
 #[test]
 fn parts_of_one_process_share_a_traffic_thread_and_use_separate_addresses() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let ((mut replica, replica_inputs), (mut node, node_inputs)) =
         (listen(&traffic), listen(&traffic));
     let (replica_address, node_address) = (
@@ -132,7 +132,7 @@
 
 #[test]
 fn frames_of_any_size_keep_their_order() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
         (listen(&traffic), listen(&traffic));
     let sizes = [0, 10, 900_000, 20, 16 << 10, 40_000, 1];
@@ -150,11 +150,14 @@
 
 #[test]
 fn a_stalled_receiver_does_not_delay_others() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
         (listen(&traffic), listen(&traffic));
-    let stalled = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let stalled_at = stalled.local_addr().expect("an address").to_string();
+    let stalled = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    let stalled_at = stalled
+        .local_addr()
+        .expect("failed to get the address")
+        .to_string();
     let queued = (0..50_000)
         .take_while(|i| {
             transport_a.send(&stalled_at, &forward_response(*i, 8 << 10));
@@ -169,11 +172,14 @@
 #[test]
 fn the_queue_for_one_receiver_is_bounded_in_bytes() {
     const MAX_QUEUED_BYTES: usize = 4 << 20;
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
         (listen(&traffic), listen(&traffic));
-    let stalled = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let stalled_at = stalled.local_addr().expect("an address").to_string();
+    let stalled = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    let stalled_at = stalled
+        .local_addr()
+        .expect("failed to get the address")
+        .to_string();
     for i in 0..200 {
         transport_a.send(&stalled_at, &forward_response(i, 500_000));
         assert!(
@@ -189,13 +195,13 @@
 
 #[test]
 fn a_frame_that_is_too_long_closes_only_its_connection() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
         (listen(&traffic), listen(&traffic));
-    let mut connection = TcpStream::connect(transport_b.own_address()).expect("connects");
+    let mut connection = TcpStream::connect(transport_b.own_address()).expect("failed to connect");
     connection
         .write_all(&(MAX_FRAME_BYTES + 1).to_le_bytes())
-        .expect("written");
+        .expect("failed to write");
     assert!(is_closed(connection));
     transport_a.send(transport_b.own_address(), &read_index_request(1));
     assert_eq!(next(&inputs_b).1, read_index_request(1));
@@ -211,9 +217,9 @@
 
 #[test]
 fn invalid_frames_and_frames_of_other_clusters_are_skipped() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let (transport_b, inputs_b) = listen(&traffic);
-    let mut connection = TcpStream::connect(transport_b.own_address()).expect("connects");
+    let mut connection = TcpStream::connect(transport_b.own_address()).expect("failed to connect");
     for bytes in [
         vec![1, 2, 3],
         pack("others", "127.0.0.1:1", &read_index_request(1)),
@@ -221,7 +227,7 @@
     ] {
         connection
             .write_all(&with_length_prefix(&bytes))
-            .expect("written");
+            .expect("failed to write");
     }
     assert_eq!(
         next(&inputs_b),
@@ -231,19 +237,19 @@
 
 #[test]
 fn a_restarted_receiver_gets_frames_again() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let (mut transport_a, _inputs_a) = listen(&traffic);
-    let first = Traffic::start().expect("starts");
+    let first = Traffic::start().expect("failed to start");
     let (transport_b, inputs_b) = listen(&first);
     let receiver_address = transport_b.own_address().to_string();
     transport_a.send(&receiver_address, &read_index_request(1));
     assert_eq!(next(&inputs_b).1, read_index_request(1));
     drop((transport_b, first));
-    let second = Traffic::start().expect("starts");
+    let second = Traffic::start().expect("failed to start");
     let (input_sender, input_receiver) = channel();
     let _transport_b = second
         .listen(options(&receiver_address), input_sender)
-        .expect("the address is free");
+        .expect("failed to listen at the same address");
     let received = (2..200).any(|i| {
         transport_a.send(&receiver_address, &read_index_request(i));
         input_receiver
@@ -255,57 +261,65 @@
 
 /// Accepts a connection, reads the given number of bytes, then resets it.
 fn read_and_reset(listener: &TcpListener, bytes: usize) {
-    let (mut connection, _) = listener.accept().expect("a connection");
-    connection.read_exact(&mut vec![0; bytes]).expect("read");
+    let (mut connection, _) = listener.accept().expect("failed to accept a connection");
+    connection
+        .read_exact(&mut vec![0; bytes])
+        .expect("failed to read");
     let linger = Some(Duration::ZERO);
     socket2::SockRef::from(&connection)
         .set_linger(linger)
-        .expect("set");
+        .expect("failed to set the socket option");
 }
 
 #[test]
 fn a_frame_is_not_sent_again_after_any_number_of_bytes_before_a_reset() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let frame_bytes =
         with_length_prefix(&pack("tests", "127.0.0.1:65535", &read_index_request(1))).len();
     for bytes in 0..frame_bytes {
         let (mut transport_a, _inputs_a) = listen(&traffic);
-        let peer = TcpListener::bind("127.0.0.1:0").expect("bound");
-        let peer_at = peer.local_addr().expect("an address").to_string();
+        let peer = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+        let peer_at = peer
+            .local_addr()
+            .expect("failed to get the address")
+            .to_string();
         transport_a.send(&peer_at, &read_index_request(1));
         read_and_reset(&peer, bytes);
         // Later frames may be lost with the connection. The first one must not arrive on the new connection.
-        peer.set_nonblocking(true).expect("set");
+        peer.set_nonblocking(true)
+            .expect("failed to set the socket option");
         let reconnected = (0..200).find_map(|_| {
             transport_a.send(&peer_at, &read_index_request(2));
             std::thread::sleep(Duration::from_millis(2));
             peer.accept().ok()
         });
-        let (mut connection, _) = reconnected.expect("a new connection");
-        connection.set_nonblocking(false).expect("set");
+        let (mut connection, _) = reconnected.expect("the sender did not connect again");
+        connection
+            .set_nonblocking(false)
+            .expect("failed to set the socket option");
         connection
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("set");
+            .expect("failed to set the socket option");
         let mut len = [0; 4];
-        connection.read_exact(&mut len).expect("read");
+        connection.read_exact(&mut len).expect("failed to read");
         let mut body = vec![0; u32::from_le_bytes(len) as usize];
-        connection.read_exact(&mut body).expect("read");
-        let body = unpack("tests", &body).expect("a frame").body;
+        connection.read_exact(&mut body).expect("failed to read");
+        let body = unpack("tests", &body).expect("invalid frame").body;
         assert_eq!(body, read_index_request(2), "after {bytes} bytes");
     }
 }
 
 #[test]
 fn an_error_about_an_address_in_use_names_the_flag_to_change() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let (transport_a, _inputs_a) = listen(&traffic);
     let (input_sender, _input_receiver) = channel();
     let error = traffic
         .listen(options(transport_a.own_address()), input_sender.clone())
         .map(|_| ())
-        .expect_err("in use");
+        .expect_err("listened at an address that is in use");
     assert!(error.to_string().contains("--listen"), "{error}");
-    let in_use = transport_a.own_address().parse().expect("an address");
+    let in_use = transport_a.own_address().parse().expect("invalid address");
     let error = traffic
         .serve_http(
             in_use,
@@ -314,7 +328,7 @@
             PendingCalls::default(),
             input_sender,
         )
-        .expect_err("in use");
+        .expect_err("listened at an address that is in use");
     assert!(error.to_string().contains("--http"), "{error}");
 }
 
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -25,10 +25,10 @@
 fn serve(traffic: &Traffic, limits: HttpLimits, http_adapter: HttpAdapter) -> Server {
     let (input_sender, inputs) = channel();
     let calls = PendingCalls::default();
-    let any = "127.0.0.1:0".parse().expect("an address");
+    let any = "127.0.0.1:0".parse().expect("invalid address");
     let at = traffic
         .serve_http(any, limits, http_adapter, calls.clone(), input_sender)
-        .expect("serves");
+        .expect("failed to serve HTTP");
     Server { at, calls, inputs }
 }
 
@@ -56,7 +56,7 @@
             .header("X-Test-Request", "tests")
             .body(body)
             .send()
-            .expect("answered");
+            .expect("the call failed");
         let header = response
             .headers()
             .get("X-Test-Response")
@@ -65,14 +65,14 @@
         (
             response.status().as_u16(),
             header,
-            response.text().expect("text"),
+            response.text().expect("failed to read the body"),
         )
     })
 }
 
 #[test]
 fn two_addresses_have_separate_adapters_and_parts() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let default_server = serve(&traffic, limits(), HttpAdapter::default());
     let custom_server = serve(
         &traffic,
@@ -118,18 +118,18 @@
         .calls
         .answer(number, Response::new(200, json!(null)));
     assert_eq!(
-        default_call.join().expect("called"),
+        default_call.join().expect("the caller panicked"),
         (200, None, "{\"own\":true}\n".into())
     );
     assert_eq!(
-        custom_call.join().expect("called"),
+        custom_call.join().expect("the caller panicked"),
         (201, Some("other".into()), "other".into())
     );
 }
 
 #[test]
 fn calls_beyond_the_limit_are_rejected_with_a_retry_time() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let one_call_limit = HttpLimits {
         calls: 1,
         ..limits()
@@ -139,37 +139,42 @@
     let (_, number) = server.next();
     let (status, _, text) = call(server.at, "/second", Vec::new())
         .join()
-        .expect("called");
+        .expect("the caller panicked");
     assert!(status == 503 && text.contains("retryMs"), "{status} {text}");
     server
         .calls
         .answer(number, Response::new(200, json!("done")));
-    assert_eq!(first.join().expect("called"), (200, None, "done".into()));
+    assert_eq!(
+        first.join().expect("the caller panicked"),
+        (200, None, "done".into())
+    );
 }
 
 #[test]
 fn oversized_bodies_and_invalid_requests_get_api_errors() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let server = serve(&traffic, limits(), HttpAdapter::default());
     let (status, _, text) = call(server.at, "/", vec![b'x'; 1001])
         .join()
-        .expect("called");
+        .expect("the caller panicked");
     assert!(
         status == 413 && text.contains("tooLarge"),
         "{status} {text}"
     );
-    let mut connection = TcpStream::connect(server.at).expect("connects");
+    let mut connection = TcpStream::connect(server.at).expect("failed to connect");
     connection
         .write_all(b"TRACE / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-        .expect("written");
+        .expect("failed to write");
     let mut text = String::new();
-    connection.read_to_string(&mut text).expect("read");
+    connection
+        .read_to_string(&mut text)
+        .expect("failed to read");
     assert!(text.contains("wrongRequest"), "{text}");
 }
 
 #[test]
 fn a_call_that_is_not_answered_is_reported_as_unsure() {
-    let traffic = Traffic::start().expect("starts");
+    let traffic = Traffic::start().expect("failed to start");
     let server = serve(&traffic, limits(), HttpAdapter::default());
     drop(server.inputs);
     let short = HttpLimits {
@@ -178,7 +183,9 @@
     };
     let silent = serve(&traffic, short, HttpAdapter::default());
     for at in [server.at, silent.at] {
-        let (status, _, text) = call(at, "/", Vec::new()).join().expect("called");
+        let (status, _, text) = call(at, "/", Vec::new())
+            .join()
+            .expect("the caller panicked");
         assert!(status == 503 && text.contains("unsure"), "{status} {text}");
     }
 }
