--- a/landingdrift/src/consensus/election.rs
+++ b/landingdrift/src/consensus/election.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The divisor of the election timeout for a while after recovery as long as no leader is known. Most likely there is
-/// no leader then, as after a total outage, and the outage should end soon.
+/// no leader then, as after a total outage, and the shorter timeout ends the outage sooner.
 const FAST_ELECTION_DIVISOR: u64 = 4;
 
 /// The election timer and the votes received. Times are monotonic milliseconds.
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -37,7 +37,7 @@
 pub struct JoinRequest {
     /// The identity of its disk.
     pub disk: u64,
-    /// Its zone.
+    /// The zone in which it runs; voters are spread over the zones.
     pub zone: String,
     /// Whether it may become a voter only if all members are standby-only.
     pub standby_only: bool,
@@ -258,8 +258,8 @@
             .or_else(|| self.first_voter_with(Health::Impaired))
     }
 
-    /// If there are fewer voters than desired, promotes a standby. From an odd
-    /// number other than 1, a standby is promoted only if two are ready or a voter is to be demoted next.
+    /// If there are fewer voters than desired, promotes a standby. From an odd number other than 1, a standby is
+    /// promoted only if two are ready or a voter is to be demoted next.
     fn promote_missing(&self) -> Option<MembershipChange> {
         let count = self.voters().len();
         if count >= self.target_voters {
--- a/landingdrift/src/consensus/progress.rs
+++ b/landingdrift/src/consensus/progress.rs
@@ -55,7 +55,7 @@
         self.disk = disk;
     }
 
-    /// Whether the replica is sent no entries for now: a batch is in flight, or its disk accepts no writes.
+    /// Whether no entries may be sent to the replica now, since a batch is in flight or its disk accepts no writes.
     pub fn is_paused(&self) -> bool {
         self.in_flight_round > 0 || self.disk_refuses_writes
     }
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -11,7 +11,8 @@
 use crate::wire::{Body, DurabilityWitness, Hello};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A recovered replica defers to one with a longer log for `bounds.outage_ms` divided by this.
+/// The divisor of `bounds.outage_ms` that yields the time for which a recovered replica defers to one with a longer
+/// log.
 const DEFERRAL_OUTAGE_DIVISOR: u64 = 6;
 /// For this many election timeouts after recovery, a replica that knows no leader uses the shorter election timeout.
 const FAST_ELECTION_TIMEOUTS: u64 = 4;
--- a/landingdrift/src/consensus/replication.rs
+++ b/landingdrift/src/consensus/replication.rs
@@ -14,7 +14,7 @@
 const RESEND_AFTER_HEARTBEATS: u64 = 4;
 
 impl Replica {
-    /// Appends a command to the log that the leader itself issues; returns its index.
+    /// Appends one of the leader's own commands to the log; returns its index.
     pub(super) fn append_command(&mut self, now: Now, command: &Command) -> u64 {
         let changes_membership = matches!(
             command,
@@ -63,8 +63,7 @@
         }
     }
 
-    /// Sends a replica the entries that it lacks. Only one batch is in flight at a time; heartbeats continue while
-    /// it is.
+    /// Sends a replica the entries that it lacks, one batch at a time. Heartbeats continue while a batch is in flight.
     pub(super) fn replicate(&mut self, now: Now, to: &str, heartbeat: bool) {
         let resend_after = RESEND_AFTER_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let Some(progress) = self.leadership.progress.get_mut(to) else {
--- a/landingdrift/tests/disk.rs
+++ b/landingdrift/tests/disk.rs
@@ -22,7 +22,7 @@
     }
 }
 
-fn write(data: &mut DataFolder, from: u64, to: u64) {
+fn save_entries(data: &mut DataFolder, from: u64, to: u64) {
     for i in from..=to {
         data.save(&[WriteBatch {
             entries: vec![entry(i, 1)],
@@ -47,7 +47,7 @@
     let path = folder("torn");
     let (mut data, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
     assert_eq!((loaded.disk, loaded.entries.len()), (7, 0));
-    write(&mut data, 1, 5);
+    save_entries(&mut data, 1, 5);
     let hard_state = HardState {
         term: 3,
         vote: "a".into(),
@@ -95,7 +95,7 @@
 fn damage_in_the_middle_is_reported_and_does_not_lose_the_term() {
     let path = folder("damage");
     let (mut data, _) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
-    write(&mut data, 1, 20);
+    save_entries(&mut data, 1, 20);
     data.save(&[WriteBatch {
         hard_state: Some(HardState {
             term: 9,
@@ -125,15 +125,15 @@
         .all(|(i, e)| e.index == i as u64 + 1));
     drop(data);
     // Intact entries are kept, and the folder can be used again.
-    let (_, again) = DataFolder::open(&path, "c", 1 << 20, 8).expect("opened again");
-    assert_eq!(again.entries.len() as u64, intact_entries);
+    let (_, reopened) = DataFolder::open(&path, "c", 1 << 20, 8).expect("opened again");
+    assert_eq!(reopened.entries.len() as u64, intact_entries);
 }
 
 #[test]
 fn segments_covered_by_a_snapshot_are_removed() {
     let path = folder("snapshots");
     let (mut data, _) = DataFolder::open(&path, "c", 600, 7).expect("created");
-    write(&mut data, 1, 60);
+    save_entries(&mut data, 1, 60);
     let before = segments(&path).len();
     data.save(&[WriteBatch {
         snapshot: Some(Snapshot {
@@ -144,7 +144,7 @@
         ..WriteBatch::default()
     }])
     .expect("saved");
-    write(&mut data, 61, 62);
+    save_entries(&mut data, 61, 62);
     assert!(
         before > 4 && segments(&path).len() < before,
         "{before} segments before, {} after",
--- a/landingdrift/tests/disk_power.rs
+++ b/landingdrift/tests/disk_power.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Default)]
-struct State {
+struct TrackerState {
     unsynced: Vec<Unsynced>,
     images: Vec<Image>,
 }
@@ -45,7 +45,7 @@
 #[derive(Clone)]
 struct UnsyncedTracker {
     folder: PathBuf,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<TrackerState>>,
 }
 
 impl UnsyncedTracker {
@@ -127,7 +127,7 @@
     }
 }
 
-fn name(path: &Path) -> PathBuf {
+fn file_name(path: &Path) -> PathBuf {
     path.file_name().expect("a name").into()
 }
 
@@ -144,17 +144,17 @@
         }
         match change {
             Unsynced::Created(path) => {
-                let _ = fs::remove_file(to.join(name(path)));
+                let _ = fs::remove_file(to.join(file_name(path)));
             }
             Unsynced::Renamed { to: path, replaced } => {
-                let path = to.join(name(path));
+                let path = to.join(file_name(path));
                 let _ = fs::remove_file(&path);
                 if let Some(bytes) = replaced {
                     fs::write(path, bytes).expect("written");
                 }
             }
             Unsynced::Removed { path, bytes } => {
-                fs::write(to.join(name(path)), bytes).expect("written");
+                fs::write(to.join(file_name(path)), bytes).expect("written");
             }
         }
     }
@@ -247,7 +247,10 @@
         let scratch = self.path.with_extension("scratch");
         for lost in lost_subsets(image.unsynced.len()) {
             restore(image, lost, &scratch);
-            let context = format!("{confirmed:?}, lost {lost:b} of {:?}", image.names());
+            let context = format!(
+                "{confirmed:?}, lost {lost:b} of {:?}",
+                image.unsynced_summaries()
+            );
             let opened = DataFolder::open(&scratch, "c", SEGMENT_BYTES, 8);
             let (_, loaded) = opened.unwrap_or_else(|e| panic!("{e}: {context}"));
             self.images_checked += 1;
@@ -270,12 +273,12 @@
                 "{first} after {snapshot_index}: {context}"
             );
             if let Some((from, term)) = confirmed.truncated_from {
-                let old = loaded
+                let reappeared = loaded
                     .entries
                     .iter()
                     .find(|e| e.index >= from && e.term < term);
                 assert!(
-                    old.is_none(),
+                    reappeared.is_none(),
                     "truncated entries must not reappear: {context}"
                 );
             }
@@ -284,8 +287,11 @@
 }
 
 impl Image {
-    fn names(&self) -> Vec<String> {
-        self.unsynced.iter().map(|u| format!("{u:.60?}")).collect()
+    fn unsynced_summaries(&self) -> Vec<String> {
+        self.unsynced
+            .iter()
+            .map(|change| format!("{change:.60?}"))
+            .collect()
     }
 }
 
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -128,15 +128,15 @@
 
 #[test]
 fn a_batch_written_again_after_a_failure_is_stored_completely() {
-    let (path, away) = (folder("middle"), folder("middle-away"));
+    let (path, moved_path) = (folder("middle"), folder("middle-away"));
     let (mut data, _) = DataFolder::open(&path, "c", SEGMENT_BYTES, 7).expect("created");
     (1..=3).for_each(|i| data.save(&[batch_of_entries(i, i, i)]).expect("saved"));
     // While the folder is moved away no new segment can be created, but writes to the open segment succeed.
-    fs::rename(&path, &away).expect("moved");
+    fs::rename(&path, &moved_path).expect("moved");
     let batch = [batch_of_entries(4, 4, 40), batch_of_entries(5, 41, 42)];
     assert!(data.save(&batch).is_err());
     assert!(data.recover().is_err());
-    fs::rename(&away, &path).expect("moved back");
+    fs::rename(&moved_path, &path).expect("moved back");
     data.recover().expect("usable again");
     data.save(&batch).expect("saved again");
     data.save(&[batch_of_entries(6, 43, 43)]).expect("saved");
@@ -146,9 +146,9 @@
 
 #[test]
 fn a_failed_batch_that_is_not_written_again_leaves_confirmed_data_intact() {
-    let (path, away) = (folder("refused"), folder("refused-away"));
+    let (path, moved_path) = (folder("refused"), folder("refused-away"));
     let (mut data, _) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
-    let voted = WriteBatch {
+    let batch_with_vote = WriteBatch {
         hard_state: Some(HardState {
             term: 3,
             vote: "a".into(),
@@ -157,8 +157,8 @@
         }),
         ..batch_of_entries(1, 1, 5)
     };
-    data.save(&[voted]).expect("saved");
-    fs::rename(&path, &away).expect("moved");
+    data.save(&[batch_with_vote]).expect("saved");
+    fs::rename(&path, &moved_path).expect("moved");
     let batch_with_snapshot = WriteBatch {
         truncate_from: Some(1),
         snapshot: Some(landingdrift::sans_io::Snapshot {
@@ -169,7 +169,7 @@
         ..WriteBatch::default()
     };
     assert!(data.save(&[batch_with_snapshot]).is_err());
-    fs::rename(&away, &path).expect("moved back");
+    fs::rename(&moved_path, &path).expect("moved back");
     // The truncation must not take effect without the snapshot that it relies on.
     data.recover().expect("usable again");
     drop(data);
--- a/landingdrift/tests/membership.rs
+++ b/landingdrift/tests/membership.rs
@@ -34,8 +34,12 @@
             observed: BTreeMap::new(),
             requests: BTreeMap::new(),
         };
-        voters.iter().for_each(|(a, z)| cluster.add(a, z, true));
-        standbys.iter().for_each(|(a, z)| cluster.add(a, z, false));
+        voters
+            .iter()
+            .for_each(|(address, zone)| cluster.add(address, zone, true));
+        standbys
+            .iter()
+            .for_each(|(address, zone)| cluster.add(address, zone, false));
         cluster
     }
 
@@ -108,7 +112,7 @@
         }
     }
 
-    fn request(&mut self, address: &str, disk: u64, zone: &str) {
+    fn request_to_join(&mut self, address: &str, disk: u64, zone: &str) {
         let request = JoinRequest {
             disk,
             zone: zone.into(),
@@ -123,7 +127,7 @@
 #[test]
 fn a_planned_replacement_keeps_the_number_of_voters() {
     let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
-    cluster.request("d", 40, "z2");
+    cluster.request_to_join("d", 40, "z2");
     cluster.apply_all_changes();
     assert_eq!(
         cluster.voters(),
@@ -142,7 +146,7 @@
 fn three_successive_replacements_keep_a_zone_loss_survivable() {
     let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
     for (replacement, old, zone) in [("d", "c", "z2"), ("e", "b", "z1"), ("f", "d", "z2")] {
-        cluster.request(replacement, u64::from(replacement.as_bytes()[0]), zone);
+        cluster.request_to_join(replacement, u64::from(replacement.as_bytes()[0]), zone);
         cluster.apply_all_changes();
         cluster.set_health(old, Health::Leaving);
         cluster.apply_all_changes();
@@ -155,13 +159,13 @@
 
 #[test]
 fn one_lost_voter_of_four_is_demoted() {
-    let four = [
+    let four_voters = [
         THREE_VOTERS[0],
         THREE_VOTERS[1],
         THREE_VOTERS[2],
         ("d", "z0"),
     ];
-    let mut cluster = Cluster::new(5, &four, &[]);
+    let mut cluster = Cluster::new(5, &four_voters, &[]);
     cluster.set_health("c", Health::Unreachable);
     assert_eq!(cluster.resilience().machine_losses_left, 0);
     cluster.apply_all_changes();
@@ -174,21 +178,21 @@
     let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
     cluster.set_health("b", Health::Unreachable);
     assert_eq!(cluster.apply_all_changes(), []);
-    cluster.request("d", 40, "z1");
+    cluster.request_to_join("d", 40, "z1");
     cluster.apply_all_changes();
     assert_eq!(cluster.voters(), ["a", "c", "d"]);
 }
 
 #[test]
 fn two_lost_voters_of_five_are_not_demoted_without_standbys() {
-    let five = [
+    let five_voters = [
         ("a", "z0"),
         ("b", "z0"),
         ("c", "z1"),
         ("d", "z1"),
         ("e", "z2"),
     ];
-    let mut cluster = Cluster::new(5, &five, &[]);
+    let mut cluster = Cluster::new(5, &five_voters, &[]);
     cluster.set_health("c", Health::Unreachable);
     cluster.set_health("d", Health::Unreachable);
     assert_eq!(
@@ -202,7 +206,7 @@
 fn another_disk_at_the_address_of_a_member_is_a_new_replica() {
     let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
     cluster.set_health("b", Health::Replaced);
-    cluster.request("b", 77, "z1");
+    cluster.request_to_join("b", 77, "z1");
     let changes = cluster.apply_all_changes();
     assert_eq!(changes[0], MembershipChange::Remove("b".into()));
     assert!(matches!(&changes[1], MembershipChange::Admit(a, r) if a == "b" && r.disk == 77));
@@ -214,7 +218,7 @@
 fn a_disk_is_not_admitted_while_it_responds_at_another_address() {
     let mut cluster = Cluster::new(3, &THREE_VOTERS, &[]);
     let disk_of_b = cluster.members["b"].disk;
-    cluster.request("x", disk_of_b, "z1");
+    cluster.request_to_join("x", disk_of_b, "z1");
     assert_eq!(cluster.apply_all_changes(), []);
     cluster.set_health("b", Health::Unreachable);
     cluster.apply_all_changes();
--- a/landingdrift/tests/replicas/disk.rs
+++ b/landingdrift/tests/replicas/disk.rs
@@ -38,7 +38,7 @@
     pub(super) fn complete_writes(&mut self) -> Option<u64> {
         let last = self.pending.back().map(|batch| batch.write_id);
         for batch in std::mem::take(&mut self.pending) {
-            write(&mut self.durable, batch);
+            apply_batch(&mut self.durable, batch);
         }
         last
     }
@@ -57,23 +57,23 @@
     }
 }
 
-fn write(to: &mut PersistedState, batch: WriteBatch) {
+fn apply_batch(state: &mut PersistedState, batch: WriteBatch) {
     batch
         .hard_state
         .into_iter()
-        .for_each(|hard_state| to.hard_state = hard_state);
+        .for_each(|hard_state| state.hard_state = hard_state);
     if let Some(first_removed) = batch.truncate_from {
-        to.entries.retain(|entry| entry.index < first_removed);
+        state.entries.retain(|entry| entry.index < first_removed);
     }
     if let Some(snapshot) = batch.snapshot {
-        to.entries.retain(|entry| entry.index > snapshot.index);
-        to.snapshot = Some(snapshot);
+        state.entries.retain(|entry| entry.index > snapshot.index);
+        state.snapshot = Some(snapshot);
     }
     for entry in batch.entries {
-        to.entries.retain(|kept| kept.index < entry.index);
-        to.entries.push(entry);
+        state.entries.retain(|kept| kept.index < entry.index);
+        state.entries.push(entry);
     }
     if !batch.witnesses.is_empty() {
-        to.witnesses = batch.witnesses;
+        state.witnesses = batch.witnesses;
     }
 }
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -48,7 +48,7 @@
     pub log_lines: Vec<String>,
     pub exits: usize,
     responses: BTreeMap<u64, Response>,
-    next: u64,
+    last_number: u64,
 }
 
 pub fn name(i: usize) -> String {
@@ -79,7 +79,7 @@
             log_lines: Vec::new(),
             exits: 0,
             responses: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
         };
         (0..3).for_each(|i| cluster.start_replica(i));
         assert!(
@@ -109,8 +109,8 @@
     pub fn crash(&mut self, i: usize) {
         self.replicas[i] = None;
         self.disks[i].pending.clear();
-        let gone = name(i);
-        self.in_flight.retain(|(_, message)| message.to != gone);
+        let crashed = name(i);
+        self.in_flight.retain(|(_, message)| message.to != crashed);
     }
 
     pub fn replica(&self, i: usize) -> &Replica {
@@ -139,12 +139,12 @@
     }
 
     /// Runs until a condition holds, for at most `ms` milliseconds; returns whether it holds.
-    pub fn run_until(&mut self, ms: u64, holds: impl Fn(&Self) -> bool) -> bool {
+    pub fn run_until(&mut self, ms: u64, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now_ms + ms;
-        while self.now_ms < end && !holds(self) {
+        while self.now_ms < end && !condition(self) {
             self.advance_one_ms();
         }
-        holds(self)
+        condition(self)
     }
 
     /// Advances the time by one millisecond.
@@ -244,21 +244,21 @@
 
     /// Proposes a configuration change that adds a note of `bytes` bytes; returns its token.
     pub fn propose(&mut self, i: usize, bytes: usize) -> u64 {
-        let token = self.next + 1;
+        let token = self.last_number + 1;
         let command = Command::UpdateConfig {
             change: format!("c{token}"),
             base_version: self.version(i),
             is_patch: true,
             version: 0,
-            value: json!({"notes": {(format!("n{token}")): noise(token, bytes)}}),
+            value: json!({"notes": {(format!("n{token}")): random_text(token, bytes)}}),
         };
         self.propose_command(i, &command)
     }
 
     /// Proposes a command; returns its token.
     pub fn propose_command(&mut self, i: usize, command: &Command) -> u64 {
-        self.next += 1;
-        let token = self.next;
+        self.last_number += 1;
+        let token = self.last_number;
         let propose = ProposeRequest {
             token: request_token(token),
             command: command.pack(),
@@ -297,8 +297,8 @@
     }
 
     pub fn get(&mut self, i: usize, path: &str) -> Response {
-        self.next += 1;
-        let call = self.next;
+        self.last_number += 1;
+        let call = self.last_number;
         let req = Request {
             method: "GET".into(),
             path: path.into(),
@@ -382,7 +382,7 @@
 }
 
 /// Random text, which does not compress well.
-fn noise(seed: u64, bytes: usize) -> String {
+fn random_text(seed: u64, bytes: usize) -> String {
     let mut rng = landingdrift::sans_io::Rng::new(seed);
     (0..bytes)
         .map(|_| char::from(b'a' + rng.below(26) as u8))
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -60,10 +60,10 @@
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     let total = sent[0].1.total as usize;
     assert!(total > 3 * CHUNK_BYTES, "{total} bytes");
-    let want: Vec<u64> = (0..total.div_ceil(CHUNK_BYTES))
+    let expected: Vec<u64> = (0..total.div_ceil(CHUNK_BYTES))
         .map(|n| (n * CHUNK_BYTES) as u64)
         .collect();
-    assert_eq!(offsets, want);
+    assert_eq!(offsets, expected);
     assert!(sent.iter().all(|(_, m)| m.snapshot.len() <= CHUNK_BYTES));
     assert_eq!(cluster.counter(leader, "snapshots_sent"), 1);
     assert_eq!(cluster.counter(leader, "snapshot_chunks_repeated"), 0);
@@ -102,11 +102,11 @@
 #[test]
 fn lost_chunks_are_resent_and_the_snapshot_is_installed_once() {
     let (mut cluster, _, lagging) = start_with_lagging_replica();
-    let seen = Rc::new(Cell::new(0));
+    let chunks_sent = Rc::new(Cell::new(0));
     cluster.drops_message = Box::new(move |message: &SentMessage| {
         let is_chunk = matches!(&message.body, Body::InstallSnapshot(_));
-        seen.set(seen.get() + u64::from(is_chunk));
-        is_chunk && seen.get().is_multiple_of(3)
+        chunks_sent.set(chunks_sent.get() + u64::from(is_chunk));
+        is_chunk && chunks_sent.get().is_multiple_of(3)
     });
     cluster.start_replica(lagging);
     expect_catch_up(&mut cluster, lagging);
@@ -202,18 +202,18 @@
     let log_index = cluster.replica(follower).state().applied_index;
     let version = cluster.version(follower);
     let bytes = landingdrift::state::ClusterState::new("landingdrift").pack();
-    let good = install_request(term, log_index + 10, &bytes);
+    let valid = install_request(term, log_index + 10, &bytes);
     let corrupt = InstallSnapshot {
-        checksum: good.checksum ^ 1,
-        ..good.clone()
+        checksum: valid.checksum ^ 1,
+        ..valid.clone()
     };
     let truncated = InstallSnapshot {
-        total: good.total + 1,
-        ..good.clone()
+        total: valid.total + 1,
+        ..valid.clone()
     };
     let outdated = InstallSnapshot {
         term: term - 1,
-        ..good.clone()
+        ..valid.clone()
     };
     let not_a_state = install_request(term, log_index + 10, b"nothing");
     for (m, refused) in [
@@ -242,12 +242,12 @@
     let follower = (leader + 1) % 3;
     // Let the follower acknowledge entries that it does not know to be committed.
     let last = cluster.disks[follower].last();
-    let tail: Vec<_> = cluster.disks[follower].durable.entries.clone();
-    let term = tail.last().expect("entries").term;
-    let mut more = tail.last().expect("entries").clone();
+    let durable_entries: Vec<_> = cluster.disks[follower].durable.entries.clone();
+    let term = durable_entries.last().expect("entries").term;
+    let mut next_entry = durable_entries.last().expect("entries").clone();
     let entries = [1, 2].map(|n| {
-        more.index = last + n;
-        more.clone()
+        next_entry.index = last + n;
+        next_entry.clone()
     });
     let append = AppendRequest {
         term,
@@ -300,13 +300,13 @@
         cluster.crash(leader);
         cluster.start_replica(lagging);
         cluster.run(2000);
-        let leader_now = cluster.leader();
+        let new_leader = cluster.leader();
         assert!(
-            has_installed_snapshot || leader_now != Some(lagging),
+            has_installed_snapshot || new_leader != Some(lagging),
             "a replica that crashed after {crash_after_ms} ms must not lead without confirmed entries: {:#?}",
             cluster.log_lines
         );
-        assert!(leader_now.is_none_or(|l| cluster.version(l) >= confirmed));
+        assert!(new_leader.is_none_or(|l| cluster.version(l) >= confirmed));
         cluster.start_replica(leader);
         assert!(
             cluster.run_until(10_000, TestCluster::all_in_sync),
@@ -321,11 +321,11 @@
 fn the_log_is_kept_for_a_replica_that_catches_up_during_changes() {
     let (mut cluster, leader, lagging) = start_with_lagging_replica();
     // Slow down the transfer by losing every other chunk, and commit changes during it.
-    let seen = Rc::new(Cell::new(0));
+    let chunks_sent = Rc::new(Cell::new(0));
     cluster.drops_message = Box::new(move |message: &SentMessage| {
         let is_chunk = matches!(&message.body, Body::InstallSnapshot(_));
-        seen.set(seen.get() + u64::from(is_chunk));
-        is_chunk && seen.get() % 2 == 1
+        chunks_sent.set(chunks_sent.get() + u64::from(is_chunk));
+        is_chunk && chunks_sent.get() % 2 == 1
     });
     cluster.start_replica(lagging);
     for _ in 0..100 {
--- a/landingdrift/tests/snapshots_to_nodes.rs
+++ b/landingdrift/tests/snapshots_to_nodes.rs
@@ -42,18 +42,18 @@
         cluster.run(20);
         let chunks = snapshot_chunks(&cluster);
         assert_eq!(chunks.len(), before + 1, "each chunk must be sent once");
-        let m = chunks.last().expect("a chunk");
-        assert!(m.bytes.len() <= CHUNK_BYTES);
+        let chunk = chunks.last().expect("a chunk");
+        assert!(chunk.bytes.len() <= CHUNK_BYTES);
         let id = landingdrift::snapshot_chunks::SnapshotId {
-            index: m.index,
-            term: m.term,
-            total: m.total,
-            checksum: m.checksum,
+            index: chunk.index,
+            term: chunk.term,
+            total: chunk.total,
+            checksum: chunk.checksum,
         };
-        match assembly.add_chunk(id, m.offset, &m.bytes) {
+        match assembly.add_chunk(id, chunk.offset, &chunk.bytes) {
             ChunkOutcome::Incomplete => {}
             ChunkOutcome::Complete(bytes) => {
-                complete = Some((m.index, bytes));
+                complete = Some((chunk.index, bytes));
                 break;
             }
             ChunkOutcome::Corrupt => panic!("the snapshot is corrupt"),
--- a/landingdrift/tests/watch_flow.rs
+++ b/landingdrift/tests/watch_flow.rs
@@ -44,8 +44,8 @@
     // The transfer of 200 kB over a link of 2 Mbit/s takes 800 ms.
     assert_eq!(count_batches_with_entries(&mut cluster, &request, 800), 1);
     // The retransmission timeout doubles each time.
-    let times = count_batches_with_entries(&mut cluster, &request, 12_000);
-    assert!((2..=3).contains(&times), "{times}");
+    let batches_sent = count_batches_with_entries(&mut cluster, &request, 12_000);
+    assert!((2..=3).contains(&batches_sent), "{batches_sent}");
 }
 
 #[test]
@@ -53,8 +53,8 @@
     let (mut cluster, applied) = start_with_watching_node();
     cluster.commit_change(10);
     let request = TestCluster::watch_request_of(NODE, applied);
-    let times = count_batches_with_entries(&mut cluster, &request, 4 * HEARTBEAT_MS);
-    assert_eq!(times, 2);
+    let batches_sent = count_batches_with_entries(&mut cluster, &request, 4 * HEARTBEAT_MS);
+    assert_eq!(batches_sent, 2);
 }
 
 #[test]
