--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -111,7 +111,7 @@
             Frame::Entry(entry) => match self.entries.last().map(|l| l.index) {
                 Some(last) if entry.index == last + 1 => self.entries.push(entry),
                 None if entry.index <= base + 1 => self.entries.push(entry),
-                // After a gap: damage, unless the snapshot covers the gap. Then the log restarts at this entry.
+                // After a gap: damage, unless the snapshot covers all entries before it; the log then restarts here.
                 Some(last) if entry.index > last + 1 => {
                     if last >= base {
                         self.damaged = true;
