--- a/testkit/src/calls.rs
+++ b/testkit/src/calls.rs
@@ -8,19 +8,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// The timeout of a call; its answer counts as lost afterwards.
+/// The time after which an answer counts as lost.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A call to be made.
+/// A call, with the key that identifies its answer.
 pub struct OutgoingCall<K> {
-    /// Identifies the call when its answer comes back.
+    /// Identifies the call to the receiver of the answer.
     pub key: K,
     /// The address of the process.
     pub to: String,
     pub request: Request,
 }
 
-/// Makes a call and waits for its response; status 0 stands for a lost one.
+/// Makes a call and waits for the response; status 0 stands for a lost response.
 pub fn call(http: &Http, to: &str, request: &Request) -> Response {
     let method = reqwest::Method::from_bytes(request.method.as_bytes()).unwrap_or_default();
     let mut url = format!("http://{to}{}", request.path);
@@ -51,35 +51,36 @@
         .unwrap_or_default()
 }
 
-/// Starts threads that take calls from the returned sender, make one at a time, and send the result of `answer` for
-/// each response to `answers`. They end when either channel is closed.
+/// Starts threads that receive calls through the returned sender, make one call at a time each, convert the response
+/// with
+/// `convert`, and send the result to `results`. The threads end when either channel is closed.
 pub fn start_callers<K: Send + 'static, T: Send + 'static>(
     threads: usize,
-    answers: &Sender<T>,
-    answer: impl Fn(K, Response) -> T + Clone + Send + 'static,
+    results: &Sender<T>,
+    convert: impl Fn(K, Response) -> T + Clone + Send + 'static,
 ) -> Sender<OutgoingCall<K>> {
     let (sender, calls) = channel();
     let calls = Arc::new(Mutex::new(calls));
     for _ in 0..threads {
         let calls = calls.clone();
-        let answers = answers.clone();
-        let answer = answer.clone();
-        thread::spawn(move || make_calls(&calls, &answers, answer));
+        let results = results.clone();
+        let convert = convert.clone();
+        thread::spawn(move || make_calls(&calls, &results, convert));
     }
     sender
 }
 
 fn make_calls<K, T>(
     calls: &Mutex<Receiver<OutgoingCall<K>>>,
-    answers: &Sender<T>,
-    answer: impl Fn(K, Response) -> T,
+    results: &Sender<T>,
+    convert: impl Fn(K, Response) -> T,
 ) {
     let http = http_client(CALL_TIMEOUT);
     loop {
         let next = calls.lock().ok().and_then(|calls| calls.recv().ok());
         let Some(outgoing) = next else { return };
         let response = call(&http, &outgoing.to, &outgoing.request);
-        if answers.send(answer(outgoing.key, response)).is_err() {
+        if results.send(convert(outgoing.key, response)).is_err() {
             return;
         }
     }
--- a/testkit/src/checkers/runs/limits.rs
+++ b/testkit/src/checkers/runs/limits.rs
@@ -4,7 +4,7 @@
 use super::{Specs, TaskKey};
 use crate::checkers::interval::Interval;
 use crate::checkers::{PromisedBounds, Violation};
-use crate::history::{Event, History, RuleSettings, TimedEvent};
+use crate::history::{CheckedSettings, Event, History, TimedEvent};
 use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
     pub fn observe(
         &mut self,
         timed: &'a TimedEvent,
-        select: impl Fn(&'a RuleSettings) -> &'a BTreeMap<String, u32>,
+        select: impl Fn(&'a CheckedSettings) -> &'a BTreeMap<String, u32>,
     ) {
         match &timed.event {
             Event::ConfigRequested { change, settings } => {
--- a/testkit/src/checkers/runs/placement.rs
+++ b/testkit/src/checkers/runs/placement.rs
@@ -2,7 +2,7 @@
 
 use super::Specs;
 use crate::checkers::{PromisedBounds, Violation};
-use crate::history::{is_serving, Event, History, RuleSettings};
+use crate::history::{is_serving, CheckedSettings, Event, History};
 use std::collections::BTreeMap;
 
 /// The runs on a worker never use more than its capacity.
@@ -151,7 +151,7 @@
 }
 
 impl<'a> EmptiedZones<'a> {
-    fn on_acknowledged(&mut self, settings: &'a RuleSettings, version: u64, at_ms: u64) {
+    fn on_acknowledged(&mut self, settings: &'a CheckedSettings, version: u64, at_ms: u64) {
         if version <= self.newest_version {
             return;
         }
@@ -166,7 +166,7 @@
     }
 
     /// Forgets emptied zones for which a change to serving is requested: they may get work from then on.
-    fn on_requested(&mut self, settings: &RuleSettings) {
+    fn on_requested(&mut self, settings: &CheckedSettings) {
         for (zone, state) in &settings.zones {
             if is_serving(state) {
                 self.since.remove(zone.as_str());
--- a/testkit/src/checkers/summary.rs
+++ b/testkit/src/checkers/summary.rs
@@ -3,7 +3,7 @@
 use super::jobs::unanswered_intervals;
 use super::runs::times_without_partner;
 use super::PromisedBounds;
-use crate::history::{is_serving, Event, FinalState, History, RuleSettings};
+use crate::history::{is_serving, CheckedSettings, Event, FinalState, History};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Numbers of jobs and runs in a day, and the largest observed value for each promised bound.
@@ -145,7 +145,7 @@
     }
 
     /// Forgets emptied zones for which a change to serving is requested: they may get work from then on.
-    fn config_requested(&mut self, settings: &RuleSettings) {
+    fn config_requested(&mut self, settings: &CheckedSettings) {
         for (zone, state) in &settings.zones {
             if is_serving(state) {
                 self.emptied_since.remove(zone.as_str());
@@ -153,7 +153,7 @@
         }
     }
 
-    fn config_accepted(&mut self, version: u64, settings: &'a RuleSettings, at_ms: u64) {
+    fn config_accepted(&mut self, version: u64, settings: &'a CheckedSettings, at_ms: u64) {
         self.versions.push(AcceptedVersion { at_ms, version });
         for (zone, state) in &settings.zones {
             if !is_serving(state) {
--- a/testkit/src/fakes/client.rs
+++ b/testkit/src/fakes/client.rs
@@ -9,21 +9,21 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// When the first job is offered, in milliseconds: after the operator's first configuration.
+/// When the first random job is offered, in milliseconds, to leave time for the operator's first configuration.
 const FIRST_JOB_MS: u64 = 2000;
 /// The interval of polls of jobs that have ended, in milliseconds.
 const ENDED_POLL_EVERY_MS: u64 = 250;
-/// The pause after an answer without a retry time, in milliseconds.
+/// The pause after an answer that gives no retry time, in milliseconds.
 const DEFAULT_RETRY_MS: u64 = 500;
 /// The longest pause between polls of a job's state, in milliseconds.
 const MAX_POLL_PAUSE_MS: u64 = 400;
 /// The pause after the cancel of a job that the system does not know yet, in milliseconds.
 const CANCEL_RETRY_MS: u64 = 2000;
-/// A job to be cancelled is cancelled within this time after its creation, in milliseconds.
-const MAX_CANCEL_DELAY_MS: u64 = 4000;
+/// The exclusive upper bound of the time from the offer of a job to its cancel, in milliseconds.
+const CANCEL_DELAY_BOUND_MS: u64 = 4000;
 /// The default share of jobs that are cancelled.
 const CANCELLED_SHARE: f64 = 0.05;
-/// The number of refusals that a client retries after is random, below this.
+/// The exclusive upper bound of the random number of refusals after which a client still retries.
 const RETRIED_REFUSALS_BOUND: u64 = 4;
 
 /// Figures of a client's jobs.
@@ -32,38 +32,38 @@
     /// Jobs with an accepted submission.
     pub accepted: u64,
     /// Jobs that the client stopped submitting after a refusal.
-    pub refused: u64,
+    pub given_up: u64,
     /// The time from offer to end of each job that is done, in milliseconds, in the order of observation.
     pub latencies_ms: Vec<u64>,
-    /// The same, by job id.
+    /// The time from offer to end of each job that is done, in milliseconds, by job id.
     pub latency_of_job_ms: BTreeMap<String, u64>,
 }
 
-/// A client with all its jobs.
+/// A simulated user who submits, polls and cancels jobs.
 pub struct Client {
     /// The addresses of all nodes, as the platform lists them.
     pub nodes: Vec<String>,
     rng: Rng,
     mix: Mix,
-    /// The prefix of the ids of its random jobs.
+    /// The prefix of the ids of random jobs.
     prefix: String,
     jobs: BTreeMap<String, Job>,
-    /// The job id of each open call, by call number.
+    /// The job id of each unanswered call, by call number.
     calls: BTreeMap<u64, String>,
     last_call: u64,
-    jobs_made: u64,
+    jobs_offered: u64,
     next_job_ms: u64,
-    /// Accepted jobs that have ended; they are polled again from time to time.
+    /// Accepted jobs that have ended, one of which is polled again at intervals of [`ENDED_POLL_EVERY_MS`].
     ended: Vec<String>,
     next_ended_poll_ms: u64,
     /// The addresses of the ready nodes, which the platform routes clients to; if empty, clients call any of `nodes`.
     pub ready_nodes: Vec<String>,
-    /// Whether it offers random jobs of its mix.
+    /// Whether the client offers random jobs of its mix.
     pub is_offering: bool,
     pub observations: ClientObservations,
     /// The share of jobs that are cancelled.
     pub cancelled_share: f64,
-    /// The wall clock's time at time 0 of this fake, in milliseconds since 1970.
+    /// The wall clock's time at the beginning of the day, in milliseconds since 1970.
     epoch_ms: u64,
 }
 
@@ -78,7 +78,7 @@
             jobs: BTreeMap::new(),
             calls: BTreeMap::new(),
             last_call: 0,
-            jobs_made: 0,
+            jobs_offered: 0,
             next_job_ms: FIRST_JOB_MS,
             ended: Vec::new(),
             next_ended_poll_ms: 0,
@@ -101,10 +101,10 @@
         outputs
     }
 
-    /// Offers a given job.
+    /// Offers a job, and decides at random whether and when to cancel it.
     pub fn offer(&mut self, now: u64, spec: JobSpec) -> Vec<Output> {
         let is_cancelled = self.rng.unit() < self.cancelled_share;
-        let cancel_at_ms = is_cancelled.then(|| now + self.rng.below(MAX_CANCEL_DELAY_MS));
+        let cancel_at_ms = is_cancelled.then(|| now + self.rng.below(CANCEL_DELAY_BOUND_MS));
         let max_refusals = self.rng.below(RETRIED_REFUSALS_BOUND) as u32;
         let cancels_left = if is_cancelled {
             1 + self.rng.below(2) as u32
@@ -151,13 +151,13 @@
         // Exponentially distributed pauses, as with independent callers.
         let pause_ms = -(1.0 - self.rng.unit()).ln() * 1000.0 / self.mix.jobs_per_second;
         self.next_job_ms += pause_ms as u64;
-        self.jobs_made += 1;
-        let id = format!("{}-{}", self.prefix, self.jobs_made);
+        self.jobs_offered += 1;
+        let id = format!("{}-{}", self.prefix, self.jobs_offered);
         let spec = random_job(&mut self.rng, &self.mix, &id, self.epoch_ms + now);
         self.offer(now, spec)
     }
 
-    /// Polls a random ended job at intervals, as the system must not forget those.
+    /// Polls a random ended job at intervals: the system must still know it.
     fn poll_ended_job(&mut self, now: u64) {
         if now < self.next_ended_poll_ms || self.ended.is_empty() || !self.is_offering {
             return;
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Polls every ended job once more, as at the end of a day.
+    /// Polls every ended job once more, at the end of a day.
     pub fn poll_all(&mut self, now: u64) {
         for id in std::mem::take(&mut self.ended) {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Makes the next call about a job, unless the previous one is open and has not timed out.
+    /// Makes the next call for a job, unless an earlier call is unanswered and has not timed out.
     fn next_call(&mut self, now: u64, id: &str) -> Vec<Output> {
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
@@ -258,7 +258,7 @@
             429 | 503 if job.refusals < job.max_refusals => job.refusals += 1,
             _ => {
                 job.stage = Stage::Ended;
-                self.observations.refused += 1;
+                self.observations.given_up += 1;
                 let id = id.to_string();
                 return vec![answered, Output::Event(Event::GaveUp { id })];
             }
@@ -309,10 +309,10 @@
 
     /// Records a job's latency when its end is observed for the first time.
     fn job_done(&mut self, id: &str, latency_ms: u64) {
-        let latencies = &mut self.observations;
-        if !latencies.latency_of_job_ms.contains_key(id) {
-            latencies.latencies_ms.push(latency_ms);
-            latencies
+        let observations = &mut self.observations;
+        if !observations.latency_of_job_ms.contains_key(id) {
+            observations.latencies_ms.push(latency_ms);
+            observations
                 .latency_of_job_ms
                 .insert(id.to_string(), latency_ms);
         }
@@ -321,8 +321,8 @@
     /// The ids of accepted jobs whose end has not been observed.
     pub fn unfinished_accepted_jobs(&self) -> Vec<String> {
         let jobs = self.jobs.iter();
-        let unanswered = jobs.filter(|(_, job)| job.is_accepted && job.stage != Stage::Ended);
-        unanswered.map(|(id, _)| id.clone()).collect()
+        let unfinished = jobs.filter(|(_, job)| job.is_accepted && job.stage != Stage::Ended);
+        unfinished.map(|(id, _)| id.clone()).collect()
     }
 
     /// The number of jobs, accepted or not, that have not ended as far as the client knows.
--- a/testkit/src/fakes/client_job.rs
+++ b/testkit/src/fakes/client_job.rs
@@ -1,4 +1,4 @@
-//! The state of a job at its client, and the calls about it.
+//! The state of a job at its client, and the calls that submit, poll and cancel it.
 
 use super::request;
 use crate::history::Event;
@@ -11,7 +11,7 @@
 /// The timeout of a poll, after which another node is called, in milliseconds.
 const STATE_TIMEOUT_MS: u64 = 1000;
 
-/// A stage in a job's life at its client.
+/// The calls that the client currently makes for a job.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Stage {
     Submitting,
@@ -27,7 +27,7 @@
     Poll,
 }
 
-/// A call that waits for its answer.
+/// A call that has not been answered.
 #[derive(Clone, Copy)]
 pub(super) struct OpenCall {
     pub call: u64,
@@ -45,15 +45,15 @@
     }
 }
 
-/// A job, with the progress of the calls about it.
+/// A job, with the progress of the calls for it.
 pub(super) struct Job {
     pub spec: JobSpec,
     pub stage: Stage,
-    /// When the next call is due.
+    /// When the next call is due, in milliseconds.
     pub next_call_ms: u64,
     pub open_call: Option<OpenCall>,
     pub refusals: u32,
-    /// The number of refusals after which the client still retries.
+    /// The number of refusals that the client retries before it gives up.
     pub max_refusals: u32,
     pub cancel_at_ms: Option<u64>,
     /// The number of cancels still to be acknowledged; some jobs are cancelled twice.
@@ -63,12 +63,12 @@
 }
 
 impl Job {
-    /// The purpose of the next call.
+    /// The purpose of the next call, given the stage and a cancel that may be due.
     pub fn next_purpose(&self, now: u64) -> Purpose {
         let cancel_is_due = self.cancel_at_ms.is_some_and(|at_ms| now >= at_ms);
         // A cancel may overtake the call that submits the job.
-        let may_be_known = self.stage == Stage::Polling || now > self.offered_ms;
-        if self.cancels_left > 0 && cancel_is_due && may_be_known {
+        let system_may_know_job = self.stage == Stage::Polling || now > self.offered_ms;
+        if self.cancels_left > 0 && cancel_is_due && system_may_know_job {
             return Purpose::Cancel;
         }
         match self.stage {
@@ -83,7 +83,7 @@
     }
 }
 
-/// The event and the request of a call about a job.
+/// The event to record and the request to send for a call.
 pub(super) fn call_for(purpose: Purpose, spec: &JobSpec) -> (Event, Request) {
     let id = spec.id.clone();
     let path = format!("/v1/jobs/{id}");
--- a/testkit/src/fakes/mod.rs
+++ b/testkit/src/fakes/mod.rs
@@ -11,17 +11,17 @@
 
 /// An action that a fake requests from its driver.
 pub enum Output {
-    /// Make a call to the node at this HTTP address, and pass the response back with the call's number.
+    /// Make a call to the process at this HTTP address, and pass the response back with the call's number.
     Call {
         to: String,
         call: u64,
         request: Request,
     },
-    /// Add an observation to the history.
+    /// Add an event to the history.
     Event(Event),
 }
 
-/// A request with a JSON body.
+/// A request, with a JSON body if one is given.
 pub fn request(method: &str, path: &str, query: &str, body: Option<&serde_json::Value>) -> Request {
     Request {
         method: method.into(),
--- a/testkit/src/fakes/operator.rs
+++ b/testkit/src/fakes/operator.rs
@@ -1,7 +1,7 @@
 //! A fake operator: it replaces or patches the configuration, and reads it back.
 
 use super::{request, Output};
-use crate::history::{Event, RuleSettings};
+use crate::history::{CheckedSettings, Event};
 use landingdrift::sans_io::{Request, Response, Rng};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
@@ -10,9 +10,9 @@
 const CHANGE_TIMEOUT_MS: u64 = 3000;
 /// The timeout of a read, after which another node is called, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 1000;
-/// A read that no node has answered for this long is recorded as unanswered, in milliseconds.
+/// The time after which a read that no node has answered is recorded as unanswered, in milliseconds.
 const READ_DEADLINE_MS: u64 = 4000;
-/// The longest pause after an answer, in milliseconds.
+/// The longest pause before the next call after an answer, in milliseconds.
 const MAX_PAUSE_MS: u64 = 500;
 
 /// An operation to be carried out.
@@ -36,8 +36,8 @@
 struct Read {
     /// When the first node was called, in milliseconds.
     since_ms: Option<u64>,
-    /// The event that no answer came in time has been recorded.
-    is_recorded: bool,
+    /// [`Event::ConfigReadUnanswered`] has been recorded for this read.
+    is_unanswered_recorded: bool,
 }
 
 /// A change of the configuration.
@@ -45,23 +45,23 @@
 struct Change {
     /// Identifies the change; repeated calls carry the same id.
     id: String,
-    /// Whether it replaces only the parts that it names.
+    /// Whether the change replaces only the settings that it names.
     is_patch: bool,
     value: Value,
-    /// The version that it is based on; if none, the newest one known when it is first sent.
+    /// The version that the change is based on: none until it is first sent, then the newest version known.
     base: Option<u64>,
-    /// Whether it is retried on the newer version after a conflict with a concurrent change.
+    /// Whether the change is retried on the newer version after a conflict with a concurrent change.
     retries_after_conflict: bool,
 }
 
-/// A call that waits for its answer.
+/// A call that has not been answered.
 struct OpenCall {
     call: u64,
     sent_ms: u64,
     operation: Operation,
 }
 
-/// An operator with its queue of operations.
+/// A simulated operator who changes and reads the configuration, one operation at a time.
 pub struct Operator {
     /// The addresses of all nodes, as the platform lists them.
     pub nodes: Vec<String>,
@@ -74,7 +74,7 @@
     /// When the next call may be made.
     next_call_ms: u64,
     last_call: u64,
-    /// The newest version of the configuration that it knows.
+    /// The newest version of the configuration that the operator knows.
     pub version: u64,
     changes_made: u64,
 }
@@ -97,7 +97,7 @@
     }
 
     /// Queues a change of the configuration, which is retried on the newer version after a conflict.
-    pub fn apply(&mut self, is_patch: bool, value: Value) {
+    pub fn queue_change(&mut self, is_patch: bool, value: Value) {
         let id = self.next_change_id();
         self.operations.push_back(Operation::Apply(Change {
             id,
@@ -120,17 +120,17 @@
         }));
     }
 
-    /// Queues a change of a zone's state.
+    /// Queues a change of a zone's state, such as `draining`.
     pub fn set_zone(&mut self, zone: &str, state: &str) {
-        self.apply(true, json!({"zones": {zone: {"state": state}}}));
+        self.queue_change(true, json!({"zones": {zone: {"state": state}}}));
     }
 
     /// Queues a read of the configuration.
-    pub fn read(&mut self) {
+    pub fn queue_read(&mut self) {
         self.operations.push_back(Operation::Read(Read::default()));
     }
 
-    /// Whether no operation is queued or open.
+    /// Whether no operation is queued or unanswered.
     pub fn is_idle(&self) -> bool {
         self.operations.is_empty() && self.open_call.is_none()
     }
@@ -146,7 +146,7 @@
             if now < open.sent_ms + open.operation.timeout_ms() {
                 return Vec::new();
             }
-            // The call has timed out: repeat the operation, a change with the same id.
+            // The call has timed out: repeat the operation; a change keeps its id.
             self.operations.push_front(open.operation.clone());
             self.open_call = None;
         }
@@ -169,10 +169,10 @@
                 )
             }
             Operation::Apply(change) => {
-                let change = self.with_base_and_mark(change);
+                let change = self.with_base_and_id_note(change);
                 outputs.push(Output::Event(Event::ConfigRequested {
                     change: change.id.clone(),
-                    settings: rule_settings(&change.value),
+                    settings: checked_settings(&change.value),
                 }));
                 let request = apply_request(&change);
                 (Operation::Apply(change), request)
@@ -190,9 +190,9 @@
         outputs
     }
 
-    /// Fixes the version that a change is based on, and adds the change's id to its notes, by which checkers recognize
-    /// the content.
-    fn with_base_and_mark(&self, mut change: Change) -> Change {
+    /// Sets the base version of a change if it has none, and writes its id to the note `by`, by which checkers
+    /// recognize the change's content.
+    fn with_base_and_id_note(&self, mut change: Change) -> Change {
         change.base = change.base.or(Some(self.version));
         change.value["notes"]["by"] = json!(change.id);
         change
@@ -238,7 +238,7 @@
         let version = response.body["version"].as_u64().unwrap_or(0);
         self.version = self.version.max(version);
         if response.status == 409 && change.retries_after_conflict {
-            // On another base it is another change, with its own id.
+            // A change on a newer base gets a new id.
             let id = self.next_change_id();
             self.operations.push_front(Operation::Apply(Change {
                 id,
@@ -247,7 +247,7 @@
             }));
         }
         vec![Output::Event(Event::ConfigAnswered {
-            settings: rule_settings(&change.value),
+            settings: checked_settings(&change.value),
             change: change.id,
             base: change.base.unwrap_or(0),
             status: response.status,
@@ -256,11 +256,12 @@
     }
 }
 
-/// Sets the start of a read at its first call; when it first exceeds [`READ_DEADLINE_MS`], returns the event.
+/// Sets the time of a read's first call. Returns an event, once, when the read has been unanswered for
+/// [`READ_DEADLINE_MS`].
 fn record_unanswered(now: u64, read: &mut Read) -> Option<Output> {
     let since_ms = *read.since_ms.get_or_insert(now);
     let is_late = now >= since_ms + READ_DEADLINE_MS;
-    if !is_late || std::mem::replace(&mut read.is_recorded, true) {
+    if !is_late || std::mem::replace(&mut read.is_unanswered_recorded, true) {
         return None;
     }
     Some(Output::Event(Event::ConfigReadUnanswered { since_ms }))
@@ -273,14 +274,14 @@
     request(method, "/v1/desired", &query, Some(&change.value))
 }
 
-/// The settings in a change that the checkers' rules depend on.
-fn rule_settings(value: &Value) -> RuleSettings {
+/// The settings in a change that the checkers depend on.
+fn checked_settings(value: &Value) -> CheckedSettings {
     let zones = value["zones"].as_object().into_iter().flatten();
     let zone_states = zones.map(|(name, zone)| {
         let state = zone["state"].as_str().unwrap_or("");
         (name.clone(), state.to_string())
     });
-    RuleSettings {
+    CheckedSettings {
         zones: zone_states.collect(),
         max_attempts: queue_limits(value, "tries"),
         quotas: queue_limits(value, "quota"),
--- a/testkit/src/fakes/worker/departure.rs
+++ b/testkit/src/fakes/worker/departure.rs
@@ -1,21 +1,22 @@
-//! Reports of workers that leave without an announcement and run on; a report is repeated until it is acknowledged.
+//! Workers that report, without an earlier announcement, that they have left, while their runs go on. A report is
+//! repeated until it is acknowledged.
 
 use super::{Worker, CALL_TIMEOUT_MS};
 use crate::fakes::{request, Output};
 use crate::history::Event;
 use landingdrift::sans_io::Response;
 
-/// The report that a worker has left, while it is not acknowledged.
+/// An unacknowledged report that the worker has left.
 #[derive(Default)]
 pub(super) struct DepartureReport {
-    /// The number of the latest call that carries it.
+    /// The number of the latest call that carries the report.
     call: u64,
     /// When the next call is due, in milliseconds.
     next_call_ms: u64,
 }
 
 impl Worker {
-    /// Begins to report that it has left; its runs and heartbeats go on.
+    /// Begins to report that the worker has left; its runs and heartbeats go on.
     pub fn leave_unannounced(&mut self, now: u64) -> Vec<Output> {
         self.departure = Some(DepartureReport::default());
         self.report_departure(now).into_iter().collect()
@@ -37,7 +38,7 @@
         })
     }
 
-    /// Handles a response if it acknowledges the report.
+    /// Handles a response that acknowledges the report; returns none for any other response.
     pub(super) fn departure_answered(&mut self, call: u64, response: &Response) -> Option<Output> {
         let is_acknowledged = response.status == 200;
         self.departure
--- a/testkit/src/fakes/worker/lease.rs
+++ b/testkit/src/fakes/worker/lease.rs
@@ -1,6 +1,6 @@
 //! Workers with a lease, which kill their runs when it expires and identify runs by name instead of attempt number.
-//! Such a worker forgets acknowledged ends, and refuses each run whose number is not above that of the task's highest
-//! run that ended or was stopped there.
+//! Such a worker forgets acknowledged ends, and refuses runs of a task up to the highest run number that ended or was
+//! stopped on this worker.
 
 use super::{OpenCall, Worker};
 use crate::fakes::Output;
@@ -9,21 +9,21 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// The duration for which a worker uses its lease, in percent of the granted one: it simulates a slow clock.
-const SLOW_CLOCK_PERCENT: u64 = 102;
+/// How long a worker keeps its lease, in percent of the granted duration; above 100 as with a slow clock.
+const SLOW_CLOCK_LEASE_PERCENT: u64 = 102;
 
 /// The lease of a worker, and its record of earlier runs.
 #[derive(Default)]
 pub(super) struct WorkerLease {
-    /// When it expires, in milliseconds.
+    /// When the lease expires, in milliseconds.
     expires_ms: u64,
-    /// It was granted and has not expired since.
+    /// Whether the lease has been granted and has not expired.
     is_active: bool,
     /// The highest fencing token received.
     fencing_token: u64,
     /// The highest number of a run that ended or was stopped, by job and task.
     ended_runs: BTreeMap<(String, String), u32>,
-    /// The number of ends that the open heartbeat reports.
+    /// The number of ends that the unanswered heartbeat reports.
     reported_ends: usize,
 }
 
@@ -34,24 +34,25 @@
         *highest = name.run.max(*highest);
     }
 
-    fn has_ended(&self, name: RunName) -> bool {
+    /// Whether this run or one of the task's later runs has ended or was stopped on this worker.
+    fn is_outdated(&self, name: RunName) -> bool {
         let highest = self.ended_runs.get(&(name.job, name.task));
         highest.is_some_and(|highest| name.run <= *highest)
     }
 }
 
 impl Worker {
-    /// Records the end of a run if the worker has a lease; returns the name to report it by.
+    /// Records the end of a run; returns its name for the report, or none if the worker has no lease.
     pub(super) fn record_ended_run(&mut self, name: RunName) -> Option<RunName> {
         let lease = self.lease.as_mut()?;
         lease.record_ended(&name);
         Some(name)
     }
 
-    /// Whether the worker refuses to start a run.
+    /// Whether the worker refuses to start a run, because it is outdated; false without a lease.
     pub(super) fn refuses(&self, name: RunName) -> bool {
         let lease = self.lease.as_ref();
-        lease.is_some_and(|lease| lease.has_ended(name))
+        lease.is_some_and(|lease| lease.is_outdated(name))
     }
 
     /// The body of a heartbeat that identifies runs by name.
@@ -60,19 +61,19 @@
         let running: Vec<Value> = running
             .map(|run| json!({"name": run.name(), "progress": run.progress(now)}))
             .collect();
-        let without_number = |end: &EndReport| EndReport {
+        let without_attempt = |end: &EndReport| EndReport {
             no: 0,
             ..end.clone()
         };
-        let ended: Vec<EndReport> = self.unreported_ends.iter().map(without_number).collect();
+        let ended: Vec<EndReport> = self.unreported_ends.iter().map(without_attempt).collect();
         if let Some(lease) = &mut self.lease {
             lease.reported_ends = ended.len();
         }
         json!({"facts": self.info, "running": running, "ended": ended, "call": call, "named": true})
     }
 
-    /// Handles the answer to a heartbeat. If its fencing token is lower than an earlier one, it starts, stops and
-    /// renews nothing.
+    /// Handles the answer to a heartbeat. If the answer's fencing token is lower than an earlier one, the worker
+    /// ignores its orders and does not renew the lease.
     pub(super) fn handle_lease_answer(
         &mut self,
         now: u64,
@@ -91,7 +92,7 @@
             return outputs;
         }
         lease.fencing_token = token;
-        let expires_ms = open.sent_ms + lease_ms * SLOW_CLOCK_PERCENT / 100;
+        let expires_ms = open.sent_ms + lease_ms * SLOW_CLOCK_LEASE_PERCENT / 100;
         lease.expires_ms = lease.expires_ms.max(expires_ms);
         lease.is_active = true;
         for stop in body["stopRuns"].as_array().into_iter().flatten() {
@@ -121,7 +122,7 @@
         acknowledged.map(event).collect()
     }
 
-    /// Stops a run by name; if it has not arrived yet, it will be refused.
+    /// Stops a run by name; a run whose start order has not arrived yet will be refused.
     fn stop_by_name(&mut self, now: u64, stop: &Value) {
         let name = RunName {
             job: stop[0].as_str().unwrap_or("").into(),
@@ -129,8 +130,8 @@
             run: stop[2].as_u64().unwrap_or(0) as u32,
         };
         let mut running = self.running.iter();
-        let meant = running.find(|(_, run)| run.name() == name);
-        if let Some(attempt) = meant.map(|(attempt, _)| *attempt) {
+        let target = running.find(|(_, run)| run.name() == name);
+        if let Some(attempt) = target.map(|(attempt, _)| *attempt) {
             self.stop_running(now, attempt);
         } else if let Some(lease) = &mut self.lease {
             lease.record_ended(&name);
@@ -150,7 +151,7 @@
             if let Some(run) = self.running.get_mut(&attempt) {
                 run.outcome = Outcome::Expired;
             }
-            outputs.extend(self.end(now, attempt));
+            outputs.extend(self.end_run(now, attempt));
         }
         let worker = self.info.worker.clone();
         outputs.push(Output::Event(Event::LeaseExpired { worker }));
--- a/testkit/src/fakes/worker/mod.rs
+++ b/testkit/src/fakes/worker/mod.rs
@@ -22,16 +22,16 @@
 /// The pause before a heartbeat to another node, in milliseconds.
 const NODE_SWITCH_PAUSE_MS: u64 = 20;
 
-/// The faults in a worker's behavior.
+/// The faults injected into a worker.
 #[derive(Clone, Debug)]
-pub struct Behavior {
+pub struct InjectedFaults {
     /// The factor on the durations of runs.
     pub slowdown: f64,
     /// The share of runs that fail, while heartbeats go on as usual.
     pub failing_share: f64,
 }
 
-impl Default for Behavior {
+impl Default for InjectedFaults {
     fn default() -> Self {
         Self {
             slowdown: 1.0,
@@ -48,7 +48,7 @@
     number: u32,
     started_ms: u64,
     ends_ms: u64,
-    /// The outcome that it will have when it ends.
+    /// The outcome that the run will have when it ends.
     outcome: Outcome,
 }
 
@@ -61,51 +61,52 @@
         }
     }
 
-    /// The share of its duration that is over, in thousandths.
+    /// The elapsed share of the run's duration, in thousandths.
     fn progress(&self, now: u64) -> u64 {
         let duration_ms = (self.ends_ms - self.started_ms).max(1);
         (now - self.started_ms) * 1000 / duration_ms
     }
 }
 
-/// The random numbers of a run when policies are compared: they depend only on the task and on whether it is a copy, so
-/// that all policies see the same ones.
+/// The random numbers of a run when policies are compared: they depend only on the seed, the job, the task and whether
+/// the run is a copy, so that all policies get the same random numbers.
 pub fn common_rng(seed: u64, job: &str, task: &str, copy: bool) -> Rng {
     Rng::new(seed ^ fnv1a(format!("{job}/{task}/{copy}").as_bytes()))
 }
 
-/// A heartbeat that waits for its answer.
+/// A heartbeat that has not been answered.
 #[derive(Clone, Copy)]
 struct OpenCall {
     call: u64,
     sent_ms: u64,
 }
 
-/// A fake worker with its current runs, its unreported ends and its calls.
+/// A fake worker with its current runs, its unacknowledged ends and its calls.
 pub struct Worker {
     pub info: WorkerInfo,
-    pub behavior: Behavior,
+    pub injected_faults: InjectedFaults,
     /// The addresses of all nodes, as the platform lists them.
     pub nodes: Vec<String>,
-    /// The index of the node that it calls.
+    /// The index in `nodes` of the node that the worker calls.
     current_node: usize,
     rng: Rng,
     seed: u64,
-    /// If set, a run's duration and outcome depend on its job and task only; see [`common_rng`].
+    /// If set, the duration and outcome of a run depend only on this seed, the job, the task and whether the run is a
+    /// copy; see [`common_rng`].
     pub common_seed: Option<u64>,
     /// The current runs, by attempt number.
     running: BTreeMap<u64, Run>,
     /// Ends that no node has acknowledged yet; each heartbeat reports them.
     unreported_ends: Vec<EndReport>,
-    /// Attempts that ended or were stopped before they arrived, and must never be started.
+    /// Attempts that ended, were refused, or were stopped before their start order arrived; they must not start again.
     finished: BTreeSet<u64>,
     heartbeat_ms: u64,
     next_heartbeat_ms: u64,
     open_call: Option<OpenCall>,
     last_call: u64,
-    /// The lease, if it works with one; it then identifies runs by name.
+    /// The lease, if the worker has one; the worker then identifies runs by name.
     lease: Option<WorkerLease>,
-    /// The report that it has left without an announcement, until that is acknowledged.
+    /// The report of an unannounced departure, until it is acknowledged.
     departure: Option<DepartureReport>,
 }
 
@@ -116,7 +117,7 @@
         let current_node = rng.below(nodes.len() as u64) as usize;
         Self {
             info,
-            behavior: Behavior::default(),
+            injected_faults: InjectedFaults::default(),
             nodes,
             current_node,
             rng,
@@ -140,12 +141,12 @@
         self
     }
 
-    /// Whether it works with a lease.
+    /// Whether the worker has a lease, active or not.
     pub fn has_lease(&self) -> bool {
         self.lease.is_some()
     }
 
-    /// The event that it has started.
+    /// The event to record when the worker has started.
     pub fn started_event(&self) -> Event {
         let info = &self.info;
         Event::WorkerUp {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Announces that it is about to leave.
+    /// Announces that the worker is about to leave.
     pub fn leave(&mut self, now: u64) -> Vec<Output> {
         self.info.leaving = true;
         self.open_call = None;
@@ -169,12 +170,12 @@
         outputs
     }
 
-    /// The address of the node that it calls.
+    /// The address of the node that the worker calls.
     fn node(&self) -> String {
         self.nodes[self.current_node % self.nodes.len().max(1)].clone()
     }
 
-    /// Changes its capacity and labels; answers to earlier heartbeats are then ignored.
+    /// Changes the worker's capacity and labels; answers to earlier heartbeats are then ignored.
     pub fn change(&mut self, now: u64, cpu: u32, labels: BTreeSet<String>) -> Vec<Output> {
         self.info.cpu = cpu;
         self.info.labels = labels;
@@ -187,7 +188,7 @@
         })]
     }
 
-    /// Ends the runs and the lease that are over, and sends the calls that are due.
+    /// Ends finished runs, lets the lease expire if it is due, and makes the calls that are due.
     pub fn tick(&mut self, now: u64) -> Vec<Output> {
         let mut outputs = self.end_runs(now);
         outputs.extend(self.expire_lease(now));
@@ -239,16 +240,17 @@
         })
     }
 
-    /// Ends the runs whose time is over.
+    /// Ends the runs whose duration has elapsed.
     fn end_runs(&mut self, now: u64) -> Vec<Output> {
-        let over = self.running.iter().filter(|(_, run)| now >= run.ends_ms);
-        let over: Vec<u64> = over.map(|(attempt, _)| *attempt).collect();
-        over.into_iter()
-            .filter_map(|attempt| self.end(now, attempt))
+        let finished = self.running.iter().filter(|(_, run)| now >= run.ends_ms);
+        let finished: Vec<u64> = finished.map(|(attempt, _)| *attempt).collect();
+        finished
+            .into_iter()
+            .filter_map(|attempt| self.end_run(now, attempt))
             .collect()
     }
 
-    fn end(&mut self, now: u64, attempt: u64) -> Option<Output> {
+    fn end_run(&mut self, now: u64, attempt: u64) -> Option<Output> {
         let run = self.running.remove(&attempt)?;
         self.finished.insert(attempt);
         let note = if run.outcome == Outcome::Failed {
@@ -276,7 +278,7 @@
     }
 
     /// The number of current runs.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 }
--- a/testkit/src/fakes/worker/orders.rs
+++ b/testkit/src/fakes/worker/orders.rs
@@ -1,4 +1,4 @@
-//! Handling of the answers to heartbeats: a worker starts and stops runs as ordered.
+//! Handling of the responses to heartbeats and departure reports: a worker starts and stops runs as ordered.
 
 use super::{common_rng, Run, Worker, DEFAULT_HEARTBEAT_MS, END_REPORT_DELAY_MS};
 use crate::fakes::Output;
@@ -7,13 +7,13 @@
 use landingdrift::state::{EndReport, Outcome, RunName};
 use serde_json::{json, Value};
 
-/// A stopped run frees its capacity within this time, in milliseconds.
-const MAX_STOP_MS: u64 = 300;
+/// The exclusive upper bound of the time that a stopped run takes to end, in milliseconds.
+const STOP_DELAY_BOUND_MS: u64 = 300;
 /// The longest delay of the heartbeat that confirms a start, in milliseconds.
 const START_REPORT_DELAY_MS: u64 = 50;
 /// The duration of a task whose payload gives none, in milliseconds.
 const DEFAULT_TASK_MS: f64 = 200.0;
-/// The longest duration of a run, as a multiple of its shortest.
+/// The maximum of the random factor on the duration of a run.
 const MAX_TAIL_FACTOR: f64 = 20.0;
 
 /// An order to start a run of a task.
@@ -52,8 +52,8 @@
 impl Worker {
     /// Handles the response to a heartbeat or to the report of a departure.
     pub fn answer(&mut self, now: u64, call: u64, response: &Response) -> Vec<Output> {
-        if let Some(left) = self.departure_answered(call, response) {
-            return vec![left];
+        if let Some(departure_event) = self.departure_answered(call, response) {
+            return vec![departure_event];
         }
         let Some(open) = self.open_call.take_if(|open| open.call == call) else {
             return Vec::new();
@@ -109,7 +109,7 @@
         let Some(run) = self.running.get_mut(&attempt) else {
             return;
         };
-        let ends_ms = now + self.rng.below(MAX_STOP_MS);
+        let ends_ms = now + self.rng.below(STOP_DELAY_BOUND_MS);
         if ends_ms < run.ends_ms {
             run.ends_ms = ends_ms;
             run.outcome = Outcome::Stopped;
@@ -131,7 +131,7 @@
         };
         let duration_ms = self.random_duration_ms(&mut rng, order.payload);
         let outcome = self.random_outcome(&mut rng, order.payload);
-        // A failure may occur at any time of the run, even at once.
+        // With a lease, a failed run may end at any time up to its duration.
         let duration_ms = if self.lease.is_some() && outcome == Outcome::Failed {
             rng.below(duration_ms)
         } else {
@@ -169,17 +169,17 @@
         self.next_heartbeat_ms = now + END_REPORT_DELAY_MS;
     }
 
-    /// The duration of a run: the payload's shortest duration, times a Pareto-distributed factor, as in the Hopper
+    /// The duration of a run: the payload's minimum duration, times a Pareto-distributed factor, as in the Hopper
     /// paper, if the payload gives a shape for the tail.
     fn random_duration_ms(&self, rng: &mut Rng, payload: &Value) -> u64 {
-        let shortest_ms = payload["ms"].as_f64().unwrap_or(DEFAULT_TASK_MS);
+        let minimum_ms = payload["ms"].as_f64().unwrap_or(DEFAULT_TASK_MS);
         let tail = payload["tail"].as_f64().unwrap_or(0.0);
         let tail_factor = if tail > 0.0 {
             (1.0 - rng.unit()).powf(-1.0 / tail).min(MAX_TAIL_FACTOR)
         } else {
             1.0
         };
-        (shortest_ms * tail_factor * self.behavior.slowdown).max(1.0) as u64
+        (minimum_ms * tail_factor * self.injected_faults.slowdown).max(1.0) as u64
     }
 
     fn random_outcome(&self, rng: &mut Rng, payload: &Value) -> Outcome {
@@ -187,7 +187,7 @@
             return Outcome::Failed;
         }
         let task_share = payload["failing"].as_f64().unwrap_or(0.0);
-        if rng.unit() < self.behavior.failing_share.max(task_share) {
+        if rng.unit() < self.injected_faults.failing_share.max(task_share) {
             Outcome::Failed
         } else {
             Outcome::Succeeded
--- a/testkit/src/fleet/drive.rs
+++ b/testkit/src/fleet/drive.rs
@@ -292,7 +292,7 @@
             });
         }
         if now % READ_EVERY_MS < PROBE_EVERY_MS {
-            self.operator.read();
+            self.operator.queue_read();
         }
     }
 
--- a/testkit/src/fleet/drive/faults.rs
+++ b/testkit/src/fleet/drive/faults.rs
@@ -191,7 +191,7 @@
     fn change_often(&mut self) {
         for index in 0..STORM_CHANGES {
             let change = json!({"notes": {"storm": index.to_string()}});
-            self.operator.apply(true, change);
+            self.operator.queue_change(true, change);
         }
     }
 
@@ -199,7 +199,7 @@
         let text = "x".repeat(LARGE_NOTE_BYTES);
         let note = |index| (format!("n{index}"), json!(text));
         let notes: Map<String, Value> = (0..LARGE_NOTES).map(note).collect();
-        self.operator.apply(true, json!({"notes": notes}));
+        self.operator.queue_change(true, json!({"notes": notes}));
     }
 
     fn kill_all(&mut self) {
--- a/testkit/src/fleet/drive/setup.rs
+++ b/testkit/src/fleet/drive/setup.rs
@@ -49,7 +49,7 @@
         .map(|index| worker_slot(options, index, &mix.services))
         .collect();
     let mut operator = Operator::new("op", nodes.clone(), options.seed);
-    operator.apply(false, options.shape.config());
+    operator.queue_change(false, options.shape.config());
     let day = Day {
         options,
         fleet,
--- a/testkit/src/history.rs
+++ b/testkit/src/history.rs
@@ -1,4 +1,5 @@
-//! The history of a day: the events that clients, workers and operators observe from outside the system.
+//! The history of a day: the events that clients, workers and operators observe, and those that the simulator or the
+//! fleet records.
 
 use landingdrift::state::{JobSpec, Outcome};
 use serde::{Deserialize, Serialize};
@@ -7,14 +8,16 @@
 /// The prefix of the ids of recovery jobs, which are offered after an outage to test whether every queue is served.
 pub const RECOVERY_JOB_PREFIX: &str = "muster-";
 
-/// Begins the description of an [`Event::FaultBegan`] that marks a worker as unreachable; the worker's name follows.
+/// The prefix of the description of an [`Event::FaultBegan`] by which a worker becomes unreachable; the worker's name
+/// follows. The value is fixed, because stored histories contain it.
 pub const WORKER_UNREACHABLE: &str = "dark ";
 
-/// Begins the description of an [`Event::FaultBegan`] that marks a worker as reachable again; its name follows.
+/// The prefix of the description of an [`Event::FaultBegan`] by which a worker becomes reachable again; the worker's
+/// name follows. The value is fixed, because stored histories contain it.
 pub const WORKER_REACHABLE: &str = "light ";
 
-/// One observation. The digests of `testkit digest` depend on the order of the variants and of their fields, so that
-/// order must not change.
+/// An event of a history. The digests of `testkit digest` depend on the order of the variants and of their fields, so
+/// that order must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// A client has created a job that it is about to submit.
@@ -40,7 +43,7 @@
         state: String,
         /// Whether the outcome of one of its tasks is unknown.
         unsure: bool,
-        /// The node marked its answer as possibly out of date.
+        /// Whether the node marked its answer as possibly out of date.
         stale: bool,
     },
     /// A client requests that a job be cancelled.
@@ -74,7 +77,7 @@
         job: String,
         task: String,
         cpu: u32,
-        /// Whether it is a speculative copy.
+        /// Whether the run is a speculative copy.
         copy: bool,
     },
     /// A run has ended.
@@ -88,7 +91,7 @@
     /// An operator requests a change of the configuration, for the first time or again.
     ConfigRequested {
         change: String,
-        settings: RuleSettings,
+        settings: CheckedSettings,
     },
     /// The request of a change was answered.
     ConfigAnswered {
@@ -97,14 +100,14 @@
         base: u64,
         status: u16,
         version: u64,
-        settings: RuleSettings,
+        settings: CheckedSettings,
     },
     /// An operator has read the configuration.
     ConfigRead {
         version: u64,
-        /// The id of the change that last marked the configuration.
+        /// The id of the last change, from the note `by`; empty if there is none.
         change: String,
-        /// When it was requested, in milliseconds.
+        /// When the read was requested, in milliseconds.
         requested_ms: u64,
     },
     /// No node has answered an operator's read of the configuration within its deadline.
@@ -112,26 +115,26 @@
         /// When the first node was called, in milliseconds.
         since_ms: u64,
     },
-    /// The version of the configuration in force on a node, and whether the node reports ready.
+    /// The version of the configuration in force on a node, and the node's readiness, were observed.
     NodeVersion {
         node: String,
         version: u64,
-        /// The id of the change that last marked the configuration; empty if unknown.
+        /// The id of the last change, from the note `by`; empty if unknown.
         change: String,
         ready: bool,
     },
-    /// A change in the number of replicas that are up and connected to each other, or in the nodes that reach all of
-    /// those.
+    /// The number of replicas that are up and connected to each other, or the list of nodes connected to all of these
+    /// replicas, has changed.
     Availability { replicas: usize, nodes: Vec<String> },
     /// A node's process has ended.
     NodeDown { node: String },
     /// All processes are up again after a total outage.
     OutageEnded,
-    /// A fault begins.
+    /// A fault has begun, or a worker has become unreachable or reachable; see [`WORKER_UNREACHABLE`].
     FaultBegan { description: String },
     /// The fault with this description has ended.
     FaultEnded { description: String },
-    /// Jobs are no longer offered, and all faults are healed.
+    /// Jobs are no longer offered, and all faults have been healed.
     LoadEnded,
     /// The day is over; carries the final state of the cluster.
     DayEnded {
@@ -157,9 +160,9 @@
     pub unsure: bool,
 }
 
-/// The settings in a change of the configuration that the checkers' rules depend on, by zone or queue.
+/// The settings in a change of the configuration that the checkers depend on, by zone or queue.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RuleSettings {
+pub struct CheckedSettings {
     /// The state of each zone.
     pub zones: BTreeMap<String, String>,
     /// The limit on the attempts of a task, for each queue.
--- a/testkit/src/measure/capacity/metered_day.rs
+++ b/testkit/src/measure/capacity/metered_day.rs
@@ -132,7 +132,7 @@
             .map(|index| Worker::new(load::info(index), nodes.clone(), rng.next_u64()))
             .collect();
         let mut operator = Operator::new("op", nodes, rng.next_u64());
-        operator.apply(false, load::config());
+        operator.queue_change(false, load::config());
         let mut day = Self {
             now: 0,
             sequence: 0,
--- a/testkit/src/scale/drive.rs
+++ b/testkit/src/scale/drive.rs
@@ -157,7 +157,7 @@
         Ok(Outcome {
             starts: 1000.0 * self.starts as f64 / measured_ms,
             jobs: self.accepted,
-            running: self.workers.iter().map(Worker::running).sum(),
+            running: self.workers.iter().map(Worker::running_count).sum(),
             usage: meter.usage(measured_ms),
             lag: meter.lag(),
             dropped: self.connections.dropped,
--- a/testkit/src/scale/setup.rs
+++ b/testkit/src/scale/setup.rs
@@ -118,7 +118,7 @@
             .map(|index| Worker::new(info(index), all_http.clone(), rng.next_u64()))
             .collect();
         let mut operator = Operator::new("op", fleet.nodes(), rng.next_u64());
-        operator.apply(false, config());
+        operator.queue_change(false, config());
         Ok(Self {
             options,
             start: Instant::now(),
--- a/testkit/src/simulator/faults/load.rs
+++ b/testkit/src/simulator/faults/load.rs
@@ -94,7 +94,7 @@
     pub(super) fn change_configuration_in_turn(&mut self) {
         for index in 0..STORM_CHANGES {
             let change = json!({"notes": {"storm": index.to_string()}});
-            self.operators[index % 2].apply(true, change);
+            self.operators[index % 2].queue_change(true, change);
         }
     }
 
@@ -129,13 +129,13 @@
     fn set_notes(&mut self, prefix: &str, count: usize, text: &Value) {
         let note = |index| (format!("{prefix}{index}"), text.clone());
         let notes: Map<String, Value> = (0..count).map(note).collect();
-        self.operators[0].apply(true, json!({"notes": notes}));
+        self.operators[0].queue_change(true, json!({"notes": notes}));
     }
 
     pub(super) fn set_queue(&mut self, number: usize, settings: Value) {
         let queues = self.shape.mix().queues;
         let queue = queues[number % queues.len()].as_str();
-        self.operators[0].apply(true, json!({"queues": {(queue): settings}}));
+        self.operators[0].queue_change(true, json!({"queues": {(queue): settings}}));
     }
 
     pub(super) fn set_zone(&mut self, zone: usize, state: &str) {
--- a/testkit/src/simulator/faults/workers.rs
+++ b/testkit/src/simulator/faults/workers.rs
@@ -55,13 +55,13 @@
 
     pub(super) fn set_failing_share(&mut self, number: usize, share: f64) {
         if let Some(worker) = &mut self.workers[number].worker {
-            worker.behavior.failing_share = share;
+            worker.injected_faults.failing_share = share;
         }
     }
 
     pub(super) fn set_slowdown(&mut self, number: usize, factor: f64) {
         if let Some(worker) = &mut self.workers[number].worker {
-            worker.behavior.slowdown = factor;
+            worker.injected_faults.slowdown = factor;
         }
     }
 
--- a/testkit/src/simulator/world/day.rs
+++ b/testkit/src/simulator/world/day.rs
@@ -64,7 +64,7 @@
             self.inject_fault(self.faults.len() - 1);
         }
         self.client.poll_all(self.now);
-        self.operators.iter_mut().for_each(Operator::read);
+        self.operators.iter_mut().for_each(Operator::queue_read);
     }
 
     /// Ends the load, heals all faults, and starts all processes and workers that are down.
--- a/testkit/src/simulator/world/observe.rs
+++ b/testkit/src/simulator/world/observe.rs
@@ -108,7 +108,7 @@
             self.record(event);
         }
         if self.now.is_multiple_of(CONFIG_READ_MS) {
-            self.operators[1].read();
+            self.operators[1].queue_read();
         }
     }
 }
--- a/testkit/src/simulator/world/setup.rs
+++ b/testkit/src/simulator/world/setup.rs
@@ -136,7 +136,7 @@
             Operator::new("op0", nodes.clone(), operator_seeds[0]),
             Operator::new("op1", nodes, operator_seeds[1]),
         ];
-        self.operators[0].apply(false, scenario.shape.config());
+        self.operators[0].queue_change(false, scenario.shape.config());
     }
 
     /// Schedules the faults, the first ticks and probes, and the end of the load.
@@ -169,7 +169,7 @@
         let nodes = self.node_addresses();
         let operator_seed = self.rng.next_u64();
         self.operators[0] = Operator::new("op0", nodes, operator_seed);
-        self.operators[0].apply(false, config);
+        self.operators[0].queue_change(false, config);
         self.planned_jobs = jobs.into();
         self.client.is_offering = false;
         self.client.cancelled_share = 0.0;
--- a/testkit/tests/checkers_cases/events.rs
+++ b/testkit/tests/checkers_cases/events.rs
@@ -1,7 +1,7 @@
 //! Events for small histories of job `j` with queue `q`, worker `w` and node `n`.
 
 use landingdrift::state::{JobSpec, Outcome, TaskSpec};
-use landingdrift_testkit::history::{Event, FinalState, RuleSettings};
+use landingdrift_testkit::history::{CheckedSettings, Event, FinalState};
 
 pub fn task(name: &str) -> TaskSpec {
     TaskSpec {
@@ -55,22 +55,27 @@
     }
 }
 
-pub fn rule_settings(state: &str, max_attempts: u32, quota: u32) -> RuleSettings {
-    RuleSettings {
+pub fn rule_settings(state: &str, max_attempts: u32, quota: u32) -> CheckedSettings {
+    CheckedSettings {
         zones: [("z".to_string(), state.to_string())].into(),
         max_attempts: [("q".to_string(), max_attempts)].into(),
         quotas: [("q".to_string(), quota)].into(),
     }
 }
 
-pub fn config_requested(change: &str, settings: RuleSettings) -> Event {
+pub fn config_requested(change: &str, settings: CheckedSettings) -> Event {
     Event::ConfigRequested {
         change: change.into(),
         settings,
     }
 }
 
-pub fn config_acknowledged(change: &str, base: u64, version: u64, settings: RuleSettings) -> Event {
+pub fn config_acknowledged(
+    change: &str,
+    base: u64,
+    version: u64,
+    settings: CheckedSettings,
+) -> Event {
     Event::ConfigAnswered {
         change: change.into(),
         base,
@@ -90,7 +95,7 @@
         base,
         status: 409,
         version: base + 1,
-        settings: RuleSettings::default(),
+        settings: CheckedSettings::default(),
     }
 }
 
