--- a/testkit/src/calls.rs
+++ b/testkit/src/calls.rs
@@ -52,8 +52,8 @@
 }
 
 /// Starts threads that receive calls through the returned sender, make one call at a time each, convert the response
-/// with
-/// `convert`, and send the result to `results`. The threads end when either channel is closed.
+/// with `convert`, and send the result to `results`.
+/// The threads end when either channel is closed.
 pub fn start_callers<K: Send + 'static, T: Send + 'static>(
     threads: usize,
     results: &Sender<T>,
--- a/testkit/src/scenario/fault.rs
+++ b/testkit/src/scenario/fault.rs
@@ -10,7 +10,7 @@
 pub enum FaultKind {
     /// A process is killed and started again.
     Kill,
-    /// A process is suspended, and resumes with its messages.
+    /// A process is suspended; when it resumes, it handles the messages that arrived meanwhile.
     Freeze,
     /// A process is partitioned from all others.
     Cut,
@@ -34,13 +34,14 @@
     SwapNode,
     /// Every process is killed, and the disks of `amount` replicas lose the last batches that they had confirmed.
     Outage,
-    /// The wall clocks of `amount` processes (one if 0) jump by `by` milliseconds (an hour if 0).
+    /// The wall clocks of `amount` processes (one if 0) jump by [`Fault::clock_jump_ms`] (if 0, by an hour, forwards
+    /// for an even duration of the fault and backwards for an odd one).
     ClockJump,
     /// A worker's process is killed and started again.
     WorkerCrash,
     /// A worker's process is killed, and is not started again when the fault ends.
     WorkerGone,
-    /// A worker is suspended, and resumes.
+    /// A worker is suspended; when it resumes, it handles the answers that arrived meanwhile.
     WorkerFreeze,
     /// The runs of a worker take longer.
     WorkerSlow,
@@ -50,17 +51,17 @@
     WorkerCut,
     /// A worker announces that it leaves; another process takes its place.
     WorkerLeaves,
-    /// `amount` jobs at once (60 if 0).
+    /// `amount` jobs are offered at once (60 if 0).
     Crowd,
-    /// A job with 200 tasks.
+    /// A job with 200 tasks is offered.
     Huge,
-    /// Many jobs that can never succeed.
+    /// 40 jobs that can never succeed are offered at once.
     Doomed,
     /// Two operators change the configuration in turn, 30 times in all.
     Storm,
     /// Two operators submit changes based on the same version.
     Rivals,
-    /// A large configuration of `amount` notes (2000 if 0).
+    /// A large configuration of `amount` notes (2000 if 0) is applied.
     LargeConfig,
     /// A zone is drained: it gets no new work, and its runs go on.
     Drain,
@@ -74,15 +75,15 @@
     LostAnswers,
     /// A worker announces less capacity and no labels, and later its original ones.
     WorkerChange,
-    /// Many short jobs in the most urgent queue.
+    /// `amount` short jobs (60 if 0) are offered at once in the most urgent queue.
     Urgent,
-    /// Invalid jobs: dependency cycles, unknown queues, oversized bodies.
+    /// Nine invalid jobs are offered: with a dependency cycle, an unknown queue or an oversized body.
     Wrong,
-    /// A queue's limit on attempts is lowered to 1; if `amount` is 1, it is not restored.
+    /// A queue's limit on attempts is lowered to 1; it is restored only if `amount` is 0.
     Tries,
-    /// The quota of a queue is lowered to 1 for the duration.
+    /// The quota of a queue is lowered to 1 until the fault ends.
     Quota,
-    /// A configuration close to the size limit, removed again at the end.
+    /// A configuration close to the size limit is applied, and removed again when the fault ends.
     HugeConfig,
     /// A process is stopped gracefully and restarted as a build with the next wire version.
     Upgrade,
@@ -90,17 +91,17 @@
     DiskFull,
     /// The disks of `amount` replicas (one if 0) confirm no write.
     DiskStall,
-    /// A worker reports that it has left without having announced it, goes on with its runs and heartbeats, and ends;
-    /// another process takes its place.
+    /// Without an earlier announcement, a worker reports that it has left, yet goes on with its runs and heartbeats
+    /// until the fault ends; then another process takes its place.
     WorkerLeavesUnannounced,
     /// A process is notified that its settings may have changed.
     HangUp,
 }
 
 impl FaultKind {
-    /// The kinds that random faults are sampled from, by their index in this list: changing the list changes the days
-    /// of all seeds, so newer kinds go into [`Self::NAMED_ONLY`].
-    pub const ALL: &[Self] = &[
+    /// The kinds that random sampling selects by index; [`random_faults`] leaves out a few. A change of this list
+    /// changes the faults of every seed, so append new kinds to [`Self::NAMED_ONLY`] instead.
+    pub const BY_INDEX: &[Self] = &[
         Self::Kill,
         Self::Freeze,
         Self::Cut,
@@ -144,10 +145,10 @@
         Self::DiskStall,
     ];
 
-    /// Kinds that are never sampled and occur only where a scenario names them.
+    /// Kinds that are not in [`Self::BY_INDEX`], and so occur only where a scenario names them.
     pub const NAMED_ONLY: &[Self] = &[Self::WorkerLeavesUnannounced, Self::HangUp];
 
-    /// Its name in scenario files.
+    /// The name of the kind in scenario files.
     pub fn name(self) -> String {
         let value = serde_json::to_value(self).unwrap_or_default();
         value.as_str().unwrap_or_default().to_string()
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Whether it destroys a replica's data. Three replicas survive one such fault at a time, with time to recover in
-    /// between.
+    /// Whether faults of this kind destroy a replica's data. Three replicas survive these faults only if they have
+    /// recovered from each before the next begins.
     fn destroys_data(self) -> bool {
         matches!(self, Self::LoseTail | Self::ReplaceCore | Self::Outage)
     }
@@ -191,31 +192,31 @@
     }
 }
 
-/// The latest start and the longest duration of a fault, in milliseconds.
-const MAX_MS: u64 = 200_000_000;
+/// The limit on the start and on the duration of a fault, in milliseconds.
+const MAX_FAULT_TIME_MS: u64 = 200_000_000;
 /// The largest `amount` of a fault.
 const MAX_AMOUNT: u64 = 10_000;
-/// The number of replicas, of zones and of queues in every deployment.
-const REPLICAS_ZONES_QUEUES: usize = 3;
+/// The number of replicas in every deployment, which is also the number of zones and of queues.
+const REPLICA_ZONE_QUEUE_COUNT: usize = 3;
 /// The shortest duration of a random fault, in milliseconds.
 const MIN_DURATION_MS: u64 = 500;
-/// The spread of the durations of random faults above the shortest, in milliseconds.
+/// The range of the durations of random faults, which begins at the shortest duration, in milliseconds.
 const DURATION_SPREAD_MS: u64 = 5000;
-/// The sizes of random clock jumps, in milliseconds: from less than a timeout to three days.
+/// The sizes of random clock jumps, in milliseconds: from 0.7 s to three days.
 const CLOCK_JUMPS_MS: [i64; 6] = [700, 2000, 60_000, 3_600_000, 86_400_000, 3 * 86_400_000];
 
 /// A fault in the course of a day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, in milliseconds since the beginning of the day.
+    /// When the fault begins, in milliseconds since the beginning of the day.
     #[serde(rename = "at")]
     pub at_ms: u64,
     pub kind: FaultKind,
-    /// Its target: `leader`, `core:0`, `node:1`, `worker:2`, `zone:0` or `queue:0`; sampled if left out.
+    /// The target: `leader`, `core:0`, `node:1`, `worker:2`, `zone:0` or `queue:0`; sampled if left out.
     #[serde(default, rename = "who")]
     pub target: String,
-    /// How long it lasts, in milliseconds.
+    /// How long the fault lasts, in milliseconds.
     #[serde(default = "default_duration_ms", rename = "lasts")]
     pub duration_ms: u64,
     /// The extent of the fault; see its kind.
@@ -235,7 +236,7 @@
     /// Checks that the target exists in the scenario's deployment and that the values are in range.
     pub(super) fn check(&self, nodes: usize, workers: usize) -> Result<(), InvalidValue> {
         ensure(
-            self.at_ms <= MAX_MS && self.duration_ms <= MAX_MS,
+            self.at_ms <= MAX_FAULT_TIME_MS && self.duration_ms <= MAX_FAULT_TIME_MS,
             "at, lasts: give at most 200000000 milliseconds",
         )?;
         ensure(self.amount <= MAX_AMOUNT, "amount: give at most 10000")?;
@@ -245,7 +246,7 @@
             .unwrap_or((self.target.as_str(), ""));
         let count = match role {
             "" | "leader" => 0,
-            "core" | "zone" | "queue" => REPLICAS_ZONES_QUEUES,
+            "core" | "zone" | "queue" => REPLICA_ZONE_QUEUE_COUNT,
             "node" => nodes,
             _ => workers,
         };
@@ -265,11 +266,11 @@
             _ => format!("{role}:N"),
         });
         format!(
-            "who: '{}' is no target for {}: give {}, with N from 0 and below {}, or leave it out",
+            "who: '{}' is no target for {}: give {}, where N is at least 0 and below {}, or leave it out",
             self.target,
             self.kind.name(),
             forms.collect::<Vec<_>>().join(" or "),
-            count.max(REPLICAS_ZONES_QUEUES)
+            count.max(REPLICA_ZONE_QUEUE_COUNT)
         )
     }
 
@@ -284,12 +285,13 @@
     }
 }
 
-/// Random faults that begin between two times in milliseconds. They may overlap, but three replicas can survive them.
+/// Random faults that begin between two times in milliseconds, and that three replicas survive, though the faults may
+/// overlap.
 pub fn random_faults(rng: &mut Rng, count: usize, from: u64, to: u64) -> Vec<Fault> {
     use FaultKind::*;
     let more_likely = [Kill, Kill, Freeze, WorkerCrash, WorkerCut, LoseTail, Outage];
-    // Upgrades follow an order and so can't be random; failing disks have scenarios of their own.
-    let kinds: Vec<FaultKind> = FaultKind::ALL
+    // Upgrades follow an order, so they can't be random; full and stalled disks have scenarios of their own.
+    let kinds: Vec<FaultKind> = FaultKind::BY_INDEX
         .iter()
         .chain(&more_likely)
         .filter(|kind| !matches!(kind, Upgrade | DiskFull | DiskStall))
@@ -300,7 +302,8 @@
         let mut fault = random_fault(rng, &kinds, from, to);
         let mut data_faults = faults.iter().filter(|other| other.kind.destroys_data());
         if fault.kind.destroys_data() && data_faults.any(|other| fault.is_too_close(other)) {
-            // Replaced, not sampled again: on short days no later sample might fit, and the loop would not end.
+            // The fault becomes a kill rather than a new sample: on short days no later sample might fit, and the loop
+            // would not end.
             fault.kind = Kill;
         }
         faults.push(fault);
@@ -309,7 +312,7 @@
     faults
 }
 
-/// A random fault. All kinds sample the same numbers in the same order, except for those that only one kind needs.
+/// A random fault. The random draws are the same for all kinds, except the draw of `amount`.
 fn random_fault(rng: &mut Rng, kinds: &[FaultKind], from: u64, to: u64) -> Fault {
     let kind = *rng.pick(kinds).unwrap_or(&FaultKind::Kill);
     let duration_ms = MIN_DURATION_MS + rng.below(DURATION_SPREAD_MS);
@@ -338,7 +341,8 @@
     }
 }
 
-/// A random fault for the end of a day, of a kind that may affect the clients' closing reads.
+/// A random fault for the end of a day, of a kind that may affect the last polls of jobs and reads of the
+/// configuration.
 pub fn last_fault(rng: &mut Rng, at_ms: u64) -> Fault {
     use FaultKind::*;
     let kinds = [
--- a/testkit/src/scenario/mix.rs
+++ b/testkit/src/scenario/mix.rs
@@ -6,12 +6,12 @@
 
 /// The share of runs that fail, for tasks of jobs that can succeed.
 const FAILING_SHARE: f64 = 0.01;
-/// The most tasks of a gang.
+/// The maximum number of tasks of a gang.
 const MAX_GANG_TASKS: usize = 4;
 /// The shortest time from the creation of a job to the due time of one of its tasks, in milliseconds.
 const MIN_DUE_DELAY_MS: u64 = 1000;
-/// The spread of due times above the earliest, in milliseconds.
-const DUE_DELAY_SPREAD_MS: u64 = 3000;
+/// The range of due times after the earliest, in milliseconds.
+const DUE_DELAY_RANGE_MS: u64 = 3000;
 /// The number of zones in every deployment.
 const ZONES: u64 = 3;
 
@@ -23,7 +23,7 @@
     pub queues: Vec<String>,
     /// The services of jobs, each equally likely.
     pub services: Vec<String>,
-    /// The mean of the tasks' shortest durations, in milliseconds.
+    /// The mean minimum duration of tasks, in milliseconds; the random tail factor multiplies it.
     pub task_ms: f64,
     /// The shape parameter of the Pareto distribution of durations; 0 for constant durations.
     pub tail: f64,
@@ -31,7 +31,7 @@
     pub doomed_share: f64,
     /// The share of jobs whose tasks may be repeated.
     pub repeatable_share: f64,
-    /// The most tasks of a job.
+    /// The maximum number of tasks of a job.
     pub max_tasks: u64,
     /// All jobs have a single task.
     pub has_single_task: bool,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The structure of a job: how its tasks relate to each other.
+/// The kind of a random job.
 #[derive(Clone, Copy, PartialEq)]
 enum JobForm {
     Single,
@@ -95,7 +95,7 @@
         JobForm::Single => 1,
         _ => 2 + rng.below(mix.max_tasks.max(3) - 2) as usize,
     };
-    // Dependencies follow the sampled number, of which gangs use at most `MAX_GANG_TASKS`.
+    // Gangs may have fewer tasks than sampled.
     let count = if form == JobForm::Gang {
         sampled.min(MAX_GANG_TASKS)
     } else {
@@ -116,7 +116,7 @@
             }),
             ..TaskSpec::default()
         };
-        shape_task(&mut task, rng, form, index, sampled, now);
+        set_form_fields(&mut task, rng, form, index, sampled, now);
         task
     });
     JobSpec {
@@ -131,8 +131,8 @@
     format!("t{index}")
 }
 
-/// Sets the fields of a task that follow from its job's form; `count` is the number of tasks.
-fn shape_task(
+/// Sets the fields of a task that follow from its job's form; `count` is the sampled number of tasks.
+fn set_form_fields(
     task: &mut TaskSpec,
     rng: &mut Rng,
     form: JobForm,
@@ -144,7 +144,7 @@
         JobForm::Steps => task.depends_on = dependencies(index, count),
         JobForm::Gang => task.gang = "g".into(),
         JobForm::Due => {
-            task.due = now + MIN_DUE_DELAY_MS + rng.below(DUE_DELAY_SPREAD_MS);
+            task.due = now + MIN_DUE_DELAY_MS + rng.below(DUE_DELAY_RANGE_MS);
         }
         JobForm::Labelled if index == 0 => task.labels = vec!["ssd".into()],
         JobForm::Labelled => task.near = format!("z{}", rng.below(ZONES)),
--- a/testkit/src/scenario/mod.rs
+++ b/testkit/src/scenario/mod.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The limit on the seconds of load, and on those after it.
+/// The limit on `seconds` and on `settle`.
 const MAX_SECONDS: u64 = 86_400;
 /// The limit on the rate of jobs, in jobs per second.
 const MAX_JOBS_PER_SECOND: f64 = 10_000.0;
@@ -22,9 +22,9 @@
 const MAX_WORKERS: usize = 10_000;
 /// The limit on random faults.
 const MAX_RANDOM_FAULTS: usize = 1000;
-/// The earliest start of a random fault, in milliseconds: the first leader has to be elected before.
+/// The earliest start of a random fault, in milliseconds; by then the first leader has been elected.
 pub const FIRST_RANDOM_FAULT_MS: u64 = 3000;
-/// The fewest seconds of load in a scenario with random faults.
+/// The minimum number of seconds of load in a scenario with random faults.
 const MIN_SECONDS_WITH_FAULTS: u64 = 4;
 
 /// A day to simulate, as described by a scenario file.
@@ -34,16 +34,16 @@
     pub shape: Shape,
     /// How long jobs are offered, in seconds.
     pub seconds: u64,
-    /// How long the day goes on after that with all faults healed, in seconds.
+    /// How long the day goes on after the load with all faults healed, in seconds; it may end earlier.
     #[serde(default = "default_settle", rename = "settle")]
     pub settle_seconds: u64,
-    /// The number of nodes; 0 for the shape's own.
+    /// The number of nodes on machines of the default class; 0 for the shape's number.
     #[serde(default)]
     pub nodes: usize,
     /// Additional nodes on machines of other classes.
     #[serde(default, rename = "class")]
     pub node_classes: Vec<NodeClass>,
-    /// The number of workers; 0 for the shape's own.
+    /// The number of workers; 0 for the shape's number.
     #[serde(default)]
     pub workers: usize,
     /// Each worker calls a proxy on its own machine instead of nodes.
@@ -52,7 +52,7 @@
     /// Clients call any running node, whether it reports ready or not.
     #[serde(default, rename = "any_node")]
     pub clients_call_any_node: bool,
-    /// Jobs per second; 0 for the shape's own rate.
+    /// Jobs per second; 0 for the shape's rate.
     #[serde(default, rename = "rate")]
     pub jobs_per_second: f64,
     /// The duration of the workers' leases, in milliseconds; 0 for none. Workers with a lease kill their runs when it
@@ -67,7 +67,7 @@
     /// The number of additional faults, sampled from the seed.
     #[serde(default, rename = "random")]
     pub random_faults: usize,
-    /// One last fault, sampled from the seed, begins just before the closing reads.
+    /// One last fault, sampled from the seed, begins just before the last polls of jobs and reads of the configuration.
     #[serde(default, rename = "last")]
     pub has_last_fault: bool,
     /// The seeds that tests run.
@@ -100,12 +100,12 @@
     Invalid { path: String, source: InvalidValue },
 }
 
-/// An invalid value: the field, and the values to give instead.
+/// The message about an invalid value: the field and the valid values.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidValue(String);
 
-/// Fails with a remedy unless a condition holds.
+/// Fails with a message that names the remedy unless a condition holds.
 fn ensure(condition: bool, remedy: &str) -> Result<(), InvalidValue> {
     if condition {
         Ok(())
@@ -132,17 +132,18 @@
         Ok(scenario)
     }
 
-    /// The number of nodes without those of other classes.
-    pub fn node_count(&self) -> usize {
+    /// The number of nodes on machines of the default class.
+    pub fn default_class_nodes(&self) -> usize {
         match self.nodes {
             0 => self.shape.nodes(),
             nodes => nodes,
         }
     }
 
-    /// The class of the machine that a node runs on; the default class for the first [`Self::node_count`] nodes.
+    /// The class of the machine that a node runs on; the default class for the first [`Self::default_class_nodes`]
+    /// nodes.
     pub fn class_of_node(&self, index: usize) -> NodeClass {
-        let mut first = self.node_count();
+        let mut first = self.default_class_nodes();
         for class in &self.node_classes {
             if (first..first + class.count).contains(&index) {
                 return class.clone();
@@ -153,9 +154,9 @@
     }
 
     /// The number of nodes of all classes.
-    pub fn total_nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         let classes = self.node_classes.iter();
-        self.node_count() + classes.map(|class| class.count).sum::<usize>()
+        self.default_class_nodes() + classes.map(|class| class.count).sum::<usize>()
     }
 
     /// The number of workers.
@@ -178,7 +179,7 @@
         mix
     }
 
-    /// Checks that the day can be simulated; the error names the field and the remedy.
+    /// Checks the values of the scenario; the error names the field and the valid values.
     pub fn check(&self) -> Result<(), InvalidValue> {
         ensure(
             (1..=MAX_SECONDS).contains(&self.seconds),
@@ -198,7 +199,7 @@
             "doomed: give a share from 0 to 1",
         )?;
         ensure(
-            self.total_nodes() <= MAX_NODES && self.workers <= MAX_WORKERS,
+            self.node_count() <= MAX_NODES && self.workers <= MAX_WORKERS,
             "nodes, workers: give at most 1000 nodes and 10000 workers",
         )?;
         ensure(
@@ -207,11 +208,11 @@
         )?;
         ensure(
             self.random_faults == 0 || self.seconds >= MIN_SECONDS_WITH_FAULTS,
-            "random: random faults begin after 3 seconds: give at least 4 seconds",
+            "seconds: give at least 4 seconds if `random` is set, as random faults begin after 3 seconds",
         )?;
         for (index, fault) in self.faults.iter().enumerate() {
             fault
-                .check(self.total_nodes(), self.worker_count())
+                .check(self.node_count(), self.worker_count())
                 .map_err(|InvalidValue(remedy)| {
                     InvalidValue(format!("faults[{index}].{remedy}"))
                 })?;
--- a/testkit/src/scenario/node_class.rs
+++ b/testkit/src/scenario/node_class.rs
@@ -5,7 +5,7 @@
 /// The processor share of a default machine, in thousandths of a core.
 const USUAL_SHARE: u32 = 1000;
 
-/// A class of machines, each of which runs one node.
+/// Nodes on machines of one class, one node per machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeClass {
--- a/testkit/src/scenario/shape.rs
+++ b/testkit/src/scenario/shape.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// The shape of a deployment.
+/// A kind of deployment that scenarios are based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Shape {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Its name on the command line.
+    /// The name of the shape on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Odvoza => "odvoza",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The number of nodes.
+    /// The number of nodes on machines of the default class, unless a scenario gives another.
     pub fn nodes(self) -> usize {
         match self {
             Self::Odvoza => 3,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The number of workers.
+    /// The number of workers, unless a scenario gives another.
     pub fn workers(self) -> usize {
         11
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The deployment's configuration, as JSON of the API.
+    /// The deployment's configuration, in the JSON form of the API.
     pub fn config(self) -> Value {
         let mix = self.mix();
         let queue = |finish_within_ms: u64, priority: u32| {
--- a/testkit/src/simulator/world/setup.rs
+++ b/testkit/src/simulator/world/setup.rs
@@ -69,7 +69,7 @@
         for zone in 0..ZONES {
             world.add_replica(zone, replica_address(zone));
         }
-        for index in 0..scenario.total_nodes() {
+        for index in 0..scenario.node_count() {
             let zone = index % ZONES;
             let address = format!("10.0.{zone}.{}:7000", FIRST_NODE_OCTET + index);
             let class = scenario.class_of_node(index);
--- a/testkit/tests/bad_input.rs
+++ b/testkit/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Invalid scenario files and command lines end with exit code 2 and a message that names the remedy, without a panic
-//! or a hang.
+//! Invalid scenario files and command lines end with exit code 2 and a message on what is wrong, without a panic or a
+//! hang. Valid flags of `testkit soak` are accepted.
 
 use std::process::{Command, Output};
 
@@ -11,12 +11,12 @@
 }
 
 #[test]
-fn invalid_scenarios_are_rejected_with_the_field_and_the_remedy() {
+fn invalid_scenarios_are_rejected_with_a_message_on_the_invalid_value() {
     let cases = [
         ("", "missing field `shape`"),
         ("shape = 'round'\nseconds = 5", "unknown variant"),
         ("shape = 'odvoza'\nseconds = 0", "seconds: give 1 to"),
-        ("shape = 'odvoza'\nseconds = 3\nrandom = 2", "give at least 4 seconds"),
+        ("shape = 'odvoza'\nseconds = 3\nrandom = 2", "seconds: give at least 4 seconds"),
         ("shape = 'odvoza'\nseconds = 5\nrate = -1.0", "rate: give"),
         ("shape = 'odvoza'\nseconds = 5\nfast = true", "unknown field"),
         ("shape = 'odvoza'\nseconds = 5\n[[faults]]\nat = 1\nkind = 'flood'", "unknown variant"),
@@ -28,7 +28,7 @@
     let folder = std::env::temp_dir().join(format!("landingdrift-bad-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("failed to create the folder for the cases");
     let file = folder.join("case.toml");
-    for (text, remedy) in cases {
+    for (text, expected) in cases {
         std::fs::write(&file, text).expect("failed to write the scenario file");
         for command in ["run", "sweep", "fleet"] {
             let path = file.to_string_lossy().into_owned();
@@ -45,8 +45,8 @@
                 "{command} of {text:?}: {message}"
             );
             assert!(
-                message.contains(remedy),
-                "{command} of {text:?}: the message lacks '{remedy}': {message}"
+                message.contains(expected),
+                "{command} of {text:?}: the message lacks '{expected}': {message}"
             );
         }
     }
--- a/testkit/tests/promises.rs
+++ b/testkit/tests/promises.rs
@@ -17,34 +17,35 @@
 }
 
 #[test]
-fn the_table_lists_every_existing_item_and_no_other() {
+fn promises_page_lists_all_scenarios_checkers_faults_and_tests() {
     let text =
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/promises.md"))
             .expect("failed to read docs/promises.md");
-    let named = |kind: &str| -> BTreeSet<String> {
+    let named_on_page = |kind: &str| -> BTreeSet<String> {
         text.split('`')
             .skip(1)
             .step_by(2)
-            .filter_map(|t| {
-                t.strip_prefix(kind)
-                    .and_then(|t| t.strip_prefix(':'))
+            .filter_map(|quoted| {
+                quoted
+                    .strip_prefix(kind)
+                    .and_then(|rest| rest.strip_prefix(':'))
                     .map(str::to_string)
             })
             .collect()
     };
     let scenarios: BTreeSet<String> = file_names("scenarios", ".toml")
         .iter()
-        .map(|f| f.trim_end_matches(".toml").to_string())
+        .map(|file| file.trim_end_matches(".toml").to_string())
         .collect();
-    assert_eq!(named("scenario"), scenarios, "scenarios");
+    assert_eq!(named_on_page("scenario"), scenarios, "scenarios");
     assert_eq!(
-        named("checker"),
+        named_on_page("checker"),
         ALL.iter().map(|checker| checker.rule.to_string()).collect(),
         "checkers"
     );
     assert_eq!(
-        named("fault"),
-        FaultKind::ALL
+        named_on_page("fault"),
+        FaultKind::BY_INDEX
             .iter()
             .chain(FaultKind::NAMED_ONLY)
             .map(|kind| kind.name())
@@ -55,5 +56,5 @@
         .iter()
         .flat_map(|folder| file_names(folder, ".rs"))
         .collect();
-    assert_eq!(named("test"), tests, "tests");
+    assert_eq!(named_on_page("test"), tests, "tests");
 }
