--- a/testkit/tests/checkers.rs
+++ b/testkit/tests/checkers.rs
@@ -1,14 +1,14 @@
-//! Tests of the checkers on small histories: each must report a violation of its rule, and nothing in a history without
-//! one.
+//! Tests of the checkers on small histories: each must report a violation of its rule, and nothing in a conforming
+//! history.
 
 mod checkers_cases;
 
-use checkers_cases::{cases, Case, Day};
+use checkers_cases::{cases, Case, TimedEvents};
 use landingdrift_testkit::checkers::{check, PromisedBounds, ALL};
 use landingdrift_testkit::history::{Event, History};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn history(events: Day) -> History {
+fn history(events: TimedEvents) -> History {
     let mut history = History::default();
     for (at_ms, event) in events {
         history.add(at_ms, event);
@@ -29,16 +29,16 @@
             .map(|violation| violation.rule)
             .collect();
         assert_eq!(rules, [rule].into(), "the violating history of '{rule}'");
-        let none = check(&history(conforming), &PromisedBounds::default());
+        let unexpected = check(&history(conforming), &PromisedBounds::default());
         assert!(
-            none.is_empty(),
-            "the conforming history of '{rule}': {none:?}"
+            unexpected.is_empty(),
+            "the conforming history of '{rule}': {unexpected:?}"
         );
     }
 }
 
 #[test]
-fn every_checker_has_a_case() {
+fn every_checker_has_a_case_and_accepts_an_empty_day() {
     let tested: BTreeSet<&str> = cases().iter().map(|case| case.rule).collect();
     let all: BTreeSet<&str> = ALL.iter().map(|checker| checker.rule).collect();
     assert_eq!(tested, all);
--- a/testkit/tests/checkers_cases/configuration.rs
+++ b/testkit/tests/checkers_cases/configuration.rs
@@ -1,4 +1,5 @@
-//! Cases for the configuration: one of two concurrent changes wins, none is lost, all take effect in time.
+//! Cases for the configuration: at most one of two concurrent changes is accepted, accepted changes are not lost, and
+//! they take effect in time.
 
 use super::events::{
     availability, config_acknowledged, config_read, config_refused, config_requested, day_ended,
@@ -22,7 +23,7 @@
                 (1, zone_config_acknowledged("d", 1, 2, "")),
             ],
         },
-        // The content is checked, not only the version number.
+        // The content must be that of the accepted change, not only the version number.
         Case {
             rule: "one of two rivals",
             violating: vec![
@@ -86,7 +87,7 @@
 
 pub(super) fn quota_takes_effect() -> Vec<Case> {
     vec![
-        // The effect is checked, not only the version that nodes report.
+        // The quota itself must be in force, not only the version that nodes report.
         Case {
             rule: "configuration takes hold",
             violating: vec![
--- a/testkit/tests/checkers_cases/events.rs
+++ b/testkit/tests/checkers_cases/events.rs
@@ -34,10 +34,10 @@
     }
 }
 
-pub fn run_started(worker: &str, no: u64, task: &str) -> Event {
+pub fn run_started(worker: &str, attempt: u64, task: &str) -> Event {
     Event::RunStarted {
         worker: worker.into(),
-        attempt: no,
+        attempt,
         job: "j".into(),
         task: task.into(),
         cpu: 2,
@@ -45,10 +45,10 @@
     }
 }
 
-pub fn run_ended(worker: &str, no: u64, task: &str, outcome: Outcome) -> Event {
+pub fn run_ended(worker: &str, attempt: u64, task: &str, outcome: Outcome) -> Event {
     Event::RunEnded {
         worker: worker.into(),
-        attempt: no,
+        attempt,
         job: "j".into(),
         task: task.into(),
         outcome,
@@ -99,27 +99,27 @@
     }
 }
 
-pub fn node_version(version: u64, by: &str, ready: bool) -> Event {
+pub fn node_version(version: u64, change: &str, ready: bool) -> Event {
     Event::NodeVersion {
         node: "n".into(),
         version,
-        change: by.into(),
+        change: change.into(),
         ready,
     }
 }
 
-pub fn config_read(version: u64, by: &str) -> Event {
+pub fn config_read(version: u64, change: &str) -> Event {
     Event::ConfigRead {
         version,
-        change: by.into(),
+        change: change.into(),
         requested_ms: 5,
     }
 }
 
-pub fn day_ended_with(state: &str, version: u64, by: &str) -> Event {
+pub fn day_ended_with(state: &str, version: u64, change: &str) -> Event {
     Event::DayEnded {
         version,
-        change: by.into(),
+        change: change.into(),
         jobs: [(
             "j".to_string(),
             FinalState {
@@ -180,7 +180,7 @@
     }
 }
 
-/// Offers a job with one task, `a`.
+/// The offer of a job with one task, `a`.
 pub fn one_task_job_offered() -> Event {
     offered(vec![task("a")])
 }
@@ -194,9 +194,9 @@
 }
 
 /// A task that depends on another.
-pub fn dependent_task(name: &str, of: &str) -> TaskSpec {
+pub fn dependent_task(name: &str, dependency: &str) -> TaskSpec {
     TaskSpec {
-        depends_on: vec![of.into()],
+        depends_on: vec![dependency.into()],
         ..task(name)
     }
 }
--- a/testkit/tests/checkers_cases/jobs.rs
+++ b/testkit/tests/checkers_cases/jobs.rs
@@ -1,4 +1,4 @@
-//! Cases for the answers that clients get: jobs are not forgotten, refused ones never run, all end.
+//! Cases for the answers that clients get: accepted jobs are not forgotten, refused jobs never run, and all jobs end.
 
 use super::events::{
     availability, day_ended, one_task_job_offered, run_started, state_answered, state_requested,
@@ -42,7 +42,8 @@
 
 pub(super) fn state_within_its_bound() -> Vec<Case> {
     vec![
-        // Missing answers and 503 count as unavailable, except while the replicas have no majority or recover from it.
+        // Missing answers and 503 count as unavailable, except while the replicas have no majority, and for the bound
+        // on recovery after that.
         Case {
             rule: "state within its bound",
             violating: vec![
@@ -102,7 +103,8 @@
                 (4, run_started("w", 1, "a")),
             ],
         },
-        // A refusal of one call does not settle the outcome of an earlier unanswered call; a refusal of the job does.
+        // A refusal of one call leaves the outcome of an earlier unanswered call open; a refusal of the job itself
+        // decides it.
         Case {
             rule: "turned away never runs",
             violating: vec![
--- a/testkit/tests/checkers_cases/mod.rs
+++ b/testkit/tests/checkers_cases/mod.rs
@@ -1,4 +1,4 @@
-//! For each rule: histories that violate it, and similar ones that conform.
+//! For each rule, histories that violate it, and similar histories that conform to all rules.
 
 mod configuration;
 mod events;
@@ -10,16 +10,16 @@
 use landingdrift_testkit::history::Event;
 
 /// Events with their times in milliseconds.
-pub type Day = Vec<(u64, Event)>;
+pub type TimedEvents = Vec<(u64, Event)>;
 
 /// A rule, a history that violates only this rule, and one that conforms to all rules.
 pub struct Case {
     pub rule: &'static str,
-    pub violating: Day,
-    pub conforming: Day,
+    pub violating: TimedEvents,
+    pub conforming: TimedEvents,
 }
 
-/// All cases.
+/// The cases of all rules; every checker has at least one.
 pub fn cases() -> Vec<Case> {
     let all = [
         jobs::never_forgotten(),
--- a/testkit/tests/checkers_cases/outage.rs
+++ b/testkit/tests/checkers_cases/outage.rs
@@ -1,12 +1,12 @@
 //! Cases for normal service after an outage.
 
 use super::events::{availability, node_version, run_started, submit_answered, task, worker_up};
-use super::{Case, Day};
+use super::{Case, TimedEvents};
 use landingdrift::state::JobSpec;
 use landingdrift_testkit::history::Event;
 
-/// An outage and a recovery job whose last observed state is `state`.
-fn recovery_job(state: &str) -> Day {
+/// A history with an outage and a recovery job whose last observed state is `state`.
+fn outage_with_recovery_job(state: &str) -> TimedEvents {
     let id = "muster-1".to_string();
     let spec = JobSpec {
         id: id.clone(),
@@ -45,17 +45,17 @@
         // An accepted job and a start are not enough: recovery jobs have to end.
         Case {
             rule: "back after an outage",
-            violating: recovery_job("running"),
-            conforming: recovery_job("done"),
+            violating: outage_with_recovery_job("running"),
+            conforming: outage_with_recovery_job("done"),
         },
         // The node does not report ready within the bound.
         Case {
             rule: "back after an outage",
-            violating: recovery_job("done")
+            violating: outage_with_recovery_job("done")
                 .into_iter()
-                .filter(|(t, _)| *t != 9500)
+                .filter(|(_, event)| !matches!(event, Event::NodeVersion { .. }))
                 .collect(),
-            conforming: recovery_job("done"),
+            conforming: outage_with_recovery_job("done"),
         },
     ]
 }
--- a/testkit/tests/checkers_cases/runs.rs
+++ b/testkit/tests/checkers_cases/runs.rs
@@ -119,7 +119,7 @@
                 (4, run_started("w", 2, "a")),
             ],
         },
-        // The limit in force counts, not the largest of the day.
+        // The limit in force at the start of a run applies, not the largest of the day.
         Case {
             rule: "tries",
             violating: vec![
--- a/testkit/tests/code_shape.rs
+++ b/testkit/tests/code_shape.rs
@@ -6,7 +6,7 @@
 /// The limit on the lines of a source file.
 const MAX_LINES: usize = 400;
 
-/// Exceptions with their own limits. Entries may only be removed or lowered.
+/// Files that may exceed [`MAX_LINES`], each with its own limit. Entries may only be removed or lowered.
 const LARGE_FILES: &[(&str, usize)] = &[];
 
 /// The root of the workspace.
@@ -59,12 +59,12 @@
         let max = large.get(path.as_str()).copied().unwrap_or(MAX_LINES);
         (*lines > max).then(|| format!("{path} has {lines} lines, the limit is {max}: split it"))
     });
-    let needless = large.keys().filter_map(|path| {
+    let obsolete_exceptions = large.keys().filter_map(|path| {
         let lines = sources.get(*path).copied().unwrap_or(0);
         (lines <= MAX_LINES)
             .then(|| format!("{path} no longer exceeds the limit: remove it from the list"))
     });
-    too_long.chain(needless).collect()
+    too_long.chain(obsolete_exceptions).collect()
 }
 
 #[test]
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn long_files_and_needless_exceptions_are_reported() {
+fn long_files_and_obsolete_exceptions_are_reported() {
     let sources = BTreeMap::from([
         ("small.rs".to_string(), MAX_LINES),
         ("new.rs".to_string(), MAX_LINES + 1),
--- a/testkit/tests/module_imports.rs
+++ b/testkit/tests/module_imports.rs
@@ -40,7 +40,7 @@
     files
 }
 
-/// The modules that a source text names by `crate::`.
+/// The modules that a source text refers to as `crate::NAME`.
 fn imported_modules(text: &str) -> BTreeSet<&str> {
     let after_crate = text.split("crate::").skip(1);
     let names = after_crate.filter_map(|rest| {
--- a/testkit/tests/narrow_links.rs
+++ b/testkit/tests/narrow_links.rs
@@ -1,4 +1,4 @@
-//! Nodes on narrow links must redirect reads of a large configuration: sent over their own links, the answer would come
+//! Nodes on narrow links must redirect reads of a large configuration: an answer sent over their own links would arrive
 //! after the caller's timeout.
 
 use landingdrift_testkit::history::Event;
--- a/testkit/tests/scenarios.rs
+++ b/testkit/tests/scenarios.rs
@@ -22,7 +22,7 @@
             )
             .into());
         }
-        if !has_served(&report.summary) {
+        if !ran_jobs(&report.summary) {
             let summary = &report.summary;
             return Err(format!("seed {seed}: no job was accepted or done: {summary:?}").into());
         }
@@ -30,8 +30,9 @@
     Ok(())
 }
 
-/// Whether jobs were accepted and done. Checkers report nothing for a day without jobs.
-fn has_served(summary: &Summary) -> bool {
+/// Whether jobs were accepted and done, with at least one start per done job. Checkers report nothing for a day without
+/// jobs.
+fn ran_jobs(summary: &Summary) -> bool {
     summary.accepted > 0 && summary.done > 0 && summary.starts >= summary.done
 }
 
--- a/testkit/tests/simulator.rs
+++ b/testkit/tests/simulator.rs
@@ -1,9 +1,9 @@
-//! Tests of the simulator itself: a seed determines the history, and faults have their effects.
+//! Tests of the simulator itself: a seed determines the history, and injected faults affect the processes.
 
 use landingdrift_testkit::scenario::Scenario;
 use landingdrift_testkit::simulator::simulate;
 
-fn storm() -> Scenario {
+fn short_storm() -> Scenario {
     let mut scenario = Scenario::load("scenarios/storm.toml").expect("failed to load the scenario");
     scenario.seconds = 10;
     scenario
@@ -11,17 +11,17 @@
 
 #[test]
 fn the_same_seed_gives_identical_histories() {
-    let (first, _) = simulate(&storm(), 11);
-    let (second, _) = simulate(&storm(), 11);
+    let (first, _) = simulate(&short_storm(), 11);
+    let (second, _) = simulate(&short_storm(), 11);
     assert_eq!(first.history.json_lines(), second.history.json_lines());
     assert_eq!(first.counters, second.counters);
-    let (other, _) = simulate(&storm(), 12);
+    let (other, _) = simulate(&short_storm(), 12);
     assert_ne!(first.history.digest(), other.history.digest());
 }
 
 #[test]
-fn faults_have_their_effects() {
-    // Guards against scenarios whose faults do nothing: the system's counters must show the effects.
+fn counters_show_the_effects_of_faults() {
+    // Guards against faults that are injected without effect: the counters of the processes must show the effects.
     let count = |file: &str, seed: u64, counter: &str| {
         let path = format!("scenarios/{file}.toml");
         let scenario = Scenario::load(&path).expect("failed to load the scenario");
