--- a/testkit/tests/checkers_cases/events.rs
+++ b/testkit/tests/checkers_cases/events.rs
@@ -1,7 +1,7 @@
 //! Events for small histories of job `j` with queue `q`, worker `w` and node `n`.
 
 use landingdrift::state::{JobSpec, Outcome, TaskSpec};
-use landingdrift_testkit::history::{Event, FinalState, RuleSettings};
+use landingdrift_testkit::history::{CheckedSettings, Event, FinalState};
 
 pub fn task(name: &str) -> TaskSpec {
     TaskSpec {
@@ -34,10 +34,10 @@
     }
 }
 
-pub fn run_started(worker: &str, no: u64, task: &str) -> Event {
+pub fn run_started(worker: &str, attempt: u64, task: &str) -> Event {
     Event::RunStarted {
         worker: worker.into(),
-        attempt: no,
+        attempt,
         job: "j".into(),
         task: task.into(),
         cpu: 2,
@@ -45,32 +45,37 @@
     }
 }
 
-pub fn run_ended(worker: &str, no: u64, task: &str, outcome: Outcome) -> Event {
+pub fn run_ended(worker: &str, attempt: u64, task: &str, outcome: Outcome) -> Event {
     Event::RunEnded {
         worker: worker.into(),
-        attempt: no,
+        attempt,
         job: "j".into(),
         task: task.into(),
         outcome,
     }
 }
 
-pub fn rule_settings(state: &str, max_attempts: u32, quota: u32) -> RuleSettings {
-    RuleSettings {
+pub fn rule_settings(state: &str, max_attempts: u32, quota: u32) -> CheckedSettings {
+    CheckedSettings {
         zones: [("z".to_string(), state.to_string())].into(),
         max_attempts: [("q".to_string(), max_attempts)].into(),
         quotas: [("q".to_string(), quota)].into(),
     }
 }
 
-pub fn config_requested(change: &str, settings: RuleSettings) -> Event {
+pub fn config_requested(change: &str, settings: CheckedSettings) -> Event {
     Event::ConfigRequested {
         change: change.into(),
         settings,
     }
 }
 
-pub fn config_acknowledged(change: &str, base: u64, version: u64, settings: RuleSettings) -> Event {
+pub fn config_acknowledged(
+    change: &str,
+    base: u64,
+    version: u64,
+    settings: CheckedSettings,
+) -> Event {
     Event::ConfigAnswered {
         change: change.into(),
         base,
@@ -90,31 +95,31 @@
         base,
         status: 409,
         version: base + 1,
-        settings: RuleSettings::default(),
+        settings: CheckedSettings::default(),
     }
 }
 
-pub fn node_version(version: u64, by: &str, ready: bool) -> Event {
+pub fn node_version(version: u64, change: &str, ready: bool) -> Event {
     Event::NodeVersion {
         node: "n".into(),
         version,
-        change: by.into(),
+        change: change.into(),
         ready,
     }
 }
 
-pub fn config_read(version: u64, by: &str) -> Event {
+pub fn config_read(version: u64, change: &str) -> Event {
     Event::ConfigRead {
         version,
-        change: by.into(),
+        change: change.into(),
         requested_ms: 5,
     }
 }
 
-pub fn day_ended_with(state: &str, version: u64, by: &str) -> Event {
+pub fn day_ended_with(state: &str, version: u64, change: &str) -> Event {
     Event::DayEnded {
         version,
-        change: by.into(),
+        change: change.into(),
         jobs: [(
             "j".to_string(),
             FinalState {
@@ -175,7 +180,7 @@
     }
 }
 
-/// Offers a job with one task, `a`.
+/// The offer of a job with one task, `a`.
 pub fn one_task_job_offered() -> Event {
     offered(vec![task("a")])
 }
@@ -189,9 +194,9 @@
 }
 
 /// A task that depends on another.
-pub fn dependent_task(name: &str, of: &str) -> TaskSpec {
+pub fn dependent_task(name: &str, dependency: &str) -> TaskSpec {
     TaskSpec {
-        depends_on: vec![of.into()],
+        depends_on: vec![dependency.into()],
         ..task(name)
     }
 }
