--- a/landingdrift/src/daemon/open_folder.rs
+++ b/landingdrift/src/daemon/open_folder.rs
@@ -12,7 +12,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// How long callers should wait before they retry, in milliseconds.
+/// The time after which callers should retry, in milliseconds.
 const RETRY_MS: u64 = 1000;
 
 /// Opens the data folder in the settings.
--- a/landingdrift/src/daemon/pending_calls.rs
+++ b/landingdrift/src/daemon/pending_calls.rs
@@ -16,7 +16,7 @@
 pub struct PendingCalls {
     pending: Arc<DashMap<u64, Sender<Response>>>,
     next_number: Arc<AtomicU64>,
-    /// Whether the control thread has ended, so that no call will be answered any more.
+    /// Whether the control thread has ended. After that, no call is answered.
     closed: Arc<AtomicBool>,
 }
 
@@ -49,7 +49,7 @@
         self.pending.clear();
     }
 
-    /// Whether the control thread has ended, so that no call is answered any more.
+    /// Whether the control thread has ended. After that, no call is answered.
     pub(super) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -50,7 +50,7 @@
             .min(FRAME_BYTES_CAP) as u32
     }
 
-    /// How long a sender keeps a connection open without sending a frame.
+    /// The time for which a sender keeps an idle connection open.
     fn idle_timeout(&self) -> Duration {
         self.timeout * IDLE_TIMEOUT_FACTOR
     }
--- a/landingdrift/src/daemon/traffic/frames/receive.rs
+++ b/landingdrift/src/daemon/traffic/frames/receive.rs
@@ -76,7 +76,7 @@
                     return;
                 }
             }
-            // Logged once per connection, since a process of another version would flood the log.
+            // Logged once per connection, because a process of another version would flood the log.
             Err(error) if !rejection_logged => {
                 rejection_logged = true;
                 log::warn!("rejected a frame: {error}");
--- a/landingdrift/src/daemon/traffic/http/serving.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -15,7 +15,7 @@
     Serving,
     /// Calls are served, and each response closes its connection.
     Draining,
-    /// New calls are rejected at once, and no connection is accepted any more.
+    /// New calls are rejected at once, and no further connection is accepted.
     Rejecting,
 }
 
--- a/landingdrift/tests/control_client.rs
+++ b/landingdrift/tests/control_client.rs
@@ -15,9 +15,9 @@
 /// The place at which the fake node breaks the connection of the second request. It answers all others.
 #[derive(Clone, Copy)]
 enum Break {
-    /// After this many bytes of the request were read.
+    /// After reading this number of bytes of the request.
     Request(usize),
-    /// After this many bytes of the response were written.
+    /// After writing this number of bytes of the response.
     Response(usize),
 }
 
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -39,14 +39,14 @@
             Msg::Call(call, _) => self.waiting.push(call),
             Msg::Stop => return vec![Effect::Exit],
             Msg::Tick => {
-                let ends = self
+                let exits = self
                     .exit_flag
                     .as_ref()
                     .is_some_and(|flag| flag.load(Ordering::SeqCst));
                 let answers = self.waiting.drain(..);
                 return answers
                     .map(|call| Effect::Respond(call, Response::new(200, call.into())))
-                    .chain(ends.then_some(Effect::Exit))
+                    .chain(exits.then_some(Effect::Exit))
                     .collect();
             }
             _ => {}
@@ -172,14 +172,14 @@
 struct RunOutcome {
     counts: Arc<Counts>,
     /// The time from the signal, or the end of the part, to the end of the process.
-    took: Duration,
+    shutdown_duration: Duration,
     stop_requested_at: Instant,
     result: Result<(), String>,
 }
 
 /// Runs a process with two parts and several callers, and ends it: by a signal or by the exit of a part.
 fn run(part_exits: bool) -> RunOutcome {
-    let (counts, ends) = (
+    let (counts, exit_flag) = (
         Arc::new(Counts::default()),
         Arc::new(AtomicBool::new(false)),
     );
@@ -188,7 +188,7 @@
         .start_part(Box::new(SlowPart::default()), &settings())
         .expect("failed to start");
     let other = SlowPart {
-        exit_flag: part_exits.then(|| ends.clone()),
+        exit_flag: part_exits.then(|| exit_flag.clone()),
         ..SlowPart::default()
     };
     process
@@ -217,20 +217,20 @@
     );
     let stop_requested_at = Instant::now();
     if part_exits {
-        ends.store(true, Ordering::SeqCst);
+        exit_flag.store(true, Ordering::SeqCst);
     } else {
         signal_hook::low_level::raise(SIGTERM).expect("failed to raise the signal");
     }
     sleep(Duration::from_millis(100));
     signal_hook::low_level::raise(SIGHUP).expect("failed to raise the signal");
     let result = running.join().expect("the process panicked");
-    let took = stop_requested_at.elapsed();
+    let shutdown_duration = stop_requested_at.elapsed();
     callers
         .into_iter()
         .for_each(|caller| caller.join().expect("a caller panicked"));
     RunOutcome {
         counts,
-        took,
+        shutdown_duration,
         stop_requested_at,
         result: result.map_err(String::from),
     }
@@ -266,7 +266,7 @@
         "received {received}, answered {answered}, rejected {}, unanswered {}, first of these after {first_unanswered:?}, shutdown took {:?}",
         load(&outcome.counts.rejected),
         load(&outcome.counts.unanswered),
-        outcome.took
+        outcome.shutdown_duration
     );
     assert!(received > MIN_CALLS, "{received} calls were received");
     assert_eq!(received, answered, "complete calls and complete responses");
@@ -277,12 +277,16 @@
         "a call was unanswered after {first_unanswered:?}, but the process should serve for {serving_time:?}"
     );
     assert!(
-        outcome.took >= serving_time,
+        outcome.shutdown_duration >= serving_time,
         "ended after {:?}",
-        outcome.took
+        outcome.shutdown_duration
     );
     let max = Duration::from_millis(bounds.process_deadline() + 200);
-    assert!(outcome.took <= max, "ended after {:?}", outcome.took);
+    assert!(
+        outcome.shutdown_duration <= max,
+        "ended after {:?}",
+        outcome.shutdown_duration
+    );
 }
 
 #[test]
@@ -304,10 +308,10 @@
 #[test]
 fn calls_to_a_part_that_has_ended_are_rejected_at_once() {
     let _one = ONE_AT_A_TIME.lock();
-    let (counts, ends) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(true)));
+    let (counts, exit_flag) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(true)));
     let mut process = Process::start("error").expect("failed to start");
     let part = SlowPart {
-        exit_flag: Some(ends),
+        exit_flag: Some(exit_flag),
         ..SlowPart::default()
     };
     let handle = process
