--- a/landingdrift/src/node/calls/forward.rs
+++ b/landingdrift/src/node/calls/forward.rs
@@ -112,7 +112,7 @@
         Response::error(503, "noDuty", message).retry(self.settings.bounds.retry_after())
     }
 
-    /// Forwards each call whose next attempt is due to another node.
+    /// Makes the attempts that are due: forwards each of these calls to another node.
     pub(super) fn forwards_tick(&mut self, now: Now) {
         let is_due = |open_call: &OpenCall| {
             let forward = open_call.forward.as_ref();
--- a/landingdrift/src/node/calls/unanswered.rs
+++ b/landingdrift/src/node/calls/unanswered.rs
@@ -8,7 +8,7 @@
 const MIN_LOG_INTERVAL_MS: u64 = 250;
 
 impl CallState {
-    /// The request or data that the call was for, in log messages.
+    /// Describes the call for log messages: the kind of request, or the data that it reads.
     fn describe(&self) -> String {
         match self {
             Self::ProposalPending => "(change)".into(),
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -63,7 +63,7 @@
 
 /// The proposals that a heartbeat requires.
 struct DueProposals {
-    info: bool,
+    worker_update: bool,
     report: bool,
     running: Vec<u64>,
     ends: Vec<EndReport>,
@@ -94,8 +94,8 @@
         let info_changed = known.info != heartbeat.info || known.lost;
         let due = self.record_heartbeat(now, &heartbeat, info_changed);
         self.reschedule_stragglers(now, &heartbeat, epoch);
-        if due.info {
-            self.propose_info(now, &heartbeat, epoch);
+        if due.worker_update {
+            self.propose_worker_update(now, &heartbeat, epoch);
         }
         if due.report {
             self.propose_report(now, &heartbeat, due.running, due.ends);
@@ -138,7 +138,7 @@
         let report_overdue = now.mono >= worker.last_report_at + report_interval;
         let has_report = !ends.is_empty() || (!running.is_empty() && report_overdue);
         let due = DueProposals {
-            info: info_changed && !worker.worker_update_pending,
+            worker_update: info_changed && !worker.worker_update_pending,
             report: has_report && !worker.report_pending,
             running,
             ends,
@@ -255,7 +255,7 @@
     }
 
     /// Proposes to update the worker's identity, resources and state.
-    fn propose_info(&mut self, now: Now, heartbeat: &Heartbeat, zone_epoch: u64) {
+    fn propose_worker_update(&mut self, now: Now, heartbeat: &Heartbeat, zone_epoch: u64) {
         let command = Command::UpdateWorker {
             info: heartbeat.info.clone(),
             zone_epoch,
--- a/landingdrift/src/node/zone_scheduler/stragglers.rs
+++ b/landingdrift/src/node/zone_scheduler/stragglers.rs
@@ -27,7 +27,7 @@
 /// waiting for others.
 const GANG_START_FACTOR: u64 = 2;
 
-/// Why a run is rescheduled.
+/// The reason to reschedule a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RescheduleReason {
     /// It would not end before its worker leaves.
--- a/landingdrift/src/node/zone_scheduler/unknown_runs.rs
+++ b/landingdrift/src/node/zone_scheduler/unknown_runs.rs
@@ -11,7 +11,7 @@
 use crate::state::{Attempt, RunName};
 use std::collections::BTreeMap;
 
-/// Unknown runs, each with the time of its first report by this node's monotonic clock.
+/// Unknown runs, each with the time of its first report in monotonic milliseconds.
 #[derive(Default)]
 pub(super) struct UnknownRuns(BTreeMap<RunName, u64>);
 
