--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -35,7 +35,7 @@
     let mut body = json!({"name": job.task_name(index), "state": task.state, "defects": task.failures, "sends": task.attempts});
     let mut attempts = task.attempts.iter();
     if attempts.any(|attempt| attempt.state == AttemptState::Unsure) {
-        body["unsure"] = json!("its worker is unresponsive: the task stays in this state until the worker reports, an operator resolves it, or the queue's time limit passes");
+        body["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
     }
     body
 }
