--- a/landingdrift/src/consensus/job_admission.rs
+++ b/landingdrift/src/consensus/job_admission.rs
@@ -96,7 +96,8 @@
         })
     }
 
-    /// Records that a job was appended at a log index.
+    /// Counts a job appended at a log index towards the usage until the next count includes it. A job of 0 bytes is one
+    /// that the state already contains, and is not counted again.
     pub(super) fn record_appended(&mut self, index: u64, job: AdmittedJob) {
         if job.bytes > 0 {
             self.appended.push(AppendedJob { index, job });
--- a/landingdrift/src/consensus/leadership.rs
+++ b/landingdrift/src/consensus/leadership.rs
@@ -21,7 +21,7 @@
     /// committed.
     pub term_start_index: u64,
     /// The index of the last command that the reconciliation appended; no further one is derived before it is applied.
-    pub last_command_index: u64,
+    pub last_reconcile_index: u64,
     /// The time at which a lease was last moved to a better holder.
     pub last_lease_move_at: u64,
     /// The leader's view of the other replicas, by address.
@@ -40,7 +40,7 @@
     /// Resets the state at the start of a leadership, with the initial progress of the other replicas.
     pub fn start(&mut self, now: Now, progress: BTreeMap<String, Progress>) {
         self.since = now.mono;
-        self.last_command_index = 0;
+        self.last_reconcile_index = 0;
         self.progress = progress;
         self.rounds.reset();
     }
@@ -94,7 +94,7 @@
     /// time, since each is derived from the result of the last one.
     fn reconcile(&mut self, now: Now) {
         let is_term_committed = self.log.commit_index >= self.leadership.term_start_index;
-        let is_last_applied = self.state.applied_index >= self.leadership.last_command_index;
+        let is_last_applied = self.state.applied_index >= self.leadership.last_reconcile_index;
         let may_propose = is_term_committed
             && is_last_applied
             && self.clock.is_set()
@@ -103,7 +103,7 @@
             return;
         }
         if let Some(command) = self.next_command(now) {
-            self.leadership.last_command_index = self.append_command(now, &command);
+            self.leadership.last_reconcile_index = self.append_command(now, &command);
             self.leadership.round_requested = true;
         }
     }
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -214,7 +214,8 @@
         known
     }
 
-    /// Ends the recovery once enough replicas have answered.
+    /// Ends the recovery if possible: a voter waits until enough replicas have answered, any other replica does not wait.
+    /// A replica with an empty log joins as a new one if another replica has a log.
     fn try_finish_recovery(&mut self, now: Now) {
         let Some(query) = self.recovery.query.as_ref() else {
             return;
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -15,8 +15,8 @@
 use crate::wire::{Body, Entry, WatchBatch, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node that lacks more entries than this starts over from a snapshot, which is then smaller than the missing
-/// entries.
+/// A node with a full copy that lacks more entries than this starts over from a snapshot, which is then usually smaller
+/// than the missing entries. One that has just fetched a snapshot does not.
 const MAX_ENTRIES_BEHIND: u64 = 1024;
 /// The maximum number of entries in one message to a node.
 const MAX_BATCH_ENTRIES: u64 = 512;
--- a/landingdrift/src/consensus/watch_flow.rs
+++ b/landingdrift/src/consensus/watch_flow.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Records a retransmission.
+    /// Restarts the timeout after a retransmission, doubles it (at most [`MAX_DOUBLINGS`] times), and halves the estimated
+    /// link rate.
     pub fn record_retransmission(&mut self, now_ms: u64, rate: &mut LinkRate) {
         self.sent_at = now_ms;
         self.retransmissions += 1;
--- a/landingdrift/src/snapshot_chunks/mod.rs
+++ b/landingdrift/src/snapshot_chunks/mod.rs
@@ -7,7 +7,7 @@
 /// The maximum total size of a snapshot, in bytes; larger ones are rejected.
 pub const MAX_SNAPSHOT_BYTES: u64 = 1 << 30;
 
-/// The identity of a snapshot.
+/// Identifies a snapshot by the last entry that it covers, its length and its checksum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotId {
     /// The log index of the last entry that it covers.
