--- a/landingdrift/src/config/check.rs
+++ b/landingdrift/src/config/check.rs
@@ -24,7 +24,7 @@
         /// Description of the error.
         why: String,
     },
-    /// A value is out of range, or contradicts another value.
+    /// A name or value is invalid, or contradicts another value.
     Value {
         /// Path of the invalid field.
         path: String,
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -294,7 +294,7 @@
         match msg {
             Msg::Tick => self.on_tick(now),
             Msg::Persisted(write_id) => self.on_persisted(now, write_id),
-            Msg::DiskFailed(reason) => self.on_disk_error(now, &reason),
+            Msg::WriteFailed(reason) => self.on_disk_error(now, &reason),
             Msg::Call(call, request) => self.on_call(now, call, &request),
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => self.on_stop(now),
--- a/landingdrift/src/daemon/disk_writer.rs
+++ b/landingdrift/src/daemon/disk_writer.rs
@@ -107,7 +107,7 @@
 ) -> Option<()> {
     let mut saved = store.save(batches);
     while let Err(error) = saved {
-        let failure = Msg::DiskFailed(error.to_string());
+        let failure = Msg::WriteFailed(error.to_string());
         inputs.send(Input::Msg(failure)).ok()?;
         sleep(backoff.next().unwrap_or_default());
         // Partly written batches are truncated first, then all batches are written again in order.
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -250,7 +250,7 @@
                 self.watch.next_watch_request = now.mono;
                 self.watch_tick(now);
             }
-            Msg::Persisted(_) | Msg::DiskFailed(_) => {}
+            Msg::Persisted(_) | Msg::WriteFailed(_) => {}
         }
         while let Some(body) = self.loopback.pop_front() {
             let own_address = self.name.clone();
--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -87,8 +87,8 @@
     Received(String, Body),
     /// Every batch up to this [`WriteBatch::write_id`] is durable.
     Persisted(u64),
-    /// A write to the disk failed, with the reason.
-    DiskFailed(String),
+    /// An attempt to write to the disk failed, with the reason; it is repeated until it succeeds.
+    WriteFailed(String),
     /// An HTTP request, with the call number that its response must carry.
     Call(u64, Request),
     /// Settings that can change at run time have changed.
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -111,8 +111,8 @@
     pub join_only: bool,
     /// Number of voting replicas: 2f+1 to tolerate the loss of f machines at once. Further replicas are standbys.
     pub voters: u32,
-    /// Whether this replica becomes a voter only if too few others can vote. Its machine then doesn't count towards the
-    /// losses that the cluster tolerates.
+    /// Whether this replica may become a voter only if all members are standby-only. As long as another member is not,
+    /// this replica can't replace a lost voter.
     pub standby_only: bool,
     /// CPU that this process may use, in thousandths of a core; nodes with more are preferred for leases.
     pub share: u32,
--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -163,7 +163,7 @@
         !self.spec.steps.is_empty()
     }
 
-    /// The spec of a task.
+    /// The spec of the task at an index; in a job of steps, the one that its step gives to all of its tasks.
     pub fn task_spec(&self, task: usize) -> &TaskSpec {
         if self.has_steps() {
             &self.step_of(task).task
--- a/landingdrift/src/state/members.rs
+++ b/landingdrift/src/state/members.rs
@@ -56,7 +56,7 @@
     pub disk: u64,
     /// Zone that it is in.
     pub zone: String,
-    /// Whether it becomes a voter only if too few other replicas can vote.
+    /// Whether it may become a voter only if all members are standby-only.
     #[serde(default)]
     pub standby_only: bool,
 }
--- a/landingdrift/src/state/mod.rs
+++ b/landingdrift/src/state/mod.rs
@@ -214,7 +214,8 @@
         job.is_some_and(|job| job.task_spec(*task as usize).long_running)
     }
 
-    /// Whether a worker has live attempts of tasks that aren't long-running. Only their outcomes can end a probation.
+    /// Whether a worker has live attempts of tasks that aren't long-running. A long-running attempt normally doesn't
+    /// end by itself, so it doesn't occupy the trial slot of a worker on probation.
     pub fn has_finite_attempts(&self, worker: &Worker) -> bool {
         let mut attempts = worker.attempts.iter();
         attempts.any(|attempt_no| !self.is_long_running(*attempt_no))
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -300,7 +300,7 @@
             }
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => self.stopping = true,
-            Msg::Received(..) | Msg::Persisted(_) | Msg::DiskFailed(_) => {}
+            Msg::Received(..) | Msg::Persisted(_) | Msg::WriteFailed(_) => {}
         }
         std::mem::take(&mut self.out)
     }
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -89,7 +89,7 @@
     let mut failures = 0;
     loop {
         match rx.recv_timeout(RECEIVE_TIMEOUT) {
-            Ok(Input::Msg(Msg::DiskFailed(reason))) => {
+            Ok(Input::Msg(Msg::WriteFailed(reason))) => {
                 assert!(!reason.is_empty());
                 failures += 1;
             }
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -170,7 +170,7 @@
             Behaviour::Works => disk.complete_writes().map(Msg::Persisted),
             Behaviour::Fails if !disk.pending.is_empty() && now_ms >= disk.next_retry => {
                 disk.next_retry = now_ms + RETRY_MS;
-                Some(Msg::DiskFailed("the disk is full".into()))
+                Some(Msg::WriteFailed("the disk is full".into()))
             }
             _ => None,
         };
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -218,7 +218,7 @@
     pub(super) fn retry_write(&mut self, process: usize, incarnation: u64, write_id: u64) {
         let disk = self.processes[process].disk_mut();
         if disk.is_some_and(|disk| disk.condition == Condition::Full) {
-            self.step(process, Msg::DiskFailed("no space left".into()));
+            self.step(process, Msg::WriteFailed("no space left".into()));
         }
         let retry = Action::CompleteWrite {
             process,
