--- a/landingdrift/src/node/scheduler/sizes.rs
+++ b/landingdrift/src/node/scheduler/sizes.rs
@@ -27,7 +27,7 @@
         job_sizes.rank / (1.0 + f64::from(priority))
     }
 
-    /// A job's sizes and the number of slots that it occupies, including pending starts.
+    /// Computes a job's share from this node's copy and the pending starts.
     pub(super) fn share(&self, job: &Job) -> JobShare {
         let job_sizes = self.state.job_sizes(job);
         let pending_starts = self.pending_placements(&job.spec.id).count();
--- a/landingdrift/src/node/zone_scheduler/targets.rs
+++ b/landingdrift/src/node/zone_scheduler/targets.rs
@@ -60,8 +60,8 @@
         .then(a.job.cmp(&b.job))
 }
 
-/// The first reservation whose job has its data near the worker within the leading `locality` fraction, else the first
-/// one of all.
+/// The first reservation within the leading `locality` fraction whose job has data near the worker, else the first of
+/// all.
 fn first_or_local<'a>(sorted: &[&'a Reservation], locality: f64) -> &'a Reservation {
     let leading_len = (sorted.len() as f64 * locality).ceil() as usize;
     let leading = &sorted[..leading_len.clamp(1, sorted.len())];
