--- a/landingdrift/src/daemon/replica_start.rs
+++ b/landingdrift/src/daemon/replica_start.rs
@@ -24,10 +24,10 @@
 
 impl ReplicaStart {
     /// Retries opening the data folder after `error`, then runs the replica until it ends.
-    pub fn run(self, error: StorageError, received: &Receiver<Input>) {
+    pub fn run(self, error: StorageError, input_receiver: &Receiver<Input>) {
         let calls = self.calls.clone();
-        match self.build_control_thread_with_retries(error, received) {
-            Ok(Some(control)) => control.run(received),
+        match self.build_control_thread_with_retries(error, input_receiver) {
+            Ok(Some(control)) => control.run(input_receiver),
             Ok(None) => {}
             Err(error) => log::error!("failed to start the core: {error}"),
         }
@@ -38,14 +38,14 @@
     fn build_control_thread_with_retries(
         self,
         error: StorageError,
-        received: &Receiver<Input>,
+        input_receiver: &Receiver<Input>,
     ) -> Result<Option<ControlThread>, ProcessError> {
         let opened = open_folder::open_with_retries(
             &self.settings,
             self.seed,
             error,
             &self.calls,
-            received,
+            input_receiver,
         )?;
         match opened {
             Some(opened) => self.build_control_thread(opened).map(Some),
--- a/landingdrift/src/daemon/traffic/frames/send.rs
+++ b/landingdrift/src/daemon/traffic/frames/send.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Connects with a short timeout. TCP repeats a lost SYN only after a second, so a new attempt reaches a machine that
-/// has just come up earlier than a retransmitted SYN would.
+/// Connects with a short timeout. TCP retransmits a lost SYN only after a second; if a machine has just come up, a new
+/// attempt reaches it sooner than the retransmitted SYN would.
 async fn connect(addr: SocketAddr, write_timeout: Duration) -> Option<TcpStream> {
     let connected = timeout(write_timeout / 4, TcpStream::connect(addr)).await;
     let connection = connected.ok()?.ok()?;
--- a/landingdrift/src/operator/zones.rs
+++ b/landingdrift/src/operator/zones.rs
@@ -1,4 +1,4 @@
-//! The commands `drain`, `evacuate` and `restore`, for zones and workers.
+//! The commands `drain` and `restore`, for zones and workers, and `evacuate`, for zones.
 
 use super::change::{change_path, new_change_id, wait, Progress};
 use super::client::{ClientError, ControlClient};
--- a/landingdrift/src/replay/rerun/summary.rs
+++ b/landingdrift/src/replay/rerun/summary.rs
@@ -15,9 +15,10 @@
     /// The worker on which each task succeeded, by `JOB/TASK`.
     #[serde(rename = "placed")]
     pub workers_by_task: BTreeMap<String, String>,
-    /// The number of jobs that met the deadline of their queue.
+    /// The number of jobs that succeeded within the deadline of their queue, or at any time if the queue has none.
     pub kept: u64,
-    /// The number of jobs that missed the deadline of their queue.
+    /// The number of jobs that ended without success, except for cancelled ones, or succeeded after the deadline of
+    /// their queue.
     pub missed: u64,
     /// The number of speculative copies that were started.
     pub copies: u64,
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -168,7 +168,7 @@
     })
 }
 
-/// The outcome of a run.
+/// What a run measured: the calls, and how the process shut down.
 struct RunOutcome {
     counts: Arc<Counts>,
     /// The time from the signal, or the end of the part, to the end of the process.
--- a/landingdrift/tests/traffic.rs
+++ b/landingdrift/tests/traffic.rs
@@ -154,13 +154,13 @@
     let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
         (listen(&traffic), listen(&traffic));
     let stalled = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
-    let stalled_at = stalled
+    let stalled_address = stalled
         .local_addr()
         .expect("failed to get the address")
         .to_string();
     let queued = (0..50_000)
         .take_while(|i| {
-            transport_a.send(&stalled_at, &forward_response(*i, 8 << 10));
+            transport_a.send(&stalled_address, &forward_response(*i, 8 << 10));
             transport_a.dropped == 0
         })
         .count();
@@ -176,12 +176,12 @@
     let ((mut transport_a, _inputs_a), (transport_b, inputs_b)) =
         (listen(&traffic), listen(&traffic));
     let stalled = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
-    let stalled_at = stalled
+    let stalled_address = stalled
         .local_addr()
         .expect("failed to get the address")
         .to_string();
     for i in 0..200 {
-        transport_a.send(&stalled_at, &forward_response(i, 500_000));
+        transport_a.send(&stalled_address, &forward_response(i, 500_000));
         assert!(
             transport_a.queued_bytes() <= MAX_QUEUED_BYTES,
             "{} bytes",
