--- a/testkit/src/checkers/jobs.rs
+++ b/testkit/src/checkers/jobs.rs
@@ -39,7 +39,7 @@
     let mut known = KnownJobs::default();
     for timed in &history.events {
         if let Some(id) = accepted_job(&timed.event) {
-            known.accepted.entry(id).or_insert(timed.at_ms);
+            known.accepted_ms.entry(id).or_insert(timed.at_ms);
         }
         match &timed.event {
             Event::StateAnswered {
@@ -63,7 +63,7 @@
 #[derive(Default)]
 struct KnownJobs<'a> {
     /// When each job was first known to be accepted, in milliseconds.
-    accepted: BTreeMap<&'a str, u64>,
+    accepted_ms: BTreeMap<&'a str, u64>,
     /// The first final state that was reported for each job.
     final_states: BTreeMap<&'a str, &'a str>,
     violations: Vec<Violation>,
@@ -76,7 +76,7 @@
     }
 
     fn check_unknown(&mut self, id: &str, at_ms: u64, state_ms: u64) {
-        let accepted = self.accepted.get(id);
+        let accepted = self.accepted_ms.get(id);
         if accepted.is_some_and(|accepted_ms| at_ms >= accepted_ms + state_ms) {
             self.add_violation(at_ms, format!("job {id} was accepted but is unknown"));
         }
@@ -98,7 +98,7 @@
 
     fn check_final(&mut self, jobs: &BTreeMap<String, FinalState>, at_ms: u64) {
         let mut descriptions = Vec::new();
-        for id in self.accepted.keys() {
+        for id in self.accepted_ms.keys() {
             if !jobs.contains_key(*id) {
                 descriptions.push(format!(
                     "job {id} was accepted but is missing at the end of the day"
--- a/testkit/src/checkers/runs/gangs.rs
+++ b/testkit/src/checkers/runs/gangs.rs
@@ -144,8 +144,10 @@
         let first_unreachable = self
             .unreachable
             .iter()
-            .filter(|time| time.worker == run.worker && time.interval.overlaps(&run_interval))
-            .map(|time| time.interval.from)
+            .filter(|unreachable| {
+                unreachable.worker == run.worker && unreachable.interval.overlaps(&run_interval)
+            })
+            .map(|unreachable| unreachable.interval.from)
             .min();
         first_unreachable.map_or(to, |from| to.min(from.max(run.from)))
     }
@@ -191,23 +193,24 @@
 /// Intervals in which workers were unreachable, derived from the [`Event::FaultBegan`] events that mark a worker as
 /// unreachable or reachable.
 fn unreachable_intervals(history: &History) -> Vec<UnreachableInterval<'_>> {
-    let mut times: Vec<UnreachableInterval> = Vec::new();
+    let mut intervals: Vec<UnreachableInterval> = Vec::new();
     for timed in &history.events {
         let Event::FaultBegan { description } = &timed.event else {
             continue;
         };
         if let Some(worker) = description.strip_prefix(WORKER_UNREACHABLE) {
-            times.push(UnreachableInterval {
+            intervals.push(UnreachableInterval {
                 worker,
                 interval: Interval::new(timed.at_ms, u64::MAX),
             });
         } else if let Some(worker) = description.strip_prefix(WORKER_REACHABLE) {
-            let ongoing = times
-                .iter_mut()
-                .filter(|time| time.worker == worker && time.interval.to == u64::MAX);
-            ongoing
-                .for_each(|time| time.interval.to = timed.at_ms + ORDER_DELAY_AFTER_UNREACHABLE_MS);
+            let ongoing = intervals.iter_mut().filter(|unreachable| {
+                unreachable.worker == worker && unreachable.interval.to == u64::MAX
+            });
+            ongoing.for_each(|unreachable| {
+                unreachable.interval.to = timed.at_ms + ORDER_DELAY_AFTER_UNREACHABLE_MS
+            });
         }
     }
-    times
+    intervals
 }
--- a/testkit/src/scenario/fault.rs
+++ b/testkit/src/scenario/fault.rs
@@ -201,7 +201,7 @@
 /// The shortest duration of a random fault, in milliseconds.
 const MIN_DURATION_MS: u64 = 500;
 /// The range of the durations of random faults, which begins at the shortest duration, in milliseconds.
-const DURATION_SPREAD_MS: u64 = 5000;
+const DURATION_RANGE_MS: u64 = 5000;
 /// The sizes of random clock jumps, in milliseconds: from 0.7 s to three days.
 const CLOCK_JUMPS_MS: [i64; 6] = [700, 2000, 60_000, 3_600_000, 86_400_000, 3 * 86_400_000];
 
@@ -315,7 +315,7 @@
 /// A random fault. The random draws are the same for all kinds, except the draw of `amount`.
 fn random_fault(rng: &mut Rng, kinds: &[FaultKind], from: u64, to: u64) -> Fault {
     let kind = *rng.pick(kinds).unwrap_or(&FaultKind::Kill);
-    let duration_ms = MIN_DURATION_MS + rng.below(DURATION_SPREAD_MS);
+    let duration_ms = MIN_DURATION_MS + rng.below(DURATION_RANGE_MS);
     let at_ms = from + rng.below(to - from);
     let amount = match kind {
         FaultKind::WorkerFailing => 10 + rng.below(50),
--- a/testkit/src/simulator/world/links.rs
+++ b/testkit/src/simulator/world/links.rs
@@ -6,7 +6,7 @@
 
 /// The range of random message latencies, which begin at 1 ms, in milliseconds; multiplied by the slowness of the
 /// sender.
-const LATENCY_SPREAD_MS: u64 = 3;
+const LATENCY_RANGE_MS: u64 = 3;
 /// The latency that each unit of a process's slowness above 1 adds, in milliseconds.
 const SLOW_LINK_LATENCY_MS: u64 = 20;
 /// The share of messages over a flaky link that are lost, in percent.
@@ -24,7 +24,7 @@
     /// A random latency for a message from a process, in milliseconds.
     fn latency_ms(&mut self, process: usize) -> u64 {
         let slowness = self.processes[process].slowness;
-        1 + self.rng.below(LATENCY_SPREAD_MS) * slowness + (slowness - 1) * SLOW_LINK_LATENCY_MS
+        1 + self.rng.below(LATENCY_RANGE_MS) * slowness + (slowness - 1) * SLOW_LINK_LATENCY_MS
     }
 
     /// Sends a message from a process to the process at an address; the message is lost if the receiver is down or
--- a/testkit/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -32,7 +32,7 @@
 /// The interval of the ticks of processes and callers, in milliseconds.
 const TICK_MS: u64 = 20;
 
-/// A call that waits for its answer.
+/// A call that a process has not answered.
 struct OpenCall {
     caller: Caller,
     /// The number that the caller gave the call.
@@ -80,6 +80,7 @@
     pub(in crate::simulator) blocked: BTreeSet<(usize, usize)>,
     history: History,
     log: Vec<String>,
+    /// The calls that the processes have not answered, by a number that is unique in the day.
     open_calls: BTreeMap<u64, OpenCall>,
     last_call: u64,
     pub(in crate::simulator) settings: Settings,
