--- a/landingdrift/src/disk/directory.rs
+++ b/landingdrift/src/disk/directory.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Creates a folder that survives a power failure.
+/// Creates a folder, with its missing parents, and makes its entry in its direct parent durable.
 pub(super) fn create_durable_folder(
     directory: &dyn Directory,
     path: &Path,
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -5,7 +5,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The contents of a data folder.
+/// The persisted state read from a data folder, and the condition of its files.
 #[derive(Default)]
 pub struct FolderContents {
     pub hard_state: HardState,
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -232,8 +232,8 @@
         self.save(&[first])
     }
 
-    /// Makes the folder usable after a failed write: truncates unconfirmed data and starts a new segment. A failed sync
-    /// may have lost any of the data, so none of the batch is kept; the caller writes the complete batch again.
+    /// Frees space after a failed write, truncates unconfirmed data and starts a new segment. A failed sync may have
+    /// lost any of the data, so none of the batch is kept; the caller writes the complete batch again.
     pub fn recover(&mut self) -> Result<(), StorageError> {
         self.reclaim_space()?;
         let path = segment_path(&self.path, self.number);
@@ -265,7 +265,7 @@
         write_atomically(self.directory.as_ref(), &path, &bytes)
     }
 
-    /// Removes segments that the snapshot at `index` covers, and all but the two newest snapshots.
+    /// Starts a segment; removes those that the snapshot at `index` covers, and all but the two newest snapshots.
     fn remove_obsolete(&mut self, index: u64) -> Result<(), StorageError> {
         self.roll()?;
         let (old, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.closed)
@@ -295,7 +295,7 @@
     Ok(segment)
 }
 
-/// Reads the marker of a folder, or creates one if the folder is new.
+/// Reads the folder's marker, or creates it in a folder without other files; fails if it names another cluster.
 fn load_or_create_marker(
     directory: &dyn Directory,
     path: &Path,
@@ -381,7 +381,7 @@
     ))
 }
 
-/// Verifies a data folder without changing it.
+/// Reads a whole data folder without changing it, and reports its contents and any damage.
 pub fn verify(path: &Path) -> Result<FolderReport, StorageError> {
     let (marker, found) = read_contents(path)?;
     Ok(FolderReport {
--- a/landingdrift/src/peer_sampler/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -33,7 +33,7 @@
     zone: String,
     seeds: Vec<String>,
     view: BTreeMap<String, Peer>,
-    /// The replicas known from the watch or from peers.
+    /// The replicas known from the log, from the watch or from peers.
     pub replicas: BTreeSet<String>,
     next_shuffle: u64,
 }
@@ -131,7 +131,8 @@
         }
     }
 
-    /// If a shuffle is due, returns it and the peer to send it to.
+    /// If a shuffle is due, returns it and the peer to send it to. All peers age by one, and that peer leaves the view
+    /// until it replies.
     pub fn tick(&mut self, now: Now, interval_ms: u64, rng: &mut Rng) -> Option<(String, Shuffle)> {
         if now.mono < self.next_shuffle {
             return None;
@@ -167,7 +168,7 @@
         rng.pick(&seeds).cloned()
     }
 
-    /// Handles a shuffle from a peer; returns a reply unless the shuffle is itself a reply.
+    /// Adds the peers and replicas of a received shuffle; returns a reply unless the shuffle is itself a reply.
     pub fn receive(&mut self, shuffle: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
         let reply = if shuffle.reply {
             None
@@ -188,7 +189,7 @@
         reply
     }
 
-    /// Replaces the replicas known from peers with those of the cluster state.
+    /// Replaces all known replicas, including those learned from peers, with the members of the cluster.
     pub fn set_replicas(&mut self, replicas: Vec<String>) {
         self.replicas = replicas.into_iter().collect();
     }
