--- a/landingdrift/src/consensus/append.rs
+++ b/landingdrift/src/consensus/append.rs
@@ -13,7 +13,8 @@
 }
 
 impl Replica {
-    /// Handles entries or a heartbeat from a leader.
+    /// Follows the sender unless its term is outdated, appends its entries if the logs match, and acknowledges those
+    /// that are durable. While the disk accepts no writes, no entry is appended.
     pub(super) fn on_append_request(&mut self, now: Now, from: &str, request: AppendRequest) {
         if request.term < self.hard_state.term {
             self.reject_stale_leader(now, from);
--- a/landingdrift/src/consensus/client_requests.rs
+++ b/landingdrift/src/consensus/client_requests.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Handles a proposal of a command from a node.
+    /// Appends a command that a node proposes, or answers at once that it was not appended. Commands that nodes may not
+    /// propose are dropped without an answer.
     pub(super) fn on_propose_request(&mut self, now: Now, from: &str, request: ProposeRequest) {
         if !Command::may_be_proposed(&request.command) {
             self.count("proposals_unexpected", 1);
@@ -81,7 +82,7 @@
         self.send(from, Body::ProposeResponse(Box::new(response)));
     }
 
-    /// Applies the committed entries and answers the proposals among them.
+    /// Applies the committed entries, answers the proposals among them, and takes a snapshot if one is due.
     pub(super) fn apply_committed(&mut self) {
         while self.state.applied_index < self.log.commit_index {
             let index = self.state.applied_index + 1;
--- a/landingdrift/src/consensus/disk_health.rs
+++ b/landingdrift/src/consensus/disk_health.rs
@@ -126,7 +126,7 @@
 }
 
 impl Replica {
-    /// Handles a failed write.
+    /// Steps down when writes begin to fail; further failures are only counted.
     pub(super) fn on_disk_error(&mut self, now: Now, reason: &str) {
         if !self.disk_health.record_failure(now.mono, reason) {
             self.count("disk_retries", 1);
--- a/landingdrift/src/consensus/election.rs
+++ b/landingdrift/src/consensus/election.rs
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Starts a pre-vote, so that a replica that was partitioned does not disrupt a working leader with a new term.
+    /// Starts a pre-vote if this replica may lead. It precedes the election, so that a replica that was partitioned
+    /// does not disrupt a working leader with a new term.
     pub(super) fn start_pre_vote(&mut self, now: Now) {
         self.reset_election_timer(now);
         let may_lead = !self.is_recovering()
@@ -138,7 +139,8 @@
         self.count_votes(now);
     }
 
-    /// Handles another replica's request for a vote or pre-vote.
+    /// Answers another replica's request for a vote or pre-vote. There is no answer while this replica is recovering,
+    /// has a live leader that does not transfer leadership, or has a disk that accepts no writes.
     pub(super) fn on_vote_request(&mut self, now: Now, from: &str, request: &VoteRequest) {
         let stays_with_leader = self.has_live_leader(now) && !request.leadership_transfer;
         if self.is_recovering() || stays_with_leader || !self.disk_health.accepts_writes() {
@@ -192,7 +194,7 @@
         self.send_when_durable(from, Body::VoteResponse(Box::new(response)));
     }
 
-    /// Handles another replica's answer to a request for its vote.
+    /// Counts a vote or pre-vote granted in this round; a refusal with a higher term makes this replica a follower.
     pub(super) fn on_vote_response(&mut self, now: Now, from: &str, response: &VoteResponse) {
         if response.term > self.hard_state.term && !response.granted {
             self.become_follower(now, response.term, "");
@@ -285,7 +287,7 @@
         }
     }
 
-    /// Handles the request of the leader of `term` to take over leadership.
+    /// Starts an election at once when the leader of `term` asks for it, unless this replica may not lead now.
     pub(super) fn on_transfer_leadership(&mut self, now: Now, term: u64) {
         let may_lead = term == self.hard_state.term
             && self.role == Role::Follower
--- a/landingdrift/src/consensus/leadership.rs
+++ b/landingdrift/src/consensus/leadership.rs
@@ -22,7 +22,8 @@
     pub term_start_index: u64,
     /// The index of the last command that the reconciliation appended; no further one is derived before it is applied.
     pub last_reconcile_index: u64,
-    /// The time at which a lease was last moved to a better holder.
+    /// The time at which a lease was last moved from its holder, because that was lost or leaving, or a better one
+    /// existed.
     pub last_lease_move_at: u64,
     /// The leader's view of the other replicas, by address.
     pub progress: BTreeMap<String, Progress>,
--- a/landingdrift/src/consensus/lease_assignment.rs
+++ b/landingdrift/src/consensus/lease_assignment.rs
@@ -28,7 +28,7 @@
     class: u32,
     /// The number of the node's leases relative to its CPU share.
     weight: u64,
-    /// A hash of the node's name: the same on every replica, and different for each node.
+    /// A hash of the node's name, the same on every replica; it decides between nodes of the same class and weight.
     tie_break: u64,
 }
 
--- a/landingdrift/src/consensus/log.rs
+++ b/landingdrift/src/consensus/log.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether no entry was ever appended.
+    /// Whether there is no entry, neither in memory nor covered by a snapshot.
     pub fn is_empty(&self) -> bool {
         self.last().index == 0
     }
--- a/landingdrift/src/consensus/membership_state.rs
+++ b/landingdrift/src/consensus/membership_state.rs
@@ -298,7 +298,7 @@
         ));
     }
 
-    /// Handles a join request.
+    /// Keeps a join request for the next membership changes; it replaces an earlier one from the same address.
     pub(super) fn on_join_request(&mut self, now: Now, from: &str, join: JoinCluster) {
         let received = ReceivedJoinRequest {
             received_at: now.mono,
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -66,7 +66,7 @@
 pub struct PersistedState {
     /// The identity of the disk, generated at random when the data folder was created.
     pub disk: u64,
-    /// The current term and the vote cast in it.
+    /// The current term, the vote cast in it, the terms in which this replica must not vote, and the founders.
     pub hard_state: HardState,
     /// The newest snapshot of the cluster state.
     pub snapshot: Option<Snapshot>,
--- a/landingdrift/src/consensus/node_registry.rs
+++ b/landingdrift/src/consensus/node_registry.rs
@@ -1,14 +1,14 @@
-//! Registration of nodes by the leader: the commands that add live nodes to the cluster state and remove lost ones.
+//! Registration of nodes by the leader: commands that add live nodes to the cluster state and mark lost ones as gone.
 
 use super::Replica;
 use crate::sans_io::Now;
 use crate::state::Command;
 
 impl Replica {
-    /// Registers a node that follows the log, or removes one that is lost or has left.
+    /// Registers a node that follows the log, or marks one as gone that is lost, or that is leaving and holds no lease.
     pub(super) fn next_node_command(&mut self, now: Now) -> Option<Command> {
         self.node_to_register(now)
-            .or_else(|| self.node_to_remove(now))
+            .or_else(|| self.node_to_mark_gone(now))
     }
 
     fn node_to_register(&self, now: Now) -> Option<Command> {
@@ -33,7 +33,7 @@
         None
     }
 
-    fn node_to_remove(&self, now: Now) -> Option<Command> {
+    fn node_to_mark_gone(&self, now: Now) -> Option<Command> {
         let timeout = self.settings.bounds.node_timeout();
         let has_led_beyond_timeout = now.mono.saturating_sub(self.leadership.since) > timeout;
         for (name, node) in &self.state.nodes {
--- a/landingdrift/src/consensus/persistence.rs
+++ b/landingdrift/src/consensus/persistence.rs
@@ -70,7 +70,7 @@
         self.batch.snapshot = Some(snapshot);
     }
 
-    /// Adds the removal of the entries from `index` on to the batch.
+    /// Adds the removal of the entries from `index` on to the batch; they no longer count as durable.
     pub fn truncate_from(&mut self, index: u64) {
         self.batch.entries.retain(|entry| entry.index < index);
         let earlier = self.batch.truncate_from.unwrap_or(index);
@@ -78,7 +78,8 @@
         self.durable_index = self.durable_index.min(index - 1);
     }
 
-    /// Adds the replacement of the whole log with a received snapshot to the batch.
+    /// Adds the replacement of the whole log with a received snapshot to the batch. No entry counts as durable until
+    /// that write is confirmed.
     pub fn replace_log(&mut self, snapshot: Snapshot) {
         self.batch.entries.clear();
         self.batch.truncate_from = Some(1);
@@ -187,7 +188,8 @@
         });
     }
 
-    /// Handles the disk's confirmation of all writes up to `write_id`.
+    /// Records that all writes up to `write_id` are durable, and sends the messages deferred until then. Then a leader
+    /// commits entries, a candidate counts its votes, and others acknowledge entries.
     pub(super) fn on_persisted(&mut self, now: Now, write_id: u64) {
         self.persistence.durable_write = self.persistence.durable_write.max(write_id);
         self.on_write_confirmed(now, write_id);
--- a/landingdrift/src/consensus/replication.rs
+++ b/landingdrift/src/consensus/replication.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Sends a replica the entries that it lacks, one batch at a time. Heartbeats continue while a batch is in flight.
+    /// Sends a replica the entries that it lacks, one batch at a time, or a snapshot if the log no longer contains
+    /// them. Heartbeats continue while either is in flight.
     pub(super) fn replicate(&mut self, now: Now, to: &str, heartbeat: bool) {
         let resend_after = RESEND_AFTER_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let Some(progress) = self.leadership.progress.get_mut(to) else {
--- a/landingdrift/src/consensus/shutdown.rs
+++ b/landingdrift/src/consensus/shutdown.rs
@@ -23,7 +23,8 @@
 }
 
 impl Replica {
-    /// Handles the request to shut down.
+    /// Begins an orderly shutdown and sets its deadline; a leader asks its best successor to take over. Repeated
+    /// requests have no effect.
     pub(super) fn on_stop(&mut self, now: Now) {
         if self.shutdown.is_requested() {
             return;
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -124,7 +124,8 @@
         self.send(to, Body::InstallSnapshot(Box::new(chunk)));
     }
 
-    /// Handles a replica's response to a chunk.
+    /// Sends the next chunk after a replica's response or, once it has the whole snapshot, the entries that follow.
+    /// After a refusal, the transfer starts over at the next timeout.
     pub(super) fn on_install_snapshot_response(
         &mut self,
         now: Now,
@@ -166,7 +167,9 @@
         }
     }
 
-    /// Handles a chunk of a snapshot from the leader.
+    /// Adds a chunk of the leader's snapshot, and installs the snapshot once it is complete, unless the log already
+    /// contains its last entry. Refuses a chunk of an earlier term; while the disk accepts no writes, drops others
+    /// without an answer.
     pub(super) fn on_install_snapshot(&mut self, now: Now, from: &str, chunk: InstallSnapshot) {
         let id = snapshot_id(&chunk);
         if chunk.term < self.hard_state.term {
@@ -260,7 +263,8 @@
         self.send(to, Body::InstallSnapshotResponse(Box::new(response)));
     }
 
-    /// Takes a snapshot of the state once enough entries were applied since the last one, and compacts the log.
+    /// Takes a snapshot of the state once enough entries or bytes were applied since the last one, and compacts the
+    /// log; not while the disk accepts no writes or the last snapshot is not yet submitted to it.
     pub(super) fn take_snapshot_when_due(&mut self) {
         let limits = &self.settings.limits;
         let applied = self.state.applied_index;
@@ -287,7 +291,8 @@
     }
 
     /// Drops entries covered by the latest snapshot. A tail for replicas that are slightly behind, and the entries
-    /// after snapshots that are being sent, are kept within the log's byte limit.
+    /// after snapshots that are being sent to replicas or kept for nodes, remain within the log's byte limit and for at
+    /// most [`RETAINED_SNAPSHOT_INTERVALS`] snapshot intervals.
     fn compact_log(&mut self) {
         let interval = self.settings.limits.snapshot_every;
         let latest_index = self.snapshots.latest_index;
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -61,7 +61,7 @@
         )
     }
 
-    /// All counters, by name.
+    /// All counters and gauges, as pairs of name and value.
     pub(super) fn all_counters(&self) -> Vec<(String, u64)> {
         let mut all = self.outbox.counters();
         let mut add = |name: &str, value: u64| all.push((name.into(), value));
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -22,7 +22,7 @@
 const MAX_BATCH_ENTRIES: u64 = 512;
 /// The maximum bytes of entries in one message to a node with a light copy; a single entry may be larger.
 const MAX_LIGHT_BATCH_BYTES: u64 = 64 << 10;
-/// Snapshots that no node has fetched for this many node timeouts are dropped.
+/// Snapshots of which no node has requested a chunk for this many node timeouts are dropped.
 const UNUSED_SNAPSHOT_NODE_TIMEOUTS: u64 = 2;
 /// For this many node timeouts, a new leader expects to be contacted by nodes with a CPU share large enough for leases.
 const LARGE_NODE_WAIT_NODE_TIMEOUTS: u64 = 2;
@@ -147,7 +147,8 @@
             && self.state.applied_index >= first_index
     }
 
-    /// Handles a node's request for the entries that follow those it has applied.
+    /// Answers a node's request with the entries that follow those it has applied, or with a snapshot chunk if it must
+    /// start over. A replica that is not ready to serve requests only names the leader.
     pub(super) fn on_watch_request(&mut self, now: Now, from: &str, request: WatchRequest) {
         if !self.is_ready_leader() {
             self.watch.snapshots.clear();
--- a/landingdrift/src/consensus/watch_flow.rs
+++ b/landingdrift/src/consensus/watch_flow.rs
@@ -1,5 +1,5 @@
 //! Flow control towards the nodes that follow the log: data is not retransmitted while it may still be in flight, even
-//! over a slow link, and the timeout doubles with each retransmission.
+//! over a slow link, and the timeout doubles with each retransmission, up to a limit.
 
 use crate::sans_io::MIN_LINK_BYTES_PER_MS;
 use crate::settings::Bounds;
@@ -31,7 +31,8 @@
 }
 
 impl LinkRate {
-    /// Records that `bytes` were acknowledged after `after_ms`.
+    /// Raises the estimate if `bytes`, acknowledged after `after_ms`, yield a higher rate. Fewer than
+    /// [`MIN_SAMPLE_BYTES`] are ignored.
     pub fn record_sample(&mut self, bytes: u64, after_ms: u64) {
         if bytes >= MIN_SAMPLE_BYTES {
             self.0 = self.0.max(bytes / after_ms.max(1));
@@ -79,20 +80,21 @@
         }
     }
 
-    /// Restarts the timeout after a retransmission, doubles it (at most [`MAX_DOUBLINGS`] times), and halves the estimated
-    /// link rate.
+    /// Restarts the timeout after a retransmission, doubles it (at most [`MAX_DOUBLINGS`] times), and halves the
+    /// estimated link rate.
     pub fn record_retransmission(&mut self, now_ms: u64, rate: &mut LinkRate) {
         self.sent_at = now_ms;
         self.retransmissions += 1;
         rate.record_timeout();
     }
 
-    /// Records that a part was acknowledged, and restarts the timeout for the rest.
+    /// Restarts the timeout after a part was acknowledged. The rest counts as 0 bytes, both in the timeout and in
+    /// samples of the link rate.
     pub fn record_partial_ack(&mut self, now_ms: u64) {
         *self = Self::new(0, now_ms);
     }
 
-    /// Records that everything was acknowledged.
+    /// Samples the link rate after everything was acknowledged, unless data was retransmitted.
     pub fn record_ack(&self, now_ms: u64, rate: &mut LinkRate) {
         // After a retransmission it is unknown which transmission was acknowledged (Karn's algorithm).
         if self.retransmissions == 0 {
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -20,7 +20,7 @@
     /// Whether it contains only the light copy of the state, without jobs and workers.
     light: bool,
     snapshot: Arc<ChunkedSnapshot>,
-    /// The time at which a chunk of it was last sent, in monotonic milliseconds.
+    /// The time at which a node last requested a chunk of it, in monotonic milliseconds.
     last_used_at: u64,
 }
 
@@ -40,7 +40,7 @@
         self.0.iter().map(|kept| kept.id().index)
     }
 
-    /// Drops the snapshots that no node has fetched for `unused_ms`.
+    /// Drops the snapshots of which no node has requested a chunk for more than `unused_ms`.
     pub fn expire(&mut self, now: Now, unused_ms: u64) {
         self.0
             .retain(|kept| now.mono <= kept.last_used_at + unused_ms);
@@ -51,7 +51,7 @@
         self.0.clear();
     }
 
-    /// The newest snapshot that satisfies a condition.
+    /// The most recently added snapshot that satisfies a condition.
     fn find(&mut self, fits: impl Fn(&KeptSnapshot) -> bool) -> Option<&mut KeptSnapshot> {
         self.0.iter_mut().rev().find(|kept| fits(kept))
     }
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -41,7 +41,7 @@
     in_flight: VecDeque<(u64, SentMessage)>,
     /// Returns whether a message is lost.
     pub drops_message: Box<dyn Fn(&SentMessage) -> bool>,
-    /// All messages to receivers other than the replicas.
+    /// All messages that have arrived at receivers other than the replicas.
     pub external_messages: Vec<SentMessage>,
     /// All messages sent by replicas with the time of sending, oldest first; including lost ones.
     pub sent: Vec<(u64, SentMessage)>,
