--- a/testkit/src/checkers/conditions.rs
+++ b/testkit/src/checkers/conditions.rs
@@ -1,4 +1,4 @@
-//! Intervals in which service was possible, derived from the process and link events of a history.
+//! The intervals in which service can be expected, derived from the availability events of a history.
 
 use super::interval::Interval;
 use super::PromisedBounds;
@@ -8,11 +8,11 @@
 /// The majority of three replicas.
 const MAJORITY: usize = 2;
 
-/// Intervals in which service was possible: a majority of the replicas was up and connected, and at least one node
-/// could reach it.
+/// When service can be expected: the intervals that the promises exclude, such as those without a connected majority of
+/// replicas or without a node that reaches it, and the intervals in which each node was up and connected.
 pub struct Conditions<'a> {
-    /// Sorted intervals that the promises exclude: those without service, each extended by the bound on the recovery
-    /// after it.
+    /// Sorted intervals that the promises exclude: those without a majority or a connected node, each extended by the
+    /// bound on the recovery after it, and those passed to [`Self::excuse`].
     excused: Vec<Interval>,
     /// The intervals in which each node was up and connected to the replicas.
     node_intervals: BTreeMap<&'a str, Vec<Interval>>,
--- a/testkit/src/checkers/quotas.rs
+++ b/testkit/src/checkers/quotas.rs
@@ -37,8 +37,8 @@
                 && self.queues.get(job) == queue
                 && unfinished_ms.is_some_and(|seen_ms| *seen_ms >= acceptance.call.to)
         };
-        let others = self.accepted_ms.iter();
-        others
+        let accepted = self.accepted_ms.iter();
+        accepted
             .filter(|(job, accepted_ms)| is_other(job, **accepted_ms))
             .count()
     }
--- a/testkit/src/checkers/runs/limits.rs
+++ b/testkit/src/checkers/runs/limits.rs
@@ -38,7 +38,7 @@
         match &timed.event {
             Event::ConfigRequested { change, settings } => {
                 for (queue, value) in select(settings) {
-                    self.request(queue, change, *value, timed.at_ms);
+                    self.record_request(queue, change, *value, timed.at_ms);
                 }
             }
             Event::ConfigAnswered {
@@ -46,12 +46,12 @@
                 status,
                 version,
                 ..
-            } => self.answer(change, *status, *version, timed.at_ms),
+            } => self.record_answer(change, *status, *version, timed.at_ms),
             _ => {}
         }
     }
 
-    fn request(&mut self, queue: &'a str, change: &str, value: u32, requested_ms: u64) {
+    fn record_request(&mut self, queue: &'a str, change: &str, value: u32, requested_ms: u64) {
         let limits = self.0.entry(queue).or_default();
         // Operators repeat a request whose answer is missing.
         if limits.iter().any(|limit| limit.change == change) {
@@ -66,7 +66,7 @@
         });
     }
 
-    fn answer(&mut self, change: &str, status: u16, version: u64, at_ms: u64) {
+    fn record_answer(&mut self, change: &str, status: u16, version: u64, at_ms: u64) {
         let limits = self.0.values_mut().flatten();
         for limit in limits.filter(|limit| limit.change == change) {
             if status == 200 {
--- a/testkit/src/fakes/mod.rs
+++ b/testkit/src/fakes/mod.rs
@@ -1,5 +1,6 @@
 //! Fake workers, clients and operators. Each is a state machine without clocks or sockets, so that the simulator and
-//! the fleet of real processes can share them. All times are in milliseconds since the beginning of the day.
+//! the fleet of real processes can share them. All times are in milliseconds since the start of the test run, which
+//! scenarios call a day.
 
 pub mod client;
 mod client_job;
--- a/testkit/src/fakes/worker/mod.rs
+++ b/testkit/src/fakes/worker/mod.rs
@@ -104,7 +104,8 @@
     next_heartbeat_ms: u64,
     open_call: Option<OpenCall>,
     last_call: u64,
-    /// The lease, if the worker has one; the worker then identifies runs by name.
+    /// The lease, if the worker has one. A worker with a lease identifies runs to the nodes by job, task and run number
+    /// instead of attempt number.
     lease: Option<WorkerLease>,
     /// The report of an unannounced departure, until it is acknowledged.
     departure: Option<DepartureReport>,
--- a/testkit/src/simulator/mod.rs
+++ b/testkit/src/simulator/mod.rs
@@ -1,5 +1,5 @@
-//! The simulator: runs replicas, nodes and worker proxies in virtual time, without sockets or threads. A seed
-//! determines the whole day.
+//! The simulator: runs replicas, nodes and worker proxies in virtual time, without sockets or threads. A
+//! scenario and a seed determine everything that happens in a simulated run, which scenarios call a day.
 
 pub(crate) mod disk;
 mod faults;
--- a/testkit/src/simulator/world/callers.rs
+++ b/testkit/src/simulator/world/callers.rs
@@ -9,8 +9,8 @@
 use landingdrift::sans_io::Response;
 use landingdrift::state::{JobSpec, TaskSpec, WorkerInfo};
 
-/// The range of random call latencies, which begin at 1 ms, in milliseconds.
-const CALL_LATENCY_RANGE_MS: u64 = 4;
+/// The largest latency of a call, in milliseconds. Latencies are random, from 1 ms to this.
+const MAX_CALL_LATENCY_MS: u64 = 4;
 /// The number of tasks of a recovery job: large enough that every zone gets some of them.
 const RECOVERY_JOB_TASKS: usize = 24;
 
@@ -131,7 +131,7 @@
             match output {
                 Output::Event(event) => self.record(event),
                 Output::Call { to, call, request } if !self.is_partitioned(caller) => {
-                    let latency_ms = 1 + self.rng.below(CALL_LATENCY_RANGE_MS);
+                    let latency_ms = 1 + self.rng.below(MAX_CALL_LATENCY_MS);
                     let arrival = Action::Call {
                         to,
                         caller,
--- a/testkit/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -88,7 +88,8 @@
     pub(in crate::simulator) has_load_ended: bool,
     pub(in crate::simulator) seed: u64,
     planned_jobs: VecDeque<PlannedJob>,
-    /// The number of messages sent between processes.
+    /// The number of messages sent between processes, without those lost because the receiver was down, the link was
+    /// blocked or a flaky link lost them.
     messages: u64,
     /// The latest arrival time by sender and receiver, in milliseconds, which later messages must not precede.
     latest_arrivals_ms: BTreeMap<(usize, usize), u64>,
