--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -100,7 +100,7 @@
             .or_else(|| self.remove_unreachable_standby())
     }
 
-    /// Whether there is a reachable standby, which could replace a voter at once or after catching up.
+    /// Whether there is a reachable standby, even if it has not caught up or is standby-only.
     pub fn has_standby(&self) -> bool {
         self.members
             .iter()
@@ -219,7 +219,7 @@
                 .any(|(other, m)| is_copied_disk(other, m))
     }
 
-    /// If there are more voters than desired, demotes the most dispensable one.
+    /// If there are more voters than desired, demotes the most dispensable one, but never the leader.
     fn demote_surplus(&self) -> Option<MembershipChange> {
         let voters = self.voters();
         if voters.len() <= self.target_voters {
@@ -251,7 +251,8 @@
         Some(MembershipChange::Demote(outgoing.to_string()))
     }
 
-    /// A voter that a standby should replace.
+    /// A voter that a standby should replace: an unreachable one if there is any, else a leaving one, else an
+    /// impaired one.
     fn outgoing_voter(&self) -> Option<&str> {
         self.first_voter_with(Health::Unreachable)
             .or_else(|| self.first_voter_with(Health::Leaving))
@@ -274,8 +275,9 @@
         Some(MembershipChange::Promote(best.to_string()))
     }
 
-    /// Promotes a standby to replace a voter that is unreachable, leaving or without a working disk, or that is in a
-    /// zone with at least two more voters than the standby's. The replaced voter is demoted next.
+    /// If there are as many voters as desired, promotes a standby to replace one that is unreachable, leaving or
+    /// without a working disk, or that is in a zone with at least two more voters than the standby's. The replaced
+    /// voter is demoted next.
     ///
     /// Demoting first could cost the majority permanently. An example with the voters A (the leader), B and C: C
     /// becomes unreachable, A appends C's demotion, B is lost before that entry is committed, and C returns. A can't
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -310,7 +310,8 @@
     }
 }
 
-/// Loads the cluster state from the snapshot on disk; without a snapshot, the state is empty.
+/// Loads the cluster state from the snapshot on disk; without a snapshot, the state is empty. Fails if the snapshot
+/// belongs to another cluster.
 fn load_state(settings: &Settings, snapshot: Option<&Snapshot>) -> Result<ClusterState, String> {
     let state = match snapshot {
         Some(snapshot) => ClusterState::unpack(&snapshot.bytes)?,
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -30,9 +30,9 @@
 /// A leader's view of a node that follows the log. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Watcher {
-    /// The last entry that the node has applied.
+    /// The index of the last entry that the node has applied, as stated by its last request.
     pub applied_index: u64,
-    /// The last entry that was sent to it.
+    /// The index of the last entry that was sent to it; reset to the applied one if no acknowledgement arrives in time.
     pub sent_index: u64,
     /// The entries sent to it and not acknowledged yet.
     unacknowledged: UnacknowledgedData,
