--- a/landingdrift/src/config/check.rs
+++ b/landingdrift/src/config/check.rs
@@ -131,7 +131,8 @@
     item.ensure(is_bound_long_enough, "unsureBoundMs", min_remedy)
 }
 
-/// Checks that no two queues have the same host and prefix, and that each queue with a prefix has a declared service.
+/// Checks the queues with a prefix: no two have the same host and prefix, each prefix begins with '/', and each queue's
+/// service is declared.
 fn check_routes(config: &ClusterConfig) -> Result<(), ConfigError> {
     let mut routes = BTreeMap::new();
     for (name, queue) in &config.queues {
--- a/landingdrift/src/state/apply/attempts.rs
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -27,6 +27,7 @@
     }
 
     /// Ends a live attempt: frees its resources, and updates the statistics of its queue and the state of its task.
+    /// Requests that the other attempts of a finished task stop, and after an end without success those of its gang.
     pub(super) fn end_attempt(
         &mut self,
         attempt_no: u64,
@@ -94,7 +95,7 @@
         self.request_stops(to_stop);
     }
 
-    /// Marks the outcome of a live attempt as unknown.
+    /// Marks the outcome of a live attempt as unknown, and requests that the attempts of its gang stop.
     pub(super) fn mark_unsure(&mut self, attempt_no: u64) {
         let at = self.at;
         let Some((id, task_no)) = self.live.get(&attempt_no).cloned() else {
--- a/landingdrift/src/state/apply/config_update.rs
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -125,8 +125,9 @@
         }
     }
 
-    /// Fails the tasks that have reached the maximum number of attempts after the new configuration lowered it; otherwise
-    /// they would wait forever without being retried.
+    /// Fails the tasks without live attempts that have reached the maximum number of attempts after the new
+    /// configuration lowered it; otherwise they would wait forever without being retried. For such tasks with live
+    /// attempts, requests that the unstarted ones stop.
     fn fail_exhausted_tasks(&mut self) {
         let unfinished: Vec<String> = self.unfinished_jobs.iter().cloned().collect();
         for id in unfinished {
@@ -174,8 +175,8 @@
         Ok(json!({"zone": zone, "emptied": evacuate}))
     }
 
-    /// Stops unstarted attempts on workers and in zones that may not get new work, and all attempts of repeatable tasks
-    /// in zones that the configuration evacuates.
+    /// Requests that unstarted attempts on workers and in zones that may not get new work stop, and all attempts of
+    /// repeatable tasks in zones that the configuration evacuates.
     fn stop_disallowed_attempts(&mut self) {
         let attempts = self.live.keys().copied();
         let to_stop = attempts.filter(|no| self.is_disallowed(*no));
--- a/landingdrift/src/state/apply/job_state.rs
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -6,7 +6,9 @@
 const MAX_JOB_ENDS: usize = 4096;
 
 impl ClusterState {
-    /// Derives a job's state from its tasks, and closes the job if it has ended.
+    /// Derives a job's state from its tasks, and closes the job if it has ended. If a task has failed or the job is
+    /// cancelled, first cancels the waiting tasks without live attempts; after a failure, requests that the live
+    /// attempts stop.
     pub(super) fn update_job_state(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -31,7 +33,8 @@
         }
     }
 
-    /// Closes a job that has ended: starts its retention period, and counts it towards the promise of its queue.
+    /// Closes a job that has ended: starts its retention period, and, unless it was cancelled, counts it towards the
+    /// promise of its queue.
     fn close_job(&mut self, id: &str) {
         let at = self.at;
         let Some(job) = self.jobs.get_mut(id) else {
--- a/landingdrift/src/state/apply/placement_rules.rs
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -85,7 +85,8 @@
         ensure(has_budget, Rejection::SpeculationBudgetExhausted)
     }
 
-    /// Checks whether the worker of a placement may get its task at time `at` of the cluster clock.
+    /// Checks whether the worker of a placement may get its task at time `at` of the cluster clock, apart from its free
+    /// resources.
     pub fn check_placement(
         &self,
         id: &str,
@@ -116,8 +117,8 @@
     }
 
     /// Whether a worker on probation may get a task on trial. It gets one task at a time, in addition to long-running
-    /// attempts: these run until their job is cancelled, so they neither prove the worker's health nor free its slot. A
-    /// long-running task is placed only on a worker without any attempts.
+    /// attempts: these normally run until their job is cancelled, so they neither prove the worker's health nor free
+    /// its slot. A long-running task is placed only on a worker without any attempts.
     fn is_free_for_trial(&self, worker: &Worker, spec: &TaskSpec) -> bool {
         if spec.long_running {
             worker.attempts.is_empty()
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -38,7 +38,8 @@
         Ok(known)
     }
 
-    /// Registers a worker or updates its description.
+    /// Registers a worker or updates its description. After a restart, its attempts of earlier incarnations fail, or
+    /// become unsure if their tasks may not be repeated. Requests that unstarted attempts that no longer suit it stop.
     pub(super) fn update_worker(&mut self, info: &WorkerInfo, zone_epoch: u64) -> ApplyResult {
         self.ensure_zone_epoch(&info.zone, zone_epoch)?;
         let new_worker = Worker {
@@ -233,7 +234,8 @@
         Ok(Value::Null)
     }
 
-    /// Applies a worker's report of running and ended attempts.
+    /// Applies a worker's report of running and ended attempts. The report may also prove that earlier workers at the
+    /// same address are gone.
     pub(super) fn report_attempts(
         &mut self,
         worker: WorkerProcess,
--- a/landingdrift/src/state/derive.rs
+++ b/landingdrift/src/state/derive.rs
@@ -27,7 +27,7 @@
 /// The sizes by which the policy ranks a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JobSizes {
-    /// Number of tasks that are due and not done.
+    /// Number of waiting tasks that are due, or will be within `DUE_SOON_MS`.
     pub remaining: u32,
     /// Virtual size V of the tasks that are ready.
     pub size: f64,
--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -18,7 +18,7 @@
     pub worker: String,
     /// Incarnation of that worker.
     pub incarnation: u64,
-    /// State of the attempt.
+    /// Whether it may be running, or how it ended.
     pub state: AttemptState,
     /// Whether the worker has been asked to stop it.
     pub stop: bool,
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Task {
-    /// State of the task.
+    /// Whether it is done, has failed or was cancelled; `Waiting` also while an attempt is running.
     pub state: TaskState,
     /// Number of failed attempts.
     #[serde(rename = "defects")]
@@ -294,7 +294,8 @@
         self.gang_members(task).into_iter().find(is_unfinished) == Some(task)
     }
 
-    /// Number of live attempts of the task's step on a worker.
+    /// Number of live attempts on a worker that belong to the task's step, over all repetitions; in a job of single
+    /// tasks, those of all its tasks.
     pub fn step_attempts_on(&self, task: usize, worker: &str) -> u32 {
         let step = self.tasks[task].step;
         let of_step = self.tasks.iter().filter(|task| task.step == step);
--- a/landingdrift/src/state/job/spec.rs
+++ b/landingdrift/src/state/job/spec.rs
@@ -100,7 +100,8 @@
     /// Whether the members of its gang must be placed on one rack.
     #[serde(default)]
     pub same_rack: bool,
-    /// Maximum number of tasks of its step on one worker; 0 for no limit.
+    /// Maximum number of tasks of its step on one worker; 0 for no limit. In a job of single tasks, all of them
+    /// count as one step.
     #[serde(default)]
     pub anti_affinity: u32,
     /// Whether the task runs until the job is cancelled. It is restarted whenever an attempt ends, even after a success.
--- a/landingdrift/src/state/job/state.rs
+++ b/landingdrift/src/state/job/state.rs
@@ -35,7 +35,7 @@
     /// Not done; an attempt may be running.
     #[default]
     Waiting,
-    /// An attempt has succeeded.
+    /// An attempt of it has succeeded, or one of another member of its gang if they succeed together.
     Done,
     /// Failed permanently, usually after the maximum number of attempts.
     Failed,
@@ -52,12 +52,13 @@
     Ordered,
     /// Reported as running by the worker.
     Running,
-    /// Outcome unknown: the start order may have reached the worker, and the attempt may still be running.
+    /// Outcome unknown: the start order may have reached the worker, and the attempt may still be running or may have
+    /// ended without a report.
     Unsure,
     /// Finished successfully.
     #[serde(rename = "well")]
     Succeeded,
-    /// Failed.
+    /// Failed; the only end that counts towards the maximum number of attempts.
     #[serde(rename = "defect")]
     Failed,
     /// Stopped on request of the scheduler.
--- a/landingdrift/src/state/members.rs
+++ b/landingdrift/src/state/members.rs
@@ -12,7 +12,7 @@
     pub info: WorkerInfo,
     /// Whether its heartbeats have stopped, or a newer worker has replaced it.
     pub lost: bool,
-    /// Consecutive successes needed to end its probation; 0 if it is not on probation.
+    /// Consecutive successes still needed to end its probation; 0 if it is not on probation.
     pub probation: u32,
     /// Outcomes of its most recent attempts; true for success.
     #[serde(rename = "ends")]
--- a/landingdrift/src/state/retained.rs
+++ b/landingdrift/src/state/retained.rs
@@ -43,14 +43,15 @@
     /// Number of durations added so far, including those no longer kept.
     #[serde(rename = "seen")]
     pub durations_seen: u32,
-    /// Jobs that ended within the queue's window: when, and whether they kept the promise.
+    /// The most recent jobs that ended within the queue's window, except cancelled ones: when, and whether they were
+    /// done within the promised time.
     #[serde(rename = "promises")]
     pub job_ends: VecDeque<(u64, bool)>,
     /// Number of jobs that have not ended.
     pub unfinished: u32,
-    /// Total number of jobs that kept the promise.
+    /// Total number of jobs that were done within the promised time, or at any time if there was no promise.
     pub kept: u64,
-    /// Total number of jobs that missed the promise.
+    /// Total number of jobs that failed or missed the promise.
     pub missed: u64,
     /// Number of attempts that may be running.
     pub running: u32,
--- a/landingdrift/src/state/worker_info.rs
+++ b/landingdrift/src/state/worker_info.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct WorkerInfo {
-    /// The worker's name.
+    /// Name that identifies the worker in the cluster, also after a restart.
     pub worker: String,
     /// Incarnation of the worker's process; increases with each start.
     pub incarnation: u64,
