--- a/landingdrift/tests/attempts.rs
+++ b/landingdrift/tests/attempts.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_non_repeatable_task_with_an_unsure_attempt_is_not_restarted() {
     let mut fixture = StateFixture::new();
-    fixture.accept("j", vec![task("a")]).expect("accepted");
+    fixture.submit("j", vec![task("a")]).expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("placed");
     fixture.apply_ok(Command::MarkWorkerLost {
         worker: "w".into(),
@@ -38,7 +38,7 @@
     assert_eq!(fixture.job_state("j"), JobState::Failed);
     assert_eq!(fixture.start("j", &[(0, "v")]), Err(Rejection::Ended));
     // A late report of success still counts.
-    fixture.accept("k", vec![task("a")]).expect("accepted");
+    fixture.submit("k", vec![task("a")]).expect("accepted");
     fixture.start("k", &[(0, "v")]).expect("placed");
     fixture.apply_ok(Command::MarkWorkerLost {
         worker: "v".into(),
@@ -53,7 +53,7 @@
 fn a_repeatable_task_is_restarted_and_gets_copies_within_the_budget() {
     let mut fixture = StateFixture::new();
     fixture
-        .accept("j", vec![repeatable("a")])
+        .submit("j", vec![repeatable("a")])
         .expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("placed");
     assert_eq!(
@@ -86,7 +86,7 @@
         value: json!({"queues": {"q": {"speculationPercent": 0}}}),
     });
     fixture
-        .accept("k", vec![repeatable("a")])
+        .submit("k", vec![repeatable("a")])
         .expect("accepted");
     fixture.start("k", &[(0, "w")]).expect("placed");
     assert_eq!(
@@ -106,7 +106,7 @@
 #[test]
 fn a_task_that_reached_its_maximum_number_of_attempts_is_not_retried() {
     let mut fixture = StateFixture::new();
-    fixture.accept("j", vec![task("a")]).expect("accepted");
+    fixture.submit("j", vec![task("a")]).expect("accepted");
     for no in 1..=2 {
         fixture.start("j", &[(0, "w")]).expect("placed");
         fixture.report_end("w", no, Outcome::Failed);
@@ -127,7 +127,7 @@
     };
     fixture.apply_ok(max_attempts(1, 3));
     fixture
-        .accept(
+        .submit(
             "j",
             vec![
                 repeatable("a"),
@@ -156,7 +156,7 @@
 fn attempts_that_may_be_running_count_towards_the_maximum() {
     let mut fixture = StateFixture::new();
     fixture
-        .accept("j", vec![repeatable("a")])
+        .submit("j", vec![repeatable("a")])
         .expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("placed");
     fixture.report_end("w", 1, Outcome::Failed);
@@ -186,7 +186,7 @@
 fn a_late_running_report_changes_nothing_after_the_worker_was_lost_or_restarted() {
     for restarted in [false, true] {
         let mut fixture = StateFixture::new();
-        fixture.accept("j", vec![task("a")]).expect("accepted");
+        fixture.submit("j", vec![task("a")]).expect("accepted");
         fixture.start("j", &[(0, "w")]).expect("started");
         if restarted {
             fixture.update_worker("w", 2, false);
@@ -221,7 +221,7 @@
 #[test]
 fn a_rescheduled_attempt_restarts_elsewhere_and_does_not_count_as_a_failure() {
     let mut fixture = StateFixture::new();
-    fixture.accept("j", vec![task("a")]).expect("accepted");
+    fixture.submit("j", vec![task("a")]).expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("starts");
     let reschedule_attempts = |zone_epoch| Command::RescheduleAttempts {
         worker: "w".into(),
@@ -250,7 +250,7 @@
 #[test]
 fn a_repeated_expire_command_does_not_end_newer_attempts() {
     let mut fixture = StateFixture::new();
-    fixture.accept("j", vec![task("a")]).expect("accepted");
+    fixture.submit("j", vec![task("a")]).expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("starts");
     let expire_attempts = Command::ExpireAttempts {
         worker: "w".into(),
@@ -275,7 +275,7 @@
         ..task("a")
     };
     fixture
-        .accept("long-running", vec![long_running])
+        .submit("long-running", vec![long_running])
         .expect("accepted");
     fixture
 }
--- a/landingdrift/tests/cluster_state.rs
+++ b/landingdrift/tests/cluster_state.rs
@@ -13,7 +13,7 @@
     let mut fixture = StateFixture::new();
     let at = fixture.at;
     fixture
-        .accept(
+        .submit(
             "j",
             vec![
                 task("a"),
@@ -61,7 +61,7 @@
         fixture.start("j", &[(0, "v")]),
         Err(Rejection::AlreadyRunning)
     );
-    fixture.accept("k", vec![task("a")]).expect("accepted");
+    fixture.submit("k", vec![task("a")]).expect("accepted");
     assert_eq!(
         fixture.start("k", &[(0, "w")]),
         Err(Rejection::InsufficientResources)
@@ -95,7 +95,7 @@
         ..task(n)
     };
     fixture
-        .accept("j", vec![gang("a"), gang("b")])
+        .submit("j", vec![gang("a"), gang("b")])
         .expect("accepted");
     assert_eq!(
         fixture.start("j", &[(0, "w")]),
@@ -184,7 +184,7 @@
     let mut run = |fixture: &mut StateFixture, worker: &str, outcome: Outcome| {
         no += 1;
         fixture
-            .accept(
+            .submit(
                 &format!("j{no}"),
                 vec![TaskSpec {
                     cpu: 1,
@@ -207,7 +207,7 @@
     assert!(fixture.state.workers["w"].probation > 0 && fixture.state.workers["v"].probation == 0);
     // On probation the worker gets one attempt at a time, until three successes in a row.
     fixture
-        .accept(
+        .submit(
             "x",
             vec![
                 TaskSpec {
@@ -231,7 +231,7 @@
     let mut run = |fixture: &mut StateFixture, outcome: Outcome| {
         no += 1;
         fixture
-            .accept(
+            .submit(
                 &format!("k{no}"),
                 vec![TaskSpec {
                     cpu: 1,
@@ -274,7 +274,7 @@
             labels: vec!["l".into()],
             ..task("a")
         };
-        fixture.accept("j", vec![needs]).expect("accepted");
+        fixture.submit("j", vec![needs]).expect("accepted");
         fixture.start("j", &[(0, "w")]).expect("started");
         fixture.apply_ok(update_worker_command(cpu, &labels));
         assert_eq!(
@@ -293,10 +293,10 @@
         ..task("a")
     };
     fixture
-        .accept("later", vec![later.clone()])
+        .submit("later", vec![later.clone()])
         .expect("accepted");
     fixture
-        .accept(
+        .submit(
             "behind",
             vec![
                 later,
@@ -308,7 +308,7 @@
         )
         .expect("accepted");
     assert_eq!(fixture.state.runnable_job_count(fixture.at), 0);
-    fixture.accept("now", vec![task("a")]).expect("accepted");
+    fixture.submit("now", vec![task("a")]).expect("accepted");
     assert_eq!(fixture.state.runnable_job_count(fixture.at), 1);
     assert_eq!(fixture.state.runnable_job_count(fixture.at + 60_000), 3);
 }
--- a/landingdrift/tests/cluster_state_fixture/mod.rs
+++ b/landingdrift/tests/cluster_state_fixture/mod.rs
@@ -78,7 +78,7 @@
         });
     }
     /// Submits a job of single tasks to queue `q`.
-    pub fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
+    pub fn submit(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
         let seen = self.state.applied_index;
         self.apply(Command::SubmitJob {
             spec: JobSpec {
--- a/landingdrift/tests/config_updates.rs
+++ b/landingdrift/tests/config_updates.rs
@@ -145,7 +145,7 @@
 #[test]
 fn a_queue_with_unfinished_jobs_is_not_removed_without_retire_queues() {
     let mut fixture = StateFixture::new();
-    fixture.accept("j", vec![task("a")]).expect("accepted");
+    fixture.submit("j", vec![task("a")]).expect("accepted");
     let remove_queue = |change: &str| Command::UpdateConfig {
         change: change.into(),
         base_version: 1,
@@ -165,9 +165,9 @@
 #[test]
 fn a_lowered_maximum_number_of_attempts_fails_exhausted_tasks_and_stops_unstarted_attempts() {
     let mut fixture = StateFixture::new();
-    fixture.accept("idle", vec![task("a")]).expect("accepted");
+    fixture.submit("idle", vec![task("a")]).expect("accepted");
     fixture
-        .accept("under-way", vec![task("a")])
+        .submit("under-way", vec![task("a")])
         .expect("accepted");
     fixture.start("idle", &[(0, "w")]).expect("started");
     fixture.report_end("w", 1, Outcome::Failed);
--- a/landingdrift/tests/probation.rs
+++ b/landingdrift/tests/probation.rs
@@ -28,7 +28,7 @@
 fn on_probation() -> StateFixture {
     let mut fixture = StateFixture::new();
     fixture
-        .accept("long-running", vec![long_running("a")])
+        .submit("long-running", vec![long_running("a")])
         .expect("accepted");
     fixture.start("long-running", &[(0, "w")]).expect("started");
     fixture.apply_ok(Command::RescheduleAttempts {
@@ -45,7 +45,7 @@
 fn a_worker_on_probation_gets_a_finite_task_in_addition_to_a_long_running_one() {
     let mut fixture = on_probation();
     fixture
-        .accept("j", vec![small("a"), small("b")])
+        .submit("j", vec![small("a"), small("b")])
         .expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("one finite task");
     let second = fixture.start("j", &[(1, "w")]);
@@ -62,7 +62,7 @@
 fn a_worker_on_probation_gets_a_second_long_running_task_once_its_job_is_idle_too_long() {
     let mut fixture = on_probation();
     fixture
-        .accept("more", vec![long_running("a")])
+        .submit("more", vec![long_running("a")])
         .expect("accepted");
     let early = fixture.start("more", &[(0, "w")]);
     assert!(
@@ -80,10 +80,10 @@
 #[test]
 fn a_worker_on_probation_gets_a_second_finite_task_of_an_idle_job() {
     let mut fixture = on_probation();
-    fixture.accept("j", vec![small("a")]).expect("accepted");
+    fixture.submit("j", vec![small("a")]).expect("accepted");
     fixture.start("j", &[(0, "w")]).expect("one finite task");
     fixture
-        .accept("k", vec![small("a"), small("b")])
+        .submit("k", vec![small("a"), small("b")])
         .expect("accepted");
     fixture.at += MAX_IDLE_MS;
     fixture
@@ -105,12 +105,12 @@
         ..task("b")
     };
     fixture
-        .accept("j", vec![small("a"), large])
+        .submit("j", vec![small("a"), large])
         .expect("accepted");
     fixture
         .start("j", &[(0, "w"), (1, "v")])
         .expect("one finite task, and one on another worker");
-    fixture.accept("k", vec![small("a")]).expect("accepted");
+    fixture.submit("k", vec![small("a")]).expect("accepted");
     fixture.at += 10 * MAX_IDLE_MS;
     let additional = fixture.start("k", &[(0, "w")]);
     assert!(
--- a/landingdrift/tests/workers_at_one_address.rs
+++ b/landingdrift/tests/workers_at_one_address.rs
@@ -35,7 +35,7 @@
 
 /// Places a job of one task on a worker.
 fn place(fixture: &mut StateFixture, job: &str, worker: &str) {
-    fixture.accept(job, vec![task("a")]).expect("accepted");
+    fixture.submit(job, vec![task("a")]).expect("accepted");
     fixture.start(job, &[(0, worker)]).expect("started");
 }
 
