--- a/landingdrift/src/sans_io/mod.rs
+++ b/landingdrift/src/sans_io/mod.rs
@@ -40,7 +40,8 @@
     pub retry_ms: u64,
     /// The body.
     pub body: Value,
-    /// Node that produced the response, if another node forwarded it.
+    /// Node that produced the response, if another node forwarded it; in the error `notHolder`, the node that holds the
+    /// zone's lease.
     pub answered_by: String,
     /// Target of a redirect (status 307), as `ADDRESS/PATH`; empty otherwise.
     pub location: String,
--- a/landingdrift/src/settings/bounds.rs
+++ b/landingdrift/src/settings/bounds.rs
@@ -20,7 +20,8 @@
     pub config_ms: u64,
     /// Maximum time until service is restored after a total outage.
     pub outage_ms: u64,
-    /// A standby is removed from the membership after three times this duration without contact.
+    /// The leader forgets a request to join the membership after this duration, unless it is repeated. A standby is
+    /// removed from the membership after three times this duration without contact.
     pub replace_ms: u64,
     /// Duration of a worker's lease on its attempts after each heartbeat. When the lease expires, the worker kills the
     /// attempts. 0 for leases that don't expire.
--- a/landingdrift/src/settings/mod.rs
+++ b/landingdrift/src/settings/mod.rs
@@ -23,7 +23,8 @@
     /// Maximum size of the configuration, in bytes.
     #[serde(rename = "desired_bytes")]
     pub config_bytes: u64,
-    /// Maximum number of unfinished jobs in the cluster.
+    /// Maximum number of unfinished jobs in the cluster. Jobs that are due much later may use only half of this limit
+    /// and of the next one.
     pub open_jobs: u64,
     /// Maximum memory for unfinished and retained jobs in one copy of the cluster state, in bytes; a process holds up
     /// to two copies.
--- a/landingdrift/tests/stored/history.rs
+++ b/landingdrift/tests/stored/history.rs
@@ -166,7 +166,7 @@
         }
     }
 
-    fn accept(&mut self, spec: JobSpec, hash: u64) -> bool {
+    fn submit(&mut self, spec: JobSpec, hash: u64) -> bool {
         let seen = self.state.applied_index;
         self.apply(Command::SubmitJob { spec, hash, seen })
     }
@@ -196,7 +196,7 @@
     }
 
     fn add_job_with_tombstone(&mut self) {
-        assert!(self.accept(job("forgotten", "fast", vec![task("a")]), 101));
+        assert!(self.submit(job("forgotten", "fast", vec![task("a")]), 101));
         self.start("forgotten", 3, &[0], "w1");
         self.report("w1", &[], vec![end(1, Outcome::Succeeded, 40)]);
         self.apply_ok(Command::CollectGarbage {
@@ -226,7 +226,7 @@
             period_ms: STEP_MS,
             ..JobSpec::default()
         };
-        assert!(self.accept(spec, 102));
+        assert!(self.submit(spec, 102));
         self.start("steps", 3, &[0], "w2");
         self.report("w2", &[2], vec![end(2, Outcome::Succeeded, 60)]);
         self.start("steps", 3, &[1, 2], "w2");
@@ -235,7 +235,7 @@
 
     /// Adds two jobs whose attempts are 5 (succeeded), 6 (running, asked to stop) and 7 (expired).
     fn add_running_jobs(&mut self) {
-        assert!(self.accept(job("done", "fast", vec![task("a")]), 103));
+        assert!(self.submit(job("done", "fast", vec![task("a")]), 103));
         self.start("done", 3, &[0], "w1");
         self.report("w1", &[5], vec![end(5, Outcome::Succeeded, 80)]);
         let dependent_task = TaskSpec {
@@ -247,7 +247,7 @@
             "fast",
             vec![task("a"), dependent_task, task("c")],
         );
-        assert!(self.accept(spec, 104));
+        assert!(self.submit(spec, 104));
         self.start("running", 3, &[0], "w1");
         self.start("running", 3, &[2], "w1");
         self.report("w1", &[6, 7], Vec::new());
@@ -278,7 +278,7 @@
     /// Adds a job on a worker that is then lost: the outcome of attempt 8 stays unknown, that of attempt 9 is resolved by
     /// the operator.
     fn add_lost_worker(&mut self) {
-        assert!(self.accept(job("unsure", "fast", vec![task("a"), task("b")]), 105));
+        assert!(self.submit(job("unsure", "fast", vec![task("a"), task("b")]), 105));
         self.start("unsure", 3, &[0], "w3");
         self.start("unsure", 3, &[1], "w3");
         self.apply_ok(Command::MarkWorkerLost {
@@ -303,8 +303,8 @@
             name: "a".into(),
             ..TaskSpec::default()
         };
-        assert!(self.accept(job("last", "old", vec![plain()]), 106));
-        let over_quota = self.accept(job("turned-away", "old", vec![plain()]), 107);
+        assert!(self.submit(job("last", "old", vec![plain()]), 106));
+        let over_quota = self.submit(job("turned-away", "old", vec![plain()]), 107);
         assert!(!over_quota, "the queue's quota is one job");
         self.apply_ok(Command::UpdateConfig {
             change: "second".into(),
