--- a/landingdrift/src/node/calls/mod.rs
+++ b/landingdrift/src/node/calls/mod.rs
@@ -40,7 +40,7 @@
 pub enum Origin {
     /// A caller connected to this process; the value is the call's number.
     Local(u64),
-    /// Another node that has forwarded the call: its address and request token.
+    /// Another process (a node or a worker proxy) that has forwarded the call: its address and request token.
     Remote(String, RequestToken),
 }
 
@@ -101,7 +101,7 @@
     origin: Origin,
     deadline: u64,
     state: CallState,
-    /// Forwarding to other nodes, if the call is repeatable.
+    /// Scheduled or ongoing forwarding to other nodes; only repeatable calls may have it.
     forward: Option<RepeatedForward>,
 }
 
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -13,8 +13,8 @@
 /// replica.
 const RETRY_HEARTBEATS: u64 = 5;
 
-/// Maximum transfer time of a configuration over the narrowest link, in milliseconds; larger configurations are
-/// transferred by a node with a wider link.
+/// Maximum transfer time of a body over the slowest assumed link, in milliseconds; for larger ones, a node with a light
+/// copy redirects callers to a node with a full copy.
 const MAX_TRANSFER_MS: u64 = 250;
 
 /// The data that a call reads once this node has caught up to the read index.
--- a/landingdrift/src/node/zone_scheduler/end_reports.rs
+++ b/landingdrift/src/node/zone_scheduler/end_reports.rs
@@ -69,7 +69,7 @@
             for (name, worker) in &mut zone_scheduler.workers {
                 if worker.must_propose_ends(now, wait_ms) {
                     worker.report_pending = true;
-                    worker.last_report_at = now.mono;
+                    worker.last_report_proposed_at = now.mono;
                     let ends = worker.reported_ends.values().cloned().collect();
                     unrecorded.push((name.clone(), ends));
                 }
@@ -98,7 +98,7 @@
     /// Whether ends that are not in the log yet must be proposed without waiting for a heartbeat, because neither a
     /// heartbeat nor a proposed report occurred for `wait_ms`.
     fn must_propose_ends(&self, now: Now, wait_ms: u64) -> bool {
-        let is_due = now.mono >= self.last_heartbeat.max(self.last_report_at) + wait_ms;
+        let is_due = now.mono >= self.last_heartbeat.max(self.last_report_proposed_at) + wait_ms;
         !self.reported_ends.is_empty() && !self.report_pending && is_due
     }
 }
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -135,7 +135,7 @@
         ends.extend(worker.never_started(&self.state, heartbeat));
         worker.record_ends(&ends);
         worker.record_runs(now, heartbeat);
-        let report_overdue = now.mono >= worker.last_report_at + report_interval;
+        let report_overdue = now.mono >= worker.last_report_proposed_at + report_interval;
         let has_report = !ends.is_empty() || (!running.is_empty() && report_overdue);
         let due = DueProposals {
             worker_update: info_changed && !worker.worker_update_pending,
@@ -146,7 +146,7 @@
         worker.worker_update_pending |= info_changed;
         worker.report_pending |= has_report;
         if due.report {
-            worker.last_report_at = now.mono;
+            worker.last_report_proposed_at = now.mono;
         }
         due
     }
--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -81,7 +81,7 @@
     lease_renewed_at: u64,
     departure: Departure,
     unknown_runs: UnknownRuns,
-    last_report_at: u64,
+    last_report_proposed_at: u64,
     /// Sequence numbers of the first and the newest heartbeat received by this lease holder.
     first_sequence: u64,
     newest_sequence: u64,
--- a/landingdrift/src/node/zone_scheduler/orders.rs
+++ b/landingdrift/src/node/zone_scheduler/orders.rs
@@ -128,7 +128,7 @@
         left
     }
 
-    /// Adds stop orders for running runs that are not live according to the cluster state.
+    /// Adds stop orders for reported runs that are over according to the cluster state.
     fn stop_dead_runs(&self, heartbeat: &Heartbeat, orders: &mut RunOrders) {
         for run in &heartbeat.running {
             if self.has_attempt_ended(run.attempt) {
--- a/landingdrift/src/node/zone_scheduler/stragglers.rs
+++ b/landingdrift/src/node/zone_scheduler/stragglers.rs
@@ -143,7 +143,7 @@
         unchanged_ms > stall_timeout_ms && unchanged_ms > STALL_ESTIMATE_SHARE * self.estimate_ms
     }
 
-    /// Whether the run would not end, and have its end reported, before its worker leaves.
+    /// Whether the worker would leave before the run's end could be reported.
     fn outlasts(&self, left_ms: u64, now_ms: u64, min_observation_ms: u64) -> bool {
         self.long_running
             || self.remaining_ms(now_ms, min_observation_ms) + LEAVE_MARGIN_MS > left_ms as f64
--- a/landingdrift/tests/worker_proxy.rs
+++ b/landingdrift/tests/worker_proxy.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_unanswered_heartbeat_gets_a_response_before_its_worker_times_out() {
+fn the_proxy_answers_a_heartbeat_that_no_node_answers_before_its_worker_drops_the_response() {
     let responses = responses_without_nodes("");
     assert_eq!(responses.len(), 1);
     let (at, response) = &responses[0];
