--- a/testkit/src/checkers/mod.rs
+++ b/testkit/src/checkers/mod.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// The bounds that the system promises, in milliseconds.
+/// The bounds that the system promises, and the wall clock's time at the start of the history, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct PromisedBounds {
     /// How long clients may be unable to get an accepted job's state.
--- a/testkit/src/checkers/runs/mod.rs
+++ b/testkit/src/checkers/runs/mod.rs
@@ -1,4 +1,5 @@
-//! Checkers of runs: their start times, their placement, their number of attempts, and the members of gangs.
+//! Checkers of runs: their repetition, dependencies, start times, placement and number of attempts, and the members of
+//! gangs.
 
 mod gangs;
 mod limits;
--- a/testkit/src/fakes/operator.rs
+++ b/testkit/src/fakes/operator.rs
@@ -71,7 +71,7 @@
     open_call: Option<OpenCall>,
     /// The node that the last answer redirected to.
     redirected_to: Option<String>,
-    /// When the next call may be made.
+    /// When the next call may be made, in milliseconds.
     next_call_ms: u64,
     last_call: u64,
     /// The newest version of the configuration that the operator knows.
--- a/testkit/src/history.rs
+++ b/testkit/src/history.rs
@@ -209,7 +209,7 @@
             .collect()
     }
 
-    /// A hash of the history's JSON lines.
+    /// The FNV-1a hash of the history's JSON lines.
     pub fn digest(&self) -> u64 {
         landingdrift::sans_io::fnv1a(self.json_lines().as_bytes())
     }
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The `testkit` program.
+//! The `testkit` program: runs a command line, and exits with the code that the command returns.
 
 use landingdrift_testkit::cli;
 
--- a/testkit/src/scenario/fault.rs
+++ b/testkit/src/scenario/fault.rs
@@ -200,7 +200,7 @@
 const REPLICA_ZONE_QUEUE_COUNT: usize = 3;
 /// The shortest duration of a random fault, in milliseconds.
 const MIN_DURATION_MS: u64 = 500;
-/// The range of the durations of random faults, which begins at the shortest duration, in milliseconds.
+/// The exclusive upper bound of the random time by which a random fault exceeds the shortest duration, in milliseconds.
 const DURATION_RANGE_MS: u64 = 5000;
 /// The sizes of random clock jumps, in milliseconds: from 0.7 s to three days.
 const CLOCK_JUMPS_MS: [i64; 6] = [700, 2000, 60_000, 3_600_000, 86_400_000, 3 * 86_400_000];
--- a/testkit/src/scenario/mix.rs
+++ b/testkit/src/scenario/mix.rs
@@ -10,7 +10,7 @@
 const MAX_GANG_TASKS: usize = 4;
 /// The shortest time from the creation of a job to the due time of one of its tasks, in milliseconds.
 const MIN_DUE_DELAY_MS: u64 = 1000;
-/// The range of due times after the earliest, in milliseconds.
+/// The exclusive upper bound of the random time added to the shortest time until a task is due, in milliseconds.
 const DUE_DELAY_RANGE_MS: u64 = 3000;
 /// The number of zones in every deployment.
 const ZONES: u64 = 3;
--- a/testkit/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -27,7 +27,7 @@
 /// The number of zones in every deployment, which is also the number of queues.
 const ZONES_AND_QUEUES: usize = 3;
 
-/// The domain of a fault.
+/// The part of the simulated world that a fault affects.
 enum FaultDomain {
     /// Processes, disks and clocks.
     Machines,
@@ -38,7 +38,7 @@
     Load,
 }
 
-/// The domain of faults of a kind.
+/// The part of the simulated world that faults of a kind affect.
 fn fault_domain(kind: FaultKind) -> FaultDomain {
     use FaultKind::*;
     match kind {
--- a/testkit/src/simulator/faults/workers.rs
+++ b/testkit/src/simulator/faults/workers.rs
@@ -67,12 +67,12 @@
 
     /// Records that a worker has become reachable or unreachable, in either case as a [`Event::FaultBegan`].
     fn record_reachability(&mut self, number: usize, is_reachable: bool) {
-        let state = if is_reachable {
+        let prefix = if is_reachable {
             WORKER_REACHABLE
         } else {
             WORKER_UNREACHABLE
         };
-        let description = format!("{state}w{number}");
+        let description = format!("{prefix}w{number}");
         self.record(Event::FaultBegan { description });
     }
 }
--- a/testkit/src/simulator/world/links.rs
+++ b/testkit/src/simulator/world/links.rs
@@ -4,8 +4,8 @@
 use landingdrift::sans_io::{Msg, Request, Response};
 use landingdrift::wire::{pack_with_version, unpack_with_version, Body, WireError};
 
-/// The range of random message latencies, which begin at 1 ms, in milliseconds; multiplied by the slowness of the
-/// sender.
+/// The exclusive upper bound of the random part of a message's latency, in milliseconds. The slowness of the sender
+/// multiplies this part; 1 ms is always added.
 const LATENCY_RANGE_MS: u64 = 3;
 /// The latency that each unit of a process's slowness above 1 adds, in milliseconds.
 const SLOW_LINK_LATENCY_MS: u64 = 20;
@@ -27,8 +27,8 @@
         1 + self.rng.below(LATENCY_RANGE_MS) * slowness + (slowness - 1) * SLOW_LINK_LATENCY_MS
     }
 
-    /// Sends a message from a process to the process at an address; the message is lost if the receiver is down or
-    /// unreachable.
+    /// Sends a message from a process to the process at an address. The message is lost if the receiver is down, the
+    /// link is blocked or too many bytes wait for it. A flaky link may also lose, delay or duplicate the message.
     pub(super) fn send(&mut self, from: usize, to_address: &str, body: &Body) {
         let Some(to) = self.process_up_at(to_address) else {
             return;
--- a/testkit/src/simulator/world/mod.rs
+++ b/testkit/src/simulator/world/mod.rs
@@ -91,7 +91,8 @@
     /// The number of messages sent between processes, without those lost because the receiver was down, the link was
     /// blocked or a flaky link lost them.
     messages: u64,
-    /// The latest arrival time by sender and receiver, in milliseconds, which later messages must not precede.
+    /// The latest arrival time by sender and receiver, in milliseconds, which later messages must not precede
+    /// unless the link is flaky.
     latest_arrivals_ms: BTreeMap<(usize, usize), u64>,
     /// The share of answers to calls that are lost, in percent.
     pub(in crate::simulator) lost_answers_percent: u64,
--- a/testkit/src/simulator/world/observe.rs
+++ b/testkit/src/simulator/world/observe.rs
@@ -59,8 +59,8 @@
             .filter(|number| is_available(&self.processes[*number], newest))
             .collect();
         let group_of = |replica: &usize| -> Vec<usize> {
-            let others = replicas.iter().copied();
-            others
+            let available = replicas.iter().copied();
+            available
                 .filter(|other| other == replica || self.is_linked(*replica, *other))
                 .collect()
         };
--- a/testkit/src/simulator/world/report.rs
+++ b/testkit/src/simulator/world/report.rs
@@ -27,7 +27,8 @@
     pub is_livelocked: bool,
     /// The number of speculative copies that ended before the original run.
     pub copies_won: u64,
-    /// The number of messages between the system's processes.
+    /// The number of messages sent between the system's processes, without those lost because the receiver was down,
+    /// the link was blocked or a flaky link lost them.
     pub messages: u64,
 }
 
--- a/testkit/tests/checkers_cases/runs.rs
+++ b/testkit/tests/checkers_cases/runs.rs
@@ -1,4 +1,4 @@
-//! Cases for runs: dependencies, due times, limits on attempts, gangs.
+//! Cases for runs: repetition, dependencies, due times, limits on attempts, gangs.
 
 use super::events::{
     config_acknowledged, config_requested, dependent_task, gang_member, offered,
