--- a/testkit/src/checkers/outage.rs
+++ b/testkit/src/checkers/outage.rs
@@ -4,8 +4,9 @@
 use crate::history::{is_serving, Event, History, TimedEvent, RECOVERY_JOB_PREFIX};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After a total outage, service returns within `outage_ms`: every node is ready, every queue accepts and finishes
-/// jobs, and every zone gets work.
+/// After a total outage, service returns within `outage_ms`: every available node is ready, every queue with a recovery
+/// job accepts and finishes jobs, and, if there are recovery jobs, every zone gets work that has running workers and is
+/// not emptied. Skips outages after which a fault begins or the history ends within the bound.
 pub fn service_returns(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let outage_ends = history
         .events
--- a/testkit/src/fakes/client_job.rs
+++ b/testkit/src/fakes/client_job.rs
@@ -11,7 +11,8 @@
 /// The timeout of a poll, after which another node is called, in milliseconds.
 const STATE_TIMEOUT_MS: u64 = 1000;
 
-/// The calls that the client currently makes for a job.
+/// How far a job has come: the client submits it until it is accepted, then polls its state until it has ended. A job
+/// that the client gives up counts as ended.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Stage {
     Submitting,
--- a/testkit/src/simulator/world/day.rs
+++ b/testkit/src/simulator/world/day.rs
@@ -20,7 +20,7 @@
 const LAST_FAULT_SEED: u64 = 0x1a57;
 
 impl World {
-    /// Runs the day to its end.
+    /// Runs the day until its end, an early end after the closing reads, or the limit on actions.
     pub fn run(mut self) -> Report {
         let seconds = self.scenario.seconds + self.scenario.settle_seconds;
         let end_ms = seconds * 1000;
@@ -43,7 +43,8 @@
         self.into_report(is_livelocked)
     }
 
-    /// Whether the load has ended and no job, operation or fault is outstanding, so that the day may end early.
+    /// Whether the load has ended and no job, operation or fault is outstanding, so that the day may end early. False
+    /// except at intervals of [`END_CHECK_EVERY_MS`], and until [`MIN_SETTLE_SECONDS`] after the load.
     fn is_quiescent(&self) -> bool {
         let earliest_ms = (self.scenario.seconds + MIN_SETTLE_SECONDS) * 1000;
         self.has_load_ended
@@ -67,7 +68,8 @@
         self.operators.iter_mut().for_each(Operator::queue_read);
     }
 
-    /// Ends the load, heals all faults, and starts all processes and workers that are down.
+    /// Ends the load, heals all faults, and starts all workers that are down and all processes that are down and
+    /// not removed.
     pub(super) fn end_load(&mut self) {
         self.has_load_ended = true;
         self.client.is_offering = false;
