--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -52,7 +52,7 @@
     Promote(String),
     /// A voter becomes a standby.
     Demote(String),
-    /// A member is removed.
+    /// A member whose disk was replaced, or a standby that has been unreachable for too long, is removed.
     Remove(String),
 }
 
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -289,8 +289,8 @@
         index < self.log.base().index || index > commit_index || is_far_behind
     }
 
-    /// Sends the entries after `from_index` that the log has. Without an index, the message states that this replica
-    /// does not lead, and names the leader.
+    /// Sends one message with the entries after `from_index` that fit into it, or with none if the node must start over
+    /// from a snapshot. Without an index, the message states that this replica does not lead, and names the leader.
     fn send_watch_batch(
         &mut self,
         now: Now,
--- a/landingdrift/src/consensus/watch_flow.rs
+++ b/landingdrift/src/consensus/watch_flow.rs
@@ -53,7 +53,8 @@
 pub(super) struct UnacknowledgedData {
     bytes: u64,
     sent_at: u64,
-    /// The number of retransmissions.
+    /// Retransmissions since the data was first sent or last partly acknowledged. Each doubles the timeout, up to a
+    /// limit.
     retransmissions: u32,
 }
 
--- a/landingdrift/src/consensus/watch_snapshots.rs
+++ b/landingdrift/src/consensus/watch_snapshots.rs
@@ -212,8 +212,8 @@
         let applied = self.state.applied_index;
         let latest = &self.snapshots.latest;
         let latest_index = latest.identity().index;
-        let log_reaches_back = latest_index > 0 && latest_index >= self.log.base().index;
-        let is_usable = log_reaches_back && latest_index >= min_index;
+        let log_continues_from_latest = latest_index > 0 && latest_index >= self.log.base().index;
+        let is_usable = log_continues_from_latest && latest_index >= min_index;
         if !light && is_usable && applied - latest_index <= MAX_SHARED_LAG_ENTRIES {
             return latest.clone();
         }
--- a/landingdrift/src/disk/directory.rs
+++ b/landingdrift/src/disk/directory.rs
@@ -41,29 +41,29 @@
 
 /// Creates a folder, with its missing parents, and makes its entry in its direct parent durable.
 pub(super) fn create_durable_folder(
-    directory: &dyn Directory,
+    directory_ops: &dyn Directory,
     path: &Path,
 ) -> Result<(), StorageError> {
     fs::create_dir_all(path).map_err(io_error_at(path))?;
     let parent = path.parent().filter(|p| !p.as_os_str().is_empty());
     let parent = parent.unwrap_or(Path::new("."));
-    directory.sync(parent).map_err(io_error_at(parent))
+    directory_ops.sync(parent).map_err(io_error_at(parent))
 }
 
 /// Replaces a file atomically and durably: after a failure it has either all the new bytes or its previous content.
 pub(super) fn write_atomically(
-    directory: &dyn Directory,
+    directory_ops: &dyn Directory,
     path: &Path,
     bytes: &[u8],
 ) -> Result<(), StorageError> {
     let temporary_path = path.with_extension("new");
-    directory
+    directory_ops
         .create(&temporary_path)
         .and_then(|mut file| file.write_all(bytes).and_then(|()| file.sync_all()))
         .map_err(io_error_at(&temporary_path))?;
-    directory
+    directory_ops
         .rename(&temporary_path, path)
         .map_err(io_error_at(path))?;
     let folder = path.parent().unwrap_or(path);
-    directory.sync(folder).map_err(io_error_at(folder))
+    directory_ops.sync(folder).map_err(io_error_at(folder))
 }
--- a/landingdrift/src/disk/mod.rs
+++ b/landingdrift/src/disk/mod.rs
@@ -67,7 +67,7 @@
 
 /// A data folder opened and locked for writing.
 pub struct DataFolder {
-    directory: Box<dyn Directory>,
+    directory_ops: Box<dyn Directory>,
     path: PathBuf,
     segment: File,
     number: u64,
@@ -118,14 +118,14 @@
 
     /// Like [`Self::open`], with the directory operations of the caller.
     pub fn open_with(
-        directory: Box<dyn Directory>,
+        directory_ops: Box<dyn Directory>,
         path: &Path,
         cluster: &str,
         segment_bytes: u64,
         new_disk: u64,
     ) -> Result<(Self, PersistedState), StorageError> {
-        create_durable_folder(directory.as_ref(), path)?;
-        let marker = load_or_create_marker(directory.as_ref(), path, cluster, new_disk)?;
+        create_durable_folder(directory_ops.as_ref(), path)?;
+        let marker = load_or_create_marker(directory_ops.as_ref(), path, cluster, new_disk)?;
         let lock = lock(path)?;
         let found = load::load(path, true)?;
         let loaded = PersistedState {
@@ -137,7 +137,7 @@
             damaged: found.damaged,
         };
         let folder = Self::start_segment(
-            directory,
+            directory_ops,
             path,
             segment_bytes,
             lock,
@@ -149,7 +149,7 @@
 
     /// Starts a new segment with the loaded state, so that older segments can be removed.
     fn start_segment(
-        directory: Box<dyn Directory>,
+        directory_ops: Box<dyn Directory>,
         path: &Path,
         segment_bytes: u64,
         lock: File,
@@ -159,9 +159,9 @@
         let snapshot_index = loaded.snapshot.as_ref().map_or(0, |s| s.index);
         let last = loaded.entries.last().map_or(snapshot_index, |e| e.index);
         let number = closed.last().map_or(0, |(n, _)| *n) + 1;
-        let segment = create_segment(directory.as_ref(), path, number)?;
+        let segment = create_segment(directory_ops.as_ref(), path, number)?;
         let mut folder = Self {
-            directory,
+            directory_ops,
             path: path.into(),
             segment,
             number,
@@ -219,7 +219,7 @@
 
     fn roll(&mut self) -> Result<(), StorageError> {
         let number = self.number + 1;
-        self.segment = create_segment(self.directory.as_ref(), &self.path, number)?;
+        self.segment = create_segment(self.directory_ops.as_ref(), &self.path, number)?;
         self.closed.push((self.number, self.synced_state.last));
         self.number = number;
         self.size = 0;
@@ -251,7 +251,7 @@
         let complete = load::numbered_files(&self.path, "capture-", ".capture")?;
         let older = complete.iter().rev().skip(1);
         incomplete.iter().chain(older).for_each(|(_, p)| {
-            let _ = self.directory.remove(p);
+            let _ = self.directory_ops.remove(p);
         });
         Ok(())
     }
@@ -262,7 +262,7 @@
         let path = self
             .path
             .join(format!("capture-{:016}.capture", snapshot.index));
-        write_atomically(self.directory.as_ref(), &path, &bytes)
+        write_atomically(self.directory_ops.as_ref(), &path, &bytes)
     }
 
     /// Starts a segment; removes those that the snapshot at `index` covers, and all but the two newest snapshots.
@@ -273,11 +273,11 @@
             .partition(|(_, last)| *last <= index);
         self.closed = kept;
         old.iter().for_each(|(n, _)| {
-            let _ = self.directory.remove(&segment_path(&self.path, *n));
+            let _ = self.directory_ops.remove(&segment_path(&self.path, *n));
         });
         let snapshots = load::numbered_files(&self.path, "capture-", ".capture")?;
         snapshots.iter().rev().skip(2).for_each(|(_, p)| {
-            let _ = self.directory.remove(p);
+            let _ = self.directory_ops.remove(p);
         });
         Ok(())
     }
@@ -285,19 +285,19 @@
 
 /// Creates a segment file and makes its directory entry durable before anything is written to it.
 fn create_segment(
-    directory: &dyn Directory,
+    directory_ops: &dyn Directory,
     folder: &Path,
     number: u64,
 ) -> Result<File, StorageError> {
     let path = segment_path(folder, number);
-    let segment = directory.append(&path).map_err(io_error_at(&path))?;
-    directory.sync(folder).map_err(io_error_at(folder))?;
+    let segment = directory_ops.append(&path).map_err(io_error_at(&path))?;
+    directory_ops.sync(folder).map_err(io_error_at(folder))?;
     Ok(segment)
 }
 
 /// Reads the folder's marker, or creates it in a folder without other files; fails if it names another cluster.
 fn load_or_create_marker(
-    directory: &dyn Directory,
+    directory_ops: &dyn Directory,
     path: &Path,
     cluster: &str,
     new_disk: u64,
@@ -317,7 +317,7 @@
             disk: new_disk,
         };
         let bytes = serde_json::to_vec(&marker).unwrap_or_default();
-        write_atomically(directory, &marker_path, &bytes)?;
+        write_atomically(directory_ops, &marker_path, &bytes)?;
     }
     let marker = read_marker(path)?;
     (marker.cluster == cluster)
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -170,9 +170,9 @@
     };
     assert!(data.save(&[batch_with_snapshot]).is_err());
     fs::rename(&moved_path, &path).expect("moved back");
-    // The truncation must not take effect without the snapshot that it relies on.
     data.recover().expect("usable again");
     drop(data);
+    // The entries must not be truncated, since the snapshot that replaces them was not written.
     assert_eq!(load_indexes(&path), [1, 2, 3, 4, 5]);
     let (_, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("opened");
     assert_eq!(
