--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -10,7 +10,7 @@
     /// Starts a term; the first entry that a new leader appends.
     #[serde(rename = "Opened")]
     TermStarted {
-        /// The leader of the term.
+        /// Name of the replica that leads the term.
         leader: String,
     },
     /// Changes the configuration.
--- a/landingdrift/src/state/order.rs
+++ b/landingdrift/src/state/order.rs
@@ -22,7 +22,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Order {
-    /// The ordered command. It must stay the first field: its kind is read from the bytes without decoding the rest.
+    /// The command that the order carries. It must stay the first field: its kind is read from the bytes without
+    /// decoding the rest.
     pub action: Box<Command>,
     /// Identity of the proposal.
     pub proposal: ProposalId,
--- a/landingdrift/src/state/rejection.rs
+++ b/landingdrift/src/state/rejection.rs
@@ -81,7 +81,8 @@
     )]
     #[serde(rename = "Repeat")]
     AlreadyRunning,
-    /// The task has failed as often as its queue allows.
+    /// The task's failures, together with its attempts that may still be running, reach the maximum number of attempts
+    /// of its queue.
     #[error("the task has failed as often as its queue allows: check the reasons of its failures")]
     #[serde(rename = "Spent")]
     AttemptsExhausted,
--- a/landingdrift/src/state/retained.rs
+++ b/landingdrift/src/state/retained.rs
@@ -38,7 +38,8 @@
     pub durations: VecDeque<u32>,
     /// Estimated tail index β of the durations, refreshed periodically; 0 until there are enough samples.
     pub beta: f64,
-    /// Median of the durations in milliseconds, refreshed together with `beta`.
+    /// Median of `durations` in milliseconds; refreshed periodically, and with every duration while there are too few
+    /// for `beta`.
     pub median: u32,
     /// Number of durations added so far, including those no longer kept.
     #[serde(rename = "seen")]
