--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -35,7 +35,7 @@
     /// Submits a job.
     #[serde(rename = "Accept")]
     SubmitJob {
-        /// The job.
+        /// The job as the client submitted it.
         spec: JobSpec,
         /// Hash of the request body.
         hash: u64,
@@ -80,7 +80,8 @@
         /// Reports of ended attempts.
         ends: Vec<EndReport>,
     },
-    /// Marks a worker as lost because it has sent no heartbeats for too long.
+    /// Marks a worker as lost because it has sent no heartbeats for too long; the outcomes of its attempts become
+    /// unknown.
     #[serde(rename = "Lost")]
     MarkWorkerLost {
         /// The worker's name.
@@ -109,7 +110,7 @@
         #[serde(default)]
         checkpoints: Vec<(u64, String)>,
     },
-    /// Stops attempts that should run on another worker instead.
+    /// Requests that attempts stop, so that their tasks are restarted on other workers.
     #[serde(rename = "Recall")]
     RescheduleAttempts {
         /// The worker's name.
@@ -127,9 +128,9 @@
     /// configuration change.
     #[serde(rename = "Empty")]
     SetEvacuation {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether it is to be evacuated, or returned to service.
+        /// Whether to evacuate the zone; otherwise it is returned to service.
         #[serde(rename = "on")]
         evacuate: bool,
     },
@@ -165,7 +166,7 @@
         /// Its address for HTTP.
         http: String,
     },
-    /// Marks a node as gone.
+    /// Marks a node as gone; it is granted no lease until it registers again.
     #[serde(rename = "NodeGone")]
     MarkNodeGone {
         /// The node's name.
@@ -199,7 +200,7 @@
     /// Fails attempts whose outcome has been unknown for too long, and drops records whose retention period is over.
     #[serde(rename = "Sweep")]
     CollectGarbage {
-        /// How long ended jobs are retained in full, in milliseconds.
+        /// How long ended jobs are retained in full, and lost workers without attempts, in milliseconds.
         retain_ms: u64,
         /// How long their tombstones are kept after that, in milliseconds.
         identity_ms: u64,
@@ -236,9 +237,9 @@
         super::pack::unpack(bytes)
     }
 
-    /// Whether an entry concerns the whole cluster (configuration, leases, members) and not a single job or worker.
-    /// Light copies of the state apply only such entries. Only the discriminant is decoded, for an order also that of
-    /// its action.
+    /// Whether an entry concerns the whole cluster (terms, configuration, evacuations, leases, members) and not a
+    /// single job or worker. Light copies of the state apply only such entries. Only the discriminant is decoded, for
+    /// an order also that of its action; an entry whose discriminant can't be decoded counts as cluster-wide.
     pub fn is_cluster_wide(bytes: &[u8]) -> bool {
         let (mut number, rest) = split_kind(bytes).unwrap_or((kind::TERM_STARTED, &[]));
         if number == kind::ORDER {
--- a/landingdrift/src/state/rejection.rs
+++ b/landingdrift/src/state/rejection.rs
@@ -55,7 +55,8 @@
     /// The configuration changes of the last day fill the table of remembered changes.
     #[error("too many configuration changes within a day: retry later")]
     TooManyChanges,
-    /// The proposer's lease, or the worker's incarnation, is not the current one.
+    /// The lease grant under which the entry was proposed or which it replaces, or the worker's incarnation, is not the
+    /// current one.
     #[error("the lease or the worker's incarnation is not the current one: propose again through the lease's current holder")]
     #[serde(rename = "StaleGrant")]
     StaleLease,
@@ -75,7 +76,8 @@
     #[error("the worker has too few free resources: offer another worker")]
     #[serde(rename = "NoRoom")]
     InsufficientResources,
-    /// An attempt may be running, and the task may not be repeated or has its maximum of parallel attempts.
+    /// The attempts of the task that may be running allow no further one, or none on this worker; the entry places the
+    /// task twice; or the attempt is a copy, and the task may have none or has no attempt to copy.
     #[error(
         "no further attempt of the task may start while others may be running: wait for their end"
     )]
@@ -86,11 +88,11 @@
     #[error("the task has failed as often as its queue allows: check the reasons of its failures")]
     #[serde(rename = "Spent")]
     AttemptsExhausted,
-    /// The worker may not run the task.
+    /// The worker may not run the task, or registers with an older incarnation than the known one.
     #[error("unsuitable worker ({why}): offer another worker")]
     #[serde(rename = "Unfit")]
     UnsuitableWorker {
-        /// The rule that the placement violates.
+        /// The rule that the placement or the registration violates.
         why: String,
     },
     /// Not all members of a gang are placed together.
--- a/landingdrift/src/state/retained.rs
+++ b/landingdrift/src/state/retained.rs
@@ -34,7 +34,7 @@
 /// Statistics of a queue, from which job sizes, speculation and the queue's promise are evaluated.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueStats {
-    /// Durations of the most recent successful attempts in milliseconds, the latest last.
+    /// Reported run times, in milliseconds, of the most recent attempts that completed a task, the latest last.
     pub durations: VecDeque<u32>,
     /// Estimated tail index β of the durations, refreshed periodically; 0 until there are enough samples.
     pub beta: f64,
