--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -20,7 +20,8 @@
     pub incarnation: u64,
     /// Whether it may be running, or how it ended.
     pub state: AttemptState,
-    /// Whether the worker has been asked to stop it.
+    /// Whether an entry has marked it to be stopped by its worker. The worker may be asked to stop an unsure attempt
+    /// even without the mark.
     pub stop: bool,
     /// Whether it is a speculative copy of a running attempt.
     pub copy: bool,
@@ -44,13 +45,13 @@
 pub struct Task {
     /// Whether it is done, has failed or was cancelled; `Waiting` also while an attempt is running.
     pub state: TaskState,
-    /// Number of failed attempts.
+    /// Number of failed attempts, including those no longer kept in `attempts`.
     #[serde(rename = "defects")]
     pub failures: u32,
     /// All attempts that may be running and the most recent ended ones, the latest last.
     #[serde(rename = "sends")]
     pub attempts: Vec<Attempt>,
-    /// Indices of the single tasks it depends on.
+    /// Indices of the single tasks it depends on; empty in a job of steps.
     #[serde(rename = "waits")]
     pub dependencies: Vec<u32>,
     /// Newest known checkpoint; empty for none.
@@ -107,7 +108,8 @@
     pub tasks: Vec<Task>,
     /// Why it failed or was cancelled.
     pub reason: String,
-    /// Number of tasks done for each step of each repetition, ordered by repetition and then step.
+    /// Number of tasks done for each step of each repetition, ordered by repetition and then step; empty in a job of
+    /// single tasks.
     pub done: Vec<u32>,
 }
 
--- a/landingdrift/src/state/job/check.rs
+++ b/landingdrift/src/state/job/check.rs
@@ -63,8 +63,8 @@
             .map_err(|e| error(e.path().to_string(), e.inner().to_string()))
     }
 
-    /// Checks the structure of the job: names, steps, cycles, gangs. Returns the dependencies of each single task as
-    /// task indices.
+    /// Checks what does not depend on the configuration: names, number of tasks, steps, cycles, gangs, and that single
+    /// tasks need some CPU. Returns the dependencies of each single task as task indices; empty for a job of steps.
     pub fn check(&self) -> Result<Vec<Vec<u32>>, SpecError> {
         ensure(is_name(&self.id), || error("id", NAME_REMEDY))?;
         if !self.steps.is_empty() {
@@ -165,7 +165,8 @@
         Ok(())
     }
 
-    /// Checks that the configuration declares the job's queue, services and labels, and allows the CPU that it needs.
+    /// Checks that the configuration declares the job's queue, services and labels, and allows the CPU that its tasks
+    /// and gangs need.
     pub fn check_against(&self, config: &ClusterConfig) -> Result<(), SpecError> {
         let queue = &self.queue;
         ensure(config.queues.contains_key(queue), || {
@@ -237,7 +238,8 @@
         })
     }
 
-    /// The gang that its tasks belong to, if any.
+    /// Identifies the gang of its tasks: the path of a step, or the gang's name for a single task. `None` if there is
+    /// no gang, or if the step's gang has only one task.
     fn gang(&self) -> Option<String> {
         if self.gang_size > 1 {
             return Some(self.path.clone());
@@ -245,7 +247,7 @@
         Some(self.task.gang.clone()).filter(|gang| !gang.is_empty())
     }
 
-    /// Checks that the service allows a gang the CPU that it needs in total.
+    /// Checks that the service allows a gang `cpu`, the sum over the gang's tasks of this service counted so far.
     fn check_gang(&self, cpu: u32, service: &Service) -> Result<(), SpecError> {
         let (max_cpu, name) = (service.max_gang_cpu, &self.task.service);
         ensure(cpu <= max_cpu, || {
--- a/landingdrift/src/state/job/spec.rs
+++ b/landingdrift/src/state/job/spec.rs
@@ -110,7 +110,7 @@
     /// Whether the task saves checkpoints and resumes from the newest one when it is restarted.
     #[serde(default)]
     pub checkpoints: bool,
-    /// Estimated run time in milliseconds.
+    /// Estimated run time in milliseconds; 0 if unknown.
     #[serde(default)]
     pub estimate_ms: u32,
     /// Passed unchanged to the worker.
--- a/landingdrift/src/state/job/state.rs
+++ b/landingdrift/src/state/job/state.rs
@@ -58,7 +58,8 @@
     /// Finished successfully.
     #[serde(rename = "well")]
     Succeeded,
-    /// Failed; the only end that counts towards the maximum number of attempts.
+    /// Failed, stopped without a request, cut off by a restart of its worker, or unsure for too long; the only end that
+    /// counts towards the maximum number of attempts.
     #[serde(rename = "defect")]
     Failed,
     /// Stopped on request of the scheduler.
