--- a/landingdrift/src/state/retained.rs
+++ b/landingdrift/src/state/retained.rs
@@ -34,11 +34,12 @@
 /// Statistics of a queue, from which job sizes, speculation and the queue's promise are evaluated.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueStats {
-    /// Durations of the most recent successful attempts in milliseconds, the latest last.
+    /// Reported run times, in milliseconds, of the most recent attempts that completed a task, the latest last.
     pub durations: VecDeque<u32>,
     /// Estimated tail index β of the durations, refreshed periodically; 0 until there are enough samples.
     pub beta: f64,
-    /// Median of the durations in milliseconds, refreshed together with `beta`.
+    /// Median of `durations` in milliseconds; refreshed periodically, and with every duration while there are too few
+    /// for `beta`.
     pub median: u32,
     /// Number of durations added so far, including those no longer kept.
     #[serde(rename = "seen")]
