--- a/landingdrift/src/node/calls/config.rs
+++ b/landingdrift/src/node/calls/config.rs
@@ -57,8 +57,9 @@
 }
 
 impl Node {
-    /// Proposes a change of the configuration. If the change is large and this node has a narrow link, the caller is
-    /// redirected to another node: sending the change to the leader would block this link for all other calls.
+    /// Proposes a change of the configuration. If the change is large and this node has a light copy, the caller is
+    /// redirected to a node with a full copy: this node may have a narrow link, which sending the change to the
+    /// leader would block for all other calls.
     pub(super) fn configure(&mut self, now: Now, origin: Origin, request: &Request, patch: bool) {
         let requested = match parse_change(request, self.settings.limits.config_bytes) {
             Ok(requested) => requested,
--- a/landingdrift/src/node/calls/forward.rs
+++ b/landingdrift/src/node/calls/forward.rs
@@ -11,7 +11,7 @@
 use crate::wire::{Body, ForwardRequest, ForwardResponse};
 use serde_json::Value;
 
-/// The first retry timeout of a forwarded call is the call timeout divided by this.
+/// Divisor of the request timeout, giving the first retry timeout of a forwarded call.
 const RETRY_DIVISOR: u64 = 6;
 /// Maximum number of nodes that one call is forwarded to.
 const MAX_ATTEMPTS: usize = 4;
@@ -26,7 +26,7 @@
 pub(super) struct RepeatedForward {
     request: Request,
     attempts: Vec<ForwardAttempt>,
-    /// Time of the next attempt, in monotonic milliseconds; none if there is none.
+    /// Time of the next attempt, in monotonic milliseconds; none if none is scheduled.
     next_at: Option<u64>,
 }
 
@@ -63,10 +63,10 @@
 }
 
 impl Node {
-    /// Forwards a repeatable call that this node can't answer.
+    /// Forwards a repeatable call that this node can't answer, or rejects it if it was forwarded to this node.
     pub(super) fn forward_repeatable(&mut self, now: Now, origin: Origin, request: &Request) {
         let Origin::Local(_) = origin else {
-            // The call was already forwarded: the forwarding node tries another one.
+            // The call was already forwarded: the forwarding process tries another node.
             let response = self.no_full_copy_response();
             return self.reply(&origin, response);
         };
@@ -81,7 +81,7 @@
         self.set_forward(call, request, hedge_at);
     }
 
-    /// Forwards an open call that this node can no longer answer.
+    /// Forwards an open call that this node can no longer answer, or rejects it if it was forwarded to this node.
     pub(super) fn forward_open_call(&mut self, now: Now, call: u64, request: Request) {
         let Some(open_call) = self.calls.open.get_mut(&call) else {
             return;
@@ -112,7 +112,8 @@
         Response::error(503, "noDuty", message).retry(self.settings.bounds.retry_after())
     }
 
-    /// Makes the attempts that are due: forwards each of these calls to another node.
+    /// Makes the attempts that are due, and marks the nodes that did not answer the previous attempts as
+    /// unresponsive.
     pub(super) fn forwards_tick(&mut self, now: Now) {
         let is_due = |open_call: &OpenCall| {
             let forward = open_call.forward.as_ref();
@@ -140,7 +141,8 @@
         self.count("forwards_without_answer", 1);
     }
 
-    /// Forwards a repeatable call to the next node; rejects it if no node is left to try and no attempt is outstanding.
+    /// Forwards a repeatable call to the next node, if one is left and the maximum number of attempts and the retry
+    /// budget allow it. If no attempt is outstanding then, rejects the call unless this node may still answer it itself.
     fn advance_forward(&mut self, now: Now, call: u64) {
         let Some(open_call) = self.calls.open.get_mut(&call) else {
             return;
--- a/landingdrift/src/node/calls/read.rs
+++ b/landingdrift/src/node/calls/read.rs
@@ -122,7 +122,7 @@
 }
 
 impl Node {
-    /// Serves a read of the whole configuration. If it is large and this node has a narrow link, the caller is
+    /// Serves a read of the whole configuration. If it is large and this node has a light copy, the caller is
     /// redirected to a node with a full copy, because callers time out on responses that take long to arrive. A small
     /// node without a copy rejects the read: it knows neither the size of the configuration nor who has it.
     pub(super) fn read_config(&mut self, now: Now, origin: Origin) {
@@ -140,8 +140,8 @@
         self.reply(&origin, Response::redirect(&address, CONFIG_PATH));
     }
 
-    /// The HTTP address of a node with a full copy to redirect a caller to, if transferring `bytes` over this node's
-    /// link would take too long. Calls forwarded by other nodes are not redirected.
+    /// The HTTP address of a node with a full copy to redirect a caller to, if this node has a light copy and
+    /// transferring `bytes` over the slowest assumed link would take too long. Forwarded calls are not redirected.
     pub(super) fn pick_redirect_target(
         &mut self,
         now: Now,
--- a/landingdrift/src/node/calls/retry_budget.rs
+++ b/landingdrift/src/node/calls/retry_budget.rs
@@ -30,7 +30,8 @@
 }
 
 impl RetryBudget {
-    /// Charges an attempt to the budget; returns whether it may be made. First attempts are always allowed and free.
+    /// Charges a retry to the budget; returns whether the attempt may be made. First attempts are always allowed and
+    /// add to the budget.
     pub fn try_charge(&mut self, now: Now, is_first: bool) -> bool {
         let elapsed_ms = now.mono.saturating_sub(self.updated_at);
         self.updated_at = now.mono;
--- a/landingdrift/src/node/calls/routed_jobs.rs
+++ b/landingdrift/src/node/calls/routed_jobs.rs
@@ -108,7 +108,7 @@
         version.is_some_and(|version| version > self.state.version)
     }
 
-    /// The number of unfinished jobs in a queue without a task that has started running; a task that is only placed has
+    /// The number of a queue's unfinished jobs none of whose tasks has started running; a task that is only placed has
     /// not started.
     fn waiting_count(&self, queue: &str) -> usize {
         let open = self.state.unfinished_jobs.iter();
--- a/landingdrift/src/node/propose.rs
+++ b/landingdrift/src/node/propose.rs
@@ -12,8 +12,8 @@
 /// Maximum number of immediate redirects of a proposal to a leader that a replica names: replicas that disagree on the
 /// leader could otherwise redirect a proposal in an endless loop.
 const MAX_REDIRECTS: usize = 7;
-/// Heartbeat intervals to wait for a response before an idempotent proposal is sent again; the transfer time over a
-/// narrow link is added.
+/// Heartbeat intervals to wait for a response before an idempotent proposal is sent again; the transfer time over the
+/// slowest assumed link is added.
 const RESEND_AFTER_HEARTBEATS: u64 = 5;
 
 /// One attempt to submit a proposal to a replica.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Transfer time of the encoded command on the narrowest link, in milliseconds.
+    /// Transfer time of the encoded command on the slowest assumed link, in milliseconds; 0 until it is encoded.
     fn transfer_ms(&self) -> u64 {
         match &self.command {
             ProposalCommand::Ready(bytes) => transfer_ms(bytes.len() as u64),
--- a/landingdrift/src/node/zone_scheduler/departure.rs
+++ b/landingdrift/src/node/zone_scheduler/departure.rs
@@ -50,7 +50,7 @@
         self.incarnation == incarnation && self.reported_at.is_some()
     }
 
-    /// Whether the worker process has exited: its report was final, and no heartbeat has arrived for `timeout_ms`
+    /// Whether the worker process counts as exited: its report was final, and no heartbeat has arrived for `timeout_ms`
     /// since.
     pub fn has_exited(&self, now: Now, last_heartbeat: u64, timeout_ms: u64) -> bool {
         let Some(reported_at) = self.reported_at.filter(|_| self.is_final) else {
@@ -59,8 +59,8 @@
         now.mono >= reported_at.max(last_heartbeat) + timeout_ms
     }
 
-    /// The minimum remaining time of a worker whose report is not final, assuming that it exits `leave_ms` after the
-    /// report.
+    /// The minimum remaining time, in milliseconds, of a worker whose report is not final, assuming that it exits
+    /// `leave_ms` after the report; none without such a report.
     pub fn remaining_ms(&self, now: Now, leave_ms: u64) -> Option<u64> {
         let reported_at = self.reported_at.filter(|_| !self.is_final)?;
         Some((reported_at + leave_ms).saturating_sub(now.mono))
@@ -85,7 +85,8 @@
         ));
     }
 
-    /// The command that marks a worker as leaving in the cluster state; none if it is already marked.
+    /// The command that marks a worker as leaving in the cluster state; none if the worker is unknown or already
+    /// marked, or if this node does not hold its zone's lease.
     pub(in crate::node) fn leaving_command(&self, worker: &str) -> Option<Command> {
         let known = self.state.workers.get(worker)?;
         if known.info.leaving {
--- a/landingdrift/src/node/zone_scheduler/mod.rs
+++ b/landingdrift/src/node/zone_scheduler/mod.rs
@@ -73,7 +73,8 @@
     report_pending: bool,
     /// Reported ends that are not in the cluster state yet, by attempt number.
     reported_ends: BTreeMap<u64, EndReport>,
-    /// Attempts that are being ended because the worker's lease has expired; meanwhile the lease is not renewed.
+    /// Attempts that are being ended because the worker has exited or its lease has expired; meanwhile the lease is not
+    /// renewed.
     expiring: Vec<u64>,
     expiry_pending: bool,
     /// Log index of the newest expiry. Until this node has applied it, the attempts still appear live in its copy.
--- a/landingdrift/src/worker_proxy/mod.rs
+++ b/landingdrift/src/worker_proxy/mod.rs
@@ -69,7 +69,8 @@
         *self.counters.entry(name).or_default() += 1;
     }
 
-    /// The node to forward a call to: the lease holder first, then any node or seed that it was not yet sent to.
+    /// The node to forward a call to: the lease holder, else another known node, else a seed, each only if the call was
+    /// not sent to it yet; otherwise any seed.
     fn pick_node(&mut self, attempts: &[CallAttempt]) -> String {
         let is_untried = |node: &&String| {
             let mut tried = attempts.iter();
@@ -166,7 +167,7 @@
     /// A heartbeat gets a response without orders, because a worker backs off exponentially after an error and its
     /// lease is not renewed meanwhile. The heartbeat of a leaving worker gets an error, because a response without
     /// orders would look like an acknowledgement. For any other call that may have had an effect, the outcome is
-    /// unknown.
+    /// unknown; the rest get a 503 error.
     fn time_out(&mut self, token: u64) {
         let Some(open_call) = self.open.remove(&token) else {
             return;
--- a/landingdrift/src/worker_proxy/open_call.rs
+++ b/landingdrift/src/worker_proxy/open_call.rs
@@ -32,8 +32,8 @@
         )
     }
 
-    /// Whether a worker made the call. Workers drop late responses; other callers wait for the request timeout of
-    /// nodes.
+    /// Whether the call counts as made by a worker: a heartbeat, or a call about one worker. Workers drop late
+    /// responses; other callers wait for the request timeout of nodes.
     pub fn is_worker_call(&self) -> bool {
         self.is_heartbeat() || self.request.path.starts_with("/v1/workers/")
     }
--- a/landingdrift/tests/node_harness/mod.rs
+++ b/landingdrift/tests/node_harness/mod.rs
@@ -1,4 +1,4 @@
-//! Test harness: a node that holds the leases of a zone and a queue, with simulated workers, replicas and clock.
+//! Test harness: a node that holds the leases of a zone and a queue, with a simulated worker, replica and clock.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
--- a/landingdrift/tests/redirected_reads.rs
+++ b/landingdrift/tests/redirected_reads.rs
@@ -1,5 +1,5 @@
-//! A large configuration is neither read nor changed through a node with a narrow link: callers would time out before
-//! the response arrives, and the change would block the link for all other calls.
+//! A large configuration is neither read nor changed through a node with a light copy, which may have a narrow link:
+//! callers would time out before the response arrives, and the change would block the link for all other calls.
 
 mod node_harness;
 
@@ -68,7 +68,7 @@
 
 /// Guards against a node that is unresponsive while it transfers a large change over its link.
 #[test]
-fn a_large_change_is_redirected_from_a_node_with_a_narrow_link() {
+fn a_large_change_is_redirected_from_a_node_with_a_light_copy() {
     let mut harness = harness(1000);
     harness.install_light_copy();
     let response = change(&mut harness, LARGE_BYTES).expect("an answer at once");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_read_of_a_large_configuration_is_redirected_from_a_node_with_a_narrow_link() {
+fn a_read_of_a_large_configuration_is_redirected_from_a_node_with_a_light_copy() {
     let mut harness = harness(LARGE_BYTES);
     harness.install_light_copy();
     let response = read(&mut harness).expect("an answer at once");
