--- a/landingdrift/src/node/calls/forward.rs
+++ b/landingdrift/src/node/calls/forward.rs
@@ -142,7 +142,7 @@
     }
 
     /// Forwards a repeatable call to the next node, if one is left and the maximum number of attempts and the retry
-    /// budget allow it. If no attempt is outstanding then, rejects the call unless this node may still answer it itself.
+    /// budget allow it. If no attempt is outstanding then, rejects the call unless this node may still answer it.
     fn advance_forward(&mut self, now: Now, call: u64) {
         let Some(open_call) = self.calls.open.get_mut(&call) else {
             return;
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -273,7 +273,7 @@
 }
 
 impl WorkerState {
-    /// Renews the worker's lease and records the heartbeat's sequence number.
+    /// Renews the worker's lease and records the heartbeat's arrival time and sequence number.
     fn renew_lease(&mut self, now: Now, heartbeat: &Heartbeat) {
         self.last_heartbeat = now.mono;
         self.lease_renewed_at = self.lease_renewed_at.max(now.mono);
@@ -286,8 +286,9 @@
     /// Ends for attempts that were never started and never will be.
     ///
     /// A worker sends its heartbeats in sequence and drops a response that arrives after it has sent the next one. So
-    /// an attempt that must not run and that a heartbeat does not report, although an earlier response carried its
-    /// start order, was never started and never will be.
+    /// an attempt that must not run and that a heartbeat does not report was never started and never will be, if this
+    /// lease holder sent its start order only in responses to earlier heartbeats, or not at all. The first heartbeat
+    /// is not considered, since the previous holder may have answered it with the order.
     fn never_started(&mut self, state: &ClusterState, heartbeat: &Heartbeat) -> Vec<EndReport> {
         let Some(known) = state.workers.get(&heartbeat.info.worker) else {
             self.sent_starts.clear();
@@ -321,7 +322,7 @@
         ends
     }
 
-    /// Records the resources, progress and checkpoints reported by the heartbeat.
+    /// Records the worker's resources, whether it is leaving, and the progress and checkpoints of its runs.
     fn record_runs(&mut self, now: Now, heartbeat: &Heartbeat) {
         self.leaving = heartbeat.info.leaving;
         self.resources = heartbeat.info.total_resources();
--- a/landingdrift/src/node/zone_scheduler/stragglers.rs
+++ b/landingdrift/src/node/zone_scheduler/stragglers.rs
@@ -289,7 +289,7 @@
         known.is_none_or(|(_, _, attempt)| attempt.stop)
     }
 
-    /// Whether some other worker has free resources for the task of an attempt.
+    /// Whether some other worker that accepts new tasks and is not on probation can run the task of an attempt now.
     fn fits_elsewhere(&self, worker: &str, attempt: u64) -> bool {
         let Some(spec) = self.spec_of_attempt(attempt) else {
             return false;
--- a/landingdrift/src/node/zone_scheduler/targets.rs
+++ b/landingdrift/src/node/zone_scheduler/targets.rs
@@ -1,5 +1,5 @@
-//! The order in which schedulers are offered a free slot, by the Hopper algorithm. The last target of a round is drawn
-//! at random, weighted by size.
+//! The order in which schedulers are offered a free slot, by the Hopper algorithm. The last target of a round is
+//! the smallest unsatisfied job named in refusals, or else is drawn at random, weighted by size.
 
 use super::offer_round::OfferRound;
 use crate::settings::Hopper;
@@ -17,8 +17,8 @@
     pub refusable: bool,
 }
 
-/// Selects the next target of a slot: first reserved jobs by priority, then the smallest job named in refusals, else a
-/// job sampled by size.
+/// Selects the next target of a slot: reserved jobs by priority, one per scheduler, until all schedulers were asked or
+/// `hopper.refusals` have refused; then the smallest job named in refusals, else a job sampled by size.
 ///
 /// `sample` is a uniform random number in [0, 1).
 pub(super) fn next_target(
