--- a/landingdrift/src/daemon/disk_writer.rs
+++ b/landingdrift/src/daemon/disk_writer.rs
@@ -28,7 +28,8 @@
     }
 }
 
-/// Exponential backoff between attempts to write to a failing disk: each pause is twice as long as the one before.
+/// Exponential backoff between attempts to write to a failing disk: each pause is twice as long as the one before, up
+/// to `longest`.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     /// The pause before the next attempt.
@@ -61,7 +62,8 @@
 pub struct DiskWriter(Sender<WriteBatch>);
 
 impl DiskWriter {
-    /// Starts the thread.
+    /// Starts the thread. It sends `inputs` a message for durable batches and for each failed write, and pauses as
+    /// `backoff` says before it writes again.
     pub fn start(
         store: impl Store + 'static,
         inputs: Sender<Input>,
--- a/landingdrift/src/daemon/process.rs
+++ b/landingdrift/src/daemon/process.rs
@@ -218,8 +218,8 @@
     }
 
     /// Asks all parts to stop and keeps serving for a while, so that callers notice that the process is not ready any
-    /// more. Then rejects new calls, and returns once those in flight are answered or the grace period is over. Returns
-    /// whether a control thread panicked.
+    /// more. Then rejects new calls, and waits until those in flight are answered and all parts have ended, or the
+    /// grace period is over. Returns whether a control thread panicked.
     fn stop(&mut self) -> bool {
         let stop_requested_at = Instant::now();
         let serving_time = self.longest_period(Bounds::serving_time_after_stop);
--- a/landingdrift/src/daemon/traffic/http/request_handler.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -110,7 +110,8 @@
     Response::error(503, "leaving", message).retry(RETRY_MS)
 }
 
-/// The response to a call that was passed to the part but not answered in time, so that its outcome is unknown.
+/// The response to a call that was not answered in time, or not before the control thread ended, so that its outcome is
+/// unknown.
 fn outcome_unknown() -> Response {
     let message =
         "the call was not answered, so its outcome is unknown: ask again, here or at another node";
--- a/landingdrift/src/operator/change.rs
+++ b/landingdrift/src/operator/change.rs
@@ -44,7 +44,7 @@
     })
 }
 
-/// Polls a condition until it holds, for up to `timeout_s` seconds.
+/// Polls a condition until it holds; fails with status 504 if it does not hold after `timeout_s` seconds.
 pub(super) fn wait(
     timeout_s: u64,
     mut poll: impl FnMut() -> Result<Progress, ClientError>,
--- a/landingdrift/src/replay/rerun/recorded_runs.rs
+++ b/landingdrift/src/replay/rerun/recorded_runs.rs
@@ -38,7 +38,7 @@
     }
 
     /// The next run of a task. The n-th run in the rerun is the n-th recorded one; further runs repeat the last
-    /// successful one.
+    /// successful one, or succeed after `DEFAULT_RUN_MS` if there is none.
     pub fn next(&mut self, key: TaskKey) -> RecordedRun {
         let recorded = self.runs.get(&key).map_or(&[][..], Vec::as_slice);
         let used_count = self.used_counts.entry(key).or_default();
@@ -62,7 +62,7 @@
     attempts.filter_map(recorded_run).collect()
 }
 
-/// The run of an attempt, if its outcome is known.
+/// The run of an attempt that succeeded or failed; `None` for all other attempts.
 fn recorded_run(attempt: &Attempt) -> Option<RecordedRun> {
     match attempt.state {
         AttemptState::Succeeded => Some(RecordedRun {
--- a/landingdrift/src/replay/rerun/simulated_worker.rs
+++ b/landingdrift/src/replay/rerun/simulated_worker.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Whether an attempt runs or has finished on this worker.
+    /// Whether an attempt runs or has ended on this worker, or was stopped before it started.
     pub fn runs_or_has_run(&self, attempt: u64) -> bool {
         self.running.contains_key(&attempt) || self.finished.contains(&attempt)
     }
--- a/landingdrift/src/replay/rerun/simulation.rs
+++ b/landingdrift/src/replay/rerun/simulation.rs
@@ -335,7 +335,7 @@
 }
 
 /// The cluster time at the beginning of a recording. The first entries of a new cluster have time 0, as its clock is
-/// not set yet; they are skipped.
+/// not set yet; they are skipped. Returns 0 if all entries have time 0.
 fn start_time(recording: &Recording) -> u64 {
     let mut times = recording.entries.iter().map(|recorded| recorded.at);
     times.find(|at| *at > 0).unwrap_or(0)
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -236,7 +236,8 @@
     }
 }
 
-/// Waits until more than `min_calls` calls were received. How long that takes depends on the load of the machine.
+/// Waits until more than `min_calls` calls were received, and then for another 300 ms. How long the calls take depends
+/// on the load of the machine.
 fn wait_for_calls(counts: &Counts, min_calls: u64) {
     let since = Instant::now();
     while counts.received.load(Ordering::SeqCst) <= min_calls {
