--- a/landingdrift/src/daemon/traffic/frames/mod.rs
+++ b/landingdrift/src/daemon/traffic/frames/mod.rs
@@ -72,9 +72,9 @@
     mut options: FrameOptions,
     inputs: Sender<Input>,
 ) -> Result<Transport, ProcessError> {
-    let at = options.own_address.clone();
+    let requested_address = options.own_address.clone();
     let listen_error = |error| ProcessError::Listen {
-        at: at.clone(),
+        at: requested_address.clone(),
         error,
     };
     let listener = std::net::TcpListener::bind(&options.own_address)
--- a/landingdrift/src/replay/command.rs
+++ b/landingdrift/src/replay/command.rs
@@ -178,8 +178,8 @@
         .map(read_settings)
         .transpose()?;
     let recorded = Summary::from_state(&recording.final_state());
-    let now = rerun(&recording, config.as_ref(), &settings.unwrap_or_default());
-    print_comparison(&recorded, &now, arguments.json);
+    let rerun_summary = rerun(&recording, config.as_ref(), &settings.unwrap_or_default());
+    print_comparison(&recorded, &rerun_summary, arguments.json);
     Ok(0)
 }
 
@@ -206,21 +206,21 @@
 }
 
 /// Prints the summary of the recording and that of the rerun.
-fn print_comparison(recorded: &Summary, now: &Summary, as_json: bool) {
-    let jobs_ending_differently = jobs_ending_differently(recorded, now);
+fn print_comparison(recorded: &Summary, rerun_summary: &Summary, as_json: bool) {
+    let jobs_ending_differently = jobs_ending_differently(recorded, rerun_summary);
     let tasks = recorded.workers_by_task.len();
-    let moved = moved_tasks(recorded, now);
+    let moved = moved_tasks(recorded, rerun_summary);
     if as_json {
         crate::outln!(
             "{}",
-            json!({"recorded": summary_json(recorded), "now": summary_json(now), "otherEnds": jobs_ending_differently, "otherWorkers": moved, "tasks": tasks})
+            json!({"recorded": summary_json(recorded), "now": summary_json(rerun_summary), "otherEnds": jobs_ending_differently, "otherWorkers": moved, "tasks": tasks})
         );
         return;
     }
     crate::outln!(
         "recorded {}\nnow      {}",
         summary_json(recorded),
-        summary_json(now)
+        summary_json(rerun_summary)
     );
     crate::outln!("{moved} of {tasks} tasks ended on another worker");
     crate::outln!(
@@ -233,18 +233,18 @@
 }
 
 /// The jobs that ended in another state in the rerun than in the recording.
-fn jobs_ending_differently(recorded: &Summary, now: &Summary) -> Vec<Value> {
+fn jobs_ending_differently(recorded: &Summary, rerun_summary: &Summary) -> Vec<Value> {
     let ends = recorded.states.iter();
-    ends.filter(|(job, state)| now.states.get(*job) != Some(state))
-        .map(|(job, state)| json!({"job": job, "recorded": state, "now": now.states.get(job)}))
+    ends.filter(|(job, state)| rerun_summary.states.get(*job) != Some(state))
+        .map(|(job, state)| json!({"job": job, "recorded": state, "now": rerun_summary.states.get(job)}))
         .collect()
 }
 
 /// The number of tasks that succeeded on another worker in the rerun than in the recording.
-fn moved_tasks(recorded: &Summary, now: &Summary) -> usize {
+fn moved_tasks(recorded: &Summary, rerun_summary: &Summary) -> usize {
     let moved = |task: &String, worker: &String| {
-        let now = now.workers_by_task.get(task);
-        now.is_some_and(|other| other != worker)
+        let rerun_worker = rerun_summary.workers_by_task.get(task);
+        rerun_worker.is_some_and(|other| other != worker)
     };
     let placed = recorded.workers_by_task.iter();
     placed.filter(|(task, worker)| moved(task, worker)).count()
--- a/landingdrift/tests/control_client.rs
+++ b/landingdrift/tests/control_client.rs
@@ -23,7 +23,7 @@
 
 /// A fake node. It counts a request per connection, and one per further request on it, complete or not.
 struct FakeNode {
-    at: String,
+    address: String,
     requests: Arc<AtomicUsize>,
 }
 
@@ -83,7 +83,7 @@
 
 fn start_fake_node(broken: Break) -> FakeNode {
     let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
-    let at = listener
+    let address = listener
         .local_addr()
         .expect("failed to get the address")
         .to_string();
@@ -95,14 +95,14 @@
             std::thread::spawn(move || serve(connection, broken, &request_count));
         }
     });
-    FakeNode { at, requests }
+    FakeNode { address, requests }
 }
 
 /// Sends a GET, so that a client that pools connections would have one open, then the call. Returns the result of the
 /// call and the number of times that it arrived.
 fn call(broken: Break, method: &str, path: &str) -> (Result<Value, ClientError>, usize) {
     let node = start_fake_node(broken);
-    let client = ControlClient::new(vec![node.at.clone()], Duration::from_secs(5))
+    let client = ControlClient::new(vec![node.address.clone()], Duration::from_secs(5))
         .expect("failed to create");
     client
         .call("GET", "/v1/status", None)
@@ -148,7 +148,7 @@
 /// Starts a server that gives the same response to every request; returns its address.
 fn server_that_answers(response: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
-    let at = listener
+    let address = listener
         .local_addr()
         .expect("failed to get the address")
         .to_string();
@@ -160,7 +160,7 @@
                 .expect("failed to write");
         }
     });
-    at
+    address
 }
 
 fn server_that_redirects(to: &str) -> String {
@@ -191,7 +191,7 @@
 /// Starts a server that answers one PUT request if it has this body; returns its address.
 fn server_that_expects(body: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
-    let at = listener
+    let address = listener
         .local_addr()
         .expect("failed to get the address")
         .to_string();
@@ -209,7 +209,7 @@
                 .expect("failed to write");
         }
     });
-    at
+    address
 }
 
 #[test]
--- a/landingdrift/tests/opening_data_folder.rs
+++ b/landingdrift/tests/opening_data_folder.rs
@@ -18,16 +18,17 @@
     listener.local_addr().expect("failed to get the address")
 }
 
-fn get(at: SocketAddr, path: &str) -> (u16, String) {
-    let response = reqwest::blocking::get(format!("http://{at}{path}")).expect("the call failed");
+fn get(address: SocketAddr, path: &str) -> (u16, String) {
+    let response =
+        reqwest::blocking::get(format!("http://{address}{path}")).expect("the call failed");
     (
         response.status().as_u16(),
         response.text().expect("failed to read the body"),
     )
 }
 
-fn role(at: SocketAddr) -> Value {
-    let status: Value = serde_json::from_str(&get(at, "/v1/status").1).expect("invalid JSON");
+fn role(address: SocketAddr) -> Value {
+    let status: Value = serde_json::from_str(&get(address, "/v1/status").1).expect("invalid JSON");
     status["role"].clone()
 }
 
@@ -51,27 +52,32 @@
     let replica = process
         .start_replica(&settings)
         .expect("failed to start without its folder");
-    let at = free_address();
+    let address = free_address();
     let limits = HttpLimits {
         timeout: TEST_TIMEOUT,
         body_bytes: 1000,
         calls: 10,
     };
     process
-        .serve_http(at, limits, HttpAdapter::default(), &replica)
+        .serve_http(address, limits, HttpAdapter::default(), &replica)
         .expect("failed to serve HTTP");
     let running = spawn(move || process.run(&|| Ok(Vec::new())));
     sleep(Duration::from_millis(500));
-    assert_eq!(role(at), "Opening");
-    assert_eq!((get(at, "/live").0, get(at, "/ready").0), (200, 503));
-    assert!(get(at, "/metrics").1.contains("landingdrift_disk_retries"));
+    assert_eq!(role(address), "Opening");
+    assert_eq!(
+        (get(address, "/live").0, get(address, "/ready").0),
+        (200, 503)
+    );
+    assert!(get(address, "/metrics")
+        .1
+        .contains("landingdrift_disk_retries"));
     assert!(!running.is_finished());
     fs::remove_file(&parent).expect("failed to remove the file");
     let since = Instant::now();
-    while role(at) != "Leader" && since.elapsed() < TEST_TIMEOUT {
+    while role(address) != "Leader" && since.elapsed() < TEST_TIMEOUT {
         sleep(Duration::from_millis(50));
     }
-    assert_eq!(role(at), "Leader");
+    assert_eq!(role(address), "Leader");
     signal_hook::low_level::raise(SIGTERM).expect("failed to raise the signal");
     assert_eq!(
         running
--- a/landingdrift/tests/orderly_shutdown.rs
+++ b/landingdrift/tests/orderly_shutdown.rs
@@ -132,13 +132,13 @@
 }
 
 /// Starts a caller, which makes calls until the address can't be reached. With `keep_alive` it reuses its connection.
-fn caller(at: SocketAddr, keep_alive: bool, counts: Arc<Counts>) -> JoinHandle<()> {
+fn caller(address: SocketAddr, keep_alive: bool, counts: Arc<Counts>) -> JoinHandle<()> {
     spawn(move || {
         let mut kept: Option<BufReader<TcpStream>> = None;
         loop {
             let mut connection = match kept.take() {
                 Some(connection) => connection,
-                None => match TcpStream::connect(at) {
+                None => match TcpStream::connect(address) {
                     Ok(connection) => BufReader::new(connection),
                     Err(_) => return,
                 },
@@ -194,18 +194,18 @@
     process
         .start_part(Box::new(other), &settings())
         .expect("failed to start");
-    let at = free_address();
+    let address = free_address();
     let limits = HttpLimits {
         timeout: Duration::from_secs(3),
         body_bytes: 1000,
         calls: 1000,
     };
     process
-        .serve_http(at, limits, counting_adapter(&counts), &serving)
+        .serve_http(address, limits, counting_adapter(&counts), &serving)
         .expect("failed to serve HTTP");
     let running = spawn(move || process.run(&|| Ok(vec![settings(), settings()])));
     let callers: Vec<_> = (0..2 * CALLERS)
-        .map(|n| caller(at, n < CALLERS, counts.clone()))
+        .map(|n| caller(address, n < CALLERS, counts.clone()))
         .collect();
     wait_for_calls(&counts, MIN_CALLS / 2);
     signal_hook::low_level::raise(SIGHUP).expect("failed to raise the signal");
@@ -318,18 +318,18 @@
     let handle = process
         .start_part(Box::new(part), &settings())
         .expect("failed to start");
-    let at = free_address();
+    let address = free_address();
     let limits = HttpLimits {
         timeout: Duration::from_secs(30),
         body_bytes: 1000,
         calls: 1000,
     };
     process
-        .serve_http(at, limits, counting_adapter(&counts), &handle)
+        .serve_http(address, limits, counting_adapter(&counts), &handle)
         .expect("failed to serve HTTP");
     sleep(Duration::from_millis(200));
     let since = Instant::now();
-    let mut connection = TcpStream::connect(at).expect("failed to connect");
+    let mut connection = TcpStream::connect(address).expect("failed to connect");
     connection
         .write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         .expect("failed to write");
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -17,7 +17,7 @@
 
 /// An HTTP address, with the calls and inputs of the part behind it.
 struct Server {
-    at: SocketAddr,
+    address: SocketAddr,
     calls: PendingCalls,
     inputs: Receiver<Input>,
 }
@@ -26,10 +26,14 @@
     let (input_sender, inputs) = channel();
     let calls = PendingCalls::default();
     let any = "127.0.0.1:0".parse().expect("invalid address");
-    let at = traffic
+    let address = traffic
         .serve_http(any, limits, http_adapter, calls.clone(), input_sender)
         .expect("failed to serve HTTP");
-    Server { at, calls, inputs }
+    Server {
+        address,
+        calls,
+        inputs,
+    }
 }
 
 impl Server {
@@ -45,11 +49,11 @@
 /// Sends a request on a new thread. The thread returns the status, the value of the `X-Test-Response` header and the
 /// body.
 fn call(
-    at: SocketAddr,
+    address: SocketAddr,
     path: &str,
     body: Vec<u8>,
 ) -> std::thread::JoinHandle<(u16, Option<String>, String)> {
-    let url = format!("http://{at}{path}");
+    let url = format!("http://{address}{path}");
     std::thread::spawn(move || {
         let response = reqwest::blocking::Client::new()
             .post(url)
@@ -98,8 +102,8 @@
         })),
     );
     let (default_call, custom_call) = (
-        call(default_server.at, "/a%20b?c=d", b"body".to_vec()),
-        call(custom_server.at, "/x", Vec::new()),
+        call(default_server.address, "/a%20b?c=d", b"body".to_vec()),
+        call(custom_server.address, "/x", Vec::new()),
     );
     let (request, number) = default_server.next();
     let expected = Request {
@@ -135,9 +139,9 @@
         ..limits()
     };
     let server = serve(&traffic, one_call_limit, HttpAdapter::default());
-    let first = call(server.at, "/first", Vec::new());
+    let first = call(server.address, "/first", Vec::new());
     let (_, number) = server.next();
-    let (status, _, text) = call(server.at, "/second", Vec::new())
+    let (status, _, text) = call(server.address, "/second", Vec::new())
         .join()
         .expect("the caller panicked");
     assert!(status == 503 && text.contains("retryMs"), "{status} {text}");
@@ -154,14 +158,14 @@
 fn oversized_bodies_and_invalid_requests_get_api_errors() {
     let traffic = Traffic::start().expect("failed to start");
     let server = serve(&traffic, limits(), HttpAdapter::default());
-    let (status, _, text) = call(server.at, "/", vec![b'x'; 1001])
+    let (status, _, text) = call(server.address, "/", vec![b'x'; 1001])
         .join()
         .expect("the caller panicked");
     assert!(
         status == 413 && text.contains("tooLarge"),
         "{status} {text}"
     );
-    let mut connection = TcpStream::connect(server.at).expect("failed to connect");
+    let mut connection = TcpStream::connect(server.address).expect("failed to connect");
     connection
         .write_all(b"TRACE / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         .expect("failed to write");
@@ -182,8 +186,8 @@
         ..limits()
     };
     let silent = serve(&traffic, short, HttpAdapter::default());
-    for at in [server.at, silent.at] {
-        let (status, _, text) = call(at, "/", Vec::new())
+    for address in [server.address, silent.address] {
+        let (status, _, text) = call(address, "/", Vec::new())
             .join()
             .expect("the caller panicked");
         assert!(status == 503 && text.contains("unsure"), "{status} {text}");
