--- a/testkit/src/checkers/conditions.rs
+++ b/testkit/src/checkers/conditions.rs
@@ -8,8 +8,8 @@
 /// The majority of three replicas.
 const MAJORITY: usize = 2;
 
-/// When service can be expected: the intervals that the promises exclude, such as those without a connected majority of
-/// replicas or without a node that reaches it, and the intervals in which each node was up and connected.
+/// The intervals in which service can't be expected and the promises don't apply, such as those without a connected
+/// majority of replicas or without a node that reaches it; and the intervals in which each node was up and connected.
 pub struct Conditions<'a> {
     /// Sorted intervals that the promises exclude: those without a majority or a connected node, each extended by the
     /// bound on the recovery after it, and those passed to [`Self::excuse`].
--- a/testkit/src/checkers/mod.rs
+++ b/testkit/src/checkers/mod.rs
@@ -67,8 +67,8 @@
     pub without_partner_ms: u64,
     /// How long a gang member may run without one of its partners if a fault affects the gang.
     pub without_partner_in_fault_ms: u64,
-    /// How long service may take to return after the replicas lost their majority, or no node could reach them, without
-    /// a total outage.
+    /// How long service may take to return after a downtime ends, that is, once a majority of the replicas and a node
+    /// that reaches it are back; `outage_ms` applies instead if all replicas were down at some time in the downtime.
     pub recover_ms: u64,
     /// How long a node that is up and connected may take to be ready.
     pub ready_ms: u64,
--- a/testkit/src/checkers/runs/gangs.rs
+++ b/testkit/src/checkers/runs/gangs.rs
@@ -112,7 +112,8 @@
 }
 
 impl GangContext<'_> {
-    /// The time that a run went without any run of one partner, whose runs are `partners`.
+    /// How long `run` went on alone before the first run of one other gang member, counted only while its worker could
+    /// receive a stop order and without the excused intervals. `partners` are the runs of that member.
     fn time_without_partner<'r>(
         &self,
         run: &Run,
--- a/testkit/src/scenario/mod.rs
+++ b/testkit/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios of simulated days: shapes of deployments, mixes of jobs, and faults.
+//! Scenarios of simulated test runs, which are called days: shapes of deployments, mixes of jobs, and faults.
 
 mod fault;
 mod mix;
--- a/testkit/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -266,7 +266,7 @@
             Kill | LoseTail | Restart => self.start(target),
             Upgrade => self.upgrade(target),
             Freeze => self.resume(target),
-            LoseZone => self.restore_zone(affected),
+            LoseZone => self.restore_zone_and_all_workers(affected),
             SlowDisk => self.set_disk_delays(target, fault, HEALTHY_WRITE_MS),
             DiskFull | DiskStall => self.set_disk_conditions(target, fault, Condition::Sound),
             Outage => self.end_outage(),
--- a/testkit/src/simulator/faults/machines.rs
+++ b/testkit/src/simulator/faults/machines.rs
@@ -154,7 +154,7 @@
     }
 
     /// Starts the processes of a lost zone, and all workers that are down.
-    pub(super) fn restore_zone(&mut self, lost: &[usize]) {
+    pub(super) fn restore_zone_and_all_workers(&mut self, lost: &[usize]) {
         for process in lost {
             self.start(*process);
         }
--- a/testkit/src/simulator/faults/workers.rs
+++ b/testkit/src/simulator/faults/workers.rs
@@ -1,4 +1,4 @@
-//! Faults of workers.
+//! Injection of faults of workers (freezes, partitions, crashes, failing or slow runs), and healing of all but crashes.
 
 use super::World;
 use crate::history::{Event, WORKER_REACHABLE, WORKER_UNREACHABLE};
--- a/testkit/src/simulator/world/report.rs
+++ b/testkit/src/simulator/world/report.rs
@@ -17,7 +17,7 @@
     pub latencies_ms: Vec<u64>,
     /// The latency of each done job, in milliseconds, by job id.
     pub latency_of_job_ms: BTreeMap<String, u64>,
-    /// The sums of the counters of all processes, by role and name.
+    /// The sums of the counters of all processes, by `{role}_{name}`; `frames_of_another_version` has no role.
     pub counters: BTreeMap<String, u64>,
     /// The faults that the scenario names and the sampled ones.
     pub faults: Vec<Fault>,
