--- a/landingdrift/src/consensus/disk_health.rs
+++ b/landingdrift/src/consensus/disk_health.rs
@@ -17,9 +17,9 @@
 enum Condition {
     #[default]
     Sound,
-    /// A write failed with an error.
+    /// A write failed with an error, and none has been confirmed since.
     Failing,
-    /// A write has been unconfirmed for too long.
+    /// A write was unconfirmed for longer than [`STALL_ELECTION_TIMEOUTS`], and none has been confirmed since.
     Stalled,
 }
 
--- a/landingdrift/src/consensus/recovery.rs
+++ b/landingdrift/src/consensus/recovery.rs
@@ -77,7 +77,7 @@
 /// The recovery of this replica: the query, and the restrictions on voting and leading until its log has caught up.
 #[derive(Clone, Debug)]
 pub(super) struct RecoveryState {
-    /// The query, until it is finished.
+    /// The query to the other replicas; `None` once the recovery has ended.
     query: Option<RecoveryQuery>,
     /// The highest position that this replica acknowledged and lost; [`LogPosition::ORIGIN`] if it lost nothing.
     pub floor: LogPosition,
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct OutgoingSnapshot {
     snapshot: Arc<ChunkedSnapshot>,
-    /// The number of bytes that the receiver has acknowledged.
+    /// The receiver has acknowledged the bytes before this offset; the next chunk starts at it.
     acked_bytes: u64,
     /// The time at which the current chunk was last sent, in monotonic milliseconds.
     sent_at: u64,
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -34,7 +34,7 @@
     pub applied_index: u64,
     /// The index of the last entry that was sent to it; reset to the applied one if no acknowledgement arrives in time.
     pub sent_index: u64,
-    /// The entries sent to it and not acknowledged yet.
+    /// Determines how long the entries sent to it may still be in flight.
     unacknowledged: UnacknowledgedData,
     pub rate: LinkRate,
     pub last_heard_at: u64,
