--- a/landingdrift/src/consensus/client_requests.rs
+++ b/landingdrift/src/consensus/client_requests.rs
@@ -1,4 +1,4 @@
-//! What nodes ask of the leader: to propose a command, and for the index to read at.
+//! Requests of nodes to the leader: proposals of commands, and read indexes for linearizable reads.
 
 use super::job_admission::submitted_job;
 use super::{Replica, Role};
@@ -6,28 +6,30 @@
 use crate::state::Command;
 use crate::wire::{
     Body, NodeProgress, ProposeRequest, ProposeResponse, ReadIndexResponse, RequestToken,
-    PROPOSAL_APPLIED, PROPOSAL_NOT_TAKEN, PROPOSAL_NO_CAPACITY,
+    PROPOSAL_APPLIED, PROPOSAL_NOT_APPENDED, PROPOSAL_NO_CAPACITY,
 };
 
-/// Who is to be answered once a proposal is applied.
+/// A proposal that was appended to the log; the node that made it is answered once it is applied.
 #[derive(Clone, Debug)]
 pub(super) struct PendingProposal {
     pub from: String,
     pub token: RequestToken,
 }
 
-/// A request for an index to read at, to be answered once this replica surely led after it came.
+/// A request for a read index, answered once this replica is known to have led after the request arrived.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRead {
     from: String,
     token: RequestToken,
-    /// When it came, in monotonic milliseconds.
+    /// The time of arrival, in monotonic milliseconds.
     received_at: u64,
+    /// The commit index at that time.
     index: u64,
 }
 
 impl Replica {
-    /// Where a node should ask instead; empty where this replica leads but can't answer yet.
+    /// The address of the replica that a node should ask instead; empty if this replica leads itself, but can't answer
+    /// yet, or knows no leader.
     fn leader_hint(&self) -> String {
         if self.role == Role::Leader {
             String::new()
@@ -36,28 +38,29 @@
         }
     }
 
-    /// A node proposes a command.
+    /// Appends a command that a node proposes, or answers at once that it was not appended. Commands that nodes may not
+    /// propose are dropped without an answer.
     pub(super) fn on_propose_request(&mut self, now: Now, from: &str, request: ProposeRequest) {
         if !Command::may_be_proposed(&request.command) {
             self.count("proposals_unexpected", 1);
             return;
         }
-        let accepts = self.is_ready_to_lead()
+        let accepts = self.is_ready_leader()
             && !self.is_transferring_leadership(now)
             && self.accepts_proposals(now);
         if !accepts {
-            return self.decline_proposal(from, request.token, PROPOSAL_NOT_TAKEN);
+            return self.reject_proposal(from, request.token, PROPOSAL_NOT_APPENDED);
         }
         let submitted = submitted_job(&request.command);
         let admitted = submitted.as_ref().and_then(|job| self.admit_job(now, job));
         if submitted.is_some() && admitted.is_none() {
             self.count("jobs_without_capacity", 1);
-            return self.decline_proposal(from, request.token, PROPOSAL_NO_CAPACITY);
+            return self.reject_proposal(from, request.token, PROPOSAL_NO_CAPACITY);
         }
         self.count("proposals", 1);
         let index = self.append_bytes(now, request.command);
         if let Some(job) = admitted {
-            self.job_admission.note_appended(index, job);
+            self.job_admission.record_appended(index, job);
         }
         let pending = PendingProposal {
             from: from.into(),
@@ -67,8 +70,8 @@
         self.leadership.round_requested = true;
     }
 
-    /// Answers a proposal that was not appended.
-    fn decline_proposal(&mut self, from: &str, token: RequestToken, outcome: u8) {
+    /// Answers a proposal that was not appended; `outcome` states the reason.
+    fn reject_proposal(&mut self, from: &str, token: RequestToken, outcome: u8) {
         let response = ProposeResponse {
             token,
             outcome,
@@ -79,7 +82,7 @@
         self.send(from, Body::ProposeResponse(Box::new(response)));
     }
 
-    /// Applies what is committed, and answers the proposals among it.
+    /// Applies the committed entries, answers the proposals among them, and takes a snapshot if one is due.
     pub(super) fn apply_committed(&mut self) {
         while self.state.applied_index < self.log.commit_index {
             let index = self.state.applied_index + 1;
@@ -106,9 +109,10 @@
         self.take_snapshot_when_due();
     }
 
-    /// A node asks for an index such that a state that has applied it shows all that was acknowledged before.
+    /// Handles a request for a read index. A node that has applied the entries up to the returned index sees every
+    /// change acknowledged before the request.
     pub(super) fn on_read_index_request(&mut self, now: Now, from: &str, token: RequestToken) {
-        if !self.is_ready_to_lead() {
+        if !self.is_ready_leader() {
             let response = ReadIndexResponse {
                 token,
                 ok: false,
@@ -128,7 +132,7 @@
         self.leadership.round_requested = true;
     }
 
-    /// Answers the reads that came before a moment at which this replica surely led.
+    /// Answers the reads that arrived before the latest time at which this replica is known to have led.
     pub(super) fn answer_reads(&mut self, now: Now) {
         if self.leadership.pending_reads.is_empty() {
             return;
@@ -152,22 +156,23 @@
         }
     }
 
-    /// How far each live node has come. Nodes that are gone hold up no change.
+    /// The log index and configuration version that each live node has applied. Nodes that are not alive are
+    /// omitted, so that they do not block a configuration change.
     fn node_progress(&self, now: Now) -> Vec<NodeProgress> {
-        let mut all = Vec::new();
+        let mut progress = Vec::new();
         for (node, watcher) in &self.watch.watchers {
             if !self.state.nodes.get(node).is_some_and(|n| n.alive) {
                 continue;
             }
             let mut changes = self.state.changes.iter().rev();
             let newest_applied = changes.find(|c| c.log_index <= watcher.applied_index);
-            all.push(NodeProgress {
+            progress.push(NodeProgress {
                 node: node.clone(),
                 log_index: watcher.applied_index,
                 version: newest_applied.map_or(0, |change| change.version),
                 age: now.mono.saturating_sub(watcher.last_heard_at),
             });
         }
-        all
+        progress
     }
 }
--- a/landingdrift/src/consensus/job_admission.rs
+++ b/landingdrift/src/consensus/job_admission.rs
@@ -1,24 +1,26 @@
-//! Which jobs the leader takes into the log: those that the cluster state has memory for, on a machine like its own.
+//! Admission of submitted jobs by the leader: a job is admitted only if the cluster state with it stays within the
+//! leader's limits on the number of unfinished jobs and on the memory of jobs.
 //!
-//! Jobs that are due much later may take only a part of it, so that they keep nothing from jobs that are due now.
+//! Jobs that are due much later (deferred jobs) may use only a part of each limit, so that they never crowd out jobs
+//! that are due now.
 
 use super::Replica;
 use crate::sans_io::Now;
 use crate::state::{ClusterState, Command, JobSpec};
 
-/// The memory of the jobs is counted anew after this time, in milliseconds: retries add to it, and jobs are dropped.
+/// The memory of the jobs is recounted at this interval, in milliseconds: retries add to it, and removed jobs free it.
 const RECOUNT_MS: u64 = 1000;
 
-/// A job may take one part in so many of what is left, so that a few large ones do not keep the small ones out.
+/// A job may use at most the remaining memory divided by this, so that a few large jobs do not crowd out small ones.
 const LARGEST_JOB_DIVISOR: u64 = 4;
 
-/// A job whose last time is due later than this from now is deferred, in milliseconds.
+/// A job is deferred if its last due time is more than this many milliseconds ahead.
 const DEFERRED_AFTER_MS: u64 = 60_000;
 
-/// Deferred jobs may take one part in so many of each limit.
-const DEFERRED_DIVISOR: u64 = 2;
+/// Deferred jobs together may use at most each limit divided by this.
+const DEFERRED_LIMIT_DIVISOR: u64 = 2;
 
-/// What some jobs take.
+/// A number of jobs and the memory that they use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct JobUsage {
     jobs: u64,
@@ -34,30 +36,31 @@
     }
 }
 
-/// A job that the leader may append.
+/// An admitted job: the memory that it uses, and whether it is deferred.
 #[derive(Clone, Copy)]
 pub(super) struct AdmittedJob {
     bytes: u64,
     is_deferred: bool,
 }
 
-/// A job that was appended at an index.
+/// An admitted job and the log index of its entry.
 #[derive(Clone, Copy)]
 struct AppendedJob {
     index: u64,
     job: AdmittedJob,
 }
 
-/// What the jobs take, as far as the leader knows.
+/// The usage of the limits by jobs: the result of the last count, plus the jobs appended since.
 #[derive(Clone, Default)]
 pub(super) struct JobAdmission {
-    /// The unfinished jobs in the cluster state when they were counted, and the bytes of the retained ones as well.
+    /// The result of the last count: the number of unfinished jobs, and the bytes of all jobs, including retained
+    /// finished ones.
     counted: JobUsage,
-    /// Those among them that were unfinished and deferred.
+    /// The number and the bytes of the unfinished deferred jobs at the last count.
     counted_deferred: JobUsage,
-    /// When they are counted next, in monotonic milliseconds.
+    /// The time of the next count, in monotonic milliseconds.
     recount_at: u64,
-    /// The jobs that were appended and not yet applied when they were counted.
+    /// The jobs appended to the log that the last count does not include.
     appended: Vec<AppendedJob>,
 }
 
@@ -65,7 +68,7 @@
     fn recount(&mut self, now: Now, state: &ClusterState) {
         self.recount_at = now.mono + RECOUNT_MS;
         self.counted = JobUsage {
-            jobs: state.open.len() as u64,
+            jobs: state.unfinished_jobs.len() as u64,
             bytes: state.job_bytes(),
         };
         self.counted_deferred = deferred_usage(state);
@@ -73,7 +76,7 @@
         self.appended.retain(|job| job.index > applied_index);
     }
 
-    fn all(&self) -> JobUsage {
+    fn total(&self) -> JobUsage {
         self.counted.plus(self.appended_usage(|_| true))
     }
 
@@ -82,10 +85,10 @@
         self.counted_deferred.plus(appended)
     }
 
-    fn appended_usage(&self, is_meant: impl Fn(&AdmittedJob) -> bool) -> JobUsage {
+    fn appended_usage(&self, is_counted: impl Fn(&AdmittedJob) -> bool) -> JobUsage {
         let jobs = self.appended.iter().map(|appended| &appended.job);
-        let meant = jobs.filter(|job| is_meant(job));
-        meant.fold(JobUsage::default(), |sum, job| {
+        let counted = jobs.filter(|job| is_counted(job));
+        counted.fold(JobUsage::default(), |sum, job| {
             sum.plus(JobUsage {
                 jobs: 1,
                 bytes: job.bytes,
@@ -93,17 +96,21 @@
         })
     }
 
-    /// Notes that a job was appended at an index.
-    pub(super) fn note_appended(&mut self, index: u64, job: AdmittedJob) {
+    /// Counts a job appended at a log index towards the usage until the next count includes it. A job of 0 bytes is one
+    /// that the state already contains, and is not counted again.
+    pub(super) fn record_appended(&mut self, index: u64, job: AdmittedJob) {
         if job.bytes > 0 {
             self.appended.push(AppendedJob { index, job });
         }
     }
 }
 
-/// What the unfinished jobs take that are deferred.
+/// The usage of the unfinished deferred jobs.
 fn deferred_usage(state: &ClusterState) -> JobUsage {
-    let open = state.open.iter().filter_map(|id| state.jobs.get(id));
+    let open = state
+        .unfinished_jobs
+        .iter()
+        .filter_map(|id| state.jobs.get(id));
     let deferred = open.filter(|job| is_deferred(&job.spec, state.at));
     deferred.fold(JobUsage::default(), |sum, job| {
         sum.plus(JobUsage {
@@ -113,13 +120,14 @@
     })
 }
 
-/// Whether the last time of a job is due much later than a time by the cluster clock.
+/// Whether the last due time of a job is much later than `at`, a time of the cluster clock.
 fn is_deferred(job: &JobSpec, at: u64) -> bool {
     job.last_due() > at.saturating_add(DEFERRED_AFTER_MS)
 }
 
 impl Replica {
-    /// The job as it counts once it is appended, if there is capacity for it; one that is known takes no more.
+    /// Admits a job if it fits into the limits. A job that the state already contains, possibly as a tombstone, uses no
+    /// further memory and is always admitted.
     pub(super) fn admit_job(&mut self, now: Now, job: &JobSpec) -> Option<AdmittedJob> {
         if self.state.jobs.contains_key(&job.id) || self.state.tombstones.contains_key(&job.id) {
             return Some(AdmittedJob {
@@ -140,29 +148,29 @@
             bytes: limits.jobs_memory_bytes,
         };
         let deferred_limit = JobUsage {
-            jobs: limit.jobs / DEFERRED_DIVISOR,
-            bytes: limit.bytes / DEFERRED_DIVISOR,
+            jobs: limit.jobs / DEFERRED_LIMIT_DIVISOR,
+            bytes: limit.bytes / DEFERRED_LIMIT_DIVISOR,
         };
-        let may_be_deferred = !admitted.is_deferred
+        let fits_deferred_limit = !admitted.is_deferred
             || has_capacity(deferred_limit, self.job_admission.deferred(), admitted);
-        let fits = may_be_deferred && has_capacity(limit, self.job_admission.all(), admitted);
+        let fits = fits_deferred_limit && has_capacity(limit, self.job_admission.total(), admitted);
         fits.then_some(admitted)
     }
 }
 
-/// Whether one more job may be taken within a limit, beside what others take.
+/// Whether one more job fits into a limit, given the current usage.
 fn has_capacity(limit: JobUsage, used: JobUsage, job: AdmittedJob) -> bool {
     let bytes_left = limit.bytes.saturating_sub(used.bytes);
     used.jobs < limit.jobs && job.bytes <= bytes_left / LARGEST_JOB_DIVISOR
 }
 
-/// The job that a proposed command submits, if it is one.
+/// The job that a proposed command submits; `None` for other commands.
 pub(super) fn submitted_job(command: &[u8]) -> Option<JobSpec> {
     if !Command::submits_job(command) {
         return None;
     }
     match Command::unpack(command) {
-        Ok(Command::AcceptJob { spec, .. }) => Some(spec),
+        Ok(Command::SubmitJob { spec, .. }) => Some(spec),
         _ => None,
     }
 }
--- a/landingdrift/src/consensus/membership.rs
+++ b/landingdrift/src/consensus/membership.rs
@@ -1,85 +1,85 @@
-//! Which replicas vote: a pure reconciler that derives the next single membership change from what the leader sees.
+//! A pure reconciler of the membership: it derives the next single change from the members and their observed status.
 //!
 //! A replica is identified by its address *and* its disk. Changes are made one at a time, each committed before the
-//! next is derived, so that every two majorities in force one after the other share a member.
+//! next is derived, so that any two successive majorities share a member.
 
 use crate::state::ReplicaMember;
 use std::collections::BTreeMap;
 
-/// How the leader sees a member at the moment.
+/// The condition of a member as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It answers.
+    /// It responds.
     Reachable,
-    /// It answers, and is being shut down in order.
+    /// It responds, and is in an orderly shutdown.
     Leaving,
-    /// It answers, and its disk takes nothing.
+    /// It responds, but its disk accepts no writes.
     Impaired,
-    /// It has not answered for longer than the span after which a voter is exchanged.
-    Silent,
-    /// Another disk answers at its address: this identity will never answer again.
+    /// It has not responded for longer than the timeout after which a voter is replaced.
+    Unreachable,
+    /// Another disk responds at its address: this identity will never respond again.
     Replaced,
 }
 
-/// What the leader knows of a member.
+/// The status of a member as observed by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Observed {
-    /// Whether it can be relied on.
+pub struct MemberStatus {
+    /// Its current condition.
     pub health: Health,
-    /// Its log reaches (nearly) the commit index, so that promoting it delays no commit.
+    /// Whether its log has (nearly) reached the commit index, so that promoting it does not delay commits.
     pub caught_up: bool,
-    /// It has been silent for so long that a standby like this is dropped.
-    pub long_silent: bool,
+    /// Whether it has been unreachable for longer than the timeout after which a standby is removed.
+    pub long_unreachable: bool,
 }
 
-/// A replica that asks to be admitted.
+/// A replica's request to be admitted to the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JoinRequest {
-    /// Its disk.
+    /// The identity of its disk.
     pub disk: u64,
-    /// Its zone.
+    /// The zone in which it runs; voters are spread over the zones.
     pub zone: String,
-    /// It is not to vote as long as others can.
+    /// Whether it may become a voter only if all members are standby-only.
     pub standby_only: bool,
 }
 
-/// One change of the membership.
+/// A single change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A newcomer becomes a standby, which receives the log and does not vote.
+    /// A new replica becomes a standby, which receives the log but does not vote.
     Admit(String, JoinRequest),
     /// A standby becomes a voter.
     Promote(String),
     /// A voter becomes a standby.
     Demote(String),
-    /// An identity leaves the membership.
+    /// A member whose disk was replaced, or a standby that has been unreachable for too long, is removed.
     Remove(String),
 }
 
-/// Everything the next change is derived from.
+/// The input from which the next change is derived.
 pub struct MembershipView<'a> {
     /// The address of the leader, which is a member.
     pub leader: &'a str,
-    /// The wanted number of voters: 2f+1 where f machines may be lost at once.
+    /// The desired number of voters: 2f+1 to survive the loss of f machines at once.
     pub target_voters: usize,
     /// The members by address.
     pub members: &'a BTreeMap<String, ReplicaMember>,
-    /// What the leader has observed of the others, by address.
-    pub observed: &'a BTreeMap<String, Observed>,
+    /// The observed status of the members other than the leader, by address.
+    pub observed: &'a BTreeMap<String, MemberStatus>,
     /// Requests to be admitted, by address.
     pub requests: &'a BTreeMap<String, JoinRequest>,
 }
 
-/// What may still be lost before no majority is left.
+/// The losses that the voters can survive while a majority remains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Resilience {
-    /// Replicas that vote.
+    /// The number of voters.
     pub voters: usize,
-    /// Replicas that stand by.
+    /// The number of standbys.
     pub standbys: usize,
-    /// Machines, whichever they are; below zero there is no majority.
+    /// The number of further machines that may be lost, in any combination; negative if there is no majority.
     pub machine_losses_left: i64,
-    /// Whether any one zone may be lost.
+    /// Whether a majority would survive the loss of any single zone.
     pub zone_loss_survivable: bool,
 }
 
@@ -89,33 +89,40 @@
 }
 
 impl MembershipView<'_> {
-    /// The next change, if one is due.
+    /// The next membership change, if one is due.
     pub fn next_change(&self) -> Option<MembershipChange> {
         self.remove_replaced()
             .or_else(|| self.admit())
             .or_else(|| self.demote_surplus())
-            .or_else(|| self.demote_from_even())
+            .or_else(|| self.demote_from_even_count())
             .or_else(|| self.promote_missing())
-            .or_else(|| self.promote_for_exchange())
-            .or_else(|| self.remove_silent_standby())
+            .or_else(|| self.promote_replacement())
+            .or_else(|| self.remove_unreachable_standby())
     }
 
-    /// Whether a standby could take the place of a voter now or soon.
+    /// Whether there is a reachable standby, even if it has not caught up or is standby-only.
     pub fn has_standby(&self) -> bool {
         self.members
             .iter()
             .any(|(address, member)| !member.voter && self.health(address) == Health::Reachable)
     }
 
-    /// What may still be lost.
+    /// The losses that the current voters can survive.
     pub fn resilience(&self) -> Resilience {
         let voters = self.voters();
         let needed = majority(voters.len()) as i64;
-        let answering =
+        let is_responding =
             |address: &str| matches!(self.health(address), Health::Reachable | Health::Leaving);
-        let reachable: Vec<&str> = voters.iter().copied().filter(|v| answering(v)).collect();
-        let outside = |zone: &str| reachable.iter().filter(|v| self.zone(v) != zone).count() as i64;
-        let zone_loss_survivable = reachable.iter().all(|v| outside(self.zone(v)) >= needed);
+        let reachable: Vec<&str> = voters
+            .iter()
+            .copied()
+            .filter(|v| is_responding(v))
+            .collect();
+        let reachable_outside =
+            |zone: &str| reachable.iter().filter(|v| self.zone(v) != zone).count() as i64;
+        let zone_loss_survivable = reachable
+            .iter()
+            .all(|v| reachable_outside(self.zone(v)) >= needed);
         Resilience {
             voters: voters.len(),
             standbys: self.members.len() - voters.len(),
@@ -130,7 +137,7 @@
         }
         self.observed
             .get(address)
-            .map_or(Health::Silent, |o| o.health)
+            .map_or(Health::Unreachable, |o| o.health)
     }
 
     fn zone(&self, address: &str) -> &str {
@@ -158,18 +165,19 @@
 
     /// Standbys that can be promoted now.
     fn ready_standbys(&self) -> Vec<&str> {
-        let ready = |address: &str| {
+        let is_ready = |address: &str| {
             let observed = self.observed.get(address);
             observed.is_some_and(|o| o.caught_up && o.health == Health::Reachable)
         };
-        let all: Vec<(&str, bool)> = self
+        let ready: Vec<(&str, bool)> = self
             .members
             .iter()
-            .filter(|(address, m)| !m.voter && ready(address))
+            .filter(|(address, m)| !m.voter && is_ready(address))
             .map(|(address, m)| (address.as_str(), m.standby_only))
             .collect();
         let some_may_vote = self.members.values().any(|m| !m.standby_only);
-        all.into_iter()
+        ready
+            .into_iter()
             .filter(|(_, standby_only)| !standby_only || !some_may_vote)
             .map(|(address, _)| address)
             .collect()
@@ -183,11 +191,11 @@
     }
 
     fn remove_replaced(&self) -> Option<MembershipChange> {
-        let gone = self
+        let replaced = self
             .members
             .keys()
             .find(|address| self.health(address) == Health::Replaced)?;
-        Some(MembershipChange::Remove(gone.clone()))
+        Some(MembershipChange::Remove(replaced.clone()))
     }
 
     fn admit(&self) -> Option<MembershipChange> {
@@ -198,38 +206,43 @@
         Some(MembershipChange::Admit(address.clone(), request.clone()))
     }
 
-    /// A disk that answers at another address already is a copy, and is not admitted.
+    /// Whether a replica may be admitted: its address is not a member yet, and its disk does not respond at another
+    /// address, as after copying a data folder.
     fn may_admit(&self, address: &str, request: &JoinRequest) -> bool {
-        let is_copy = |other: &String, member: &ReplicaMember| {
-            member.disk == request.disk && self.health(other) != Health::Silent
+        let is_copied_disk = |other: &String, member: &ReplicaMember| {
+            member.disk == request.disk && self.health(other) != Health::Unreachable
         };
         !self.members.contains_key(address)
-            && !self.members.iter().any(|(other, m)| is_copy(other, m))
+            && !self
+                .members
+                .iter()
+                .any(|(other, m)| is_copied_disk(other, m))
     }
 
-    /// Where there are more voters than wanted, the one that serves least is demoted.
+    /// If there are more voters than desired, demotes the most dispensable one, but never the leader.
     fn demote_surplus(&self) -> Option<MembershipChange> {
         let voters = self.voters();
         if voters.len() <= self.target_voters {
             return None;
         }
-        let dispensable = |address: &str| {
+        let dispensability = |address: &str| {
             let health = match self.health(address) {
-                Health::Silent | Health::Replaced => 3,
+                Health::Unreachable | Health::Replaced => 3,
                 Health::Leaving | Health::Impaired => 2,
                 Health::Reachable => u32::from(self.members[address].standby_only),
             };
             (health, self.voters_in(self.zone(address)))
         };
-        let worst = voters
+        let most_dispensable = voters
             .into_iter()
             .filter(|v| *v != self.leader)
-            .max_by_key(|v| dispensable(v))?;
-        Some(MembershipChange::Demote(worst.to_string()))
+            .max_by_key(|v| dispensability(v))?;
+        Some(MembershipChange::Demote(most_dispensable.to_string()))
     }
 
-    /// Of an even number of voters, one that is silent or leaving is demoted: the majority gets smaller by it.
-    fn demote_from_even(&self) -> Option<MembershipChange> {
+    /// If the number of voters is even, demotes one that is unreachable, leaving or impaired, which makes the majority
+    /// smaller.
+    fn demote_from_even_count(&self) -> Option<MembershipChange> {
         let count = self.voters().len();
         if count <= 2 || !count.is_multiple_of(2) {
             return None;
@@ -238,15 +251,16 @@
         Some(MembershipChange::Demote(outgoing.to_string()))
     }
 
-    /// A voter whose place a standby should take.
+    /// A voter that a standby should replace: an unreachable one if there is any, else a leaving one, else an
+    /// impaired one.
     fn outgoing_voter(&self) -> Option<&str> {
-        self.first_voter_with(Health::Silent)
+        self.first_voter_with(Health::Unreachable)
             .or_else(|| self.first_voter_with(Health::Leaving))
             .or_else(|| self.first_voter_with(Health::Impaired))
     }
 
-    /// Where there are fewer voters than wanted, a standby is promoted; an odd number grows only by two, or where one
-    /// voter is demoted next.
+    /// If there are fewer voters than desired, promotes a standby. From an odd number other than 1, a standby is
+    /// promoted only if two are ready or a voter is to be demoted next.
     fn promote_missing(&self) -> Option<MembershipChange> {
         let count = self.voters().len();
         if count >= self.target_voters {
@@ -261,34 +275,41 @@
         Some(MembershipChange::Promote(best.to_string()))
     }
 
-    /// A standby is promoted beside a voter that is silent, leaving, without a working disk or in a crowded zone, which is demoted next.
+    /// If there are as many voters as desired, promotes a standby to replace one that is unreachable, leaving or
+    /// without a working disk, or that is in a zone with at least two more voters than the standby's. The replaced
+    /// voter is demoted next.
     ///
-    /// The other order, demoting first, can end for ever: of three voters one is silent and demoted, the second is lost
-    /// before that is committed, and the first comes back; it may not be elected with its shorter log, and the leader
-    /// that was counts on the lost one alone. Promoting first, whoever comes back counts.
-    fn promote_for_exchange(&self) -> Option<MembershipChange> {
+    /// Demoting first could cost the majority permanently. An example with the voters A (the leader), B and C: C
+    /// becomes unreachable, A appends C's demotion, B is lost before that entry is committed, and C returns. A can't
+    /// commit, since its log lists only A and B as voters; C can't be elected, since its log is shorter. With promotion
+    /// first, every voter that returns counts towards the majority.
+    fn promote_replacement(&self) -> Option<MembershipChange> {
         if self.voters().len() != self.target_voters {
             return None;
         }
         let best = self.best_standby()?;
-        let crowded = self
+        let max_voters_per_zone = self
             .voters()
             .iter()
             .map(|v| self.voters_in(self.zone(v)))
             .max();
-        let spreads = crowded.is_some_and(|most| most >= self.voters_in(self.zone(best)) + 2);
-        if self.outgoing_voter().is_none() && !spreads {
+        let improves_spread =
+            max_voters_per_zone.is_some_and(|max| max >= self.voters_in(self.zone(best)) + 2);
+        if self.outgoing_voter().is_none() && !improves_spread {
             return None;
         }
         Some(MembershipChange::Promote(best.to_string()))
     }
 
-    fn remove_silent_standby(&self) -> Option<MembershipChange> {
-        let long_silent = |address: &str| self.observed.get(address).is_some_and(|o| o.long_silent);
-        let (gone, _) = self
-            .members
-            .iter()
-            .find(|(address, m)| !m.voter && *address != self.leader && long_silent(address))?;
-        Some(MembershipChange::Remove(gone.clone()))
+    fn remove_unreachable_standby(&self) -> Option<MembershipChange> {
+        let is_long_unreachable = |address: &str| {
+            self.observed
+                .get(address)
+                .is_some_and(|o| o.long_unreachable)
+        };
+        let (unreachable, _) = self.members.iter().find(|(address, m)| {
+            !m.voter && *address != self.leader && is_long_unreachable(address)
+        })?;
+        Some(MembershipChange::Remove(unreachable.clone()))
     }
 }
--- a/landingdrift/src/consensus/mod.rs
+++ b/landingdrift/src/consensus/mod.rs
@@ -1,24 +1,24 @@
-//! A replica of the cluster state: Raft with pre-vote, transfer of leadership, standbys and snapshots, and the leader's
-//! work on the state.
+//! A replica of the cluster state: Raft with pre-vote, leadership transfer, non-voting standbys and snapshots, and the
+//! leader's reconciliation of the cluster state.
 //!
-//! [`Replica`] holds no clock, socket or file: it takes one message at a time and returns effects (see
+//! [`Replica`] uses no clock, socket or file: it handles one message at a time and returns effects (see
 //! [`crate::sans_io`]). Each field is owned by one module:
 //!
 //! | Module | Owns |
 //! | --- | --- |
-//! | `log`, `position` | the entries in memory, what is committed |
-//! | `persistence`, `disk_health` | what was handed to the disk, what is durable, whether the disk works |
-//! | `election` | the election timer, votes, transfer of leadership |
-//! | `recovery` | what the disk had acknowledged before the process started |
-//! | `leadership`, `progress` | the leader's view of other replicas; its periodic work |
+//! | `log`, `position` | the log entries in memory and the commit index |
+//! | `persistence`, `disk_health` | pending and durable writes; the condition of the disk |
+//! | `election` | the election timer, votes, leadership transfer |
+//! | `recovery` | the check after a start for acknowledged entries that the disk has lost |
+//! | `leadership`, `progress` | the leader's view of the other replicas; its periodic work |
 //! | `replication`, `append` | the leader's and the follower's side of appending entries |
-//! | `snapshot_transfer` | taking, sending and installing snapshots |
-//! | `membership`, `membership_state` | who is a member, who votes, and the changes of that |
-//! | `lease_assignment`, `node_registry` | which nodes are alive, and which leases they hold |
-//! | `watch`, `watch_snapshots`, `client_requests` | what nodes ask of the leader |
-//! | `job_admission` | which submitted jobs there is memory for |
-//! | `clock` | the time that all agree on |
-//! | `shutdown`, `status`, `inspect` | orderly shutdown; HTTP status and counters; access for tests |
+//! | `snapshot_transfer` | creating, sending and installing snapshots |
+//! | `membership`, `membership_state` | members, voters and membership changes |
+//! | `lease_assignment`, `node_registry` | live nodes and the leases that they hold |
+//! | `watch`, `watch_snapshots`, `watch_flow`, `client_requests` | requests of nodes to the leader |
+//! | `job_admission` | the limits on the number and memory of jobs |
+//! | `clock` | the cluster clock |
+//! | `shutdown`, `status`, `inspect` | orderly shutdown; HTTP status and counters; read access for tests |
 
 mod append;
 mod client_requests;
@@ -48,45 +48,46 @@
 pub use clock::{ClockReading, ClusterClock};
 
 use crate::peer_sampler::PeerSampler;
-use crate::sans_io::{Effect, HardState, Msg, Now, Outbox, Part, Rng, Snapshot};
+use crate::sans_io::{Effect, HardState, Msg, Now, Outbox, Rng, Snapshot, StateMachine};
 use crate::settings::Settings;
 use crate::state::ClusterState;
 use crate::wire::{Body, DurabilityWitness, Entry};
 use position::LogPosition;
 use std::collections::BTreeMap;
 
-/// The role that replicas have in the peer sampler, as it goes over the wire.
-const PEER_ROLE: &str = "core";
-/// A gap between two ticks of more than this share of the election time-out means that the process stood still.
-const FROZEN_ELECTION_DIVISOR: u64 = 2;
+/// The role of replicas in the peer sampler, as written on the wire.
+const REPLICA_ROLE: &str = "core";
+/// The process is considered to have been paused if the time between two ticks exceeds the election timeout divided by
+/// this.
+const PAUSE_ELECTION_DIVISOR: u64 = 2;
 
-/// What a replica finds on its disk when it starts.
+/// The state that a replica loads from its disk when it starts.
 #[derive(Clone, Debug, Default)]
-pub struct Loaded {
-    /// The identity of the disk, drawn at random when the data folder was made.
+pub struct PersistedState {
+    /// The identity of the disk, generated at random when the data folder was created.
     pub disk: u64,
-    /// The term and the vote given in it.
+    /// The current term, the vote cast in it, the terms in which this replica must not vote, and the founders.
     pub hard_state: HardState,
     /// The newest snapshot of the cluster state.
     pub snapshot: Option<Snapshot>,
-    /// The entries of the log after the snapshot, and perhaps some that it covers.
+    /// The log entries after the snapshot, possibly preceded by some that the snapshot covers.
     pub entries: Vec<Entry>,
-    /// What this replica remembered of the disks of others.
+    /// The log positions that other replicas' disks have acknowledged, as recorded by this replica.
     pub witnesses: Vec<DurabilityWitness>,
-    /// Something in the middle was damaged and left out.
+    /// Whether acknowledged data was unreadable and has been skipped.
     pub damaged: bool,
 }
 
 /// The role of a replica in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows the leader, if there is one.
+    /// Replicates from the leader, if there is one.
     Follower,
-    /// Asks whether it would win an election.
+    /// Collects pre-votes to find out whether it could win an election.
     PreCandidate,
-    /// Stands for election.
+    /// Collects votes in an election.
     Candidate,
-    /// Leads.
+    /// Appends entries to the log and replicates them.
     Leader,
 }
 
@@ -106,22 +107,22 @@
 #[derive(Clone)]
 pub struct Replica {
     settings: Settings,
-    /// Its address for other processes, which is its name as well.
+    /// The address at which other processes reach it, which also serves as its name.
     name: String,
-    /// The identity of its disk. A member is told by its name together with its disk.
+    /// The identity of its disk. A member is identified by its name together with its disk.
     disk: u64,
     rng: Rng,
     hard_state: HardState,
     role: Role,
-    /// The leader of the current term; empty where it isn't known.
+    /// The leader of the current term; empty if unknown.
     leader: String,
     log: log::ReplicatedLog,
     persistence: persistence::Persistence,
     disk_health: disk_health::DiskHealth,
     snapshots: snapshot_transfer::Snapshots,
-    /// The cluster state as far as the log was applied.
+    /// The cluster state after applying the committed log entries.
     state: ClusterState,
-    /// The farthest position that each disk of another replica may have acknowledged, by address and disk.
+    /// The highest log position that each other replica's disk has acknowledged, by address and disk.
     witnesses: BTreeMap<(String, u64), DurabilityWitness>,
     recovery: recovery::RecoveryState,
     election: election::Election,
@@ -132,15 +133,21 @@
     pending_acknowledgement: Option<append::PendingAcknowledgement>,
     clock: ClusterClock,
     peer_sampler: PeerSampler,
-    /// When the last tick was, in monotonic milliseconds.
+    /// The time of the last tick, in monotonic milliseconds.
     last_tick: u64,
     shutdown: shutdown::Shutdown,
     outbox: Outbox,
 }
 
 impl Replica {
-    /// A replica from what its disk holds. Fails where the disk belongs to another cluster or can't be read.
-    pub fn new(settings: Settings, loaded: Loaded, now: Now, seed: u64) -> Result<Self, String> {
+    /// Creates a replica from the state on its disk. Fails if the disk belongs to another cluster or its snapshot can't
+    /// be read.
+    pub fn new(
+        settings: Settings,
+        loaded: PersistedState,
+        now: Now,
+        seed: u64,
+    ) -> Result<Self, String> {
         let state = load_state(&settings, loaded.snapshot.as_ref())?;
         let snapshot_position = loaded
             .snapshot
@@ -151,12 +158,16 @@
         let mut hard_state = loaded.hard_state;
         let is_fresh = log.is_empty() && hard_state == HardState::default();
         if is_fresh && !settings.join_only {
-            // A founder stays one after a restart, whatever the settings say then.
+            // Stored, so that a founder remains one after a restart even if the settings have changed.
             hard_state.founders = settings.founders();
             persistence.write_hard_state(&hard_state);
         }
-        let mut peer_sampler =
-            PeerSampler::new(&settings.listen, PEER_ROLE, &settings.zone, &settings.seeds);
+        let mut peer_sampler = PeerSampler::new(
+            &settings.listen,
+            REPLICA_ROLE,
+            &settings.zone,
+            &settings.seeds,
+        );
         peer_sampler.replicas = state.replicas.keys().cloned().collect();
         peer_sampler.replicas.extend(settings.founders());
         let query = recovery::RecoveryQuery::new(now, settings.bounds.recovery_wait());
@@ -176,7 +187,7 @@
             state,
             witnesses: loaded.witnesses.into_iter().map(by_identity).collect(),
             recovery: recovery::RecoveryState::new(query, loaded.damaged),
-            election: election::Election::new(now, settings.bounds.election()),
+            election: election::Election::new(now, settings.bounds.election_timeout()),
             leadership: leadership::Leadership::default(),
             watch: watch::Watch::default(),
             job_admission: job_admission::JobAdmission::default(),
@@ -201,8 +212,8 @@
     fn on_tick(&mut self, now: Now) {
         let gap = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
-        if gap > self.settings.bounds.election() / FROZEN_ELECTION_DIVISOR {
-            self.on_thaw(now);
+        if gap > self.settings.bounds.election_timeout() / PAUSE_ELECTION_DIVISOR {
+            self.on_process_pause(now);
         }
         self.disk_health_tick(now);
         self.recovery_tick(now);
@@ -216,8 +227,9 @@
         self.shutdown_tick(now);
     }
 
-    /// The process stood still: that it heard nothing meanwhile says nothing of others.
-    fn on_thaw(&mut self, now: Now) {
+    /// Restarts all timeouts on other processes and the disk after a pause of this process, during which it received
+    /// nothing.
+    fn on_process_pause(&mut self, now: Now) {
         self.count("own_freezes", 1);
         self.election.last_leader_contact = now.mono;
         self.reset_election_timer(now);
@@ -227,11 +239,11 @@
         for watcher in self.watch.watchers.values_mut() {
             watcher.last_heard_at = now.mono;
         }
-        self.disk_health.restart_wait(now.mono);
+        self.disk_health.restart_timeouts(now.mono);
     }
 
     fn peer_sampler_tick(&mut self, now: Now) {
-        let interval = self.settings.bounds.shuffle();
+        let interval = self.settings.bounds.shuffle_interval();
         let exchange = self.peer_sampler.tick(now, interval, &mut self.rng);
         if let Some((to, shuffle)) = exchange {
             self.send(&to, Body::Shuffle(Box::new(shuffle)));
@@ -260,12 +272,12 @@
     fn on_shuffle(&mut self, from: &str, shuffle: crate::wire::Shuffle) {
         let members = self.members().into_keys().collect();
         self.peer_sampler.set_replicas(members);
-        if let Some(reply) = self.peer_sampler.take(shuffle, &mut self.rng) {
+        if let Some(reply) = self.peer_sampler.receive(shuffle, &mut self.rng) {
             self.send(from, Body::Shuffle(Box::new(reply)));
         }
     }
 
-    /// Sends the round of messages that this step has asked for, if this replica leads.
+    /// Sends the round of messages requested during this step, if this replica leads.
     fn send_requested_round(&mut self, now: Now) {
         let leads = self.role == Role::Leader;
         if !leads || !std::mem::take(&mut self.leadership.round_requested) {
@@ -277,16 +289,16 @@
     }
 }
 
-impl Part for Replica {
+impl StateMachine for Replica {
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
             Msg::Persisted(write_id) => self.on_persisted(now, write_id),
-            Msg::DiskFailed(reason) => self.on_disk_error(now, &reason),
+            Msg::WriteFailed(reason) => self.on_disk_error(now, &reason),
             Msg::Call(call, request) => self.on_call(now, call, &request),
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => self.on_stop(now),
-            Msg::Wire(from, body) => self.on_message(now, &from, body),
+            Msg::Received(from, body) => self.on_message(now, &from, body),
         }
         self.send_requested_round(now);
         self.flush();
@@ -298,7 +310,8 @@
     }
 }
 
-/// The cluster state of the snapshot on disk, or an empty one.
+/// Loads the cluster state from the snapshot on disk; without a snapshot, the state is empty. Fails if the snapshot
+/// belongs to another cluster.
 fn load_state(settings: &Settings, snapshot: Option<&Snapshot>) -> Result<ClusterState, String> {
     let state = match snapshot {
         Some(snapshot) => ClusterState::unpack(&snapshot.bytes)?,
--- a/landingdrift/src/consensus/snapshot_transfer.rs
+++ b/landingdrift/src/consensus/snapshot_transfer.rs
@@ -1,8 +1,9 @@
-//! Snapshots: taking them, and transferring one to a replica that is behind the leader's log, a chunk at a time.
+//! Snapshots: creating them, and transferring them in chunks to replicas that lack entries which the leader's log no
+//! longer contains.
 //!
-//! The next chunk goes out when the last one is acknowledged; a chunk without an answer is repeated after a silence.
-//! The receiver answers with how much it has, so that either side may start anew and go on from there. It installs the
-//! snapshot only once it is whole and its checksum is right.
+//! The next chunk is sent when the last one is acknowledged; an unacknowledged chunk is repeated after a timeout. The
+//! receiver answers with the number of bytes it has, so that the transfer resumes from there after either side
+//! restarts. It installs the snapshot only once it is complete and its checksum matches.
 
 use super::append::PendingAcknowledgement;
 use super::position::LogPosition;
@@ -13,22 +14,23 @@
 use crate::wire::{Body, InstallSnapshot, InstallSnapshotResponse};
 use std::sync::Arc;
 
-/// A chunk without an answer is repeated after so many heartbeats.
+/// An unacknowledged chunk is repeated after this many heartbeat intervals.
 pub(super) const REPEAT_AFTER_HEARTBEATS: u64 = 5;
-/// The log is kept for receivers of a snapshot over at most so many times the entries between two snapshots.
+/// While a snapshot is being sent, the entries after it are kept for at most this many snapshot intervals.
 const RETAINED_SNAPSHOT_INTERVALS: u64 = 4;
-/// A snapshot is due when the entries since the last one fill this share of the log's limit in bytes.
+/// A snapshot is due when the entries since the last one reach the log's byte limit divided by this.
 const DUE_LOG_BYTES_DIVISOR: u64 = 2;
-/// The share of the entries between two snapshots that the log keeps for replicas that are a little behind.
+/// A compacted log keeps the last `limits.snapshot_every` entries divided by this, for replicas that are slightly
+/// behind.
 const KEPT_TAIL_DIVISOR: u64 = 2;
 
-/// A snapshot that is being sent to another replica.
+/// A snapshot being sent to another replica.
 #[derive(Clone, Debug)]
 pub(super) struct OutgoingSnapshot {
     snapshot: Arc<ChunkedSnapshot>,
-    /// The bytes that the receiver has acknowledged.
+    /// The receiver has acknowledged the bytes before this offset; the next chunk starts at it.
     acked_bytes: u64,
-    /// When the chunk after those was sent, in monotonic milliseconds.
+    /// The time at which the current chunk was last sent, in monotonic milliseconds.
     sent_at: u64,
 }
 
@@ -46,18 +48,19 @@
     }
 }
 
-/// The newest snapshot of this replica, and the one that it receives.
+/// The newest snapshot of this replica, and the one that it is receiving.
 #[derive(Clone, Debug)]
 pub(super) struct Snapshots {
     pub latest: Arc<ChunkedSnapshot>,
-    /// The last entry that a snapshot covers, and the bytes of the entries applied since.
+    /// The index of the last entry covered by the newest snapshot.
     pub latest_index: u64,
+    /// The bytes of the entries applied since the newest snapshot.
     pub bytes_since_latest: u64,
     incoming: SnapshotAssembly,
 }
 
 impl Snapshots {
-    /// The snapshot that was loaded from disk, if there is one.
+    /// Starts with the snapshot loaded from disk, if there is one.
     pub fn new(loaded: Option<Snapshot>) -> Self {
         let latest_index = loaded.as_ref().map_or(0, |snapshot| snapshot.index);
         let latest = loaded.map_or_else(ChunkedSnapshot::default, ChunkedSnapshot::from);
@@ -71,22 +74,22 @@
 }
 
 impl Replica {
-    /// Starts to send a snapshot, or repeats a chunk that got no answer.
+    /// Starts sending a snapshot, or repeats an unacknowledged chunk.
     pub(super) fn send_snapshot(&mut self, now: Now, to: &str) {
         let latest = self.snapshots.latest.clone();
         let log_base = self.log.base().index;
-        let repeat_after = REPEAT_AFTER_HEARTBEATS * self.settings.bounds.heartbeat();
+        let repeat_after = REPEAT_AFTER_HEARTBEATS * self.settings.bounds.heartbeat_interval();
         let Some(progress) = self.leadership.progress.get_mut(to) else {
             return;
         };
         if progress.disk_refuses_writes {
             return;
         }
-        let is_silent = now.mono.saturating_sub(progress.last_heard_at) > repeat_after;
+        let is_timed_out = now.mono.saturating_sub(progress.last_heard_at) > repeat_after;
         let counter = match &progress.snapshot {
             Some(outgoing) if now.mono < outgoing.sent_at + repeat_after => return,
-            // The log still follows on this snapshot.
-            Some(outgoing) if outgoing.id().index >= log_base && !is_silent => {
+            // The log still contains all entries after this snapshot.
+            Some(outgoing) if outgoing.id().index >= log_base && !is_timed_out => {
                 "snapshot_chunks_repeated"
             }
             _ => {
@@ -121,7 +124,8 @@
         self.send(to, Body::InstallSnapshot(Box::new(chunk)));
     }
 
-    /// A replica has answered a chunk.
+    /// Sends the next chunk after a replica's response or, once it has the whole snapshot, the entries that follow.
+    /// After a refusal, the transfer starts over at the next timeout.
     pub(super) fn on_install_snapshot_response(
         &mut self,
         now: Now,
@@ -143,14 +147,14 @@
             return;
         };
         let id = outgoing.id();
-        let answers_this = response.index == id.index
+        let is_for_current_snapshot = response.index == id.index
             && response.index_term == id.term
             && response.checksum == id.checksum;
-        if !answers_this {
+        if !is_for_current_snapshot {
             return;
         }
         if response.refused {
-            // It starts over after a silence, so that a lasting error does not fill the link.
+            // The transfer starts over after the timeout, so that a persistent error does not saturate the link.
             outgoing.acked_bytes = 0;
         } else if response.received >= id.total {
             progress.snapshot = None;
@@ -163,7 +167,9 @@
         }
     }
 
-    /// A leader sends a chunk of a snapshot.
+    /// Adds a chunk of the leader's snapshot, and installs the snapshot once it is complete, unless the log already
+    /// contains its last entry. Refuses a chunk of an earlier term; while the disk accepts no writes, drops others
+    /// without an answer.
     pub(super) fn on_install_snapshot(&mut self, now: Now, from: &str, chunk: InstallSnapshot) {
         let id = snapshot_id(&chunk);
         if chunk.term < self.hard_state.term {
@@ -173,23 +179,23 @@
         self.become_follower(now, chunk.term, from);
         self.election.last_leader_contact = now.mono;
         self.reset_election_timer(now);
-        if !self.disk_health.takes_writes() {
+        if !self.disk_health.accepts_writes() {
             return;
         }
-        if !self.is_covered(id) {
+        if !self.commit_if_in_log(id) {
             match self
                 .snapshots
                 .incoming
-                .take(id, chunk.offset, &chunk.snapshot)
+                .add_chunk(id, chunk.offset, &chunk.snapshot)
             {
-                ChunkOutcome::Part => {
+                ChunkOutcome::Incomplete => {
                     let received = self.snapshots.incoming.received();
                     return self.answer_chunk(from, id, received, false);
                 }
                 ChunkOutcome::Corrupt => {
-                    return self.refuse_snapshot(from, id, "its checksum is wrong");
+                    return self.refuse_snapshot(from, id, "checksum mismatch");
                 }
-                ChunkOutcome::Whole(bytes) => {
+                ChunkOutcome::Complete(bytes) => {
                     if let Err(reason) = self.install_snapshot(id, bytes) {
                         return self.refuse_snapshot(from, id, &reason);
                     }
@@ -206,8 +212,9 @@
         }
     }
 
-    /// Whether the log already holds all that a snapshot does. What was acknowledged after it must not be thrown away.
-    fn is_covered(&mut self, id: SnapshotId) -> bool {
+    /// Commits the entries up to a snapshot if the log already contains them; returns whether it does. Such a snapshot
+    /// is not installed, since that would discard acknowledged entries after it.
+    fn commit_if_in_log(&mut self, id: SnapshotId) -> bool {
         if id.index <= self.log.commit_index {
             return true;
         }
@@ -216,12 +223,12 @@
             self.log.verified_index = self.log.verified_index.max(id.index);
             self.log.commit_index = id.index;
             self.apply_committed();
-            self.try_leave_recovery_floor();
+            self.try_clear_recovery_floor();
         }
         is_in_log
     }
 
-    /// Replaces the state and the log by a snapshot.
+    /// Replaces the state and the log with a received snapshot.
     fn install_snapshot(&mut self, id: SnapshotId, bytes: Vec<u8>) -> Result<(), String> {
         self.state = ClusterState::unpack(&bytes)?;
         self.log.reset(LogPosition::new(id.term, id.index));
@@ -231,14 +238,14 @@
             .replace_log(self.snapshots.latest.to_snapshot());
         self.membership.invalidate();
         self.count("snapshots_installed", 1);
-        self.try_leave_recovery_floor();
+        self.try_clear_recovery_floor();
         Ok(())
     }
 
     fn refuse_snapshot(&mut self, from: &str, id: SnapshotId, reason: &str) {
         self.count("snapshots_refused", 1);
         self.outbox.log(format!(
-            "a snapshot at index {} refused: {reason}",
+            "rejected the snapshot at index {}: {reason}",
             id.index
         ));
         self.answer_chunk(from, id, 0, true);
@@ -256,7 +263,8 @@
         self.send(to, Body::InstallSnapshotResponse(Box::new(response)));
     }
 
-    /// Takes a snapshot of the state once enough was applied since the last one, and compacts the log.
+    /// Takes a snapshot of the state once enough entries or bytes were applied since the last one, and compacts the
+    /// log; not while the disk accepts no writes or the last snapshot is not yet submitted to it.
     pub(super) fn take_snapshot_when_due(&mut self) {
         let limits = &self.settings.limits;
         let applied = self.state.applied_index;
@@ -264,7 +272,8 @@
         let enough_entries = applied >= snapshots.latest_index + limits.snapshot_every;
         let enough_bytes = snapshots.bytes_since_latest >= limits.log_bytes / DUE_LOG_BYTES_DIVISOR;
         let is_due = (enough_entries || enough_bytes) && applied != snapshots.latest_index;
-        if !is_due || self.persistence.has_pending_snapshot() || !self.disk_health.takes_writes() {
+        if !is_due || self.persistence.has_pending_snapshot() || !self.disk_health.accepts_writes()
+        {
             return;
         }
         let Some(term) = self.log.term_at(applied) else {
@@ -281,8 +290,9 @@
         self.flush();
     }
 
-    /// Drops entries that the latest snapshot covers, but for a tail for replicas that are a little behind and the
-    /// entries after snapshots that are being sent; both within the limit in bytes.
+    /// Drops entries covered by the latest snapshot. A tail for replicas that are slightly behind, and the entries
+    /// after snapshots that are being sent to replicas or kept for nodes, remain within the log's byte limit and for at
+    /// most [`RETAINED_SNAPSHOT_INTERVALS`] snapshot intervals.
     fn compact_log(&mut self) {
         let interval = self.settings.limits.snapshot_every;
         let latest_index = self.snapshots.latest_index;
@@ -294,16 +304,16 @@
         for index in self.watch.snapshots.indexes() {
             last_unneeded = last_unneeded.min(index);
         }
-        let oldest_kept = latest_index.saturating_sub(RETAINED_SNAPSHOT_INTERVALS * interval);
-        let beyond_limit = self.log.last().index - self.newest_entries_within_limit();
+        let retention_limit = latest_index.saturating_sub(RETAINED_SNAPSHOT_INTERVALS * interval);
+        let last_over_byte_limit = self.log.last().index - self.newest_entries_within_limit();
         let drop_to = last_unneeded
-            .max(oldest_kept)
-            .max(beyond_limit)
+            .max(retention_limit)
+            .max(last_over_byte_limit)
             .min(latest_index);
         self.log.compact_to(drop_to);
     }
 
-    /// How many of the newest entries fit into the limit on the log's bytes.
+    /// The number of newest entries that fit into the log's byte limit.
     fn newest_entries_within_limit(&self) -> u64 {
         let mut bytes = 0;
         let mut entries = 0;
@@ -318,7 +328,7 @@
     }
 }
 
-/// Which snapshot a chunk belongs to. An older build sends a snapshot whole, without its length and checksum.
+/// The snapshot that a chunk belongs to. Older builds send a snapshot in one message, without its length and checksum.
 fn snapshot_id(chunk: &InstallSnapshot) -> SnapshotId {
     let is_whole = chunk.total == 0;
     let (total, checksum) = if is_whole {
--- a/landingdrift/src/consensus/status.rs
+++ b/landingdrift/src/consensus/status.rs
@@ -1,10 +1,10 @@
-//! What a replica says of itself: over HTTP, and in counters.
+//! Status and metrics of a replica: its HTTP routes and counters.
 
 use super::{Replica, Role};
-use crate::sans_io::{Now, Part, Request, Response};
+use crate::sans_io::{Now, Request, Response, StateMachine};
 use serde_json::json;
 
-/// A replica that has heard no leader for so many election time-outs is not ready.
+/// A replica that no leader has contacted for this many election timeouts is not ready.
 const READY_ELECTION_TIMEOUTS: u64 = 2;
 
 impl Replica {
@@ -18,7 +18,7 @@
             _ => Response::error(
                 404,
                 "noSuchRoute",
-                "a core serves /live, /ready, /metrics and /v1/status: send all else to a node",
+                "a core serves only /live, /ready, /metrics and /v1/status: send other requests to a node",
             ),
         };
         self.outbox.respond(call, response);
@@ -31,12 +31,13 @@
     }
 
     fn is_ready(&self, now: Now) -> bool {
-        let silence = now.mono.saturating_sub(self.election.last_leader_contact);
-        let hears_leader = silence < READY_ELECTION_TIMEOUTS * self.settings.bounds.election();
-        self.disk_health.takes_writes()
+        let since_contact = now.mono.saturating_sub(self.election.last_leader_contact);
+        let has_leader_contact =
+            since_contact < READY_ELECTION_TIMEOUTS * self.settings.bounds.election_timeout();
+        self.disk_health.accepts_writes()
             && !self.is_recovering()
             && !self.shutdown.is_requested()
-            && (self.role == Role::Leader || hears_leader)
+            && (self.role == Role::Leader || has_leader_contact)
     }
 
     fn status_response(&mut self, now: Now) -> Response {
@@ -60,18 +61,18 @@
         )
     }
 
-    /// All counters, by name.
+    /// All counters and gauges, as pairs of name and value.
     pub(super) fn all_counters(&self) -> Vec<(String, u64)> {
         let mut all = self.outbox.counters();
         let mut add = |name: &str, value: u64| all.push((name.into(), value));
         add("term", self.hard_state.term);
         add(
             "disk_takes_writes",
-            u64::from(self.disk_health.takes_writes()),
+            u64::from(self.disk_health.accepts_writes()),
         );
         add("commit", self.log.commit_index);
         add("leads", u64::from(self.role == Role::Leader));
-        add("jobs_open", self.state.open.len() as u64);
+        add("jobs_open", self.state.unfinished_jobs.len() as u64);
         add("jobs_kept", self.state.jobs.len() as u64);
         add("log_entries_in_memory", self.log.len() as u64);
         if self.role == Role::Leader {
--- a/landingdrift/src/consensus/watch.rs
+++ b/landingdrift/src/consensus/watch.rs
@@ -1,10 +1,12 @@
-//! The watch: nodes follow the committed log from an index on, and start from a snapshot.
+//! The watch: nodes follow the committed log, starting from a snapshot.
 //!
-//! A node asks at intervals and says how far it has come; the leader answers with what follows. Nodes that hold leases
-//! are sent new entries as soon as they are committed, without asking.
+//! A node polls with the index that it has applied, and the leader answers with the entries that follow. To nodes that
+//! hold leases, new entries are pushed as soon as they are committed.
+//!
+//! Nodes with a small CPU share follow a *light copy* of the state, without jobs and workers.
 
 use super::clock::ClockReading;
-use super::watch_flow::{LinkRate, Unacknowledged};
+use super::watch_flow::{LinkRate, UnacknowledgedData};
 use super::watch_snapshots::{SentChunk, WatchSnapshots};
 use super::{Replica, Role};
 use crate::sans_io::Now;
@@ -13,52 +15,54 @@
 use crate::wire::{Body, Entry, WatchBatch, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node that lacks more entries than this starts over from a snapshot, which is smaller than all that made it.
+/// A node with a full copy that lacks more entries than this starts over from a snapshot, which is then usually smaller
+/// than the missing entries. One that has just fetched a snapshot does not.
 const MAX_ENTRIES_BEHIND: u64 = 1024;
-/// Entries in one message to a node.
+/// The maximum number of entries in one message to a node.
 const MAX_BATCH_ENTRIES: u64 = 512;
-/// Bytes of entries in one message to a node with a light copy; a single entry may be larger.
+/// The maximum bytes of entries in one message to a node with a light copy; a single entry may be larger.
 const MAX_LIGHT_BATCH_BYTES: u64 = 64 << 10;
-/// Snapshots that no node has fetched for so many time-outs of a node are dropped.
+/// Snapshots of which no node has requested a chunk for this many node timeouts are dropped.
 const UNUSED_SNAPSHOT_NODE_TIMEOUTS: u64 = 2;
-/// For so many time-outs of a node a new leader assumes that nodes with enough of a processor will yet be heard.
-const NODES_EXPECTED_NODE_TIMEOUTS: u64 = 2;
+/// For this many node timeouts, a new leader expects to be contacted by nodes with a CPU share large enough for leases.
+const LARGE_NODE_WAIT_NODE_TIMEOUTS: u64 = 2;
 
 /// A leader's view of a node that follows the log. Times are monotonic milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Watcher {
-    /// The last entry that the node has applied.
+    /// The index of the last entry that the node has applied, as stated by its last request.
     pub applied_index: u64,
-    /// The last entry that was sent to it.
+    /// The index of the last entry that was sent to it; reset to the applied one if no acknowledgement arrives in time.
     pub sent_index: u64,
-    /// The entries that were sent to it and not acknowledged yet.
-    unacknowledged: Unacknowledged,
+    /// Determines how long the entries sent to it may still be in flight.
+    unacknowledged: UnacknowledgedData,
     pub rate: LinkRate,
     pub last_heard_at: u64,
-    /// The node's last request.
+    /// The origin of the node's last request.
     pub last_request: RequestOrigin,
     pub zone: String,
     pub http: String,
     pub leaving: bool,
-    /// The node that should get its leases when it leaves; empty for any.
+    /// The node that should take over its leases when it leaves; empty if any node may.
     pub successor: String,
-    /// Its share of a processor, in thousandths of a core.
+    /// Its CPU share, in thousandths of a core.
     pub share: u32,
-    pub beside_replica: bool,
-    /// It follows a light copy of the state, without jobs and workers.
+    /// Whether it runs on the same machine as a replica.
+    pub colocated_with_replica: bool,
+    /// Whether it follows a light copy of the state, without jobs and workers.
     pub light: bool,
-    /// The last chunk of a snapshot that it was sent.
+    /// The last snapshot chunk sent to it.
     pub last_chunk: SentChunk,
-    /// The index of the snapshot that it fetches or has fetched; 0 for none.
+    /// The index of the snapshot that it is fetching or has fetched; 0 for none.
     pub fetched_index: u64,
 }
 
-/// Which process asked, and when: sent back with what answers it.
+/// The sender and the send time of a request, which are returned with the response.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RequestOrigin {
-    /// The asking process; 0 where an older build did not say.
+    /// The incarnation of the requesting process; 0 if it is an older build, which does not send it.
     pub incarnation: u64,
-    /// When it asked, by its own clock: it knows by that how fresh an answer is.
+    /// The time of sending by the node's clock; the node derives the age of the response from it.
     pub sent_at: u64,
 }
 
@@ -79,18 +83,18 @@
     pub snapshots: WatchSnapshots,
 }
 
-/// The entries in one message to a node.
+/// The entries in one message to a node, and the range of the log that they represent.
 struct SentEntries {
     entries: Vec<Entry>,
     bytes: u64,
-    /// The index that a node has come to which they are for.
+    /// The index that the node must have reached before it applies them.
     follows: u64,
-    /// The index that a node comes to which applies them.
+    /// The index that the node has reached once it has applied them.
     reached: u64,
 }
 
 impl SentEntries {
-    /// No entries for a node that has come to an index.
+    /// An empty message for a node that has reached an index.
     fn none(index: u64) -> Self {
         Self {
             entries: Vec::new(),
@@ -102,22 +106,24 @@
 }
 
 impl Watcher {
-    /// Whether a node that asks has not received all that was sent to it. One whose process or copy is another one by now
-    /// has received nothing.
-    fn awaits_more_than(&self, request: &WatchRequest, light: bool) -> bool {
+    /// Whether entries sent to the requesting node are not acknowledged yet. False if its process or the kind of its
+    /// copy has changed, since nothing has been sent to it after that.
+    fn has_unreceived_entries(&self, request: &WatchRequest, light: bool) -> bool {
         let is_same_kind = self.light == light && request.light == light;
-        self.is_same_process(request) && is_same_kind && self.sent_index > request.log_index
+        self.continues_last_request(request) && is_same_kind && self.sent_index > request.log_index
     }
 
-    /// Whether a node that asks has just received all that was sent to it.
+    /// Whether the request acknowledges the last of the entries that were in flight to the node.
     fn has_received_all(&self, request: &WatchRequest) -> bool {
-        let had_more = self.sent_index > self.applied_index;
-        had_more && self.is_same_process(request) && request.log_index >= self.sent_index
+        let had_entries_in_flight = self.sent_index > self.applied_index;
+        had_entries_in_flight
+            && self.continues_last_request(request)
+            && request.log_index >= self.sent_index
     }
 
-    /// Whether a request is of the process that sent the last one, or may be where an older build doesn't say, and of no
-    /// copy that has started over.
-    fn is_same_process(&self, request: &WatchRequest) -> bool {
+    /// Whether a request comes from the process that sent the last one, and its copy has not gone back to an earlier
+    /// index. Older builds send no incarnation, so another process of such a build may pass as the same.
+    fn continues_last_request(&self, request: &WatchRequest) -> bool {
         request.incarnation == self.last_request.incarnation
             && request.sent >= self.last_request.sent_at
             && request.log_index >= self.applied_index
@@ -125,15 +131,15 @@
 }
 
 impl Replica {
-    /// The latest time at which this leader surely led, in monotonic milliseconds: a majority has answered a round that
-    /// was sent then.
+    /// The latest time at which this replica is known to have led, in monotonic milliseconds: a majority has
+    /// acknowledged a round that was sent then.
     pub(super) fn last_quorum_contact(&mut self, now: Now) -> u64 {
-        let contacts = self.for_each_voter(now.mono, |progress| progress.acked_round_sent_at);
+        let contacts = self.voter_values(now.mono, |progress| progress.acked_round_sent_at);
         Self::reached_by_majority(contacts)
     }
 
-    /// Whether this replica leads and has applied all that was committed before its term.
-    pub(super) fn is_ready_to_lead(&self) -> bool {
+    /// Whether this replica leads and has applied all entries committed before its term, so that it may serve requests.
+    pub(super) fn is_ready_leader(&self) -> bool {
         let first_index = self.leadership.term_start_index;
         self.role == Role::Leader
             && first_index > 0
@@ -141,14 +147,15 @@
             && self.state.applied_index >= first_index
     }
 
-    /// A node asks for what follows the entries that it has applied.
+    /// Answers a node's request with the entries that follow those it has applied, or with a snapshot chunk if it must
+    /// start over. A replica that is not ready to serve requests only names the leader.
     pub(super) fn on_watch_request(&mut self, now: Now, from: &str, request: WatchRequest) {
-        if !self.is_ready_to_lead() {
+        if !self.is_ready_leader() {
             self.watch.snapshots.clear();
             self.send_watch_batch(now, from, RequestOrigin::of(&request), None);
             return;
         }
-        let unused_after = UNUSED_SNAPSHOT_NODE_TIMEOUTS * self.settings.bounds.node_lost();
+        let unused_after = UNUSED_SNAPSHOT_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
         self.watch.snapshots.expire(now, unused_after);
         let reading = ClockReading {
             time: request.clock,
@@ -156,8 +163,8 @@
         };
         self.clock.observe(now, &request.node, reading);
         let light = self.should_follow_light_copy(now, &request);
-        self.note_watcher(now, &request, light);
-        // A node with a copy of the other kind starts over.
+        self.update_watcher(now, &request, light);
+        // A node whose copy is of the other kind (light or full) starts over.
         let from_index = if light == request.light {
             request.log_index
         } else {
@@ -168,33 +175,33 @@
         }
         let origin = RequestOrigin::of(&request);
         if self.has_entries_in_flight(&request.node) {
-            let nothing = SentEntries::none(request.log_index);
-            self.send_entries(now, from, origin, true, nothing);
+            let no_entries = SentEntries::none(request.log_index);
+            self.send_entries(now, from, origin, true, no_entries);
             return;
         }
         self.send_watch_batch(now, from, origin, Some(from_index));
     }
 
-    /// Whether entries are on their way to a node. It is not sent further ones meanwhile: a light copy can't tell
-    /// whether it has missed some, and a narrow link is not to be filled.
+    /// Whether entries are in flight to a node. Until they are acknowledged, no further ones are sent: a node with a
+    /// light copy can't detect a gap, and a slow link must not be saturated.
     fn has_entries_in_flight(&self, node: &str) -> bool {
         let watcher = self.watch.watchers.get(node);
         watcher.is_some_and(|watcher| watcher.sent_index > watcher.applied_index)
     }
 
-    fn note_watcher(&mut self, now: Now, request: &WatchRequest, light: bool) {
+    fn update_watcher(&mut self, now: Now, request: &WatchRequest, light: bool) {
         let known = self.watch.watchers.get(&request.node);
         let bounds = &self.settings.bounds;
         let mut sent_index = request.log_index;
-        let mut unacknowledged = Unacknowledged::default();
+        let mut unacknowledged = UnacknowledgedData::default();
         let mut rate = known.map(|known| known.rate).unwrap_or_default();
         if let Some(known) = known.filter(|known| known.has_received_all(request)) {
-            known.unacknowledged.acknowledged(now.mono, &mut rate);
+            known.unacknowledged.record_ack(now.mono, &mut rate);
         }
-        if let Some(known) = known.filter(|known| known.awaits_more_than(request, light)) {
+        if let Some(known) = known.filter(|known| known.has_unreceived_entries(request, light)) {
             unacknowledged = known.unacknowledged;
             if request.log_index > known.applied_index {
-                unacknowledged.progressed(now.mono);
+                unacknowledged.record_partial_ack(now.mono);
             }
             if unacknowledged.is_in_flight(now.mono, rate, bounds) {
                 sent_index = known.sent_index;
@@ -212,17 +219,17 @@
             leaving: request.leaving,
             successor: request.successor.clone(),
             share: request.share,
-            beside_replica: request.beside_core,
+            colocated_with_replica: request.beside_core,
             light,
             last_chunk: known
-                .filter(|known| known.is_same_process(request))
+                .filter(|known| known.continues_last_request(request))
                 .map_or_else(SentChunk::default, |known| known.last_chunk),
             fetched_index: known.map_or(0, |w| w.fetched_index),
         };
         self.watch.watchers.insert(request.node.clone(), watcher);
     }
 
-    fn note_sent(&mut self, now: Now, node: &str, sent: &SentEntries) {
+    fn record_sent(&mut self, now: Now, node: &str, sent: &SentEntries) {
         let Some(watcher) = self.watch.watchers.get_mut(node) else {
             return;
         };
@@ -231,32 +238,33 @@
             let rate = &mut watcher.rate;
             watcher
                 .unacknowledged
-                .send(in_flight, sent.bytes, now.mono, rate);
+                .record_sent(in_flight, sent.bytes, now.mono, rate);
         }
         watcher.sent_index = watcher.sent_index.max(sent.reached);
     }
 
-    /// Whether a node is to follow a light copy: it has too little of a processor for leases, and others have enough.
+    /// Whether a node should follow a light copy: its CPU share is too small for leases, and larger nodes
+    /// follow this leader or are still expected to.
     fn should_follow_light_copy(&self, now: Now, request: &WatchRequest) -> bool {
         let is_small = |share: u32| share < SMALL_NODE_SHARE;
-        let expected_until =
-            self.leadership.since + NODES_EXPECTED_NODE_TIMEOUTS * self.settings.bounds.node_lost();
+        let expected_until = self.leadership.since
+            + LARGE_NODE_WAIT_NODE_TIMEOUTS * self.settings.bounds.node_timeout();
         let mut watchers = self.watch.watchers.values();
         is_small(request.share)
             && (now.mono < expected_until || watchers.any(|w| !is_small(w.share)))
     }
 
-    /// Sends new entries to the nodes that hold leases as soon as they are committed; the others get them when they ask.
+    /// Pushes newly committed entries to the nodes that hold leases; other nodes receive them when they poll.
     pub(super) fn push_to_watchers(&mut self, now: Now) {
         let leases = self.state.leases.values();
         let holders: BTreeSet<String> = leases.map(|lease| lease.holder.clone()).collect();
-        let fresh_ms = self.settings.bounds.fresh();
+        let max_age_ms = self.settings.bounds.max_watch_age();
         let mut due = Vec::new();
         for (node, watcher) in &self.watch.watchers {
-            let is_fresh = now.mono.saturating_sub(watcher.last_heard_at) < fresh_ms;
+            let is_fresh = now.mono.saturating_sub(watcher.last_heard_at) < max_age_ms;
             let lacks_entries = watcher.sent_index < self.log.commit_index;
-            let is_full = !watcher.light;
-            let may_be_sent = holders.contains(node) && is_full && lacks_entries && is_fresh;
+            let has_full_copy = !watcher.light;
+            let may_be_sent = holders.contains(node) && has_full_copy && lacks_entries && is_fresh;
             if may_be_sent && !self.needs_snapshot(node, watcher.sent_index) {
                 due.push((node.clone(), watcher.last_request, watcher.sent_index));
             }
@@ -266,9 +274,10 @@
         }
     }
 
-    /// Whether a node that has applied entries up to an index starts over from a snapshot: the log does not reach back
-    /// to it, or not that far (as after a total loss), or it lacks too many. One that has just fetched a snapshot goes
-    /// on with the log, however much was added meanwhile.
+    /// Whether a node that has applied entries up to an index must start over from a snapshot: the log no longer
+    /// contains all entries after that index, ends before it (as after a total loss), or the node lacks too many
+    /// entries. A node that has just fetched a snapshot continues with the log, even if many entries were added during
+    /// the transfer.
     fn needs_snapshot(&self, node: &str, index: u64) -> bool {
         let watcher = self.watch.watchers.get(node);
         let light = watcher.is_some_and(|w| w.light);
@@ -280,8 +289,8 @@
         index < self.log.base().index || index > commit_index || is_far_behind
     }
 
-    /// Sends the entries that follow `from_index`, as far as the log has them. Without an index, the message says that
-    /// this replica does not lead, and who does.
+    /// Sends one message with the entries after `from_index` that fit into it, or with none if the node must start over
+    /// from a snapshot. Without an index, the message states that this replica does not lead, and names the leader.
     fn send_watch_batch(
         &mut self,
         now: Now,
@@ -295,20 +304,20 @@
             Some(index) => self.entries_after(to, index),
             None => SentEntries::none(0),
         };
-        self.note_sent(now, to, &sent);
+        self.record_sent(now, to, &sent);
         self.send_entries(now, to, origin, leads, sent);
     }
 
-    /// The entries after an index that one message to a node holds.
+    /// The entries after an index that fit into one message to a node.
     fn entries_after(&self, node: &str, index: u64) -> SentEntries {
         let light = self.watch.watchers.get(node).is_some_and(|w| w.light);
         let wanted = (self.log.commit_index - index).min(MAX_BATCH_ENTRIES);
         let mut sent = SentEntries::none(index);
         for entry in self.log.batch(index + 1, wanted as usize) {
-            let is_wanted = !light || Command::concerns_all(&entry.command);
+            let is_wanted = !light || Command::is_cluster_wide(&entry.command);
             let bytes = entry.command.len() as u64;
-            let is_full = sent.bytes > 0 && sent.bytes + bytes > MAX_LIGHT_BATCH_BYTES;
-            if light && is_wanted && is_full {
+            let exceeds_limit = sent.bytes > 0 && sent.bytes + bytes > MAX_LIGHT_BATCH_BYTES;
+            if light && is_wanted && exceeds_limit {
                 break;
             }
             sent.reached = entry.index;
@@ -343,7 +352,7 @@
             quorum_age,
             clock: self.clock.read(now),
             commit: self.log.commit_index,
-            // Older builds sent snapshots here, whole.
+            // Older builds sent whole snapshots in this field.
             snapshot: Vec::new(),
             snapshot_index: 0,
             entries: sent.entries,
--- a/landingdrift/src/daemon/traffic/http/mod.rs
+++ b/landingdrift/src/daemon/traffic/http/mod.rs
@@ -1,10 +1,11 @@
-//! HTTP for callers, workers and operators, by `rocket`: requests are passed to a control thread, which responds.
+//! The HTTP server for clients, workers and operators, based on `rocket`. It passes requests to a control thread and
+//! returns the responses.
 
 mod http_adapter;
 mod request_handler;
 mod serving;
 
-pub use http_adapter::{HandlerAction, HttpAdapter, HttpRequest, HttpResponse};
+pub use http_adapter::{AdapterResult, HttpAdapter, HttpRequest, HttpResponse};
 pub use serving::ServingState;
 
 use crate::daemon::error::ProcessError;
@@ -22,20 +23,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The limits of one address.
+/// The limits of one HTTP address.
 #[derive(Clone, Debug)]
 pub struct HttpLimits {
-    /// How long reading a body may take, and then waiting for a response.
+    /// The timeout for reading a request body, and separately for waiting for the part's response.
     pub timeout: Duration,
-    /// The longest body in bytes.
+    /// The maximum length of a request body, in bytes.
     pub body_bytes: u64,
-    /// The most calls at once; more are told to come back.
+    /// The maximum number of concurrent calls; further calls are rejected and may be retried.
     pub calls: u64,
 }
 
-/// Longer than any process takes to shut down, in seconds.
+/// The grace period of `rocket` itself. It is longer than any process takes to shut down, so it never applies.
 const SHUTDOWN_SECONDS: u32 = 600;
 
+/// The methods that are passed to the adapter; others get an error response.
 const METHODS: [Method; 7] = [
     Method::Get,
     Method::Put,
@@ -46,7 +48,7 @@
     Method::Head,
 ];
 
-/// Serves an address; returns the one that was bound.
+/// Starts serving HTTP at an address; returns the bound address.
 pub fn serve(
     handle: &Handle,
     serving: &ServingState,
@@ -65,31 +67,31 @@
         serving: serving.clone(),
         permits: Arc::new(Semaphore::new(permits)),
     };
-    // One message tells that it listens, one that it has ended.
-    let (launched, launch_result) = sync_channel(2);
-    let http_error = move |why: String| ProcessError::Http { at: addr, why };
-    handle.spawn(launch(addr, request_handler, launched));
+    // The channel holds two messages: one when the server listens, one when it has ended.
+    let (result_sender, launch_result) = sync_channel(2);
+    let http_error = move |error: String| ProcessError::Http { at: addr, error };
+    handle.spawn(launch(addr, request_handler, result_sender));
     let bound = launch_result
         .recv()
-        .map_err(|why| http_error(why.to_string()))?;
+        .map_err(|error| http_error(error.to_string()))?;
     bound.map_err(http_error)
 }
 
-/// The address that was bound, or why none was.
+/// The bound address, or the error that kept the server from starting or ended it.
 type LaunchResult = Result<SocketAddr, String>;
 
 async fn launch(
     addr: SocketAddr,
     request_handler: RequestHandler,
-    launched: SyncSender<LaunchResult>,
+    result_sender: SyncSender<LaunchResult>,
 ) {
-    let lifted_off = launched.clone();
+    let launch_sender = result_sender.clone();
     let serving = request_handler.serving.clone();
-    let listening = serving.clone();
+    let serving_state = serving.clone();
     let on_liftoff = AdHoc::on_liftoff("launched", move |rocket| {
-        listening.add(rocket.shutdown());
+        serving_state.add(rocket.shutdown());
         let bound = SocketAddr::new(rocket.config().address, rocket.config().port);
-        let _ = lifted_off.try_send(Ok(bound));
+        let _ = launch_sender.try_send(Ok(bound));
         Box::pin(async {})
     });
     let ended: Result<Rocket<Ignite>, rocket::Error> = rocket::custom(config(addr))
@@ -101,9 +103,11 @@
         .attach(on_liftoff)
         .launch()
         .await;
-    let why = ended.map_or_else(|why| why.to_string(), |_| "it was shut down".into());
-    if launched.try_send(Err(why.clone())).is_err() && !serving.is_refusing() {
-        log::error!("HTTP at {addr} ended ({why}): the process ends, start it again");
+    let error = ended.map_or_else(|error| error.to_string(), |_| "it was shut down".into());
+    if result_sender.try_send(Err(error.clone())).is_err() && !serving.is_rejecting() {
+        log::error!(
+            "the HTTP server at {addr} ended unexpectedly: {error}; exiting, restart the process"
+        );
         std::process::exit(1);
     }
 }
@@ -118,7 +122,7 @@
         shutdown: Shutdown {
             ctrlc: false,
             signals: Default::default(),
-            // The process bounds its own shutdown: no connection is cut before that.
+            // The process bounds its own shutdown, and no connection may be closed before that.
             grace: SHUTDOWN_SECONDS,
             ..Default::default()
         },
--- a/landingdrift/src/daemon/traffic/http/request_handler.rs
+++ b/landingdrift/src/daemon/traffic/http/request_handler.rs
@@ -1,8 +1,8 @@
-//! Handles the HTTP requests of one address.
+//! Handles the HTTP requests that arrive at one address.
 
-use super::http_adapter::write;
+use super::http_adapter::format_response;
 use super::serving::{Body, InFlight, ServingState};
-use super::{HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse};
+use super::{AdapterResult, HttpAdapter, HttpLimits, HttpRequest, HttpResponse};
 use crate::daemon::input::Input;
 use crate::daemon::pending_calls::PendingCalls;
 use crate::sans_io::Response;
@@ -17,10 +17,10 @@
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 
-/// When a caller that got no response of the part should come back, in milliseconds.
+/// The time after which a caller should retry a call that the part did not answer, in milliseconds.
 const RETRY_MS: u64 = 1000;
 
-/// The handler of all requests at one address.
+/// Handles all requests at one address.
 #[derive(Clone)]
 pub struct RequestHandler {
     pub limits: HttpLimits,
@@ -34,51 +34,51 @@
 impl RequestHandler {
     async fn reply(&self, request: &Request<'_>, data: Data<'_>) -> HttpResponse {
         let Ok(_permit) = self.permits.try_acquire() else {
-            return write(busy());
+            return format_response(busy());
         };
         let body = match self.read_body(data).await {
             Ok(body) => body,
-            Err(refusal) => return write(refusal),
+            Err(error_response) => return format_response(error_response),
         };
-        match (self.http_adapter.read)(http_request(request, body)) {
-            HandlerAction::Call(request, translate) => translate(self.call(request).await),
-            HandlerAction::Respond(response) => response,
+        match (self.http_adapter.translate_request)(http_request(request, body)) {
+            AdapterResult::Call(request, translate) => translate(self.call(request).await),
+            AdapterResult::Respond(response) => response,
         }
     }
 
     async fn read_body(&self, data: Data<'_>) -> Result<Vec<u8>, Response> {
         let max_bytes = self.limits.body_bytes;
-        let unread = |why: String| {
-            let message = format!("the body could not be read ({why}): send it again");
+        let unreadable = |error: String| {
+            let message = format!("failed to read the request body: {error}; send it again");
             Response::error(400, "noBody", message)
         };
-        let whole = timeout(
+        let capped = timeout(
             self.limits.timeout,
             data.open(max_bytes.bytes()).into_bytes(),
         )
         .await
-        .map_err(|_| unread("it came too slowly".into()))?
-        .map_err(|why| unread(why.to_string()))?;
-        if !whole.is_complete() {
-            let message = format!("no body may have more than {max_bytes} bytes: send less");
+        .map_err(|_| unreadable("timed out".into()))?
+        .map_err(|error| unreadable(error.to_string()))?;
+        if !capped.is_complete() {
+            let message = format!("the request body is longer than the limit of {max_bytes} bytes: send a shorter one");
             return Err(Response::error(413, "tooLarge", message));
         }
-        Ok(whole.into_inner())
+        Ok(capped.into_inner())
     }
 
-    /// Passes a request to the control thread, and waits for the response.
+    /// Passes a request to the control thread and waits for its response.
     async fn call(&self, request: crate::sans_io::Request) -> Response {
-        if self.serving.is_refusing() || self.calls.is_closed() {
-            return leaving();
+        if self.serving.is_rejecting() || self.calls.is_closed() {
+            return shutting_down();
         }
         let mut pending = self.calls.open();
         let input = Input::Call(request, pending.number);
         if self.inputs.send(input).is_err() {
-            return unsure();
+            return outcome_unknown();
         }
         match timeout(self.limits.timeout, &mut pending.response).await {
             Ok(Ok(response)) => response,
-            _ => unsure(),
+            _ => outcome_unknown(),
         }
     }
 
@@ -88,7 +88,7 @@
         for (name, value) in response.headers {
             builder.header_adjoin(Header::new(name, value));
         }
-        if self.serving.is_leaving() {
+        if self.serving.is_draining() {
             builder.header(Header::new("Connection", "close"));
         }
         builder
@@ -97,21 +97,24 @@
     }
 }
 
-/// The response to a call that exceeds the limit of calls at once.
+/// The response to a call that exceeds the limit of concurrent calls.
 fn busy() -> Response {
-    let message = "this process works on as many calls as it may and took nothing of this one: come back later, or go to another node";
+    let message = "this process has reached its limit of concurrent calls and did not execute this one: retry later, or call another node";
     Response::error(503, "busy", message).retry(RETRY_MS)
 }
 
-/// The response to a call that was not passed on because the process shuts down.
-fn leaving() -> Response {
-    let message = "this process ends and took nothing of this call: go to another one";
+/// The response to a call that was not passed to the part because the process is shutting down.
+fn shutting_down() -> Response {
+    let message =
+        "this process is shutting down and did not execute this call: call another process";
     Response::error(503, "leaving", message).retry(RETRY_MS)
 }
 
-/// The response to a call that was passed on and got no response: its outcome is unknown.
-fn unsure() -> Response {
-    let message = "this process gave no verdict: ask again, here or at another node";
+/// The response to a call that was not answered in time, or not before the control thread ended, so that its outcome is
+/// unknown.
+fn outcome_unknown() -> Response {
+    let message =
+        "the call was not answered, so its outcome is unknown: ask again, here or at another node";
     Response::error(503, "unsure", message).retry(RETRY_MS)
 }
 
@@ -136,18 +139,18 @@
 #[rocket::async_trait]
 impl Handler for RequestHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let in_flight = self.serving.enter();
+        let in_flight = self.serving.begin_call();
         let response = self.reply(request, data).await;
         Outcome::Success(self.respond(response, in_flight))
     }
 }
 
-/// What the library refuses by itself is answered in the same form.
+/// Answers requests that the HTTP library itself rejects with JSON errors like those of the API.
 #[rocket::async_trait]
 impl catcher::Handler for RequestHandler {
     async fn handle<'r>(&self, status: Status, _: &'r Request<'_>) -> catcher::Result<'r> {
-        let message = format!("the request is no HTTP that is served here ({}): docs/operators/api.md lists methods and routes", status.reason_lossy());
+        let message = format!("this HTTP request can't be served ({}): docs/operators/api.md lists the methods and routes", status.reason_lossy());
         let response = Response::error(status.code, "wrongRequest", message);
-        Ok(self.respond(write(response), self.serving.enter()))
+        Ok(self.respond(format_response(response), self.serving.begin_call()))
     }
 }
--- a/landingdrift/src/daemon/traffic/http/serving.rs
+++ b/landingdrift/src/daemon/traffic/http/serving.rs
@@ -1,4 +1,4 @@
-//! Whether HTTP calls are served, and how many are in flight.
+//! The serving state of a process: the phase of its shutdown, and the number of HTTP calls in flight.
 
 use rocket::tokio::io::{AsyncRead, AsyncSeek, ReadBuf};
 use rocket::Shutdown;
@@ -8,15 +8,15 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
 
-/// How far the shutdown of a process is, as its callers see it; phases only advance.
+/// The phase of a process's shutdown, as callers see it. Phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 enum ServingPhase {
     Serving,
-    /// Calls are served; each response closes its connection.
-    Leaving,
-    /// New calls are refused at once, and no connection is accepted any more.
-    Refusing,
+    /// Calls are served, and each response closes its connection.
+    Draining,
+    /// New calls are rejected at once, and no further connection is accepted.
+    Rejecting,
 }
 
 /// The serving state that all HTTP addresses of a process share.
@@ -40,46 +40,46 @@
 }
 
 impl ServingState {
-    /// From now on each response closes its connection, so that none is idle when the process ends.
-    pub fn leave(&self) {
-        self.advance(ServingPhase::Leaving);
+    /// From now on, each response closes its connection, so that no idle connection is left when the process ends.
+    pub fn begin_drain(&self) {
+        self.advance(ServingPhase::Draining);
     }
 
-    /// From now on calls are refused at once, and no connection is accepted.
-    pub fn refuse(&self) {
-        self.advance(ServingPhase::Refusing);
+    /// From now on, rejects new calls and accepts no connections.
+    pub fn reject_calls(&self) {
+        self.advance(ServingPhase::Rejecting);
         let mut servers = self.servers();
         for server in servers.drain(..) {
             server.notify();
         }
     }
 
-    /// How many calls were read and their responses not written yet.
+    /// The number of calls that have been read but whose responses are not written yet.
     pub fn in_flight(&self) -> u64 {
         self.0.in_flight.load(Ordering::SeqCst)
     }
 
     /// Whether responses close their connections.
-    pub fn is_leaving(&self) -> bool {
-        self.reached(ServingPhase::Leaving)
+    pub fn is_draining(&self) -> bool {
+        self.reached(ServingPhase::Draining)
     }
 
-    /// Whether new calls are refused.
-    pub fn is_refusing(&self) -> bool {
-        self.reached(ServingPhase::Refusing)
+    /// Whether new calls are rejected.
+    pub fn is_rejecting(&self) -> bool {
+        self.reached(ServingPhase::Rejecting)
     }
 
-    /// Adds a server, which stops listening when calls are refused.
+    /// Registers a server, which stops listening in the rejecting phase.
     pub(super) fn add(&self, server: Shutdown) {
-        if self.is_refusing() {
+        if self.is_rejecting() {
             server.notify();
         } else {
             self.servers().push(server);
         }
     }
 
-    /// Counts a call as in flight until the guard is dropped.
-    pub(super) fn enter(&self) -> InFlight {
+    /// Counts a call as in flight until the returned guard is dropped.
+    pub(super) fn begin_call(&self) -> InFlight {
         self.0.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight(self.clone())
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// A call in flight; dropped once its response was written, or its caller has hung up.
+/// A guard that counts a call as in flight. It is dropped once the response is written or the caller has hung up.
 pub struct InFlight(ServingState);
 
 impl Drop for InFlight {
@@ -109,14 +109,14 @@
     }
 }
 
-/// The body of a response; the call counts as in flight until it was read to its end.
+/// The body of a response. Keeps the call counted as in flight until the body is dropped.
 pub struct Body {
     bytes: io::Cursor<Vec<u8>>,
     _in_flight: InFlight,
 }
 
 impl Body {
-    /// The body of the response to a call.
+    /// The body of the response to the call that `in_flight` counts.
     pub fn new(bytes: Vec<u8>, in_flight: InFlight) -> Self {
         Self {
             bytes: io::Cursor::new(bytes),
--- a/landingdrift/src/disk/load.rs
+++ b/landingdrift/src/disk/load.rs
@@ -1,120 +1,128 @@
-use super::error::{io, StorageError};
+use super::error::{io_error_at, StorageError};
 use super::frames::Frame;
 use crate::sans_io::{HardState, Snapshot};
 use crate::wire::{DurabilityWitness, Entry};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// All that a folder holds.
+/// The persisted state read from a data folder, and the condition of its files.
 #[derive(Default)]
-pub struct Found {
+pub struct FolderContents {
     pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
     pub witnesses: Vec<DurabilityWitness>,
-    /// Something that was confirmed can't be read.
+    /// Whether confirmed data can't be read.
     pub damaged: bool,
-    /// The last write was cut short, as a crash does.
-    pub torn: bool,
-    /// Segments with the last index in each.
+    /// Whether the last write is incomplete, as after a crash.
+    pub torn_tail: bool,
+    /// The numbers of the segments, each with the last index of the log at its end.
     pub segments: Vec<(u64, u64)>,
 }
 
-/// Files of a folder by the number in their names.
-pub fn numbered(path: &Path, head: &str, tail: &str) -> Result<Vec<(u64, PathBuf)>, StorageError> {
-    let mut of: Vec<(u64, PathBuf)> = fs::read_dir(path)
-        .map_err(io(path))?
+/// The files of a folder whose names consist of `prefix`, a number and `suffix`, sorted by that number.
+pub fn numbered_files(
+    path: &Path,
+    prefix: &str,
+    suffix: &str,
+) -> Result<Vec<(u64, PathBuf)>, StorageError> {
+    let mut files: Vec<(u64, PathBuf)> = fs::read_dir(path)
+        .map_err(io_error_at(path))?
         .filter_map(Result::ok)
         .filter_map(|e| {
             e.file_name()
                 .into_string()
                 .ok()
                 .and_then(|n| {
-                    n.strip_prefix(head)
-                        .and_then(|n| n.strip_suffix(tail))
+                    n.strip_prefix(prefix)
+                        .and_then(|n| n.strip_suffix(suffix))
                         .and_then(|n| n.parse().ok())
                 })
                 .map(|n| (n, e.path()))
         })
         .collect();
-    of.sort();
-    Ok(of)
+    files.sort();
+    Ok(files)
 }
 
-/// Reads the newest whole snapshot and all segments. With `mend`, a torn tail is cut off.
-pub fn load(path: &Path, mend: bool) -> Result<Found, StorageError> {
-    let mut found = Found::default();
-    for (_, p) in numbered(path, "capture-", ".capture")?.iter().rev() {
-        let bytes = fs::read(p).map_err(io(p))?;
+/// Reads the newest intact snapshot and all segments. With `repair`, truncates an incomplete write at the end.
+pub fn load(path: &Path, repair: bool) -> Result<FolderContents, StorageError> {
+    let mut contents = FolderContents::default();
+    for (_, file_path) in numbered_files(path, "capture-", ".capture")?.iter().rev() {
+        let bytes = fs::read(file_path).map_err(io_error_at(file_path))?;
         match Frame::read(&bytes) {
-            Some((Frame::Snapshot(c), _)) => {
-                found.snapshot = Some(c);
+            Some((Frame::Snapshot(snapshot), _)) => {
+                contents.snapshot = Some(snapshot);
                 break;
             }
-            _ => found.damaged = true,
+            _ => contents.damaged = true,
         }
     }
-    let base = found.snapshot.as_ref().map_or(0, |c| c.index);
-    let segments = numbered(path, "log-", ".segment")?;
-    for (i, (number, p)) in segments.iter().enumerate() {
-        let bytes = fs::read(p).map_err(io(p))?;
-        let mut at = 0;
-        while at < bytes.len() {
-            match Frame::read(&bytes[at..]) {
+    let base = contents
+        .snapshot
+        .as_ref()
+        .map_or(0, |snapshot| snapshot.index);
+    let segments = numbered_files(path, "log-", ".segment")?;
+    for (i, (number, file_path)) in segments.iter().enumerate() {
+        let bytes = fs::read(file_path).map_err(io_error_at(file_path))?;
+        let mut offset = 0;
+        while offset < bytes.len() {
+            match Frame::read(&bytes[offset..]) {
                 Some((frame, len)) => {
-                    found.take(frame, base);
-                    at += len;
+                    contents.apply(frame, base);
+                    offset += len;
                 }
-                // Nothing whole follows: the last write was cut short and was never confirmed.
-                None if i + 1 == segments.len() && Frame::resync(&bytes[at..]).is_none() => {
-                    found.torn = true;
-                    if mend {
+                // No intact frame follows: the last write was interrupted and never confirmed.
+                None if i + 1 == segments.len() && Frame::find_next(&bytes[offset..]).is_none() => {
+                    contents.torn_tail = true;
+                    if repair {
                         fs::OpenOptions::new()
                             .write(true)
-                            .open(p)
-                            .and_then(|f| f.set_len(at as u64).and_then(|()| f.sync_all()))
-                            .map_err(io(p))?;
+                            .open(file_path)
+                            .and_then(|f| f.set_len(offset as u64).and_then(|()| f.sync_all()))
+                            .map_err(io_error_at(file_path))?;
                     }
                     break;
                 }
                 None => {
-                    // An older segment's torn end was cut when it was opened next, so this is damage.
-                    found.damaged = true;
-                    match Frame::resync(&bytes[at..]) {
-                        Some(skip) => at += skip,
+                    // Damage: only the last segment can end with an interrupted write, since opening the folder
+                    // truncates it.
+                    contents.damaged = true;
+                    match Frame::find_next(&bytes[offset..]) {
+                        Some(skip) => offset += skip,
                         None => break,
                     }
                 }
             }
         }
-        let last = found.entries.last().map_or(base, |e| e.index);
-        found.segments.push((*number, last));
+        let last = contents.entries.last().map_or(base, |e| e.index);
+        contents.segments.push((*number, last));
     }
-    found.entries.retain(|e| e.index > base);
-    Ok(found)
+    contents.entries.retain(|e| e.index > base);
+    Ok(contents)
 }
 
-impl Found {
-    fn take(&mut self, frame: Frame, base: u64) {
+impl FolderContents {
+    fn apply(&mut self, frame: Frame, base: u64) {
         match frame {
-            Frame::HardState(h) => self.hard_state = h,
-            Frame::Cut(c) => self.entries.retain(|e| e.index < c),
-            Frame::Notes(n) => self.witnesses = n,
-            Frame::Entry(e) => match self.entries.last().map(|l| l.index) {
-                Some(last) if e.index == last + 1 => self.entries.push(e),
-                None if e.index <= base + 1 => self.entries.push(e),
-                // After a gap: what lies beyond it can't be used.
-                Some(last) if e.index > last + 1 => {
+            Frame::HardState(hard_state) => self.hard_state = hard_state,
+            Frame::Truncate(index) => self.entries.retain(|entry| entry.index < index),
+            Frame::Witnesses(witnesses) => self.witnesses = witnesses,
+            Frame::Entry(entry) => match self.entries.last().map(|l| l.index) {
+                Some(last) if entry.index == last + 1 => self.entries.push(entry),
+                None if entry.index <= base + 1 => self.entries.push(entry),
+                // After a gap: damage, unless the snapshot covers all entries before it; the log then restarts here.
+                Some(last) if entry.index > last + 1 => {
                     if last >= base {
                         self.damaged = true;
                     } else {
-                        self.entries = vec![e];
+                        self.entries = vec![entry];
                     }
                 }
                 None => self.damaged = true,
                 Some(_) => {
-                    self.entries.retain(|x| x.index < e.index);
-                    self.entries.push(e);
+                    self.entries.retain(|kept| kept.index < entry.index);
+                    self.entries.push(entry);
                 }
             },
             Frame::Snapshot(_) => {}
--- a/landingdrift/src/node/calls/forward.rs
+++ b/landingdrift/src/node/calls/forward.rs
@@ -1,8 +1,9 @@
-//! Calls that another node answers.
+//! Forwarding of calls to other nodes.
 //!
-//! A call that may be repeated is forwarded to one node after the other until one answers: at once where a node
-//! refuses, and after a while that doubles where it is silent, as far as the budget for retries goes, and unless its answer may be large and still on its way. Any other call
-//! is forwarded once, and its outcome is unknown if no response comes.
+//! A repeatable call is forwarded to one node after another until one answers: immediately when a node rejects it with
+//! 503, and after an exponentially growing timeout when a node does not respond. Retries are limited by the retry
+//! budget, and a read with a large answer is not retried after a timeout, because the answer may still be on its way.
+//! Any other call is forwarded once; if no response arrives, its outcome is unknown.
 
 use super::{CallState, OpenCall, Origin, CONFIG_PATH};
 use crate::node::Node;
@@ -10,22 +11,22 @@
 use crate::wire::{Body, ForwardRequest, ForwardResponse};
 use serde_json::Value;
 
-/// A repeatable call is forwarded to another node after this part of the time for which a node works on a call.
-const RETRY_PART: u64 = 6;
-/// The most nodes that one call is forwarded to.
+/// Divisor of the request timeout, giving the first retry timeout of a forwarded call.
+const RETRY_DIVISOR: u64 = 6;
+/// Maximum number of nodes that one call is forwarded to.
 const MAX_ATTEMPTS: usize = 4;
 
-/// One attempt of a call to have another node answer it.
+/// One attempt to have another node answer a call.
 pub(super) struct ForwardAttempt {
     pub to: String,
-    is_refused: bool,
+    is_rejected: bool,
 }
 
-/// A repeatable call that other nodes are asked to answer.
+/// The forwarding state of a repeatable call.
 pub(super) struct RepeatedForward {
     request: Request,
     attempts: Vec<ForwardAttempt>,
-    /// When the next node is asked, in monotonic milliseconds; none once all were.
+    /// Time of the next attempt, in monotonic milliseconds; none if none is scheduled.
     next_at: Option<u64>,
 }
 
@@ -38,21 +39,20 @@
         }
     }
 
-    /// Whether the answer is small: a large one fills a narrow link, so no second node is asked for it while a first one
-    /// may be sending it.
+    /// Whether the answer is small, judged by the path.
     fn has_small_answer(&self) -> bool {
         let path = self.request.path.as_str();
         let large = [CONFIG_PATH, "/v1/status", "/v1/workers", "/v1/jobs"];
         !large.contains(&path.trim_end_matches('/'))
     }
 
-    /// Whether some node may still answer.
+    /// Whether an attempt is due or may still be answered.
     fn is_open(&self) -> bool {
-        self.next_at.is_some() || self.attempts.iter().any(|attempt| !attempt.is_refused)
+        self.next_at.is_some() || self.attempts.iter().any(|attempt| !attempt.is_rejected)
     }
 
-    /// The nodes that were asked, for the log.
-    pub(super) fn asked(&self) -> String {
+    /// Comma-separated addresses of the nodes that the call was forwarded to, for log messages.
+    pub(super) fn targets(&self) -> String {
         let nodes = self.attempts.iter().map(|attempt| attempt.to.as_str());
         nodes.collect::<Vec<_>>().join(", ")
     }
@@ -63,26 +63,26 @@
 }
 
 impl Node {
-    /// Has another node answer a repeatable call that this one can't answer.
+    /// Forwards a repeatable call that this node can't answer, or rejects it if it was forwarded to this node.
     pub(super) fn forward_repeatable(&mut self, now: Now, origin: Origin, request: &Request) {
         let Origin::Local(_) = origin else {
-            // It was forwarded already: whoever did so asks another node.
+            // The call was already forwarded: the forwarding process tries another node.
             let response = self.no_full_copy_response();
             return self.reply(&origin, response);
         };
-        let call = self.open_call(now, origin, CallState::ForwardedRepeatedly);
+        let call = self.register_call(now, origin, CallState::ForwardedRepeatedly);
         self.set_forward(call, request.clone(), now.mono);
         self.advance_forward(now, call);
     }
 
-    /// Other nodes are asked as well if this one has not answered an open call soon.
+    /// Schedules forwarding of an open call in case this node does not answer it within the retry timeout.
     pub(super) fn hedge(&mut self, now: Now, call: u64, request: Request) {
         let hedge_at = now.mono + self.forward_retry_ms();
         self.set_forward(call, request, hedge_at);
     }
 
-    /// An open call can't be answered here any more: another node has to.
-    pub(super) fn hand_over(&mut self, now: Now, call: u64, request: Request) {
+    /// Forwards an open call that this node can no longer answer, or rejects it if it was forwarded to this node.
+    pub(super) fn forward_open_call(&mut self, now: Now, call: u64, request: Request) {
         let Some(open_call) = self.calls.open.get_mut(&call) else {
             return;
         };
@@ -104,41 +104,45 @@
     }
 
     fn forward_retry_ms(&self) -> u64 {
-        self.settings.bounds.call() / RETRY_PART
+        self.settings.bounds.request_timeout() / RETRY_DIVISOR
     }
 
     fn no_full_copy_response(&self) -> Response {
-        let why = "this node keeps no jobs and knows of none that does: come back later, or go to another node";
-        Response::error(503, "noDuty", why).retry(self.settings.bounds.back())
+        let message = "this node does not store jobs and no node that does could be reached: retry later, or at another node";
+        Response::error(503, "noDuty", message).retry(self.settings.bounds.retry_after())
     }
 
-    /// Asks the next nodes for the calls whose last one was silent.
+    /// Makes the attempts that are due, and marks the nodes that did not answer the previous attempts as
+    /// unresponsive.
     pub(super) fn forwards_tick(&mut self, now: Now) {
         let is_due = |open_call: &OpenCall| {
             let forward = open_call.forward.as_ref();
             let next_at = forward.and_then(|forward| forward.next_at);
             next_at.is_some_and(|at| now.mono >= at)
         };
-        for call in self.calls_that(is_due) {
-            self.note_silent_target(now, call);
+        for call in self.calls_matching(is_due) {
+            self.mark_target_unresponsive(now, call);
             self.advance_forward(now, call);
         }
     }
 
-    fn note_silent_target(&mut self, now: Now, call: u64) {
+    fn mark_target_unresponsive(&mut self, now: Now, call: u64) {
         let open_call = self.calls.open.get(&call);
         let forward = open_call.and_then(|open_call| open_call.forward.as_ref());
         let last = forward.and_then(|forward| forward.attempts.last());
-        let Some(silent) = last.filter(|attempt| !attempt.is_refused) else {
+        let Some(timed_out) = last.filter(|attempt| !attempt.is_rejected) else {
             return;
         };
-        let until = now.mono + self.settings.bounds.node_lost();
-        let node = silent.to.clone();
-        self.calls.silent_nodes.note_silence(&node, until);
+        let until = now.mono + self.settings.bounds.node_timeout();
+        let node = timed_out.to.clone();
+        self.calls
+            .unresponsive_nodes
+            .mark_unresponsive(&node, until);
         self.count("forwards_without_answer", 1);
     }
 
-    /// Forwards a repeatable call to the next node; answers it where none is left and none can answer any more.
+    /// Forwards a repeatable call to the next node, if one is left and the maximum number of attempts and the retry
+    /// budget allow it. If no attempt is outstanding then, rejects the call unless this node may still answer it.
     fn advance_forward(&mut self, now: Now, call: u64) {
         let Some(open_call) = self.calls.open.get_mut(&call) else {
             return;
@@ -147,19 +151,20 @@
             return;
         };
         let is_first = forward.attempts.is_empty();
-        let may_ask =
-            forward.attempts.len() < MAX_ATTEMPTS && self.calls.retry_budget.allows(now, is_first);
+        let is_within_budget = forward.attempts.len() < MAX_ATTEMPTS
+            && self.calls.retry_budget.try_charge(now, is_first);
         let target = self
             .pick_forward_target(now, &forward.attempts)
-            .filter(|_| may_ask);
+            .filter(|_| is_within_budget);
         match target {
             Some(to) => {
                 let attempt = forward.attempts.len();
                 self.send_forward(call, attempt, &to, &forward.request);
                 let retry_at = now.mono + (self.forward_retry_ms() << attempt);
+                // A large answer saturates a narrow link: no other node is asked while this one may be sending it.
                 forward.next_at = forward.has_small_answer().then_some(retry_at);
-                let is_refused = false;
-                forward.attempts.push(ForwardAttempt { to, is_refused });
+                let is_rejected = false;
+                forward.attempts.push(ForwardAttempt { to, is_rejected });
             }
             None => forward.next_at = None,
         }
@@ -168,16 +173,16 @@
             return;
         };
         open_call.forward = Some(forward);
-        let waits_here = !matches!(open_call.state, CallState::ForwardedRepeatedly);
-        if !is_open && !waits_here {
-            self.note_unanswered(now, call);
+        let is_handled_locally = !matches!(open_call.state, CallState::ForwardedRepeatedly);
+        if !is_open && !is_handled_locally {
+            self.record_unanswered(now, call);
             let response = self.no_full_copy_response();
             self.finish(call, response);
         }
     }
 
     fn send_forward(&mut self, call: u64, attempt: usize, to: &str, request: &Request) {
-        let forwarded = ForwardRequest {
+        let forward_request = ForwardRequest {
             token: self.request_token(call, attempt),
             method: request.method.clone(),
             path: request.path.clone(),
@@ -185,16 +190,16 @@
             body: request.body.clone(),
         };
         self.count("calls_forwarded", 1);
-        self.send(to, Body::ForwardRequest(Box::new(forwarded)));
+        self.send(to, Body::ForwardRequest(Box::new(forward_request)));
     }
 
-    /// Forwards a call to a node, once.
+    /// Forwards a call that must not be repeated to the given node.
     pub(super) fn forward_to(&mut self, now: Now, origin: Origin, to: &str, request: &Request) {
         let state = CallState::ForwardedOnce {
             to: to.into(),
             path: request.path.clone(),
         };
-        let call = self.open_call(now, origin, state);
+        let call = self.register_call(now, origin, state);
         self.send_forward(call, 0, to, request);
     }
 
@@ -202,14 +207,14 @@
         &mut self,
         now: Now,
         from: &str,
-        forwarded: ForwardRequest,
+        request: ForwardRequest,
     ) {
-        let origin = Origin::Remote(from.into(), forwarded.token);
+        let origin = Origin::Remote(from.into(), request.token);
         let request = Request {
-            method: forwarded.method,
-            path: forwarded.path,
-            query: forwarded.query,
-            body: forwarded.body,
+            method: request.method,
+            path: request.path,
+            query: request.query,
+            body: request.body,
         };
         self.on_call(now, origin, request);
     }
@@ -218,31 +223,31 @@
         &mut self,
         now: Now,
         from: &str,
-        forwarded: ForwardResponse,
+        response: ForwardResponse,
     ) {
-        let call = forwarded.token.number;
-        let attempt = forwarded.token.attempt as usize;
+        let call = response.token.number;
+        let attempt = response.token.attempt as usize;
         let open_call = self.calls.open.get_mut(&call);
-        let is_repeatable = match open_call {
-            Some(open_call) => open_call.take_forward_response(from, attempt, forwarded.status),
+        let repeatable_attempt = match open_call {
+            Some(open_call) => open_call.record_forward_response(from, attempt, response.status),
             None => None,
         };
-        self.calls.silent_nodes.note_answer(from);
-        match is_repeatable {
+        self.calls.unresponsive_nodes.mark_responsive(from);
+        match repeatable_attempt {
             None => self.count("responses_unexpected", 1),
-            Some(true) if forwarded.status == 503 => self.advance_forward(now, call),
+            Some(true) if response.status == 503 => self.advance_forward(now, call),
             Some(_) => {
-                self.note_answered_version(now, call, forwarded.config_version);
-                self.finish(call, response_of(forwarded));
+                self.record_answered_version(now, call, response.config_version);
+                self.finish(call, response_of(response));
             }
         }
     }
 }
 
 impl OpenCall {
-    /// Notes the response of a node that the call was forwarded to; returns whether the call may be repeated, or
-    /// nothing where that node was not asked.
-    fn take_forward_response(&mut self, from: &str, attempt: usize, status: u16) -> Option<bool> {
+    /// Records the response to an attempt. Returns none if it matches no attempt, otherwise whether the call is
+    /// repeatable.
+    fn record_forward_response(&mut self, from: &str, attempt: usize, status: u16) -> Option<bool> {
         if let CallState::ForwardedOnce { to, .. } = &self.state {
             return (to == from).then_some(false);
         }
@@ -251,17 +256,17 @@
         if attempt.to != from {
             return None;
         }
-        attempt.is_refused = status == 503;
+        attempt.is_rejected = status == 503;
         Some(true)
     }
 }
 
-fn response_of(forwarded: ForwardResponse) -> Response {
+fn response_of(response: ForwardResponse) -> Response {
     Response {
-        status: forwarded.status,
-        retry_ms: forwarded.retry_ms,
-        body: serde_json::from_slice(&forwarded.body).unwrap_or(Value::Null),
-        by: forwarded.by,
+        status: response.status,
+        retry_ms: response.retry_ms,
+        body: serde_json::from_slice(&response.body).unwrap_or(Value::Null),
+        answered_by: response.by,
         location: String::new(),
     }
 }
--- a/landingdrift/src/node/calls/jobs.rs
+++ b/landingdrift/src/node/calls/jobs.rs
@@ -1,23 +1,23 @@
-//! Calls about jobs: submit, poll, list, cancel, and resolve an attempt whose outcome is unknown.
+//! Calls about jobs: submit, poll, list, cancel, and resolve attempts whose outcome is unknown.
 
-use super::{param, CallState, Origin, ProposedCall, ReadQuery};
+use super::{param, CallCommand, CallState, Origin, ReadQuery};
 use crate::node::Node;
 use crate::sans_io::{fnv1a, Now, Response};
 use crate::state::{ApplyResult, AttemptState, Command, Job, JobSpec, JobState, Rejection, Task};
 use serde_json::{json, Value};
 use std::ops::Bound;
 
-/// The most jobs on one page.
+/// Maximum number of jobs on a page of the job list.
 const MAX_PAGE: usize = 500;
-/// Jobs on a page when the caller names no limit.
+/// Number of jobs on a page when the caller sets no limit.
 const DEFAULT_PAGE: usize = 100;
-/// A caller who is told that the cluster is full comes back after so many of the usual pauses: jobs end more slowly
+/// Factor applied to the usual retry delay when a job is rejected because the cluster is full: jobs end more slowly
 /// than calls are answered.
-const FULL_PAUSES: u64 = 5;
-/// A caller whose queue is over its quota comes back after so many of the usual pauses.
-const OVER_QUOTA_PAUSES: u64 = 2;
+const CLUSTER_FULL_RETRY_FACTOR: u64 = 5;
+/// Factor applied to the usual retry delay when a job is rejected because its queue is over its quota.
+const OVER_QUOTA_RETRY_FACTOR: u64 = 2;
 
-/// A job as callers see it.
+/// The response body for a job that has not been replaced by a tombstone.
 fn job_body(job: &Job) -> Value {
     let tasks: Vec<Value> = (0..job.tasks.len())
         .map(|task| task_body(job, task))
@@ -32,7 +32,7 @@
 
 fn task_body(job: &Job, index: usize) -> Value {
     let task = &job.tasks[index];
-    let mut body = json!({"name": job.name(index), "state": task.state, "defects": task.failures, "sends": task.attempts});
+    let mut body = json!({"name": job.task_name(index), "state": task.state, "defects": task.failures, "sends": task.attempts});
     let mut attempts = task.attempts.iter();
     if attempts.any(|attempt| attempt.state == AttemptState::Unsure) {
         body["unsure"] = json!("its worker fell silent: it ends by the worker's late report, an operator's word or the queue's bound");
@@ -44,8 +44,8 @@
     pub(super) fn submit(&mut self, now: Now, origin: Origin, body: &[u8]) {
         let max_bytes = self.settings.limits.job_bytes;
         if body.len() as u64 > max_bytes {
-            let why = format!("a job may have {max_bytes} bytes: split it");
-            return self.reply(&origin, Response::error(413, "tooLarge", why));
+            let message = format!("the job exceeds the limit of {max_bytes} bytes: split it");
+            return self.reply(&origin, Response::error(413, "tooLarge", message));
         }
         match JobSpec::read(body) {
             Ok(spec) => self.submit_spec(now, origin, spec),
@@ -61,9 +61,9 @@
             let response = Response::error(400, "wrongJob", error.to_string());
             return self.reply(&origin, response);
         }
-        let is_new = !self.state.open.contains(&spec.id);
-        if is_new && self.state.open.len() as u64 >= self.settings.limits.open_jobs {
-            return self.reject_full(&origin);
+        let is_new = !self.state.unfinished_jobs.contains(&spec.id);
+        if is_new && self.state.unfinished_jobs.len() as u64 >= self.settings.limits.open_jobs {
+            return self.reject_at_job_limit(&origin);
         }
         let hash = fnv1a(&serde_json::to_vec(&spec).unwrap_or_default());
         let id = spec.id.clone();
@@ -77,19 +77,23 @@
             return self.reply(&origin, response);
         }
         let seen = self.state.applied_index;
-        let command = Command::AcceptJob { spec, hash, seen };
-        self.open_with_proposal(now, origin, &command, ProposedCall::AcceptJob { id });
+        let command = Command::SubmitJob { spec, hash, seen };
+        self.propose_for_call(now, origin, &command, CallCommand::SubmitJob { id });
     }
 
-    /// Answers a submission for which the cluster has no capacity.
-    fn reject_full(&mut self, origin: &Origin) {
+    /// Rejects a submission because the limit on unfinished jobs is reached.
+    fn reject_at_job_limit(&mut self, origin: &Origin) {
         self.count("jobs_rejected", 1);
-        let why = "the system holds as many unfinished jobs as it may and took nothing of this call: come back later";
-        let pause = FULL_PAUSES * self.settings.bounds.back();
-        self.reply(origin, Response::error(503, "full", why).retry(pause));
+        let message =
+            "the limit on unfinished jobs is reached and this job was not accepted: retry later";
+        let retry_ms = CLUSTER_FULL_RETRY_FACTOR * self.settings.bounds.retry_after();
+        self.reply(
+            origin,
+            Response::error(503, "full", message).retry(retry_ms),
+        );
     }
 
-    /// The hash of a job's specification, as long as the job or its identity is kept.
+    /// The hash of a job's specification, from the job or its tombstone.
     fn known_hash(&self, id: &str) -> Option<u64> {
         let kept = self.state.jobs.get(id).map(|job| job.hash);
         kept.or_else(|| {
@@ -100,7 +104,7 @@
         })
     }
 
-    /// The state of a job, as long as the job or its identity is kept.
+    /// The state of a job, from the job or its tombstone.
     fn known_state(&self, id: &str) -> Option<JobState> {
         let kept = self.state.jobs.get(id).map(|job| job.state);
         kept.or_else(|| {
@@ -113,10 +117,10 @@
 
     pub(super) fn accepted_response(&mut self, id: &str, result: ApplyResult) -> Response {
         match result {
-            Ok(told) => {
+            Ok(applied) => {
                 self.count("jobs_accepted", 1);
                 let state = self.known_state(id).unwrap_or(JobState::Waiting);
-                let status = if told["known"] == json!(true) {
+                let status = if applied["known"] == json!(true) {
                     200
                 } else {
                     202
@@ -132,25 +136,25 @@
     }
 
     fn rejected_job_response(&self, rejection: &Rejection) -> Response {
-        let why = rejection.to_string();
+        let message = rejection.to_string();
         match rejection {
-            Rejection::BodyMismatch => Response::error(409, "otherBody", why),
+            Rejection::BodyMismatch => Response::error(409, "otherBody", message),
             Rejection::OverQuota { .. } | Rejection::PreviouslyRejected => {
-                let pause = OVER_QUOTA_PAUSES * self.settings.bounds.back();
-                Response::error(429, "overQuota", why).retry(pause)
+                let retry_ms = OVER_QUOTA_RETRY_FACTOR * self.settings.bounds.retry_after();
+                Response::error(429, "overQuota", message).retry(retry_ms)
             }
             Rejection::InsufficientCapacity => {
-                let pause = FULL_PAUSES * self.settings.bounds.back();
-                Response::error(503, "full", why).retry(pause)
+                let retry_ms = CLUSTER_FULL_RETRY_FACTOR * self.settings.bounds.retry_after();
+                Response::error(503, "full", message).retry(retry_ms)
             }
             Rejection::Invalid { path, .. } if path == "queue" => {
-                Response::error(404, "noSuchQueue", why)
+                Response::error(404, "noSuchQueue", message)
             }
-            _ => Response::error(400, "wrongJob", why),
+            _ => Response::error(400, "wrongJob", message),
         }
     }
 
-    /// A job as this node knows it; `stale` tells the caller that its state may be newer than that.
+    /// The response with a job's state in this node's copy; `stale` warns the caller that the copy may be outdated.
     pub(super) fn job_response(&self, id: &str, stale: bool) -> Option<Response> {
         let mut body = match self.state.jobs.get(id) {
             Some(job) => job_body(job),
@@ -164,14 +168,15 @@
         Some(Response::new(200, body))
     }
 
-    /// Answers a call for a job's state.
+    /// Serves a request for a job's state.
     ///
-    /// The state of an ended job is final, so it is answered at once. Otherwise the watch must be as new as the call,
-    /// so that no caller sees a state older than the one another node has answered. For a job that this node does not
-    /// know, or before it has caught up, a replica is asked for the read index.
+    /// The state of an ended job is final, so it is returned at once. Otherwise this node's copy must contain
+    /// everything that was committed when the call was received, so that no caller sees an older state than another
+    /// node has already returned. If this node does not know the job or has not caught up, it asks a replica for the
+    /// read index.
     pub(super) fn poll(&mut self, now: Now, origin: Origin, id: &str) {
         match self.known_state(id) {
-            Some(state) if state.ended() => {
+            Some(state) if state.has_ended() => {
                 if let Some(response) = self.job_response(id, false) {
                     self.reply(&origin, response);
                 }
@@ -180,9 +185,9 @@
                 let state = CallState::PollPending {
                     id: id.into(),
                     received_at: now.mono,
-                    answer_by: now.mono + self.settings.bounds.fresh() / 2,
+                    answer_by: now.mono + self.settings.bounds.max_watch_age() / 2,
                 };
-                self.open_call(now, origin, state);
+                self.register_call(now, origin, state);
             }
             _ => self.read(now, origin, ReadQuery::Job { id: id.into() }),
         }
@@ -191,8 +196,8 @@
     pub(super) fn jobs_response(&self, query: &str) -> Response {
         let limit = param(query, "limit").map_or(Ok(DEFAULT_PAGE), str::parse::<usize>);
         let Some(limit) = limit.ok().filter(|limit| (1..=MAX_PAGE).contains(limit)) else {
-            let why = format!("limit: give a number from 1 to {MAX_PAGE}");
-            return Response::error(400, "wrongQuery", why);
+            let message = format!("limit: must be a number from 1 to {MAX_PAGE}");
+            return Response::error(400, "wrongQuery", message);
         };
         let queue = param(query, "queue");
         let after = param(query, "after").unwrap_or("");
@@ -206,7 +211,7 @@
             .take(limit)
             .map(|job| json!({"id": job.spec.id, "queue": job.spec.queue, "state": job.state, "accepted": job.accepted, "ended": job.ended}))
             .collect();
-        // Where there are more, the last id of this page is where the next one begins.
+        // If more jobs match, the last id on this page is the cursor for the next page.
         let is_last_page = matching.next().is_none();
         let next = match page.last() {
             Some(last) if !is_last_page => Some(last["id"].clone()),
@@ -217,17 +222,17 @@
 
     pub(super) fn cancel(&mut self, now: Now, origin: Origin, id: &str) {
         let command = Command::CancelJob { job: id.into() };
-        self.open_with_proposal(
+        self.propose_for_call(
             now,
             origin,
             &command,
-            ProposedCall::CancelJob { id: id.into() },
+            CallCommand::CancelJob { id: id.into() },
         );
     }
 
     pub(super) fn cancelled_response(&mut self, id: &str, result: ApplyResult) -> Response {
         match result {
-            Ok(told) => Response::new(200, json!({"id": id, "state": told["state"]})),
+            Ok(applied) => Response::new(200, json!({"id": id, "state": applied["state"]})),
             Err(rejection) => Response::error(404, "unknownJob", rejection.to_string()),
         }
     }
@@ -238,20 +243,20 @@
             Some("well") => true,
             Some("defect") => false,
             _ => {
-                let why = "outcome: give 'well' or 'defect'";
-                return self.reply(&origin, Response::error(400, "wrongOutcome", why));
+                let message = "outcome: must be 'well' or 'defect'";
+                return self.reply(&origin, Response::error(400, "wrongOutcome", message));
             }
         };
-        let command = Command::ResolveAttempt {
+        let command = Command::ResolveTask {
             job: id.into(),
             task: task.into(),
             succeeded,
         };
-        self.open_with_proposal(
+        self.propose_for_call(
             now,
             origin,
             &command,
-            ProposedCall::ResolveAttempt { id: id.into() },
+            CallCommand::ResolveTask { id: id.into() },
         );
     }
 }
--- a/landingdrift/src/node/calls/status.rs
+++ b/landingdrift/src/node/calls/status.rs
@@ -1,4 +1,4 @@
-//! The status of the cluster as operators see it, from this node's copy of the cluster state.
+//! Cluster and worker status for operators, from this node's copy of the cluster state.
 
 use crate::config::{Queue, Zone};
 use crate::node::Node;
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// How many of the latest changes the status shows.
+/// Maximum number of recent configuration changes in the status.
 const MAX_CHANGES: usize = 20;
 
 impl Node {
@@ -25,7 +25,7 @@
         let nodes_status: Vec<Value> = nodes.iter().map(node_status).collect();
         let latest = state.changes.iter().rev().take(MAX_CHANGES);
         let changes: Vec<Value> = latest.map(|change| change_status(change, nodes)).collect();
-        let jobs = json!({"open": state.open.len(), "kept": state.jobs.len(), "unsureSends": unsure_attempts(state)});
+        let jobs = json!({"open": state.unfinished_jobs.len(), "kept": state.jobs.len(), "unsureSends": unsure_attempt_count(state)});
         Response::new(
             200,
             json!({"cluster": state.cluster, "place": state.applied_index, "at": state.at, "version": state.version, "jobs": jobs,
@@ -44,14 +44,14 @@
     let stats = state.queues.get(name).cloned().unwrap_or_default();
     let is_in_window = |ended_at: u64| ended_at + queue.window_ms >= state.at;
     let in_window = stats
-        .promises
+        .job_ends
         .iter()
         .filter(|(ended_at, _)| is_in_window(*ended_at));
     let ended = in_window.clone().count();
     let missed = in_window.filter(|(_, kept)| !kept).count();
-    let window = json!({"ended": ended, "missed": missed, "allowancePercent": queue.failure_allowance_percent, "spent": state.allowance_spent(name)});
+    let window = json!({"ended": ended, "missed": missed, "allowancePercent": queue.failure_allowance_percent, "spent": state.is_allowance_exhausted(name)});
     json!({"unfinished": stats.unfinished, "running": stats.running, "copies": stats.copies, "kept": stats.kept, "missed": stats.missed,
-           "beta": state.beta(name), "window": window, "copiesEver": stats.copies_ever, "copiesWon": stats.copies_won})
+           "beta": state.beta(name), "window": window, "copiesEver": stats.copies_started, "copiesWon": stats.copies_won})
 }
 
 fn zone_status(state: &ClusterState, name: &str, zone: &Zone) -> Value {
@@ -60,8 +60,8 @@
     } else {
         &zone.state
     };
-    let is_counted = |worker: &&Worker| worker.info.zone == name && !worker.lost;
-    let workers: Vec<&Worker> = state.workers.values().filter(is_counted).collect();
+    let is_present_in_zone = |worker: &&Worker| worker.info.zone == name && !worker.lost;
+    let workers: Vec<&Worker> = state.workers.values().filter(is_present_in_zone).collect();
     let running: usize = workers.iter().map(|worker| worker.attempts.len()).sum();
     json!({"state": zone_state, "workers": workers.len(), "running": running, "empty": running == 0})
 }
@@ -78,7 +78,7 @@
     json!({"change": change.change, "version": change.version, "at": change.at, "inForceOn": in_force})
 }
 
-fn unsure_attempts(state: &ClusterState) -> usize {
+fn unsure_attempt_count(state: &ClusterState) -> usize {
     let is_unsure = |number: &&u64| {
         let known = state.attempt(**number);
         known.is_some_and(|(_, _, attempt)| attempt.state == AttemptState::Unsure)
--- a/landingdrift/src/node/gossip.rs
+++ b/landingdrift/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip of this node's peer sampler: shuffles of its view with other processes.
+//! Gossip: shuffles of this node's peer sampler view with other processes.
 
 use super::Node;
 use crate::sans_io::Now;
@@ -7,7 +7,7 @@
 impl Node {
     /// Starts a shuffle when one is due.
     pub(super) fn peer_sampler_tick(&mut self, now: Now) {
-        let interval_ms = self.settings.bounds.shuffle();
+        let interval_ms = self.settings.bounds.shuffle_interval();
         let started = self.peer_sampler.tick(now, interval_ms, &mut self.rng);
         if let Some((peer, shuffle)) = started {
             self.send(&peer, Body::Shuffle(Box::new(shuffle)));
@@ -15,7 +15,7 @@
     }
 
     pub(super) fn on_shuffle(&mut self, from: &str, shuffle: Shuffle) {
-        let reply = self.peer_sampler.take(shuffle, &mut self.rng);
+        let reply = self.peer_sampler.receive(shuffle, &mut self.rng);
         if let Some(reply) = reply {
             self.send(from, Body::Shuffle(Box::new(reply)));
         }
--- a/landingdrift/src/node/mod.rs
+++ b/landingdrift/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node: follows the cluster state, serves calls, and schedules for the queues and zones whose leases it holds.
+//! A node: follows the cluster state, serves calls, and schedules the queues and zones whose leases it holds.
 //!
 //! - `watch` follows the cluster state, `propose` proposes changes to it,
 //! - `calls` serves HTTP,
@@ -19,59 +19,59 @@
 };
 
 use crate::peer_sampler::PeerSampler;
-use crate::sans_io::{fnv1a, Effect, Msg, Now, Part, Response, Rng};
+use crate::sans_io::{fnv1a, Effect, Msg, Now, Response, Rng, StateMachine};
 use crate::settings::Settings;
 use crate::state::ClusterState;
 use crate::wire::{Body, RequestToken};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A silence of this node itself that is longer than this part of the election timeout was a freeze of its process.
-const FREEZE_ELECTION_PART: u64 = 2;
+/// Divisor of the election timeout: a longer time between two ticks means that the process was frozen.
+const FREEZE_TIMEOUT_DIVISOR: u64 = 2;
 
-/// A node.
+/// The state machine of a node, driven by ticks, messages and calls.
 pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) name: String,
     pub(crate) rng: Rng,
     pub(crate) state: ClusterState,
-    /// `state` is a light copy: it has the configuration, leases and members, but neither jobs nor workers.
+    /// `state` is a light copy: it has the configuration, leases and nodes, but neither jobs nor workers.
     pub(crate) light: bool,
     pub(crate) watch: watch::Watch,
     pub(crate) peer_sampler: PeerSampler,
     pub(crate) zone_schedulers: BTreeMap<String, zone_scheduler::ZoneScheduler>,
-    pub(crate) sched: scheduler::Scheduler,
+    pub(crate) scheduler: scheduler::Scheduler,
     pub(crate) calls: calls::Calls,
     pub(crate) proposals: BTreeMap<u64, propose::Proposal>,
-    /// Drawn when the process starts: responses to requests of an earlier one are dropped.
+    /// Random number of this process; responses to requests of an earlier process are dropped.
     pub(crate) incarnation: u64,
     next_token: u64,
     last_tick: u64,
-    /// When a node that is stopping exits at the latest.
+    /// Deadline for the exit of a stopping node, in monotonic milliseconds; none while it is not stopping.
     stopping: Option<u64>,
-    /// Messages of this node to itself.
+    /// Messages that this node has sent to itself.
     loopback: VecDeque<Body>,
     counters: BTreeMap<&'static str, u64>,
     out: Vec<Effect>,
 }
 
 impl Node {
-    /// A node that has not received the cluster state yet.
+    /// Creates a node that has not received the cluster state yet.
     pub fn new(settings: Settings, now: Now, seed: u64) -> Self {
         let name = settings.listen.clone();
         let mut rng = Rng::new(seed ^ fnv1a(name.as_bytes()));
-        let first_token = rng.number();
-        let incarnation = rng.number();
+        let first_token = rng.next_u64();
+        let incarnation = rng.next_u64();
         Self {
             state: ClusterState::new(&settings.cluster),
             light: false,
             watch: watch::Watch::new(now),
             peer_sampler: PeerSampler::new(&name, "node", &settings.zone, &settings.seeds),
             zone_schedulers: BTreeMap::new(),
-            sched: scheduler::Scheduler::default(),
+            scheduler: scheduler::Scheduler::default(),
             calls: calls::Calls::default(),
             proposals: BTreeMap::new(),
             incarnation,
-            // Some bits are spared, so that counting on from there does not overflow.
+            // The upper 16 bits are left free, so that incrementing the token does not overflow.
             next_token: first_token >> 16,
             last_tick: now.mono,
             stopping: None,
@@ -93,13 +93,13 @@
         self.out.push(Effect::Log(text));
     }
 
-    /// A number that no other request, proposal or call of this process has.
+    /// Returns a number that is unique among the requests, proposals and calls of this process.
     pub(crate) fn token(&mut self) -> u64 {
         self.next_token += 1;
         self.next_token
     }
 
-    /// The token that is sent with one attempt of a request.
+    /// The token of one attempt of a request.
     pub(crate) fn request_token(&self, number: u64, attempt: usize) -> RequestToken {
         RequestToken {
             incarnation: self.incarnation,
@@ -108,14 +108,14 @@
         }
     }
 
-    /// Whether a response is to a request of this incarnation of the process; others are counted and dropped.
+    /// Whether a response is to a request of this incarnation of the process. Other responses are counted.
     fn is_own(&mut self, token: &RequestToken) -> bool {
         let own = token.incarnation == self.incarnation;
         self.count("responses_to_another_incarnation", u64::from(!own));
         own
     }
 
-    /// Sends a message to another process, or loops it back where it is for this one.
+    /// Sends a message to a process, or queues it in the loopback if it is to this node.
     pub(crate) fn send(&mut self, to: &str, body: Body) {
         if to == self.name {
             self.loopback.push_back(body);
@@ -125,37 +125,36 @@
     }
 
     /// Whether the watch is fresh enough to answer callers and place tasks.
-    pub(crate) fn fresh(&self, now: Now) -> bool {
-        self.watch.has_snapshot && self.watch_age(now) <= self.settings.bounds.fresh()
+    pub(crate) fn is_fresh(&self, now: Now) -> bool {
+        self.watch.has_snapshot && self.watch_age(now) <= self.settings.bounds.max_watch_age()
     }
 
-    /// Whether the watch is fresh enough to act as the zone schedulers whose leases this node holds. A light copy never
-    /// is: it knows of no run.
-    pub(crate) fn fresh_for_zones(&self, now: Now) -> bool {
+    /// Whether the watch is fresh enough to act as a zone scheduler. A light copy never is, since it has no runs.
+    pub(crate) fn is_fresh_for_zones(&self, now: Now) -> bool {
         !self.light
             && self.watch.has_snapshot
-            && self.watch_age(now) <= self.settings.bounds.fresh_for_zones()
+            && self.watch_age(now) <= self.settings.bounds.max_watch_age_for_zones()
     }
 
     fn watch_age(&self, now: Now) -> u64 {
         now.mono.saturating_sub(self.watch.fresh_at)
     }
 
-    fn ready(&self, now: Now) -> bool {
-        self.fresh(now) && self.stopping.is_none()
+    fn is_fresh_and_running(&self, now: Now) -> bool {
+        self.is_fresh(now) && self.stopping.is_none()
     }
 
-    /// The epoch under which this node holds a lease, if it does.
+    /// The epoch of a lease, if this node holds it.
     pub(crate) fn epoch(&self, lease: &str) -> Option<u64> {
-        let lease = self.state.holder(lease)?;
+        let lease = self.state.current_lease(lease)?;
         (lease.holder == self.name).then_some(lease.epoch)
     }
 
     fn on_tick(&mut self, now: Now) {
         let since_last_tick = now.mono.saturating_sub(self.last_tick);
         self.last_tick = now.mono;
-        if since_last_tick > self.settings.bounds.election() / FREEZE_ELECTION_PART {
-            // This process was frozen: heartbeats may wait unread, and silence does not count against workers.
+        if since_last_tick > self.settings.bounds.election_timeout() / FREEZE_TIMEOUT_DIVISOR {
+            // This process was frozen: heartbeats may be unprocessed, so every worker counts as having just sent one.
             self.count("own_freezes", 1);
             for worker in self.all_workers() {
                 worker.last_heartbeat = now.mono;
@@ -176,14 +175,14 @@
         }
     }
 
-    /// Whether the cluster state has this node as alive, or as the holder of a lease.
+    /// Whether the cluster state lists this node as alive or as a lease holder.
     fn is_member(&self) -> bool {
         let known = self.state.nodes.get(&self.name);
         let mut leases = self.state.leases.values();
         leases.any(|lease| lease.holder == self.name) || known.is_some_and(|node| node.alive)
     }
 
-    fn on_wire(&mut self, now: Now, from: &str, body: Body) {
+    fn on_received(&mut self, now: Now, from: &str, body: Body) {
         match body {
             Body::WatchBatch(batch) => self.on_batch(now, from, *batch),
             Body::WatchSnapshotChunk(chunk) => self.on_watch_chunk(now, from, &chunk),
@@ -208,7 +207,7 @@
                 self.on_forward_response(now, from, *response)
             }
             Body::Hello(_) | Body::JoinCluster(_) => {}
-            // To an earlier incarnation; `is_own` has counted them.
+            // Responses to an earlier incarnation, which `is_own` has counted.
             Body::ProposeResponse(_)
             | Body::ReadIndexResponse(_)
             | Body::OfferResponse(_)
@@ -218,44 +217,44 @@
         }
     }
 
-    /// The cluster state as this node follows it.
+    /// This node's copy of the cluster state.
     pub fn state(&self) -> &ClusterState {
         &self.state
     }
 
-    /// Whether this node answers that it is ready.
+    /// Whether readiness probes of this node succeed: its copy is fresh and it is not stopping.
     pub fn is_ready(&self, now: Now) -> bool {
-        self.ready(now)
+        self.is_fresh_and_running(now)
     }
 
-    /// The response to a call whose outcome is unknown: it may have been proposed with effect.
-    pub(crate) fn unsure_response(&self) -> Response {
+    /// The response to a call whose outcome is unknown because its command may have been appended.
+    pub(crate) fn unknown_outcome_response(&self) -> Response {
         Response::error(
             503,
             "unsure",
-            "it is not known whether this was taken: ask again with the same id, or poll",
+            "the outcome of this call is unknown: retry with the same id, or poll",
         )
-        .retry(self.settings.bounds.back())
+        .retry(self.settings.bounds.retry_after())
     }
 }
 
-impl Part for Node {
+impl StateMachine for Node {
     fn step(&mut self, now: Now, msg: Msg) -> Vec<Effect> {
         match msg {
             Msg::Tick => self.on_tick(now),
-            Msg::Wire(from, body) => self.on_wire(now, &from, body),
+            Msg::Received(from, body) => self.on_received(now, &from, body),
             Msg::Call(call, request) => self.on_call(now, calls::Origin::Local(call), request),
             Msg::SettingsChanged(settings) => self.settings = *settings,
             Msg::Stop => {
-                self.stopping = Some(now.mono + self.settings.bounds.node_lost());
+                self.stopping = Some(now.mono + self.settings.bounds.node_timeout());
                 self.watch.next_watch_request = now.mono;
                 self.watch_tick(now);
             }
-            Msg::Persisted(_) | Msg::DiskFailed(_) => {}
+            Msg::Persisted(_) | Msg::WriteFailed(_) => {}
         }
         while let Some(body) = self.loopback.pop_front() {
             let own_address = self.name.clone();
-            self.on_wire(now, &own_address, body);
+            self.on_received(now, &own_address, body);
         }
         std::mem::take(&mut self.out)
     }
@@ -271,7 +270,7 @@
         all.push(("version_in_force".into(), self.state.version));
         all.push(("zones_held".into(), self.zone_schedulers.len() as u64));
         all.push(("calls_open".into(), self.calls.len() as u64));
-        all.push(("jobs_open".into(), self.state.open.len() as u64));
+        all.push(("jobs_open".into(), self.state.unfinished_jobs.len() as u64));
         all.push(("view_size".into(), self.peer_sampler.len() as u64));
         all
     }
--- a/landingdrift/src/node/scheduler/demand.rs
+++ b/landingdrift/src/node/scheduler/demand.rs
@@ -1,26 +1,26 @@
-//! The demand of a job: its tasks that may start, or speculative copies of those that are slow.
+//! A job's demand for slots: its startable tasks, or else speculative copies of its slow tasks.
 
 use crate::node::Node;
 use crate::sans_io::Now;
 use crate::state::{AttemptState, Job, Task};
 use std::cmp::Reverse;
 
-/// How many slots a job could use now.
+/// The number of slots that a job could use now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Demand {
     pub originals: u32,
-    /// Speculative copies; none while a task waits for its first run.
+    /// Speculative copies; 0 while there are startable tasks.
     pub copies: u32,
 }
 
-/// A running task.
+/// A running task that is a candidate for a speculative copy.
 struct RunningTask {
     ran_ms: u64,
     task: u32,
 }
 
 impl Node {
-    /// How many slots a job could use now.
+    /// The number of slots that a job could use now.
     pub(super) fn demand(&self, now: Now, id: &str, job: &Job) -> Demand {
         let originals = self.startable_tasks(now, id, job).len() as u32;
         if originals > 0 {
@@ -36,36 +36,40 @@
         }
     }
 
-    /// Tasks of a job that may start now and whose start was not proposed yet.
+    /// Tasks of a job that may start now and have no pending start.
     pub(super) fn startable_tasks(&self, now: Now, id: &str, job: &Job) -> Vec<u32> {
         let cluster_time = self.cluster_time(now);
-        let underway = self.starting_tasks(id);
-        let may_start = |task: u32| self.state.may_start(id, task, false, cluster_time).is_ok();
+        let pending = self.pending_tasks(id);
+        let may_start = |task: u32| {
+            self.state
+                .check_start(id, task, false, cluster_time)
+                .is_ok()
+        };
         (0..job.tasks.len() as u32)
-            .filter(|task| !underway.contains(task) && may_start(*task))
+            .filter(|task| !pending.contains(task) && may_start(*task))
             .collect()
     }
 
-    /// Running tasks that are worth a speculative copy, the slowest first: they have run for so long that a new run
-    /// would probably end before them.
+    /// Running tasks that should get a speculative copy, longest running first: they have run for more than
+    /// `slow_factor` times the queue's median, so that a new run would probably end earlier.
     pub(super) fn slow_tasks(&self, now: Now, id: &str, job: &Job) -> Vec<u32> {
         let Some(median) = self.state.median(&job.spec.queue) else {
             return Vec::new();
         };
         let slow_after_ms = self.settings.hopper.slow_factor * median;
         let cluster_time = self.cluster_time(now);
-        let underway = self.starting_tasks(id);
+        let pending = self.pending_tasks(id);
         let mut slow: Vec<RunningTask> = Vec::new();
         for (i, state) in job.tasks.iter().enumerate() {
             let task = i as u32;
-            if !job.of(i).may_repeat || underway.contains(&task) {
+            if !job.task_spec(i).may_repeat || pending.contains(&task) {
                 continue;
             }
-            let Some(ran_ms) = running_for(state, cluster_time) else {
+            let Some(ran_ms) = running_ms(state, cluster_time) else {
                 continue;
             };
             if ran_ms as f64 > slow_after_ms
-                && self.state.may_start(id, task, true, cluster_time).is_ok()
+                && self.state.check_start(id, task, true, cluster_time).is_ok()
             {
                 slow.push(RunningTask { ran_ms, task });
             }
@@ -75,8 +79,8 @@
     }
 }
 
-/// How long a task has run, if it runs and is not being stopped.
-fn running_for(task: &Task, cluster_time: u64) -> Option<u64> {
+/// Time in milliseconds for which a task has been running; none if it is not running or is being stopped.
+fn running_ms(task: &Task, cluster_time: u64) -> Option<u64> {
     let running = task
         .live()
         .find(|attempt| attempt.state == AttemptState::Running && !attempt.stop)?;
--- a/landingdrift/src/node/scheduler/mod.rs
+++ b/landingdrift/src/node/scheduler/mod.rs
@@ -1,9 +1,9 @@
-//! The scheduler of the queues whose leases this node holds. Hopper's scheduler side.
+//! The scheduler of the queues whose leases this node holds. It is the scheduler side of the Hopper algorithm.
 //!
 //! - `reservations` places reservations with the holders of zone schedulers,
 //! - `offers` answers the offers that come back,
-//! - `placement` chooses the task that goes to an offered slot,
-//! - `demand` derives how many slots a job could use now,
+//! - `placement` selects the tasks to start in an offered slot,
+//! - `demand` derives the number of slots that a job could use now,
 //! - `sizes` derives the sizes of jobs, and ranks them.
 
 mod demand;
@@ -18,48 +18,49 @@
 use crate::state::{queue_lease, Job, Placement, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Other jobs make way for a gang that has waited for so many intervals of reservations: it gets a second try by itself
-/// first.
-const GANG_PATIENCE_INTERVALS: u64 = 2;
+/// Reservation intervals that a gang waits before workers are kept free for it; its reservations have been placed twice
+/// by then.
+const GANG_MIN_WAIT_INTERVALS: u64 = 2;
 
-/// What the scheduler keeps beside the cluster state. Times are by this node's monotonic clock.
+/// The scheduler's local state, which is not in the cluster state. Times are in monotonic milliseconds.
 #[derive(Default)]
 pub struct Scheduler {
     /// Jobs whose demand may have changed since it was last derived.
     pub dirty: BTreeSet<String>,
     pub all_dirty: bool,
-    /// The reservations that each job placed last.
+    /// The last reservations placed for each job.
     reserved: BTreeMap<String, LastReserved>,
-    /// Starts that were proposed and that the watch does not show yet, by proposal.
+    /// Proposed starts that are not in the cluster state yet, by proposal number.
     pending: BTreeMap<u64, PendingStart>,
     claim: Option<gangs::Claim>,
-    /// Unsatisfied jobs, the smallest first, as of the last full pass.
+    /// Unsatisfied jobs in order of size, as of the last full pass.
     ranked: Vec<String>,
-    /// Jobs among which the slots are shared.
-    runnable: usize,
+    /// Number of runnable jobs, which share the slots, as of the last full pass.
+    runnable_jobs: usize,
+    /// Time of the next recomputation of the fields above.
     next_full_pass: u64,
 }
 
-/// When a job last placed reservations, and for how many tasks.
+/// The time at which reservations for a job were last placed, and the number of tasks that they cover.
 #[derive(Clone, Copy, Default)]
 struct LastReserved {
     at: u64,
     tasks: u32,
 }
 
-/// A start that was proposed and that the watch does not show yet.
+/// A proposed start that is not in the cluster state yet.
 struct PendingStart {
     job: String,
     placements: Vec<Placement>,
     /// The resources that each placement takes, in the same order.
     reserved_resources: Vec<Resources>,
     until: u64,
-    /// Where the log has it; 0 until that is known.
+    /// The log index of the start; 0 until it is known.
     log_index: u64,
 }
 
 impl PendingStart {
-    /// Whether the cluster state up to `applied_index` does not show it yet.
+    /// Whether the start has neither timed out nor been applied by log index `applied_index`.
     fn is_pending(&self, now: Now, applied_index: u64) -> bool {
         let is_applied = self.log_index != 0 && self.log_index <= applied_index;
         now.mono < self.until && !is_applied
@@ -67,7 +68,8 @@
 }
 
 impl Scheduler {
-    /// A zone lease has a new holder, which has no reservations: they are placed again at once, not when they are due.
+    /// Makes all reservations due at once, because a new holder of a zone lease does not have those sent to its
+    /// predecessor.
     pub fn forget_reservations(&mut self) {
         self.reserved.clear();
     }
@@ -76,52 +78,53 @@
 impl Node {
     pub(super) fn scheduler_tick(&mut self, now: Now) {
         let applied_index = self.state.applied_index;
-        self.sched
+        self.scheduler
             .pending
             .retain(|_, start| start.is_pending(now, applied_index));
-        if now.mono >= self.sched.next_full_pass {
+        if now.mono >= self.scheduler.next_full_pass {
             self.full_pass(now);
         }
         self.schedule(now);
     }
 
-    /// Derives anew what depends on the whole cluster state, and marks every job.
+    /// Recomputes the data derived from the whole cluster state, and marks every job as dirty.
     fn full_pass(&mut self, now: Now) {
-        self.sched.next_full_pass = now.mono + self.settings.bounds.heartbeat();
-        self.sched.all_dirty = true;
+        self.scheduler.next_full_pass = now.mono + self.settings.bounds.heartbeat_interval();
+        self.scheduler.all_dirty = true;
         let cluster_time = self.cluster_time(now);
-        let patience = GANG_PATIENCE_INTERVALS * self.settings.bounds.reserve();
-        self.sched.claim = gangs::claim(&self.state, cluster_time, patience);
-        self.sched.runnable = self.state.runnable(cluster_time);
-        self.sched.ranked = self.rank();
-        let open = &self.state.open;
-        self.sched.reserved.retain(|job, _| open.contains(job));
+        let min_wait_ms = GANG_MIN_WAIT_INTERVALS * self.settings.bounds.reservation_interval();
+        self.scheduler.claim = gangs::claim(&self.state, cluster_time, min_wait_ms);
+        self.scheduler.runnable_jobs = self.state.runnable_job_count(cluster_time);
+        self.scheduler.ranked = self.rank();
+        let open = &self.state.unfinished_jobs;
+        self.scheduler.reserved.retain(|job, _| open.contains(job));
     }
 
-    /// The epoch under which this node holds a queue's lease, if it does.
+    /// The epoch of a queue's lease, if this node holds it.
     fn queue_epoch(&self, queue: &str) -> Option<u64> {
         self.epoch(&queue_lease(queue))
     }
 
-    /// The epoch under which this node places a job's tasks; none where the job is over, or another node's.
+    /// The lease epoch under which this node places a job's tasks; none if the job has ended or is scheduled by another
+    /// node.
     fn epoch_for(&self, job: &Job) -> Option<u64> {
-        if job.state.ended() || job.cancel {
+        if job.state.has_ended() || job.cancel {
             return None;
         }
         self.queue_epoch(&job.spec.queue)
     }
 
-    /// Placements of a job that were proposed and are not yet in the cluster state.
-    fn starting_placements<'a>(&'a self, job: &'a str) -> impl Iterator<Item = &'a Placement> + 'a {
-        let pending = self.sched.pending.values();
+    /// Proposed placements of a job that are not in the cluster state yet.
+    fn pending_placements<'a>(&'a self, job: &'a str) -> impl Iterator<Item = &'a Placement> + 'a {
+        let pending = self.scheduler.pending.values();
         pending
             .filter(move |start| start.job == job)
             .flat_map(|start| start.placements.iter())
     }
 
-    /// Tasks of a job whose start was proposed and is not yet in the cluster state.
-    fn starting_tasks(&self, job: &str) -> BTreeSet<u32> {
-        self.starting_placements(job)
+    /// Tasks of a job whose proposed start is not in the cluster state yet.
+    fn pending_tasks(&self, job: &str) -> BTreeSet<u32> {
+        self.pending_placements(job)
             .map(|placement| placement.task)
             .collect()
     }
--- a/landingdrift/src/node/scheduler/offers.rs
+++ b/landingdrift/src/node/scheduler/offers.rs
@@ -1,4 +1,4 @@
-//! Responses to offers of a slot: for an offer that is accepted, a start is proposed.
+//! Responses to offers of slots. If an offer is accepted, the start of the selected tasks is proposed.
 
 use super::demand::Demand;
 use super::sizes::JobShare;
@@ -9,10 +9,11 @@
 use crate::state::{Command, Job, Placement, Resources};
 use crate::wire::{Body, Offer, OfferOutcome, OfferResponse, Sizes};
 
-/// A start is given up after so many offer timeouts; the zone scheduler keeps the promised resources for as long.
-const START_OFFER_TIMEOUTS: u64 = 2;
+/// Factor from the offer timeout to the timeout of a proposed start; the zone scheduler keeps the resources promised
+/// for the same time.
+const START_TIMEOUT_FACTOR: u64 = 2;
 
-/// An offer that is accepted: what starts, and under which epoch of the queue's lease.
+/// The tasks to start for an accepted offer, with the epoch of the queue's lease.
 struct Acceptance {
     owner_epoch: u64,
     placements: Vec<Placement>,
@@ -20,7 +21,7 @@
 }
 
 impl Acceptance {
-    /// The resources that the start takes on the offered worker; the rest of a gang is placed elsewhere.
+    /// The resources that the start needs on the given worker; other members of a gang may be placed elsewhere.
     fn resources_on(&self, worker: &str) -> Resources {
         let mut sum = Resources::default();
         for (placement, resources) in self.placements.iter().zip(&self.reserved_resources) {
@@ -33,7 +34,7 @@
 }
 
 impl Node {
-    /// Answers an offer.
+    /// Answers an offer of a slot, and proposes the start of the selected tasks if it is accepted.
     pub(in crate::node) fn on_offer(&mut self, now: Now, from: &str, offer: Offer) {
         let response = self.answer_offer(now, from, &offer);
         self.send(from, Body::OfferResponse(Box::new(response)));
@@ -45,9 +46,9 @@
             return refusal(offer, true, smallest.into_iter().collect());
         };
         let fair_share = self.fair_share();
-        let willing = !offer.refusable || needs_more(&self.share(job), fair_share);
+        let willing = !offer.refusable || wants_slot(&self.share(job), fair_share);
         let picked = if willing {
-            self.pick(now, job, offer)
+            self.pick_placements(now, job, offer)
         } else {
             None
         };
@@ -56,7 +57,7 @@
         };
         let reserved_resources = placements
             .iter()
-            .map(|placement| job.of(placement.task as usize).needs())
+            .map(|placement| job.task_spec(placement.task as usize).needs())
             .collect();
         let acceptance = Acceptance {
             owner_epoch,
@@ -66,28 +67,29 @@
         self.accept(now, from, offer, acceptance, fair_share)
     }
 
-    /// The job that a slot is offered for, with the epoch under which this node places its tasks; none where the job is
-    /// over or another node's, or this node's copy of the cluster state is too old.
+    /// The job that a slot is offered for, with the lease epoch under which this node places its tasks; none if the job
+    /// has ended or is scheduled by another node, or if this node's copy of the cluster state is stale.
     fn job_of_offer(&self, now: Now, offer: &Offer) -> Option<(&Job, u64)> {
         let job = self.state.jobs.get(&offer.job)?;
         let epoch = self.epoch_for(job)?;
-        self.fresh(now).then_some((job, epoch))
+        self.is_fresh(now).then_some((job, epoch))
     }
 
-    /// Refuses a slot that the job can't use, or that exceeds its share; the refusal names a small job that could use
-    /// it.
+    /// Refuses a slot that the job can't use or that exceeds its share. The refusal names the smallest job that could
+    /// use it, if one is found.
     fn refuse(&self, now: Now, job: &Job, offer: &Offer, fair_share: f64) -> OfferResponse {
         let demand = self.demand(now, &offer.job, job);
         let gone = demand == Demand::default();
         let smallest = self.smallest_unsatisfied(now, offer);
         let own = Sizes {
+            // The job that has just refused the slot must not be named as one that could use it.
             unsatisfied: false,
             ..self.sizes(job, fair_share)
         };
         refusal(offer, gone, smallest.into_iter().chain([own]).collect())
     }
 
-    /// Proposes the start that an offer is accepted for.
+    /// Accepts an offer and proposes the start.
     fn accept(
         &mut self,
         now: Now,
@@ -116,7 +118,7 @@
     }
 
     fn propose_start(&mut self, now: Now, from: &str, offer: &Offer, acceptance: Acceptance) {
-        let within = self.settings.bounds.offer() * START_OFFER_TIMEOUTS;
+        let timeout_ms = self.settings.bounds.offer_timeout() * START_TIMEOUT_FACTOR;
         let command = Command::StartAttempts {
             job: offer.job.clone(),
             owner_epoch: acceptance.owner_epoch,
@@ -127,26 +129,26 @@
             zone_scheduler: from.into(),
             worker: offer.worker.clone(),
         };
-        let token = self.propose(now, &command, purpose, within);
+        let token = self.propose(now, &command, purpose, timeout_ms);
         let pending = PendingStart {
             job: offer.job.clone(),
             placements: acceptance.placements,
             reserved_resources: acceptance.reserved_resources,
-            until: now.mono + within,
+            until: now.mono + timeout_ms,
             log_index: 0,
         };
-        self.sched.pending.insert(token, pending);
+        self.scheduler.pending.insert(token, pending);
     }
 
-    /// A proposed start was applied, rejected or given up: the zone scheduler is told if nothing starts.
+    /// Handles the end of a proposed start: if it was rejected or timed out, notifies the zone scheduler.
     pub(in crate::node) fn on_start_result(&mut self, result: StartResult) {
         let not_yet_applied_here = result.log_index > self.state.applied_index;
         if result.placed && not_yet_applied_here {
-            if let Some(pending) = self.sched.pending.get_mut(&result.proposal) {
+            if let Some(pending) = self.scheduler.pending.get_mut(&result.proposal) {
                 pending.log_index = result.log_index;
             }
         } else {
-            self.sched.pending.remove(&result.proposal);
+            self.scheduler.pending.remove(&result.proposal);
         }
         if result.placed {
             return;
@@ -164,10 +166,10 @@
     }
 }
 
-/// Whether a job that may refuse a slot takes it: it has fewer slots than its size or the fair share. One slot it may
-/// always have.
-fn needs_more(share: &JobShare, fair_share: f64) -> bool {
-    share.occupied < share.sizing.size.max(fair_share).max(1.0)
+/// Whether a job accepts a slot that it may refuse: it has fewer slots than its size or than the fair share, and in any
+/// case if it has none.
+fn wants_slot(share: &JobShare, fair_share: f64) -> bool {
+    share.occupied < share.job_sizes.size.max(fair_share).max(1.0)
 }
 
 fn refusal(offer: &Offer, gone: bool, sizes: Vec<Sizes>) -> OfferResponse {
--- a/landingdrift/src/node/scheduler/sizes.rs
+++ b/landingdrift/src/node/scheduler/sizes.rs
@@ -1,55 +1,62 @@
-//! The sizes of jobs, their shares of the slots, and which of them come first.
+//! Sizes of jobs, their shares of the slots, and their ranking.
 
 use crate::node::Node;
 use crate::sans_io::Now;
-use crate::state::derive::Sizing;
+use crate::state::derive::JobSizes;
 use crate::state::Job;
 use crate::wire::{Offer, Sizes};
 
-/// How many of the smallest jobs are tried when a refusal is to name one: trying a job means placing a task, and there
-/// are many refusals.
-const MAX_TRIED: usize = 8;
+/// Maximum number of jobs that are tried when searching for the job to name in a refusal: each try runs the placement
+/// of a task, and refusals are frequent.
+const MAX_JOBS_TRIED: usize = 8;
 
-/// A job's sizes, and the slots that it occupies or is about to.
+/// The sizes of a job and its occupied slots, including pending starts.
 pub(super) struct JobShare {
-    pub sizing: Sizing,
+    pub job_sizes: JobSizes,
     pub occupied: f64,
 }
 
 impl Node {
-    /// The size by which a job is ranked: a job of higher priority counts as smaller.
-    fn weighted_size(&self, job: &Job, sizing: &Sizing) -> f64 {
+    /// The size that is sent to zone schedulers and orders the jobs: the job's rank, reduced by the priority of its
+    /// queue.
+    fn priority_weighted_rank(&self, job: &Job, job_sizes: &JobSizes) -> f64 {
         let priority = self
             .state
             .queue(&job.spec.queue)
             .map_or(0, |queue| queue.priority);
-        sizing.rank / (1.0 + f64::from(priority))
+        job_sizes.rank / (1.0 + f64::from(priority))
     }
 
-    /// What a job has and needs of the slots.
+    /// Computes a job's share from this node's copy and the pending starts.
     pub(super) fn share(&self, job: &Job) -> JobShare {
-        let sizing = self.state.sizing(job);
-        let starting = self.starting_placements(&job.spec.id).count();
-        let occupied = f64::from(sizing.occupied) + starting as f64;
-        JobShare { sizing, occupied }
+        let job_sizes = self.state.job_sizes(job);
+        let pending_starts = self.pending_placements(&job.spec.id).count();
+        let occupied = f64::from(job_sizes.occupied) + pending_starts as f64;
+        JobShare {
+            job_sizes,
+            occupied,
+        }
     }
 
-    /// What zone schedulers are told of a job, given the fair share.
+    /// The sizes of a job as sent to zone schedulers, given the fair share.
     pub(super) fn sizes(&self, job: &Job, fair_share: f64) -> Sizes {
-        let JobShare { sizing, occupied } = self.share(job);
+        let JobShare {
+            job_sizes,
+            occupied,
+        } = self.share(job);
         Sizes {
             job: job.spec.id.clone(),
             scheduler: self.name.clone(),
-            remaining: sizing.remaining,
-            size: self.weighted_size(job, &sizing),
-            starved: occupied < fair_share && sizing.remaining > 0,
-            unsatisfied: occupied < sizing.size,
+            remaining: job_sizes.remaining,
+            size: self.priority_weighted_rank(job, &job_sizes),
+            starved: occupied < fair_share && job_sizes.remaining > 0,
+            unsatisfied: occupied < job_sizes.size,
         }
     }
 
-    /// The share of the slots that every job is guaranteed, in whole slots of the mean task's CPU.
+    /// The number of slots that every job is guaranteed, rounded down, where a slot has the mean CPU of a task.
     pub(super) fn fair_share(&self) -> f64 {
-        let jobs = self.sched.runnable.max(1) as f64;
+        let jobs = self.scheduler.runnable_jobs.max(1) as f64;
         let guaranteed_cpu =
             (1.0 - self.settings.hopper.epsilon) * f64::from(self.state.total_cpu());
         (guaranteed_cpu / self.mean_task_cpu() / jobs).floor()
@@ -72,25 +79,25 @@
     /// The smallest unsatisfied job of this scheduler, other than the offer's, that could use the slot.
     pub(super) fn smallest_unsatisfied(&self, now: Now, offer: &Offer) -> Option<Sizes> {
         let fair_share = self.fair_share();
-        // The ranking of the last full pass is good enough to choose which jobs to try.
-        let others = self.sched.ranked.iter().filter(|id| **id != offer.job);
+        // The ranking of the last full pass is accurate enough to select the jobs to try.
+        let others = self.scheduler.ranked.iter().filter(|id| **id != offer.job);
         let smallest = others
             .filter_map(|id| self.state.jobs.get(id))
             .filter(|job| self.epoch_for(job).is_some())
-            .take(MAX_TRIED);
+            .take(MAX_JOBS_TRIED);
         for job in smallest {
             let sizes = self.sizes(job, fair_share);
-            if sizes.unsatisfied && self.pick(now, job, offer).is_some() {
+            if sizes.unsatisfied && self.pick_placements(now, job, offer).is_some() {
                 return Some(sizes);
             }
         }
         None
     }
 
-    /// The jobs of this scheduler that need more slots, the smallest first.
+    /// The unsatisfied jobs of this scheduler in order of size.
     pub(super) fn rank(&self) -> Vec<String> {
         let fair_share = self.fair_share();
-        let open = self.state.open.iter();
+        let open = self.state.unfinished_jobs.iter();
         let mut unsatisfied: Vec<Sizes> = open
             .filter_map(|id| self.state.jobs.get(id))
             .filter(|job| !job.cancel && self.queue_epoch(&job.spec.queue).is_some())
--- a/landingdrift/src/node/zone_scheduler/end_reports.rs
+++ b/landingdrift/src/node/zone_scheduler/end_reports.rs
@@ -1,7 +1,7 @@
-//! Reports of runs that have started and ended, from the heartbeat to the log.
+//! Proposals that record started and ended runs in the log.
 //!
-//! One report of a worker is on its way at a time. An end that was received is kept until the cluster state shows it: what
-//! a worker has reported outweighs what is inferred from its silence, so such an attempt never expires.
+//! At most one report per worker is pending at a time. A received end is kept until it is in the cluster state: a
+//! reported end takes precedence over an expired lease, so such an attempt never expires.
 
 use super::{Heartbeat, WorkerState};
 use crate::node::propose::Purpose;
@@ -9,11 +9,12 @@
 use crate::sans_io::Now;
 use crate::state::{Command, EndReport};
 
-/// Ends that wait are reported without a heartbeat when so many are missing.
+/// Number of missed heartbeats after which ends that are not in the log yet are proposed without waiting for another
+/// heartbeat.
 const MISSED_HEARTBEATS: u64 = 2;
 
 impl Node {
-    /// Proposes which runs have started and which have ended.
+    /// Proposes to record the started and ended runs of a heartbeat.
     pub(super) fn propose_report(
         &mut self,
         now: Now,
@@ -32,49 +33,49 @@
 
     fn propose_report_command(&mut self, now: Now, worker: &str, command: &Command) {
         let worker = worker.into();
-        let within = self.settings.bounds.call();
-        self.propose(now, command, Purpose::Report { worker }, within);
+        let timeout_ms = self.settings.bounds.request_timeout();
+        self.propose(now, command, Purpose::Report { worker }, timeout_ms);
     }
 
-    /// Proposes the ends of a heartbeat that comes too late to renew the worker's lease: they count all the same.
-    pub(super) fn report_late_ends(&mut self, now: Now, heartbeat: &Heartbeat) {
-        let ends = self.live_ends(now, heartbeat);
+    /// Proposes the ends in a heartbeat that arrives too late to renew the worker's lease; they are still valid.
+    pub(super) fn report_ends_of_late_heartbeat(&mut self, now: Now, heartbeat: &Heartbeat) {
+        let ends = self.ends_of_live_runs(now, heartbeat);
         let info = &heartbeat.info;
         let Some(worker) = self.worker_mut(&info.zone, &info.worker) else {
             return;
         };
-        worker.note_ends(&ends);
-        if ends.is_empty() || worker.report_proposed {
+        worker.record_ends(&ends);
+        if ends.is_empty() || worker.report_pending {
             return;
         }
-        worker.report_proposed = true;
+        worker.report_pending = true;
         self.propose_report(now, heartbeat, Vec::new(), ends);
     }
 
-    /// A report has an outcome, or is given up. Ends that came meanwhile, or that it did not bring into the log, are
-    /// reported because of the next heartbeat, or without one if heartbeats are missing.
+    /// Handles the completion or timeout of a report proposal. Ends that arrived meanwhile or were not committed are
+    /// proposed with the next heartbeat, or by `propose_unrecorded_ends` if no heartbeat arrives.
     pub(in crate::node) fn on_report_proposal_done(&mut self, worker: &str) {
         for worker in self.workers_named(worker) {
-            worker.report_proposed = false;
+            worker.report_pending = false;
         }
     }
 
-    /// Proposes the reported ends that the cluster state does not show and no report on its way has: the worker may be
-    /// silent by now.
-    pub(super) fn report_remaining_ends(&mut self, now: Now) {
-        let wait_ms = MISSED_HEARTBEATS * self.settings.bounds.worker_heartbeat();
-        let mut remaining: Vec<(String, Vec<EndReport>)> = Vec::new();
+    /// Proposes reported ends that are neither in the cluster state nor in a pending report, for workers whose
+    /// heartbeats are missing.
+    pub(super) fn propose_unrecorded_ends(&mut self, now: Now) {
+        let wait_ms = MISSED_HEARTBEATS * self.settings.bounds.worker_heartbeat_interval();
+        let mut unrecorded: Vec<(String, Vec<EndReport>)> = Vec::new();
         for zone_scheduler in self.zone_schedulers.values_mut() {
             for (name, worker) in &mut zone_scheduler.workers {
-                if worker.has_remaining_ends(now, wait_ms) {
-                    worker.report_proposed = true;
-                    worker.last_report_at = now.mono;
+                if worker.must_propose_ends(now, wait_ms) {
+                    worker.report_pending = true;
+                    worker.last_report_proposed_at = now.mono;
                     let ends = worker.reported_ends.values().cloned().collect();
-                    remaining.push((name.clone(), ends));
+                    unrecorded.push((name.clone(), ends));
                 }
             }
         }
-        for (worker, ends) in remaining {
+        for (worker, ends) in unrecorded {
             let command = Command::ReportAttempts {
                 incarnation: self.incarnation_of(&worker),
                 running: Vec::new(),
@@ -87,16 +88,17 @@
 }
 
 impl WorkerState {
-    /// Keeps ends that were reported until the cluster state shows them.
-    pub(super) fn note_ends(&mut self, ends: &[EndReport]) {
+    /// Keeps reported ends until they are in the cluster state.
+    pub(super) fn record_ends(&mut self, ends: &[EndReport]) {
         for end in ends {
             self.reported_ends.insert(end.no, end.clone());
         }
     }
 
-    /// Whether ends wait for a report that no heartbeat brings: the newest one, or the newest report, is `wait_ms` old.
-    fn has_remaining_ends(&self, now: Now, wait_ms: u64) -> bool {
-        let is_due = now.mono >= self.last_heartbeat.max(self.last_report_at) + wait_ms;
-        !self.reported_ends.is_empty() && !self.report_proposed && is_due
+    /// Whether ends that are not in the log yet must be proposed without waiting for a heartbeat, because neither a
+    /// heartbeat nor a proposed report occurred for `wait_ms`.
+    fn must_propose_ends(&self, now: Now, wait_ms: u64) -> bool {
+        let is_due = now.mono >= self.last_heartbeat.max(self.last_report_proposed_at) + wait_ms;
+        !self.reported_ends.is_empty() && !self.report_pending && is_due
     }
 }
--- a/landingdrift/src/node/zone_scheduler/heartbeats.rs
+++ b/landingdrift/src/node/zone_scheduler/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: what each reports, and what the zone scheduler proposes because of it.
+//! Worker heartbeats: their content, and the commands that the zone scheduler proposes in response.
 
 use super::{RunProgress, WorkerState};
 use crate::node::propose::Purpose;
@@ -10,26 +10,27 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What a worker reports in a heartbeat.
+/// A worker's heartbeat: its resources and state, and the runs that are running or have ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Heartbeat {
-    /// What the worker says of itself.
+    /// Identity, resources and state of the worker.
     #[serde(rename = "facts")]
     pub info: WorkerInfo,
-    /// The attempts that run.
+    /// The attempts that are running on the worker.
     #[serde(default)]
     pub running: Vec<RunningAttempt>,
-    /// Repeated until a response acknowledges them.
+    /// Ends of attempts, repeated until a response acknowledges them.
     #[serde(default)]
     pub ended: Vec<EndReport>,
-    /// Rises with each heartbeat of a worker, so that a delayed one is recognised; 0 where the worker does not count.
+    /// Increases with each heartbeat, so that a delayed one is recognised; 0 if the worker does not number its
+    /// heartbeats.
     #[serde(default, rename = "call")]
     pub sequence: u64,
-    /// The worker identifies runs by their names: stop orders carry names, too.
+    /// The worker identifies runs by name, so stop orders must carry names too.
     #[serde(default, rename = "named")]
     pub uses_run_names: bool,
-    /// How long a leaving worker stays at least; runs that would not end by then are rescheduled.
+    /// Minimum time until a leaving worker exits, in milliseconds; runs that would not end by then are rescheduled.
     #[serde(default)]
     pub leaves_in_ms: Option<u64>,
 }
@@ -38,48 +39,48 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct RunningAttempt {
-    /// The number of the attempt; 0 where it is called by its names.
+    /// The number of the attempt; 0 if `name` identifies it.
     #[serde(default, rename = "no")]
     pub attempt: u64,
-    /// In place of the attempt's number.
+    /// Identifies the run instead of the attempt number.
     #[serde(default)]
     pub name: Option<RunName>,
-    /// Its newest checkpoint.
+    /// The newest checkpoint; empty for none.
     #[serde(default)]
     pub checkpoint: String,
-    /// Its progress in parts of a thousand, where the worker knows it.
+    /// Progress in permille; 0 if the worker does not know it.
     #[serde(default)]
     pub progress: u32,
 }
 
 impl Heartbeat {
-    /// The attempts that it reports, as running or as ended.
+    /// The attempts reported as running or ended.
     pub(super) fn reported_attempts(&self) -> BTreeSet<u64> {
         let running = self.running.iter().map(|run| run.attempt);
         running.chain(self.ended.iter().map(|end| end.no)).collect()
     }
 }
 
-/// What a heartbeat gives cause to propose.
+/// The proposals that a heartbeat requires.
 struct DueProposals {
-    info: bool,
+    worker_update: bool,
     report: bool,
     running: Vec<u64>,
     ends: Vec<EndReport>,
 }
 
 impl Node {
-    /// The response to a heartbeat, by the holder of the worker's zone lease.
+    /// Processes a heartbeat as the holder of the worker's zone lease; returns the response.
     pub(in crate::node) fn heartbeat(&mut self, now: Now, mut heartbeat: Heartbeat) -> Response {
         let held_epoch = self.epoch(&zone_lease(&heartbeat.info.zone));
-        let Some(epoch) = held_epoch.filter(|_| self.fresh_for_zones(now)) else {
+        let Some(epoch) = held_epoch.filter(|_| self.is_fresh_for_zones(now)) else {
             return self.not_ready_response();
         };
         self.update_zone_schedulers(now);
         self.count("heartbeats", 1);
         self.resolve_run_names(&mut heartbeat);
         if self.is_late(&heartbeat) {
-            self.report_late_ends(now, &heartbeat);
+            self.report_ends_of_late_heartbeat(now, &heartbeat);
             return self.late_heartbeat_response();
         }
         let known = self.state.workers.get(&heartbeat.info.worker);
@@ -87,14 +88,14 @@
         if heartbeat.info.incarnation < known.info.incarnation {
             return old_incarnation_response();
         }
-        self.note_departure(&mut heartbeat);
-        self.note_unknown_runs(now, &heartbeat);
-        self.observe_late_ends(&heartbeat);
+        self.update_departure(&mut heartbeat);
+        self.track_unknown_runs(now, &heartbeat);
+        self.log_ends_of_dead_runs(&heartbeat);
         let info_changed = known.info != heartbeat.info || known.lost;
         let due = self.record_heartbeat(now, &heartbeat, info_changed);
         self.reschedule_stragglers(now, &heartbeat, epoch);
-        if due.info {
-            self.propose_info(now, &heartbeat, epoch);
+        if due.worker_update {
+            self.propose_worker_update(now, &heartbeat, epoch);
         }
         if due.report {
             self.propose_report(now, &heartbeat, due.running, due.ends);
@@ -102,59 +103,61 @@
         self.orders_response(&heartbeat, epoch)
     }
 
-    /// Takes note of whether the worker says that it is leaving. It stays so, whatever it says afterwards.
-    fn note_departure(&mut self, heartbeat: &mut Heartbeat) {
-        let says_leaving = heartbeat.info.leaving;
+    /// Records whether the worker is leaving. A worker that was leaving stays so, even if a later heartbeat does not
+    /// say it.
+    fn update_departure(&mut self, heartbeat: &mut Heartbeat) {
+        let reports_leaving = heartbeat.info.leaving;
         heartbeat.info.leaving |= self.is_leaving(&heartbeat.info);
         let info = &heartbeat.info;
         if let Some(worker) = self.worker_mut(&info.zone, &info.worker) {
             let incarnation = info.incarnation;
-            worker.departure.note_heartbeat(incarnation, says_leaving);
+            worker
+                .departure
+                .record_heartbeat(incarnation, reports_leaving);
         }
     }
 
-    /// Records a heartbeat, and says what is to be proposed because of it.
+    /// Records a heartbeat; returns the proposals that it requires.
     fn record_heartbeat(
         &mut self,
         now: Now,
         heartbeat: &Heartbeat,
         info_changed: bool,
     ) -> DueProposals {
-        let mut ends = self.live_ends(now, heartbeat);
+        let mut ends = self.ends_of_live_runs(now, heartbeat);
         let running = self.newly_running(heartbeat);
-        // The log carries a report of runs that started with the next end, or after a while: few decisions depend on
-        // it, and an entry is expensive.
+        // Recording started runs is not urgent: to save log entries, they wait for the next end or for this interval.
         let report_interval = self.settings.bounds.cancel_ms / 4;
         let zone_scheduler = self.zone_schedulers.entry(heartbeat.info.zone.clone());
         let workers = &mut zone_scheduler.or_default().workers;
         let worker = workers.entry(heartbeat.info.worker.clone()).or_default();
         worker.renew_lease(now, heartbeat);
         ends.extend(worker.never_started(&self.state, heartbeat));
-        worker.note_ends(&ends);
+        worker.record_ends(&ends);
         worker.record_runs(now, heartbeat);
-        let report_overdue = now.mono >= worker.last_report_at + report_interval;
+        let report_overdue = now.mono >= worker.last_report_proposed_at + report_interval;
         let has_report = !ends.is_empty() || (!running.is_empty() && report_overdue);
         let due = DueProposals {
-            info: info_changed && !worker.info_proposed,
-            report: has_report && !worker.report_proposed,
+            worker_update: info_changed && !worker.worker_update_pending,
+            report: has_report && !worker.report_pending,
             running,
             ends,
         };
-        worker.info_proposed |= info_changed;
-        worker.report_proposed |= has_report;
+        worker.worker_update_pending |= info_changed;
+        worker.report_pending |= has_report;
         if due.report {
-            worker.last_report_at = now.mono;
+            worker.last_report_proposed_at = now.mono;
         }
         due
     }
 
-    /// Proposes to reschedule the worker's stragglers, unless that is under way.
+    /// Proposes to reschedule the worker's stragglers, unless such a proposal is pending.
     fn reschedule_stragglers(&mut self, now: Now, heartbeat: &Heartbeat, epoch: u64) {
         let info = &heartbeat.info;
         let Some(worker) = self.worker(&info.zone, &info.worker) else {
             return;
         };
-        if worker.reschedule_proposed {
+        if worker.reschedule_pending {
             return;
         }
         let leave_ms = self.settings.bounds.leave_ms;
@@ -167,27 +170,27 @@
         }
     }
 
-    /// The response where this node can't act for the zone.
+    /// The response if this node does not hold the zone's lease, or its copy of the cluster state is stale.
     pub(in crate::node) fn not_ready_response(&self) -> Response {
         Response::error(
             503,
             "notReady",
-            "this node can't speak for the cell now: beat again, here or at another node",
+            "this node does not hold the zone's lease, or its copy of the cluster state is stale: send the request again, here or to another node",
         )
-        .retry(self.settings.bounds.worker_heartbeat())
+        .retry(self.settings.bounds.worker_heartbeat_interval())
     }
 
-    /// The response to a heartbeat that comes too late to count.
+    /// The response to a heartbeat that arrives too late to be processed.
     fn late_heartbeat_response(&self) -> Response {
         Response::error(
             503,
             "lateBeat",
-            "a newer beat of this worker was heard, or what it ran is being ended: beat again",
+            "a newer heartbeat of this worker was received, or its runs are being ended: send the next heartbeat",
         )
-        .retry(self.settings.bounds.worker_heartbeat())
+        .retry(self.settings.bounds.worker_heartbeat_interval())
     }
 
-    /// Whether a newer heartbeat of the worker was received, or what it ran is being ended.
+    /// Whether a newer heartbeat of the worker was received, or its attempts are being ended.
     fn is_late(&self, heartbeat: &Heartbeat) -> bool {
         let info = &heartbeat.info;
         let Some(worker) = self.worker(&info.zone, &info.worker) else {
@@ -197,11 +200,11 @@
         overtaken || !worker.expiring.is_empty()
     }
 
-    /// Fills in the attempt numbers of the runs that a heartbeat names.
+    /// Sets the attempt numbers of the runs that a heartbeat identifies by name.
     fn resolve_run_names(&self, heartbeat: &mut Heartbeat) {
         let worker = &heartbeat.info.worker;
         // A run that the cluster state does not know as live gets number 0.
-        let number_of = |name: &RunName| self.state.named(worker, name).unwrap_or(0);
+        let number_of = |name: &RunName| self.state.live_attempt_by_name(worker, name).unwrap_or(0);
         for run in &mut heartbeat.running {
             if let Some(name) = &run.name {
                 run.attempt = number_of(name);
@@ -214,8 +217,8 @@
         }
     }
 
-    /// The reported ends of runs that the cluster state knows as live on the worker.
-    pub(super) fn live_ends(&self, now: Now, heartbeat: &Heartbeat) -> Vec<EndReport> {
+    /// The reported ends of runs that are live on the worker according to the cluster state.
+    pub(super) fn ends_of_live_runs(&self, now: Now, heartbeat: &Heartbeat) -> Vec<EndReport> {
         let worker = self.worker(&heartbeat.info.zone, &heartbeat.info.worker);
         let mut ends = Vec::new();
         for end in &heartbeat.ended {
@@ -230,7 +233,7 @@
                 ..end.clone()
             };
             if end.ran_ms == 0 {
-                // The worker does not say how long it ran: it is measured from the first heartbeat that reported it.
+                // The worker does not report the duration: measure it from the first heartbeat that reported the run.
                 let progress = worker.and_then(|worker| worker.progress.get(&end.no));
                 end.ran_ms = progress.map_or(0, |progress| progress.age(now.mono));
             }
@@ -239,7 +242,7 @@
         ends
     }
 
-    /// The runs of a heartbeat that the cluster state does not show as running yet.
+    /// The running attempts in a heartbeat that are not yet running according to the cluster state.
     fn newly_running(&self, heartbeat: &Heartbeat) -> Vec<u64> {
         let is_new = |number: &u64| {
             let known = self.state.attempt(*number);
@@ -251,8 +254,8 @@
         running.filter(is_new).collect()
     }
 
-    /// Proposes the facts that the worker reports of itself.
-    fn propose_info(&mut self, now: Now, heartbeat: &Heartbeat, zone_epoch: u64) {
+    /// Proposes to update the worker's identity, resources and state.
+    fn propose_worker_update(&mut self, now: Now, heartbeat: &Heartbeat, zone_epoch: u64) {
         let command = Command::UpdateWorker {
             info: heartbeat.info.clone(),
             zone_epoch,
@@ -260,12 +263,17 @@
         let purpose = Purpose::UpdateWorker {
             worker: heartbeat.info.worker.clone(),
         };
-        self.propose(now, &command, purpose, self.settings.bounds.call());
+        self.propose(
+            now,
+            &command,
+            purpose,
+            self.settings.bounds.request_timeout(),
+        );
     }
 }
 
 impl WorkerState {
-    /// Renews the worker's lease and records the heartbeat's sequence number.
+    /// Renews the worker's lease and records the heartbeat's arrival time and sequence number.
     fn renew_lease(&mut self, now: Now, heartbeat: &Heartbeat) {
         self.last_heartbeat = now.mono;
         self.lease_renewed_at = self.lease_renewed_at.max(now.mono);
@@ -275,11 +283,12 @@
         }
     }
 
-    /// Ends of the attempts that were never started and never will be.
+    /// Ends for attempts that were never started and never will be.
     ///
-    /// A worker's heartbeats follow one another, and it drops a response that arrives after its next heartbeat has
-    /// left. So an attempt that is not wanted any more, and that a heartbeat does not report although an earlier
-    /// response carried its start order, was never started and never will be.
+    /// A worker sends its heartbeats in sequence and drops a response that arrives after it has sent the next one. So
+    /// an attempt that must not run and that a heartbeat does not report was never started and never will be, if this
+    /// lease holder sent its start order only in responses to earlier heartbeats, or not at all. The first heartbeat
+    /// is not considered, since the previous holder may have answered it with the order.
     fn never_started(&mut self, state: &ClusterState, heartbeat: &Heartbeat) -> Vec<EndReport> {
         let Some(known) = state.workers.get(&heartbeat.info.worker) else {
             self.sent_starts.clear();
@@ -296,11 +305,13 @@
             let Some((_, _, attempt)) = state.attempt(*number) else {
                 continue;
             };
-            let unwanted = attempt.stop || attempt.state == AttemptState::Unsure;
-            let sent_with = self.sent_starts.get(number);
-            let order_is_void = sent_with.is_none_or(|sequence| *sequence < heartbeat.sequence);
-            let of_this_incarnation = attempt.incarnation == heartbeat.info.incarnation;
-            if unwanted && order_is_void && of_this_incarnation && !reported.contains(number) {
+            let must_not_run = attempt.stop || attempt.state == AttemptState::Unsure;
+            let sent_in_response_to = self.sent_starts.get(number);
+            let is_order_expired =
+                sent_in_response_to.is_none_or(|sequence| *sequence < heartbeat.sequence);
+            let is_same_incarnation = attempt.incarnation == heartbeat.info.incarnation;
+            if must_not_run && is_order_expired && is_same_incarnation && !reported.contains(number)
+            {
                 ends.push(EndReport {
                     no: *number,
                     outcome: Outcome::NeverStarted,
@@ -311,11 +322,11 @@
         ends
     }
 
-    /// Records the resources, the progress and the checkpoints that the heartbeat reports.
+    /// Records the worker's resources, whether it is leaving, and the progress and checkpoints of its runs.
     fn record_runs(&mut self, now: Now, heartbeat: &Heartbeat) {
         self.leaving = heartbeat.info.leaving;
         self.resources = heartbeat.info.total_resources();
-        // Runs that are not reported any more are forgotten.
+        // The progress of runs that are no longer reported is dropped.
         let mut earlier = std::mem::take(&mut self.progress);
         self.checkpoints.clear();
         for run in &heartbeat.running {
@@ -333,11 +344,11 @@
     }
 }
 
-/// The response to a heartbeat of a process that a newer one has replaced.
+/// The response to a heartbeat of a worker process that a newer process has replaced.
 fn old_incarnation_response() -> Response {
     Response::error(
         409,
         "oldIncarnation",
-        "a newer process of this worker has reported: end this one",
+        "a newer process of this worker is running: stop this process",
     )
 }
