--- a/landingdrift/src/node/zone_scheduler/lease_expiry.rs
+++ b/landingdrift/src/node/zone_scheduler/lease_expiry.rs
@@ -1,4 +1,5 @@
-//! Failure detection: workers that are lost, and workers whose lease has expired or that have ended.
+//! Failure detection: unresponsive workers are marked as lost; the attempts of workers that have exited or whose lease
+//! has expired are expired.
 
 use super::stragglers::Stragglers;
 use super::WorkerState;
@@ -8,13 +9,13 @@
 use crate::settings::Bounds;
 use crate::state::{ClusterState, Command, Worker};
 
-/// A worker that has been silent too long.
+/// A worker that has not sent a heartbeat within the worker timeout.
 struct LostWorker {
     worker: String,
     zone_epoch: u64,
 }
 
-/// A worker whose lease has expired or that has ended: what ran there is dead.
+/// A worker that has exited or whose lease has expired, with its attempts to be expired.
 struct ExpiredWorker {
     worker: String,
     zone_epoch: u64,
@@ -23,20 +24,19 @@
 }
 
 impl Node {
-    /// Detects workers that are lost, have ended or whose lease has expired, and offers free slots.
+    /// Detects lost workers and expired leases, proposes the consequences, and offers free slots.
     pub(in crate::node) fn zone_schedulers_tick(&mut self, now: Now) {
-        if !self.fresh_for_zones(now) {
-            // Nothing is decided on an old copy of the cluster state, and silence does not count against workers
-            // meanwhile.
-            let lost_after = self.settings.bounds.worker_lost();
+        if !self.is_fresh_for_zones(now) {
+            // A stale copy of the cluster state is no basis for decisions; heartbeats missed meanwhile don't count.
+            let lost_after = self.settings.bounds.worker_timeout();
             let earliest = now.mono.saturating_sub(lost_after / 2);
             for worker in self.all_workers() {
                 worker.last_heartbeat = worker.last_heartbeat.max(earliest);
             }
             return;
         }
-        let (lost, expired) = self.detect_failures(now);
-        self.report_remaining_ends(now);
+        let (lost, expired) = self.update_workers(now);
+        self.propose_unrecorded_ends(now);
         for worker in lost {
             self.propose_lost(now, worker);
         }
@@ -46,22 +46,23 @@
         self.offer_all(now);
     }
 
-    /// The workers that are newly lost, and those whose expiry is to be proposed.
-    fn detect_failures(&mut self, now: Now) -> (Vec<LostWorker>, Vec<ExpiredWorker>) {
+    /// Updates all workers' state for the current time; returns the newly lost workers, and those whose attempts must
+    /// be expired. The proposals for both are marked as pending.
+    fn update_workers(&mut self, now: Now) -> (Vec<LostWorker>, Vec<ExpiredWorker>) {
         let bounds = &self.settings.bounds;
         let mut lost = Vec::new();
         let mut expired = Vec::new();
         for zone_scheduler in self.zone_schedulers.values_mut() {
             let zone_epoch = zone_scheduler.epoch;
             for (name, worker) in &mut zone_scheduler.workers {
-                worker.drop_overdue_offers(now, bounds.offer());
+                worker.drop_overdue_offers(now, bounds.offer_timeout());
                 let known = self.state.workers.get(name);
                 worker.forget_applied(&self.state);
                 if let Some(known) = known {
                     worker.begin_expiry(now, bounds, known);
                 }
                 if worker.needs_expiry_proposal(&self.state) {
-                    worker.expiry_proposed = true;
+                    worker.expiry_pending = true;
                     let checkpoints = std::mem::take(&mut worker.checkpoints);
                     expired.push(ExpiredWorker {
                         worker: name.clone(),
@@ -70,11 +71,11 @@
                         checkpoints: checkpoints.into_iter().collect(),
                     });
                 }
-                let silent_for = now.mono.saturating_sub(worker.last_heartbeat);
-                let is_silent = silent_for > bounds.worker_lost();
-                let not_known_as_lost = known.is_some_and(|known| !known.lost);
-                if is_silent && not_known_as_lost && !worker.info_proposed {
-                    worker.info_proposed = true;
+                let since_heartbeat = now.mono.saturating_sub(worker.last_heartbeat);
+                let is_unresponsive = since_heartbeat > bounds.worker_timeout();
+                let is_known_alive = known.is_some_and(|known| !known.lost);
+                if is_unresponsive && is_known_alive && !worker.worker_update_pending {
+                    worker.worker_update_pending = true;
                     lost.push(LostWorker {
                         worker: name.clone(),
                         zone_epoch,
@@ -85,29 +86,29 @@
         (lost, expired)
     }
 
-    /// Proposes that the outcome of a silent worker's attempts is unknown.
+    /// Proposes to mark the outcome of a lost worker's attempts as unknown.
     fn propose_lost(&mut self, now: Now, lost: LostWorker) {
         let LostWorker { worker, zone_epoch } = lost;
         let incarnation = self.incarnation_of(&worker);
         self.log(format!(
-            "worker {worker} is silent: the outcome of its attempts is unknown"
+            "worker {worker} is lost: no heartbeat received, the outcome of its attempts is unknown"
         ));
         self.count("workers_lost", 1);
-        let command = Command::WorkerLost {
+        let command = Command::MarkWorkerLost {
             worker: worker.clone(),
             incarnation,
             zone_epoch,
         };
-        let within = self.settings.bounds.call();
-        self.propose(now, &command, Purpose::UpdateWorker { worker }, within);
+        let timeout_ms = self.settings.bounds.request_timeout();
+        self.propose(now, &command, Purpose::UpdateWorker { worker }, timeout_ms);
     }
 
-    /// Proposes that what ran on a worker is dead.
+    /// Proposes to end the attempts of an expired worker.
     fn propose_expiry(&mut self, now: Now, expired: ExpiredWorker) {
         let worker = expired.worker;
         let incarnation = self.incarnation_of(&worker);
         self.log(format!(
-            "worker {worker} has ended, or is silent beyond its lease: what ran there is dead"
+            "worker {worker} exited or its lease expired: ending its attempts"
         ));
         self.count("workers_lease_expired", 1);
         let command = Command::ExpireAttempts {
@@ -117,20 +118,25 @@
             attempts: expired.attempts,
             checkpoints: expired.checkpoints,
         };
-        let within = self.settings.bounds.call();
-        self.propose(now, &command, Purpose::ExpireAttempts { worker }, within);
+        let timeout_ms = self.settings.bounds.request_timeout();
+        self.propose(
+            now,
+            &command,
+            Purpose::ExpireAttempts { worker },
+            timeout_ms,
+        );
     }
 
-    /// The incarnation of a worker that the cluster state knows; 0 where it knows none.
+    /// The incarnation of a worker in the cluster state; 0 if the worker is unknown.
     pub(super) fn incarnation_of(&self, worker: &str) -> u64 {
         let known = self.state.workers.get(worker);
         known.map_or(0, |worker| worker.info.incarnation)
     }
 
-    /// The log has the expiry of a worker's attempts at an index, or it is given up; then it is proposed again.
+    /// Handles the end of an expiry proposal. `log_index` is 0 if it timed out; it is then proposed again.
     pub(in crate::node) fn on_expiry_proposal_done(&mut self, worker: &str, log_index: u64) {
         for worker in self.workers_named(worker) {
-            worker.expiry_proposed = false;
+            worker.expiry_pending = false;
             worker.expiry_log_index = log_index;
         }
     }
@@ -149,7 +155,7 @@
         } = stragglers;
         let suspect_until = now.mono + self.settings.bounds.cancel_ms;
         if let Some(worker) = self.workers_named(worker).next() {
-            worker.reschedule_proposed = true;
+            worker.reschedule_pending = true;
             if blame_worker {
                 worker.suspect_until = suspect_until;
             }
@@ -157,7 +163,7 @@
         self.count("attempts_rescheduled", attempts.len() as u64);
         if blame_worker {
             self.log(format!(
-                "worker {worker} is stalled or slow: {} of its runs are rescheduled",
+                "worker {worker} is stalled or slow: rescheduling {} of its runs",
                 attempts.len()
             ));
             self.count("workers_suspected", 1);
@@ -171,37 +177,42 @@
         let purpose = Purpose::RescheduleAttempts {
             worker: worker.into(),
         };
-        self.propose(now, &command, purpose, self.settings.bounds.call());
+        self.propose(
+            now,
+            &command,
+            purpose,
+            self.settings.bounds.request_timeout(),
+        );
     }
 
-    /// A proposal to reschedule attempts has an outcome, or is given up.
+    /// Handles the completion or timeout of a proposal to reschedule attempts.
     pub(in crate::node) fn on_reschedule_proposal_done(&mut self, worker: &str) {
         for worker in self.workers_named(worker) {
-            worker.reschedule_proposed = false;
+            worker.reschedule_pending = false;
         }
     }
 }
 
 impl WorkerState {
-    /// Begins to end the worker's attempts if it has ended or its lease has expired.
+    /// Selects the worker's attempts for expiry if it has exited or its lease has expired.
     fn begin_expiry(&mut self, now: Now, bounds: &Bounds, known: &Worker) {
-        let silence_ms = bounds.obey() / 2;
-        let has_left = self
+        let timeout_ms = bounds.max_start_order_age() / 2;
+        let has_exited = self
             .departure
-            .has_ended(now, self.last_heartbeat, silence_ms);
+            .has_exited(now, self.last_heartbeat, timeout_ms);
         let expires_after = bounds.lease_expired_after();
         let unrenewed_for = now.mono.saturating_sub(self.lease_renewed_at);
         let lease_expired = expires_after > 0 && unrenewed_for > expires_after;
-        let under_way = !self.expiring.is_empty() || self.info_proposed;
-        if (has_left || lease_expired) && !under_way {
-            // What the worker has reported as ended has ended as it said.
+        let is_pending = !self.expiring.is_empty() || self.worker_update_pending;
+        if (has_exited || lease_expired) && !is_pending {
+            // Attempts with a reported end keep the reported outcome.
             let is_unreported = |attempt: &&u64| !self.reported_ends.contains_key(*attempt);
             let unreported = known.attempts.iter().filter(is_unreported);
             self.expiring = unreported.copied().collect();
         }
     }
 
-    /// Forgets the ends and expiries that the cluster state shows.
+    /// Removes the ends and expiries that are in the cluster state.
     fn forget_applied(&mut self, state: &ClusterState) {
         self.reported_ends
             .retain(|attempt, _| state.live.contains_key(attempt));
@@ -209,9 +220,9 @@
             .retain(|attempt| state.live.contains_key(attempt));
     }
 
-    /// Whether attempts wait to be ended, and no proposal to do so is on its way to this node.
+    /// Whether attempts are waiting to be expired and no proposal for them is pending or yet to be applied here.
     fn needs_expiry_proposal(&self, state: &ClusterState) -> bool {
-        let has_followed = state.applied_index >= self.expiry_log_index;
-        !self.expiring.is_empty() && !self.expiry_proposed && has_followed
+        let has_applied_expiry = state.applied_index >= self.expiry_log_index;
+        !self.expiring.is_empty() && !self.expiry_pending && has_applied_expiry
     }
 }
--- a/landingdrift/src/peer_sampler/mod.rs
+++ b/landingdrift/src/peer_sampler/mod.rs
@@ -1,30 +1,31 @@
-//! The peer sampler: each process keeps a partial view of the others and shuffles it with its peers.
+//! The peer sampler: each process keeps a partial view of the others and exchanges parts of it with its peers
+//! (shuffles).
 
 use crate::sans_io::{Now, Rng};
 use crate::wire::{PeerView, Shuffle};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many other processes are in a view.
+/// The maximum number of peers in a view.
 pub const VIEW_SIZE: usize = 8;
-/// A peer that is older than this, in shuffles, is not taken into a view: it is probably gone.
-const MAX_AGE: u32 = 100;
-/// One of so many shuffles goes to a seed, so that a cluster whose parts have lost sight of each other rejoins.
+/// Peers whose age in shuffles is at least this are not added to a view, since they have probably stopped.
+const MAX_AGE_SHUFFLES: u32 = 100;
+/// One in this many shuffles goes to a seed, so that parts of a cluster that no longer know each other reconnect.
 const SEED_SHUFFLE_ODDS: u64 = 8;
-/// Intervals vary by up to this part, so that processes do not shuffle in step.
-const JITTER_PART: u64 = 4;
-/// The role of replicas, as it is on the wire.
+/// Intervals are extended at random by up to the interval divided by this, so that processes do not shuffle in step.
+const JITTER_DIVISOR: u64 = 4;
+/// The role of replicas, as written on the wire.
 const REPLICA_ROLE: &str = "core";
 
-/// A process in view.
+/// A process in the view.
 #[derive(Clone, Debug)]
 struct Peer {
     role: String,
     zone: String,
-    /// How many shuffles ago it was heard from.
+    /// The number of shuffles since it was last heard from.
     age: u32,
 }
 
-/// The partial view of one process.
+/// The peer sampler of one process, with its partial view of the cluster.
 #[derive(Clone, Debug, Default)]
 pub struct PeerSampler {
     own_address: String,
@@ -32,13 +33,13 @@
     zone: String,
     seeds: Vec<String>,
     view: BTreeMap<String, Peer>,
-    /// The replicas that are known from the watch or from peers.
+    /// The replicas known from the log, from the watch or from peers.
     pub replicas: BTreeSet<String>,
     next_shuffle: u64,
 }
 
 impl PeerSampler {
-    /// An empty view, which starts from the seeds.
+    /// Creates an empty view, which is first filled from the seeds.
     pub fn new(own_address: &str, role: &str, zone: &str, seeds: &[String]) -> Self {
         Self {
             own_address: own_address.into(),
@@ -49,40 +50,40 @@
         }
     }
 
-    /// How many processes are in view.
+    /// The number of processes in the view.
     pub fn len(&self) -> usize {
         self.view.len()
     }
 
-    /// Whether no process is in view.
+    /// Whether the view is empty.
     pub fn is_empty(&self) -> bool {
         self.view.is_empty()
     }
 
-    /// The processes in view that have a role.
-    pub fn of_role(&self, role: &str) -> Vec<String> {
+    /// The addresses of the processes in the view that have the given role.
+    pub fn with_role(&self, role: &str) -> Vec<String> {
         let peers = self.view.iter();
         let of_role = peers.filter(|(_, peer)| peer.role == role);
         of_role.map(|(address, _)| address.clone()).collect()
     }
 
-    /// All processes in view.
+    /// The addresses of all processes in the view.
     pub fn addresses(&self) -> Vec<String> {
         self.view.keys().cloned().collect()
     }
 
-    /// This process itself and half a view of others, drawn at random.
+    /// A random sample of up to half a view, preceded by this process itself.
     fn sample(&self, rng: &mut Rng) -> Vec<PeerView> {
-        let mut left: Vec<(&String, &Peer)> = self.view.iter().collect();
+        let mut candidates: Vec<(&String, &Peer)> = self.view.iter().collect();
         let mut sample = vec![PeerView {
             addr: self.own_address.clone(),
             role: self.role.clone(),
             zone: self.zone.clone(),
             age: 0,
         }];
-        while sample.len() <= VIEW_SIZE / 2 && !left.is_empty() {
-            let drawn = rng.below(left.len() as u64) as usize;
-            let (address, peer) = left.swap_remove(drawn);
+        while sample.len() <= VIEW_SIZE / 2 && !candidates.is_empty() {
+            let index = rng.below(candidates.len() as u64) as usize;
+            let (address, peer) = candidates.swap_remove(index);
             sample.push(PeerView {
                 addr: address.clone(),
                 role: peer.role.clone(),
@@ -93,10 +94,10 @@
         sample
     }
 
-    /// Takes peers into the view, which keeps the youngest.
+    /// Merges received peers into the view, which keeps the youngest ones.
     fn merge(&mut self, received: Vec<PeerView>, rng: &mut Rng) {
         for peer in received {
-            if peer.addr == self.own_address || peer.age >= MAX_AGE {
+            if peer.addr == self.own_address || peer.age >= MAX_AGE_SHUFFLES {
                 continue;
             }
             let received = Peer {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Removes the oldest peer, or one of them at random.
+    /// Removes the oldest peer; if several are equally old, a random one of them.
     fn remove_oldest(&mut self, rng: &mut Rng) {
         let greatest_age = self.view.values().map(|peer| peer.age).max().unwrap_or(0);
         let peers = self.view.iter();
@@ -130,19 +131,20 @@
         }
     }
 
-    /// The shuffle to start now and the peer to send it to, if one is due.
+    /// If a shuffle is due, returns it and the peer to send it to. All peers age by one, and that peer leaves the view
+    /// until it replies.
     pub fn tick(&mut self, now: Now, interval_ms: u64, rng: &mut Rng) -> Option<(String, Shuffle)> {
         if now.mono < self.next_shuffle {
             return None;
         }
-        let jitter = rng.below(interval_ms / JITTER_PART + 1);
+        let jitter = rng.below(interval_ms / JITTER_DIVISOR + 1);
         self.next_shuffle = now.mono + interval_ms + jitter;
         for peer in self.view.values_mut() {
             peer.age += 1;
         }
         let to = self.shuffle_target(rng)?;
         let view = self.sample(rng);
-        // It comes back into the view with its reply, if it is alive.
+        // The reply of a live peer adds it to the view again.
         self.view.remove(&to);
         let shuffle = Shuffle {
             reply: false,
@@ -152,7 +154,7 @@
         Some((to, shuffle))
     }
 
-    /// The oldest peer; now and then, or where there is none, a seed.
+    /// The oldest peer; a seed in one of [`SEED_SHUFFLE_ODDS`] cases, or if the view is empty.
     fn shuffle_target(&self, rng: &mut Rng) -> Option<String> {
         let oldest = self.view.iter().max_by_key(|(_, peer)| peer.age);
         if let Some((address, _)) = oldest {
@@ -166,8 +168,8 @@
         rng.pick(&seeds).cloned()
     }
 
-    /// Takes a shuffle of a peer; returns the reply if it is none itself.
-    pub fn take(&mut self, shuffle: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
+    /// Adds the peers and replicas of a received shuffle; returns a reply unless the shuffle is itself a reply.
+    pub fn receive(&mut self, shuffle: Shuffle, rng: &mut Rng) -> Option<Shuffle> {
         let reply = if shuffle.reply {
             None
         } else {
@@ -187,7 +189,7 @@
         reply
     }
 
-    /// Replaces the replicas known from peers by those of the cluster state.
+    /// Replaces all known replicas, including those learned from peers, with the members of the cluster.
     pub fn set_replicas(&mut self, replicas: Vec<String>) {
         self.replicas = replicas.into_iter().collect();
     }
--- a/landingdrift/src/state/apply/attempts.rs
+++ b/landingdrift/src/state/apply/attempts.rs
@@ -1,9 +1,9 @@
-//! What happens to attempts: requests to stop, ends, doubt about their outcome.
+//! Changes to attempts: stop requests, ends and unknown outcomes.
 
 use crate::state::{Attempt, AttemptState, ClusterState, Job, Task, TaskState};
 
 impl ClusterState {
-    /// The live attempt with a number, to change it.
+    /// Looks up a live attempt by its number for modification.
     pub(super) fn attempt_mut(&mut self, attempt_no: u64) -> Option<&mut Attempt> {
         let (job, task) = self.live.get(&attempt_no)?;
         let job = self.jobs.get_mut(job)?;
@@ -12,21 +12,22 @@
         attempts.find(|attempt| attempt.no == attempt_no)
     }
 
-    /// Asks the worker of a live attempt to stop it.
+    /// Marks a live attempt to be stopped by its worker.
     pub(super) fn request_stop(&mut self, attempt_no: u64) {
         if let Some(attempt) = self.attempt_mut(attempt_no) {
             attempt.stop = true;
         }
     }
 
-    /// Asks the workers of live attempts to stop them.
+    /// Marks live attempts to be stopped by their workers.
     pub(super) fn request_stops(&mut self, attempts: Vec<u64>) {
         for attempt_no in attempts {
             self.request_stop(attempt_no);
         }
     }
 
-    /// Ends a live attempt: frees its resources, and derives the state of its task.
+    /// Ends a live attempt: frees its resources, and updates the statistics of its queue and the state of its task.
+    /// Requests that the other attempts of a finished task stop, and after an end without success those of its gang.
     pub(super) fn end_attempt(
         &mut self,
         attempt_no: u64,
@@ -43,7 +44,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let resources = job.of(task).needs();
+        let resources = job.task_spec(task).needs();
         let queue = job.spec.queue.clone();
         let mut attempts = job.tasks[task].attempts.iter_mut();
         let Some(attempt) = attempts.find(|attempt| attempt.no == attempt_no) else {
@@ -55,15 +56,16 @@
         attempt.note = note.into();
         let (worker, is_copy) = (attempt.worker.clone(), attempt.copy);
         let has_succeeded = state == AttemptState::Succeeded;
-        let is_first_success =
-            has_succeeded && job.tasks[task].state != TaskState::Done && !job.of(task).long_running;
+        let is_first_success = has_succeeded
+            && job.tasks[task].state != TaskState::Done
+            && !job.task_spec(task).long_running;
         job.tasks[task].failures += u32::from(state == AttemptState::Failed);
-        end_task(job, task, is_first_success, max_attempts);
+        update_task_state(job, task, is_first_success, max_attempts);
         let to_stop = superseded_attempts(job, task, is_first_success);
 
         if let Some(worker) = self.workers.get_mut(&worker) {
             if worker.attempts.remove(&attempt_no) {
-                worker.used = worker.used.less(resources);
+                worker.used = worker.used.minus(resources);
             }
         }
         let stats = self.queues.entry(queue).or_default();
@@ -75,15 +77,16 @@
         }
         self.request_stops(to_stop);
         if !has_succeeded {
-            self.reschedule_gang(&id, task_no);
+            self.stop_gang(&id, task_no);
         }
     }
 
-    /// When a member of a gang has to start again, the rest of the gang is stopped, so that it starts whole.
-    pub(super) fn reschedule_gang(&mut self, id: &str, task_no: u32) {
+    /// Requests that the live attempts of a task's gang stop after one member has ended without success, so that all
+    /// members can restart together.
+    pub(super) fn stop_gang(&mut self, id: &str, task_no: u32) {
         let Some(job) = self.jobs.get(id) else { return };
         let mut to_stop = Vec::new();
-        for member in job.gang(task_no as usize) {
+        for member in job.gang_members(task_no as usize) {
             let task = &job.tasks[member];
             if task.state != TaskState::Done {
                 to_stop.extend(task.live().map(|attempt| attempt.no));
@@ -92,7 +95,7 @@
         self.request_stops(to_stop);
     }
 
-    /// Marks the outcome of a live attempt as unknown.
+    /// Marks the outcome of a live attempt as unknown, and requests that the attempts of its gang stop.
     pub(super) fn mark_unsure(&mut self, attempt_no: u64) {
         let at = self.at;
         let Some((id, task_no)) = self.live.get(&attempt_no).cloned() else {
@@ -103,15 +106,15 @@
         };
         if attempt.state != AttemptState::Unsure {
             attempt.state = AttemptState::Unsure;
-            // While the outcome is unknown, `ended` is the moment since when.
+            // For an unsure attempt, `ended` is the time at which its outcome became unknown.
             attempt.ended = at;
         }
-        // The others of a gang don't wait for one that may never come.
-        self.reschedule_gang(&id, task_no);
+        // The other members must not wait for an attempt that may never end.
+        self.stop_gang(&id, task_no);
     }
 
-    /// Keeps the newest checkpoint of an attempt; in a gang it is good for every member.
-    pub(super) fn keep_checkpoint(&mut self, attempt_no: u64, checkpoint: &str) {
+    /// Stores the newest checkpoint of an attempt for its task, and for all members of its gang.
+    pub(super) fn store_checkpoint(&mut self, attempt_no: u64, checkpoint: &str) {
         if checkpoint.is_empty() {
             return;
         }
@@ -123,28 +126,28 @@
         };
         let task = *task_no as usize;
         job.tasks[task].checkpoint = checkpoint.into();
-        for member in job.gang(task) {
+        for member in job.gang_members(task) {
             job.tasks[member].checkpoint = checkpoint.into();
         }
     }
 }
 
-/// Derives the state of a task one of whose attempts has ended.
-fn end_task(job: &mut Job, task: usize, is_first_success: bool, max_attempts: u32) {
+/// Updates the state of a task after one of its attempts has ended.
+fn update_task_state(job: &mut Job, task: usize, is_first_success: bool, max_attempts: u32) {
     if is_first_success {
-        if job.ends_as_one(task) {
-            // The members end together: this end counts for all of them.
-            for member in job.gang(task) {
-                job.put(member, TaskState::Done);
+        if job.gang_succeeds_together(task) {
+            // The success of one member counts for all of them.
+            for member in job.gang_members(task) {
+                job.set_task_state(member, TaskState::Done);
             }
         } else {
-            job.put(task, TaskState::Done);
+            job.set_task_state(task, TaskState::Done);
         }
         return;
     }
     // As long as another attempt may still succeed, the task has not failed.
     let is_exhausted = job.tasks[task].state == TaskState::Waiting
-        && !job.of(task).long_running
+        && !job.task_spec(task).long_running
         && job.tasks[task].failures >= max_attempts
         && job.tasks[task].live().next().is_none();
     if is_exhausted {
@@ -153,15 +156,16 @@
         } else {
             TaskState::Failed
         };
-        job.put(task, state);
+        job.set_task_state(task, state);
     }
 }
 
-/// The attempts of a task that are of no use any more. Members of a gang that ends as one end by themselves.
+/// The live attempts of a finished task, which must be stopped. Gangs whose members succeed together are exempt:
+/// their other members end without a stop request.
 fn superseded_attempts(job: &Job, task_no: usize, is_first_success: bool) -> Vec<u64> {
     let task: &Task = &job.tasks[task_no];
-    let ends_by_itself = is_first_success && job.ends_as_one(task_no);
-    if task.state == TaskState::Waiting || ends_by_itself {
+    let gang_ends_by_itself = is_first_success && job.gang_succeeds_together(task_no);
+    if task.state == TaskState::Waiting || gang_ends_by_itself {
         return Vec::new();
     }
     task.live().map(|attempt| attempt.no).collect()
--- a/landingdrift/src/state/apply/config_update.rs
+++ b/landingdrift/src/state/apply/config_update.rs
@@ -1,29 +1,29 @@
-//! Changes of the configuration, and evacuations of zones.
+//! Configuration changes, and evacuation of zones.
 
 use super::{ensure, ApplyResult};
 use crate::config::{merge, read, ClusterConfig, Queue};
 use crate::state::{
-    AttemptState, Change, ClusterState, Rejection, TaskState, CHANGES_KEPT_MS, CHANGES_MOST,
+    AttemptState, Change, ClusterState, Rejection, TaskState, CHANGE_RETENTION_MS, MAX_CHANGES,
 };
 use serde_json::{json, Value};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// A change of the configuration.
+/// A proposed configuration change.
 pub(super) struct ConfigUpdate<'a> {
-    /// The identity of the change; copies of it carry the same one.
+    /// Identity of the change; retries carry the same one.
     pub change: &'a str,
-    /// The version that it builds on.
+    /// Configuration version that the change is based on.
     pub base_version: u64,
-    /// The version that it becomes; 0 for the next.
+    /// Version that the new configuration gets; 0 for the next one.
     pub version: u64,
-    /// It changes parts of the current configuration, and does not replace it.
+    /// Whether `value` is a merge patch; otherwise it replaces the whole configuration.
     pub is_patch: bool,
     pub value: &'a Value,
 }
 
 impl ConfigUpdate<'_> {
-    /// The SHA-256 of all that is asked for.
+    /// SHA-256 of the requested change, without its identity.
     fn digest(&self) -> [u8; 32] {
         let Self {
             base_version,
@@ -38,8 +38,8 @@
 }
 
 impl ClusterState {
-    /// Puts a change of the configuration into force. Only one change is taken on top of a version; a copy of one that
-    /// was taken gets the same answer again.
+    /// Puts a configuration change into force. At most one change per base version is accepted; a retry of an accepted
+    /// change gets the same result again.
     pub(super) fn update_config(&mut self, update: &ConfigUpdate) -> ApplyResult {
         let digest = update.digest();
         let mut known = self.changes.iter();
@@ -52,11 +52,11 @@
             update.base_version == current,
             Rejection::VersionConflict { current },
         )?;
-        self.forget_old_changes();
-        ensure(self.changes.len() < CHANGES_MOST, Rejection::TooManyChanges)?;
-        let is_higher = update.version == 0 || update.version > current;
+        self.drop_old_changes();
+        ensure(self.changes.len() < MAX_CHANGES, Rejection::TooManyChanges)?;
+        let is_valid_version = update.version == 0 || update.version > current;
         ensure(
-            is_higher,
+            is_valid_version,
             Rejection::Invalid {
                 path: "version".into(),
                 remedy: format!("give a number above the current one, {current}"),
@@ -73,12 +73,12 @@
             log_index: self.applied_index,
             at: self.at,
         });
-        self.stop_where_closed();
+        self.stop_disallowed_attempts();
         self.fail_exhausted_tasks();
         Ok(json!({"version": self.version, "place": self.applied_index}))
     }
 
-    /// The configuration that an update leads to.
+    /// Computes and validates the configuration that results from an update.
     fn read_update(&self, update: &ConfigUpdate) -> Result<ClusterConfig, Rejection> {
         let mut value = update.value.clone();
         if update.is_patch {
@@ -91,42 +91,46 @@
         })
     }
 
-    /// Keeps the queues that a new configuration drops while they hold unfinished jobs, if it allows that.
+    /// Retires the queues with unfinished jobs that a new configuration removes. If there are any, the configuration is
+    /// rejected unless it sets `retireQueues`.
     fn retire_queues(&mut self, config: &ClusterConfig) -> Result<(), Rejection> {
         let has_unfinished = |queue: &String| {
             let stats = self.queues.get(queue);
             stats.is_some_and(|stats| stats.unfinished > 0)
         };
-        let mut dropped: BTreeMap<String, Queue> = BTreeMap::new();
+        let mut retired: BTreeMap<String, Queue> = BTreeMap::new();
         for (name, queue) in &self.config.queues {
             if !config.queues.contains_key(name) && has_unfinished(name) {
-                dropped.insert(name.clone(), queue.clone());
+                retired.insert(name.clone(), queue.clone());
             }
         }
-        if let (Some(queue), false) = (dropped.keys().next(), config.retire_queues) {
+        if let (Some(queue), false) = (retired.keys().next(), config.retire_queues) {
             return Err(Rejection::Invalid {
                 path: format!("queues.{queue}"),
                 remedy: format!("queues.{queue}: it holds unfinished jobs: let them end or cancel them, then remove it"),
             });
         }
-        self.retired.extend(dropped);
-        self.retired
+        self.retired_queues.extend(retired);
+        self.retired_queues
             .retain(|queue, _| !config.queues.contains_key(queue));
         Ok(())
     }
 
-    /// Drops the identities of changes made long ago, but never the newest: it is acknowledged again however late.
-    fn forget_old_changes(&mut self) {
-        let kept_from = self.at.saturating_sub(CHANGES_KEPT_MS);
+    /// Drops the identities of changes older than the retention time. The newest change is kept, so that retries of it
+    /// are acknowledged however late they arrive.
+    fn drop_old_changes(&mut self) {
+        let kept_from = self.at.saturating_sub(CHANGE_RETENTION_MS);
         while self.changes.len() > 1 && self.changes[0].at < kept_from {
             self.changes.pop_front();
         }
     }
 
-    /// Where a limit of attempts was lowered: what has failed as often is not tried again, and does not wait for ever.
+    /// Fails the tasks without live attempts that have reached the maximum number of attempts after the new
+    /// configuration lowered it; otherwise they would wait forever without being retried. For such tasks with live
+    /// attempts, requests that the unstarted ones stop.
     fn fail_exhausted_tasks(&mut self) {
-        let open: Vec<String> = self.open.iter().cloned().collect();
-        for id in open {
+        let unfinished: Vec<String> = self.unfinished_jobs.iter().cloned().collect();
+        for id in unfinished {
             let max_attempts = self.max_attempts_of(&id);
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
@@ -137,13 +141,13 @@
                 let task = &job.tasks[i];
                 let is_exhausted =
                     task.state == TaskState::Waiting && task.failures >= max_attempts;
-                if !is_exhausted || job.of(i).long_running {
+                if !is_exhausted || job.task_spec(i).long_running {
                     continue;
                 }
                 let unstarted = task.live().filter(|a| a.state == AttemptState::Ordered);
                 to_stop.extend(unstarted.map(|a| a.no));
                 if task.live().next().is_none() {
-                    job.put(i, TaskState::Failed);
+                    job.set_task_state(i, TaskState::Failed);
                     any_failed = true;
                 }
             }
@@ -154,32 +158,33 @@
         }
     }
 
-    /// How often a task of a job may fail.
+    /// The number of failures after which a task of a job has failed permanently.
     pub(super) fn max_attempts_of(&self, job: &str) -> u32 {
         let queue = self.jobs.get(job).and_then(|j| self.queue(&j.spec.queue));
         queue.map_or(1, |queue| queue.max_attempts)
     }
 
-    /// Begins or ends the evacuation of a zone; asked twice it does no harm.
-    pub(super) fn set_evacuation(&mut self, zone: &str, on: bool) -> ApplyResult {
-        if on {
+    /// Starts or ends the evacuation of a zone; idempotent.
+    pub(super) fn set_evacuation(&mut self, zone: &str, evacuate: bool) -> ApplyResult {
+        if evacuate {
             self.evacuated_zones.insert(zone.into());
         } else {
             self.evacuated_zones.remove(zone);
         }
-        self.stop_where_closed();
-        Ok(json!({"zone": zone, "emptied": on}))
+        self.stop_disallowed_attempts();
+        Ok(json!({"zone": zone, "emptied": evacuate}))
     }
 
-    /// Stops attempts that have not started in zones and on workers that get nothing new, and repeatable ones in
-    /// evacuated zones whether they have started or not.
-    fn stop_where_closed(&mut self) {
+    /// Requests that unstarted attempts on workers and in zones that may not get new work stop, and all attempts of
+    /// repeatable tasks in zones that the configuration evacuates.
+    fn stop_disallowed_attempts(&mut self) {
         let attempts = self.live.keys().copied();
-        let to_stop = attempts.filter(|no| self.must_stop_where_closed(*no));
+        let to_stop = attempts.filter(|no| self.is_disallowed(*no));
         self.request_stops(to_stop.collect());
     }
 
-    fn must_stop_where_closed(&self, attempt_no: u64) -> bool {
+    /// Whether an attempt must be stopped, see [`Self::stop_disallowed_attempts`].
+    fn is_disallowed(&self, attempt_no: u64) -> bool {
         let Some((_, task)) = self.live.get(&attempt_no) else {
             return false;
         };
@@ -189,8 +194,8 @@
         let worker = self.workers.get(&attempt.worker);
         let zone = worker.map_or("", |worker| worker.info.zone.as_str());
         let has_started = attempt.state != AttemptState::Ordered;
-        let is_closed = !self.open(zone, &attempt.worker);
-        let may_repeat = job.of(*task as usize).may_repeat;
-        (!has_started && is_closed) || (may_repeat && self.config.evacuated(zone))
+        let gets_no_new_work = !self.allows_new_work(zone, &attempt.worker);
+        let may_repeat = job.task_spec(*task as usize).may_repeat;
+        (!has_started && gets_no_new_work) || (may_repeat && self.config.is_evacuated(zone))
     }
 }
--- a/landingdrift/src/state/apply/job_state.rs
+++ b/landingdrift/src/state/apply/job_state.rs
@@ -1,17 +1,19 @@
-//! The state of a job, derived from its tasks.
+//! Derives the state of jobs from their tasks.
 
 use crate::state::{ClusterState, Job, JobState, Task, TaskState};
 
-/// Ends of jobs that are kept for the promise of a queue.
-const MAX_PROMISES: usize = 4096;
+/// Maximum number of ended jobs recorded per queue to evaluate its promise.
+const MAX_JOB_ENDS: usize = 4096;
 
 impl ClusterState {
-    /// Derives a job's state from its tasks, and closes the job when it has ended.
+    /// Derives a job's state from its tasks, and closes the job if it has ended. If a task has failed or the job is
+    /// cancelled, first cancels the waiting tasks without live attempts; after a failure, requests that the live
+    /// attempts stop.
     pub(super) fn update_job_state(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.state.ended() {
+        if job.state.has_ended() {
             return;
         }
         let any_failed = job.tasks.iter().any(|t| t.state == TaskState::Failed);
@@ -24,14 +26,15 @@
         if any_failed && !job.cancel {
             job.reason = failure_reason(job);
         }
-        if job.state.ended() {
+        if job.state.has_ended() {
             self.close_job(id);
         } else if any_failed {
             self.request_stops(live);
         }
     }
 
-    /// Closes a job that has ended: it is retained for its time, and counts for the promise of its queue.
+    /// Closes a job that has ended: starts its retention period, and, unless it was cancelled, counts it towards the
+    /// promise of its queue.
     fn close_job(&mut self, id: &str) {
         let at = self.at;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -40,37 +43,37 @@
         job.ended = at;
         let state = job.state;
         let queue = job.spec.queue.clone();
-        let last_due = (0..job.tasks.len()).map(|i| job.due(i)).max();
+        let last_due = (0..job.tasks.len()).map(|i| job.task_due(i)).max();
         let could_start_at = job.accepted.max(last_due.unwrap_or(0));
         let took_ms = at.saturating_sub(could_start_at);
-        self.open.remove(id);
+        self.unfinished_jobs.remove(id);
         self.expiry.insert((at, id.to_string()));
         let promised_ms = self.queue(&queue).map_or(0, |q| q.finish_within_ms);
         let stats = self.queues.entry(queue.clone()).or_default();
         stats.unfinished = stats.unfinished.saturating_sub(1);
         if stats.unfinished == 0 {
-            self.retired.remove(&queue);
+            self.retired_queues.remove(&queue);
         }
         if state == JobState::Cancelled {
             return;
         }
         let in_time = promised_ms == 0 || took_ms <= promised_ms;
-        let is_kept = state == JobState::Done && in_time;
-        stats.promises.push_back((at, is_kept));
-        stats.kept += u64::from(is_kept);
-        stats.missed += u64::from(!is_kept);
-        if stats.promises.len() > MAX_PROMISES {
-            stats.promises.pop_front();
+        let kept_promise = state == JobState::Done && in_time;
+        stats.job_ends.push_back((at, kept_promise));
+        stats.kept += u64::from(kept_promise);
+        stats.missed += u64::from(!kept_promise);
+        if stats.job_ends.len() > MAX_JOB_ENDS {
+            stats.job_ends.pop_front();
         }
     }
 }
 
-/// Cancels the tasks that wait and have no live attempt.
+/// Cancels the waiting tasks that have no live attempt.
 fn cancel_idle_tasks(job: &mut Job) {
     for i in 0..job.tasks.len() {
         let task = &job.tasks[i];
         if task.state == TaskState::Waiting && task.live().next().is_none() {
-            job.put(i, TaskState::Cancelled);
+            job.set_task_state(i, TaskState::Cancelled);
         }
     }
 }
@@ -95,7 +98,7 @@
     }
 }
 
-/// Why a job has failed: its first failed task, with the note of its last attempt.
+/// Describes why a job failed: its first failed task, with the note of that task's last attempt.
 fn failure_reason(job: &Job) -> String {
     let mut tasks = job.tasks.iter();
     let Some(i) = tasks.position(|t| t.state == TaskState::Failed) else {
@@ -105,7 +108,7 @@
     let last_note = task.attempts.last().map_or("", |a| a.note.as_str());
     format!(
         "task '{}' failed {} times: {last_note}",
-        job.name(i),
+        job.task_name(i),
         task.failures
     )
 }
--- a/landingdrift/src/state/apply/jobs.rs
+++ b/landingdrift/src/state/apply/jobs.rs
@@ -1,18 +1,18 @@
-//! Accepting, cancelling and resolving jobs.
+//! Acceptance and cancellation of jobs, and resolution of unknown outcomes.
 
 use super::{ensure, ApplyResult};
 use crate::state::{AttemptState, ClusterState, Job, JobSpec, Rejection, Task};
 use serde_json::{json, Value};
 
 impl ClusterState {
-    /// Accepts a job. `seen` is the index that the admitting node had applied when the request came. A rejected id is
-    /// remembered, so that an older request with the same id can't bring the job in afterwards.
-    pub(super) fn accept_job(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> ApplyResult {
+    /// Accepts a job. `seen` is the log index that the admitting node had applied when it received the request. The id
+    /// of a rejected job is remembered, so that an older request with the same id can't be accepted afterwards.
+    pub(super) fn submit_job(&mut self, spec: &JobSpec, hash: u64, seen: u64) -> ApplyResult {
         let result = self.try_accept(spec, hash, seen);
         let is_known = self.jobs.contains_key(&spec.id) || self.tombstones.contains_key(&spec.id);
         if result.is_err() && !is_known {
             let rejected_at = (self.applied_index, self.at);
-            self.refusals.insert(spec.id.clone(), rejected_at);
+            self.rejected_ids.insert(spec.id.clone(), rejected_at);
         }
         result
     }
@@ -22,12 +22,12 @@
             ensure(known_hash == hash, Rejection::BodyMismatch)?;
             return Ok(json!({"known": true}));
         }
-        let rejected = self.refusals.get(&spec.id);
+        let rejected = self.rejected_ids.get(&spec.id);
         let rejected_since = rejected.is_some_and(|(index, _)| *index > seen);
         ensure(!rejected_since, Rejection::PreviouslyRejected)?;
-        let waits = spec
+        let dependencies = spec
             .check()
-            .and_then(|waits| spec.satisfiable(&self.config).map(|()| waits))
+            .and_then(|dependencies| spec.check_against(&self.config).map(|()| dependencies))
             .map_err(|e| Rejection::Invalid {
                 path: e.path,
                 remedy: e.remedy,
@@ -37,18 +37,18 @@
         let stats = self.queues.entry(spec.queue.clone()).or_default();
         ensure(stats.unfinished < quota, Rejection::OverQuota { quota })?;
         stats.unfinished += 1;
-        self.refusals.remove(&spec.id);
+        self.rejected_ids.remove(&spec.id);
         let job = Job {
             hash,
             accepted: self.at,
-            ..Job::new(spec.clone(), waits)
+            ..Job::new(spec.clone(), dependencies)
         };
         self.jobs.insert(spec.id.clone(), job);
-        self.open.insert(spec.id.clone());
+        self.unfinished_jobs.insert(spec.id.clone());
         Ok(json!({"known": false}))
     }
 
-    /// The hash of the job that has an id, retained or not.
+    /// The request hash of the job with an id, whether it is retained in full or as a tombstone.
     fn known_hash(&self, id: &str) -> Option<u64> {
         match self.jobs.get(id) {
             Some(job) => Some(job.hash),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Cancels a job; one that has ended stays as it is.
+    /// Cancels a job; a job that has ended is left unchanged.
     pub(super) fn cancel_job(&mut self, id: &str) -> ApplyResult {
         if let Some(tombstone) = self.tombstones.get(id) {
             return Ok(json!({"state": tombstone.state}));
@@ -65,7 +65,7 @@
             what: format!("job '{id}'"),
         };
         let job = self.jobs.get_mut(id).ok_or_else(unknown)?;
-        if job.state.ended() || job.cancel {
+        if job.state.has_ended() || job.cancel {
             return Ok(json!({"state": job.state}));
         }
         job.cancel = true;
@@ -77,8 +77,8 @@
         Ok(json!({"state": self.jobs.get(id).map(|job| job.state)}))
     }
 
-    /// The operator says how the attempts of a task ended whose outcome is unknown.
-    pub(super) fn resolve_attempt(
+    /// Ends the attempts of a task whose outcome is unknown, with the outcome that the operator gives.
+    pub(super) fn resolve_task(
         &mut self,
         id: &str,
         task_name: &str,
@@ -87,7 +87,7 @@
         let unknown = |what: String| Rejection::Unknown { what };
         let job = self.jobs.get(id);
         let job = job.ok_or_else(|| unknown(format!("job '{id}'")))?;
-        let task = job.find(task_name);
+        let task = job.find_task(task_name);
         let task = task.ok_or_else(|| unknown(format!("task '{task_name}'")))?;
         let live = job.tasks[task].live();
         let unsure = live.filter(|attempt| attempt.state == AttemptState::Unsure);
--- a/landingdrift/src/state/apply/orders.rs
+++ b/landingdrift/src/state/apply/orders.rs
@@ -1,16 +1,17 @@
-//! Orders take effect once: the first copy that enters the log in time does, the others get its answer.
+//! At-most-once execution of orders: the first copy that enters the log before the deadline takes effect, and later
+//! copies get the same result.
 
 use super::{ensure, pack_apply_result, unpack_apply_result, ApplyResult};
 use crate::state::{ClusterState, Order, Rejection};
 
 impl ClusterState {
-    /// Applies one copy of an order. Its answer is kept until the deadline; copies after that have no effect.
+    /// Applies one copy of an order. The result is kept until the deadline, after which copies are rejected.
     pub(super) fn apply_order(&mut self, order: &Order) -> ApplyResult {
-        self.forget_expired_answers();
+        self.drop_expired_results();
         let key = (order.deadline, order.proposal.clone());
         let known = self.orders.get(&key);
-        if let Some(answer) = known.and_then(|answer| unpack_apply_result(answer)) {
-            return answer;
+        if let Some(result) = known.and_then(|result| unpack_apply_result(result)) {
+            return result;
         }
         ensure(self.at <= order.deadline, Rejection::DeadlinePassed)?;
         let result = if order.action.is_order() {
@@ -25,8 +26,8 @@
         result
     }
 
-    /// Drops answers whose deadline has passed: no copy that comes now takes effect any more.
-    fn forget_expired_answers(&mut self) {
+    /// Drops results of orders whose deadline has passed: further copies can't take effect.
+    fn drop_expired_results(&mut self) {
         while let Some(first) = self.orders.first_entry() {
             let (deadline, _) = first.key();
             if *deadline >= self.at {
--- a/landingdrift/src/state/apply/placement_rules.rs
+++ b/landingdrift/src/state/apply/placement_rules.rs
@@ -1,4 +1,4 @@
-//! The rules that a placement is checked against: when a task may start, and on which workers.
+//! Rules for placements: when a task may start, and on which workers.
 
 use super::ensure;
 use crate::config::Queue;
@@ -7,56 +7,65 @@
     Worker,
 };
 
-/// How many attempts of a task may be running.
+/// Numbers of a task's attempts that may be running.
 struct LiveAttempts {
-    /// Those that are surely ordered or running.
-    sure: u32,
-    /// Those whose outcome is unknown.
+    /// Attempts that are ordered or running.
+    ordered_or_running: u32,
+    /// Attempts whose outcome is unknown.
     unsure: u32,
 }
 
 impl LiveAttempts {
     fn of(task: &Task) -> Self {
-        let mut counted = Self { sure: 0, unsure: 0 };
+        let mut counted = Self {
+            ordered_or_running: 0,
+            unsure: 0,
+        };
         for attempt in task.live() {
             if attempt.state == AttemptState::Unsure {
                 counted.unsure += 1;
             } else {
-                counted.sure += 1;
+                counted.ordered_or_running += 1;
             }
         }
         counted
     }
 
     fn all(&self) -> u32 {
-        self.sure + self.unsure
+        self.ordered_or_running + self.unsure
     }
 }
 
 impl ClusterState {
-    /// Whether a task may get an attempt at a time by the cluster clock, leaving the worker aside.
-    pub fn may_start(&self, id: &str, task_no: u32, copy: bool, at: u64) -> Result<(), Rejection> {
+    /// Checks whether a task may get an attempt at time `at` of the cluster clock, on any worker.
+    pub fn check_start(
+        &self,
+        id: &str,
+        task_no: u32,
+        copy: bool,
+        at: u64,
+    ) -> Result<(), Rejection> {
         let unknown = |what: String| Rejection::Unknown { what };
         let found = self.task(id, task_no);
         let (job, task) = found.ok_or_else(|| unknown(format!("task {task_no}")))?;
         let task_no = task_no as usize;
         ensure(task.state == TaskState::Waiting, Rejection::Ended)?;
-        let spec = job.of(task_no);
+        let spec = job.task_spec(task_no);
         let queue_name = &job.spec.queue;
         let queue = self.queue(queue_name);
         let queue = queue.ok_or_else(|| unknown(format!("queue '{queue_name}'")))?;
-        ensure(at >= job.due(task_no), Rejection::NotDue)?;
-        ensure(job.reached(task_no), Rejection::Waiting)?;
+        ensure(at >= job.task_due(task_no), Rejection::NotDue)?;
+        ensure(job.are_dependencies_done(task_no), Rejection::Waiting)?;
         let live = LiveAttempts::of(task);
-        let is_repeat = if spec.may_repeat {
-            // A first or next attempt, or one copy beside one that runs.
-            live.sure != u32::from(copy) || (copy && job.in_gang(task_no))
+        let is_excess = if spec.may_repeat {
+            // A regular attempt requires that no other one is running; a copy requires exactly one, and no gang.
+            live.ordered_or_running != u32::from(copy) || (copy && job.in_gang(task_no))
         } else {
-            // Never again while an attempt may be running, and no copies at all.
+            // No attempt may start while another may be running, and copies are never allowed.
             copy || live.all() > 0
         };
-        ensure(!is_repeat, Rejection::AlreadyRunning)?;
-        // What may be running may fail, or has failed where nobody saw it: it counts as an attempt.
+        ensure(!is_excess, Rejection::AlreadyRunning)?;
+        // Attempts that may be running count as well: each may still fail, or may have failed unnoticed.
         let attempts = task.failures + live.all();
         let may_try_again = spec.long_running || attempts < queue.max_attempts;
         ensure(may_try_again, Rejection::AttemptsExhausted)?;
@@ -66,18 +75,24 @@
         Ok(())
     }
 
-    /// Whether a queue may have one more speculative copy.
+    /// Checks whether a queue may have one more speculative copy.
     fn ensure_speculation_budget(&self, name: &str, queue: &Queue) -> Result<(), Rejection> {
         let stats = self.queues.get(name);
         let running = stats.map_or(0, |stats| stats.running);
         let copies = stats.map_or(0, |stats| stats.copies);
         let budget = (running * queue.speculation_percent).div_ceil(100);
-        let has_budget = copies < budget && !self.allowance_spent(name);
+        let has_budget = copies < budget && !self.is_allowance_exhausted(name);
         ensure(has_budget, Rejection::SpeculationBudgetExhausted)
     }
 
-    /// Whether a worker may get a task of a job at a time by the cluster clock.
-    pub fn fits(&self, id: &str, placement: &Placement, at: u64) -> Result<(), Rejection> {
+    /// Checks whether the worker of a placement may get its task at time `at` of the cluster clock, apart from its free
+    /// resources.
+    pub fn check_placement(
+        &self,
+        id: &str,
+        placement: &Placement,
+        at: u64,
+    ) -> Result<(), Rejection> {
         let unknown = |what: String| Rejection::Unknown { what };
         let job = self.jobs.get(id);
         let job = job.ok_or_else(|| unknown(format!("job '{id}'")))?;
@@ -85,41 +100,42 @@
         let task = task.ok_or_else(|| unknown(format!("task {}", placement.task)))?;
         let worker = self.workers.get(&placement.worker);
         let worker = worker.ok_or_else(|| unknown(format!("worker '{}'", placement.worker)))?;
-        let lease = self.holder(&zone_lease(&worker.info.zone));
+        let lease = self.current_lease(&zone_lease(&worker.info.zone));
         let is_current = lease.is_some_and(|lease| lease.epoch == placement.zone_epoch);
         ensure(is_current, Rejection::StaleLease)?;
         self.ensure_usable(worker, placement)?;
-        let spec = job.of(placement.task as usize);
+        let spec = job.task_spec(placement.task as usize);
         ensure_served(worker, spec)?;
-        let may_get_it = worker.probation == 0
+        let passes_probation = worker.probation == 0
             || self.is_free_for_trial(worker, spec)
             || (job.is_idle_too_long(at) && self.has_spare_capacity(&spec.service));
-        ensure(may_get_it, unsuitable("on probation, one at a time"))?;
+        ensure(passes_probation, unsuitable("on probation, one at a time"))?;
         let mut live = task.live();
-        let is_there = live.any(|attempt| attempt.worker == placement.worker);
-        ensure(!is_there, Rejection::AlreadyRunning)?;
-        ensure_apart(job, placement, 0)
+        let has_live_attempt = live.any(|attempt| attempt.worker == placement.worker);
+        ensure(!has_live_attempt, Rejection::AlreadyRunning)?;
+        ensure_anti_affinity(job, placement, 0)
     }
 
-    /// Whether a worker on probation may get a task. It gets one at a time, beside long-running ones: these never end, so that
-    /// they prove nothing and are no reason to wait.
+    /// Whether a worker on probation may get a task on trial. It gets one task at a time, in addition to long-running
+    /// attempts: these normally run until their job is cancelled, so they neither prove the worker's health nor free
+    /// its slot. A long-running task is placed only on a worker without any attempts.
     fn is_free_for_trial(&self, worker: &Worker, spec: &TaskSpec) -> bool {
         if spec.long_running {
             worker.attempts.is_empty()
         } else {
-            !self.has_ending_attempts(worker)
+            !self.has_finite_attempts(worker)
         }
     }
 
-    /// Whether a worker gets anything new at all.
+    /// Checks whether the worker of a placement may get new work at all.
     fn ensure_usable(&self, worker: &Worker, placement: &Placement) -> Result<(), Rejection> {
         let info = &worker.info;
         let is_same_process = info.incarnation == placement.incarnation;
         ensure(is_same_process, unsuitable("it has started anew"))?;
         ensure(!worker.lost, unsuitable("it is lost"))?;
         ensure(!info.leaving, unsuitable("it is leaving"))?;
-        let is_open = self.open(&info.zone, &placement.worker);
-        ensure(is_open, unsuitable("its zone or itself is drained"))
+        let gets_new_work = self.allows_new_work(&info.zone, &placement.worker);
+        ensure(gets_new_work, unsuitable("its zone or itself is drained"))
     }
 }
 
@@ -127,7 +143,7 @@
     Rejection::UnsuitableWorker { why: why.into() }
 }
 
-/// Whether a worker is of the task's service and carries its labels.
+/// Checks whether a worker offers the task's service and has all its labels.
 fn ensure_served(worker: &Worker, spec: &TaskSpec) -> Result<(), Rejection> {
     let info = &worker.info;
     ensure(info.service == spec.service, unsuitable("another service"))?;
@@ -135,17 +151,19 @@
     ensure(has_labels, unsuitable("a label is missing"))
 }
 
-/// Whether a worker gets no more tasks of a step than the step allows, with `placed_beside` of the same entry.
-pub(super) fn ensure_apart(
+/// Checks that a worker gets no more tasks of a step than the step's anti-affinity allows. `step_tasks_on_same_worker`
+/// is the number of the step's tasks that the same entry has already placed on the worker.
+pub(super) fn ensure_anti_affinity(
     job: &Job,
     placement: &Placement,
-    placed_beside: u32,
+    step_tasks_on_same_worker: u32,
 ) -> Result<(), Rejection> {
     let task = placement.task as usize;
-    let allowed = job.of(task).anti_affinity;
-    let has_space = allowed == 0 || job.beside(task, &placement.worker) + placed_beside < allowed;
+    let allowed = job.task_spec(task).anti_affinity;
+    let is_below_limit = allowed == 0
+        || job.step_attempts_on(task, &placement.worker) + step_tasks_on_same_worker < allowed;
     ensure(
-        has_space,
+        is_below_limit,
         unsuitable("as many tasks of the step are there as it allows"),
     )
 }
--- a/landingdrift/src/state/apply/worker_trust.rs
+++ b/landingdrift/src/state/apply/worker_trust.rs
@@ -1,59 +1,65 @@
-//! Probation: a worker that fails far more often than the others gets one attempt at a time until it has done well.
+//! Probation: a worker that fails far more often than the others gets one attempt at a time until it has succeeded
+//! several times in a row.
 
 use crate::state::{AttemptState, ClusterState, Worker};
 
-/// Ends that are looked at when a worker is judged.
-const ENDS_JUDGED: usize = 12;
-/// Successes in a row that end a probation.
+/// Number of most recent outcomes per worker that its failure rate is based on.
+const MAX_RECENT_OUTCOMES: usize = 12;
+/// Number of consecutive successes that end a probation.
 const PROBATION_SUCCESSES: u32 = 3;
-/// A worker with fewer failures than this among the ends that are looked at is trusted.
+/// Minimum number of failures among the recent outcomes for probation.
 const MIN_FAILURES: usize = 4;
-/// A worker is trusted while under one in so many of its ends is a failure.
+/// Minimum failure rate for probation, as a divisor: at least one in this many recent outcomes is a failure.
 const FAILURE_RATE_DIVISOR: usize = 3;
-/// A worker is trusted while its rate of failures is under so many times that of all others.
+/// Minimum ratio of the worker's failure rate to that of all other workers for probation.
 const FLEET_RATE_FACTOR: usize = 3;
 
-/// How many ends were looked at, and how many of them were failures.
+/// Number of failures among the recent outcomes of one or more workers.
 #[derive(Clone, Copy, Default)]
 struct FailureRate {
     failures: usize,
-    ends: usize,
+    outcomes: usize,
 }
 
 impl FailureRate {
     fn of(worker: &Worker) -> Self {
         Self {
-            failures: worker.ends.iter().filter(|succeeded| !**succeeded).count(),
-            ends: worker.ends.len(),
+            failures: worker
+                .recent_outcomes
+                .iter()
+                .filter(|succeeded| !**succeeded)
+                .count(),
+            outcomes: worker.recent_outcomes.len(),
         }
     }
 
     fn plus(self, other: Self) -> Self {
         Self {
             failures: self.failures + other.failures,
-            ends: self.ends + other.ends,
+            outcomes: self.outcomes + other.outcomes,
         }
     }
 
     fn is_much_worse_than(self, fleet: Self) -> bool {
-        let fleet_share = FLEET_RATE_FACTOR * fleet.failures * self.ends;
+        let threshold = FLEET_RATE_FACTOR * fleet.failures * self.outcomes;
         self.failures >= MIN_FAILURES
-            && self.failures * FAILURE_RATE_DIVISOR >= self.ends
-            && self.failures * fleet.ends.max(1) >= fleet_share
+            && self.failures * FAILURE_RATE_DIVISOR >= self.outcomes
+            && self.failures * fleet.outcomes.max(1) >= threshold
     }
 }
 
 impl ClusterState {
-    /// Puts a worker on probation.
+    /// Puts a worker on probation, and clears its recent outcomes.
     pub(super) fn start_probation(&mut self, worker: &str) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.probation = PROBATION_SUCCESSES;
-            worker.ends.clear();
+            worker.recent_outcomes.clear();
         }
     }
 
-    /// Takes an end into account that shows whether a worker can be trusted.
-    pub(super) fn judge_worker(&mut self, name: &str, state: AttemptState) {
+    /// Records a success or failure of a worker, and starts, continues or ends its probation. Attempts that ended in any
+    /// other state are ignored, since they are no evidence of the worker's health.
+    pub(super) fn record_outcome(&mut self, name: &str, state: AttemptState) {
         let has_succeeded = match state {
             AttemptState::Succeeded => true,
             AttemptState::Failed => false,
@@ -66,9 +72,9 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.ends.push_back(has_succeeded);
-        if worker.ends.len() > ENDS_JUDGED {
-            worker.ends.pop_front();
+        worker.recent_outcomes.push_back(has_succeeded);
+        if worker.recent_outcomes.len() > MAX_RECENT_OUTCOMES {
+            worker.recent_outcomes.pop_front();
         }
         if worker.probation > 0 {
             continue_probation(worker, has_succeeded);
@@ -85,6 +91,6 @@
         PROBATION_SUCCESSES
     };
     if worker.probation == 0 {
-        worker.ends.clear();
+        worker.recent_outcomes.clear();
     }
 }
--- a/landingdrift/src/state/apply/workers.rs
+++ b/landingdrift/src/state/apply/workers.rs
@@ -1,4 +1,4 @@
-//! What workers say of themselves, and what becomes of their attempts when they fall silent.
+//! Worker registration and reports, and handling of attempts on workers that are lost, restarted or replaced.
 
 use super::{ensure, ApplyResult};
 use crate::state::{
@@ -7,17 +7,17 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// A worker's process: its name with the incarnation that an entry is about.
+/// The worker process that an entry concerns, identified by its name and incarnation.
 #[derive(Clone, Copy)]
-pub(super) struct ReportingWorker<'a> {
+pub(super) struct WorkerProcess<'a> {
     pub name: &'a str,
     pub incarnation: u64,
 }
 
 impl ClusterState {
-    /// Rejects what another node than the holder of a zone's lease says of the zone's workers.
+    /// Checks that an entry concerning a zone's workers was proposed under the current lease of the zone.
     fn ensure_zone_epoch(&self, zone: &str, zone_epoch: u64) -> Result<(), Rejection> {
-        let lease = self.holder(&zone_lease(zone));
+        let lease = self.current_lease(&zone_lease(zone));
         let is_current = lease.is_some_and(|lease| lease.epoch == zone_epoch);
         ensure(is_current, Rejection::StaleLease)
     }
@@ -28,13 +28,9 @@
         })
     }
 
-    /// The worker that an entry is about, if the entry comes from the holder of its zone and is not of an earlier or
-    /// later incarnation.
-    fn current_worker(
-        &self,
-        worker: ReportingWorker,
-        zone_epoch: u64,
-    ) -> Result<&Worker, Rejection> {
+    /// The worker that an entry concerns. Fails unless the entry was proposed under the current lease of the worker's
+    /// zone and refers to the worker's current incarnation.
+    fn current_worker(&self, worker: WorkerProcess, zone_epoch: u64) -> Result<&Worker, Rejection> {
         let known = self.known_worker(worker.name)?;
         self.ensure_zone_epoch(&known.info.zone, zone_epoch)?;
         let is_current = known.info.incarnation == worker.incarnation;
@@ -42,7 +38,8 @@
         Ok(known)
     }
 
-    /// A worker is new, or what it says of itself has changed.
+    /// Registers a worker or updates its description. After a restart, its attempts of earlier incarnations fail, or
+    /// become unsure if their tasks may not be repeated. Requests that unstarted attempts that no longer suit it stop.
     pub(super) fn update_worker(&mut self, info: &WorkerInfo, zone_epoch: u64) -> ApplyResult {
         self.ensure_zone_epoch(&info.zone, zone_epoch)?;
         let new_worker = Worker {
@@ -66,36 +63,39 @@
                 self.end_after_restart(*attempt_no, info.incarnation);
             }
         }
-        self.stop_unstarted_where_unfit(info, attempts);
+        self.stop_unsuitable_unstarted_attempts(info, attempts);
         Ok(Value::Null)
     }
 
-    /// Stops attempts that have not started on a worker that should not have them any more.
-    fn stop_unstarted_where_unfit(&mut self, info: &WorkerInfo, attempts: Vec<u64>) {
-        let is_closed = info.leaving || !self.open(&info.zone, &info.worker);
+    /// Requests that unstarted attempts on a worker stop if the worker may not get new work, is overcommitted or no
+    /// longer serves their tasks.
+    fn stop_unsuitable_unstarted_attempts(&mut self, info: &WorkerInfo, attempts: Vec<u64>) {
+        let gets_no_new_work = info.leaving || !self.allows_new_work(&info.zone, &info.worker);
         let worker = self.workers.get(&info.worker);
-        let is_overcommitted = worker.is_some_and(|w| !info.total_resources().holds(w.used));
+        let is_overcommitted = worker.is_some_and(|w| !info.total_resources().covers(w.used));
         let must_stop = |attempt_no: &u64| {
             let Some((job, _, attempt)) = self.attempt(*attempt_no) else {
                 return false;
             };
             let task = self.live.get(attempt_no).map(|(_, task)| *task as usize);
-            let is_served = task.is_some_and(|task| info.serves(job.of(task)));
+            let is_served = task.is_some_and(|task| info.serves(job.task_spec(task)));
             let has_started = attempt.state != AttemptState::Ordered;
-            !has_started && (is_closed || is_overcommitted || !is_served)
+            !has_started && (gets_no_new_work || is_overcommitted || !is_served)
         };
         let to_stop = attempts.into_iter().filter(must_stop).collect();
         self.request_stops(to_stop);
     }
 
-    /// Ends what the predecessors of a worker at its address ran, where what it reports proves that they are gone.
+    /// Expires the attempts of earlier workers at the reporting worker's address if the report proves that those workers
+    /// are gone.
     ///
-    /// Two workers at one address don't live at once, but the order in which they were first heard isn't that in which they
-    /// lived: a heartbeat can be long on its way. A worker that reports an attempt has lived after the attempt was placed; so
-    /// a worker that was known before that lived earlier.
+    /// Two workers never run at one address at the same time, but the order of their first heartbeats isn't the order
+    /// in which they ran, because heartbeats can be delayed. A worker that reports an attempt was alive after the
+    /// attempt's placement. Every other worker at the address that registered before the placement is therefore an
+    /// earlier one.
     fn displace_predecessors(
         &mut self,
-        worker: ReportingWorker,
+        worker: WorkerProcess,
         running: &[u64],
         ends: &[EndReport],
     ) {
@@ -103,34 +103,34 @@
             return;
         };
         let address = known.info.address.clone();
-        let Some(alive_after) = self.last_placement(worker.name, running, ends) else {
+        let Some(last_placed_at) = self.last_placement(worker.name, running, ends) else {
             return;
         };
         let others = self.workers.iter().filter(|(name, other)| {
-            let is_predecessor = other.info.address == address && other.since < alive_after;
+            let is_predecessor = other.info.address == address && other.since < last_placed_at;
             is_predecessor && *name != worker.name && !other.attempts.is_empty()
         });
         let displaced: Vec<String> = others.map(|(name, _)| name.clone()).collect();
         for name in displaced.iter().filter(|_| !address.is_empty()) {
-            self.remove_displaced(name);
+            self.expire_displaced_worker(name);
         }
     }
 
-    /// When the newest of the attempts was placed that a worker reports as received.
+    /// The latest placement time of the attempts that a worker reports as received.
     fn last_placement(&self, worker: &str, running: &[u64], ends: &[EndReport]) -> Option<u64> {
         let received = ends
             .iter()
             .filter(|end| end.outcome != Outcome::NeverStarted);
         let reported = running.iter().copied().chain(received.map(|end| end.no));
-        let own = reported.filter_map(|no| {
+        let on_this_worker = reported.filter_map(|no| {
             let (_, _, attempt) = self.attempt(no)?;
             (attempt.worker == worker).then_some(attempt.ordered)
         });
-        own.max()
+        on_this_worker.max()
     }
 
-    /// Nothing of what a worker ran runs any more, and it gets nothing new until it is heard again.
-    fn remove_displaced(&mut self, name: &str) {
+    /// Expires all attempts of a displaced worker, and marks it as lost until its next heartbeat.
+    fn expire_displaced_worker(&mut self, name: &str) {
         if let Some(worker) = self.workers.get(name) {
             self.expire_all(worker.attempts.clone());
         }
@@ -155,27 +155,30 @@
         }
     }
 
-    /// The worker's lease on its attempts has surely run out, or the worker is gone: they run no more.
+    /// Ends attempts that can no longer be running: the worker's lease on them has certainly expired, or the worker is
+    /// gone.
     pub(super) fn expire_attempts(
         &mut self,
-        worker: ReportingWorker,
+        worker: WorkerProcess,
         zone_epoch: u64,
         attempts: &[u64],
         checkpoints: &[(u64, String)],
     ) -> ApplyResult {
         self.current_worker(worker, zone_epoch)?;
         for (attempt_no, checkpoint) in checkpoints {
-            self.keep_checkpoint(*attempt_no, checkpoint);
+            self.store_checkpoint(*attempt_no, checkpoint);
         }
-        // A copy of the entry that comes late ends none but those that it names.
+        // A late copy of the entry must not end attempts that were placed in the meantime, so only those listed in the
+        // entry are ended.
         let running = &self.workers[worker.name].attempts;
         let named = attempts.iter().copied();
-        let own: BTreeSet<u64> = named.filter(|no| running.contains(no)).collect();
-        self.expire_all(own);
+        let on_this_worker: BTreeSet<u64> = named.filter(|no| running.contains(no)).collect();
+        self.expire_all(on_this_worker);
         Ok(Value::Null)
     }
 
-    /// Stops attempts that do no good where they are, so that they run elsewhere. With `blame`, the worker is at fault.
+    /// Requests that attempts stop, so that they are restarted elsewhere. With `blame`, the worker is at fault and is put
+    /// on probation.
     pub(super) fn reschedule_attempts(
         &mut self,
         worker: &str,
@@ -190,12 +193,12 @@
         }
         let running = &self.workers[worker].attempts;
         let named = attempts.iter().copied();
-        let own = named.filter(|no| running.contains(no)).collect();
-        self.request_stops(own);
+        let on_this_worker = named.filter(|no| running.contains(no)).collect();
+        self.request_stops(on_this_worker);
         Ok(Value::Null)
     }
 
-    /// The worker's process is a new one: what ran in the old one runs no more, but may have succeeded.
+    /// Handles an attempt of a worker whose process has restarted: the attempt no longer runs, but may have succeeded.
     fn end_after_restart(&mut self, attempt_no: u64, incarnation: u64) {
         let Some((id, task)) = self.live.get(&attempt_no).cloned() else {
             return;
@@ -207,7 +210,7 @@
             return;
         }
         let job = self.jobs.get(&id);
-        if job.is_some_and(|job| job.of(task as usize).may_repeat) {
+        if job.is_some_and(|job| job.task_spec(task as usize).may_repeat) {
             let note = "the worker started anew while it ran";
             self.end_attempt(attempt_no, AttemptState::Failed, 0, note);
             self.update_job_state(&id);
@@ -216,8 +219,12 @@
         }
     }
 
-    /// A worker's heartbeats are missing: what it runs may end unseen.
-    pub(super) fn worker_lost(&mut self, worker: ReportingWorker, zone_epoch: u64) -> ApplyResult {
+    /// Marks a worker as lost after missing heartbeats. The outcomes of its attempts become unknown.
+    pub(super) fn mark_worker_lost(
+        &mut self,
+        worker: WorkerProcess,
+        zone_epoch: u64,
+    ) -> ApplyResult {
         let known = self.current_worker(worker, zone_epoch)?;
         let attempts: BTreeSet<u64> = known.attempts.clone();
         for attempt_no in attempts {
@@ -227,15 +234,17 @@
         Ok(Value::Null)
     }
 
-    /// What a worker has started and ended.
+    /// Applies a worker's report of running and ended attempts. The report may also prove that earlier workers at the
+    /// same address are gone.
     pub(super) fn report_attempts(
         &mut self,
-        worker: ReportingWorker,
+        worker: WorkerProcess,
         running: &[u64],
         ends: &[EndReport],
     ) -> ApplyResult {
         self.displace_predecessors(worker, running, ends);
-        // That something runs may be told late: after its worker was lost or started anew it says nothing.
+        // Reports of running attempts can be delayed: they are ignored if the worker was lost or restarted in the
+        // meantime.
         let known = self.workers.get(worker.name);
         let is_current = known.is_some_and(|w| !w.lost && w.info.incarnation == worker.incarnation);
         if is_current {
@@ -244,12 +253,12 @@
             }
         }
         for end in ends {
-            self.take_end(worker.name, end);
+            self.apply_end_report(worker.name, end);
         }
         Ok(Value::Null)
     }
 
-    fn mark_running(&mut self, worker: ReportingWorker, attempt_no: u64) {
+    fn mark_running(&mut self, worker: WorkerProcess, attempt_no: u64) {
         let at = self.at;
         let Some((id, _)) = self.live.get(&attempt_no).cloned() else {
             return;
@@ -257,8 +266,9 @@
         let Some(attempt) = self.attempt_mut(attempt_no) else {
             return;
         };
-        let is_own = attempt.worker == worker.name && attempt.incarnation == worker.incarnation;
-        if !is_own {
+        let is_on_this_process =
+            attempt.worker == worker.name && attempt.incarnation == worker.incarnation;
+        if !is_on_this_process {
             return;
         }
         attempt.state = AttemptState::Running;
@@ -269,7 +279,7 @@
         self.update_job_state(&id);
     }
 
-    fn take_end(&mut self, worker: &str, end: &EndReport) {
+    fn apply_end_report(&mut self, worker: &str, end: &EndReport) {
         let Some((id, _)) = self.live.get(&end.no).cloned() else {
             return;
         };
@@ -279,19 +289,19 @@
         if attempt.worker != worker {
             return;
         }
-        // What is unsure was told to stop without an entry.
+        // Workers are asked to stop attempts with unknown outcome without a log entry.
         let was_asked_to_stop = attempt.stop || attempt.state == AttemptState::Unsure;
-        self.keep_checkpoint(end.no, &end.checkpoint);
+        self.store_checkpoint(end.no, &end.checkpoint);
         let state = match end.outcome {
             Outcome::Succeeded => AttemptState::Succeeded,
             Outcome::Stopped if was_asked_to_stop => AttemptState::Stopped,
-            // Stopped without our order is the worker's own doing.
+            // A worker that stops an attempt without being asked is at fault.
             Outcome::Failed | Outcome::Stopped => AttemptState::Failed,
             Outcome::NeverStarted => AttemptState::NeverStarted,
             Outcome::Expired => AttemptState::Expired,
         };
         self.end_attempt(end.no, state, end.ran_ms, &end.note);
-        self.judge_worker(worker, state);
+        self.record_outcome(worker, state);
         self.update_job_state(&id);
     }
 }
--- a/landingdrift/src/state/command.rs
+++ b/landingdrift/src/state/command.rs
@@ -4,152 +4,159 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A command that an entry of the log carries. Variants are packed by their position: new ones go to the end.
+/// The command in a log entry. Variants are encoded by position: append new ones at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// The first entry of a term.
+    /// Starts a term; the first entry that a new leader appends.
     #[serde(rename = "Opened")]
     TermStarted {
-        /// The leader of the term.
+        /// Name of the replica that leads the term.
         leader: String,
     },
-    /// The configuration changes.
+    /// Changes the configuration.
     #[serde(rename = "Configure")]
     UpdateConfig {
-        /// The identity of the change; copies of it carry the same one.
+        /// Identity of the change; retries carry the same one.
         change: String,
-        /// The version that it builds on.
-        base: u64,
-        /// It changes parts of the current configuration, and does not replace it.
-        patch: bool,
-        /// The version it becomes; 0 for the next.
+        /// Configuration version that the change is based on.
+        #[serde(rename = "base")]
+        base_version: u64,
+        /// Whether `value` is a merge patch; otherwise it replaces the whole configuration.
+        #[serde(rename = "patch")]
+        is_patch: bool,
+        /// Version that the new configuration gets; 0 for the next one.
         #[serde(default)]
-        number: u64,
-        /// The configuration, or the patch.
+        #[serde(rename = "number")]
+        version: u64,
+        /// The new configuration, or the patch.
         #[serde(with = "super::pack::json")]
         value: serde_json::Value,
     },
-    /// A client submits a job.
+    /// Submits a job.
     #[serde(rename = "Accept")]
-    AcceptJob {
-        /// The job.
+    SubmitJob {
+        /// The job as the client submitted it.
         spec: JobSpec,
-        /// A hash of what the client sent.
+        /// Hash of the request body.
         hash: u64,
-        /// The index that the admitting node had applied when the request came.
+        /// Log index that the admitting node had applied when it received the request.
         seen: u64,
     },
-    /// A client cancels a job.
+    /// Cancels a job.
     #[serde(rename = "Cancel")]
     CancelJob {
         /// The id of the job.
         job: String,
     },
-    /// The owner of a queue starts attempts of a job, all or none.
+    /// Starts attempts of a job's tasks, all or none. Proposed by the owner of the job's queue.
     #[serde(rename = "Start")]
     StartAttempts {
         /// The id of the job.
         job: String,
-        /// The epoch of the queue's owner.
+        /// Epoch of the queue lease under which the owner proposes.
         owner_epoch: u64,
-        /// What is placed where.
+        /// The tasks to start, each with its worker.
         placements: Vec<Placement>,
     },
-    /// A worker is new, or what it says of itself has changed.
+    /// Registers a worker, or updates its description.
     #[serde(rename = "Facts")]
     UpdateWorker {
-        /// What it says of itself.
+        /// The worker's description of itself.
         #[serde(rename = "facts")]
         info: WorkerInfo,
-        /// The epoch of the zone's holder.
+        /// Epoch of the zone lease under which the entry is proposed.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
     },
-    /// What a worker has started and ended.
+    /// Reports attempts that a worker runs or has ended.
     #[serde(rename = "Report")]
     ReportAttempts {
         /// The worker's name.
         worker: String,
-        /// The incarnation of the worker that says so.
+        /// Incarnation of the reporting worker.
         incarnation: u64,
-        /// The attempts that run.
+        /// Numbers of the running attempts.
         running: Vec<u64>,
-        /// The attempts that have ended.
+        /// Reports of ended attempts.
         ends: Vec<EndReport>,
     },
-    /// A worker's heartbeats are missing.
+    /// Marks a worker as lost because it has sent no heartbeats for too long; the outcomes of its attempts become
+    /// unknown.
     #[serde(rename = "Lost")]
-    WorkerLost {
+    MarkWorkerLost {
         /// The worker's name.
         worker: String,
-        /// The incarnation that is lost.
+        /// Incarnation of the worker that is lost.
         incarnation: u64,
-        /// The epoch of the zone's holder.
+        /// Epoch of the zone lease under which the entry is proposed.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
     },
-    /// A worker's lease on these attempts has surely run out, or it is gone: they run no more.
+    /// Ends attempts that can no longer be running: the worker's lease on them has certainly expired, or the worker is
+    /// gone.
     #[serde(rename = "Lapse")]
     ExpireAttempts {
         /// The worker's name.
         worker: String,
-        /// The incarnation that ran them.
+        /// Incarnation of the worker that ran them.
         incarnation: u64,
-        /// The epoch of the zone's holder.
+        /// Epoch of the zone lease under which the entry is proposed.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
-        /// The attempts.
+        /// Numbers of the attempts.
         #[serde(rename = "sends")]
         attempts: Vec<u64>,
-        /// The newest checkpoints that were heard, by attempt.
+        /// Newest checkpoints that the worker reported, by attempt number.
         #[serde(default)]
         checkpoints: Vec<(u64, String)>,
     },
-    /// Attempts that do no good where they are are told to stop, so that they run elsewhere.
+    /// Requests that attempts stop, so that their tasks are restarted on other workers.
     #[serde(rename = "Recall")]
     RescheduleAttempts {
         /// The worker's name.
         worker: String,
-        /// The epoch of the zone's holder.
+        /// Epoch of the zone lease under which the entry is proposed.
         #[serde(rename = "cell_epoch")]
         zone_epoch: u64,
-        /// The attempts.
+        /// Numbers of the attempts.
         #[serde(rename = "sends")]
         attempts: Vec<u64>,
-        /// The worker is at fault, and goes on probation.
+        /// Whether the worker is at fault and goes on probation.
         blame: bool,
     },
-    /// A zone is evacuated, or serves again; apart from the configuration, so that it races no change of that.
+    /// Evacuates a zone or returns it to service. Separate from the configuration, so that it can't conflict with a
+    /// configuration change.
     #[serde(rename = "Empty")]
     SetEvacuation {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether it is evacuated.
-        on: bool,
+        /// Whether to evacuate the zone; otherwise it is returned to service.
+        #[serde(rename = "on")]
+        evacuate: bool,
     },
-    /// The operator says how an attempt ended whose outcome is unknown.
+    /// Sets the outcome of a task's attempts whose outcome is unknown, by decision of the operator.
     #[serde(rename = "Resolve")]
-    ResolveAttempt {
+    ResolveTask {
         /// The id of the job.
         job: String,
         /// The name of the task.
         task: String,
-        /// Whether it succeeded.
+        /// Whether the attempts count as succeeded; otherwise they count as failed.
         #[serde(rename = "well")]
         succeeded: bool,
     },
-    /// The leader grants a lease to a node.
+    /// Grants a lease to a node. Proposed by the leader.
     #[serde(rename = "Grant")]
     GrantLease {
         /// The name of the lease, see [`super::zone_lease`] and [`super::queue_lease`].
         #[serde(rename = "duty")]
         lease: String,
-        /// The node that gets it; empty for nobody.
+        /// Node that gets the lease; empty for none.
         holder: String,
-        /// The epoch that it follows on; 0 for none.
+        /// Epoch of the grant that this one replaces; 0 if there is none.
         from_epoch: u64,
     },
-    /// A node is there.
+    /// Adds a node to the membership, or marks it as alive again.
     #[serde(rename = "Node")]
     RegisterNode {
         /// The node's name.
@@ -159,54 +166,54 @@
         /// Its address for HTTP.
         http: String,
     },
-    /// A node is gone.
+    /// Marks a node as gone; it is granted no lease until it registers again.
     #[serde(rename = "NodeGone")]
-    RemoveNode {
+    MarkNodeGone {
         /// The node's name.
         node: String,
     },
-    /// The first replicas, all at once; rejected where there are some already.
+    /// Sets the initial replicas; rejected if the cluster already has any.
     #[serde(rename = "Found")]
     FoundCluster {
         /// The replicas by address.
         #[serde(rename = "cores")]
         replicas: BTreeMap<String, ReplicaMember>,
     },
-    /// A replica is admitted, promoted or demoted.
+    /// Admits, promotes or demotes a replica.
     #[serde(rename = "Core")]
     UpdateReplica {
         /// Its address.
         #[serde(rename = "core")]
         replica: String,
-        /// What it is from now on.
+        /// The replica's new membership record.
         member: ReplicaMember,
     },
-    /// An identity (an address with its disk) leaves the membership.
+    /// Removes a replica, identified by its address and disk, from the membership.
     #[serde(rename = "CoreGone")]
     RemoveReplica {
         /// Its address.
         #[serde(rename = "core")]
         replica: String,
-        /// Its disk.
+        /// Its disk identity, see [`ReplicaMember::disk`].
         disk: u64,
     },
-    /// Lets bounds that have passed take effect, and drops what was retained for its time.
+    /// Fails attempts whose outcome has been unknown for too long, and drops records whose retention period is over.
     #[serde(rename = "Sweep")]
     CollectGarbage {
-        /// How long ended jobs are retained, in milliseconds.
+        /// How long ended jobs are retained in full, and lost workers without attempts, in milliseconds.
         retain_ms: u64,
-        /// How long their identities are kept after that, in milliseconds.
+        /// How long their tombstones are kept after that, in milliseconds.
         identity_ms: u64,
     },
-    /// An order of an operator or caller, which takes effect at most once and not after its deadline.
+    /// An order of an operator or client, which takes effect at most once and not after its deadline.
     Order(Order),
 }
 
-/// The numbers of commands in packed entries: the positions of the variants of [`Command`].
+/// Discriminants of commands in packed entries: the positions of the variants of [`Command`].
 mod kind {
     pub const TERM_STARTED: u32 = 0;
     pub const UPDATE_CONFIG: u32 = 1;
-    pub const ACCEPT_JOB: u32 = 2;
+    pub const SUBMIT_JOB: u32 = 2;
     pub const SET_EVACUATION: u32 = 10;
     pub const GRANT_LEASE: u32 = 12;
     pub const REMOVE_REPLICA: u32 = 17;
@@ -214,66 +221,66 @@
     pub const ORDER: u32 = 19;
 }
 
-/// Reads the number of a command, and what follows it.
-fn take_kind(bytes: &[u8]) -> Option<(u32, &[u8])> {
+/// Splits a packed command into its discriminant and the remaining bytes.
+fn split_kind(bytes: &[u8]) -> Option<(u32, &[u8])> {
     postcard::take_from_bytes::<u32>(bytes).ok()
 }
 
 impl Command {
-    /// The command as an entry of the log.
+    /// Encodes the command for a log entry.
     pub fn pack(&self) -> Vec<u8> {
         super::pack::pack(self)
     }
 
-    /// The command of an entry. Fails where a newer build has written it.
+    /// Decodes the command of a log entry. Fails on a command that only a newer build knows.
     pub fn unpack(bytes: &[u8]) -> Result<Self, String> {
         super::pack::unpack(bytes)
     }
 
-    /// Whether an entry says something of the system as a whole (configuration, leases, members) and not of one job or
-    /// worker. This is what a light copy of the state follows. The entry is not read beyond its kind, or that of what it
-    /// orders.
-    pub fn concerns_all(bytes: &[u8]) -> bool {
-        let (mut number, rest) = take_kind(bytes).unwrap_or((kind::TERM_STARTED, &[]));
+    /// Whether an entry concerns the whole cluster (terms, configuration, evacuations, leases, members) and not a
+    /// single job or worker. Light copies of the state apply only such entries. Only the discriminant is decoded, for
+    /// an order also that of its action; an entry whose discriminant can't be decoded counts as cluster-wide.
+    pub fn is_cluster_wide(bytes: &[u8]) -> bool {
+        let (mut number, rest) = split_kind(bytes).unwrap_or((kind::TERM_STARTED, &[]));
         if number == kind::ORDER {
-            number = take_kind(rest).map_or(kind::TERM_STARTED, |(number, _)| number);
+            number = split_kind(rest).map_or(kind::TERM_STARTED, |(number, _)| number);
         }
-        let of_the_whole = [
+        let cluster_kinds = [
             kind::TERM_STARTED,
             kind::UPDATE_CONFIG,
             kind::SET_EVACUATION,
         ];
-        let of_members = kind::GRANT_LEASE..=kind::REMOVE_REPLICA;
-        of_the_whole.contains(&number) || of_members.contains(&number)
+        let lease_and_member_kinds = kind::GRANT_LEASE..=kind::REMOVE_REPLICA;
+        cluster_kinds.contains(&number) || lease_and_member_kinds.contains(&number)
     }
 
-    /// Whether a command may come from outside the leader. Terms, leases and members are the leader's alone. The entry
-    /// is not read beyond its kind.
+    /// Whether a process other than the leader may propose the entry. Commands about terms, leases, members and garbage
+    /// collection are reserved for the leader. Only the discriminant is decoded.
     pub fn may_be_proposed(bytes: &[u8]) -> bool {
-        match take_kind(bytes) {
+        match split_kind(bytes) {
             None | Some((kind::TERM_STARTED, _)) => false,
             Some((kind::GRANT_LEASE..=kind::COLLECT_GARBAGE, _)) => false,
             Some(_) => true,
         }
     }
 
-    /// Whether an entry submits a job. It is not read beyond its kind.
+    /// Whether an entry submits a job. Only the discriminant is decoded.
     pub fn submits_job(bytes: &[u8]) -> bool {
-        matches!(take_kind(bytes), Some((kind::ACCEPT_JOB, _)))
+        matches!(split_kind(bytes), Some((kind::SUBMIT_JOB, _)))
     }
 
-    /// Whether copies of this command must take effect at most once.
+    /// Whether the command must take effect at most once, and so must be proposed inside a [`Command::Order`].
     pub fn is_order(&self) -> bool {
         matches!(
             self,
             Self::UpdateConfig { .. }
                 | Self::SetEvacuation { .. }
                 | Self::CancelJob { .. }
-                | Self::ResolveAttempt { .. }
+                | Self::ResolveTask { .. }
         )
     }
 
-    /// What the command does: of an order, what is ordered.
+    /// The command itself, or the action of an order.
     pub fn action(&self) -> &Self {
         match self {
             Self::Order(order) => &order.action,
--- a/landingdrift/src/state/job/accepted.rs
+++ b/landingdrift/src/state/job/accepted.rs
@@ -3,38 +3,39 @@
 use super::{AttemptState, JobSpec, JobState, StepSpec, TaskSpec, TaskState};
 use serde::{Deserialize, Serialize};
 
-/// A task keeps at most so many attempts that have ended: a long-running one is started again as long as its job lives.
+/// Maximum number of ended attempts kept per task. Long-running tasks would otherwise accumulate them without limit.
 const MAX_ENDED_ATTEMPTS: usize = 64;
 
 /// One attempt to run a task on a worker. Times are milliseconds since 1970 by the cluster clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Attempt {
-    /// Its number, different for all attempts of all jobs.
+    /// Number of the attempt, unique across all jobs.
     pub no: u64,
-    /// Numbers the starts of the task from 1; the members of a gang share it.
+    /// Number of this run of the task, from 1; the members of a gang share it.
     pub run: u32,
-    /// The worker.
+    /// Name of the worker that it was placed on.
     pub worker: String,
-    /// The incarnation of the worker that it was placed on.
+    /// Incarnation of that worker.
     pub incarnation: u64,
-    /// What has become of it.
+    /// Whether it may be running, or how it ended.
     pub state: AttemptState,
-    /// The worker is to stop it.
+    /// Whether an entry has marked it to be stopped by its worker. The worker may be asked to stop an unsure attempt
+    /// even without the mark.
     pub stop: bool,
-    /// A speculative copy of a running one.
+    /// Whether it is a speculative copy of a running attempt.
     pub copy: bool,
     /// When it was placed.
     pub ordered: u64,
-    /// When it was reported as running; 0 before.
+    /// When it was first reported as running; 0 before that.
     pub started: u64,
-    /// When it ended, or since when its outcome is unknown; 0 before.
+    /// When it ended, or since when its outcome is unknown; 0 before that.
     pub ended: u64,
-    /// How long it ran by its worker, in milliseconds.
+    /// Run time reported by the worker, in milliseconds.
     pub ran_ms: u64,
-    /// What the worker said of its end.
+    /// Text about its end, usually from the worker.
     pub note: String,
-    /// The checkpoint it goes on from; empty for none.
+    /// Checkpoint that it resumes from; empty for none.
     pub checkpoint: String,
 }
 
@@ -42,34 +43,36 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Task {
-    /// What has become of it.
+    /// Whether it is done, has failed or was cancelled; `Waiting` also while an attempt is running.
     pub state: TaskState,
-    /// Attempts that failed.
+    /// Number of failed attempts, including those no longer kept in `attempts`.
     #[serde(rename = "defects")]
     pub failures: u32,
-    /// The attempts, the latest last: those that may be running, and the latest of the others.
+    /// All attempts that may be running and the most recent ended ones, the latest last.
     #[serde(rename = "sends")]
     pub attempts: Vec<Attempt>,
-    /// Numbers of the single tasks it waits for.
-    pub waits: Vec<u32>,
-    /// The newest checkpoint known of it; empty for none.
+    /// Indices of the single tasks it depends on; empty in a job of steps.
+    #[serde(rename = "waits")]
+    pub dependencies: Vec<u32>,
+    /// Newest known checkpoint; empty for none.
     pub checkpoint: String,
-    /// The number of its step; 0 in a job of single tasks, as the next two.
+    /// Index of its step; 0 in a job of single tasks, as are `repetition` and `index`.
     pub step: u32,
-    /// Which of the recurring times of the job it belongs to.
-    pub time: u32,
-    /// Its number in the step.
+    /// Index of the repetition that it belongs to, from 0.
+    #[serde(rename = "time")]
+    pub repetition: u32,
+    /// Index within the step.
     pub index: u32,
 }
 
 impl Task {
-    /// Attempts that may be running.
+    /// The attempts that may be running.
     pub fn live(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.state.live())
     }
 
-    /// Adds an attempt, and drops the oldest ended one if too many are kept. The last one that has begun stays: it shows that
-    /// the task has.
+    /// Adds an attempt, and drops the oldest ended one if there are too many. The last attempt that began is kept,
+    /// because [`Job::has_begun`] relies on it.
     pub(in crate::state) fn add_attempt(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
         if self.attempts.len() - self.live().count() <= MAX_ENDED_ATTEMPTS {
@@ -89,28 +92,29 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Job {
-    /// What the client submitted.
+    /// The job as the client submitted it.
     pub spec: JobSpec,
-    /// A hash of what the client sent.
+    /// Hash of the request body, to detect a different submission with the same id.
     pub hash: u64,
-    /// What has become of it, derived from its tasks.
+    /// State of the job, derived from its tasks.
     pub state: JobState,
     /// When it was accepted.
     pub accepted: u64,
-    /// When it ended; 0 before.
+    /// When it ended; 0 before that.
     pub ended: u64,
-    /// It was cancelled.
+    /// Whether it was cancelled.
     pub cancel: bool,
-    /// Its tasks: the single ones, or those of all steps, time by time.
+    /// The single tasks, or the tasks of all steps, ordered by repetition, step and index.
     pub tasks: Vec<Task>,
     /// Why it failed or was cancelled.
     pub reason: String,
-    /// Tasks done, by time and step.
+    /// Number of tasks done for each step of each repetition, ordered by repetition and then step; empty in a job of
+    /// single tasks.
     pub done: Vec<u32>,
 }
 
 impl Attempt {
-    /// Whether the worker has begun with it, as far as is known.
+    /// Whether the worker is known to have begun running it.
     fn has_begun(&self) -> bool {
         let by_state = matches!(
             self.state,
@@ -121,27 +125,28 @@
 }
 
 impl Job {
-    /// Whether a worker has begun with one of its tasks.
+    /// Whether a worker is known to have begun running any of its tasks.
     pub fn has_begun(&self) -> bool {
         let mut attempts = self.tasks.iter().flat_map(|task| &task.attempts);
         attempts.any(Attempt::has_begun)
     }
 
-    /// A job as it is accepted, from a spec that was checked; `waits` are the dependencies of its single tasks.
-    pub fn new(spec: JobSpec, waits: Vec<Vec<u32>>) -> Self {
+    /// Creates a job from a checked spec; `dependencies` are those of each single task, from
+    /// [`JobSpec::check`].
+    pub fn new(spec: JobSpec, dependencies: Vec<Vec<u32>>) -> Self {
         let times = spec.times.max(1);
         let mut tasks = Vec::new();
-        for waits in waits {
+        for dependencies in dependencies {
             tasks.push(Task {
-                waits,
+                dependencies,
                 ..Task::default()
             });
         }
-        for time in 0..times {
+        for repetition in 0..times {
             for (step, step_spec) in spec.steps.iter().enumerate() {
                 tasks.extend((0..step_spec.count).map(|index| Task {
                     step: step as u32,
-                    time,
+                    repetition,
                     index,
                     ..Task::default()
                 }));
@@ -160,8 +165,8 @@
         !self.spec.steps.is_empty()
     }
 
-    /// What was asked for a task.
-    pub fn of(&self, task: usize) -> &TaskSpec {
+    /// The spec of the task at an index; in a job of steps, the one that its step gives to all of its tasks.
+    pub fn task_spec(&self, task: usize) -> &TaskSpec {
         if self.has_steps() {
             &self.step_of(task).task
         } else {
@@ -169,87 +174,90 @@
         }
     }
 
-    /// The step that a task belongs to, in a job of steps.
+    /// The step that a task belongs to. The job must have steps.
     fn step_of(&self, task: usize) -> &StepSpec {
         &self.spec.steps[self.tasks[task].step as usize]
     }
 
-    /// A task's name within its job: its own, or TIME.STEP.INDEX.
-    pub fn name(&self, task: usize) -> String {
+    /// Name of a task within its job: the submitted name, or REPETITION.STEP.INDEX for tasks of steps.
+    pub fn task_name(&self, task: usize) -> String {
         if !self.has_steps() {
             return self.spec.tasks[task].name.clone();
         }
         let Task {
-            time, step, index, ..
+            repetition,
+            step,
+            index,
+            ..
         } = &self.tasks[task];
-        format!("{time}.{step}.{index}")
+        format!("{repetition}.{step}.{index}")
     }
 
-    /// The number of the task with a name.
-    pub fn find(&self, name: &str) -> Option<usize> {
+    /// Index of the task with the given name.
+    pub fn find_task(&self, name: &str) -> Option<usize> {
         if !self.has_steps() {
             let mut tasks = self.spec.tasks.iter();
             return tasks.position(|task| task.name == name);
         }
         let mut parts = name.split('.').map(|part| part.parse::<u32>().ok());
-        let time = parts.next()??;
+        let repetition = parts.next()??;
         let step = parts.next()??;
         let index = parts.next()??;
         let step_spec = self.spec.steps.get(step as usize)?;
-        let exists = time < self.spec.times.max(1) && index < step_spec.count;
-        let is_whole = parts.next().is_none();
-        (exists && is_whole).then(|| self.first_of(time, step) + index as usize)
+        let exists = repetition < self.spec.times.max(1) && index < step_spec.count;
+        let has_three_parts = parts.next().is_none();
+        (exists && has_three_parts).then(|| self.first_task_of(repetition, step) + index as usize)
     }
 
-    /// The number of the first task of a step at a time.
-    fn first_of(&self, time: u32, step: u32) -> usize {
+    /// Index of the first task of a step in a repetition.
+    fn first_task_of(&self, repetition: u32, step: u32) -> usize {
         let count = |steps: &[StepSpec]| steps.iter().map(|s| s.count as usize).sum::<usize>();
-        let tasks_per_time = count(&self.spec.steps);
+        let tasks_per_repetition = count(&self.spec.steps);
         let before = count(&self.spec.steps[..step as usize]);
-        time as usize * tasks_per_time + before
+        repetition as usize * tasks_per_repetition + before
     }
 
-    /// When a task is due.
-    pub fn due(&self, task: usize) -> u64 {
-        let time = u64::from(self.tasks[task].time);
-        let after_first = time.saturating_mul(self.spec.period_ms);
+    /// When a task is due, in milliseconds since 1970.
+    pub fn task_due(&self, task: usize) -> u64 {
+        let repetition = u64::from(self.tasks[task].repetition);
+        let after_first = repetition.saturating_mul(self.spec.period_ms);
         let job_due = self.spec.first_due.saturating_add(after_first);
-        self.of(task).due.max(job_due)
+        self.task_spec(task).due.max(job_due)
     }
 
-    /// Whether all that a task depends on is done.
-    pub fn reached(&self, task_no: usize) -> bool {
+    /// Whether all dependencies of a task are done.
+    pub fn are_dependencies_done(&self, task_no: usize) -> bool {
         let task = &self.tasks[task_no];
         if !self.has_steps() {
             let is_done = |other: &u32| self.tasks[*other as usize].state == TaskState::Done;
-            return task.waits.iter().all(is_done);
+            return task.dependencies.iter().all(is_done);
         }
         let is_step_done = |step: &u32| {
-            let done = self.done[self.group(task.time, *step)];
+            let done = self.done[self.done_index(task.repetition, *step)];
             done == self.spec.steps[*step as usize].count
         };
         self.step_of(task_no).depends_on.iter().all(is_step_done)
     }
 
-    /// The position of a step at a time in [`Job::done`].
-    fn group(&self, time: u32, step: u32) -> usize {
-        time as usize * self.spec.steps.len() + step as usize
+    /// Index into [`Job::done`] for a step in a repetition.
+    fn done_index(&self, repetition: u32, step: u32) -> usize {
+        repetition as usize * self.spec.steps.len() + step as usize
     }
 
-    /// Sets a task's state, and counts it for the steps that depend on it.
-    pub fn put(&mut self, task_no: usize, state: TaskState) {
+    /// Sets the state of a task, and updates the number of tasks done in its step.
+    pub fn set_task_state(&mut self, task_no: usize, state: TaskState) {
         let task = &mut self.tasks[task_no];
         let before = std::mem::replace(&mut task.state, state);
-        let (time, step) = (task.time, task.step);
-        let group = self.group(time, step);
+        let (repetition, step) = (task.repetition, task.step);
+        let done_index = self.done_index(repetition, step);
         let becomes_done = state == TaskState::Done && before != TaskState::Done;
-        if let Some(done) = self.done.get_mut(group) {
+        if let Some(done) = self.done.get_mut(done_index) {
             *done += u32::from(becomes_done);
         }
     }
 
-    /// Whether one success of a gang counts for all of it.
-    pub fn ends_as_one(&self, task: usize) -> bool {
+    /// Whether the success of one member of the task's gang counts for all members.
+    pub fn gang_succeeds_together(&self, task: usize) -> bool {
         self.has_steps() && self.in_gang(task)
     }
 
@@ -262,8 +270,8 @@
         }
     }
 
-    /// All members of a task's gang, itself among them; nobody where it runs alone.
-    pub fn gang(&self, task_no: usize) -> Vec<usize> {
+    /// Indices of all members of a task's gang, including the task; empty if it is in no gang.
+    pub fn gang_members(&self, task_no: usize) -> Vec<usize> {
         if !self.in_gang(task_no) {
             return Vec::new();
         }
@@ -273,22 +281,24 @@
             return all.filter(|i| self.spec.tasks[*i].gang == *name).collect();
         }
         let task = &self.tasks[task_no];
-        let first = self.first_of(task.time, task.step);
+        let first = self.first_task_of(task.repetition, task.step);
         let count = self.step_of(task_no).count as usize;
         (first..first + count).collect()
     }
 
-    /// Whether a task speaks for its gang: the first member, in a job of single tasks the first that is not done.
+    /// Whether the task's gang is scheduled through this task: the first member, or in a job of single tasks the first
+    /// member that is not done.
     pub fn leads_gang(&self, task: usize) -> bool {
         if self.has_steps() {
             return self.in_gang(task) && self.tasks[task].index == 0;
         }
-        let is_open = |member: &usize| self.tasks[*member].state != TaskState::Done;
-        self.gang(task).into_iter().find(is_open) == Some(task)
+        let is_unfinished = |member: &usize| self.tasks[*member].state != TaskState::Done;
+        self.gang_members(task).into_iter().find(is_unfinished) == Some(task)
     }
 
-    /// Attempts of a task's step that may be running on a worker.
-    pub fn beside(&self, task: usize, worker: &str) -> u32 {
+    /// Number of live attempts on a worker that belong to the task's step, over all repetitions; in a job of single
+    /// tasks, those of all its tasks.
+    pub fn step_attempts_on(&self, task: usize, worker: &str) -> u32 {
         let step = self.tasks[task].step;
         let of_step = self.tasks.iter().filter(|task| task.step == step);
         let live = of_step.flat_map(Task::live);
--- a/landingdrift/tests/cluster_state_fixture/mod.rs
+++ b/landingdrift/tests/cluster_state_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster state with a node, leases, a configuration and two workers, for tests that enter commands into it.
+//! A cluster state with a node, leases, a configuration and two workers, for tests that apply commands to it.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -8,56 +8,60 @@
 };
 use serde_json::json;
 
-/// A cluster state with a node, leases, a configuration and two workers.
-pub struct Desk {
-    pub r: ClusterState,
-    pub n: u64,
+/// A cluster state with node `n`, leases on zone `z` (epoch 1) and queue `q` (epoch 2), and workers `w` and `v`.
+pub struct StateFixture {
+    pub state: ClusterState,
+    pub last_index: u64,
     pub at: u64,
 }
 
-impl Desk {
+impl StateFixture {
     pub fn new() -> Self {
-        let mut d = Self {
-            r: ClusterState::new("c"),
-            n: 0,
+        let mut fixture = Self {
+            state: ClusterState::new("c"),
+            last_index: 0,
             at: 1_000_000,
         };
-        d.ok(Command::RegisterNode {
+        fixture.apply_ok(Command::RegisterNode {
             node: "n".into(),
             zone: "z".into(),
             http: "h".into(),
         });
-        d.ok(Command::GrantLease {
+        fixture.apply_ok(Command::GrantLease {
             lease: "cell/z".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        d.ok(Command::GrantLease {
+        fixture.apply_ok(Command::GrantLease {
             lease: "queue/q".into(),
             holder: "n".into(),
             from_epoch: 0,
         });
-        d.ok(Command::UpdateConfig {
+        fixture.apply_ok(Command::UpdateConfig {
             change: "first".into(),
-            base: 0,
-            patch: false,
-            number: 0,
+            base_version: 0,
+            is_patch: false,
+            version: 0,
             value: config(2),
         });
-        d.info("w", 1, false);
-        d.info("v", 1, false);
-        d
+        fixture.update_worker("w", 1, false);
+        fixture.update_worker("v", 1, false);
+        fixture
     }
-    pub fn apply(&mut self, c: Command) -> ApplyResult {
-        self.n += 1;
+    /// Applies a command 10 ms after the previous one.
+    pub fn apply(&mut self, command: Command) -> ApplyResult {
+        self.last_index += 1;
         self.at += 10;
-        self.r.apply(self.n, self.at, &c)
+        self.state.apply(self.last_index, self.at, &command)
     }
-    pub fn ok(&mut self, c: Command) -> serde_json::Value {
-        let told = format!("{c:?}");
-        self.apply(c).unwrap_or_else(|e| panic!("{told}: {e}"))
+    /// Applies a command that must be accepted.
+    pub fn apply_ok(&mut self, command: Command) -> serde_json::Value {
+        let command_text = format!("{command:?}");
+        self.apply(command)
+            .unwrap_or_else(|e| panic!("{command_text}: {e}"))
     }
-    pub fn info(&mut self, worker: &str, incarnation: u64, leaving: bool) {
+    /// Registers or updates a worker with 4 CPU in zone `z`.
+    pub fn update_worker(&mut self, worker: &str, incarnation: u64, leaving: bool) {
         let info = WorkerInfo {
             worker: worker.into(),
             incarnation,
@@ -68,14 +72,15 @@
             leaving,
             ..WorkerInfo::default()
         };
-        self.ok(Command::UpdateWorker {
+        self.apply_ok(Command::UpdateWorker {
             info,
             zone_epoch: 1,
         });
     }
-    pub fn accept(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
-        let seen = self.r.applied_index;
-        self.apply(Command::AcceptJob {
+    /// Submits a job of single tasks to queue `q`.
+    pub fn submit(&mut self, id: &str, tasks: Vec<TaskSpec>) -> ApplyResult {
+        let seen = self.state.applied_index;
+        self.apply(Command::SubmitJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
@@ -86,19 +91,25 @@
             seen,
         })
     }
-    pub fn start(&mut self, job: &str, of: &[(u32, &str)]) -> ApplyResult {
-        self.start_as(job, of, 2, 1, false)
+    /// Starts attempts of tasks, each on a worker, under the current leases.
+    pub fn start(&mut self, job: &str, placements: &[(u32, &str)]) -> ApplyResult {
+        self.start_under(job, placements, 2, 1, false)
     }
-    pub fn start_as(
+    /// Starts speculative copies of tasks, each on a worker, under the current leases.
+    pub fn start_copy(&mut self, job: &str, placements: &[(u32, &str)]) -> ApplyResult {
+        self.start_under(job, placements, 2, 1, true)
+    }
+    /// Starts attempts under the given epochs of the queue lease and the zone lease, optionally as speculative copies.
+    pub fn start_under(
         &mut self,
         job: &str,
-        of: &[(u32, &str)],
+        placements: &[(u32, &str)],
         owner_epoch: u64,
         zone_epoch: u64,
         copy: bool,
     ) -> ApplyResult {
-        let incarnation = |w: &str| self.r.workers.get(w).map_or(0, |w| w.info.incarnation);
-        let placements = of
+        let incarnation = |w: &str| self.state.workers.get(w).map_or(0, |w| w.info.incarnation);
+        let placements = placements
             .iter()
             .map(|(task, w)| Placement {
                 task: *task,
@@ -114,8 +125,9 @@
             placements,
         })
     }
-    pub fn end(&mut self, worker: &str, no: u64, outcome: Outcome) {
-        self.ok(Command::ReportAttempts {
+    /// Reports the end of an attempt by incarnation 1 of its worker.
+    pub fn report_end(&mut self, worker: &str, no: u64, outcome: Outcome) {
+        self.apply_ok(Command::ReportAttempts {
             worker: worker.into(),
             incarnation: 1,
             running: vec![],
@@ -127,16 +139,18 @@
             }],
         });
     }
-    pub fn state(&self, job: &str) -> JobState {
-        self.r.jobs[job].state
+    pub fn job_state(&self, job: &str) -> JobState {
+        self.state.jobs[job].state
     }
 }
 
+/// A configuration with queue `q`, service `s` and zone `z`; tasks of the queue get at most `max_attempts` attempts.
 pub fn config(max_attempts: u32) -> serde_json::Value {
     json!({"queues": {"q": {"tries": max_attempts, "quota": 3, "windowMs": 60_000, "unsureBoundMs": 5000, "speculationPercent": 50, "defectAllowancePercent": 100}},
            "services": {"s": {"labels": ["l", "m"], "taskRoom": 4, "gangRoom": 8}}, "zones": {"z": {}}})
 }
 
+/// A task that needs 3 CPU and may not be repeated.
 pub fn task(name: &str) -> TaskSpec {
     TaskSpec {
         name: name.into(),
@@ -146,6 +160,7 @@
     }
 }
 
+/// A task that needs 3 CPU and may be repeated.
 pub fn repeatable(name: &str) -> TaskSpec {
     TaskSpec {
         may_repeat: true,
--- a/landingdrift/tests/common/mod.rs
+++ b/landingdrift/tests/common/mod.rs
@@ -1,39 +1,40 @@
-//! Nodes beside one record that stands for the log; the test says which proposal is committed when, and how often.
+//! A test cluster: nodes, and one cluster state that stands in for the replicas and their log. The test decides when
+//! and how often each proposal is committed.
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::Settings;
 use landingdrift::state::{pack_apply_result, ClusterState, Command};
 use landingdrift::wire::{Body, ProposeRequest, ProposeResponse, WatchBatch};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-pub const CORE: &str = "10.0.0.2:1";
+pub const REPLICA: &str = "10.0.0.2:1";
 const START_MS: u64 = 1_000_000;
 
-/// A call at a node and the proposal that it made.
+/// A request at a node, and the proposal that the node made for it.
 pub struct Order {
     node: usize,
     call: u64,
     propose: ProposeRequest,
-    /// The newest copy was committed.
+    /// Whether the newest copy of the proposal was committed.
     committed: bool,
 }
 
-/// What the log made of one copy of a proposal.
-pub struct Ruled {
+/// The result of committing one copy of a proposal.
+pub struct ProposalResult {
     pub log_index: u64,
     pub response: Vec<u8>,
 }
 
-/// What the caller was told.
+/// The response that the client got.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct ClientResponse {
     pub status: u16,
     body: Value,
 }
 
-impl Reply {
+impl ClientResponse {
     pub fn kind(&self) -> &str {
         self.body["error"].as_str().unwrap_or_default()
     }
@@ -42,7 +43,7 @@
     }
 }
 
-/// A whole configuration on top of a version.
+/// A request that replaces the configuration, given its base version and further query parameters.
 pub fn put(base: u64, query: &str, body: &Value) -> Request {
     Request {
         method: "PUT".into(),
@@ -57,15 +58,15 @@
     nodes: Vec<Node>,
     elapsed: u64,
     calls: u64,
-    replies: BTreeMap<u64, Reply>,
+    replies: BTreeMap<u64, ClientResponse>,
 }
 
 impl Cluster {
-    /// Nodes that follow a cluster state with version 1 in force, one queue and one service.
+    /// Creates nodes that follow a cluster state with version 1 in force, one queue and one service.
     pub fn new(nodes: usize) -> Self {
         let settings = |n: usize| Settings {
             listen: format!("10.0.1.{n}:1"),
-            seeds: vec![CORE.into()],
+            seeds: vec![REPLICA.into()],
             ..Settings::default()
         };
         let now = Now { mono: 1, wall: 1 };
@@ -79,46 +80,49 @@
         };
         let first = Command::UpdateConfig {
             change: "first".into(),
-            base: 0,
-            patch: false,
-            number: 0,
+            base_version: 0,
+            is_patch: false,
+            version: 0,
             value: json!({"queues": {"q": {"tries": 3, "quota": 9, "windowMs": 1000, "unsureBoundMs": 1000, "speculationPercent": 0}},
                 "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
         };
-        let at = cluster.agreed();
-        cluster.state.apply(1, at, &first).expect("a right one");
+        let at = cluster.cluster_time();
+        cluster
+            .state
+            .apply(1, at, &first)
+            .expect("a valid configuration");
         (0..nodes).for_each(|n| cluster.follow(n));
         cluster
     }
 
-    fn agreed(&self) -> u64 {
+    fn cluster_time(&self) -> u64 {
         START_MS + self.elapsed
     }
 
     fn now(&self) -> Now {
         Now {
             mono: self.elapsed,
-            wall: self.agreed(),
+            wall: self.cluster_time(),
         }
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.elapsed += ms;
     }
 
     fn follow(&mut self, node: usize) {
         let batch = WatchBatch {
-            replica: CORE.into(),
-            leader: CORE.into(),
+            replica: REPLICA.into(),
+            leader: REPLICA.into(),
             ok: true,
             sent: self.elapsed,
             quorum_age: 0,
-            clock: self.agreed(),
+            clock: self.cluster_time(),
             commit: self.state.applied_index,
             snapshot: self.state.pack(),
             snapshot_index: self.state.applied_index,
             entries: Vec::new(),
-            replicas: vec![CORE.into()],
+            replicas: vec![REPLICA.into()],
             light: false,
             reached: self.state.applied_index,
             incarnation: 0,
@@ -126,28 +130,28 @@
             config_index: 0,
         };
         let body = Body::WatchBatch(Box::new(batch));
-        self.step(node, Msg::Wire(CORE.into(), body));
+        self.step(node, Msg::Received(REPLICA.into(), body));
     }
 
     fn step(&mut self, node: usize, msg: Msg) -> Vec<Effect> {
         let now = self.now();
         let effects = self.nodes[node].step(now, msg);
         for e in &effects {
-            if let Effect::Answer(call, Response { status, body, .. }) = e {
+            if let Effect::Respond(call, Response { status, body, .. }) = e {
                 let (status, body) = (*status, body.clone());
-                let before = self.replies.insert(*call, Reply { status, body });
+                let before = self.replies.insert(*call, ClientResponse { status, body });
                 assert!(before.is_none(), "call {call} was answered twice");
             }
         }
         effects
     }
 
-    /// What the caller of an order was told, if anything yet.
-    pub fn reply(&self, order: &Order) -> Option<Reply> {
+    /// The response that the client of an order got, if any yet.
+    pub fn reply(&self, order: &Order) -> Option<ClientResponse> {
         self.replies.get(&order.call).cloned()
     }
 
-    /// A call at a node that makes one proposal, which is under way from now on.
+    /// Sends a request to a node, which must make one proposal for it.
     pub fn call(&mut self, node: usize, request: Request) -> Order {
         self.follow(node);
         self.calls += 1;
@@ -165,74 +169,79 @@
         }
     }
 
-    /// One copy of the proposal reaches the log.
-    pub fn commit(&mut self, order: &mut Order) -> Ruled {
+    /// Commits one copy of the proposal.
+    pub fn commit(&mut self, order: &mut Order) -> ProposalResult {
         order.committed = true;
-        let (log_index, at) = (self.state.applied_index + 1, self.agreed());
+        let (log_index, at) = (self.state.applied_index + 1, self.cluster_time());
         let result = self
             .state
             .apply_bytes(log_index, at, &order.propose.command);
-        Ruled {
+        ProposalResult {
             log_index,
             response: pack_apply_result(&result),
         }
     }
 
-    fn proposed(&mut self, order: &Order, answer: ProposeResponse) {
-        let body = Body::ProposeResponse(Box::new(answer));
-        self.step(order.node, Msg::Wire(CORE.into(), body));
+    fn deliver_response(&mut self, order: &Order, response: ProposeResponse) {
+        let body = Body::ProposeResponse(Box::new(response));
+        self.step(order.node, Msg::Received(REPLICA.into(), body));
     }
 
-    /// The answer to a copy arrives at the node; what the caller is told.
-    pub fn answer(&mut self, order: &Order, ruled: &Ruled) -> Option<Reply> {
-        let answer = ProposeResponse {
+    /// Delivers the result of a copy to the node; returns the response that the client gets.
+    pub fn deliver_result(
+        &mut self,
+        order: &Order,
+        result: &ProposalResult,
+    ) -> Option<ClientResponse> {
+        let response = ProposeResponse {
             token: order.propose.token,
             outcome: 0,
-            log_index: ruled.log_index,
-            leader: CORE.into(),
-            response: ruled.response.clone(),
+            log_index: result.log_index,
+            leader: REPLICA.into(),
+            response: result.response.clone(),
         };
-        self.proposed(order, answer);
+        self.deliver_response(order, response);
         self.reply(order)
     }
 
-    /// The replica that the newest copy went to doesn't lead and has taken nothing: the node sends another copy.
+    /// Answers the newest copy as a replica that isn't the leader, unless the copy was committed or the client already
+    /// has a response. The node then sends another copy.
     pub fn refuse_as_follower(&mut self, order: &mut Order) {
         if order.committed || self.reply(order).is_some() {
             return;
         }
-        let answer = ProposeResponse {
+        let response = ProposeResponse {
             token: order.propose.token,
             outcome: 1,
             log_index: 0,
             leader: String::new(),
             response: Vec::new(),
         };
-        self.proposed(order, answer);
-        self.pass(50);
+        self.deliver_response(order, response);
+        self.advance(50);
         let sent = self.step(order.node, Msg::Tick);
-        let own = |p: &ProposeRequest| p.command == order.propose.command;
-        let again = sent.into_iter().find_map(|e| match e {
-            Effect::Send(_, Body::ProposeRequest(p)) if own(&p) => Some(*p),
+        let is_copy = |p: &ProposeRequest| p.command == order.propose.command;
+        let next_copy = sent.into_iter().find_map(|e| match e {
+            Effect::Send(_, Body::ProposeRequest(p)) if is_copy(&p) => Some(*p),
             _ => None,
         });
-        order.propose = again.unwrap_or_else(|| order.propose.clone());
+        order.propose = next_copy.unwrap_or_else(|| order.propose.clone());
     }
 
-    /// Time passes at all nodes, and no replica answers.
-    pub fn silence(&mut self, ms: u64) {
+    /// Advances the time, with ticks at all nodes, while no replica responds.
+    pub fn advance_without_responses(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
-            self.pass(20);
+            self.advance(20);
             (0..self.nodes.len()).for_each(|n| {
                 self.step(n, Msg::Tick);
             });
         }
     }
 
-    /// A call whose proposal is committed and answered at once.
-    pub fn order(&mut self, node: usize, request: Request) -> Reply {
+    /// Sends a request, commits its proposal once, and delivers the result immediately; returns the client's response.
+    pub fn order(&mut self, node: usize, request: Request) -> ClientResponse {
         let mut order = self.call(node, request);
-        let ruled = self.commit(&mut order);
-        self.answer(&order, &ruled).expect("answered")
+        let result = self.commit(&mut order);
+        self.deliver_result(&order, &result).expect("answered")
     }
 }
--- a/landingdrift/tests/control_client.rs
+++ b/landingdrift/tests/control_client.rs
@@ -1,4 +1,5 @@
-//! What the operator's client sends when connections break: a stand-in for a node breaks them at every byte.
+//! The operator's client when connections break. Guards against a request that is sent twice but must not be repeated:
+//! a fake node breaks the connection after each possible number of bytes.
 
 use landingdrift::operator::{ClientError, ControlClient};
 use serde_json::{json, Value};
@@ -8,36 +9,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const ANSWER: &str =
+const RESPONSE: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 11\r\n\r\n{\"done\": 1}";
 
-/// Where the stand-in breaks the connection of the second request; all others are answered.
+/// The place at which the fake node breaks the connection of the second request. It answers all others.
 #[derive(Clone, Copy)]
 enum Break {
-    /// After so many bytes of the request were read.
+    /// After reading this number of bytes of the request.
     Request(usize),
-    /// After so many bytes of the answer were written.
-    Answer(usize),
+    /// After writing this number of bytes of the response.
+    Response(usize),
 }
 
-/// A node whose requests are counted as they begin.
-struct StandIn {
-    at: String,
+/// A fake node. It counts a request per connection, and one per further request on it, complete or not.
+struct FakeNode {
+    address: String,
     requests: Arc<AtomicUsize>,
 }
 
+/// Makes the connection end with a reset when it is dropped.
 fn reset(connection: &TcpStream) {
     let linger = Some(Duration::ZERO);
     socket2::SockRef::from(connection)
         .set_linger(linger)
-        .expect("set");
+        .expect("failed to set the socket option");
 }
 
-/// Reads up to so many bytes, or to the end of the request's head; empty at the end of the connection.
-fn read_head(connection: &mut TcpStream, most: usize) -> Vec<u8> {
+/// Reads up to `max_bytes`, or to the end of the request's head; empty at the end of the connection.
+fn read_head(connection: &mut TcpStream, max_bytes: usize) -> Vec<u8> {
     let mut head = Vec::new();
     let mut byte = [0];
-    while head.len() < most && !head.ends_with(b"\r\n\r\n") {
+    while head.len() < max_bytes && !head.ends_with(b"\r\n\r\n") {
         match connection.read(&mut byte) {
             Ok(1) => head.push(byte[0]),
             _ => break,
@@ -46,25 +48,31 @@
     head
 }
 
-/// Serves a connection until it ends; a new one begins a request, and so does whatever comes on one that was kept.
+/// Serves a connection until it ends. A new connection counts as a request, and so does every further request on it.
 fn serve(mut connection: TcpStream, broken: Break, requests: &AtomicUsize) {
     let mut head = Vec::new();
     loop {
-        let second = requests.fetch_add(1, Ordering::SeqCst) == 1;
-        let most = match broken {
-            Break::Request(most) if second => most,
+        let is_second = requests.fetch_add(1, Ordering::SeqCst) == 1;
+        let max_bytes = match broken {
+            Break::Request(max_bytes) if is_second => max_bytes,
             _ => usize::MAX,
         };
-        // A reset before anything was sent would be a failure to connect, after which any call may go elsewhere.
-        connection.peek(&mut [0]).expect("a request begins");
-        head.extend(read_head(&mut connection, most.saturating_sub(head.len())));
+        // Waits for the first byte: a reset before it would count as a failure to connect, after which any request may
+        // be sent to another node.
+        connection.peek(&mut [0]).expect("no request began");
+        head.extend(read_head(
+            &mut connection,
+            max_bytes.saturating_sub(head.len()),
+        ));
         match broken {
-            Break::Request(_) if second => return reset(&connection),
-            Break::Answer(most) if second => {
-                let _ = connection.write_all(&ANSWER.as_bytes()[..most]);
+            Break::Request(_) if is_second => return reset(&connection),
+            Break::Response(bytes) if is_second => {
+                let _ = connection.write_all(&RESPONSE.as_bytes()[..bytes]);
                 return reset(&connection);
             }
-            _ => connection.write_all(ANSWER.as_bytes()).expect("written"),
+            _ => connection
+                .write_all(RESPONSE.as_bytes())
+                .expect("failed to write"),
         }
         head = read_head(&mut connection, 1);
         if head.is_empty() {
@@ -73,75 +81,86 @@
     }
 }
 
-fn stand_in(broken: Break) -> StandIn {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let at = listener.local_addr().expect("bound").to_string();
+fn start_fake_node(broken: Break) -> FakeNode {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    let address = listener
+        .local_addr()
+        .expect("failed to get the address")
+        .to_string();
     let requests = Arc::new(AtomicUsize::new(0));
-    let counted = requests.clone();
+    let request_count = requests.clone();
     std::thread::spawn(move || {
         for connection in listener.incoming().flatten() {
-            let counted = counted.clone();
-            std::thread::spawn(move || serve(connection, broken, &counted));
+            let request_count = request_count.clone();
+            std::thread::spawn(move || serve(connection, broken, &request_count));
         }
     });
-    StandIn { at, requests }
+    FakeNode { address, requests }
 }
 
-/// A GET, so that a connection could be kept, then the call; what came of it, and how often it arrived.
+/// Sends a GET, so that a client that pools connections would have one open, then the call. Returns the result of the
+/// call and the number of times that it arrived.
 fn call(broken: Break, method: &str, path: &str) -> (Result<Value, ClientError>, usize) {
-    let stand_in = stand_in(broken);
-    let client =
-        ControlClient::new(vec![stand_in.at.clone()], Duration::from_secs(5)).expect("made");
-    client.call("GET", "/v1/status", None).expect("answered");
-    let done = client.call(method, path, None);
-    (done, stand_in.requests.load(Ordering::SeqCst) - 1)
+    let node = start_fake_node(broken);
+    let client = ControlClient::new(vec![node.address.clone()], Duration::from_secs(5))
+        .expect("failed to create");
+    client
+        .call("GET", "/v1/status", None)
+        .expect("the call failed");
+    let result = client.call(method, path, None);
+    (result, node.requests.load(Ordering::SeqCst) - 1)
 }
 
-/// Every place at which a connection may break, before the request is whole and after.
+/// Every place at which the connection may break, in the request and in the response.
 fn breaks() -> Vec<Break> {
-    let of_request = (0..80).map(Break::Request);
-    of_request
-        .chain((0..ANSWER.len()).map(Break::Answer))
+    let request_breaks = (0..80).map(Break::Request);
+    request_breaks
+        .chain((0..RESPONSE.len()).map(Break::Response))
         .collect()
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_arrives_once_wherever_its_connection_breaks() {
+fn a_non_repeatable_call_arrives_once_whatever_byte_its_connection_breaks_at() {
     for (number, broken) in breaks().into_iter().enumerate() {
-        let (done, arrived) = call(broken, "DELETE", "/v1/jobs/j");
-        assert_eq!(arrived, 1, "break {number}: it was sent again");
+        let (result, arrived) = call(broken, "DELETE", "/v1/jobs/j");
+        assert_eq!(arrived, 1, "break {number}: the request was sent again");
         assert!(
-            matches!(done, Err(ClientError::Unsure { .. })),
-            "break {number}: {done:?}"
+            matches!(result, Err(ClientError::OutcomeUnknown { .. })),
+            "break {number}: {result:?}"
         );
     }
 }
 
 #[test]
-fn a_change_with_an_identity_is_sent_again_until_it_is_answered() {
+fn a_change_with_an_id_is_sent_again_until_it_is_answered() {
     let path = "/v1/desired?base=1&change=c";
     for broken in [
         Break::Request(20),
-        Break::Answer(5),
-        Break::Answer(ANSWER.len() - 1),
+        Break::Response(5),
+        Break::Response(RESPONSE.len() - 1),
     ] {
-        let (done, arrived) = call(broken, "PUT", path);
-        assert_eq!(done.expect("answered"), json!({"done": 1}));
+        let (result, arrived) = call(broken, "PUT", path);
+        assert_eq!(result.expect("the call failed"), json!({"done": 1}));
         assert_eq!(arrived, 2);
     }
 }
 
-/// A server that gives one answer to every request.
-fn server_that_answers(answer: String) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let at = listener.local_addr().expect("bound").to_string();
+/// Starts a server that gives the same response to every request; returns its address.
+fn server_that_answers(response: String) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    let address = listener
+        .local_addr()
+        .expect("failed to get the address")
+        .to_string();
     std::thread::spawn(move || {
         for mut connection in listener.incoming().flatten() {
             read_head(&mut connection, usize::MAX);
-            connection.write_all(answer.as_bytes()).expect("written");
+            connection
+                .write_all(response.as_bytes())
+                .expect("failed to write");
         }
     });
-    at
+    address
 }
 
 fn server_that_redirects(to: &str) -> String {
@@ -153,44 +172,53 @@
 }
 
 #[test]
-fn a_call_that_may_be_repeated_follows_a_redirect_and_another_one_does_not() {
-    let answering = server_that_answers(ANSWER.into());
-    let redirecting = server_that_redirects(&answering);
-    let client = ControlClient::new(vec![redirecting], Duration::from_secs(5)).expect("made");
+fn only_a_call_that_may_be_repeated_follows_a_redirect() {
+    let target = server_that_answers(RESPONSE.into());
+    let redirecting = server_that_redirects(&target);
+    let client =
+        ControlClient::new(vec![redirecting], Duration::from_secs(5)).expect("failed to create");
     let read = client.call("GET", "/v1/desired", None);
-    assert_eq!(read.expect("answered"), json!({"done": 1}));
+    assert_eq!(read.expect("the call failed"), json!({"done": 1}));
     let change = client.call("PUT", "/v1/desired?base=1&change=c", None);
-    assert_eq!(change.expect("answered"), json!({"done": 1}));
+    assert_eq!(change.expect("the call failed"), json!({"done": 1}));
     for (method, path) in [("DELETE", "/v1/jobs/j"), ("PUT", "/v1/desired?base=1")] {
-        let order = client.call(method, path, None);
-        let is_refused = matches!(order, Err(ClientError::Refused { status: 307, .. }));
-        assert!(is_refused, "{method} {path}: {order:?}");
+        let result = client.call(method, path, None);
+        let is_rejected = matches!(result, Err(ClientError::Rejected { status: 307, .. }));
+        assert!(is_rejected, "{method} {path}: {result:?}");
     }
 }
 
-/// Serves one request that is to have this body, and answers it.
-fn server_that_wants(body: &'static str) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let at = listener.local_addr().expect("bound").to_string();
+/// Starts a server that answers one PUT request if it has this body; returns its address.
+fn server_that_expects(body: &'static str) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind");
+    let address = listener
+        .local_addr()
+        .expect("failed to get the address")
+        .to_string();
     std::thread::spawn(move || {
-        let (mut connection, _) = listener.accept().expect("a connection");
+        let (mut connection, _) = listener.accept().expect("failed to accept a connection");
         let head = read_head(&mut connection, usize::MAX);
         assert!(head.starts_with(b"PUT "), "{head:?}");
         let mut received = vec![0; body.len()];
-        connection.read_exact(&mut received).expect("a body");
+        connection
+            .read_exact(&mut received)
+            .expect("failed to read the body");
         if received == body.as_bytes() {
-            connection.write_all(ANSWER.as_bytes()).expect("written");
+            connection
+                .write_all(RESPONSE.as_bytes())
+                .expect("failed to write");
         }
     });
-    at
+    address
 }
 
 #[test]
-fn a_redirected_change_is_sent_with_its_method_and_body() {
-    let answering = server_that_wants("{\"zones\":{}}");
-    let redirecting = server_that_redirects(&answering);
-    let client = ControlClient::new(vec![redirecting], Duration::from_secs(1)).expect("made");
+fn a_redirected_change_keeps_its_method_and_body() {
+    let target = server_that_expects("{\"zones\":{}}");
+    let redirecting = server_that_redirects(&target);
+    let client =
+        ControlClient::new(vec![redirecting], Duration::from_secs(1)).expect("failed to create");
     let body = json!({"zones": {}});
     let change = client.call("PUT", "/v1/desired?base=1&change=c", Some(&body));
-    assert_eq!(change.expect("answered"), json!({"done": 1}));
+    assert_eq!(change.expect("the call failed"), json!({"done": 1}));
 }
--- a/landingdrift/tests/disk_refuses.rs
+++ b/landingdrift/tests/disk_refuses.rs
@@ -1,4 +1,5 @@
-//! A disk that refuses writes for a while: nothing is confirmed meanwhile, nothing is lost, and it comes back by itself.
+//! A disk that fails writes for a while: no write is confirmed until it succeeds, failed writes are retried in order,
+//! and no confirmed data is lost.
 
 use landingdrift::daemon::{Backoff, DiskWriter, Input, Store};
 use landingdrift::disk::{DataFolder, StorageError};
@@ -12,18 +13,18 @@
 use std::time::{Duration, Instant};
 
 const SEGMENT_BYTES: u64 = 600;
-const LONG: Duration = Duration::from_secs(20);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn folder(name: &str) -> PathBuf {
-    let p = std::env::temp_dir().join(format!(
+    let path = std::env::temp_dir().join(format!(
         "landingdrift-refuses-{}-{name}",
         std::process::id()
     ));
-    let _ = fs::remove_dir_all(&p);
-    p
+    let _ = fs::remove_dir_all(&path);
+    path
 }
 
-fn save(write_id: u64, from: u64, to: u64) -> WriteBatch {
+fn batch_of_entries(write_id: u64, from: u64, to: u64) -> WriteBatch {
     let entry = |index| Entry {
         index,
         term: 1,
@@ -43,30 +44,31 @@
     }
 }
 
-fn indexes(p: &Path) -> Vec<u64> {
-    let (_, loaded) = DataFolder::open(p, "c", SEGMENT_BYTES, 7).expect("opened");
+/// The log indexes that an undamaged data folder contains.
+fn load_indexes(path: &Path) -> Vec<u64> {
+    let (_, loaded) = DataFolder::open(path, "c", SEGMENT_BYTES, 7).expect("opened");
     assert!(!loaded.damaged);
     loaded.entries.iter().map(|e| e.index).collect()
 }
 
-/// Refuses the first tries, and witnesses what is written.
-struct Refusing {
-    left: Arc<AtomicUsize>,
+/// A store that fails the first `failures_left` writes and records those that succeed.
+struct FailingStore {
+    failures_left: Arc<AtomicUsize>,
     written: Arc<Mutex<Vec<u64>>>,
     recovered: Arc<AtomicUsize>,
 }
 
-impl Store for Refusing {
+impl Store for FailingStore {
     fn save(&mut self, batch: &[WriteBatch]) -> Result<(), StorageError> {
-        if self.left.load(Ordering::SeqCst) > 0 {
-            self.left.fetch_sub(1, Ordering::SeqCst);
+        if self.failures_left.load(Ordering::SeqCst) > 0 {
+            self.failures_left.fetch_sub(1, Ordering::SeqCst);
             return Err(StorageError::Io {
                 path: "log".into(),
-                why: std::io::ErrorKind::StorageFull.into(),
+                source: std::io::ErrorKind::StorageFull.into(),
             });
         }
-        let mut written = self.written.lock().expect("free");
-        written.extend(batch.iter().map(|s| s.write_id));
+        let mut written = self.written.lock().expect("not poisoned");
+        written.extend(batch.iter().map(|written| written.write_id));
         Ok(())
     }
     fn recover(&mut self) -> Result<(), StorageError> {
@@ -82,82 +84,82 @@
     }
 }
 
-/// How often the disk refused before it confirmed the ticket.
-fn refusals_until(rx: &Receiver<Input>, write_id: u64) -> usize {
-    let mut refusals = 0;
+/// The number of failures reported before the write `write_id` is confirmed.
+fn failures_until(rx: &Receiver<Input>, write_id: u64) -> usize {
+    let mut failures = 0;
     loop {
-        match rx.recv_timeout(LONG) {
-            Ok(Input::Msg(Msg::DiskFailed(why))) => {
-                assert!(!why.is_empty());
-                refusals += 1;
+        match rx.recv_timeout(RECEIVE_TIMEOUT) {
+            Ok(Input::Msg(Msg::WriteFailed(reason))) => {
+                assert!(!reason.is_empty());
+                failures += 1;
             }
-            Ok(Input::Msg(Msg::Persisted(t))) if t == write_id => return refusals,
+            Ok(Input::Msg(Msg::Persisted(id))) if id == write_id => return failures,
             Ok(Input::Msg(Msg::Persisted(_))) => {}
-            _ => panic!("the disk's thread has ended"),
+            _ => panic!("the writer thread has ended"),
         }
     }
 }
 
 #[test]
-fn pauses_grow_up_to_a_bound() {
-    let of: Vec<u128> = backoff().take(6).map(|p| p.as_millis()).collect();
-    assert_eq!(of, [10, 20, 40, 80, 80, 80]);
+fn retry_delays_grow_up_to_a_limit() {
+    let delays: Vec<u128> = backoff().take(6).map(|delay| delay.as_millis()).collect();
+    assert_eq!(delays, [10, 20, 40, 80, 80, 80]);
 }
 
 #[test]
-fn a_disk_that_refuses_is_tried_again_and_gets_all_in_order() {
+fn failed_writes_are_retried_in_order_with_backoff() {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let (left, recovered) = (Arc::new(AtomicUsize::new(5)), Arc::new(AtomicUsize::new(0)));
-    let store = Refusing {
-        left,
+    let (failures_left, recovered) = (Arc::new(AtomicUsize::new(5)), Arc::new(AtomicUsize::new(0)));
+    let store = FailingStore {
+        failures_left,
         written: written.clone(),
         recovered: recovered.clone(),
     };
     let (tx, rx) = channel();
     let disk = DiskWriter::start(store, tx, backoff()).expect("starts");
     let since = Instant::now();
-    (1..=4).for_each(|write_id| disk.save(save(write_id, write_id, write_id)));
-    assert_eq!(refusals_until(&rx, 4), 5);
-    assert_eq!(*written.lock().expect("free"), [1, 2, 3, 4]);
+    (1..=4).for_each(|write_id| disk.save(batch_of_entries(write_id, write_id, write_id)));
+    assert_eq!(failures_until(&rx, 4), 5);
+    assert_eq!(*written.lock().expect("not poisoned"), [1, 2, 3, 4]);
     assert_eq!(recovered.load(Ordering::SeqCst), 5);
-    let paused = Duration::from_millis(10 + 20 + 40 + 80 + 80);
-    assert!(since.elapsed() >= paused, "{:?}", since.elapsed());
+    let total_delay = Duration::from_millis(10 + 20 + 40 + 80 + 80);
+    assert!(since.elapsed() >= total_delay, "{:?}", since.elapsed());
 }
 
 #[test]
-fn a_folder_that_fails_in_the_middle_holds_all_that_is_handed_over_again() {
-    let (p, away) = (folder("middle"), folder("middle-away"));
-    let (mut f, _) = DataFolder::open(&p, "c", SEGMENT_BYTES, 7).expect("made");
-    (1..=3).for_each(|i| f.save(&[save(i, i, i)]).expect("saved"));
-    // No segment can be begun while the folder is away; what is written into the open one is there.
-    fs::rename(&p, &away).expect("moved");
-    let batch = [save(4, 4, 40), save(5, 41, 42)];
-    assert!(f.save(&batch).is_err());
-    assert!(f.recover().is_err());
-    fs::rename(&away, &p).expect("moved back");
-    f.recover().expect("usable again");
-    f.save(&batch).expect("saved again");
-    f.save(&[save(6, 43, 43)]).expect("saved");
-    drop(f);
-    assert_eq!(indexes(&p), (1..=43).collect::<Vec<_>>());
+fn a_batch_written_again_after_a_failure_is_stored_completely() {
+    let (path, moved_path) = (folder("middle"), folder("middle-away"));
+    let (mut data, _) = DataFolder::open(&path, "c", SEGMENT_BYTES, 7).expect("created");
+    (1..=3).for_each(|i| data.save(&[batch_of_entries(i, i, i)]).expect("saved"));
+    // While the folder is moved away no new segment can be created, but writes to the open segment succeed.
+    fs::rename(&path, &moved_path).expect("moved");
+    let batch = [batch_of_entries(4, 4, 40), batch_of_entries(5, 41, 42)];
+    assert!(data.save(&batch).is_err());
+    assert!(data.recover().is_err());
+    fs::rename(&moved_path, &path).expect("moved back");
+    data.recover().expect("usable again");
+    data.save(&batch).expect("saved again");
+    data.save(&[batch_of_entries(6, 43, 43)]).expect("saved");
+    drop(data);
+    assert_eq!(load_indexes(&path), (1..=43).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_refused_batch_that_is_not_written_again_leaves_what_was_confirmed() {
-    let (p, away) = (folder("refused"), folder("refused-away"));
-    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
-    let voted = WriteBatch {
+fn a_failed_batch_that_is_not_written_again_leaves_confirmed_data_intact() {
+    let (path, moved_path) = (folder("refused"), folder("refused-away"));
+    let (mut data, _) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
+    let batch_with_vote = WriteBatch {
         hard_state: Some(HardState {
             term: 3,
             vote: "a".into(),
             no_vote_through: 0,
             founders: Vec::new(),
         }),
-        ..save(1, 1, 5)
+        ..batch_of_entries(1, 1, 5)
     };
-    f.save(&[voted]).expect("saved");
-    fs::rename(&p, &away).expect("moved");
-    let whole = WriteBatch {
+    data.save(&[batch_with_vote]).expect("saved");
+    fs::rename(&path, &moved_path).expect("moved");
+    let batch_with_snapshot = WriteBatch {
         truncate_from: Some(1),
         snapshot: Some(landingdrift::sans_io::Snapshot {
             index: 9,
@@ -166,46 +168,51 @@
         }),
         ..WriteBatch::default()
     };
-    assert!(f.save(&[whole]).is_err());
-    fs::rename(&away, &p).expect("moved back");
-    // The cut must not be seen without the snapshot that it relies on.
-    f.recover().expect("usable again");
-    drop(f);
-    assert_eq!(indexes(&p), [1, 2, 3, 4, 5]);
-    let (_, l) = DataFolder::open(&p, "c", 1 << 20, 7).expect("opened");
-    assert_eq!((l.hard_state.term, l.hard_state.vote.as_str()), (3, "a"));
-    assert_eq!(l.witnesses.len(), 1);
+    assert!(data.save(&[batch_with_snapshot]).is_err());
+    fs::rename(&moved_path, &path).expect("moved back");
+    data.recover().expect("usable again");
+    drop(data);
+    // The entries must not be truncated, since the snapshot that replaces them was not written.
+    assert_eq!(load_indexes(&path), [1, 2, 3, 4, 5]);
+    let (_, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("opened");
+    assert_eq!(
+        (loaded.hard_state.term, loaded.hard_state.vote.as_str()),
+        (3, "a")
+    );
+    assert_eq!(loaded.witnesses.len(), 1);
 }
 
 #[test]
-fn a_full_disk_is_freed_of_what_can_be_done_without() {
-    let p = folder("room");
-    let (mut f, _) = DataFolder::open(&p, "c", 1 << 20, 7).expect("made");
+fn recovery_of_a_full_disk_removes_incomplete_and_old_snapshots() {
+    let path = folder("full");
+    let (mut data, _) = DataFolder::open(&path, "c", 1 << 20, 7).expect("created");
     for n in 1..=3 {
         let snapshot = landingdrift::sans_io::Snapshot {
             index: 10 * n,
             term: 1,
             bytes: vec![b's'; 100],
         };
-        let whole = WriteBatch {
+        let batch_with_snapshot = WriteBatch {
             snapshot: Some(snapshot),
-            ..save(n, 10 * n - 9, 10 * n)
+            ..batch_of_entries(n, 10 * n - 9, 10 * n)
         };
-        f.save(&[whole]).expect("saved");
+        data.save(&[batch_with_snapshot]).expect("saved");
     }
-    // As a disk that was full in the middle of a snapshot leaves it.
-    fs::write(p.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
-    f.recover().expect("usable again");
-    let left = fs::read_dir(&p).expect("a folder").filter_map(Result::ok);
-    let snapshots: Vec<String> = left
+    // Simulates the file that remains after the disk ran full during the write of a snapshot.
+    fs::write(path.join("capture-0000000000000040.new"), vec![0; 5000]).expect("written");
+    data.recover().expect("usable again");
+    let files = fs::read_dir(&path)
+        .expect("a folder")
+        .filter_map(Result::ok);
+    let snapshots: Vec<String> = files
         .filter_map(|e| e.file_name().into_string().ok())
         .filter(|n| n.starts_with("capture-"))
         .collect();
     assert_eq!(snapshots, ["capture-0000000000000030.capture"]);
-    f.save(&[save(4, 31, 35)]).expect("saved");
-    drop(f);
-    let (_, l) = DataFolder::open(&p, "c", 1 << 20, 7).expect("opened");
-    assert!(!l.damaged);
-    assert_eq!(l.snapshot.map(|c| c.index), Some(30));
-    assert_eq!(l.entries.last().map(|e| e.index), Some(35));
+    data.save(&[batch_of_entries(4, 31, 35)]).expect("saved");
+    drop(data);
+    let (_, loaded) = DataFolder::open(&path, "c", 1 << 20, 7).expect("opened");
+    assert!(!loaded.damaged);
+    assert_eq!(loaded.snapshot.map(|snapshot| snapshot.index), Some(30));
+    assert_eq!(loaded.entries.last().map(|e| e.index), Some(35));
 }
--- a/landingdrift/tests/forwarded_reads.rs
+++ b/landingdrift/tests/forwarded_reads.rs
@@ -1,9 +1,9 @@
-//! Reads that a node can't answer itself: other nodes are asked, one after the other, until one answers.
+//! Forwarding of reads that a node can't answer itself: it asks other nodes one after another until one answers.
 
 mod node_harness;
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Request, Response, StateMachine};
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, ForwardRequest, ForwardResponse, ReadIndexResponse};
@@ -13,7 +13,7 @@
 const HOLDERS: [&str; 3] = ["10.0.0.3:1", "10.0.0.4:1", "10.0.0.5:1"];
 const CALL: u64 = 1000;
 
-/// A node with a light copy, beside three nodes that hold leases.
+/// A node with a light copy in a cluster with three other nodes that hold leases.
 fn light_node() -> NodeHarness {
     let mut harness = NodeHarness::new();
     for (index, holder) in HOLDERS.into_iter().enumerate() {
@@ -27,8 +27,8 @@
             from_epoch,
         });
     }
-    harness.accept("j", 1);
-    harness.follow_light();
+    harness.submit("j", 1);
+    harness.install_light_copy();
     harness
 }
 
@@ -42,7 +42,8 @@
     }
 }
 
-fn ask(harness: &mut NodeHarness, path: &str) -> Vec<Effect> {
+/// Sends a GET call to the node.
+fn send_read(harness: &mut NodeHarness, path: &str) -> Vec<Effect> {
     let request = Request {
         method: "GET".into(),
         path: path.into(),
@@ -52,6 +53,7 @@
     harness.node.step(now, Msg::Call(CALL, request))
 }
 
+/// The forwarded calls among the effects, each with the node that it was sent to.
 fn forwarded(effects: &[Effect]) -> Vec<(String, ForwardRequest)> {
     let forwarded = effects.iter().filter_map(|effect| match effect {
         Effect::Send(to, Body::ForwardRequest(request)) => Some((to.clone(), (**request).clone())),
@@ -62,23 +64,23 @@
 
 fn answer(effects: &[Effect]) -> Option<Response> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Answer(CALL, response) => Some(response.clone()),
+        Effect::Respond(CALL, response) => Some(response.clone()),
         _ => None,
     })
 }
 
-/// A node answers what was forwarded to it.
+/// Delivers a node's response to a forwarded call; returns the effects.
 fn respond(
     harness: &mut NodeHarness,
     from: &str,
     request: &ForwardRequest,
     status: u16,
 ) -> Vec<Effect> {
-    respond_by_version(harness, from, request, status, 0)
+    respond_with_version(harness, from, request, status, 0)
 }
 
-/// The same, by a version of the configuration.
-fn respond_by_version(
+/// Like `respond`, from a node with the given configuration version.
+fn respond_with_version(
     harness: &mut NodeHarness,
     from: &str,
     request: &ForwardRequest,
@@ -95,16 +97,16 @@
     };
     let now = harness.now();
     let body = Body::ForwardResponse(Box::new(response));
-    harness.node.step(now, Msg::Wire(from.into(), body))
+    harness.node.step(now, Msg::Received(from.into(), body))
 }
 
 /// Lets time pass while the copy stays fresh; returns all effects.
-fn pass(harness: &mut NodeHarness, ms: u64) -> Vec<Effect> {
+fn pass_time(harness: &mut NodeHarness, ms: u64) -> Vec<Effect> {
     let mut effects = Vec::new();
     let until = harness.elapsed_ms + ms;
     while harness.elapsed_ms < until {
         harness.elapsed_ms += 20;
-        effects.extend(harness.follow_light());
+        effects.extend(harness.install_light_copy());
         let now = harness.now();
         effects.extend(harness.node.step(now, Msg::Tick));
     }
@@ -112,12 +114,12 @@
 }
 
 #[test]
-fn a_read_that_one_node_refuses_is_forwarded_to_another_at_once() {
+fn a_read_rejected_by_one_node_is_forwarded_to_another_at_once() {
     let mut harness = light_node();
-    let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
+    let first = forwarded(&send_read(&mut harness, "/v1/jobs/j"));
     let (to, request) = first.first().expect("it is forwarded").clone();
     let effects = respond(&mut harness, &to, &request, 503);
-    assert_eq!(answer(&effects), None, "another node may know");
+    assert_eq!(answer(&effects), None, "another node may have the job");
     let second = forwarded(&effects);
     let (other, request) = second.first().expect("it is forwarded again").clone();
     assert_ne!(other, to);
@@ -126,34 +128,37 @@
 }
 
 #[test]
-fn a_read_that_one_node_is_silent_on_is_forwarded_to_another_in_time() {
+fn a_read_that_one_node_does_not_answer_is_forwarded_to_another_after_a_timeout() {
     let mut harness = light_node();
-    let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
-    let (silent, _) = first.first().expect("it is forwarded").clone();
-    let later = forwarded(&pass(&mut harness, Bounds::default().call() / 2));
+    let first = forwarded(&send_read(&mut harness, "/v1/jobs/j"));
+    let (unresponsive, _) = first.first().expect("it is forwarded").clone();
+    let later = forwarded(&pass_time(
+        &mut harness,
+        Bounds::default().request_timeout() / 2,
+    ));
     let (other, request) = later.first().expect("it is forwarded again").clone();
-    assert_ne!(other, silent);
+    assert_ne!(other, unresponsive);
     let effects = respond(&mut harness, &other, &request, 200);
     assert_eq!(answer(&effects).map(|response| response.status), Some(200));
-    // The next read does not begin with the node that was silent.
-    let next = forwarded(&ask(&mut harness, "/v1/jobs/j"));
-    assert_ne!(next[0].0, silent);
+    // The next read is not forwarded to the unresponsive node first.
+    let next = forwarded(&send_read(&mut harness, "/v1/jobs/j"));
+    assert_ne!(next[0].0, unresponsive);
 }
 
 #[test]
-fn a_late_answer_of_the_first_node_is_as_good() {
+fn a_late_response_of_the_first_node_is_accepted() {
     let mut harness = light_node();
-    let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
-    let (late, request) = first.first().expect("it is forwarded").clone();
-    pass(&mut harness, Bounds::default().call() / 2);
-    let effects = respond(&mut harness, &late, &request, 200);
+    let first = forwarded(&send_read(&mut harness, "/v1/jobs/j"));
+    let (first_node, request) = first.first().expect("it is forwarded").clone();
+    pass_time(&mut harness, Bounds::default().request_timeout() / 2);
+    let effects = respond(&mut harness, &first_node, &request, 200);
     assert_eq!(answer(&effects).map(|response| response.status), Some(200));
 }
 
 #[test]
-fn a_read_that_all_nodes_refuse_is_answered_at_once() {
+fn a_read_rejected_by_all_nodes_is_answered_at_once() {
     let mut harness = light_node();
-    let mut effects = ask(&mut harness, "/v1/jobs/j");
+    let mut effects = send_read(&mut harness, "/v1/jobs/j");
     for _ in 0..20 {
         let Some((to, request)) = forwarded(&effects).first().cloned() else {
             break;
@@ -162,26 +167,28 @@
     }
     let last = answer(&effects).expect("an answer");
     assert_eq!(last.status, 503);
-    assert!(last.retry_ms > 0, "it says when to come back");
+    assert!(last.retry_ms > 0, "the response has a Retry-After");
 }
 
 #[test]
-fn a_read_that_was_forwarded_is_not_forwarded_on() {
+fn a_forwarded_read_is_not_forwarded_again() {
     let mut harness = light_node();
-    let first = forwarded(&ask(&mut harness, "/v1/jobs/j"));
+    let first = forwarded(&send_read(&mut harness, "/v1/jobs/j"));
     let (_, request) = first.first().expect("it is forwarded").clone();
     let now = harness.now();
     let body = Body::ForwardRequest(Box::new(request));
-    let effects = harness.node.step(now, Msg::Wire(HOLDERS[0].into(), body));
+    let effects = harness
+        .node
+        .step(now, Msg::Received(HOLDERS[0].into(), body));
     assert!(forwarded(&effects).is_empty(), "{effects:?}");
 }
 
 #[test]
-fn a_read_that_waits_while_the_copy_becomes_light_is_never_answered_as_unknown() {
+fn a_read_that_waits_while_the_copy_becomes_light_is_not_answered_with_404() {
     let mut harness = light_node();
-    // A process that has just started has no copy, and does not know yet that it will be a light one.
+    // A process that has just started has no copy and does not know yet that it will get a light one.
     harness.node = Node::new(settings_of_node(), harness.now(), 2);
-    let effects = ask(&mut harness, "/v1/jobs/j");
+    let effects = send_read(&mut harness, "/v1/jobs/j");
     let read_index = effects.iter().find_map(|effect| match effect {
         Effect::Send(to, Body::ReadIndexRequest(request)) => Some((to.clone(), request.token)),
         _ => None,
@@ -196,58 +203,67 @@
     };
     let now = harness.now();
     let body = Body::ReadIndexResponse(Box::new(response));
-    harness.node.step(now, Msg::Wire(replica, body));
-    let effects = harness.follow_light();
+    harness.node.step(now, Msg::Received(replica, body));
+    let effects = harness.install_light_copy();
     let status = answer(&effects).map(|response| response.status);
     assert_ne!(
         status,
         Some(404),
-        "a light copy does not know which jobs there are"
+        "a light copy can't tell that a job does not exist"
     );
     assert!(!forwarded(&effects).is_empty(), "{effects:?}");
 }
 
 #[test]
-fn a_node_without_a_copy_has_other_nodes_answer_a_read_by_host_and_path() {
+fn a_node_without_a_fresh_copy_forwards_reads_by_host_and_path() {
     let mut harness = light_node();
-    harness.elapsed_ms += 10 * Bounds::default().fresh();
-    let effects = ask(&mut harness, "/v1/at/host.example/jobs/j");
+    harness.elapsed_ms += 10 * Bounds::default().max_watch_age();
+    let effects = send_read(&mut harness, "/v1/at/host.example/jobs/j");
     assert_eq!(answer(&effects), None, "another node may have a copy");
     assert!(!forwarded(&effects).is_empty(), "{effects:?}");
 }
 
 #[test]
-fn a_read_of_the_configuration_that_waits_for_the_copy_is_answered_by_another_node() {
+fn a_configuration_read_that_waits_for_the_copy_is_forwarded_after_a_timeout() {
     let mut harness = light_node();
-    let effects = ask(&mut harness, "/v1/desired");
-    assert!(forwarded(&effects).is_empty(), "it tries itself first");
-    let later = forwarded(&pass(&mut harness, Bounds::default().call() / 2));
+    let effects = send_read(&mut harness, "/v1/desired");
+    assert!(
+        forwarded(&effects).is_empty(),
+        "the node tries to answer itself first"
+    );
+    let later = forwarded(&pass_time(
+        &mut harness,
+        Bounds::default().request_timeout() / 2,
+    ));
     let (to, request) = later.first().expect("it is forwarded").clone();
     let effects = respond(&mut harness, &to, &request, 200);
     assert_eq!(answer(&effects).map(|response| response.status), Some(200));
 }
 
 #[test]
-fn a_large_answer_is_asked_of_a_second_node_only_once_the_first_has_refused() {
+fn a_read_with_a_large_answer_is_retried_only_after_a_rejection() {
     let mut harness = light_node();
-    let first = forwarded(&ask(&mut harness, "/v1/status"));
+    let first = forwarded(&send_read(&mut harness, "/v1/status"));
     let (to, request) = first.first().expect("it is forwarded").clone();
-    let later = forwarded(&pass(&mut harness, Bounds::default().call() / 2));
+    let later = forwarded(&pass_time(
+        &mut harness,
+        Bounds::default().request_timeout() / 2,
+    ));
     assert!(later.is_empty(), "the answer may still be on its way");
     let effects = respond(&mut harness, &to, &request, 503);
     assert!(!forwarded(&effects).is_empty(), "{effects:?}");
 }
 
 #[test]
-fn a_replica_that_is_silent_on_a_read_index_is_not_asked_twice_in_a_row() {
+fn an_unresponsive_replica_is_not_asked_for_the_read_index_twice_in_a_row() {
     let mut harness = light_node();
     let settings = Settings {
         seeds: vec![REPLICA.into(), "10.0.0.9:1".into()],
         ..settings_of_node()
     };
     harness.node = Node::new(settings, harness.now(), 2);
-    harness.follow();
-    let mut effects = ask(&mut harness, "/v1/jobs/unknown");
+    harness.install_full_copy();
+    let mut effects = send_read(&mut harness, "/v1/jobs/unknown");
     for _ in 0..60 {
         harness.elapsed_ms += 20;
         let now = harness.now();
@@ -265,27 +281,34 @@
 }
 
 #[test]
-fn retries_are_a_share_of_the_calls_when_every_node_is_silent() {
+fn retries_are_limited_to_a_share_of_the_calls_when_no_node_responds() {
     let mut harness = light_node();
     let calls = 400;
     let mut forwards = 0;
     for _ in 0..calls {
-        forwards += forwarded(&ask(&mut harness, "/v1/jobs/j")).len();
-        forwards += forwarded(&pass(&mut harness, 20)).len();
+        forwards += forwarded(&send_read(&mut harness, "/v1/jobs/j")).len();
+        forwards += forwarded(&pass_time(&mut harness, 20)).len();
     }
-    forwards += forwarded(&pass(&mut harness, Bounds::default().call())).len();
+    forwards += forwarded(&pass_time(
+        &mut harness,
+        Bounds::default().request_timeout(),
+    ))
+    .len();
     assert!(forwards >= calls, "{forwards}");
-    // A tenth of the calls, one a second, and what was saved up.
-    assert!(forwards < calls + calls / 10 + 11 + 10 + 1, "{forwards}");
+    // The retry budget: a tenth of the calls, one retry per second, and the initial budget. The loop takes 8 s and the
+    // wait for the last timeouts at most 3 s.
+    let (duration_s, initial_budget) = (11, 10);
+    let max_forwards = calls + calls / 10 + duration_s + initial_budget;
+    assert!(forwards <= max_forwards, "{forwards}");
 }
 
-/// A route is added.
+/// Adds a route by host and path to the configuration.
 fn add_route(harness: &mut NodeHarness) {
     harness.append(Command::UpdateConfig {
         change: "route".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"service": "s", "host": "host.example", "prefix": "/p/"}}}),
     });
 }
@@ -295,7 +318,7 @@
     let body = Body::ForwardRequest(Box::new(request.clone()));
     let effects = harness
         .node
-        .step(harness.now(), Msg::Wire(HOLDERS[2].into(), body));
+        .step(harness.now(), Msg::Received(HOLDERS[2].into(), body));
     let responses = effects.iter().filter_map(|effect| match effect {
         Effect::Send(_, Body::ForwardResponse(response)) => Some(response.status),
         _ => None,
@@ -304,24 +327,27 @@
 }
 
 #[test]
-fn a_count_at_a_route_that_was_added_is_not_refused_by_a_node_that_does_not_have_it_yet() {
+fn a_node_without_a_new_route_does_not_answer_a_forwarded_waiting_count_request_with_404() {
     let mut asked = light_node();
     add_route(&mut asked);
-    asked.follow_light();
-    let (_, request) = forwarded(&ask(&mut asked, "/v1/at/host.example/p/"))
+    asked.install_light_copy();
+    let (_, request) = forwarded(&send_read(&mut asked, "/v1/at/host.example/p/"))
         .first()
-        .expect("a light copy can't count")
+        .expect("a node with a light copy forwards the request")
         .clone();
     let mut other = NodeHarness::new();
-    other.follow();
+    other.install_full_copy();
     let status = forward_status(&mut other, &request);
-    assert_eq!(status, 503, "the next one is asked");
+    assert_eq!(
+        status, 503,
+        "503 makes the forwarding node ask the next one"
+    );
     add_route(&mut other);
-    other.follow();
+    other.install_full_copy();
     assert_eq!(forward_status(&mut other, &request), 200);
 }
 
-/// Hands a job in by host and path.
+/// Submits a job by host and path.
 fn submit(harness: &mut NodeHarness, path: &str) -> Vec<Effect> {
     let request = Request {
         method: "POST".into(),
@@ -334,29 +360,33 @@
 }
 
 #[test]
-fn a_node_whose_caller_was_answered_by_a_newer_configuration_does_not_go_back_to_its_own() {
+fn after_an_answer_from_a_newer_configuration_a_node_does_not_answer_from_its_older_one() {
     let mut harness = light_node();
     add_route(&mut harness);
-    harness.follow_light();
+    harness.install_light_copy();
     let version = harness.node.state().version;
-    let (to, request) = forwarded(&ask(&mut harness, "/v1/at/host.example/p/"))
+    let (to, request) = forwarded(&send_read(&mut harness, "/v1/at/host.example/p/"))
         .first()
-        .expect("a light copy can't count")
+        .expect("a node with a light copy forwards the request")
         .clone();
-    let effects = respond_by_version(&mut harness, &to, &request, 404, version + 1);
+    let effects = respond_with_version(&mut harness, &to, &request, 404, version + 1);
     assert_eq!(answer(&effects).map(|response| response.status), Some(404));
-    // The route was removed there: here it still is.
-    let again = forwarded(&ask(&mut harness, "/v1/at/host.example/p/"));
+    // The other node's configuration no longer has the route; this node's still has it.
+    let again = forwarded(&send_read(&mut harness, "/v1/at/host.example/p/"));
     assert_eq!(again[0].1.query, format!("config={}", version + 1));
-    let never_there = ask(&mut harness, "/v1/at/host.example/other/");
-    assert_eq!(answer(&never_there), None, "it may be there by now");
+    let unknown_route = send_read(&mut harness, "/v1/at/host.example/other/");
+    assert_eq!(
+        answer(&unknown_route),
+        None,
+        "a newer configuration may have the route"
+    );
     let submitted = submit(&mut harness, "/v1/at/host.example/p/1");
     let status = answer(&submitted).map(|response| response.status);
-    assert_eq!(status, Some(503), "it was not taken");
-    // A copy that is as new as that answer decides again.
+    assert_eq!(status, Some(503), "the job was not accepted");
+    // Once the copy is as fresh as that answer, the node answers from it again.
     harness.elapsed_ms += 20;
-    harness.follow_light();
-    let never_there = ask(&mut harness, "/v1/at/host.example/other/");
-    let status = answer(&never_there).map(|response| response.status);
+    harness.install_light_copy();
+    let unknown_route = send_read(&mut harness, "/v1/at/host.example/other/");
+    let status = answer(&unknown_route).map(|response| response.status);
     assert_eq!(status, Some(404));
 }
--- a/landingdrift/tests/gang_claims.rs
+++ b/landingdrift/tests/gang_claims.rs
@@ -1,4 +1,5 @@
-//! Workers that are kept free for a gang: only where they will come free, and not from jobs that are idle for long.
+//! Claims of workers for a gang: only workers that can become free enough are claimed, and claims do not starve idle
+//! jobs.
 
 mod node_harness;
 
@@ -22,31 +23,32 @@
     }
 }
 
-/// A worker of four units on which a job goes on, and a gang that needs the whole worker and has waited in vain.
-fn gang_waits_beside(running: StepSpec, cpu: u32) -> NodeHarness {
+/// A harness whose worker has 4 CPU: one job that needs `cpu` runs on it, a gang that needs all 4 has been waiting for
+/// it, and a small job was just submitted.
+fn harness_with_waiting_gang(running: StepSpec, cpu: u32) -> NodeHarness {
     let mut harness = NodeHarness::new();
-    harness.accept_single("running", running, cpu);
+    harness.submit_single("running", running, cpu);
     harness.append_start("running");
-    harness.follow();
-    harness.accept_single("gang", gang(), 4);
-    harness.follow();
+    harness.install_full_copy();
+    harness.submit_single("gang", gang(), 4);
+    harness.install_full_copy();
     assert_eq!(harness.pass_time(4000, &["running"]), Vec::<String>::new());
-    harness.accept_single("small", StepSpec::default(), 1);
-    harness.follow();
+    harness.submit_single("small", StepSpec::default(), 1);
+    harness.install_full_copy();
     harness
 }
 
 #[test]
-fn a_gang_that_fits_beside_no_long_running_task_keeps_no_worker_from_other_jobs() {
-    let mut harness = gang_waits_beside(long_running(), 1);
+fn a_gang_does_not_claim_a_worker_that_can_not_become_free_enough() {
+    let mut harness = harness_with_waiting_gang(long_running(), 1);
     assert_eq!(harness.pass_time(3000, &["running"]), ["small"]);
 }
 
-/// Guards against LOST: a job with nothing running for 3 s, beside a claim on a worker whose work takes minutes.
-/// The gang goes first for a part of these 3 s.
+/// Regression test for a violation of the rule LOST in RULES.md: a job had no running attempt for 3 s because a gang
+/// claimed a worker that was busy for minutes. The gang may have priority only for a part of these 3 s.
 #[test]
-fn a_claim_keeps_no_spare_capacity_from_a_job_with_nothing_running() {
-    let mut harness = gang_waits_beside(StepSpec::default(), 1);
+fn an_idle_job_starts_despite_a_claim_when_there_is_spare_capacity() {
+    let mut harness = harness_with_waiting_gang(StepSpec::default(), 1);
     assert_eq!(
         harness.pass_time(1000, &["running"]),
         Vec::<String>::new(),
@@ -55,9 +57,9 @@
     assert_eq!(harness.pass_time(2000, &["running"]), ["small"]);
 }
 
-/// RULES.md, LOST, allows the wait: it counts while "less than half of the service's room is in use".
+/// The job may wait: the rule LOST in RULES.md applies only while "less than half of the service's room is in use".
 #[test]
-fn in_a_busy_service_a_claim_holds() {
-    let mut harness = gang_waits_beside(StepSpec::default(), 3);
+fn a_claim_blocks_idle_jobs_without_spare_capacity() {
+    let mut harness = harness_with_waiting_gang(StepSpec::default(), 3);
     assert_eq!(harness.pass_time(4000, &["running"]), Vec::<String>::new());
 }
--- a/landingdrift/tests/node_harness/mod.rs
+++ b/landingdrift/tests/node_harness/mod.rs
@@ -1,11 +1,11 @@
-//! A node that holds the leases of a zone and a queue; the tests play its workers, its replicas and its clock.
+//! Test harness: a node that holds the leases of a zone and a queue, with a simulated worker, replica and clock.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod heartbeats;
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Response, StateMachine};
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::state::{
     pack_apply_result, ClusterState, Command, EndReport, JobSpec, Outcome, Placement, StepSpec,
@@ -14,8 +14,10 @@
 use landingdrift::wire::{Body, ProposeRequest, ProposeResponse, WatchBatch};
 use serde_json::json;
 
+/// The address of the node under test.
 pub const NODE: &str = "10.0.0.1:1";
 
+/// The address of the only replica, which is the leader.
 pub const REPLICA: &str = "10.0.0.2:1";
 
 /// A node that holds the leases of zone `z` and queue `q`, with one worker.
@@ -28,13 +30,14 @@
     pub call: u64,
 }
 
-/// What was committed, and the effects of the answers to it.
+/// Committed commands, and the node's effects on receiving the responses.
 #[derive(Default)]
 pub struct Committed {
     pub commands: Vec<Command>,
-    pub answers: Vec<Effect>,
+    pub effects: Vec<Effect>,
 }
 
+/// The identity and resources of worker `w`.
 pub fn info() -> WorkerInfo {
     WorkerInfo {
         worker: "w".into(),
@@ -76,9 +79,9 @@
         }
         harness.append(Command::UpdateConfig {
             change: "c".into(),
-            base: 0,
-            patch: false,
-            number: 0,
+            base_version: 0,
+            is_patch: false,
+            version: 0,
             value: json!({"queues": {"q": {"tries": 3, "quota": 9, "windowMs": 1000, "unsureBoundMs": 1000, "speculationPercent": 0}},
                 "services": {"s": {"taskRoom": 4, "gangRoom": 8}}}),
         });
@@ -97,7 +100,7 @@
             .unwrap_or_else(|rejection| panic!("{command:?}: {rejection}"));
     }
 
-    /// Registers a node of the zone, by its address and the one for HTTP.
+    /// Registers a node in the zone, with its address and its HTTP address.
     pub fn register_node(&mut self, node: &str, http: &str) {
         self.append(Command::RegisterNode {
             node: node.into(),
@@ -106,21 +109,21 @@
         });
     }
 
-    /// Appends what the node proposes among some effects, answers it, and lets the node follow.
+    /// Commits the proposals among the effects, responds to them, and gives the node a full copy.
     pub fn commit(&mut self, effects: Vec<Effect>) -> Committed {
         let mut committed = Committed::default();
         for effect in effects {
             if let Effect::Send(_, Body::ProposeRequest(request)) = effect {
-                let (command, answers) = self.commit_proposal(*request);
+                let (command, effects) = self.commit_proposal(*request);
                 committed.commands.push(command);
-                committed.answers.extend(answers);
+                committed.effects.extend(effects);
             }
         }
-        self.follow();
+        self.install_full_copy();
         committed
     }
 
-    /// Appends a proposal of the node, and answers it; returns the effects of the answer as well.
+    /// Commits a proposal of the node and responds to it; returns the command and the effects of the response.
     pub fn commit_proposal(&mut self, request: ProposeRequest) -> (Command, Vec<Effect>) {
         let command = Command::unpack(&request.command).expect("a command");
         let log_index = self.state.applied_index + 1;
@@ -135,7 +138,7 @@
         };
         let body = Body::ProposeResponse(Box::new(response));
         let now = self.now();
-        let effects = self.node.step(now, Msg::Wire(REPLICA.into(), body));
+        let effects = self.node.step(now, Msg::Received(REPLICA.into(), body));
         (command, effects)
     }
 
@@ -146,17 +149,17 @@
         }
     }
 
-    /// Lets the node catch up with the cluster state.
-    pub fn follow(&mut self) -> Vec<Effect> {
+    /// Gives the node a full copy of the cluster state.
+    pub fn install_full_copy(&mut self) -> Vec<Effect> {
         self.install_copy(self.state.pack(), false)
     }
 
     /// Gives the node a light copy of the cluster state.
-    pub fn follow_light(&mut self) -> Vec<Effect> {
-        self.install_copy(self.state.light().pack(), true)
+    pub fn install_light_copy(&mut self) -> Vec<Effect> {
+        self.install_copy(self.state.without_jobs_and_workers().pack(), true)
     }
 
-    /// A batch without entries for the node's copy, whose kind is `light`.
+    /// A batch without entries, for a node with a light (`light`) or full copy.
     pub fn batch(&self, light: bool) -> WatchBatch {
         let index = self.state.applied_index;
         WatchBatch {
@@ -190,11 +193,11 @@
         let now = self.now();
         self.node.step(
             now,
-            Msg::Wire(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
+            Msg::Received(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
         )
     }
 
-    /// Another node holds the zone's lease for a moment; then this one holds it again, under another epoch.
+    /// Grants the zone's lease to another node and then back to this one, under a new epoch.
     pub fn pass_zone_lease_back_and_forth(&mut self) {
         let other = "10.0.0.3:1";
         self.register_node(other, other);
@@ -205,14 +208,14 @@
                 holder: holder.into(),
                 from_epoch,
             });
-            self.follow();
+            self.install_full_copy();
         }
     }
 
-    /// Accepts a job of one step with so many tasks.
-    pub fn accept(&mut self, id: &str, count: u32) {
+    /// Submits a job of one step with `count` tasks.
+    pub fn submit(&mut self, id: &str, count: u32) {
         let seen = self.state.applied_index;
-        self.append(Command::AcceptJob {
+        self.append(Command::SubmitJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
@@ -232,19 +235,19 @@
         });
     }
 
-    /// Accepts a job of one task, and places it on the worker; the node follows.
+    /// Submits a job of one task, starts it on the worker, and gives the node a full copy.
     pub fn start_job(&mut self) {
         self.append_started_job();
-        self.follow();
+        self.install_full_copy();
     }
 
-    /// Appends a job of one task and its start on the worker, under the present epoch of the zone's lease.
+    /// Appends a job of one task and its start on the worker, under the current epoch of the zone's lease.
     pub fn append_started_job(&mut self) {
-        self.accept("j", 1);
+        self.submit("j", 1);
         self.append_start("j");
     }
 
-    /// Appends the start of a job's first task on the worker, under the present epoch of the zone's lease.
+    /// Appends the start of a job's first task on the worker, under the current epoch of the zone's lease.
     pub fn append_start(&mut self, job: &str) {
         let zone_epoch = self.state.leases["cell/z"].epoch;
         self.append(Command::StartAttempts {
@@ -260,8 +263,8 @@
         });
     }
 
-    /// Accepts a job of one task on so many thousandths of a core, otherwise as `template` says.
-    pub fn accept_single(&mut self, id: &str, template: StepSpec, cpu: u32) {
+    /// Submits a job of one task that needs `cpu` thousandths of a core; other properties are those of `template`.
+    pub fn submit_single(&mut self, id: &str, template: StepSpec, cpu: u32) {
         let seen = self.state.applied_index;
         let task = TaskSpec {
             service: "s".into(),
@@ -273,7 +276,7 @@
             task,
             ..template
         };
-        self.append(Command::AcceptJob {
+        self.append(Command::SubmitJob {
             spec: JobSpec {
                 id: id.into(),
                 queue: "q".into(),
@@ -285,7 +288,7 @@
         });
     }
 
-    /// A counter of the node; 0 if it has not counted yet.
+    /// The value of one of the node's counters; 0 if it does not exist yet.
     pub fn counter(&self, name: &str) -> u64 {
         let counters = self.node.counters();
         let found = counters.iter().find(|(counter, _)| counter == name);
@@ -293,13 +296,13 @@
     }
 }
 
-/// The response among some effects, and the commands that were proposed.
+/// The response and the proposed commands among the effects.
 pub fn response_and_proposals(effects: Vec<Effect>) -> (Option<Response>, Vec<Command>) {
     let mut response = None;
     let mut proposed = Vec::new();
     for effect in effects {
         match effect {
-            Effect::Answer(_, answer) => response = Some(answer),
+            Effect::Respond(_, answer) => response = Some(answer),
             Effect::Send(_, Body::ProposeRequest(request)) => {
                 proposed.push(Command::unpack(&request.command).expect("a command"))
             }
@@ -309,7 +312,7 @@
     (response, proposed)
 }
 
-/// The ends of attempts that were never started, as some commands report them.
+/// The ends with outcome `NeverStarted` in the commands.
 pub fn never_started(commands: &[Command]) -> Vec<EndReport> {
     let mut never_started = Vec::new();
     for command in commands {
--- a/landingdrift/tests/orders.rs
+++ b/landingdrift/tests/orders.rs
@@ -1,14 +1,15 @@
-//! Orders of operators take effect once, and are answered alike however often they arrive.
+//! Orders of operators take effect at most once, and every copy gets the same response.
 
 mod common;
 
-use common::{put, Cluster, Reply};
+use common::{put, ClientResponse, Cluster};
 use landingdrift::sans_io::Request;
 use serde_json::json;
 
 const DAY_MS: u64 = 86_400_000;
 
-fn zone(method: &str) -> Request {
+/// A request that starts (PUT) or ends (DELETE) the evacuation of zone `z`.
+fn evacuation(method: &str) -> Request {
     Request {
         method: method.into(),
         path: "/v1/zones/z/empty".into(),
@@ -16,7 +17,7 @@
     }
 }
 
-/// A change that names its identity, as operators send it.
+/// A configuration change with an identity, as operators send it.
 fn change(base: u64, id: &str, note: &str) -> Request {
     put(
         base,
@@ -26,37 +27,40 @@
 }
 
 #[test]
-fn a_zone_order_that_arrives_again_after_its_opposite_changes_nothing() {
+fn a_late_copy_of_a_zone_order_does_not_undo_the_opposite_order() {
     let mut cluster = Cluster::new(1);
-    let mut begin = cluster.call(0, zone("PUT"));
-    let first = cluster.commit(&mut begin);
-    let mut finish = cluster.call(0, zone("DELETE"));
-    cluster.commit(&mut finish);
+    let mut evacuate = cluster.call(0, evacuation("PUT"));
+    let first = cluster.commit(&mut evacuate);
+    let mut end_evacuation = cluster.call(0, evacuation("DELETE"));
+    cluster.commit(&mut end_evacuation);
     assert!(cluster.state.evacuated_zones.is_empty());
-    let second = cluster.commit(&mut begin);
+    let second = cluster.commit(&mut evacuate);
     assert!(
         cluster.state.evacuated_zones.is_empty(),
-        "the late copy emptied the zone"
+        "the late copy evacuated the zone"
+    );
+    assert_eq!(
+        second.response, first.response,
+        "the same result as the first copy"
     );
-    assert_eq!(second.response, first.response, "it gets its first answer");
 }
 
 #[test]
-fn an_order_that_reaches_the_log_after_its_deadline_commits_as_nothing() {
+fn an_order_committed_after_its_deadline_has_no_effect() {
     let mut cluster = Cluster::new(1);
-    let mut begin = cluster.call(0, zone("PUT"));
-    cluster.pass(60_000);
-    let late = cluster.commit(&mut begin);
+    let mut evacuate = cluster.call(0, evacuation("PUT"));
+    cluster.advance(60_000);
+    let late = cluster.commit(&mut evacuate);
     assert!(
         cluster.state.evacuated_zones.is_empty(),
-        "the late order was obeyed"
+        "the late order took effect"
     );
-    let told = cluster.answer(&begin, &late).expect("answered");
-    assert_eq!((told.status, told.kind()), (503, "unsure"));
+    let reply = cluster.deliver_result(&evacuate, &late).expect("answered");
+    assert_eq!((reply.status, reply.kind()), (503, "unsure"));
 }
 
 #[test]
-fn a_late_copy_of_a_refused_cancel_leaves_a_job_of_the_same_id_alone() {
+fn a_late_copy_of_a_rejected_cancellation_does_not_cancel_a_new_job_with_the_same_id() {
     let mut cluster = Cluster::new(1);
     let cancel = Request {
         method: "DELETE".into(),
@@ -66,15 +70,15 @@
     let mut cancel = cluster.call(0, cancel);
     cluster.commit(&mut cancel);
     let body = json!({"id": "j", "queue": "q", "steps": [{"count": 1, "task": {"service": "s", "room": 1}}]});
-    let hand_in = Request {
+    let submit = Request {
         method: "POST".into(),
         path: "/v1/jobs".into(),
         body: body.to_string().into_bytes(),
         ..Request::default()
     };
-    cluster.pass(10);
-    let mut hand_in = cluster.call(0, hand_in);
-    cluster.commit(&mut hand_in);
+    cluster.advance(10);
+    let mut submit = cluster.call(0, submit);
+    cluster.commit(&mut submit);
     cluster.commit(&mut cancel);
     assert!(
         !cluster.state.jobs["j"].cancel,
@@ -83,16 +87,18 @@
 }
 
 #[test]
-fn a_late_copy_of_a_refused_change_stays_refused_when_it_would_fit_by_now() {
+fn a_late_copy_of_a_rejected_change_stays_rejected_when_its_base_becomes_current() {
     let mut cluster = Cluster::new(2);
-    let mut early = cluster.call(0, put(2, "", &json!({"notes": {"by": "a"}})));
-    let refused = cluster.commit(&mut early);
-    let told = cluster.answer(&early, &refused).expect("answered");
-    assert_eq!((told.status, told.kind()), (409, "rival"));
+    let mut premature_change = cluster.call(0, put(2, "", &json!({"notes": {"by": "a"}})));
+    let rejected = cluster.commit(&mut premature_change);
+    let reply = cluster
+        .deliver_result(&premature_change, &rejected)
+        .expect("answered");
+    assert_eq!((reply.status, reply.kind()), (409, "rival"));
     cluster.order(1, put(1, "", &json!({"notes": {"by": "b"}})));
     assert_eq!(cluster.state.version, 2);
-    let late = cluster.commit(&mut early);
-    assert_eq!(late.response, refused.response);
+    let late = cluster.commit(&mut premature_change);
+    assert_eq!(late.response, rejected.response);
     assert_eq!(
         (
             cluster.state.version,
@@ -103,16 +109,18 @@
 }
 
 #[test]
-fn a_change_whose_answer_was_lost_is_acknowledged_though_another_came_since() {
+fn a_change_whose_response_was_lost_is_acknowledged_after_another_change() {
     let mut cluster = Cluster::new(2);
-    let mut mine = cluster.call(0, put(1, "", &json!({"notes": {"by": "a"}})));
-    let taken = cluster.commit(&mut mine);
+    let mut first_change = cluster.call(0, put(1, "", &json!({"notes": {"by": "a"}})));
+    let committed = cluster.commit(&mut first_change);
     let mut other = cluster.call(1, put(2, "", &json!({"notes": {"by": "b"}})));
     cluster.commit(&mut other);
-    let again = cluster.commit(&mut mine);
-    assert_eq!(again.response, taken.response);
-    let told = cluster.answer(&mine, &again).expect("answered");
-    assert_eq!((told.status, told.version()), (200, 2));
+    let repeated = cluster.commit(&mut first_change);
+    assert_eq!(repeated.response, committed.response);
+    let reply = cluster
+        .deliver_result(&first_change, &repeated)
+        .expect("answered");
+    assert_eq!((reply.status, reply.version()), (200, 2));
 }
 
 #[test]
@@ -120,40 +128,43 @@
     let mut cluster = Cluster::new(2);
     assert_eq!(cluster.order(0, change(1, "mine", "a")).status, 200);
     for n in 0..300 {
-        cluster.pass(1000);
-        let told = cluster.order(1, change(2 + n, &format!("o{n}"), "b"));
-        assert_eq!(told.status, 200);
+        cluster.advance(1000);
+        let reply = cluster.order(1, change(2 + n, &format!("o{n}"), "b"));
+        assert_eq!(reply.status, 200);
     }
-    let again = cluster.order(1, change(1, "mine", "a"));
-    assert_eq!((again.status, again.version()), (200, 2));
+    let repeated = cluster.order(1, change(1, "mine", "a"));
+    assert_eq!((repeated.status, repeated.version()), (200, 2));
 }
 
 #[test]
 fn the_newest_change_is_acknowledged_again_however_late() {
     let mut cluster = Cluster::new(1);
     cluster.order(0, change(1, "mine", "a"));
-    cluster.pass(30 * DAY_MS);
-    let again = cluster.order(0, change(1, "mine", "a"));
-    assert_eq!((again.status, again.version()), (200, 2));
+    cluster.advance(30 * DAY_MS);
+    let repeated = cluster.order(0, change(1, "mine", "a"));
+    assert_eq!((repeated.status, repeated.version()), (200, 2));
 }
 
 #[test]
-fn a_thousand_changes_a_day_are_remembered_for_a_day_and_cost_little() {
+fn a_day_of_1000_changes_is_remembered_in_less_than_200_kb() {
     let mut cluster = Cluster::new(1);
     let before = cluster.state.pack().len();
     for n in 0..3000 {
-        cluster.pass(DAY_MS / 1000);
+        cluster.advance(DAY_MS / 1000);
         let digest = "0".repeat(64);
         cluster.order(0, change(1 + n, &format!("v{n}-{n}-{digest}"), "a"));
     }
     let kept = cluster.state.changes.len();
-    assert!((1000..=1001).contains(&kept), "{kept} changes are kept");
-    let grown = cluster.state.pack().len() - before;
-    assert!(grown < 200_000, "{grown} bytes for a day's changes");
+    assert!(
+        (1000..=1001).contains(&kept),
+        "{kept} changes are remembered"
+    );
+    let growth = cluster.state.pack().len() - before;
+    assert!(growth < 200_000, "{growth} bytes for a day's changes");
 }
 
-/// What came of a race of operators.
-fn race(seed: u64) -> (Cluster, Vec<Option<Reply>>) {
+/// Lets eight operators submit conflicting changes at three nodes; returns the cluster and the responses.
+fn race(seed: u64) -> (Cluster, Vec<Option<ClientResponse>>) {
     let mut cluster = Cluster::new(3);
     let mut rng = landingdrift::sans_io::Rng::new(seed);
     let mut calls: Vec<_> = (0..8)
@@ -162,42 +173,46 @@
             cluster.call(rng.below(3) as usize, put(1, "version=7", &by))
         })
         .collect();
-    // Copies are committed in any order, some of them again; some answers are lost, some leaders are none any more.
+    // Copies are committed in random order, some repeatedly; some responses are lost, and some copies go to a replica
+    // that isn't the leader.
     for _ in 0..40 {
         let n = rng.below(8) as usize;
-        cluster.pass(rng.below(20));
+        cluster.advance(rng.below(20));
         match rng.below(4) {
             0 => cluster.refuse_as_follower(&mut calls[n]),
             1 => {
                 cluster.commit(&mut calls[n]);
             }
             _ => {
-                let ruled = cluster.commit(&mut calls[n]);
-                cluster.answer(&calls[n], &ruled);
+                let result = cluster.commit(&mut calls[n]);
+                cluster.deliver_result(&calls[n], &result);
             }
         }
     }
-    cluster.silence(5000);
-    let told = calls.iter().map(|call| cluster.reply(call)).collect();
-    (cluster, told)
+    cluster.advance_without_responses(5000);
+    let replies = calls.iter().map(|call| cluster.reply(call)).collect();
+    (cluster, replies)
 }
 
 #[test]
-fn of_eight_rivals_under_one_number_only_the_one_in_force_is_ever_confirmed() {
+fn of_eight_conflicting_changes_only_the_one_in_force_is_confirmed() {
     for seed in 0..200 {
-        let (cluster, told) = race(seed);
+        let (cluster, replies) = race(seed);
         let winner = cluster.state.config.notes["by"].clone();
         assert_eq!(cluster.state.version, 7, "seed {seed}");
-        for (n, reply) in told.iter().enumerate() {
+        for (n, reply) in replies.iter().enumerate() {
             let reply = reply.as_ref().expect("every call is answered");
             let won = n.to_string() == winner;
-            let right = match reply.status {
+            let is_consistent = match reply.status {
                 200 => won && reply.version() == 7,
                 409 => !won,
                 503 => reply.kind() == "unsure" || reply.kind() == "noCore" && !won,
                 _ => false,
             };
-            assert!(right, "seed {seed}: {n} was told {reply:?}, {winner} won");
+            assert!(
+                is_consistent,
+                "seed {seed}: {n} got {reply:?}, {winner} won"
+            );
         }
     }
 }
