--- a/landingdrift/tests/redirected_reads.rs
+++ b/landingdrift/tests/redirected_reads.rs
@@ -1,10 +1,10 @@
-//! A large configuration is neither read nor changed through a node with a narrow link: callers give up before an answer has
-//! arrived, and a change would keep the link from all other calls.
+//! A large configuration is neither read nor changed through a node with a light copy, which may have a narrow link:
+//! callers would time out before the response arrives, and the change would block the link for all other calls.
 
 mod node_harness;
 
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::Settings;
 use landingdrift::state::Command;
 use node_harness::{NodeHarness, REPLICA};
@@ -16,7 +16,8 @@
 const LARGE_BYTES: usize = 300_000;
 const CHANGE_QUERY: &str = "base=2&change=c";
 
-/// A node beside one with a full copy, which holds a lease; the configuration has a note of so many bytes.
+/// A node in a cluster where another node has a full copy and holds the leases; the configuration has a note of
+/// `note_bytes`.
 fn harness(note_bytes: usize) -> NodeHarness {
     let mut harness = NodeHarness::new();
     harness.register_node(FULL_COPY, FULL_COPY_HTTP);
@@ -30,20 +31,20 @@
     }
     harness.append(Command::UpdateConfig {
         change: "large".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"notes": {"n": "x".repeat(note_bytes)}}),
     });
     harness
 }
 
-/// Reads the configuration; the answer, if it comes at once.
+/// Reads the configuration; returns the response if there is one at once.
 fn read(harness: &mut NodeHarness) -> Option<Response> {
     call(harness, "GET", "", Vec::new())
 }
 
-/// Changes the configuration to one with a note of so many bytes; the answer, if it comes at once.
+/// Changes the note in the configuration to one of `note_bytes`; returns the response if there is one at once.
 fn change(harness: &mut NodeHarness, note_bytes: usize) -> Option<Response> {
     let body = json!({"notes": {"n": "y".repeat(note_bytes)}});
     let body = serde_json::to_vec(&body).expect("JSON");
@@ -60,16 +61,16 @@
     let now = harness.now();
     let effects = harness.node.step(now, Msg::Call(CALL, request));
     effects.into_iter().find_map(|effect| match effect {
-        Effect::Answer(CALL, response) => Some(response),
+        Effect::Respond(CALL, response) => Some(response),
         _ => None,
     })
 }
 
-/// Guards against the silence of a node while a change of half a megabyte is on its way over its link.
+/// Guards against a node that is unresponsive while it transfers a large change over its link.
 #[test]
-fn a_large_change_does_not_pass_a_narrow_link() {
+fn a_large_change_is_redirected_from_a_node_with_a_light_copy() {
     let mut harness = harness(1000);
-    harness.follow_light();
+    harness.install_light_copy();
     let response = change(&mut harness, LARGE_BYTES).expect("an answer at once");
     assert_eq!(response.status, 307);
     let location = format!("{FULL_COPY_HTTP}/v1/desired?{CHANGE_QUERY}");
@@ -79,17 +80,17 @@
 #[test]
 fn a_small_change_is_proposed_anywhere_and_a_large_one_by_a_node_with_a_full_copy() {
     let mut small_change = harness(1000);
-    small_change.follow_light();
+    small_change.install_light_copy();
     assert_eq!(change(&mut small_change, 1000), None, "it is proposed");
     let mut full_copy = harness(1000);
-    full_copy.follow();
+    full_copy.install_full_copy();
     assert_eq!(change(&mut full_copy, LARGE_BYTES), None, "it is proposed");
 }
 
 #[test]
-fn a_large_configuration_is_not_read_through_a_narrow_link() {
+fn a_read_of_a_large_configuration_is_redirected_from_a_node_with_a_light_copy() {
     let mut harness = harness(LARGE_BYTES);
-    harness.follow_light();
+    harness.install_light_copy();
     let response = read(&mut harness).expect("an answer at once");
     assert_eq!(response.status, 307);
     assert_eq!(response.location, format!("{FULL_COPY_HTTP}/v1/desired"));
@@ -98,19 +99,19 @@
 #[test]
 fn a_small_configuration_is_read_anywhere() {
     let mut harness = harness(1000);
-    harness.follow_light();
+    harness.install_light_copy();
     assert_eq!(read(&mut harness), None, "it is read at this node");
 }
 
 #[test]
-fn a_node_with_a_full_copy_answers_itself() {
+fn a_node_with_a_full_copy_does_not_redirect_reads() {
     let mut harness = harness(LARGE_BYTES);
-    harness.follow();
+    harness.install_full_copy();
     assert_eq!(read(&mut harness), None, "it is read at this node");
 }
 
 #[test]
-fn a_read_is_not_sent_to_a_node_that_may_have_a_light_copy() {
+fn a_read_is_not_redirected_to_a_node_that_may_have_a_light_copy() {
     let mut harness = harness(LARGE_BYTES);
     for lease in ["cell/z", "queue/q"] {
         let from_epoch = harness.state.leases[lease].epoch;
@@ -120,12 +121,12 @@
             from_epoch,
         });
     }
-    harness.follow_light();
+    harness.install_light_copy();
     assert_eq!(read(&mut harness), None, "it is read at this node");
 }
 
 #[test]
-fn a_small_node_without_a_copy_lets_readers_go_on_at_once() {
+fn a_small_node_without_a_copy_rejects_reads_without_a_retry_delay() {
     let settings = Settings {
         listen: node_harness::NODE.into(),
         seeds: vec![REPLICA.into()],
--- a/landingdrift/tests/replicas/disk.rs
+++ b/landingdrift/tests/replicas/disk.rs
@@ -1,20 +1,20 @@
-//! A disk whose behaviour the tests rule over.
+//! A simulated disk whose behaviour is controlled by the tests.
 
-use landingdrift::consensus::Loaded;
+use landingdrift::consensus::PersistedState;
 use landingdrift::sans_io::WriteBatch;
 use std::collections::VecDeque;
 
-/// How a disk behaves.
+/// The reaction of a disk to writes: it confirms them, reports errors, or never responds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    Sound,
-    Refuses,
+    Works,
+    Fails,
     Hangs,
 }
 
-/// A replica's disk: what is durable, and what was handed over and is not.
+/// A replica's disk: the durable state, and the writes that are not durable yet.
 pub struct TestDisk {
-    pub durable: Loaded,
+    pub durable: PersistedState,
     pub pending: VecDeque<WriteBatch>,
     pub behaviour: Behaviour,
     pub(super) next_retry: u64,
@@ -22,47 +22,58 @@
 
 impl TestDisk {
     pub(super) fn new(disk: u64) -> Self {
-        let durable = Loaded {
+        let durable = PersistedState {
             disk,
-            ..Loaded::default()
+            ..PersistedState::default()
         };
         Self {
             durable,
             pending: VecDeque::new(),
-            behaviour: Behaviour::Sound,
+            behaviour: Behaviour::Works,
             next_retry: 0,
         }
     }
 
-    pub(super) fn write_all(&mut self) -> Option<u64> {
-        let last = self.pending.back().map(|s| s.write_id);
-        for s in std::mem::take(&mut self.pending) {
-            write(&mut self.durable, s);
+    /// Makes all pending writes durable; returns the number of the last one.
+    pub(super) fn complete_writes(&mut self) -> Option<u64> {
+        let last = self.pending.back().map(|batch| batch.write_id);
+        for batch in std::mem::take(&mut self.pending) {
+            apply_batch(&mut self.durable, batch);
         }
         last
     }
 
-    /// The last index that a restart would find.
+    /// The last log index that a restarted replica would load.
     pub fn last(&self) -> u64 {
-        let snapshot = self.durable.snapshot.as_ref().map_or(0, |c| c.index);
-        self.durable.entries.last().map_or(snapshot, |e| e.index)
+        let snapshot = self
+            .durable
+            .snapshot
+            .as_ref()
+            .map_or(0, |snapshot| snapshot.index);
+        self.durable
+            .entries
+            .last()
+            .map_or(snapshot, |entry| entry.index)
     }
 }
 
-fn write(to: &mut Loaded, s: WriteBatch) {
-    s.hard_state.into_iter().for_each(|h| to.hard_state = h);
-    if let Some(cut) = s.truncate_from {
-        to.entries.retain(|e| e.index < cut);
+fn apply_batch(state: &mut PersistedState, batch: WriteBatch) {
+    batch
+        .hard_state
+        .into_iter()
+        .for_each(|hard_state| state.hard_state = hard_state);
+    if let Some(first_removed) = batch.truncate_from {
+        state.entries.retain(|entry| entry.index < first_removed);
     }
-    if let Some(snapshot) = s.snapshot {
-        to.entries.retain(|e| e.index > snapshot.index);
-        to.snapshot = Some(snapshot);
+    if let Some(snapshot) = batch.snapshot {
+        state.entries.retain(|entry| entry.index > snapshot.index);
+        state.snapshot = Some(snapshot);
     }
-    for e in s.entries {
-        to.entries.retain(|x| x.index < e.index);
-        to.entries.push(e);
+    for entry in batch.entries {
+        state.entries.retain(|kept| kept.index < entry.index);
+        state.entries.push(entry);
     }
-    if !s.witnesses.is_empty() {
-        to.witnesses = s.witnesses;
+    if !batch.witnesses.is_empty() {
+        state.witnesses = batch.witnesses;
     }
 }
--- a/landingdrift/tests/replicas/mod.rs
+++ b/landingdrift/tests/replicas/mod.rs
@@ -1,4 +1,4 @@
-//! Three replicas in one thread, with time, wires and disks that the tests rule over.
+//! Three replicas in one thread, with time, network and disks controlled by the tests.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -8,7 +8,7 @@
 pub use disk::{Behaviour, TestDisk};
 
 use landingdrift::consensus::Replica;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::{Limits, Settings};
 use landingdrift::state::Command;
 use landingdrift::wire::{
@@ -18,44 +18,44 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const TICK_MS: u64 = 20;
-const LINK_MS: u64 = 1;
-/// How often a disk that refuses is tried again.
+const LINK_LATENCY_MS: u64 = 1;
+/// The interval between retries of writes to a failing disk.
 const RETRY_MS: u64 = 100;
 const CLIENT: &str = "10.9.9.9:1";
 pub const NODE: &str = "10.8.8.8:1";
 
-/// A message on its way, or arrived at somebody who is no replica.
+/// A message sent by a replica.
 #[derive(Clone, Debug)]
-pub struct Carried {
+pub struct SentMessage {
     pub from: String,
     pub to: String,
     pub body: Body,
 }
 
-pub struct Cores {
-    pub t: u64,
+pub struct TestCluster {
+    pub now_ms: u64,
     pub replicas: Vec<Option<Replica>>,
     pub disks: Vec<TestDisk>,
     pub settings: Vec<Settings>,
-    /// Messages by when they arrive, in the order in which they were sent.
-    wires: VecDeque<(u64, Carried)>,
-    /// Says which messages are lost.
-    pub loses: Box<dyn Fn(&Carried) -> bool>,
-    /// All that was sent to nobody here.
-    pub outside: Vec<Carried>,
-    /// All that was sent between replicas, oldest first.
-    pub sent: Vec<(u64, Carried)>,
-    pub lines: Vec<String>,
+    /// The messages in flight with their time of arrival, in the order in which they were sent.
+    in_flight: VecDeque<(u64, SentMessage)>,
+    /// Returns whether a message is lost.
+    pub drops_message: Box<dyn Fn(&SentMessage) -> bool>,
+    /// All messages that have arrived at receivers other than the replicas.
+    pub external_messages: Vec<SentMessage>,
+    /// All messages sent by replicas with the time of sending, oldest first; including lost ones.
+    pub sent: Vec<(u64, SentMessage)>,
+    pub log_lines: Vec<String>,
     pub exits: usize,
-    answers: BTreeMap<u64, Response>,
-    next: u64,
+    responses: BTreeMap<u64, Response>,
+    last_number: u64,
 }
 
 pub fn name(i: usize) -> String {
     format!("10.0.0.{i}:7000")
 }
 
-impl Cores {
+impl TestCluster {
     pub fn start(limits: Limits) -> Self {
         let names: Vec<String> = (0..3).map(name).collect();
         let settings: Vec<Settings> = (0..3)
@@ -67,105 +67,110 @@
                 ..Settings::default()
             })
             .collect();
-        let mut all = Self {
-            t: 0,
+        let mut cluster = Self {
+            now_ms: 0,
             replicas: (0..3).map(|_| None).collect(),
             disks: (0..3).map(|i| TestDisk::new(i + 1)).collect(),
             settings,
-            wires: VecDeque::new(),
-            loses: Box::new(|_| false),
-            outside: Vec::new(),
+            in_flight: VecDeque::new(),
+            drops_message: Box::new(|_| false),
+            external_messages: Vec::new(),
             sent: Vec::new(),
-            lines: Vec::new(),
+            log_lines: Vec::new(),
             exits: 0,
-            answers: BTreeMap::new(),
-            next: 0,
+            responses: BTreeMap::new(),
+            last_number: 0,
         };
-        (0..3).for_each(|i| all.boot(i));
-        assert!(all.until(20_000, |c| c.leader().is_some()), "nobody leads");
-        all.run(1000);
-        all
+        (0..3).for_each(|i| cluster.start_replica(i));
+        assert!(
+            cluster.run_until(20_000, |cluster| cluster.leader().is_some()),
+            "no leader was elected"
+        );
+        cluster.run(1000);
+        cluster
     }
 
     fn now(&self) -> Now {
         Now {
-            mono: self.t + 1,
-            wall: 1_700_000_000_000 + self.t,
+            mono: self.now_ms + 1,
+            wall: 1_700_000_000_000 + self.now_ms,
         }
     }
 
-    /// Starts a replica from what its disk holds.
-    pub fn boot(&mut self, i: usize) {
+    /// Starts a replica from the durable state of its disk.
+    pub fn start_replica(&mut self, i: usize) {
         let (settings, now) = (self.settings[i].clone(), self.now());
         let loaded = self.disks[i].durable.clone();
-        let replica = Replica::new(settings, loaded, now, 77 + i as u64 + self.t);
+        let replica = Replica::new(settings, loaded, now, 77 + i as u64 + self.now_ms);
         self.replicas[i] = Some(replica.expect("a sound disk loads"));
     }
 
-    /// The power of a core goes: what was not durable is lost.
-    pub fn kill(&mut self, i: usize) {
+    /// Crashes a replica: writes that are not durable are lost, as are messages in flight to it.
+    pub fn crash(&mut self, i: usize) {
         self.replicas[i] = None;
         self.disks[i].pending.clear();
-        let gone = name(i);
-        self.wires.retain(|(_, c)| c.to != gone);
+        let crashed = name(i);
+        self.in_flight.retain(|(_, message)| message.to != crashed);
     }
 
     pub fn replica(&self, i: usize) -> &Replica {
-        self.replicas[i].as_ref().expect("it runs")
+        self.replicas[i].as_ref().expect("a running replica")
     }
 
-    pub fn counter(&self, i: usize, of: &str) -> u64 {
+    pub fn counter(&self, i: usize, name: &str) -> u64 {
         let all = self.replica(i).counters();
-        all.into_iter().find(|(k, _)| k == of).map_or(0, |(_, v)| v)
+        all.into_iter()
+            .find(|(key, _)| key == name)
+            .map_or(0, |(_, value)| value)
     }
 
     /// The leader of the newest term.
     pub fn leader(&self) -> Option<usize> {
         (0..self.replicas.len())
-            .filter(|i| self.replicas[*i].as_ref().is_some_and(Replica::leads))
+            .filter(|i| self.replicas[*i].as_ref().is_some_and(Replica::is_leader))
             .max_by_key(|i| self.replica(*i).term())
     }
 
     pub fn run(&mut self, ms: u64) {
-        let end = self.t + ms;
-        while self.t < end {
-            self.pass();
+        let end = self.now_ms + ms;
+        while self.now_ms < end {
+            self.advance_one_ms();
         }
     }
 
-    /// Runs until something holds; false where it does not within so many milliseconds.
-    pub fn until(&mut self, ms: u64, holds: impl Fn(&Self) -> bool) -> bool {
-        let end = self.t + ms;
-        while self.t < end && !holds(self) {
-            self.pass();
+    /// Runs until a condition holds, for at most `ms` milliseconds; returns whether it holds.
+    pub fn run_until(&mut self, ms: u64, condition: impl Fn(&Self) -> bool) -> bool {
+        let end = self.now_ms + ms;
+        while self.now_ms < end && !condition(self) {
+            self.advance_one_ms();
         }
-        holds(self)
+        condition(self)
     }
 
-    /// One millisecond passes.
-    fn pass(&mut self) {
-        self.t += 1;
-        while let Some((_, c)) = self.wires.pop_front_if(|(at, _)| *at <= self.t) {
-            match (0..3).find(|i| name(*i) == c.to) {
-                Some(i) => self.step(i, Msg::Wire(c.from, c.body)),
-                None => self.outside.push(c),
+    /// Advances the time by one millisecond.
+    fn advance_one_ms(&mut self) {
+        self.now_ms += 1;
+        while let Some((_, message)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.now_ms) {
+            match (0..3).find(|i| name(*i) == message.to) {
+                Some(i) => self.step(i, Msg::Received(message.from, message.body)),
+                None => self.external_messages.push(message),
             }
         }
         for i in 0..3 {
-            self.disk(i);
-            if (self.t + i as u64 * 7).is_multiple_of(TICK_MS) {
+            self.step_disk(i);
+            if (self.now_ms + i as u64 * 7).is_multiple_of(TICK_MS) {
                 self.step(i, Msg::Tick);
             }
         }
     }
 
-    fn disk(&mut self, i: usize) {
-        let (t, disk) = (self.t, &mut self.disks[i]);
+    fn step_disk(&mut self, i: usize) {
+        let (now_ms, disk) = (self.now_ms, &mut self.disks[i]);
         let msg = match disk.behaviour {
-            Behaviour::Sound => disk.write_all().map(Msg::Persisted),
-            Behaviour::Refuses if !disk.pending.is_empty() && t >= disk.next_retry => {
-                disk.next_retry = t + RETRY_MS;
-                Some(Msg::DiskFailed("the disk is full".into()))
+            Behaviour::Works => disk.complete_writes().map(Msg::Persisted),
+            Behaviour::Fails if !disk.pending.is_empty() && now_ms >= disk.next_retry => {
+                disk.next_retry = now_ms + RETRY_MS;
+                Some(Msg::WriteFailed("the disk is full".into()))
             }
             _ => None,
         };
@@ -181,124 +186,141 @@
             match effect {
                 Effect::Send(to, body) => {
                     let from = name(i);
-                    self.carry(i, Carried { from, to, body });
+                    self.send(i, SentMessage { from, to, body });
                 }
-                Effect::Persist(save) => self.disks[i].pending.push_back(save),
-                Effect::Answer(call, v) => {
-                    self.answers.insert(call, v);
+                Effect::Persist(batch) => self.disks[i].pending.push_back(batch),
+                Effect::Respond(call, response) => {
+                    self.responses.insert(call, response);
+                }
+                Effect::Log(text) => {
+                    self.log_lines
+                        .push(format!("{} {}: {text}", self.now_ms, name(i)))
                 }
-                Effect::Log(text) => self.lines.push(format!("{} {}: {text}", self.t, name(i))),
                 Effect::Exit => self.exits += 1,
             }
         }
     }
 
-    fn carry(&mut self, i: usize, c: Carried) {
-        self.check_promise(i, &c);
-        self.sent.push((self.t, c.clone()));
-        if !(self.loses)(&c) {
-            self.wires.push_back((self.t + LINK_MS, c));
+    fn send(&mut self, i: usize, message: SentMessage) {
+        self.check_durability(i, &message);
+        self.sent.push((self.now_ms, message.clone()));
+        if !(self.drops_message)(&message) {
+            self.in_flight
+                .push_back((self.now_ms + LINK_LATENCY_MS, message));
         }
     }
 
-    /// Nothing is confirmed, and no vote given, that is not durable.
-    fn check_promise(&self, i: usize, c: &Carried) {
+    /// Checks that acknowledged entries and granted votes are durable.
+    fn check_durability(&self, i: usize, message: &SentMessage) {
         let disk = &self.disks[i];
-        match &c.body {
+        match &message.body {
             Body::AppendResponse(v) if v.ok => {
                 let last = disk.last();
-                assert!(v.matched <= last, "confirms {} of {last}", v.matched);
-                assert!(v.term <= disk.durable.hard_state.term, "a term not durable");
+                assert!(
+                    v.matched <= last,
+                    "acknowledges index {}, but only {last} is durable",
+                    v.matched
+                );
+                assert!(
+                    v.term <= disk.durable.hard_state.term,
+                    "the acknowledged term is not durable"
+                );
             }
             Body::VoteResponse(v) if v.granted && !v.pre => {
-                assert_eq!(disk.durable.hard_state.vote, c.to, "a vote not durable");
+                assert_eq!(
+                    disk.durable.hard_state.vote, message.to,
+                    "the granted vote is not durable"
+                );
                 assert_eq!(disk.durable.hard_state.term, v.term);
             }
             _ => {}
         }
     }
 
-    /// A message from somebody who is no replica.
-    pub fn tell(&mut self, i: usize, from: &str, body: Body) {
-        self.step(i, Msg::Wire(from.into(), body));
+    /// Delivers a message from an external sender to a replica at once.
+    pub fn deliver(&mut self, i: usize, from: &str, body: Body) {
+        self.step(i, Msg::Received(from.into(), body));
     }
 
-    /// Proposes a change that adds a note of so many bytes; its token.
+    /// Proposes a configuration change that adds a note of `bytes` bytes; returns its token.
     pub fn propose(&mut self, i: usize, bytes: usize) -> u64 {
-        let token = self.next + 1;
+        let token = self.last_number + 1;
         let command = Command::UpdateConfig {
             change: format!("c{token}"),
-            base: self.version(i),
-            patch: true,
-            number: 0,
-            value: json!({"notes": {(format!("n{token}")): noise(token, bytes)}}),
+            base_version: self.version(i),
+            is_patch: true,
+            version: 0,
+            value: json!({"notes": {(format!("n{token}")): random_text(token, bytes)}}),
         };
         self.propose_command(i, &command)
     }
 
-    /// Proposes a command; its token.
+    /// Proposes a command; returns its token.
     pub fn propose_command(&mut self, i: usize, command: &Command) -> u64 {
-        self.next += 1;
-        let token = self.next;
+        self.last_number += 1;
+        let token = self.last_number;
         let propose = ProposeRequest {
-            token: request(token),
+            token: request_token(token),
             command: command.pack(),
         };
-        self.tell(i, CLIENT, Body::ProposeRequest(Box::new(propose)));
+        self.deliver(i, CLIENT, Body::ProposeRequest(Box::new(propose)));
         token
     }
 
-    pub fn proposed(&self, token: u64) -> Option<ProposeResponse> {
-        self.outside.iter().find_map(|c| match &c.body {
-            Body::ProposeResponse(p) if p.token == request(token) => Some((**p).clone()),
-            _ => None,
-        })
+    pub fn proposal_response(&self, token: u64) -> Option<ProposeResponse> {
+        self.external_messages
+            .iter()
+            .find_map(|message| match &message.body {
+                Body::ProposeResponse(p) if p.token == request_token(token) => Some((**p).clone()),
+                _ => None,
+            })
     }
 
-    pub fn confirmed(&self, token: u64) -> bool {
-        self.proposed(token).is_some_and(|p| p.outcome == 0)
+    pub fn is_confirmed(&self, token: u64) -> bool {
+        self.proposal_response(token)
+            .is_some_and(|p| p.outcome == 0)
     }
 
-    /// Proposes to the leader until it takes it, and waits until it is confirmed.
-    pub fn change(&mut self, bytes: usize) {
-        let end = self.t + 5000;
-        while self.t < end {
-            let leader = self.leader().expect("somebody leads");
+    /// Proposes a change to the leader until it is accepted, and waits until it is confirmed.
+    pub fn commit_change(&mut self, bytes: usize) {
+        let end = self.now_ms + 5000;
+        while self.now_ms < end {
+            let leader = self.leader().expect("a leader");
             let token = self.propose(leader, bytes);
-            self.until(1000, |c| c.proposed(token).is_some());
-            if self.confirmed(token) {
+            self.run_until(1000, |cluster| cluster.proposal_response(token).is_some());
+            if self.is_confirmed(token) {
                 return;
             }
             self.run(50);
         }
-        panic!("not confirmed: {:#?}", self.lines);
+        panic!("not confirmed: {:#?}", self.log_lines);
     }
 
-    pub fn ask(&mut self, i: usize, path: &str) -> Response {
-        self.next += 1;
-        let call = self.next;
+    pub fn get(&mut self, i: usize, path: &str) -> Response {
+        self.last_number += 1;
+        let call = self.last_number;
         let req = Request {
             method: "GET".into(),
             path: path.into(),
             ..Request::default()
         };
         self.step(i, Msg::Call(call, req));
-        self.answers.remove(&call).expect("an answer at once")
+        self.responses.remove(&call).expect("an answer at once")
     }
 
-    /// A node asks the leader for what follows a log_index.
+    /// Delivers a node's watch request for the entries after `log_index` to the leader.
     pub fn watch_request(&mut self, node: &str, log_index: u64) {
-        self.pull_from(Self::pull_of(node, log_index));
+        self.send_watch_request(Self::watch_request_of(node, log_index));
     }
 
-    pub fn pull_from(&mut self, watch_request: WatchRequest) {
-        let leader = self.leader().expect("somebody leads");
+    pub fn send_watch_request(&mut self, watch_request: WatchRequest) {
+        let leader = self.leader().expect("a leader");
         let node = watch_request.node.clone();
-        self.tell(leader, &node, Body::WatchRequest(Box::new(watch_request)));
+        self.deliver(leader, &node, Body::WatchRequest(Box::new(watch_request)));
     }
 
-    /// What a node asks.
-    pub fn pull_of(node: &str, log_index: u64) -> WatchRequest {
+    /// The watch request of a node that has applied the entries up to `log_index`.
+    pub fn watch_request_of(node: &str, log_index: u64) -> WatchRequest {
         WatchRequest {
             node: node.into(),
             zone: "z".into(),
@@ -319,48 +341,56 @@
         }
     }
 
-    /// Replicas that a node has asked for the first time, after a change; the index that the leader has applied. The node is
-    /// registered, and what that gives cause for is settled.
-    pub fn start_followed() -> (Self, u64) {
-        let mut cores = Self::start(Limits::default());
-        assert!(cores.until(5000, |cores| cores.leader().is_some()));
-        cores.change(10);
-        cores.pull_from(Self::pull_of(NODE, 0));
-        cores.run(3000);
-        let leader = cores.leader().expect("somebody leads");
-        let applied = cores.replica(leader).state().applied_index;
-        (cores, applied)
+    /// Starts a cluster, commits a change, and registers a node by its first watch request. Waits until the leader has
+    /// applied all commands that follow from the registration; returns the cluster and the applied index.
+    pub fn start_with_node() -> (Self, u64) {
+        let mut cluster = Self::start(Limits::default());
+        assert!(cluster.run_until(5000, |cluster| cluster.leader().is_some()));
+        cluster.commit_change(10);
+        cluster.send_watch_request(Self::watch_request_of(NODE, 0));
+        cluster.run(3000);
+        let leader = cluster.leader().expect("a leader");
+        let applied = cluster.replica(leader).state().applied_index;
+        (cluster, applied)
     }
 
     pub fn batches(&self, node: &str) -> Vec<WatchBatch> {
-        let of = self.outside.iter().filter(|c| c.to == node);
-        of.filter_map(|c| match &c.body {
-            Body::WatchBatch(b) => Some((**b).clone()),
-            _ => None,
-        })
-        .collect()
+        let messages = self
+            .external_messages
+            .iter()
+            .filter(|message| message.to == node);
+        messages
+            .filter_map(|message| match &message.body {
+                Body::WatchBatch(b) => Some((**b).clone()),
+                _ => None,
+            })
+            .collect()
     }
 
     pub fn version(&self, i: usize) -> u64 {
         self.replica(i).state().version
     }
 
-    pub fn all_alike(&self) -> bool {
-        let log_index = |i: usize| self.replicas[i].as_ref().map(|c| c.state().applied_index);
+    pub fn all_in_sync(&self) -> bool {
+        let log_index = |i: usize| {
+            self.replicas[i]
+                .as_ref()
+                .map(|replica| replica.state().applied_index)
+        };
         log_index(0).is_some() && log_index(0) == log_index(1) && log_index(1) == log_index(2)
     }
 }
 
-/// Text that no build makes smaller.
-fn noise(seed: u64, bytes: usize) -> String {
+/// Random text, which does not compress well.
+fn random_text(seed: u64, bytes: usize) -> String {
     let mut rng = landingdrift::sans_io::Rng::new(seed);
     (0..bytes)
         .map(|_| char::from(b'a' + rng.below(26) as u8))
         .collect()
 }
 
-/// The token of a client's request with a number.
-fn request(number: u64) -> RequestToken {
+/// The token of a client's request with the given number.
+fn request_token(number: u64) -> RequestToken {
     RequestToken {
         incarnation: 1,
         number,
--- a/landingdrift/tests/routed_calls.rs
+++ b/landingdrift/tests/routed_calls.rs
@@ -1,14 +1,14 @@
-//! Calls by host and path, to queues whose hosts are declared in any spelling.
+//! Calls by host and path. A queue must be found however its host is spelt, in the configuration and in the call.
 
 mod node_harness;
 
-use landingdrift::sans_io::{Effect, Msg, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Request, Response, StateMachine};
 use landingdrift::state::Command;
 use node_harness::NodeHarness;
 use serde_json::json;
 
-/// The answer to a question for a queue's count.
-fn ask_count(harness: &mut NodeHarness, host: &str) -> Response {
+/// Requests the number of a queue's waiting jobs; returns the response.
+fn request_waiting_count(harness: &mut NodeHarness, host: &str) -> Response {
     harness.call += 1;
     let request = Request {
         method: "GET".into(),
@@ -18,51 +18,57 @@
     let now = harness.now();
     let effects = harness.node.step(now, Msg::Call(harness.call, request));
     let mut answers = effects.into_iter().filter_map(|effect| match effect {
-        Effect::Answer(_, response) => Some(response),
+        Effect::Respond(_, response) => Some(response),
         _ => None,
     });
     answers.next_back().expect("an answer")
 }
 
-/// The queue gets a host and a prefix.
-fn route(harness: &mut NodeHarness, host: &str) {
+/// Sets the queue's host and prefix.
+fn set_route(harness: &mut NodeHarness, host: &str) {
     harness.append(Command::UpdateConfig {
         change: "routes".into(),
-        base: 1,
-        patch: true,
-        number: 0,
+        base_version: 1,
+        is_patch: true,
+        version: 0,
         value: json!({"queues": {"q": {"service": "s", "host": host, "prefix": "/p/"}}}),
     });
-    harness.follow();
+    harness.install_full_copy();
 }
 
 #[test]
-fn a_queue_is_served_however_its_host_is_spelt() {
+fn a_queue_is_found_however_its_host_is_spelt() {
     for declared in ["host.example", "Host.Example", "host.example:80"] {
         let mut harness = NodeHarness::new();
-        route(&mut harness, declared);
+        set_route(&mut harness, declared);
         for called in ["host.example", "HOST.example", "host.example:8161"] {
-            let answer = ask_count(&mut harness, called);
-            assert_eq!(answer.status, 200, "{declared} by {called}");
+            let answer = request_waiting_count(&mut harness, called);
+            assert_eq!(
+                answer.status, 200,
+                "queue host {declared}, called as {called}"
+            );
         }
-        assert_eq!(ask_count(&mut harness, "other.example").status, 404);
+        assert_eq!(
+            request_waiting_count(&mut harness, "other.example").status,
+            404
+        );
     }
 }
 
 #[test]
-fn a_job_that_is_placed_and_has_not_begun_is_counted_as_waiting() {
+fn a_placed_job_counts_as_waiting_until_it_is_running() {
     let mut harness = NodeHarness::new();
-    route(&mut harness, "host.example");
+    set_route(&mut harness, "host.example");
     let waiting = |harness: &mut NodeHarness| {
-        let answer = ask_count(harness, "host.example");
+        let answer = request_waiting_count(harness, "host.example");
         answer.body["waiting"].as_u64().expect("a count")
     };
     harness.append_started_job();
-    harness.follow();
+    harness.install_full_copy();
     assert_eq!(
         waiting(&mut harness),
         1,
-        "the worker has not said that it runs"
+        "the worker has not reported the run"
     );
     harness.append(Command::ReportAttempts {
         worker: "w".into(),
@@ -70,6 +76,6 @@
         running: vec![1],
         ends: vec![],
     });
-    harness.follow();
+    harness.install_full_copy();
     assert_eq!(waiting(&mut harness), 0);
 }
--- a/landingdrift/tests/snapshots.rs
+++ b/landingdrift/tests/snapshots.rs
@@ -1,138 +1,171 @@
-//! Snapshots between replicas: in chunks, whole or not at all, and never less than was confirmed.
+//! Snapshot transfer between replicas: a snapshot is installed completely or not at all, lost chunks are resent, and
+//! confirmed entries are never lost.
 
 mod replicas;
 
 use landingdrift::settings::Limits;
 use landingdrift::snapshot_chunks::{ChunkOutcome, ChunkedSnapshot, SnapshotAssembly, CHUNK_BYTES};
 use landingdrift::wire::{AppendRequest, Body, InstallSnapshot, InstallSnapshotResponse};
-use replicas::behind::{limits, one_behind, EVERY};
-use replicas::{name, Carried, Cores};
+use replicas::behind::{limits, start_with_lagging_replica, SNAPSHOT_EVERY_ENTRIES};
+use replicas::{name, SentMessage, TestCluster};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-fn installs(all: &Cores, to: usize) -> Vec<(u64, InstallSnapshot)> {
-    let of = all.sent.iter().filter(|(_, c)| c.to == name(to));
-    of.filter_map(|(t, c)| match &c.body {
-        Body::InstallSnapshot(m) => Some((*t, (**m).clone())),
-        _ => None,
-    })
-    .collect()
+fn install_requests(cluster: &TestCluster, to: usize) -> Vec<(u64, InstallSnapshot)> {
+    let messages = cluster
+        .sent
+        .iter()
+        .filter(|(_, message)| message.to == name(to));
+    messages
+        .filter_map(|(time, message)| match &message.body {
+            Body::InstallSnapshot(m) => Some((*time, (**m).clone())),
+            _ => None,
+        })
+        .collect()
 }
 
-fn heartbeats(all: &Cores, to: usize) -> Vec<u64> {
-    let of = all.sent.iter().filter(|(_, c)| c.to == name(to));
-    of.filter_map(|(t, c)| matches!(&c.body, Body::AppendRequest(_)).then_some(*t))
+fn heartbeats(cluster: &TestCluster, to: usize) -> Vec<u64> {
+    let messages = cluster
+        .sent
+        .iter()
+        .filter(|(_, message)| message.to == name(to));
+    messages
+        .filter_map(|(time, message)| {
+            matches!(&message.body, Body::AppendRequest(_)).then_some(*time)
+        })
         .collect()
 }
 
-fn catches_up(all: &mut Cores, behind: usize) {
-    let caught_up = all.until(10_000, Cores::all_alike);
-    assert!(caught_up, "{:#?}", all.lines);
-    assert!(all.counter(behind, "snapshots_installed") >= 1);
-    all.run(200);
-    let last = all.disks[behind].last();
+fn expect_catch_up(cluster: &mut TestCluster, lagging: usize) {
+    let caught_up = cluster.run_until(10_000, TestCluster::all_in_sync);
+    assert!(caught_up, "{:#?}", cluster.log_lines);
+    assert!(cluster.counter(lagging, "snapshots_installed") >= 1);
+    cluster.run(200);
+    let last = cluster.disks[lagging].last();
     assert_eq!(
         last,
-        all.replica(behind).state().applied_index,
-        "all is on its disk"
+        cluster.replica(lagging).state().applied_index,
+        "every applied entry must be on its disk"
     );
 }
 
 #[test]
-fn a_core_that_is_far_behind_gets_each_chunk_once_beside_heartbeats() {
-    let (mut all, leader, behind) = one_behind();
-    all.boot(behind);
-    let since = all.t;
-    catches_up(&mut all, behind);
-    let sent = installs(&all, behind);
+fn a_lagging_replica_receives_each_chunk_once_and_heartbeats_during_the_transfer() {
+    let (mut cluster, leader, lagging) = start_with_lagging_replica();
+    cluster.start_replica(lagging);
+    let since = cluster.now_ms;
+    expect_catch_up(&mut cluster, lagging);
+    let sent = install_requests(&cluster, lagging);
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     let total = sent[0].1.total as usize;
     assert!(total > 3 * CHUNK_BYTES, "{total} bytes");
-    let want: Vec<u64> = (0..total.div_ceil(CHUNK_BYTES))
+    let expected: Vec<u64> = (0..total.div_ceil(CHUNK_BYTES))
         .map(|n| (n * CHUNK_BYTES) as u64)
         .collect();
-    assert_eq!(offsets, want);
+    assert_eq!(offsets, expected);
     assert!(sent.iter().all(|(_, m)| m.snapshot.len() <= CHUNK_BYTES));
-    assert_eq!(all.counter(leader, "snapshots_sent"), 1);
-    assert_eq!(all.counter(leader, "snapshot_chunks_repeated"), 0);
-    let first_beat = heartbeats(&all, behind)[0];
-    assert!(first_beat <= since + 200, "its heartbeats go on");
+    assert_eq!(cluster.counter(leader, "snapshots_sent"), 1);
+    assert_eq!(cluster.counter(leader, "snapshot_chunks_repeated"), 0);
+    let first_heartbeat = heartbeats(&cluster, lagging)[0];
+    assert!(
+        first_heartbeat <= since + 200,
+        "heartbeats must not wait for the snapshot"
+    );
 }
 
 #[test]
-fn a_snapshot_waits_for_its_acknowledgement_and_heartbeats_do_not() {
-    let (mut all, leader, behind) = one_behind();
-    let me = name(behind);
-    all.loses = Box::new(move |c: &Carried| {
-        c.from == me && matches!(&c.body, Body::InstallSnapshotResponse(_))
+fn an_unacknowledged_chunk_does_not_delay_heartbeats() {
+    let (mut cluster, leader, lagging) = start_with_lagging_replica();
+    let receiver = name(lagging);
+    cluster.drops_message = Box::new(move |message: &SentMessage| {
+        message.from == receiver && matches!(&message.body, Body::InstallSnapshotResponse(_))
     });
-    all.boot(behind);
-    all.run(4000);
-    let sent = installs(&all, behind);
+    cluster.start_replica(lagging);
+    cluster.run(4000);
+    let sent = install_requests(&cluster, lagging);
     let offsets: Vec<u64> = sent.iter().map(|(_, m)| m.offset).collect();
     assert!(offsets.iter().all(|o| *o == 0), "{offsets:?}");
     assert!((2..=12).contains(&offsets.len()), "{offsets:?}");
-    let beaten = heartbeats(&all, behind);
-    let gaps = beaten.windows(2).map(|w| w[1] - w[0]);
-    assert!(gaps.max().is_some_and(|g| g <= 200), "{beaten:?}");
-    assert_eq!(all.leader(), Some(leader), "nobody stands for election");
-    all.loses = Box::new(|_| false);
-    catches_up(&mut all, behind);
+    let heartbeat_times = heartbeats(&cluster, lagging);
+    let gaps = heartbeat_times.windows(2).map(|w| w[1] - w[0]);
+    assert!(gaps.max().is_some_and(|g| g <= 200), "{heartbeat_times:?}");
+    assert_eq!(
+        cluster.leader(),
+        Some(leader),
+        "no election must take place"
+    );
+    cluster.drops_message = Box::new(|_| false);
+    expect_catch_up(&mut cluster, lagging);
 }
 
 #[test]
-fn lost_chunks_are_sent_again_and_nothing_else() {
-    let (mut all, _, behind) = one_behind();
-    let seen = Rc::new(Cell::new(0));
-    all.loses = Box::new(move |c: &Carried| {
-        let chunk = matches!(&c.body, Body::InstallSnapshot(_));
-        seen.set(seen.get() + u64::from(chunk));
-        chunk && seen.get().is_multiple_of(3)
+fn lost_chunks_are_resent_and_the_snapshot_is_installed_once() {
+    let (mut cluster, _, lagging) = start_with_lagging_replica();
+    let chunks_sent = Rc::new(Cell::new(0));
+    cluster.drops_message = Box::new(move |message: &SentMessage| {
+        let is_chunk = matches!(&message.body, Body::InstallSnapshot(_));
+        chunks_sent.set(chunks_sent.get() + u64::from(is_chunk));
+        is_chunk && chunks_sent.get().is_multiple_of(3)
     });
-    all.boot(behind);
-    catches_up(&mut all, behind);
-    assert_eq!(all.counter(behind, "snapshots_installed"), 1);
-    assert_eq!(all.counter(behind, "snapshots_refused"), 0);
+    cluster.start_replica(lagging);
+    expect_catch_up(&mut cluster, lagging);
+    assert_eq!(cluster.counter(lagging, "snapshots_installed"), 1);
+    assert_eq!(cluster.counter(lagging, "snapshots_refused"), 0);
 }
 
 #[test]
-fn a_sender_that_dies_in_the_middle_is_followed_by_another() {
-    let (mut all, leader, behind) = one_behind();
-    all.boot(behind);
-    assert!(all.until(5000, |c| installs(c, behind).len() >= 2));
-    assert_eq!(all.counter(behind, "snapshots_installed"), 0);
-    all.kill(leader);
-    let led = all.until(10_000, |c| c.leader().is_some_and(|l| l != leader));
-    assert!(led, "{:#?}", all.lines);
-    assert_ne!(all.leader(), Some(behind), "it has less than was confirmed");
-    all.run(3000);
-    all.boot(leader);
-    catches_up(&mut all, behind);
+fn another_leader_continues_when_the_sender_crashes() {
+    let (mut cluster, leader, lagging) = start_with_lagging_replica();
+    cluster.start_replica(lagging);
+    assert!(
+        cluster.run_until(5000, |cluster| install_requests(cluster, lagging).len()
+            >= 2)
+    );
+    assert_eq!(cluster.counter(lagging, "snapshots_installed"), 0);
+    cluster.crash(leader);
+    let has_new_leader = cluster.run_until(10_000, |cluster| {
+        cluster.leader().is_some_and(|l| l != leader)
+    });
+    assert!(has_new_leader, "{:#?}", cluster.log_lines);
+    assert_ne!(
+        cluster.leader(),
+        Some(lagging),
+        "a replica that lacks confirmed entries must not lead"
+    );
+    cluster.run(3000);
+    cluster.start_replica(leader);
+    expect_catch_up(&mut cluster, lagging);
 }
 
 #[test]
-fn the_next_leader_goes_on_where_the_same_snapshot_stopped() {
+fn the_next_leader_resumes_the_transfer_of_the_same_snapshot() {
     let snapshot = ChunkedSnapshot::new(7, 2, vec![9; 3 * CHUNK_BYTES]);
-    let of = snapshot.identity();
+    let id = snapshot.identity();
     let mut assembly = SnapshotAssembly::default();
-    assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), ChunkOutcome::Part);
-    // The next one begins at the beginning, and is told how much is there.
-    assert_eq!(assembly.take(of, 0, snapshot.chunk(0)), ChunkOutcome::Part);
+    assert_eq!(
+        assembly.add_chunk(id, 0, snapshot.chunk(0)),
+        ChunkOutcome::Incomplete
+    );
+    // The next leader starts with the first chunk; the receiver ignores it and answers with the number of bytes it has.
+    assert_eq!(
+        assembly.add_chunk(id, 0, snapshot.chunk(0)),
+        ChunkOutcome::Incomplete
+    );
     assert_eq!(assembly.received(), CHUNK_BYTES as u64);
     let rest = [1, 2].map(|n| n * CHUNK_BYTES as u64);
     assert_eq!(
-        assembly.take(of, rest[0], snapshot.chunk(rest[0])),
-        ChunkOutcome::Part
+        assembly.add_chunk(id, rest[0], snapshot.chunk(rest[0])),
+        ChunkOutcome::Incomplete
     );
-    let whole = assembly.take(of, rest[1], snapshot.chunk(rest[1]));
-    assert_eq!(whole, ChunkOutcome::Whole(vec![9; 3 * CHUNK_BYTES]));
+    let outcome = assembly.add_chunk(id, rest[1], snapshot.chunk(rest[1]));
+    assert_eq!(outcome, ChunkOutcome::Complete(vec![9; 3 * CHUNK_BYTES]));
     assert_eq!(assembly.received(), 0);
 }
 
-/// An installation as the leader of a term would send it.
-fn install(term: u64, index: u64, bytes: &[u8]) -> InstallSnapshot {
-    let of = ChunkedSnapshot::new(index, term, bytes.to_vec()).identity();
+/// A complete snapshot in one chunk, as sent by the leader of `term`.
+fn install_request(term: u64, index: u64, bytes: &[u8]) -> InstallSnapshot {
+    let id = ChunkedSnapshot::new(index, term, bytes.to_vec()).identity();
     InstallSnapshot {
         term,
         round: 1,
@@ -140,77 +173,81 @@
         index_term: term,
         snapshot: bytes.to_vec(),
         offset: 0,
-        total: of.total,
-        checksum: of.checksum,
+        total: id.total,
+        checksum: id.checksum,
     }
 }
 
-fn last_verdict(all: &Cores, from: usize) -> InstallSnapshotResponse {
-    let mut of = all.sent.iter().rev().filter(|(_, c)| c.from == name(from));
-    let found = of.find_map(|(_, c)| match &c.body {
+fn last_snapshot_response(cluster: &TestCluster, from: usize) -> InstallSnapshotResponse {
+    let mut messages = cluster
+        .sent
+        .iter()
+        .rev()
+        .filter(|(_, message)| message.from == name(from));
+    let found = messages.find_map(|(_, message)| match &message.body {
         Body::InstallSnapshotResponse(m) => Some((**m).clone()),
         _ => None,
     });
-    found.expect("a verdict")
+    found.expect("a response")
 }
 
 #[test]
-fn a_spoilt_a_cut_and_an_outdated_snapshot_change_nothing() {
-    let mut all = Cores::start(limits());
-    (0..5).for_each(|_| all.change(10));
-    all.run(300);
-    let leader = all.leader().expect("somebody leads");
-    let to = (leader + 1) % 3;
-    let term = all.replica(leader).term();
-    let log_index = all.replica(to).state().applied_index;
-    let version = all.version(to);
+fn corrupt_truncated_and_outdated_snapshots_are_not_installed() {
+    let mut cluster = TestCluster::start(limits());
+    (0..5).for_each(|_| cluster.commit_change(10));
+    cluster.run(300);
+    let leader = cluster.leader().expect("a leader");
+    let follower = (leader + 1) % 3;
+    let term = cluster.replica(leader).term();
+    let log_index = cluster.replica(follower).state().applied_index;
+    let version = cluster.version(follower);
     let bytes = landingdrift::state::ClusterState::new("landingdrift").pack();
-    let good = install(term, log_index + 10, &bytes);
-    let spoilt = InstallSnapshot {
-        checksum: good.checksum ^ 1,
-        ..good.clone()
+    let valid = install_request(term, log_index + 10, &bytes);
+    let corrupt = InstallSnapshot {
+        checksum: valid.checksum ^ 1,
+        ..valid.clone()
     };
-    let cut = InstallSnapshot {
-        total: good.total + 1,
-        ..good.clone()
+    let truncated = InstallSnapshot {
+        total: valid.total + 1,
+        ..valid.clone()
     };
     let outdated = InstallSnapshot {
         term: term - 1,
-        ..good.clone()
+        ..valid.clone()
     };
-    let no_record = install(term, log_index + 10, b"nothing");
+    let not_a_state = install_request(term, log_index + 10, b"nothing");
     for (m, refused) in [
-        (spoilt, true),
-        (cut, false),
+        (corrupt, true),
+        (truncated, false),
         (outdated, true),
-        (no_record, true),
+        (not_a_state, true),
     ] {
-        all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(m)));
-        assert_eq!(last_verdict(&all, to).refused, refused);
-        assert_eq!(all.replica(to).state().applied_index, log_index);
+        cluster.deliver(follower, &name(leader), Body::InstallSnapshot(Box::new(m)));
+        assert_eq!(last_snapshot_response(&cluster, follower).refused, refused);
+        assert_eq!(cluster.replica(follower).state().applied_index, log_index);
     }
-    assert_eq!(all.version(to), version);
-    assert_eq!(all.counter(to, "snapshots_installed"), 0);
-    all.change(10);
-    all.run(300);
-    assert!(all.all_alike());
+    assert_eq!(cluster.version(follower), version);
+    assert_eq!(cluster.counter(follower, "snapshots_installed"), 0);
+    cluster.commit_change(10);
+    cluster.run(300);
+    assert!(cluster.all_in_sync());
 }
 
 #[test]
-fn a_late_snapshot_takes_nothing_away_that_was_confirmed() {
-    let mut all = Cores::start(limits());
-    (0..5).for_each(|_| all.change(10));
-    all.run(300);
-    let leader = all.leader().expect("somebody leads");
-    let to = (leader + 1) % 3;
-    // Entries that this replica has confirmed and does not know to be committed.
-    let last = all.disks[to].last();
-    let tail: Vec<_> = all.disks[to].durable.entries.clone();
-    let term = tail.last().expect("entries").term;
-    let mut more = tail.last().expect("entries").clone();
+fn a_late_snapshot_does_not_remove_acknowledged_entries() {
+    let mut cluster = TestCluster::start(limits());
+    (0..5).for_each(|_| cluster.commit_change(10));
+    cluster.run(300);
+    let leader = cluster.leader().expect("a leader");
+    let follower = (leader + 1) % 3;
+    // Let the follower acknowledge entries that it does not know to be committed.
+    let last = cluster.disks[follower].last();
+    let durable_entries: Vec<_> = cluster.disks[follower].durable.entries.clone();
+    let term = durable_entries.last().expect("entries").term;
+    let mut next_entry = durable_entries.last().expect("entries").clone();
     let entries = [1, 2].map(|n| {
-        more.index = last + n;
-        more.clone()
+        next_entry.index = last + n;
+        next_entry.clone()
     });
     let append = AppendRequest {
         term,
@@ -223,79 +260,106 @@
         clock: 0,
         may_leave: false,
     };
-    all.tell(to, &name(leader), Body::AppendRequest(Box::new(append)));
-    all.run(3);
-    assert_eq!(all.disks[to].last(), last + 2);
-    let bytes = all.replica(to).state().pack();
-    let late = install(term, last + 1, &bytes);
-    all.tell(to, &name(leader), Body::InstallSnapshot(Box::new(late)));
-    all.run(3);
-    assert_eq!(all.disks[to].last(), last + 2, "what it confirmed is gone");
-    assert_eq!(all.counter(to, "snapshots_installed"), 0);
+    cluster.deliver(
+        follower,
+        &name(leader),
+        Body::AppendRequest(Box::new(append)),
+    );
+    cluster.run(3);
+    assert_eq!(cluster.disks[follower].last(), last + 2);
+    let bytes = cluster.replica(follower).state().pack();
+    let late_snapshot = install_request(term, last + 1, &bytes);
+    cluster.deliver(
+        follower,
+        &name(leader),
+        Body::InstallSnapshot(Box::new(late_snapshot)),
+    );
+    cluster.run(3);
+    assert_eq!(
+        cluster.disks[follower].last(),
+        last + 2,
+        "acknowledged entries must not be lost"
+    );
+    assert_eq!(cluster.counter(follower, "snapshots_installed"), 0);
 }
 
 #[test]
-fn a_core_killed_while_it_installs_never_leads_with_less_than_it_confirmed() {
-    for at in [1, 3, 8, 15, 25, 60] {
-        let (mut all, leader, behind) = one_behind();
-        let confirmed = all.version(leader);
-        all.boot(behind);
-        assert!(all.until(5000, |c| !installs(c, behind).is_empty()));
-        all.run(at);
-        let whole = all.disks[behind].last() >= all.replica(leader).state().applied_index;
-        all.kill(behind);
-        all.kill(leader);
-        all.boot(behind);
-        all.run(2000);
-        let lead = all.leader();
+fn a_replica_that_crashes_during_an_install_never_leads_without_confirmed_entries() {
+    for crash_after_ms in [1, 3, 8, 15, 25, 60] {
+        let (mut cluster, leader, lagging) = start_with_lagging_replica();
+        let confirmed = cluster.version(leader);
+        cluster.start_replica(lagging);
+        assert!(
+            cluster.run_until(5000, |cluster| !install_requests(cluster, lagging)
+                .is_empty())
+        );
+        cluster.run(crash_after_ms);
+        let has_installed_snapshot =
+            cluster.disks[lagging].last() >= cluster.replica(leader).state().applied_index;
+        cluster.crash(lagging);
+        cluster.crash(leader);
+        cluster.start_replica(lagging);
+        cluster.run(2000);
+        let new_leader = cluster.leader();
         assert!(
-            whole || lead != Some(behind),
-            "killed after {at} ms: {:#?}",
-            all.lines
+            has_installed_snapshot || new_leader != Some(lagging),
+            "a replica that crashed after {crash_after_ms} ms must not lead without confirmed entries: {:#?}",
+            cluster.log_lines
         );
-        assert!(lead.is_none_or(|l| all.version(l) >= confirmed));
-        all.boot(leader);
-        assert!(all.until(10_000, Cores::all_alike), "{:#?}", all.lines);
-        assert_eq!(all.version(behind), confirmed);
+        assert!(new_leader.is_none_or(|l| cluster.version(l) >= confirmed));
+        cluster.start_replica(leader);
+        assert!(
+            cluster.run_until(10_000, TestCluster::all_in_sync),
+            "{:#?}",
+            cluster.log_lines
+        );
+        assert_eq!(cluster.version(lagging), confirmed);
     }
 }
 
 #[test]
-fn the_log_is_kept_for_a_core_that_catches_up_while_changes_go_on() {
-    let (mut all, leader, behind) = one_behind();
-    // A narrow link: every chunk takes its time, and a change comes with each.
-    let seen = Rc::new(Cell::new(0));
-    all.loses = Box::new(move |c: &Carried| {
-        let chunk = matches!(&c.body, Body::InstallSnapshot(_));
-        seen.set(seen.get() + u64::from(chunk));
-        chunk && seen.get() % 2 == 1
+fn the_log_is_kept_for_a_replica_that_catches_up_during_changes() {
+    let (mut cluster, leader, lagging) = start_with_lagging_replica();
+    // Slow down the transfer by losing every other chunk, and commit changes during it.
+    let chunks_sent = Rc::new(Cell::new(0));
+    cluster.drops_message = Box::new(move |message: &SentMessage| {
+        let is_chunk = matches!(&message.body, Body::InstallSnapshot(_));
+        chunks_sent.set(chunks_sent.get() + u64::from(is_chunk));
+        is_chunk && chunks_sent.get() % 2 == 1
     });
-    all.boot(behind);
+    cluster.start_replica(lagging);
     for _ in 0..100 {
-        all.change(200);
-        all.run(100);
+        cluster.commit_change(200);
+        cluster.run(100);
     }
-    all.loses = Box::new(|_| false);
-    all.run(1000);
-    assert!(all.all_alike(), "{:#?}", all.lines);
-    let sent = installs(&all, behind);
-    let places: BTreeSet<u64> = sent.iter().map(|(_, m)| m.index).collect();
-    assert_eq!(places.len(), 1, "it chased the tail: {places:?}");
-    assert!(all.replica(leader).state().applied_index > 2 * EVERY + places.iter().sum::<u64>());
+    cluster.drops_message = Box::new(|_| false);
+    cluster.run(1000);
+    assert!(cluster.all_in_sync(), "{:#?}", cluster.log_lines);
+    let sent = install_requests(&cluster, lagging);
+    let indexes: BTreeSet<u64> = sent.iter().map(|(_, m)| m.index).collect();
+    assert_eq!(
+        indexes.len(),
+        1,
+        "the snapshot must not be replaced during the transfer: {indexes:?}"
+    );
+    assert!(
+        cluster.replica(leader).state().applied_index
+            > 2 * SNAPSHOT_EVERY_ENTRIES + indexes.iter().sum::<u64>()
+    );
 }
 
 #[test]
 fn the_log_in_memory_is_bounded_in_bytes() {
-    let mut all = Cores::start(Limits {
+    let mut cluster = TestCluster::start(Limits {
         log_bytes: 200_000,
         ..Limits::default()
     });
-    let mut most = 0;
+    let mut max_bytes = 0;
     for _ in 0..100 {
-        all.change(10_000);
-        let held = (0..3).map(|i| all.counter(i, "log_bytes_in_memory"));
-        most = most.max(held.max().unwrap_or(0));
+        cluster.commit_change(10_000);
+        let bytes_in_memory = (0..3).map(|i| cluster.counter(i, "log_bytes_in_memory"));
+        max_bytes = max_bytes.max(bytes_in_memory.max().unwrap_or(0));
     }
-    assert!(most <= 330_000, "{most} bytes");
-    assert!(all.counter(0, "snapshots") > 3);
+    assert!(max_bytes <= 330_000, "{max_bytes} bytes");
+    assert!(cluster.counter(0, "snapshots") > 3);
 }
--- a/landingdrift/tests/stored/history.rs
+++ b/landingdrift/tests/stored/history.rs
@@ -1,4 +1,5 @@
-//! The entries of a small cluster's history, of every kind of command; they leave no collection of the cluster state empty.
+//! The log entries of a small cluster, with every kind of command. Together they fill every collection
+//! of the cluster state.
 
 use landingdrift::state::{
     ClusterState, Command, EndReport, JobSpec, Order, Outcome, Placement, ProposalId,
@@ -6,50 +7,51 @@
 };
 use serde_json::json;
 
-/// The agreed time of the first entry, in milliseconds since 1970.
+/// Cluster time of the first entry, in milliseconds since 1970.
 const START_MS: u64 = 1_700_000_000_000;
-/// The agreed time between two entries.
+/// Cluster time between two entries, in milliseconds.
 const STEP_MS: u64 = 10;
-/// How long the answers to orders are kept: longer than the whole history.
+/// Deadline of all orders: after the end of the history, so that their results are kept.
 const DEADLINE_MS: u64 = START_MS + 3_600_000;
 
-/// An entry and the agreed time at which it entered the log.
-pub struct Stamped {
+/// An entry with its log index and the cluster time at which it was appended.
+pub struct HistoryEntry {
     pub log_index: u64,
     pub at: u64,
     pub command: Command,
 }
 
-/// The entries, with the cluster state that follows from them.
+/// The entries, and the cluster state that results from them.
 pub struct History {
-    pub entries: Vec<Stamped>,
+    pub entries: Vec<HistoryEntry>,
     pub state: ClusterState,
 }
 
 impl History {
-    /// All of it; every entry but those that are meant to be refused is accepted.
-    pub fn whole() -> Self {
+    /// Builds the history. One job submission is rejected because its queue has reached its quota; all other entries are
+    /// accepted.
+    pub fn build() -> Self {
         let mut history = Self {
             entries: Vec::new(),
             state: ClusterState::new("stored"),
         };
-        history.members();
-        history.grants_and_configuration();
-        history.workers();
-        history.job_that_leaves_a_tomb();
-        history.job_of_steps();
-        history.jobs_that_run();
-        history.worker_that_is_lost();
-        history.queue_that_is_retired();
-        history.orders();
+        history.add_members();
+        history.add_leases_and_configuration();
+        history.add_workers();
+        history.add_job_with_tombstone();
+        history.add_job_of_steps();
+        history.add_running_jobs();
+        history.add_lost_worker();
+        history.add_retired_queue();
+        history.add_orders();
         history
     }
 
-    fn enter(&mut self, command: Command) -> bool {
+    fn apply(&mut self, command: Command) -> bool {
         let log_index = self.state.applied_index + 1;
         let at = START_MS + log_index * STEP_MS;
         let accepted = self.state.apply(log_index, at, &command).is_ok();
-        self.entries.push(Stamped {
+        self.entries.push(HistoryEntry {
             log_index,
             at,
             command,
@@ -57,25 +59,25 @@
         accepted
     }
 
-    fn accepted(&mut self, command: Command) {
-        let shown = format!("{command:?}");
-        assert!(self.enter(command), "refused: {shown}");
+    fn apply_ok(&mut self, command: Command) {
+        let command_text = format!("{command:?}");
+        assert!(self.apply(command), "rejected: {command_text}");
     }
 
-    fn order(&mut self, number: u64, action: Command) {
+    fn apply_order(&mut self, number: u64, action: Command) {
         let proposal = ProposalId {
             proposer: "10.0.1.1:7000".into(),
             incarnation: 5,
             number,
         };
-        self.accepted(Command::Order(Order {
+        self.apply_ok(Command::Order(Order {
             action: Box::new(action),
             proposal,
             deadline: DEADLINE_MS,
         }));
     }
 
-    fn members(&mut self) {
+    fn add_members(&mut self) {
         let member = |disk: u64, voter: bool| ReplicaMember {
             voter,
             disk,
@@ -83,37 +85,38 @@
             standby_only: !voter,
         };
         let replica = |disk: u64| format!("10.0.0.{disk}:7000");
-        self.accepted(Command::TermStarted { leader: replica(1) });
+        self.apply_ok(Command::TermStarted { leader: replica(1) });
         let replicas = (1..=3).map(|disk| (replica(disk), member(disk, true)));
-        self.accepted(Command::FoundCluster {
+        self.apply_ok(Command::FoundCluster {
             replicas: replicas.collect(),
         });
         for disk in [4, 5] {
-            self.accepted(Command::UpdateReplica {
+            self.apply_ok(Command::UpdateReplica {
                 replica: replica(disk),
                 member: member(disk, false),
             });
         }
-        self.accepted(Command::RemoveReplica {
+        self.apply_ok(Command::RemoveReplica {
             replica: replica(5),
             disk: 5,
         });
         for (node, zone) in [("10.0.1.1:7000", "z1"), ("10.0.1.2:7000", "z2")] {
-            self.accepted(Command::RegisterNode {
+            self.apply_ok(Command::RegisterNode {
                 node: node.into(),
                 zone: zone.into(),
                 http: node.replace(":7000", ":8000"),
             });
         }
-        self.accepted(Command::RemoveNode {
+        self.apply_ok(Command::MarkNodeGone {
             node: "10.0.1.2:7000".into(),
         });
     }
 
-    /// Epoch 1 is the zone scheduler of z1, 2 that of z2, 3 the queue `fast`, 4 the queue `old`.
-    fn grants_and_configuration(&mut self) {
+    /// Grants the leases, with epoch 1 for zone z1, 2 for zone z2, 3 for queue `fast` and 4 for queue `old`; then sets the
+    /// configuration.
+    fn add_leases_and_configuration(&mut self) {
         for lease in ["cell/z1", "cell/z2", "queue/fast", "queue/old"] {
-            self.accepted(Command::GrantLease {
+            self.apply_ok(Command::GrantLease {
                 lease: lease.into(),
                 holder: "10.0.1.1:7000".into(),
                 from_epoch: 0,
@@ -132,19 +135,19 @@
             "notes": {"by": "the generator"},
             "retireQueues": true,
         });
-        self.order(
+        self.apply_order(
             1,
             Command::UpdateConfig {
                 change: "first".into(),
-                base: 0,
-                patch: false,
-                number: 7,
+                base_version: 0,
+                is_patch: false,
+                version: 7,
                 value,
             },
         );
     }
 
-    fn workers(&mut self) {
+    fn add_workers(&mut self) {
         for (worker, zone, zone_epoch) in [("w1", "z1", 1), ("w2", "z1", 1), ("w3", "z2", 2)] {
             let info = WorkerInfo {
                 worker: worker.into(),
@@ -159,13 +162,13 @@
                 address: format!("{worker}.example:9000"),
                 leaving: false,
             };
-            self.accepted(Command::UpdateWorker { info, zone_epoch });
+            self.apply_ok(Command::UpdateWorker { info, zone_epoch });
         }
     }
 
-    fn accept(&mut self, spec: JobSpec, hash: u64) -> bool {
+    fn submit(&mut self, spec: JobSpec, hash: u64) -> bool {
         let seen = self.state.applied_index;
-        self.enter(Command::AcceptJob { spec, hash, seen })
+        self.apply(Command::SubmitJob { spec, hash, seen })
     }
 
     fn start(&mut self, job: &str, owner_epoch: u64, tasks: &[u32], worker: &str) {
@@ -176,7 +179,7 @@
             zone_epoch: if worker == "w3" { 2 } else { 1 },
             copy: false,
         });
-        self.accepted(Command::StartAttempts {
+        self.apply_ok(Command::StartAttempts {
             job: job.into(),
             owner_epoch,
             placements: placements.collect(),
@@ -184,7 +187,7 @@
     }
 
     fn report(&mut self, worker: &str, running: &[u64], ends: Vec<EndReport>) {
-        self.accepted(Command::ReportAttempts {
+        self.apply_ok(Command::ReportAttempts {
             worker: worker.into(),
             incarnation: 11,
             running: running.to_vec(),
@@ -192,18 +195,18 @@
         });
     }
 
-    fn job_that_leaves_a_tomb(&mut self) {
-        assert!(self.accept(job("forgotten", "fast", vec![task("a")]), 101));
+    fn add_job_with_tombstone(&mut self) {
+        assert!(self.submit(job("forgotten", "fast", vec![task("a")]), 101));
         self.start("forgotten", 3, &[0], "w1");
         self.report("w1", &[], vec![end(1, Outcome::Succeeded, 40)]);
-        self.accepted(Command::CollectGarbage {
+        self.apply_ok(Command::CollectGarbage {
             retain_ms: 0,
             identity_ms: 3_600_000,
         });
     }
 
-    fn job_of_steps(&mut self) {
-        let one = TaskSpec {
+    fn add_job_of_steps(&mut self) {
+        let unnamed_task = TaskSpec {
             name: String::new(),
             ..task("")
         };
@@ -211,7 +214,7 @@
             count,
             depends_on,
             gang,
-            task: one.clone(),
+            task: unnamed_task.clone(),
         };
         let spec = JobSpec {
             id: "steps".into(),
@@ -223,34 +226,38 @@
             period_ms: STEP_MS,
             ..JobSpec::default()
         };
-        assert!(self.accept(spec, 102));
+        assert!(self.submit(spec, 102));
         self.start("steps", 3, &[0], "w2");
         self.report("w2", &[2], vec![end(2, Outcome::Succeeded, 60)]);
         self.start("steps", 3, &[1, 2], "w2");
         self.report("w2", &[3, 4], Vec::new());
     }
 
-    /// Sends 5 (ended well), 6 (recalled while it runs) and 7 (expired).
-    fn jobs_that_run(&mut self) {
-        assert!(self.accept(job("done", "fast", vec![task("a")]), 103));
+    /// Adds two jobs whose attempts are 5 (succeeded), 6 (running, asked to stop) and 7 (expired).
+    fn add_running_jobs(&mut self) {
+        assert!(self.submit(job("done", "fast", vec![task("a")]), 103));
         self.start("done", 3, &[0], "w1");
         self.report("w1", &[5], vec![end(5, Outcome::Succeeded, 80)]);
-        let after = TaskSpec {
+        let dependent_task = TaskSpec {
             depends_on: vec!["a".into()],
             ..task("b")
         };
-        let spec = job("running", "fast", vec![task("a"), after, task("c")]);
-        assert!(self.accept(spec, 104));
+        let spec = job(
+            "running",
+            "fast",
+            vec![task("a"), dependent_task, task("c")],
+        );
+        assert!(self.submit(spec, 104));
         self.start("running", 3, &[0], "w1");
         self.start("running", 3, &[2], "w1");
         self.report("w1", &[6, 7], Vec::new());
-        self.accepted(Command::RescheduleAttempts {
+        self.apply_ok(Command::RescheduleAttempts {
             worker: "w1".into(),
             zone_epoch: 1,
             attempts: vec![6],
             blame: true,
         });
-        self.accepted(Command::ExpireAttempts {
+        self.apply_ok(Command::ExpireAttempts {
             worker: "w1".into(),
             incarnation: 11,
             zone_epoch: 1,
@@ -268,19 +275,20 @@
         self.report("w1", &[], vec![named]);
     }
 
-    /// Send 8 is unsure, send 9 was, until the operator said how it ended.
-    fn worker_that_is_lost(&mut self) {
-        assert!(self.accept(job("unsure", "fast", vec![task("a"), task("b")]), 105));
+    /// Adds a job on a worker that is then lost: the outcome of attempt 8 stays unknown, that of attempt 9 is resolved by
+    /// the operator.
+    fn add_lost_worker(&mut self) {
+        assert!(self.submit(job("unsure", "fast", vec![task("a"), task("b")]), 105));
         self.start("unsure", 3, &[0], "w3");
         self.start("unsure", 3, &[1], "w3");
-        self.accepted(Command::WorkerLost {
+        self.apply_ok(Command::MarkWorkerLost {
             worker: "w3".into(),
             incarnation: 11,
             zone_epoch: 2,
         });
-        self.order(
+        self.apply_order(
             2,
-            Command::ResolveAttempt {
+            Command::ResolveTask {
                 job: "unsure".into(),
                 task: "b".into(),
                 succeeded: false,
@@ -288,34 +296,34 @@
         );
     }
 
-    fn queue_that_is_retired(&mut self) {
+    fn add_retired_queue(&mut self) {
         let plain = || TaskSpec {
             service: "t".into(),
             cpu: 1,
             name: "a".into(),
             ..TaskSpec::default()
         };
-        assert!(self.accept(job("last", "old", vec![plain()]), 106));
-        let over_quota = self.accept(job("turned-away", "old", vec![plain()]), 107);
+        assert!(self.submit(job("last", "old", vec![plain()]), 106));
+        let over_quota = self.submit(job("turned-away", "old", vec![plain()]), 107);
         assert!(!over_quota, "the queue's quota is one job");
-        self.accepted(Command::UpdateConfig {
+        self.apply_ok(Command::UpdateConfig {
             change: "second".into(),
-            base: 7,
-            patch: true,
-            number: 0,
+            base_version: 7,
+            is_patch: true,
+            version: 0,
             value: json!({"queues": {"old": null}}),
         });
     }
 
-    fn orders(&mut self) {
-        self.order(
+    fn add_orders(&mut self) {
+        self.apply_order(
             3,
             Command::SetEvacuation {
                 zone: "z2".into(),
-                on: true,
+                evacuate: true,
             },
         );
-        self.order(
+        self.apply_order(
             4,
             Command::CancelJob {
                 job: "running".into(),
--- a/landingdrift/tests/stored/mod.rs
+++ b/landingdrift/tests/stored/mod.rs
@@ -1,4 +1,4 @@
-//! The fixtures of `stored_data.rs`: where they are, and how each form is written.
+//! The fixtures of `stored_data.rs`: their paths, and how each format is written.
 
 pub mod history;
 pub mod messages;
@@ -7,7 +7,9 @@
 use landingdrift::disk::DataFolder;
 use landingdrift::node::Node;
 use landingdrift::replay::{RecordedEntry, Recording};
-use landingdrift::sans_io::{Effect, HardState, Msg, Now, Part, Request, Snapshot, WriteBatch};
+use landingdrift::sans_io::{
+    Effect, HardState, Msg, Now, Request, Snapshot, StateMachine, WriteBatch,
+};
 use landingdrift::settings::{Bounds, Hopper, Limits, Settings};
 use landingdrift::state::{ClusterState, Command, ProposalId};
 use landingdrift::wire::{Body, DurabilityWitness, Entry, WatchBatch};
@@ -16,17 +18,17 @@
 
 pub const CLUSTER: &str = "stored";
 pub const DISK: u64 = 77;
-/// Small, so that the folder has several segments.
+/// Small enough that the folder has several segments.
 pub const SEGMENT_BYTES: u64 = 512;
-/// Entries that go to the disk in one batch.
-const BATCH: usize = 5;
-/// The last entry of the first term.
-const FIRST_TERM_LAST: u64 = 38;
+/// Number of entries per write batch.
+const ENTRIES_PER_BATCH: usize = 5;
+/// Log index of the last entry of the first term.
+const LAST_INDEX_OF_FIRST_TERM: u64 = 38;
 /// The snapshot is taken this many entries before the end of the log.
 const ENTRIES_AFTER_SNAPSHOT: usize = 14;
-const CORE: &str = "10.0.0.1:7000";
+const REPLICA: &str = "10.0.0.1:7000";
 
-/// The place of a fixture.
+/// The path of a fixture.
 pub fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures/stored")
@@ -41,21 +43,21 @@
     String::from_utf8(bytes(name)).expect("text")
 }
 
-/// The recording that is a fixture.
+/// Reads a fixture as a recording.
 pub fn recording(name: &str) -> Recording {
     let path = fixture(name);
     Recording::read(path.to_str().expect("a path in UTF-8")).expect("a recording that can be read")
 }
 
-/// A folder of the test's own, empty.
+/// Path of a scratch folder of this test process, which doesn't exist yet.
 pub fn scratch(name: &str) -> PathBuf {
-    let own = format!("landingdrift-stored-{}-{name}", std::process::id());
-    let path = std::env::temp_dir().join(own);
+    let folder_name = format!("landingdrift-stored-{}-{name}", std::process::id());
+    let path = std::env::temp_dir().join(folder_name);
     let _ = fs::remove_dir_all(&path);
     path
 }
 
-/// What the log leases of a recorded line.
+/// The log entry that a recorded entry stands for.
 pub fn entry(line: &RecordedEntry) -> Entry {
     Entry {
         index: line.log_index,
@@ -66,7 +68,7 @@
 }
 
 pub fn term(index: u64) -> u64 {
-    if index <= FIRST_TERM_LAST {
+    if index <= LAST_INDEX_OF_FIRST_TERM {
         1
     } else {
         2
@@ -76,31 +78,31 @@
 pub fn hard_state() -> HardState {
     HardState {
         term: 2,
-        vote: CORE.into(),
+        vote: REPLICA.into(),
         no_vote_through: 1,
-        founders: vec![CORE.into(), "10.0.0.2:7000".into()],
+        founders: vec![REPLICA.into(), "10.0.0.2:7000".into()],
     }
 }
 
-pub fn notes() -> Vec<DurabilityWitness> {
-    let note = |replica: &str, disk: u64, index: u64| DurabilityWitness {
+pub fn witnesses() -> Vec<DurabilityWitness> {
+    let witness = |replica: &str, disk: u64, index: u64| DurabilityWitness {
         replica: replica.into(),
         disk,
         index,
         term: term(index),
     };
-    vec![note(CORE, 1, 40), note("10.0.0.2:7000", 2, 38)]
+    vec![witness(REPLICA, 1, 40), witness("10.0.0.2:7000", 2, 38)]
 }
 
-/// How many of the lines come before the snapshot.
-pub fn before_snapshot(recording: &Recording) -> usize {
+/// Number of recorded entries that the snapshot covers.
+pub fn entries_before_snapshot(recording: &Recording) -> usize {
     recording.entries.len() - ENTRIES_AFTER_SNAPSHOT
 }
 
-/// The snapshot in the folder.
+/// The snapshot that is stored in the data folder: the state before the last [`ENTRIES_AFTER_SNAPSHOT`] entries.
 pub fn snapshot(recording: &Recording) -> Snapshot {
     let mut state = recording.start.clone();
-    for line in &recording.entries[..before_snapshot(recording)] {
+    for line in &recording.entries[..entries_before_snapshot(recording)] {
         let _ = state.apply(line.log_index, line.at, &line.entry);
     }
     Snapshot {
@@ -110,13 +112,13 @@
     }
 }
 
-/// Writes a log without a snapshot, and the entries of a recording in it.
+/// Creates a data folder without a snapshot, with the given entries in its log.
 pub fn write_log(path: &Path, lines: &[RecordedEntry]) -> DataFolder {
     let (mut folder, _) =
         DataFolder::open(path, CLUSTER, SEGMENT_BYTES, DISK).expect("a new folder");
     let first = WriteBatch {
         hard_state: Some(hard_state()),
-        witnesses: notes(),
+        witnesses: witnesses(),
         ..WriteBatch::default()
     };
     folder.save(&[first]).expect("saved");
@@ -126,7 +128,9 @@
 
 /// Writes the whole folder: a log, a snapshot of it, and some entries after that.
 pub fn write_folder(path: &Path, recording: &Recording) {
-    let (before, after) = recording.entries.split_at(before_snapshot(recording));
+    let (before, after) = recording
+        .entries
+        .split_at(entries_before_snapshot(recording));
     let mut folder = write_log(path, before);
     let save = WriteBatch {
         snapshot: Some(snapshot(recording)),
@@ -137,7 +141,7 @@
 }
 
 fn save_entries(folder: &mut DataFolder, lines: &[RecordedEntry]) {
-    for batch in lines.chunks(BATCH) {
+    for batch in lines.chunks(ENTRIES_PER_BATCH) {
         let save = WriteBatch {
             entries: batch.iter().map(entry).collect(),
             ..WriteBatch::default()
@@ -146,13 +150,14 @@
     }
 }
 
-/// The answers to orders as JSON, which has no other form for them.
+/// The results of orders as a JSON list of pairs, since their keys aren't strings.
 pub fn orders_json(state: &ClusterState) -> String {
     let orders: Vec<(&(u64, ProposalId), &Vec<u8>)> = state.orders.iter().collect();
     serde_json::to_string(&orders).expect("JSON")
 }
 
-/// A recording that begins with a cluster state and goes no further. JSON has no keys such as those of the orders.
+/// A recording without entries that starts from a cluster state. The results of orders are left out, since their keys
+/// aren't strings and can't become keys of a JSON object.
 pub fn recording_of(state: &ClusterState) -> Recording {
     let mut start = state.clone();
     start.orders.clear();
@@ -162,12 +167,12 @@
     }
 }
 
-/// What a node that follows the cluster state answers to a question for a job.
-pub fn answer(state: &ClusterState, job: &str) -> String {
+/// The response of a node that follows the cluster state to a query for a job.
+pub fn job_response(state: &ClusterState, job: &str) -> String {
     let now = Now { mono: 1, wall: 1 };
     let settings = Settings {
         listen: "10.0.1.1:7000".into(),
-        seeds: vec![CORE.into()],
+        seeds: vec![REPLICA.into()],
         cluster: CLUSTER.into(),
         ..Settings::default()
     };
@@ -177,23 +182,28 @@
         path: format!("/v1/jobs/{job}"),
         ..Request::default()
     };
-    let watch = || Msg::Wire(CORE.into(), Body::WatchBatch(Box::new(feed_batch(state))));
+    let watch = || {
+        Msg::Received(
+            REPLICA.into(),
+            Body::WatchBatch(Box::new(watch_batch(state))),
+        )
+    };
     let mut effects = node.step(now, watch());
     effects.extend(node.step(now, Msg::Call(1, call)));
     effects.extend(node.step(now, watch()));
     effects
         .into_iter()
         .find_map(|effect| match effect {
-            Effect::Answer(1, answer) => Some(answer.body.to_string()),
+            Effect::Respond(1, response) => Some(response.body.to_string()),
             _ => None,
         })
         .expect("the call is answered")
 }
 
-fn feed_batch(state: &ClusterState) -> WatchBatch {
+fn watch_batch(state: &ClusterState) -> WatchBatch {
     WatchBatch {
-        replica: CORE.into(),
-        leader: CORE.into(),
+        replica: REPLICA.into(),
+        leader: REPLICA.into(),
         ok: true,
         sent: 1,
         quorum_age: 0,
@@ -202,7 +212,7 @@
         snapshot: state.pack(),
         snapshot_index: state.applied_index,
         entries: Vec::new(),
-        replicas: vec![CORE.into()],
+        replicas: vec![REPLICA.into()],
         light: false,
         reached: state.applied_index,
         incarnation: 0,
@@ -211,7 +221,8 @@
     }
 }
 
-/// Settings of which none has its default.
+/// Settings that all differ from their defaults, except `jobs_memory_bytes`, which the fixture doesn't contain because
+/// it was added later.
 pub fn settings() -> Settings {
     Settings {
         cluster: CLUSTER.into(),
@@ -224,7 +235,7 @@
         voters: 5,
         standby_only: true,
         share: 501,
-        beside_core: true,
+        beside_replica: true,
         data: "/var/lib/stored".into(),
         log: "debug".into(),
         bounds: bounds(),
@@ -269,24 +280,24 @@
     }
 }
 
-/// Says what the number of a command's kind is. A kind that is added must be given an entry in the history.
+/// The number of a command's kind. A new kind of command must be added here and to the history.
 pub fn kind(command: &Command) -> usize {
     match command {
         Command::TermStarted { .. } => 0,
         Command::UpdateConfig { .. } => 1,
-        Command::AcceptJob { .. } => 2,
+        Command::SubmitJob { .. } => 2,
         Command::CancelJob { .. } => 3,
         Command::StartAttempts { .. } => 4,
         Command::UpdateWorker { .. } => 5,
         Command::ReportAttempts { .. } => 6,
-        Command::WorkerLost { .. } => 7,
+        Command::MarkWorkerLost { .. } => 7,
         Command::ExpireAttempts { .. } => 8,
         Command::RescheduleAttempts { .. } => 9,
         Command::SetEvacuation { .. } => 10,
-        Command::ResolveAttempt { .. } => 11,
+        Command::ResolveTask { .. } => 11,
         Command::GrantLease { .. } => 12,
         Command::RegisterNode { .. } => 13,
-        Command::RemoveNode { .. } => 14,
+        Command::MarkNodeGone { .. } => 14,
         Command::FoundCluster { .. } => 15,
         Command::UpdateReplica { .. } => 16,
         Command::RemoveReplica { .. } => 17,
@@ -295,5 +306,5 @@
     }
 }
 
-/// How many kinds of commands there are.
+/// Number of kinds of commands.
 pub const KINDS: usize = 20;
--- a/landingdrift/tests/stored/variants.rs
+++ b/landingdrift/tests/stored/variants.rs
@@ -1,9 +1,10 @@
-//! Every variant of what is stored by its name in JSON and by its number where it is packed.
+//! All variants of the types that are stored by name in JSON and by number in packed data.
 
 use landingdrift::state::{AttemptState, JobState, Outcome, Rejection, TaskState};
 use serde::{Deserialize, Serialize};
 
-/// One value of every variant. The matches below keep the lists whole: a variant that is added must be given a place.
+/// One value of every variant. The matches below are exhaustive, so that a new variant doesn't compile until it is
+/// numbered; it must be added to the lists as well.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Variants {
     pub outcomes: Vec<Outcome>,
@@ -11,7 +12,8 @@
     pub tasks: Vec<TaskState>,
     #[serde(rename = "sends")]
     pub attempts: Vec<AttemptState>,
-    pub refusals: Vec<Rejection>,
+    #[serde(rename = "refusals")]
+    pub rejections: Vec<Rejection>,
 }
 
 impl Variants {
@@ -48,23 +50,23 @@
                 AttemptState::NeverStarted,
                 AttemptState::Expired,
             ],
-            refusals: refusals(),
+            rejections: rejections(),
         }
     }
 
-    /// The variants' numbers in the order of the lists, by matches that leave none out.
+    /// The numbers of the variants in the order of the lists.
     pub fn numbers(&self) -> Vec<Vec<usize>> {
         vec![
             self.outcomes.iter().map(outcome).collect(),
             self.jobs.iter().map(job).collect(),
             self.tasks.iter().map(task).collect(),
             self.attempts.iter().map(attempt).collect(),
-            self.refusals.iter().map(refusal).collect(),
+            self.rejections.iter().map(rejection).collect(),
         ]
     }
 }
 
-fn refusals() -> Vec<Rejection> {
+fn rejections() -> Vec<Rejection> {
     vec![
         Rejection::VersionConflict { current: 1 },
         Rejection::BodyMismatch,
@@ -91,8 +93,8 @@
     ]
 }
 
-fn outcome(of: &Outcome) -> usize {
-    match of {
+fn outcome(value: &Outcome) -> usize {
+    match value {
         Outcome::Succeeded => 0,
         Outcome::Failed => 1,
         Outcome::Stopped => 2,
@@ -101,8 +103,8 @@
     }
 }
 
-fn job(of: &JobState) -> usize {
-    match of {
+fn job(value: &JobState) -> usize {
+    match value {
         JobState::Waiting => 0,
         JobState::Running => 1,
         JobState::Cancelling => 2,
@@ -112,8 +114,8 @@
     }
 }
 
-fn task(of: &TaskState) -> usize {
-    match of {
+fn task(value: &TaskState) -> usize {
+    match value {
         TaskState::Waiting => 0,
         TaskState::Done => 1,
         TaskState::Failed => 2,
@@ -121,8 +123,8 @@
     }
 }
 
-fn attempt(of: &AttemptState) -> usize {
-    match of {
+fn attempt(value: &AttemptState) -> usize {
+    match value {
         AttemptState::Ordered => 0,
         AttemptState::Running => 1,
         AttemptState::Unsure => 2,
@@ -134,8 +136,8 @@
     }
 }
 
-fn refusal(of: &Rejection) -> usize {
-    match of {
+fn rejection(value: &Rejection) -> usize {
+    match value {
         Rejection::VersionConflict { .. } => 0,
         Rejection::BodyMismatch => 1,
         Rejection::Invalid { .. } => 2,
@@ -155,7 +157,7 @@
         Rejection::UnsuitableWorker { .. } => 16,
         Rejection::GangIncomplete => 17,
         Rejection::SpeculationBudgetExhausted => 18,
-        // Never an entry's: the leader says it instead of appending one.
+        // Not in the list, since it is never stored: the leader responds with it instead of appending an entry.
         Rejection::InsufficientCapacity => 19,
     }
 }
--- a/landingdrift/tests/stored_data.rs
+++ b/landingdrift/tests/stored_data.rs
@@ -1,16 +1,16 @@
-//! What version 0.1.0 has stored can be read by this build, and is written as it was then.
+//! Data stored by version 0.1.0 can be read by this build, and is still written byte for byte as it was then.
 //!
-//! The fixtures under `fixtures/stored` were written by version 0.1.0 (record format 3, wire 4, data folder 1,
-//! recording 1), by [`write_the_fixtures`] with the product as of commit d2b54ab:
+//! The fixtures under `fixtures/stored` were written by version 0.1.0 (cluster state 3, wire 4, data folder 1,
+//! recording 1), by [`write_the_fixtures`] with the code of commit d2b54ab:
 //!
 //! `cargo test -p landingdrift --test stored_data -- --ignored write_the_fixtures`
 //!
-//! They are not to be written again unless a format gets a new version. Everything that has a name in JSON or TOML
-//! keeps that name whatever it is called in the code, and everything that is packed keeps its order.
+//! Regenerate them only for a new format version. Names in JSON and TOML, and the order of packed fields and variants,
+//! are part of the formats, whatever the items are called in the code.
 
 mod stored;
 
-use landingdrift::disk::{read_whole, verify, DataFolder};
+use landingdrift::disk::{read_folder, verify, DataFolder};
 use landingdrift::replay::Recording;
 use landingdrift::settings::Settings;
 use landingdrift::state::pack::{pack, unpack};
@@ -23,18 +23,18 @@
 use stored::variants::Variants;
 use stored::{fixture, messages};
 
-const LOG: &str = "recording-of-log.day";
-const STATE: &str = "recording-of-state.day";
-const RECORD: &str = "record.postcard";
+const LOG_RECORDING: &str = "recording-of-log.day";
+const STATE_RECORDING: &str = "recording-of-state.day";
+const PACKED_STATE: &str = "record.postcard";
 const ORDERS: &str = "orders.json";
 const SETTINGS: &str = "settings.toml";
 const FOLDER: &str = "folder";
-/// One value of every stored variant, as a list for each type.
+/// One value of every stored variant, in a list per type.
 const VARIANTS_JSON: &str = "variants.json";
 const VARIANTS_PACKED: &str = "variants.postcard";
-/// Jobs as the API answers them.
+/// Ids of the jobs whose API responses are fixtures.
 const JOBS: [&str; 4] = ["done", "forgotten", "steps", "unsure"];
-/// The sender in the wire's fixtures.
+/// The sender in the fixtures of messages.
 const SENDER: &str = "10.0.0.1:7000";
 
 fn message_file(number: usize) -> String {
@@ -45,7 +45,7 @@
     format!("job-{job}.json")
 }
 
-/// The files of a data folder, without the lock, which is empty.
+/// The files of a data folder by name, except the lock file, which is empty.
 fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     fs::read_dir(folder)
         .expect("a folder")
@@ -61,7 +61,7 @@
 #[test]
 #[ignore = "the fixtures were written once, by version 0.1.0"]
 fn write_the_fixtures() {
-    let history = History::whole();
+    let history = History::build();
     let log = stored::scratch("log");
     let lines: Vec<landingdrift::replay::RecordedEntry> = history
         .entries
@@ -74,13 +74,13 @@
         })
         .collect();
     drop(stored::write_log(&log, &lines));
-    let recording = Recording::of_folder(&log).expect("a sound folder");
-    assert_eq!(recording.end(), history.state);
-    fs::create_dir_all(fixture("wire")).expect("made");
-    fs::write(fixture(LOG), recording.text()).expect("written");
+    let recording = Recording::from_data_folder(&log).expect("a sound folder");
+    assert_eq!(recording.final_state(), history.state);
+    fs::create_dir_all(fixture("wire")).expect("folder created");
+    fs::write(fixture(LOG_RECORDING), recording.text()).expect("written");
     let state = stored::recording_of(&history.state);
-    fs::write(fixture(STATE), state.text()).expect("written");
-    fs::write(fixture(RECORD), history.state.pack()).expect("written");
+    fs::write(fixture(STATE_RECORDING), state.text()).expect("written");
+    fs::write(fixture(PACKED_STATE), history.state.pack()).expect("written");
     fs::write(fixture(ORDERS), stored::orders_json(&history.state)).expect("written");
     let variants = Variants::all();
     let packed = pack(&variants);
@@ -90,8 +90,8 @@
     let settings = toml::to_string(&stored::settings()).expect("TOML");
     fs::write(fixture(SETTINGS), settings).expect("written");
     for job in JOBS {
-        let answer = stored::answer(&history.state, job);
-        fs::write(fixture(&job_file(job)), answer).expect("written");
+        let response = stored::job_response(&history.state, job);
+        fs::write(fixture(&job_file(job)), response).expect("written");
     }
     for body in messages::all() {
         let file = message_file(messages::number(&body));
@@ -100,17 +100,17 @@
     }
     let folder = stored::scratch("folder");
     stored::write_folder(&folder, &recording);
-    fs::create_dir_all(fixture(FOLDER)).expect("made");
+    fs::create_dir_all(fixture(FOLDER)).expect("folder created");
     for (name, bytes) in files(&folder) {
         fs::write(fixture(FOLDER).join(name), bytes).expect("written");
     }
 }
 
 #[test]
-fn the_formats_have_the_versions_of_the_fixtures() {
+fn the_format_versions_match_the_fixtures() {
     assert_eq!((STATE_VERSION, WIRE_VERSION), (3, 4));
     assert_eq!(landingdrift::disk::FOLDER_VERSION, 1);
-    let head = stored::text(LOG);
+    let head = stored::text(LOG_RECORDING);
     assert!(
         head.starts_with(r#"{"landingdriftDay":1,"#),
         "the recording's version"
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn a_record_is_read_and_packed_as_it_was() {
-    let bytes = stored::bytes(RECORD);
-    let cluster = ClusterState::unpack(&bytes).expect("a record");
+fn a_packed_state_is_decoded_and_encoded_unchanged() {
+    let bytes = stored::bytes(PACKED_STATE);
+    let cluster = ClusterState::unpack(&bytes).expect("a packed state");
     assert_eq!(cluster.pack(), bytes);
     let states = |state: JobState| cluster.jobs.values().filter(|j| j.state == state).count();
     assert_eq!(cluster.jobs.len(), 5);
@@ -130,7 +130,7 @@
     assert_eq!(states(JobState::Waiting), 1);
     assert_eq!(cluster.tombstones["forgotten"].state, JobState::Done);
     assert_eq!(cluster.tombstones["forgotten"].hash, 101);
-    assert!(cluster.refusals.contains_key("turned-away"));
+    assert!(cluster.rejected_ids.contains_key("turned-away"));
     assert_eq!((cluster.workers.len(), cluster.nodes.len()), (3, 2));
     assert_eq!(
         (
@@ -141,7 +141,7 @@
     );
     assert_eq!(cluster.leases["queue/old"].epoch, 4);
     assert_eq!((cluster.version, cluster.changes.len()), (8, 2));
-    assert_eq!(cluster.retired["old"].quota, 1);
+    assert_eq!(cluster.retired_queues["old"].quota, 1);
     assert_eq!(cluster.config.queues["fast"].stretch, 2.5);
     assert_eq!(cluster.evacuated_zones, BTreeSet::from(["z2".to_string()]));
     assert_eq!(cluster.orders.len(), 4);
@@ -149,27 +149,27 @@
 }
 
 #[test]
-fn no_collection_of_the_record_is_empty_and_the_sends_are_of_many_states() {
-    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+fn the_stored_state_covers_all_collections_and_five_attempt_states() {
+    let state = ClusterState::unpack(&stored::bytes(PACKED_STATE)).expect("a packed state");
     let sizes = [
         state.changes.len(),
         state.orders.len(),
         state.jobs.len(),
         state.tombstones.len(),
         state.expiry.len(),
-        state.refusals.len(),
-        state.open.len(),
+        state.rejected_ids.len(),
+        state.unfinished_jobs.len(),
         state.workers.len(),
         state.leases.len(),
         state.evacuated_zones.len(),
-        state.retired.len(),
+        state.retired_queues.len(),
         state.nodes.len(),
         state.replicas.len(),
         state.queues.len(),
         state.live.len(),
         state.queues["fast"].durations.len(),
-        state.queues["fast"].promises.len(),
-        state.workers["w2"].ends.len(),
+        state.queues["fast"].job_ends.len(),
+        state.workers["w2"].recent_outcomes.len(),
         state.workers["w2"].attempts.len(),
     ];
     assert!(!sizes.contains(&0), "{sizes:?}");
@@ -190,14 +190,17 @@
     }
 }
 
-/// Packed bytes say nothing of names: two fields of one type that change places are told by the names in the JSON.
+/// Guards against two fields of one type changing places: packed bytes have no names, so they are compared to the JSON.
 #[test]
-fn every_field_of_the_packed_record_is_the_one_that_the_json_names() {
-    let unpacked = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+fn every_field_of_the_packed_state_matches_the_field_named_in_the_json() {
+    let unpacked = ClusterState::unpack(&stored::bytes(PACKED_STATE)).expect("a packed state");
     let orders = unpacked.orders.clone();
     assert_eq!(stored::orders_json(&unpacked), stored::text(ORDERS));
-    let recorded = stored::recording(STATE);
-    assert_eq!(stored::recording_of(&unpacked).text(), stored::text(STATE));
+    let recorded = stored::recording(STATE_RECORDING);
+    assert_eq!(
+        stored::recording_of(&unpacked).text(),
+        stored::text(STATE_RECORDING)
+    );
     assert_eq!(
         ClusterState {
             orders,
@@ -208,7 +211,7 @@
 }
 
 #[test]
-fn every_variant_has_the_name_and_the_number_that_it_had() {
+fn every_variant_keeps_its_name_and_number() {
     let variants = Variants::all();
     for numbers in variants.numbers() {
         assert_eq!(numbers, (0..numbers.len()).collect::<Vec<_>>());
@@ -224,12 +227,12 @@
 }
 
 #[test]
-fn a_recording_is_read_and_written_as_it_was_and_decided_alike() {
-    let recording = stored::recording(LOG);
-    assert_eq!(recording.text(), stored::text(LOG));
+fn a_recording_is_read_and_written_unchanged_and_replayed_with_the_same_results() {
+    let recording = stored::recording(LOG_RECORDING);
+    assert_eq!(recording.text(), stored::text(LOG_RECORDING));
     assert_eq!(recording.differences(), Vec::new());
-    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
-    assert_eq!(recording.end(), state);
+    let state = ClusterState::unpack(&stored::bytes(PACKED_STATE)).expect("a packed state");
+    assert_eq!(recording.final_state(), state);
     let kinds: BTreeSet<usize> = recording
         .entries
         .iter()
@@ -239,13 +242,13 @@
 }
 
 #[test]
-fn the_entries_of_a_data_folder_are_those_of_the_recording() {
-    let recording = stored::recording(LOG);
-    let (cluster, loaded) = read_whole(&fixture(FOLDER)).expect("a sound folder");
+fn a_data_folder_has_the_same_entries_as_the_recording() {
+    let recording = stored::recording(LOG_RECORDING);
+    let (cluster, loaded) = read_folder(&fixture(FOLDER)).expect("a sound folder");
     assert_eq!((cluster.as_str(), loaded.disk), (stored::CLUSTER, 77));
     assert_eq!(
         (loaded.hard_state.clone(), loaded.witnesses),
-        (stored::hard_state(), stored::notes())
+        (stored::hard_state(), stored::witnesses())
     );
     assert_eq!(
         (loaded.hard_state.term, loaded.hard_state.no_vote_through),
@@ -256,44 +259,44 @@
     assert_eq!(snapshot, stored::snapshot(&recording));
     let after = loaded.entries.iter().filter(|e| e.index > snapshot.index);
     let after: Vec<_> = after.cloned().collect();
-    let lines = &recording.entries[stored::before_snapshot(&recording)..];
+    let lines = &recording.entries[stored::entries_before_snapshot(&recording)..];
     assert_eq!(after, lines.iter().map(stored::entry).collect::<Vec<_>>());
     for (entry, line) in after.iter().zip(lines) {
         let command = Command::unpack(&entry.command).expect("a command");
         assert_eq!(command, line.entry);
         assert_eq!(command.pack(), entry.command);
     }
-    let mut state = ClusterState::unpack(&snapshot.bytes).expect("a record");
+    let mut state = ClusterState::unpack(&snapshot.bytes).expect("a packed state");
     assert!(state.jobs.contains_key("steps") && state.tombstones.contains_key("forgotten"));
     assert_eq!((state.workers.len(), state.leases.len()), (3, 4));
     assert_eq!(
         state.orders.len(),
         1,
-        "an answer to an order is in the snapshot"
+        "the snapshot contains the result of an order"
     );
     for entry in after {
         let _ = state.apply_bytes(entry.index, entry.at, &entry.command);
     }
-    assert_eq!(state.pack(), stored::bytes(RECORD));
+    assert_eq!(state.pack(), stored::bytes(PACKED_STATE));
 }
 
 #[test]
-fn a_data_folder_is_written_as_it_was() {
-    let again = stored::scratch("again");
-    stored::write_folder(&again, &stored::recording(LOG));
-    assert_eq!(files(&again), files(&fixture(FOLDER)));
-    let findings = verify(&again).expect("looked");
+fn a_data_folder_is_written_unchanged() {
+    let folder = stored::scratch("again");
+    stored::write_folder(&folder, &stored::recording(LOG_RECORDING));
+    assert_eq!(files(&folder), files(&fixture(FOLDER)));
+    let findings = verify(&folder).expect("a readable folder");
     assert!(!findings.damaged && !findings.torn_tail);
     assert_eq!((findings.term, findings.disk), (2, 77));
     let (_, loaded) =
-        DataFolder::open(&again, stored::CLUSTER, stored::SEGMENT_BYTES, 1).expect("opened");
+        DataFolder::open(&folder, stored::CLUSTER, stored::SEGMENT_BYTES, 1).expect("opened");
     assert_eq!(loaded.disk, 77);
     assert_eq!(loaded.hard_state, stored::hard_state());
-    let _ = fs::remove_dir_all(&again);
+    let _ = fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn a_message_of_every_kind_is_read_and_packed_as_it_was() {
+fn messages_of_every_kind_are_decoded_and_encoded_unchanged() {
     let all = messages::all();
     let numbers: BTreeSet<usize> = all.iter().map(messages::number).collect();
     assert_eq!(numbers, (1..=messages::KINDS).collect());
@@ -311,20 +314,20 @@
 }
 
 #[test]
-fn a_job_is_answered_as_it_was() {
-    let state = ClusterState::unpack(&stored::bytes(RECORD)).expect("a record");
+fn the_response_to_a_job_query_is_unchanged() {
+    let state = ClusterState::unpack(&stored::bytes(PACKED_STATE)).expect("a packed state");
     for job in JOBS {
-        let then = stored::text(&job_file(job));
-        assert_eq!(stored::answer(&state, job), then, "{job}");
+        let expected = stored::text(&job_file(job));
+        assert_eq!(stored::job_response(&state, job), expected, "{job}");
     }
 }
 
 #[test]
-fn settings_are_read_and_written_as_they_were() {
+fn settings_are_read_and_written_unchanged() {
     let text = stored::text(SETTINGS);
     let settings: Settings = toml::from_str(&text).expect("settings");
     assert_eq!(settings, stored::settings());
-    // The earlier build did not have this setting.
+    // Version 0.1.0 did not have this setting.
     let added = format!(
         "jobs_memory_bytes = {}\n",
         settings.limits.jobs_memory_bytes
--- a/landingdrift/tests/traffic_http.rs
+++ b/landingdrift/tests/traffic_http.rs
@@ -1,9 +1,10 @@
-//! HTTP of a process, on the thread that carries its frames too.
+//! HTTP on the traffic thread. Guards against requests that reach the wrong part, and against limit violations and
+//! failures without an error response of the API.
 
 mod traffic_common;
 
 use landingdrift::daemon::{
-    HandlerAction, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Input, PendingCalls, Traffic,
+    AdapterResult, HttpAdapter, HttpLimits, HttpRequest, HttpResponse, Input, PendingCalls, Traffic,
 };
 use landingdrift::sans_io::{Request, Response};
 use serde_json::json;
@@ -12,155 +13,183 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 use std::time::Duration;
-use traffic_common::{limits, LONG};
+use traffic_common::{limits, TEST_TIMEOUT};
 
-struct Served {
-    at: SocketAddr,
+/// An HTTP address, with the calls and inputs of the part behind it.
+struct Server {
+    address: SocketAddr,
     calls: PendingCalls,
     inputs: Receiver<Input>,
 }
 
-fn serve(traffic: &Traffic, limits: HttpLimits, http_adapter: HttpAdapter) -> Served {
-    let (tx, inputs) = channel();
+fn serve(traffic: &Traffic, limits: HttpLimits, http_adapter: HttpAdapter) -> Server {
+    let (input_sender, inputs) = channel();
     let calls = PendingCalls::default();
-    let any = "127.0.0.1:0".parse().expect("an address");
-    let at = traffic
-        .http(any, limits, http_adapter, calls.clone(), tx)
-        .expect("serves");
-    Served { at, calls, inputs }
+    let any = "127.0.0.1:0".parse().expect("invalid address");
+    let address = traffic
+        .serve_http(any, limits, http_adapter, calls.clone(), input_sender)
+        .expect("failed to serve HTTP");
+    Server {
+        address,
+        calls,
+        inputs,
+    }
 }
 
-impl Served {
+impl Server {
+    /// Waits for the next call; returns the request and the call's number.
     fn next(&self) -> (Request, u64) {
-        match self.inputs.recv_timeout(LONG) {
-            Ok(Input::Call(req, call)) => (req, call),
-            _ => panic!("no call came"),
+        match self.inputs.recv_timeout(TEST_TIMEOUT) {
+            Ok(Input::Call(request, call)) => (request, call),
+            _ => panic!("no call was received"),
         }
     }
 }
 
-/// Calls from a thread of its own; status, a header's value and the text come back.
+/// Sends a request on a new thread. The thread returns the status, the value of the `X-Test-Response` header and the
+/// body.
 fn call(
-    at: SocketAddr,
+    address: SocketAddr,
     path: &str,
     body: Vec<u8>,
 ) -> std::thread::JoinHandle<(u16, Option<String>, String)> {
-    let url = format!("http://{at}{path}");
+    let url = format!("http://{address}{path}");
     std::thread::spawn(move || {
-        let got = reqwest::blocking::Client::new()
+        let response = reqwest::blocking::Client::new()
             .post(url)
-            .header("X-Asks", "tests")
+            .header("X-Test-Request", "tests")
             .body(body)
             .send()
-            .expect("answered");
-        let header = got
+            .expect("the call failed");
+        let header = response
             .headers()
-            .get("X-Answers")
-            .and_then(|h| h.to_str().ok())
+            .get("X-Test-Response")
+            .and_then(|value| value.to_str().ok())
             .map(str::to_string);
-        (got.status().as_u16(), header, got.text().expect("text"))
+        (
+            response.status().as_u16(),
+            header,
+            response.text().expect("failed to read the body"),
+        )
     })
 }
 
 #[test]
-fn two_addresses_have_handlers_of_their_own() {
-    let traffic = Traffic::start().expect("starts");
-    let own = serve(&traffic, limits(), HttpAdapter::default());
-    let other = serve(
+fn two_addresses_have_separate_adapters_and_parts() {
+    let traffic = Traffic::start().expect("failed to start");
+    let default_server = serve(&traffic, limits(), HttpAdapter::default());
+    let custom_server = serve(
         &traffic,
         limits(),
-        HttpAdapter::new(Arc::new(|asked: HttpRequest| {
-            let header = asked
+        HttpAdapter::new(Arc::new(|request: HttpRequest| {
+            let header = request
                 .headers
                 .iter()
-                .find(|(k, _)| k == "x-asks" || k == "X-Asks");
-            let path = header.map_or(String::new(), |(_, v)| v.clone());
-            let req = Request {
+                .find(|(name, _)| name == "x-test-request" || name == "X-Test-Request");
+            let path = header.map_or(String::new(), |(_, value)| value.clone());
+            let request = Request {
                 path,
                 ..Request::default()
             };
-            HandlerAction::Call(
-                req,
-                Box::new(|v| HttpResponse {
-                    status: v.status + 1,
-                    headers: vec![("X-Answers".into(), "other".into())],
+            AdapterResult::Call(
+                request,
+                Box::new(|response| HttpResponse {
+                    status: response.status + 1,
+                    headers: vec![("X-Test-Response".into(), "other".into())],
                     body: b"other".to_vec(),
                 }),
             )
         })),
     );
-    let (to_own, to_other) = (
-        call(own.at, "/a%20b?c=d", b"body".to_vec()),
-        call(other.at, "/x", Vec::new()),
+    let (default_call, custom_call) = (
+        call(default_server.address, "/a%20b?c=d", b"body".to_vec()),
+        call(custom_server.address, "/x", Vec::new()),
     );
-    let (req, n) = own.next();
-    let want = Request {
+    let (request, number) = default_server.next();
+    let expected = Request {
         method: "POST".into(),
         path: "/a b".into(),
         query: "c=d".into(),
         body: b"body".to_vec(),
     };
-    assert_eq!(req, want);
-    own.calls
-        .answer(n, Response::new(200, json!({"own": true})));
-    let (req, n) = other.next();
-    assert_eq!(req.path, "tests");
-    other.calls.answer(n, Response::new(200, json!(null)));
+    assert_eq!(request, expected);
+    default_server
+        .calls
+        .answer(number, Response::new(200, json!({"own": true})));
+    let (request, number) = custom_server.next();
+    assert_eq!(request.path, "tests");
+    custom_server
+        .calls
+        .answer(number, Response::new(200, json!(null)));
     assert_eq!(
-        to_own.join().expect("called"),
+        default_call.join().expect("the caller panicked"),
         (200, None, "{\"own\":true}\n".into())
     );
     assert_eq!(
-        to_other.join().expect("called"),
+        custom_call.join().expect("the caller panicked"),
         (201, Some("other".into()), "other".into())
     );
 }
 
 #[test]
-fn calls_beyond_the_bound_are_told_to_come_back() {
-    let traffic = Traffic::start().expect("starts");
-    let one = HttpLimits {
+fn calls_beyond_the_limit_are_rejected_with_a_retry_time() {
+    let traffic = Traffic::start().expect("failed to start");
+    let one_call_limit = HttpLimits {
         calls: 1,
         ..limits()
     };
-    let s = serve(&traffic, one, HttpAdapter::default());
-    let first = call(s.at, "/first", Vec::new());
-    let (_, n) = s.next();
-    let (status, _, text) = call(s.at, "/second", Vec::new()).join().expect("called");
+    let server = serve(&traffic, one_call_limit, HttpAdapter::default());
+    let first = call(server.address, "/first", Vec::new());
+    let (_, number) = server.next();
+    let (status, _, text) = call(server.address, "/second", Vec::new())
+        .join()
+        .expect("the caller panicked");
     assert!(status == 503 && text.contains("retryMs"), "{status} {text}");
-    s.calls.answer(n, Response::new(200, json!("done")));
-    assert_eq!(first.join().expect("called"), (200, None, "done".into()));
+    server
+        .calls
+        .answer(number, Response::new(200, json!("done")));
+    assert_eq!(
+        first.join().expect("the caller panicked"),
+        (200, None, "done".into())
+    );
 }
 
 #[test]
-fn a_body_that_is_too_long_or_no_http_is_refused_in_the_same_manner() {
-    let traffic = Traffic::start().expect("starts");
-    let s = serve(&traffic, limits(), HttpAdapter::default());
-    let (status, _, text) = call(s.at, "/", vec![b'x'; 1001]).join().expect("called");
+fn oversized_bodies_and_invalid_requests_get_api_errors() {
+    let traffic = Traffic::start().expect("failed to start");
+    let server = serve(&traffic, limits(), HttpAdapter::default());
+    let (status, _, text) = call(server.address, "/", vec![b'x'; 1001])
+        .join()
+        .expect("the caller panicked");
     assert!(
         status == 413 && text.contains("tooLarge"),
         "{status} {text}"
     );
-    let mut c = TcpStream::connect(s.at).expect("connects");
-    c.write_all(b"TRACE / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-        .expect("written");
-    let mut said = String::new();
-    c.read_to_string(&mut said).expect("read");
-    assert!(said.contains("wrongRequest"), "{said}");
+    let mut connection = TcpStream::connect(server.address).expect("failed to connect");
+    connection
+        .write_all(b"TRACE / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        .expect("failed to write");
+    let mut text = String::new();
+    connection
+        .read_to_string(&mut text)
+        .expect("failed to read");
+    assert!(text.contains("wrongRequest"), "{text}");
 }
 
 #[test]
-fn nobody_who_decides_is_told_as_unsure() {
-    let traffic = Traffic::start().expect("starts");
-    let s = serve(&traffic, limits(), HttpAdapter::default());
-    drop(s.inputs);
+fn a_call_that_is_not_answered_is_reported_as_unsure() {
+    let traffic = Traffic::start().expect("failed to start");
+    let server = serve(&traffic, limits(), HttpAdapter::default());
+    drop(server.inputs);
     let short = HttpLimits {
         timeout: Duration::from_millis(50),
         ..limits()
     };
     let silent = serve(&traffic, short, HttpAdapter::default());
-    for at in [s.at, silent.at] {
-        let (status, _, text) = call(at, "/", Vec::new()).join().expect("called");
+    for address in [server.address, silent.address] {
+        let (status, _, text) = call(address, "/", Vec::new())
+            .join()
+            .expect("the caller panicked");
         assert!(status == 503 && text.contains("unsure"), "{status} {text}");
     }
 }
--- a/landingdrift/tests/watch_flow.rs
+++ b/landingdrift/tests/watch_flow.rs
@@ -1,96 +1,106 @@
-//! Flow control of the watch: what is on its way to a node is not sent again, and what was overtaken takes no copy back.
+//! Flow control of the watch: data in flight to a node is not resent, and a late snapshot never reverts a node's
+//! copy to an older state.
 
 mod node_harness;
 mod replicas;
 
-use landingdrift::sans_io::{Effect, Msg, Part};
+use landingdrift::sans_io::{Effect, Msg, StateMachine};
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, WatchBatch, WatchRequest, WatchSnapshotChunk};
 use node_harness::{NodeHarness, REPLICA};
-use replicas::{Cores, NODE};
+use replicas::{TestCluster, NODE};
 
 const HEARTBEAT_MS: u64 = 100;
 
-/// Three replicas that a node follows, and the index that it has applied.
-fn followed() -> (Cores, u64) {
-    let (mut cores, applied) = Cores::start_followed();
-    cores.pull_from(Cores::pull_of(NODE, applied));
-    (cores, applied)
+/// Starts three replicas followed by a node; returns them and the index that the node has applied.
+fn start_with_watching_node() -> (TestCluster, u64) {
+    let (mut cluster, applied) = TestCluster::start_with_node();
+    cluster.send_watch_request(TestCluster::watch_request_of(NODE, applied));
+    (cluster, applied)
 }
 
-/// The node asks every tenth of a heartbeat, as if nothing had arrived since; returns how often entries were sent.
-fn times_sent(cores: &mut Cores, request: &WatchRequest, for_ms: u64) -> usize {
-    let before = cores.batches(NODE).len();
+/// Repeats a node's request every 10 ms, a tenth of a heartbeat interval, as if the responses were lost; returns the
+/// number of batches with entries that were sent.
+fn count_batches_with_entries(
+    cluster: &mut TestCluster,
+    request: &WatchRequest,
+    for_ms: u64,
+) -> usize {
+    let before = cluster.batches(NODE).len();
     for _ in 0..for_ms / 10 {
-        cores.pull_from(request.clone());
-        cores.run(10);
+        cluster.send_watch_request(request.clone());
+        cluster.run(10);
     }
-    let batches = cores.batches(NODE).split_off(before);
+    let batches = cluster.batches(NODE).split_off(before);
     let with_entries = batches.iter().filter(|batch| !batch.entries.is_empty());
     with_entries.count()
 }
 
 #[test]
-fn entries_on_their_way_are_not_sent_again_for_each_request() {
-    let (mut cores, applied) = followed();
-    cores.change(200_000);
-    let request = Cores::pull_of(NODE, applied);
-    // 200 kB take a link of 2 Mbit/s 800 ms.
-    assert_eq!(times_sent(&mut cores, &request, 800), 1);
-    // The pause doubles each time.
-    let times = times_sent(&mut cores, &request, 12_000);
-    assert!((2..=3).contains(&times), "{times}");
+fn entries_in_flight_are_not_resent_for_each_request() {
+    let (mut cluster, applied) = start_with_watching_node();
+    cluster.commit_change(200_000);
+    let request = TestCluster::watch_request_of(NODE, applied);
+    // The transfer of 200 kB over a link of 2 Mbit/s takes 800 ms.
+    assert_eq!(count_batches_with_entries(&mut cluster, &request, 800), 1);
+    // The retransmission timeout doubles each time.
+    let batches_sent = count_batches_with_entries(&mut cluster, &request, 12_000);
+    assert!((2..=3).contains(&batches_sent), "{batches_sent}");
 }
 
 #[test]
-fn entries_that_were_lost_are_sent_again_soon() {
-    let (mut cores, applied) = followed();
-    cores.change(10);
-    let request = Cores::pull_of(NODE, applied);
-    let times = times_sent(&mut cores, &request, 4 * HEARTBEAT_MS);
-    assert_eq!(times, 2);
+fn lost_entries_are_resent_after_the_timeout() {
+    let (mut cluster, applied) = start_with_watching_node();
+    cluster.commit_change(10);
+    let request = TestCluster::watch_request_of(NODE, applied);
+    let batches_sent = count_batches_with_entries(&mut cluster, &request, 4 * HEARTBEAT_MS);
+    assert_eq!(batches_sent, 2);
 }
 
 #[test]
-fn a_light_copy_is_not_moved_past_entries_that_are_on_their_way() {
-    let (mut cores, applied) = followed();
-    // Beside a larger node.
-    cores.watch_request("10.8.8.9:1", applied);
-    cores.change(10);
+fn a_light_copy_does_not_skip_entries_in_flight() {
+    let (mut cluster, applied) = start_with_watching_node();
+    // A node follows a light copy only if there is also a larger node.
+    cluster.watch_request("10.8.8.9:1", applied);
+    cluster.commit_change(10);
     let request = WatchRequest {
         share: 50,
         light: true,
-        ..Cores::pull_of(NODE, applied)
+        ..TestCluster::watch_request_of(NODE, applied)
     };
-    cores.pull_from(request.clone());
-    cores.run(5);
-    cores.change(10);
-    cores.pull_from(request);
-    cores.run(5);
-    let last = cores.batches(NODE).pop().expect("a batch");
+    cluster.send_watch_request(request.clone());
+    cluster.run(5);
+    cluster.commit_change(10);
+    cluster.send_watch_request(request);
+    cluster.run(5);
+    let last = cluster.batches(NODE).pop().expect("a batch");
     assert!(last.light);
     let skipped = last.entries.is_empty() && last.reached > applied;
     assert!(!skipped, "{last:?}");
 }
 
 #[test]
-fn a_node_that_has_restarted_is_sent_what_its_predecessor_was_sent() {
-    let (mut cores, applied) = followed();
-    cores.change(200_000);
+fn entries_are_sent_again_to_a_restarted_node() {
+    let (mut cluster, applied) = start_with_watching_node();
+    cluster.commit_change(200_000);
     let request = WatchRequest {
         sent: 500,
-        ..Cores::pull_of(NODE, applied)
+        ..TestCluster::watch_request_of(NODE, applied)
     };
-    assert_eq!(times_sent(&mut cores, &request, 20), 1);
-    // A process that has just started: its clock is another one, and it has applied nothing.
-    let restarted = Cores::pull_of(NODE, 1);
-    assert_eq!(times_sent(&mut cores, &restarted, 20), 1);
+    assert_eq!(count_batches_with_entries(&mut cluster, &request, 20), 1);
+    // A process that has just started: its clock differs, and it has applied fewer entries.
+    let restarted = TestCluster::watch_request_of(NODE, 1);
+    assert_eq!(count_batches_with_entries(&mut cluster, &restarted, 20), 1);
 }
 
-/// One chunk that holds all of a snapshot of the state as the replicas have it.
-fn whole_snapshot(harness: &NodeHarness, light: bool, requested_from: u64) -> WatchSnapshotChunk {
+/// A single chunk with a complete snapshot of the replicas' current state.
+fn complete_snapshot_chunk(
+    harness: &NodeHarness,
+    light: bool,
+    requested_from: u64,
+) -> WatchSnapshotChunk {
     let bytes = if light {
-        harness.state.light().pack()
+        harness.state.without_jobs_and_workers().pack()
     } else {
         harness.state.pack()
     };
@@ -110,14 +120,14 @@
 fn receive(harness: &mut NodeHarness, from: &str, chunk: WatchSnapshotChunk) -> Vec<Effect> {
     let now = harness.now();
     let body = Body::WatchSnapshotChunk(Box::new(chunk));
-    harness.node.step(now, Msg::Wire(from.into(), body))
+    harness.node.step(now, Msg::Received(from.into(), body))
 }
 
 #[test]
-fn a_chunk_that_took_longer_than_the_patience_with_its_replica_is_used() {
+fn a_chunk_that_arrives_after_the_request_timed_out_is_used() {
     let mut harness = NodeHarness::new();
-    let chunk = whole_snapshot(&harness, true, 0);
-    // The node asks, hears nothing for long, and asks others.
+    let chunk = complete_snapshot_chunk(&harness, true, 0);
+    // The node gets no answer to its request until the timeout, and asks other replicas.
     for _ in 0..100 {
         harness.elapsed_ms += 20;
         let now = harness.now();
@@ -131,32 +141,32 @@
 }
 
 #[test]
-fn a_chunk_that_was_overtaken_does_not_take_the_copy_back() {
+fn a_late_chunk_of_an_older_snapshot_does_not_revert_the_copy() {
     let mut harness = NodeHarness::new();
-    let overtaken = whole_snapshot(&harness, false, 0);
-    harness.follow();
+    let older = complete_snapshot_chunk(&harness, false, 0);
+    harness.install_full_copy();
     harness.append(Command::SetEvacuation {
         zone: "z".into(),
-        on: true,
+        evacuate: true,
     });
-    harness.follow();
+    harness.install_full_copy();
     let newest = harness.node.state().applied_index;
-    receive(&mut harness, REPLICA, overtaken);
+    receive(&mut harness, REPLICA, older);
     assert_eq!(harness.node.state().applied_index, newest);
 }
 
 #[test]
-fn a_copy_that_has_to_go_back_is_not_shown_before_it_has_caught_up() {
+fn a_node_reverted_to_an_older_snapshot_is_not_ready_until_it_has_caught_up() {
     let mut harness = NodeHarness::new();
-    let earlier = whole_snapshot(&harness, true, 0);
+    let earlier = complete_snapshot_chunk(&harness, true, 0);
     harness.append(Command::SetEvacuation {
         zone: "z".into(),
-        on: true,
+        evacuate: true,
     });
-    harness.follow();
+    harness.install_full_copy();
     let now = harness.now();
     assert!(harness.node.is_ready(now));
-    // The leader wants a light copy here, and has none as new as this node's.
+    // The node's copy must become light, but the leader's newest light snapshot is older than that copy.
     let earlier = WatchSnapshotChunk {
         requested_from: harness.state.applied_index,
         ..earlier
@@ -182,11 +192,11 @@
         config_index: 0,
     };
     let body = Body::WatchBatch(Box::new(batch));
-    harness.node.step(now, Msg::Wire(REPLICA.into(), body));
+    harness.node.step(now, Msg::Received(REPLICA.into(), body));
     assert!(harness.node.is_ready(now));
 }
 
-/// A snapshot of so many bytes at an index, in chunks of which the first begins at 0.
+/// The chunk of 1000 bytes at `offset` of a snapshot at `index`.
 fn chunk(index: u64, offset: usize) -> WatchSnapshotChunk {
     const TOTAL: usize = 9000;
     const SIZE: usize = 1000;
@@ -204,7 +214,7 @@
     }
 }
 
-/// How much of a snapshot the node says that it has, by its last request among some effects.
+/// The index of the snapshot that the node is receiving and the bytes received, from its last request among `effects`.
 fn part_received(effects: &[Effect]) -> Option<(u64, u64)> {
     effects.iter().rev().find_map(|effect| match effect {
         Effect::Send(_, Body::WatchRequest(request)) => {
@@ -215,14 +225,14 @@
 }
 
 #[test]
-fn chunks_of_two_snapshots_on_their_way_at_once_do_not_make_each_other_useless() {
+fn interleaved_chunks_of_two_snapshots_do_not_reset_each_other() {
     let mut harness = NodeHarness::new();
     receive(&mut harness, REPLICA, chunk(1000, 0));
     receive(&mut harness, REPLICA, chunk(1200, 0));
     receive(&mut harness, REPLICA, chunk(1000, 1000));
     let effects = receive(&mut harness, REPLICA, chunk(1200, 1000));
     assert_eq!(part_received(&effects), Some((1200, 2000)));
-    // An older one comes up again only once nothing more has come of this one.
+    // The node returns to the older snapshot only once chunks of the newer one have stopped arriving.
     receive(&mut harness, REPLICA, chunk(1000, 0));
     let effects = receive(&mut harness, REPLICA, chunk(1200, 2000));
     assert_eq!(part_received(&effects), Some((1200, 3000)));
--- a/landingdrift/tests/watch_identity.rs
+++ b/landingdrift/tests/watch_identity.rs
@@ -1,26 +1,27 @@
-//! What a replica sends is for one process and one copy of the cluster state: another one takes nothing of it.
+//! A watch batch is addressed to one process and one copy of the cluster state. Another process or copy must ignore it:
+//! otherwise entries would be skipped, or a stale copy would count as fresh.
 
 mod node_harness;
 mod replicas;
 
-use landingdrift::sans_io::{Effect, Msg, Part};
+use landingdrift::sans_io::{Effect, Msg, StateMachine};
 use landingdrift::settings::Limits;
 use landingdrift::state::Command;
 use landingdrift::wire::{Body, Entry, WatchBatch, WatchRequest};
 use node_harness::{NodeHarness, REPLICA};
-use replicas::{Cores, NODE};
+use replicas::{TestCluster, NODE};
 use serde_json::json;
 
-/// After so many milliseconds without a batch no copy is fresh.
+/// Time without a batch after which no copy is fresh, in milliseconds.
 const STALE_MS: u64 = 5000;
 
-/// A node asks at least this often.
+/// Longest interval between watch requests of a node, in milliseconds.
 const REQUEST_INTERVAL_MS: u64 = 150;
 
 fn receive(harness: &mut NodeHarness, batch: WatchBatch) -> Vec<Effect> {
     let now = harness.now();
     let body = Body::WatchBatch(Box::new(batch));
-    harness.node.step(now, Msg::Wire(REPLICA.into(), body))
+    harness.node.step(now, Msg::Received(REPLICA.into(), body))
 }
 
 fn is_ready(harness: &NodeHarness) -> bool {
@@ -41,9 +42,9 @@
 fn patch(base: u64, value: serde_json::Value) -> Command {
     Command::UpdateConfig {
         change: format!("on-{base}"),
-        base,
-        patch: true,
-        number: 0,
+        base_version: base,
+        is_patch: true,
+        version: 0,
         value,
     }
 }
@@ -59,13 +60,13 @@
 }
 
 #[test]
-fn a_batch_for_an_earlier_process_makes_no_copy_fresh() {
+fn a_batch_for_an_earlier_process_does_not_make_a_copy_fresh() {
     let mut harness = NodeHarness::new();
-    harness.follow();
+    harness.install_full_copy();
     let own = next_request(&mut harness).incarnation;
     harness.elapsed_ms += STALE_MS;
     assert!(own > 0 && !is_ready(&harness));
-    // The earlier process had run for long: by this one's clock its requests lie in the future.
+    // The earlier process had run for a long time, so by this process's clock its requests lie in the future.
     let for_earlier = WatchBatch {
         incarnation: own ^ 1,
         sent: 900_000_000,
@@ -82,9 +83,9 @@
 }
 
 #[test]
-fn a_light_copy_is_not_moved_past_entries_that_it_lacks() {
+fn a_light_copy_does_not_skip_missing_entries() {
     let mut harness = NodeHarness::new();
-    harness.follow_light();
+    harness.install_light_copy();
     let index = harness.state.applied_index;
     let first = patch(
         1,
@@ -94,11 +95,11 @@
     let first_entry = last_entry(&harness, &first);
     let second = Command::SetEvacuation {
         zone: "z".into(),
-        on: true,
+        evacuate: true,
     };
     harness.append(second.clone());
     let second_entry = last_entry(&harness, &second);
-    // It continues the copy of an earlier process, which had the first entry.
+    // The batch continues the copy of an earlier process, which already had the first entry.
     let for_another_copy = WatchBatch {
         entries: vec![second_entry.clone()],
         follows: index + 1,
@@ -117,76 +118,83 @@
 }
 
 #[test]
-fn a_change_that_was_refused_is_in_force_on_no_light_copy() {
+fn a_rejected_change_does_not_come_into_force_on_a_light_copy() {
     let mut harness = NodeHarness::new();
-    harness.accept("j", 1);
-    harness.follow_light();
+    harness.submit("j", 1);
+    harness.install_light_copy();
     let index = harness.state.applied_index;
-    // Refused, since the queue holds a job: of that a light copy knows nothing.
-    let refused = patch(1, json!({"queues": {"q": null}}));
+    // Rejected because the queue has a job, which a light copy does not know.
+    let rejected = patch(1, json!({"queues": {"q": null}}));
     let result = harness
         .state
-        .apply(index + 1, 1000 + harness.elapsed_ms, &refused);
+        .apply(index + 1, 1000 + harness.elapsed_ms, &rejected);
     result.expect_err("the queue holds a job");
-    let with_refused = WatchBatch {
-        entries: vec![last_entry(&harness, &refused)],
+    let batch_with_rejected = WatchBatch {
+        entries: vec![last_entry(&harness, &rejected)],
         follows: index,
         ..harness.batch(true)
     };
-    receive(&mut harness, with_refused);
+    receive(&mut harness, batch_with_rejected);
     assert!(!is_ready(&harness), "its copy is not that of the replicas");
     assert_eq!(harness.counter("watch_copies_diverged"), 1);
     let request = next_request(&mut harness);
     assert_eq!((request.log_index, request.light), (0, false));
-    harness.follow_light();
+    harness.install_light_copy();
     assert!(is_ready(&harness));
     assert!(harness.node.state().config.queues.contains_key("q"));
 }
 
 #[test]
-fn a_replica_says_for_which_process_and_copy_a_batch_is() {
-    let mut cores = Cores::start(Limits::default());
-    assert!(cores.until(5000, |cores| cores.leader().is_some()));
-    cores.change(10);
-    cores.run(3000);
-    let leader = cores.leader().expect("somebody leads");
-    let state = cores.replica(leader).state();
+fn a_batch_names_the_process_and_copy_that_it_is_for() {
+    let mut cluster = TestCluster::start(Limits::default());
+    assert!(cluster.run_until(5000, |cluster| cluster.leader().is_some()));
+    cluster.commit_change(10);
+    cluster.run(3000);
+    let leader = cluster.leader().expect("a leader is elected");
+    let state = cluster.replica(leader).state();
     let (applied, config_index) = (state.applied_index, state.config_index());
     assert!(config_index > 0);
     let request = WatchRequest {
         incarnation: 77,
-        ..Cores::pull_of(NODE, applied)
+        ..TestCluster::watch_request_of(NODE, applied)
     };
-    cores.pull_from(request);
-    cores.run(5);
-    let batch = cores.batches(NODE).pop().expect("a batch");
+    cluster.send_watch_request(request);
+    cluster.run(5);
+    let batch = cluster.batches(NODE).pop().expect("a batch");
     assert_eq!((batch.incarnation, batch.follows), (77, applied));
     assert_eq!(batch.config_index, config_index);
 }
 
 #[test]
-fn what_was_sent_to_an_earlier_process_is_not_in_flight_to_its_successor() {
-    let (mut cores, applied) = Cores::start_followed();
-    let with_entries = |cores: &Cores| {
-        let batches = cores.batches(NODE);
+fn batches_sent_to_an_earlier_process_are_not_in_flight_to_its_successor() {
+    let (mut cluster, applied) = TestCluster::start_with_node();
+    let batches_with_entries = |cluster: &TestCluster| {
+        let batches = cluster.batches(NODE);
         let of_change = batches.iter().filter(|batch| batch.follows == applied);
         of_change.filter(|batch| !batch.entries.is_empty()).count()
     };
-    let ask = |cores: &mut Cores, incarnation: u64| {
+    let send_request_and_count = |cluster: &mut TestCluster, incarnation: u64| {
         let request = WatchRequest {
             incarnation,
-            ..Cores::pull_of(NODE, applied)
+            ..TestCluster::watch_request_of(NODE, applied)
         };
-        cores.pull_from(request);
-        cores.run(5);
-        with_entries(cores)
+        cluster.send_watch_request(request);
+        cluster.run(5);
+        batches_with_entries(cluster)
     };
-    ask(&mut cores, 1);
-    let before = with_entries(&cores);
-    cores.change(200_000);
-    let sent = ask(&mut cores, 1);
+    send_request_and_count(&mut cluster, 1);
+    let before = batches_with_entries(&cluster);
+    cluster.commit_change(200_000);
+    let sent = send_request_and_count(&mut cluster, 1);
     assert!(sent > before);
 
-    assert_eq!(ask(&mut cores, 1), sent, "it is on its way");
-    assert!(ask(&mut cores, 2) > sent, "the successor has got nothing");
+    assert_eq!(
+        send_request_and_count(&mut cluster, 1),
+        sent,
+        "the entries are in flight"
+    );
+    assert!(
+        send_request_and_count(&mut cluster, 2) > sent,
+        "the successor has received nothing"
+    );
 }
--- a/landingdrift/tests/worker_proxy.rs
+++ b/landingdrift/tests/worker_proxy.rs
@@ -1,6 +1,6 @@
-//! The worker proxy forwards a worker's calls; each test drives one by its messages.
+//! The worker proxy, which forwards a worker's calls. Each test drives a proxy by messages.
 
-use landingdrift::sans_io::{Effect, Msg, Now, Part, Request, Response};
+use landingdrift::sans_io::{Effect, Msg, Now, Request, Response, StateMachine};
 use landingdrift::settings::Settings;
 use landingdrift::wire::{Body, ForwardResponse, RequestToken};
 use landingdrift::worker_proxy::{WorkerProxy, LEAVING};
@@ -42,7 +42,7 @@
 
 fn response_among(effects: &[Effect]) -> Option<Response> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Answer(7, response) => Some(response.clone()),
+        Effect::Respond(7, response) => Some(response.clone()),
         _ => None,
     })
 }
@@ -56,11 +56,11 @@
         by: by.into(),
         config_version: 0,
     };
-    Msg::Wire(from.into(), Body::ForwardResponse(Box::new(response)))
+    Msg::Received(from.into(), Body::ForwardResponse(Box::new(response)))
 }
 
 #[test]
-fn the_node_that_answered_is_called_first_the_next_time() {
+fn the_next_call_is_sent_to_the_last_known_lease_holder_first() {
     let mut proxy = worker_proxy();
     let (to, token) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
     let response = response_among(&step(
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn after_a_refusal_another_node_is_called() {
+fn after_a_rejection_another_node_is_called() {
     let mut proxy = worker_proxy();
     let (first, token) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
     step(&mut proxy, 12, response_from(&first, token, 503, &first));
@@ -99,32 +99,32 @@
     assert_eq!(next[0].0, "10.0.0.5:1");
     assert_eq!(next[0].1.number, token.number, "the same call");
     let (holder, token) = next[0].clone();
-    // A holder that can't act for the zone names no other, and is not called again at once.
+    // A holder that can't act for the zone now names no other node, and is not called again at once.
     let refusal = response_from(&holder, token, 503, &holder);
     assert_eq!(forwarded(&step(&mut proxy, 14, refusal)), []);
 }
 
-/// The responses, with their times, while no node answers for a second and a half.
-fn without_nodes(query: &str) -> Vec<(u64, Response)> {
+/// The responses, each with its time in milliseconds, while no node answers for 1.5 s.
+fn responses_without_nodes(query: &str) -> Vec<(u64, Response)> {
     let mut proxy = worker_proxy();
     step(&mut proxy, 1, heartbeat(query));
     (20..1500)
         .step_by(20)
-        .filter_map(|t| {
-            response_among(&step(&mut proxy, t, Msg::Tick)).map(|response| (t, response))
+        .filter_map(|now_ms| {
+            response_among(&step(&mut proxy, now_ms, Msg::Tick)).map(|response| (now_ms, response))
         })
         .collect()
 }
 
 #[test]
-fn an_unanswered_heartbeat_gets_a_response_before_its_worker_gives_up() {
-    let responses = without_nodes("");
+fn the_proxy_answers_a_heartbeat_that_no_node_answers_before_its_worker_drops_the_response() {
+    let responses = responses_without_nodes("");
     assert_eq!(responses.len(), 1);
     let (at, response) = &responses[0];
     assert!(*at < 1000, "a worker drops responses after a second");
     assert_eq!(
         response.status, 200,
-        "a refusal makes it wait longer each time"
+        "a worker backs off after an error response"
     );
     assert!(response.body["beatMs"].as_u64().is_some_and(|ms| ms > 0));
     let acknowledgements = ["holdMs", "epoch", "settledTo"];
@@ -135,13 +135,13 @@
 
 #[test]
 fn a_leaving_worker_gets_no_false_acknowledgement() {
-    let responses = without_nodes(LEAVING);
+    let responses = responses_without_nodes(LEAVING);
     assert_eq!(responses.len(), 1);
     assert_eq!(responses[0].1.status, 503);
 }
 
 #[test]
-fn a_response_counts_only_for_its_own_attempt_and_from_its_own_node() {
+fn a_response_is_accepted_only_for_its_attempt_and_from_the_node_asked() {
     let mut proxy = worker_proxy();
     let (to, first) = forwarded(&step(&mut proxy, 10, heartbeat("")))[0].clone();
     let stranger = response_from("10.0.0.8:1", first, 200, "");
@@ -160,7 +160,7 @@
     );
     assert!(response_among(&step(&mut proxy, 13, response_from(&to, first, 200, &to))).is_some());
     let (_, second) = forwarded(&step(&mut proxy, 160, heartbeat("")))[0].clone();
-    // The response to the earlier heartbeat arrives again: it is none to the open one.
+    // A duplicate of the response to the earlier heartbeat does not answer the open one.
     assert_eq!(
         response_among(&step(&mut proxy, 161, response_from(&to, first, 200, &to))),
         None
@@ -173,12 +173,12 @@
 }
 
 #[test]
-fn a_response_after_the_call_was_given_up_is_dropped() {
+fn a_response_after_the_call_timed_out_is_dropped() {
     let mut proxy = worker_proxy();
     let (to, token) = forwarded(&step(&mut proxy, 1, heartbeat("")))[0].clone();
     let response = (20..1500)
         .step_by(20)
-        .find_map(|t| response_among(&step(&mut proxy, t, Msg::Tick)));
+        .find_map(|now_ms| response_among(&step(&mut proxy, now_ms, Msg::Tick)));
     assert!(response.is_some());
     assert_eq!(
         response_among(&step(&mut proxy, 1501, response_from(&to, token, 200, &to))),
@@ -196,11 +196,11 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_is_sent_once_and_unsure_without_a_response() {
+fn an_unrepeatable_call_without_a_response_is_sent_once_and_has_an_unknown_outcome() {
     let mut proxy = worker_proxy();
     let mut effects = step(&mut proxy, 1, evacuation());
-    for t in (20..3000).step_by(20) {
-        effects.extend(step(&mut proxy, t, Msg::Tick));
+    for now_ms in (20..3000).step_by(20) {
+        effects.extend(step(&mut proxy, now_ms, Msg::Tick));
     }
     assert_eq!(forwarded(&effects).len(), 1);
     let response = response_among(&effects).expect("answered");
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_goes_to_another_node_after_a_clear_refusal() {
+fn an_unrepeatable_call_goes_to_another_node_after_a_rejection() {
     let mut proxy = worker_proxy();
     let (first, token) = forwarded(&step(&mut proxy, 1, evacuation()))[0].clone();
     step(&mut proxy, 5, response_from(&first, token, 503, &first));
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_rejection_is_not_final_while_the_call_may_have_its_effect_at_another_node() {
+fn a_client_error_becomes_unsure_if_another_node_may_have_applied_the_call() {
     let mut proxy = worker_proxy();
     let request = Request {
         method: "PUT".into(),
@@ -228,8 +228,8 @@
         body: b"{}".to_vec(),
     };
     let mut sent = forwarded(&step(&mut proxy, 1, Msg::Call(7, request)));
-    for t in (20..1000).step_by(20) {
-        sent.extend(forwarded(&step(&mut proxy, t, Msg::Tick)));
+    for now_ms in (20..1000).step_by(20) {
+        sent.extend(forwarded(&step(&mut proxy, now_ms, Msg::Tick)));
     }
     assert_eq!(sent.len(), 2, "without a response another node is called");
     let (to, token) = sent[1].clone();
--- a/landingdrift/tests/zone_offers.rs
+++ b/landingdrift/tests/zone_offers.rs
@@ -1,8 +1,8 @@
-//! Offers of zone schedulers, and the starts that schedulers propose: each test drives one node by its messages.
+//! Offers of zone schedulers, and the starts that schedulers propose. Each test drives a node by messages.
 
 mod node_harness;
 
-use landingdrift::sans_io::{Effect, Msg, Part};
+use landingdrift::sans_io::{Effect, Msg, StateMachine};
 use landingdrift::state::Command;
 use landingdrift::wire::{
     Body, Entry, Offer, OfferResponse, ProposeResponse, RequestToken, Reservation, Reserve,
@@ -11,12 +11,12 @@
 use node_harness::{NodeHarness, REPLICA};
 
 #[test]
-fn when_a_zone_lease_has_a_new_holder_reservations_are_placed_again_at_once() {
+fn reservations_are_placed_again_at_once_with_a_new_zone_lease_holder() {
     let mut harness = NodeHarness::new();
     let other = "10.0.0.3:1";
     harness.register_node(other, other);
-    harness.accept("k", 8);
-    harness.follow();
+    harness.submit("k", 8);
+    harness.install_full_copy();
     let granted = Command::GrantLease {
         lease: "cell/z".into(),
         holder: other.into(),
@@ -50,28 +50,28 @@
     let now = harness.now();
     let effects = harness.node.step(
         now,
-        Msg::Wire(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
+        Msg::Received(REPLICA.into(), Body::WatchBatch(Box::new(batch))),
     );
-    let placed = effects.iter().any(|effect| match effect {
+    let is_reserved_at_new_holder = effects.iter().any(|effect| match effect {
         Effect::Send(to, Body::Reserve(reserve)) => {
             to == other && reserve.reservations[0].job == "k"
         }
         _ => false,
     });
-    assert!(placed, "{effects:?}");
+    assert!(is_reserved_at_new_holder, "{effects:?}");
 }
 
-/// The offers made to a scheduler.
+/// The offers sent to a scheduler.
 fn offers(effects: &[Effect], to: &str) -> Vec<Offer> {
-    let made = effects.iter().filter_map(|effect| match effect {
+    let sent = effects.iter().filter_map(|effect| match effect {
         Effect::Send(receiver, Body::Offer(offer)) if receiver == to => Some((**offer).clone()),
         _ => None,
     });
-    made.collect()
+    sent.collect()
 }
 
 #[test]
-fn an_offer_is_answered_by_the_scheduler_that_it_was_made_to_and_once() {
+fn an_offer_is_answered_only_by_the_scheduler_that_was_asked_and_once() {
     let (scheduler, stranger) = ("10.0.0.3:1", "10.0.0.9:1");
     let mut harness = NodeHarness::new();
     harness.register_node(scheduler, scheduler);
@@ -80,8 +80,8 @@
         holder: scheduler.into(),
         from_epoch: 2,
     });
-    harness.accept("k", 1);
-    harness.follow();
+    harness.submit("k", 1);
+    harness.install_full_copy();
     harness.heartbeat(1, false);
     let reservation = Reservation {
         job: "k".into(),
@@ -95,12 +95,13 @@
         reservations: vec![reservation],
     };
     let now = harness.now();
-    let mut receive = |from: &str, body: Body| harness.node.step(now, Msg::Wire(from.into(), body));
-    let made = offers(
+    let mut receive =
+        |from: &str, body: Body| harness.node.step(now, Msg::Received(from.into(), body));
+    let offers = offers(
         &receive(scheduler, Body::Reserve(Box::new(reserve))),
         scheduler,
     );
-    assert_eq!(made.len(), 1);
+    assert_eq!(offers.len(), 1);
     let response = |token: RequestToken| {
         Body::OfferResponse(Box::new(OfferResponse {
             token,
@@ -110,7 +111,7 @@
             ..OfferResponse::default()
         }))
     };
-    let token = made[0].token;
+    let token = offers[0].token;
     let of_earlier_process = RequestToken {
         incarnation: token.incarnation ^ 1,
         ..token
@@ -131,7 +132,7 @@
     assert_eq!(count("responses_to_another_incarnation"), Some(1));
 }
 
-/// The starts that were proposed, each with the replica and the token.
+/// The proposed starts, each with the replica that it was sent to and its token.
 fn start_proposals(effects: Vec<Effect>) -> Vec<(String, RequestToken)> {
     let sent = effects.into_iter().filter_map(|effect| match effect {
         Effect::Send(to, Body::ProposeRequest(request)) => Some((to, *request)),
@@ -148,19 +149,19 @@
 }
 
 impl NodeHarness {
-    /// Lets time pass while the node follows the watch; returns the starts that it proposes.
+    /// Lets time pass while the node follows the watch; returns the proposed starts.
     fn starts_during(&mut self, ms: u64) -> Vec<(String, RequestToken)> {
         let mut all = Vec::new();
         for _ in 0..ms / 20 {
             self.elapsed_ms += 20;
-            all.extend(start_proposals(self.follow()));
+            all.extend(start_proposals(self.install_full_copy()));
             let now = self.now();
             all.extend(start_proposals(self.node.step(now, Msg::Tick)));
         }
         all
     }
 
-    /// A replica rejects a proposal because it does not lead; returns the starts that are proposed because of it.
+    /// Delivers a rejection by a replica that is not the leader; returns the starts proposed in reaction.
     fn reject(&mut self, from: &str, token: RequestToken) -> Vec<(String, RequestToken)> {
         let response = ProposeResponse {
             token,
@@ -171,16 +172,16 @@
         };
         let now = self.now();
         let body = Body::ProposeResponse(Box::new(response));
-        start_proposals(self.node.step(now, Msg::Wire(from.into(), body)))
+        start_proposals(self.node.step(now, Msg::Received(from.into(), body)))
     }
 }
 
 #[test]
 fn a_start_is_sent_to_another_replica_only_when_the_last_one_has_rejected_it() {
     let mut harness = NodeHarness::new();
-    harness.follow();
+    harness.install_full_copy();
     harness.heartbeat(1, false);
-    harness.accept("k", 1);
+    harness.submit("k", 1);
     let first = harness.starts_during(100);
     assert_eq!(first.len(), 1, "{first:?}");
     let (replica, token) = first[0].clone();
@@ -188,7 +189,7 @@
     let second = harness.starts_during(100);
     assert_eq!(second.len(), 1, "it was rejected: it is sent again");
     assert_eq!(second[0].1.number, token.number);
-    // The first rejection arrives again, and says nothing about the second attempt.
+    // A duplicate of the first rejection does not apply to the second attempt.
     harness.reject(&replica, token);
     assert_eq!(
         harness.starts_during(800),
--- a/testkit/src/checkers/conditions.rs
+++ b/testkit/src/checkers/conditions.rs
@@ -1,36 +1,38 @@
-//! What could work at which time, as the history tells of processes and links.
+//! The intervals in which service can be expected, derived from the availability events of a history.
 
 use super::interval::Interval;
 use super::PromisedBounds;
 use crate::history::{Event, History};
 use std::collections::BTreeMap;
 
-/// Fewer replicas than this have no majority of three.
+/// The majority of three replicas.
 const MAJORITY: usize = 2;
 
-/// The times in which service was possible.
+/// The intervals in which service can't be expected and the promises don't apply, such as those without a connected
+/// majority of replicas or without a node that reaches it; and the intervals in which each node was up and connected.
 pub struct Conditions<'a> {
-    /// Times in which no service can be asked for, with the promised time to return.
+    /// Sorted intervals that the promises exclude: those without a majority or a connected node, each extended by the
+    /// bound on the recovery after it, and those passed to [`Self::excuse`].
     excused: Vec<Interval>,
-    /// Times in which a node was up and could talk to the replicas.
-    nodes: BTreeMap<&'a str, Vec<Interval>>,
+    /// The intervals in which each node was up and connected to the replicas.
+    node_intervals: BTreeMap<&'a str, Vec<Interval>>,
 }
 
-/// A time without service that has not ended.
+/// An interval without service that has not ended yet.
 #[derive(Clone, Copy)]
 struct Downtime {
     from: u64,
-    /// How long service may take to return when it ends, in milliseconds.
-    return_ms: u64,
+    /// The bound on the recovery of service after the downtime, in milliseconds.
+    recovery_bound_ms: u64,
 }
 
 impl<'a> Conditions<'a> {
-    /// Reads the conditions. After a time without a majority service may take `recover_ms` to return, and `outage_ms`
-    /// where no replica was left.
+    /// Derives the conditions from a history. After a time without a majority or without any connected node, recovery
+    /// is bounded by `recover_ms`; after a time without any replica, by `outage_ms`.
     pub fn new(history: &'a History, bounds: &PromisedBounds) -> Self {
         let mut conditions = Self {
             excused: Vec::new(),
-            nodes: BTreeMap::new(),
+            node_intervals: BTreeMap::new(),
         };
         let mut downtime: Option<Downtime> = None;
         let mut up_since: BTreeMap<&str, u64> = BTreeMap::new();
@@ -39,7 +41,7 @@
                 continue;
             };
             let now = timed.at_ms;
-            let return_ms = if *replicas == 0 {
+            let recovery_bound_ms = if *replicas == 0 {
                 bounds.outage_ms
             } else {
                 bounds.recover_ms
@@ -47,28 +49,35 @@
             if *replicas < MAJORITY || nodes.is_empty() {
                 downtime = Some(Downtime {
                     from: downtime.map_or(now, |before| before.from),
-                    return_ms: downtime.map_or(return_ms, |before| before.return_ms.max(return_ms)),
+                    recovery_bound_ms: downtime.map_or(recovery_bound_ms, |before| {
+                        before.recovery_bound_ms.max(recovery_bound_ms)
+                    }),
                 });
             } else if let Some(ended) = downtime.take() {
-                conditions.excuse(ended.from, now + ended.return_ms);
+                conditions.excuse(ended.from, now + ended.recovery_bound_ms);
             }
-            conditions.note_nodes(&mut up_since, nodes, now);
+            conditions.update_up_nodes(&mut up_since, nodes, now);
         }
-        if let Some(lasting) = downtime {
-            conditions.excuse(lasting.from, u64::MAX);
+        if let Some(ongoing_downtime) = downtime {
+            conditions.excuse(ongoing_downtime.from, u64::MAX);
         }
         for (node, from) in up_since {
-            conditions.note_up(node, from, u64::MAX);
+            conditions.add_up_interval(node, from, u64::MAX);
         }
         conditions
     }
 
-    /// Notes the times of nodes that are not available any more, and the beginning for those that are new.
-    fn note_nodes(&mut self, up_since: &mut BTreeMap<&'a str, u64>, nodes: &'a [String], now: u64) {
+    /// Ends the intervals of nodes that became unavailable, and begins intervals for those that became available.
+    fn update_up_nodes(
+        &mut self,
+        up_since: &mut BTreeMap<&'a str, u64>,
+        nodes: &'a [String],
+        now: u64,
+    ) {
         up_since.retain(|node, from| {
             let is_still_up = nodes.iter().any(|up| up == node);
             if !is_still_up {
-                self.note_up(node, *from, now);
+                self.add_up_interval(node, *from, now);
             }
             is_still_up
         });
@@ -77,35 +86,35 @@
         }
     }
 
-    fn note_up(&mut self, node: &'a str, from: u64, to: u64) {
-        let times = self.nodes.entry(node).or_default();
-        times.push(Interval::new(from, to));
+    fn add_up_interval(&mut self, node: &'a str, from: u64, to: u64) {
+        let intervals = self.node_intervals.entry(node).or_default();
+        intervals.push(Interval::new(from, to));
     }
 
-    /// Excuses another time.
+    /// Excludes an interval from the promises.
     pub fn excuse(&mut self, from: u64, to: u64) {
         self.excused.push(Interval::new(from, to));
         self.excused.sort_unstable();
     }
 
-    /// How many milliseconds of a time are left to account for without what is excused.
+    /// The length of an interval without its excused parts, in milliseconds.
     pub fn unexcused_ms(&self, from: u64, to: u64) -> u64 {
-        let mut accounted_to = from;
+        let mut covered_until = from;
         let mut sum = 0;
         for excused in &self.excused {
             if excused.from < to && excused.to > from {
-                sum += excused.from.saturating_sub(accounted_to);
-                accounted_to = accounted_to.max(excused.to);
+                sum += excused.from.saturating_sub(covered_until);
+                covered_until = covered_until.max(excused.to);
             }
         }
-        sum + to.saturating_sub(accounted_to)
+        sum + to.saturating_sub(covered_until)
     }
 
-    /// Whether a node was up and connected, and the replicas had a majority, all the time.
+    /// Whether a node was up and connected throughout an interval, and no part of it is excused.
     pub fn node_could_work(&self, node: &str, from: u64, to: u64) -> bool {
-        let whole = Interval::new(from, to);
-        let up_times = self.nodes.get(node).into_iter().flatten();
-        let mut up_times = up_times.filter(|up| up.contains(&whole));
-        up_times.next().is_some() && self.unexcused_ms(from, to) == to - from
+        let interval = Interval::new(from, to);
+        let up_intervals = self.node_intervals.get(node).into_iter().flatten();
+        let mut up_intervals = up_intervals.filter(|up| up.contains(&interval));
+        up_intervals.next().is_some() && self.unexcused_ms(from, to) == to - from
     }
 }
--- a/testkit/src/checkers/configuration.rs
+++ b/testkit/src/checkers/configuration.rs
@@ -1,4 +1,5 @@
-//! Checkers of the configuration: one of two rivals wins, changes take effect, and none is undone silently.
+//! Checkers of the configuration: at most one of two concurrent changes is accepted, accepted changes take effect, and
+//! none of them is lost.
 
 use super::conditions::Conditions;
 use super::quotas::quotas;
@@ -6,10 +7,10 @@
 use crate::history::{Event, History};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What operators were told of their changes, over the whole day.
+/// The outcomes of all changes of a day, as operators received them.
 #[derive(Default)]
 struct Changes<'a> {
-    /// The change that each version came from.
+    /// The accepted change that created each version.
     by_version: BTreeMap<u64, &'a str>,
     refused: BTreeSet<&'a str>,
 }
@@ -36,27 +37,28 @@
         changes
     }
 
-    /// What is wrong with a version that carries the mark of a change.
-    fn wrong_content(&self, version: u64, change: &str) -> Option<String> {
+    /// The reason why a version must not have the content of a change, or none.
+    fn content_mismatch(&self, version: u64, change: &str) -> Option<String> {
         if self.refused.contains(change) {
             return Some(format!(
-                "{change} was refused, and its content is in version {version}"
+                "{change} was refused, but its content is in version {version}"
             ));
         }
-        let maker = self.by_version.get(&version)?;
-        (*maker != change).then(|| {
-            format!("version {version} was made by {maker} and has the content of {change}")
+        let accepted_change = self.by_version.get(&version)?;
+        (*accepted_change != change).then(|| {
+            format!("version {version} was created by {accepted_change} but has the content of {change}")
         })
     }
 }
 
-/// Of two changes on one version only one is accepted, and nothing of the other is seen anywhere.
-pub fn one_winner(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+/// Of two changes based on the same version, at most one is accepted, and the content of a refused change appears in no
+/// version.
+pub fn one_of_two_accepted(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let changes = Changes::new(history);
-    let mut winner_on_base: BTreeMap<u64, &str> = BTreeMap::new();
-    let mut winner_of_version: BTreeMap<u64, &str> = BTreeMap::new();
+    let mut accepted_on_base: BTreeMap<u64, &str> = BTreeMap::new();
+    let mut accepted_as_version: BTreeMap<u64, &str> = BTreeMap::new();
     let mut violations = Vec::new();
-    let mut violated = |at_ms, description| {
+    let mut add_violation = |at_ms, description| {
         violations.push(Violation::new("one of two rivals", at_ms, description));
     };
     for timed in &history.events {
@@ -68,15 +70,15 @@
                 version,
                 ..
             } => {
-                let is_other = |winner: &str| winner != change;
-                let has_rival = winner_on_base.insert(*base, change).is_some_and(is_other)
-                    || winner_of_version
+                let is_other = |accepted: &str| accepted != change;
+                let conflicts = accepted_on_base.insert(*base, change).is_some_and(is_other)
+                    || accepted_as_version
                         .insert(*version, change)
                         .is_some_and(is_other);
-                if has_rival {
+                if conflicts {
                     let description =
-                        format!("{change} was accepted on version {base}, and another was too");
-                    violated(timed.at_ms, description);
+                        format!("{change} and another change were both accepted on version {base}");
+                    add_violation(timed.at_ms, description);
                 }
             }
             Event::ConfigRead {
@@ -88,8 +90,8 @@
             | Event::DayEnded {
                 version, change, ..
             } if !change.is_empty() => {
-                if let Some(description) = changes.wrong_content(*version, change) {
-                    violated(timed.at_ms, description);
+                if let Some(description) = changes.content_mismatch(*version, change) {
+                    add_violation(timed.at_ms, description);
                 }
             }
             _ => {}
@@ -98,33 +100,34 @@
     violations
 }
 
-/// The versions that operators were told are accepted, each with when.
+/// The acknowledged versions with the times of their acknowledgements.
 #[derive(Default)]
-struct Accepted(Vec<AcceptedVersion>);
+struct AcceptedVersions(Vec<AcceptedVersion>);
 
 struct AcceptedVersion {
     at_ms: u64,
     version: u64,
 }
 
-impl Accepted {
+impl AcceptedVersions {
     fn add(&mut self, at_ms: u64, version: u64) {
         self.0.push(AcceptedVersion { at_ms, version });
     }
 
-    /// The newest version that was accepted before a time; 0 where there is none.
+    /// The newest version that was acknowledged before a time; 0 if there is none.
     fn newest_before(&self, at_ms: u64) -> u64 {
         let before = self.0.iter().filter(|accepted| accepted.at_ms < at_ms);
         before.map(|accepted| accepted.version).max().unwrap_or(0)
     }
 }
 
-/// An accepted change is never undone silently, and what is read is the newest that was accepted.
-pub fn never_slides_back(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+/// An accepted change is never lost: reads return at least the newest version accepted before them, and versions on a
+/// node only increase.
+pub fn never_reverts(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
-    let mut accepted = Accepted::default();
+    let mut accepted = AcceptedVersions::default();
     let mut on_node: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut violated = |at_ms, description| {
+    let mut add_violation = |at_ms, description| {
         let rule = "configuration never slides back";
         violations.push(Violation::new(rule, at_ms, description));
     };
@@ -144,8 +147,8 @@
                 let expected = accepted.newest_before(*requested_ms);
                 if *version < expected {
                     let description =
-                        format!("version {version} was read after {expected} was accepted");
-                    violated(now, description);
+                        format!("version {version} was read after version {expected} was accepted");
+                    add_violation(now, description);
                 }
             }
             Event::NodeDown { node } => {
@@ -159,15 +162,17 @@
             } => {
                 let before = on_node.insert(node, *version);
                 if before.is_some_and(|before| before > *version) {
-                    violated(now, format!("{node} slid back to version {version}"));
+                    add_violation(now, format!("{node} went back to version {version}"));
                 }
             }
             Event::DayEnded { version, .. } => {
                 let expected = accepted.newest_before(u64::MAX);
                 if *version < expected {
-                    violated(
+                    add_violation(
                         now,
-                        format!("version {version} at the end of the day, {expected} was accepted"),
+                        format!(
+                            "the day ended with version {version}, but {expected} was accepted"
+                        ),
                     );
                 }
             }
@@ -177,12 +182,13 @@
     violations
 }
 
-/// An accepted change is in force soon on every node: on those that say they are ready, and on all that could be.
+/// An accepted change is in force within `config_ms` on every node that reports ready, every node that is up and
+/// connected becomes ready within `ready_ms`, and queues respect their quotas.
 pub fn takes_effect(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut nodes = NodeReadiness {
         conditions: Conditions::new(history, bounds),
         bounds,
-        accepted: Accepted::default(),
+        accepted: AcceptedVersions::default(),
         unready_since: BTreeMap::new(),
         violations: Vec::new(),
     };
@@ -201,10 +207,10 @@
                 version,
                 ready: true,
                 ..
-            } => nodes.ready(node, *version, timed.at_ms),
+            } => nodes.on_ready(node, *version, timed.at_ms),
             Event::NodeVersion {
                 node, ready: false, ..
-            } => nodes.not_ready(node, timed.at_ms),
+            } => nodes.on_not_ready(node, timed.at_ms),
             _ => {}
         }
     }
@@ -213,40 +219,41 @@
     violations
 }
 
-/// What nodes say of themselves, compared with what they could do.
+/// The state of [`takes_effect`]: the accepted versions, and since when each node has been unready.
 struct NodeReadiness<'a> {
     conditions: Conditions<'a>,
     bounds: &'a PromisedBounds,
-    accepted: Accepted,
+    accepted: AcceptedVersions,
     unready_since: BTreeMap<&'a str, u64>,
     violations: Vec<Violation>,
 }
 
 impl<'a> NodeReadiness<'a> {
-    fn violated(&mut self, at_ms: u64, description: String) {
+    fn add_violation(&mut self, at_ms: u64, description: String) {
         let violation = Violation::new("configuration takes hold", at_ms, description);
         self.violations.push(violation);
     }
 
-    fn ready(&mut self, node: &str, version: u64, now: u64) {
+    fn on_ready(&mut self, node: &str, version: u64, now: u64) {
         self.unready_since.remove(node);
         let expected = self
             .accepted
             .newest_before(now.saturating_sub(self.bounds.config_ms));
         if version < expected {
-            self.violated(now, format!("{node} says it is ready with version {version}, {expected} was accepted long before"));
+            self.add_violation(now, format!("{node} reports ready with version {version}, but version {expected} was accepted more than {} ms before", self.bounds.config_ms));
         }
     }
 
-    /// Nobody escapes by not being ready: a node that is up and connected has no excuse for long.
-    fn not_ready(&mut self, node: &'a str, now: u64) {
+    /// A node can't avoid the bound by reporting not ready: while it is up and connected, it has to become ready within
+    /// `ready_ms`.
+    fn on_not_ready(&mut self, node: &'a str, now: u64) {
         let since = *self.unready_since.entry(node).or_insert(now);
         let is_late = now > since + self.bounds.ready_ms;
         if is_late && self.conditions.node_could_work(node, since, now) {
             let duration_ms = now - since;
-            self.violated(
+            self.add_violation(
                 now,
-                format!("{node} was up and connected and not ready for {duration_ms} ms"),
+                format!("{node} was up and connected but not ready for {duration_ms} ms"),
             );
             self.unready_since.insert(node, now);
         }
--- a/testkit/src/checkers/jobs.rs
+++ b/testkit/src/checkers/jobs.rs
@@ -1,23 +1,24 @@
-//! Checkers of what clients are told about their jobs.
+//! Checkers of the answers that clients get about their jobs.
 
 use super::conditions::Conditions;
 use super::{PromisedBounds, Violation};
 use crate::history::{Event, FinalState, History};
 use std::collections::BTreeMap;
 
-/// Clients get their answers this long after the network stops losing them: they ask again after a time of their own,
-/// in milliseconds.
+/// The time that clients may need for an answer after a lost-answers fault ends, in milliseconds: the timeout of a
+/// poll.
 const CLIENT_RETRY_MS: u64 = 1000;
 
-/// Faults of this kind lose answers; see [`crate::scenario::Kind`].
-const LOST_ANSWERS: &str = "LostAnswers";
+/// The prefix of the descriptions of faults that lose answers: the name of
+/// [`FaultKind::LostAnswers`](crate::scenario::FaultKind::LostAnswers).
+const LOST_ANSWERS_PREFIX: &str = "LostAnswers";
 
-/// Whether a job in this state has ended.
-pub fn has_ended(state: &str) -> bool {
+/// Whether a job state of the API is final.
+pub fn is_final_state(state: &str) -> bool {
     ["done", "failed", "cancelled"].contains(&state)
 }
 
-/// The job that an event shows to be accepted, if it does.
+/// The id of the job that an event proves to be accepted, if any.
 fn accepted_job(event: &Event) -> Option<&str> {
     match event {
         Event::SubmitAnswered {
@@ -33,12 +34,12 @@
     }
 }
 
-/// An accepted job is known from then on, to the end of the day, and an end once reported stays that end.
+/// An accepted job stays known until the end of the day, and a reported final state never changes.
 pub fn never_forgotten(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut known = KnownJobs::default();
     for timed in &history.events {
         if let Some(id) = accepted_job(&timed.event) {
-            known.accepted.entry(id).or_insert(timed.at_ms);
+            known.accepted_ms.entry(id).or_insert(timed.at_ms);
         }
         match &timed.event {
             Event::StateAnswered {
@@ -58,37 +59,38 @@
     known.violations
 }
 
-/// What clients know of their jobs.
+/// Accepted jobs and final states as clients observed them, with the violations found.
 #[derive(Default)]
 struct KnownJobs<'a> {
-    /// When each job was first known to be accepted.
-    accepted: BTreeMap<&'a str, u64>,
-    /// The state of each job that has ended.
-    ends: BTreeMap<&'a str, &'a str>,
+    /// When each job was first known to be accepted, in milliseconds.
+    accepted_ms: BTreeMap<&'a str, u64>,
+    /// The first final state that was reported for each job.
+    final_states: BTreeMap<&'a str, &'a str>,
     violations: Vec<Violation>,
 }
 
 impl<'a> KnownJobs<'a> {
-    fn violated(&mut self, at_ms: u64, description: String) {
+    fn add_violation(&mut self, at_ms: u64, description: String) {
         let violation = Violation::new("never forgotten", at_ms, description);
         self.violations.push(violation);
     }
 
     fn check_unknown(&mut self, id: &str, at_ms: u64, state_ms: u64) {
-        let accepted = self.accepted.get(id);
+        let accepted = self.accepted_ms.get(id);
         if accepted.is_some_and(|accepted_ms| at_ms >= accepted_ms + state_ms) {
-            self.violated(at_ms, format!("job {id} was accepted and is unknown"));
+            self.add_violation(at_ms, format!("job {id} was accepted but is unknown"));
         }
     }
 
     fn check_state(&mut self, id: &'a str, state: &'a str, stale: bool, at_ms: u64) {
-        match self.ends.get(id) {
-            Some(end) if *end != state && !stale => {
-                let description = format!("job {id} was reported as {end} and is {state} now");
-                self.violated(at_ms, description);
+        match self.final_states.get(id) {
+            Some(final_state) if *final_state != state && !stale => {
+                let description =
+                    format!("job {id} was reported as {final_state} but is {state} now");
+                self.add_violation(at_ms, description);
             }
-            None if has_ended(state) => {
-                self.ends.insert(id, state);
+            None if is_final_state(state) => {
+                self.final_states.insert(id, state);
             }
             _ => {}
         }
@@ -96,67 +98,70 @@
 
     fn check_final(&mut self, jobs: &BTreeMap<String, FinalState>, at_ms: u64) {
         let mut descriptions = Vec::new();
-        for id in self.accepted.keys() {
+        for id in self.accepted_ms.keys() {
             if !jobs.contains_key(*id) {
                 descriptions.push(format!(
-                    "job {id} was accepted and is gone at the end of the day"
+                    "job {id} was accepted but is missing at the end of the day"
                 ));
             }
         }
-        for (id, end) in &self.ends {
+        for (id, final_state) in &self.final_states {
             let Some(last) = jobs.get(*id) else { continue };
-            if last.state != *end {
+            if last.state != *final_state {
                 descriptions.push(format!(
-                    "job {id} was reported as {end} and is {} at the end of the day",
+                    "job {id} was reported as {final_state} but is {} at the end of the day",
                     last.state
                 ));
             }
         }
         for description in descriptions {
-            self.violated(at_ms, description);
+            self.add_violation(at_ms, description);
         }
     }
 }
 
-/// From acceptance on, whoever asks nodes that say they are ready gets the state soon.
+/// Once a job is accepted, clients that poll it get its state within `state_ms`.
 pub fn state_in_time(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
-    unknown_times(history, bounds)
+    unanswered_intervals(history, bounds)
         .into_iter()
-        .filter(|unknown| unknown.duration_ms > bounds.state_ms)
-        .map(|unknown| {
+        .filter(|unanswered| unanswered.duration_ms > bounds.state_ms)
+        .map(|unanswered| {
             Violation::new(
                 "state within its bound",
-                unknown.until,
+                unanswered.until,
                 format!(
-                    "the state of job {} could not be told for {} ms",
-                    unknown.job, unknown.duration_ms
+                    "the state of job {} was unavailable for {} ms",
+                    unanswered.job, unanswered.duration_ms
                 ),
             )
         })
         .collect()
 }
 
-/// A time in which a client asked for the state of an accepted job and got no answer.
-pub struct UnknownTime<'a> {
+/// An interval in which a client polled an accepted job without getting its state.
+pub struct UnansweredInterval<'a> {
     pub job: &'a str,
-    /// When it ended, in milliseconds.
+    /// The end of the interval, in milliseconds.
     pub until: u64,
-    /// How long it lasted without what is excused, in milliseconds.
+    /// The length of the interval without its excused parts, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// The times in which accepted jobs were asked for without an answer.
-pub fn unknown_times<'a>(history: &'a History, bounds: &PromisedBounds) -> Vec<UnknownTime<'a>> {
+/// All intervals in which clients polled accepted jobs without getting their states.
+pub fn unanswered_intervals<'a>(
+    history: &'a History,
+    bounds: &PromisedBounds,
+) -> Vec<UnansweredInterval<'a>> {
     let mut conditions = Conditions::new(history, bounds);
     excuse_lost_answers(&mut conditions, history);
-    let unknown_time = |job: &'a str, from: u64, until: u64| UnknownTime {
+    let unanswered_interval = |job: &'a str, from: u64, until: u64| UnansweredInterval {
         job,
         until,
         duration_ms: conditions.unexcused_ms(from, until),
     };
     let mut accepted: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut asking_since: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut times = Vec::new();
+    let mut polling_since: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut intervals = Vec::new();
     for timed in &history.events {
         let now = timed.at_ms;
         if let Some(id) = accepted_job(&timed.event) {
@@ -164,39 +169,39 @@
         }
         match &timed.event {
             Event::StateRequested { id } if accepted.contains_key(id.as_str()) => {
-                asking_since.entry(id).or_insert(now);
+                polling_since.entry(id).or_insert(now);
             }
             Event::StateAnswered {
                 id, status: 200, ..
             } => {
-                if let Some(from) = asking_since.remove(id.as_str()) {
-                    times.push(unknown_time(id, from, now));
+                if let Some(from) = polling_since.remove(id.as_str()) {
+                    intervals.push(unanswered_interval(id, from, now));
                 }
             }
-            // Whoever cancels stops asking for the state.
+            // The client stops polling when it cancels.
             Event::CancelRequested { id } => {
-                asking_since.remove(id.as_str());
+                polling_since.remove(id.as_str());
             }
             Event::DayEnded { .. } => {
-                for (id, from) in &asking_since {
-                    times.push(unknown_time(id, *from, now));
+                for (id, from) in &polling_since {
+                    intervals.push(unanswered_interval(id, *from, now));
                 }
             }
             _ => {}
         }
     }
-    times
+    intervals
 }
 
-/// Excuses the times in which the network loses answers, and the time after which clients have asked again.
+/// Excuses the intervals in which answers are lost, and [`CLIENT_RETRY_MS`] after each.
 fn excuse_lost_answers(conditions: &mut Conditions, history: &History) {
     let mut lost_since = None;
     for timed in &history.events {
         match &timed.event {
-            Event::FaultBegan { description } if description.starts_with(LOST_ANSWERS) => {
+            Event::FaultBegan { description } if description.starts_with(LOST_ANSWERS_PREFIX) => {
                 lost_since = lost_since.or(Some(timed.at_ms));
             }
-            Event::FaultEnded { description } if description.starts_with(LOST_ANSWERS) => {
+            Event::FaultEnded { description } if description.starts_with(LOST_ANSWERS_PREFIX) => {
                 if let Some(from) = lost_since.take() {
                     conditions.excuse(from, timed.at_ms + CLIENT_RETRY_MS);
                 }
@@ -206,48 +211,48 @@
     }
 }
 
-/// What is known of the calls that submit one job.
+/// The calls that submit one job, and their outcomes so far.
 #[derive(Default)]
 struct SubmitCalls {
-    /// A call has no answer yet.
+    /// The latest call has no answer yet.
     is_open: bool,
-    /// The outcome of an earlier call is not known: it may have got through.
+    /// The outcome of an earlier call is unknown: it may have caused the job to be accepted.
     is_uncertain: bool,
     is_accepted: bool,
-    /// When the job was refused for good, in milliseconds.
+    /// When the job was definitely refused, in milliseconds.
     refused_ms: Option<u64>,
 }
 
 impl SubmitCalls {
-    fn requested(&mut self) {
+    fn on_requested(&mut self) {
         self.is_uncertain |= self.is_open;
         self.is_open = true;
         self.refused_ms = None;
     }
 
-    fn answered(&mut self, status: u16, code: &str, at_ms: u64) {
+    fn on_answered(&mut self, status: u16, code: &str, at_ms: u64) {
         self.is_open = false;
         match status {
             200 | 202 => self.is_accepted = true,
             // Refusals of the job itself.
             400 | 413 | 429 => self.refused_ms = Some(at_ms),
-            // Refusals of this call: an earlier one may have got through.
+            // Refusals of this call only: the job may have been accepted by an earlier call.
             503 if code != "unsure" => self.refused_ms = (!self.is_uncertain).then_some(at_ms),
             _ => self.is_uncertain = true,
         }
     }
 }
 
-/// A job that was refused does not run, unless it is submitted again.
+/// A refused job never runs unless it is submitted again.
 pub fn refused_never_runs(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut jobs: BTreeMap<&str, SubmitCalls> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
         match &timed.event {
-            Event::SubmitRequested { id } => jobs.entry(id).or_default().requested(),
+            Event::SubmitRequested { id } => jobs.entry(id).or_default().on_requested(),
             Event::SubmitAnswered { id, status, code } => {
                 let calls = jobs.entry(id).or_default();
-                calls.answered(*status, code, timed.at_ms);
+                calls.on_answered(*status, code, timed.at_ms);
             }
             Event::CancelAcknowledged { id } => jobs.entry(id).or_default().is_accepted = true,
             Event::RunStarted { job, worker, .. } => {
@@ -256,7 +261,7 @@
                     violations.push(Violation::new(
                         "turned away never runs",
                         timed.at_ms,
-                        format!("job {job} was refused at {refused_ms} and started on {worker}"),
+                        format!("job {job} was refused at {refused_ms} ms but started on {worker}"),
                     ));
                 }
             }
@@ -266,8 +271,8 @@
     violations
 }
 
-/// Soon after a cancel is acknowledged nothing more of the job starts.
-pub fn cancelled(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+/// No run of a job starts later than `cancel_ms` after its cancel was acknowledged.
+pub fn cancelled_stays_cancelled(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut acknowledged: BTreeMap<&str, u64> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
@@ -279,13 +284,13 @@
                 let Some(cancelled_ms) = acknowledged.get(job.as_str()) else {
                     continue;
                 };
-                let late_ms = timed.at_ms - cancelled_ms;
-                if late_ms > bounds.cancel_ms {
+                let delay_ms = timed.at_ms - cancelled_ms;
+                if delay_ms > bounds.cancel_ms {
                     violations.push(Violation::new(
                         "cancelled stays cancelled",
                         timed.at_ms,
                         format!(
-                            "{job}/{task} started {late_ms} ms after its cancel was acknowledged"
+                            "{job}/{task} started {delay_ms} ms after its cancel was acknowledged"
                         ),
                     ));
                 }
@@ -296,8 +301,8 @@
     violations
 }
 
-/// When the day ends, every accepted job has ended or is shown as unsure.
-pub fn all_end(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+/// At the end of the day, every job has ended or has a task whose outcome is unknown (`unsure`).
+pub fn all_jobs_end(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut newest_first = history.events.iter().rev();
     let day_end = newest_first.find_map(|timed| match &timed.event {
         Event::DayEnded { jobs, .. } => Some((timed.at_ms, jobs)),
@@ -307,9 +312,9 @@
         return Vec::new();
     };
     jobs.iter()
-        .filter(|(_, last)| !has_ended(&last.state) && !last.unsure)
+        .filter(|(_, last)| !is_final_state(&last.state) && !last.unsure)
         .map(|(id, last)| {
-            let description = format!("job {id} is still {}", last.state);
+            let description = format!("job {id} is still {} at the end of the day", last.state);
             Violation::new("all come to an end", at_ms, description)
         })
         .collect()
--- a/testkit/src/checkers/outage.rs
+++ b/testkit/src/checkers/outage.rs
@@ -4,7 +4,9 @@
 use crate::history::{is_serving, Event, History, TimedEvent, RECOVERY_JOB_PREFIX};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Normal service returns soon after a total outage: every node ready, every queue and zone at work.
+/// After a total outage, service returns within `outage_ms`: every available node is ready, every queue with a recovery
+/// job accepts and finishes jobs, and, if there are recovery jobs, every zone gets work that has running workers and is
+/// not emptied. Skips outages after which a fault begins or the history ends within the bound.
 pub fn service_returns(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let outage_ends = history
         .events
@@ -14,8 +16,8 @@
     let mut violations = Vec::new();
     for from in outage_ends {
         let until = from + bounds.outage_ms;
-        // Another fault meanwhile has its own rules.
-        if until > history.end_ms() || has_fault_between(history, from, until) {
+        // A fault that begins in between may delay the recovery beyond the bound.
+        if until > history.end_ms() || fault_began_between(history, from, until) {
             continue;
         }
         for missing in missing_service(history, from, until) {
@@ -29,14 +31,14 @@
     violations
 }
 
-fn has_fault_between(history: &History, from: u64, until: u64) -> bool {
+fn fault_began_between(history: &History, from: u64, until: u64) -> bool {
     history.events.iter().any(|timed| {
         let is_between = timed.at_ms > from && timed.at_ms < until;
         is_between && matches!(timed.event, Event::FaultBegan { .. })
     })
 }
 
-/// What must be served at a time, as far as the history tells.
+/// The queues, zones, workers and nodes of the deployment at one time.
 #[derive(Default)]
 struct Deployment<'a> {
     queue_of_job: BTreeMap<&'a str, &'a str>,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The zones that have workers and are not to be empty.
+    /// The zones that have running workers and are neither drained nor evacuated.
     fn served_zones(&self) -> BTreeSet<&'a str> {
         self.running_workers
             .iter()
@@ -93,7 +95,7 @@
     }
 }
 
-/// What was served between two times.
+/// The queues, zones and nodes that were observed to work.
 #[derive(Default)]
 struct Service<'a> {
     accepting_queues: BTreeSet<&'a str>,
@@ -103,7 +105,8 @@
 }
 
 impl<'a> Service<'a> {
-    /// Only the ends of recovery jobs count: what else is offered may be too long to end in time.
+    /// Records the service that an event proves. Only the ends of recovery jobs show that a queue finishes jobs: other
+    /// jobs may take longer than the bound.
     fn observe(
         &mut self,
         event: &'a Event,
@@ -142,8 +145,8 @@
     }
 }
 
-/// The ids of jobs that were offered to show whether every queue is served.
-fn recovery_jobs<'a>(events: &[&'a TimedEvent]) -> BTreeSet<&'a str> {
+/// The ids of the recovery jobs, which are offered to test whether every queue is served.
+fn recovery_job_ids<'a>(events: &[&'a TimedEvent]) -> BTreeSet<&'a str> {
     let offered = events.iter().filter_map(|timed| match &timed.event {
         Event::Offered { spec } => Some(spec.id.as_str()),
         _ => None,
@@ -153,6 +156,7 @@
         .collect()
 }
 
+/// A phrase for each queue, zone or node that did not work within an interval.
 fn missing_service(history: &History, from: u64, until: u64) -> Vec<String> {
     let events: Vec<&TimedEvent> = history
         .events
@@ -160,7 +164,7 @@
         .filter(|timed| timed.at_ms >= from && timed.at_ms <= until)
         .collect();
     let deployment = Deployment::at(history, until);
-    let recovery_jobs = recovery_jobs(&events);
+    let recovery_jobs = recovery_job_ids(&events);
     let queues: BTreeSet<&str> = recovery_jobs
         .iter()
         .filter_map(|id| deployment.queue_of_job.get(id).copied())
@@ -171,14 +175,14 @@
     }
     let mut missing = Vec::new();
     for queue in queues.difference(&service.accepting_queues) {
-        missing.push(format!("queue {queue} accepted nothing"));
+        missing.push(format!("queue {queue} accepted no job"));
     }
     for queue in queues.difference(&service.finishing_queues) {
-        missing.push(format!("queue {queue} finished nothing"));
+        missing.push(format!("queue {queue} finished no recovery job"));
     }
     if !queues.is_empty() {
         for zone in deployment.served_zones().difference(&service.working_zones) {
-            missing.push(format!("zone {zone} got nothing"));
+            missing.push(format!("zone {zone} got no work"));
         }
     }
     for node in deployment.available_nodes {
--- a/testkit/src/checkers/quotas.rs
+++ b/testkit/src/checkers/quotas.rs
@@ -1,50 +1,51 @@
-//! The effect of quotas on which jobs are accepted.
+//! The checker of quotas: a queue accepts no more unfinished jobs than its quota.
 
 use super::interval::Interval;
-use super::jobs::has_ended;
+use super::jobs::is_final_state;
 use super::runs::Limits;
 use super::{PromisedBounds, Violation};
 use crate::history::{Event, History};
 use std::collections::BTreeMap;
 
-/// What clients saw of the jobs of all queues.
+/// The jobs of all queues, as clients observed them.
 #[derive(Default)]
 struct Jobs<'a> {
     queues: BTreeMap<&'a str, &'a str>,
     requested_ms: BTreeMap<&'a str, u64>,
     accepted_ms: BTreeMap<&'a str, u64>,
-    /// When each job was last seen unfinished.
+    /// When each job was last observed unfinished, in milliseconds.
     unfinished_ms: BTreeMap<&'a str, u64>,
 }
 
-/// A job that was newly accepted.
+/// The acceptance of a new job (status 202).
 struct Acceptance<'a> {
     job: &'a str,
-    /// The time of the call.
+    /// The interval from the request to its answer.
     call: Interval,
-    /// The largest quota that may have been in force meanwhile.
+    /// The largest quota that may have been in force during the call.
     quota: u32,
 }
 
 impl Jobs<'_> {
-    /// How many other jobs of the queue were surely unfinished while a job was accepted.
-    fn unfinished_beside(&self, acceptance: &Acceptance) -> usize {
+    /// The number of other jobs in the queue that were certainly unfinished throughout a call that accepted a job.
+    fn other_unfinished(&self, acceptance: &Acceptance) -> usize {
         let queue = self.queues.get(acceptance.job);
-        let is_beside = |job: &str, accepted_ms: u64| {
+        let is_other = |job: &str, accepted_ms: u64| {
             let unfinished_ms = self.unfinished_ms.get(job);
             job != acceptance.job
                 && accepted_ms <= acceptance.call.from
                 && self.queues.get(job) == queue
                 && unfinished_ms.is_some_and(|seen_ms| *seen_ms >= acceptance.call.to)
         };
-        let others = self.accepted_ms.iter();
-        others
-            .filter(|(job, accepted_ms)| is_beside(job, **accepted_ms))
+        let accepted = self.accepted_ms.iter();
+        accepted
+            .filter(|(job, accepted_ms)| is_other(job, **accepted_ms))
             .count()
     }
 }
 
-/// Nothing is accepted while as many jobs of the queue as its quota are surely unfinished.
+/// A violation for each job that was accepted while its queue certainly had at least its quota of other unfinished
+/// jobs.
 pub(super) fn quotas(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut limits = Limits::default();
     let mut jobs = Jobs::default();
@@ -80,7 +81,7 @@
                 status: 200,
                 state,
                 ..
-            } if !has_ended(state) => {
+            } if !is_final_state(state) => {
                 jobs.unfinished_ms.insert(id, timed.at_ms);
             }
             _ => {}
@@ -88,24 +89,24 @@
     }
     acceptances
         .iter()
-        .filter_map(|acceptance| exceeded(&jobs, acceptance))
+        .filter_map(|acceptance| quota_violation(&jobs, acceptance))
         .collect()
 }
 
-/// The violation of a quota by a job, if there is one.
-fn exceeded(jobs: &Jobs, acceptance: &Acceptance) -> Option<Violation> {
+/// The violation by an acceptance that exceeds its quota; none if it does not.
+fn quota_violation(jobs: &Jobs, acceptance: &Acceptance) -> Option<Violation> {
     let quota = acceptance.quota as usize;
-    // Most quotas are larger than the whole day's load: those need no count.
+    // Most quotas exceed the number of jobs in the whole day; these need no count.
     if quota >= jobs.accepted_ms.len() {
         return None;
     }
-    let unfinished = jobs.unfinished_beside(acceptance);
+    let unfinished = jobs.other_unfinished(acceptance);
     (unfinished >= quota).then(|| {
         Violation::new(
             "configuration takes hold",
             acceptance.call.to,
             format!(
-                "job {} was accepted beside {unfinished} unfinished ones, the quota is {quota}",
+                "job {} was accepted with {unfinished} unfinished jobs in its queue, whose quota is {quota}",
                 acceptance.job
             ),
         )
