--- a/testkit/src/checkers/runs/gangs.rs
+++ b/testkit/src/checkers/runs/gangs.rs
@@ -1,4 +1,4 @@
-//! The checker of gangs: members run together.
+//! The checker of gangs: their members run at the same time.
 
 use super::{runs, Run, Specs};
 use crate::checkers::conditions::Conditions;
@@ -8,14 +8,15 @@
 use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
-/// A fault may keep orders from workers for so long after its end, in milliseconds.
-const AFTER_FAULT_MS: u64 = 4000;
+/// The time for which a fault may still delay orders to workers after it ends, in milliseconds.
+const ORDER_DELAY_AFTER_FAULT_MS: u64 = 4000;
 
-/// A worker may miss orders for so long after it can be reached again, in milliseconds.
-const AFTER_UNREACHABLE_MS: u64 = 2000;
+/// The time for which a worker may still miss orders after it becomes reachable again, in milliseconds.
+const ORDER_DELAY_AFTER_UNREACHABLE_MS: u64 = 2000;
 
-/// Faults whose descriptions begin so keep no orders from workers; see [`crate::scenario::Kind`].
-const HARMLESS_FAULTS: [&str; 14] = [
+/// The prefixes of the descriptions of faults that delay no orders to workers: names of variants of
+/// [`FaultKind`](crate::scenario::FaultKind), and changes of a worker's reachability, which are considered separately.
+const HARMLESS_FAULT_PREFIXES: [&str; 14] = [
     "Crowd",
     "Huge",
     "Doomed",
@@ -32,43 +33,46 @@
     WORKER_REACHABLE,
 ];
 
-/// Members of a gang are never left waiting alone: whoever runs for long, runs with all that are not done.
-pub fn gangs(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+/// No gang member runs without one of its partners for longer than the bound, unless that partner has succeeded.
+pub fn gangs_together(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for alone in alone_times(history, bounds) {
-        let (most_ms, cause) = if alone.in_fault {
-            (bounds.alone_in_fault_ms, ", a member was struck")
+    for time in times_without_partner(history, bounds) {
+        let (max_ms, suffix) = if time.in_fault {
+            (bounds.without_partner_in_fault_ms, " during a fault")
         } else {
-            (bounds.alone_ms, "")
+            (bounds.without_partner_ms, "")
         };
-        if alone.duration_ms > most_ms {
+        if time.duration_ms > max_ms {
             let description = format!(
-                "{} was alone for {} ms{cause}",
-                alone.member, alone.duration_ms
+                "{} ran without a partner for {} ms{suffix}",
+                time.member, time.duration_ms
             );
-            violations.push(Violation::new("gangs together", alone.from, description));
+            violations.push(Violation::new("gangs together", time.from, description));
         }
     }
     violations
 }
 
-/// A time that a gang's member ran without another one.
-pub struct AloneTime {
-    /// The member's job, task and worker.
+/// The time that one run of a gang member went without one of its partners.
+pub struct TimeWithoutPartner {
+    /// The member's job, task and worker, for messages.
     pub member: String,
     /// When the member started, in milliseconds.
     pub from: u64,
-    /// How long it ran without the other one, without what is excused, in milliseconds.
+    /// How long the member ran without the partner, less the excused intervals, in milliseconds.
     pub duration_ms: u64,
-    /// A fault struck a member's worker, or the processes that give it orders, meanwhile.
+    /// A fault that may have delayed orders to workers was active during that time.
     pub in_fault: bool,
 }
 
-/// Every time that a member of a gang ran without another one, one for each pair.
-pub fn alone_times(history: &History, bounds: &PromisedBounds) -> Vec<AloneTime> {
+/// The times that runs of gang members went without their partners, one entry per run and partner.
+pub fn times_without_partner(
+    history: &History,
+    bounds: &PromisedBounds,
+) -> Vec<TimeWithoutPartner> {
     let specs = Specs::new(history);
     let all_runs = runs(history);
-    // The runs of each gang, by its job and its name.
+    // The runs of each gang, by job and gang name.
     let mut runs_of_gang: BTreeMap<(&str, &str), Vec<&Run>> = BTreeMap::new();
     for run in &all_runs {
         let task = specs.task(run.job, run.task);
@@ -77,78 +81,88 @@
             runs_of_gang.entry(gang).or_default().push(run);
         }
     }
-    let observed = Observed {
+    let context = GangContext {
         conditions: Conditions::new(history, bounds),
-        unreachable: unreachable_times(history),
-        faults: fault_times(history),
+        unreachable: unreachable_intervals(history),
+        faults: fault_intervals(history),
         end_ms: history.end_ms(),
     };
-    let mut alone_times = Vec::new();
-    for ((job, gang), runs) in &runs_of_gang {
+    let mut times_without_partner = Vec::new();
+    for ((job, gang), gang_runs) in &runs_of_gang {
         let Some(spec) = specs.job(job) else { continue };
         let members = spec.tasks.iter().filter(|task| task.gang == *gang);
         let members: Vec<&str> = members.map(|task| task.name.as_str()).collect();
-        for run in runs {
+        for run in gang_runs {
             for other in members.iter().filter(|member| **member != run.task) {
-                let partners = runs.iter().filter(|partner| partner.task == *other);
-                alone_times.push(observed.alone_time(run, partners.copied()));
+                let partners = gang_runs.iter().filter(|partner| partner.task == *other);
+                times_without_partner.push(context.time_without_partner(run, partners.copied()));
             }
         }
     }
-    alone_times
+    times_without_partner
 }
 
-/// What decides how long a run may be alone.
-struct Observed<'a> {
+/// The service conditions, unreachable workers and faults of a day.
+struct GangContext<'a> {
     conditions: Conditions<'a>,
-    unreachable: Vec<UnreachableTime<'a>>,
+    unreachable: Vec<UnreachableInterval<'a>>,
     faults: Vec<Interval>,
     /// The end of the history, in milliseconds.
     end_ms: u64,
 }
 
-impl Observed<'_> {
-    /// How long a run was without any of the runs of another member.
-    fn alone_time<'r>(&self, run: &Run, partners: impl Iterator<Item = &'r Run<'r>>) -> AloneTime {
-        // A partner is with it from when it starts, if it has not ended by then, or at once when it had succeeded.
+impl GangContext<'_> {
+    /// How long `run` went on alone before the first run of one other gang member, counted only while its worker could
+    /// receive a stop order and without the excused intervals. `partners` are the runs of that member.
+    fn time_without_partner<'r>(
+        &self,
+        run: &Run,
+        partners: impl Iterator<Item = &'r Run<'r>>,
+    ) -> TimeWithoutPartner {
+        // A partner's run counts from its start, or from the start of `run` if it started earlier. It does not count if
+        // it had ended before without success.
         let together_since = partners
             .filter(|partner| partner.to >= run.from || partner.outcome == Some(Outcome::Succeeded))
             .map(|partner| partner.from.max(run.from))
             .min()
             .unwrap_or(u64::MAX);
         let until = together_since.min(self.stoppable_until(run));
-        let alone = Interval::new(run.from, until);
-        AloneTime {
+        let interval = Interval::new(run.from, until);
+        TimeWithoutPartner {
             member: format!("{}/{} on {}", run.job, run.task, run.worker),
             from: run.from,
-            // While the replicas have no majority nobody can be told to stop.
+            // Without a majority of the replicas, no stop order can be issued.
             duration_ms: self.conditions.unexcused_ms(run.from, until.max(run.from)),
-            in_fault: self.faults.iter().any(|fault| fault.touches(&alone)),
+            in_fault: self.faults.iter().any(|fault| fault.overlaps(&interval)),
         }
     }
 
-    /// Up to when a run's worker could be told to stop it: nobody reaches a worker that is cut off.
+    /// The time until which the run's worker could receive a stop order: the end of the run, or the first time in it at
+    /// which the worker was unreachable.
     fn stoppable_until(&self, run: &Run) -> u64 {
         let to = run.to.min(self.end_ms);
-        let whole = Interval::new(run.from, to);
+        let run_interval = Interval::new(run.from, to);
         let first_unreachable = self
             .unreachable
             .iter()
-            .filter(|time| time.worker == run.worker && time.interval.touches(&whole))
-            .map(|time| time.interval.from)
+            .filter(|unreachable| {
+                unreachable.worker == run.worker && unreachable.interval.overlaps(&run_interval)
+            })
+            .map(|unreachable| unreachable.interval.from)
             .min();
         first_unreachable.map_or(to, |from| to.min(from.max(run.from)))
     }
 }
 
-/// Times in which a fault that keeps orders from workers was at work, and shortly after.
-fn fault_times(history: &History) -> Vec<Interval> {
-    let mut times: Vec<Interval> = Vec::new();
+/// Intervals in which a fault that may delay orders to workers was active, each extended by
+/// [`ORDER_DELAY_AFTER_FAULT_MS`].
+fn fault_intervals(history: &History) -> Vec<Interval> {
+    let mut intervals: Vec<Interval> = Vec::new();
     let mut open: BTreeMap<&str, u64> = BTreeMap::new();
     for timed in &history.events {
         match &timed.event {
             Event::FaultBegan { description } => {
-                let is_harmless = HARMLESS_FAULTS
+                let is_harmless = HARMLESS_FAULT_PREFIXES
                     .iter()
                     .any(|harmless| description.starts_with(harmless));
                 if !is_harmless {
@@ -157,41 +171,47 @@
             }
             Event::FaultEnded { description } => {
                 if let Some(from) = open.remove(description.as_str()) {
-                    times.push(Interval::new(from, timed.at_ms + AFTER_FAULT_MS));
+                    intervals.push(Interval::new(
+                        from,
+                        timed.at_ms + ORDER_DELAY_AFTER_FAULT_MS,
+                    ));
                 }
             }
             _ => {}
         }
     }
-    let lasting = open.into_values();
-    times.extend(lasting.map(|from| Interval::new(from, u64::MAX)));
-    times
+    let ongoing = open.into_values();
+    intervals.extend(ongoing.map(|from| Interval::new(from, u64::MAX)));
+    intervals
 }
 
-/// A time in which a worker could not be reached.
-struct UnreachableTime<'a> {
+/// An interval in which a worker could not be reached.
+struct UnreachableInterval<'a> {
     worker: &'a str,
     interval: Interval,
 }
 
-/// Times in which workers could not be reached, as the faults say.
-fn unreachable_times(history: &History) -> Vec<UnreachableTime<'_>> {
-    let mut times: Vec<UnreachableTime> = Vec::new();
+/// Intervals in which workers were unreachable, derived from the [`Event::FaultBegan`] events that mark a worker as
+/// unreachable or reachable.
+fn unreachable_intervals(history: &History) -> Vec<UnreachableInterval<'_>> {
+    let mut intervals: Vec<UnreachableInterval> = Vec::new();
     for timed in &history.events {
         let Event::FaultBegan { description } = &timed.event else {
             continue;
         };
         if let Some(worker) = description.strip_prefix(WORKER_UNREACHABLE) {
-            times.push(UnreachableTime {
+            intervals.push(UnreachableInterval {
                 worker,
                 interval: Interval::new(timed.at_ms, u64::MAX),
             });
         } else if let Some(worker) = description.strip_prefix(WORKER_REACHABLE) {
-            let lasting = times
-                .iter_mut()
-                .filter(|time| time.worker == worker && time.interval.to == u64::MAX);
-            lasting.for_each(|time| time.interval.to = timed.at_ms + AFTER_UNREACHABLE_MS);
+            let ongoing = intervals.iter_mut().filter(|unreachable| {
+                unreachable.worker == worker && unreachable.interval.to == u64::MAX
+            });
+            ongoing.for_each(|unreachable| {
+                unreachable.interval.to = timed.at_ms + ORDER_DELAY_AFTER_UNREACHABLE_MS
+            });
         }
     }
-    times
+    intervals
 }
--- a/testkit/src/checkers/runs/limits.rs
+++ b/testkit/src/checkers/runs/limits.rs
@@ -1,20 +1,20 @@
-//! Limits of queues, and the checker of attempts, which are limited so.
+//! Configured limits of queues over time, and the checker of the limit on attempts.
 
 use super::unreported::unreported_ends;
 use super::{Specs, TaskKey};
 use crate::checkers::interval::Interval;
 use crate::checkers::{PromisedBounds, Violation};
-use crate::history::{Event, History, RuleSettings, TimedEvent};
+use crate::history::{CheckedSettings, Event, History, TimedEvent};
 use landingdrift::state::Outcome;
 use std::collections::BTreeMap;
 
-/// A change of a limit, and when it may have been in force.
+/// A requested value of a limit, with its change and the times of the request and of the acknowledgement.
 struct Limit {
     change: String,
     value: u32,
     requested_ms: u64,
     acknowledged: Option<Acknowledged>,
-    /// The change was answered with a refusal.
+    /// The change was refused.
     is_refused: bool,
 }
 
@@ -24,21 +24,21 @@
     at_ms: u64,
 }
 
-/// Limits of a kind, by queue, as they were asked for and acknowledged.
+/// The requested and acknowledged values of one kind of limit, by queue.
 #[derive(Default)]
 pub struct Limits<'a>(BTreeMap<&'a str, Vec<Limit>>);
 
 impl<'a> Limits<'a> {
-    /// Takes note of an event; `limits_in` finds the limits of this kind in a change.
+    /// Updates the limits from an event; `select` returns this kind of limit from the settings of a change.
     pub fn observe(
         &mut self,
         timed: &'a TimedEvent,
-        limits_in: impl Fn(&'a RuleSettings) -> &'a BTreeMap<String, u32>,
+        select: impl Fn(&'a CheckedSettings) -> &'a BTreeMap<String, u32>,
     ) {
         match &timed.event {
             Event::ConfigRequested { change, settings } => {
-                for (queue, value) in limits_in(settings) {
-                    self.request(queue, change, *value, timed.at_ms);
+                for (queue, value) in select(settings) {
+                    self.record_request(queue, change, *value, timed.at_ms);
                 }
             }
             Event::ConfigAnswered {
@@ -46,14 +46,14 @@
                 status,
                 version,
                 ..
-            } => self.answer(change, *status, *version, timed.at_ms),
+            } => self.record_answer(change, *status, *version, timed.at_ms),
             _ => {}
         }
     }
 
-    fn request(&mut self, queue: &'a str, change: &str, value: u32, requested_ms: u64) {
+    fn record_request(&mut self, queue: &'a str, change: &str, value: u32, requested_ms: u64) {
         let limits = self.0.entry(queue).or_default();
-        // The same change is asked for again where an answer is missing.
+        // Operators repeat a request whose answer is missing.
         if limits.iter().any(|limit| limit.change == change) {
             return;
         }
@@ -66,7 +66,7 @@
         });
     }
 
-    fn answer(&mut self, change: &str, status: u16, version: u64, at_ms: u64) {
+    fn record_answer(&mut self, change: &str, status: u16, version: u64, at_ms: u64) {
         let limits = self.0.values_mut().flatten();
         for limit in limits.filter(|limit| limit.change == change) {
             if status == 200 {
@@ -79,29 +79,32 @@
         }
     }
 
-    /// The largest limit of a queue that may be in force at some moment of a time, when a change has `hold_ms` to
-    /// take effect.
-    pub fn largest(&self, queue: &str, time: Interval, hold_ms: u64) -> Option<u32> {
+    /// The largest value of a queue's limit that can be in force during an interval, given that an acknowledged change
+    /// takes effect within `config_ms`.
+    pub fn largest(&self, queue: &str, interval: Interval, config_ms: u64) -> Option<u32> {
         let limits = self.0.get(queue)?;
         let in_force = limits
             .iter()
             .filter_map(|limit| limit.acknowledged)
-            .filter(|acknowledged| acknowledged.at_ms + hold_ms < time.from);
-        let newest_in_force = in_force.map(|limit| limit.version).max().unwrap_or(0);
+            .filter(|acknowledged| acknowledged.at_ms + config_ms < interval.from);
+        let newest_in_force = in_force
+            .map(|acknowledged| acknowledged.version)
+            .max()
+            .unwrap_or(0);
         let is_replaced = |limit: &Limit| {
             let version = limit.acknowledged.map(|acknowledged| acknowledged.version);
             version.is_some_and(|version| version < newest_in_force)
         };
         limits
             .iter()
-            .filter(|limit| limit.requested_ms <= time.to)
+            .filter(|limit| limit.requested_ms <= interval.to)
             .filter(|limit| !limit.is_refused && !is_replaced(limit))
             .map(|limit| limit.value)
             .max()
     }
 }
 
-/// A task that has failed as often as its queue permits is not tried again.
+/// A task does not start again after as many failures as its queue's limit on attempts.
 pub fn max_attempts(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
     let unreported = unreported_ends(history);
@@ -131,7 +134,9 @@
                     violations.push(Violation::new(
                         "tries",
                         timed.at_ms,
-                        format!("{job}/{task} started after {failed} failures of {limit}"),
+                        format!(
+                            "{job}/{task} started after {failed} failures with a limit of {limit}"
+                        ),
                     ));
                 }
             }
--- a/testkit/src/checkers/runs/placement.rs
+++ b/testkit/src/checkers/runs/placement.rs
@@ -1,32 +1,32 @@
-//! Checkers of where runs are placed: capacity, services and labels, leaving workers, emptied zones.
+//! Checkers of placement: the capacity, service and labels of workers, leaving workers and emptied zones.
 
 use super::Specs;
 use crate::checkers::{PromisedBounds, Violation};
-use crate::history::{is_serving, Event, History, RuleSettings};
+use crate::history::{is_serving, CheckedSettings, Event, History};
 use std::collections::BTreeMap;
 
-/// No worker holds more than its capacity.
-pub fn capacity(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+/// The runs on a worker never use more than its capacity.
+pub fn within_capacity(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let mut capacity: BTreeMap<&str, u32> = BTreeMap::new();
-    // What each worker's runs take, by attempt.
-    let mut held: BTreeMap<&str, BTreeMap<u64, u32>> = BTreeMap::new();
+    // The capacity that each run on a worker uses, by worker and attempt.
+    let mut used: BTreeMap<&str, BTreeMap<u64, u32>> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
         match &timed.event {
             Event::WorkerUp { worker, cpu, .. } => {
                 capacity.insert(worker, *cpu);
-                held.remove(worker.as_str());
+                used.remove(worker.as_str());
             }
             Event::WorkerChanged { worker, cpu, .. } => {
                 capacity.insert(worker, *cpu);
             }
             Event::WorkerDied { worker } => {
-                held.remove(worker.as_str());
+                used.remove(worker.as_str());
             }
             Event::RunEnded {
                 worker, attempt, ..
             } => {
-                if let Some(runs) = held.get_mut(worker.as_str()) {
+                if let Some(runs) = used.get_mut(worker.as_str()) {
                     runs.remove(attempt);
                 }
             }
@@ -36,15 +36,15 @@
                 cpu,
                 ..
             } => {
-                let runs = held.entry(worker).or_default();
+                let runs = used.entry(worker).or_default();
                 runs.insert(*attempt, *cpu);
                 let sum: u32 = runs.values().sum();
-                let most = capacity.get(worker.as_str()).copied();
-                if sum > most.unwrap_or(0) {
+                let max_cpu = capacity.get(worker.as_str()).copied().unwrap_or(0);
+                if sum > max_cpu {
                     violations.push(Violation::new(
                         "room",
                         timed.at_ms,
-                        format!("{worker} holds {sum} of {most:?}"),
+                        format!("the runs on {worker} use {sum}, its capacity is {max_cpu}"),
                     ));
                 }
             }
@@ -54,16 +54,16 @@
     violations
 }
 
-/// What a worker offers.
-struct Offer<'a> {
+/// The service and labels of a worker.
+struct WorkerProperties<'a> {
     service: &'a str,
     labels: &'a [String],
 }
 
-/// Tasks run only on workers of their service that carry their labels.
-pub fn fitting(history: &History, _: &PromisedBounds) -> Vec<Violation> {
+/// Tasks run only on workers of their service that have all their labels.
+pub fn only_fitting_workers(history: &History, _: &PromisedBounds) -> Vec<Violation> {
     let specs = Specs::new(history);
-    let mut offers: BTreeMap<&str, Offer> = BTreeMap::new();
+    let mut properties: BTreeMap<&str, WorkerProperties> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
         match &timed.event {
@@ -73,27 +73,32 @@
                 labels,
                 ..
             } => {
-                offers.insert(worker, Offer { service, labels });
+                properties.insert(worker, WorkerProperties { service, labels });
             }
             Event::WorkerChanged { worker, labels, .. } => {
-                if let Some(offer) = offers.get_mut(worker.as_str()) {
-                    offer.labels = labels;
+                if let Some(worker_properties) = properties.get_mut(worker.as_str()) {
+                    worker_properties.labels = labels;
                 }
             }
             Event::RunStarted {
                 worker, job, task, ..
             } => {
                 let spec = specs.task(job, task);
-                let offer = offers.get(worker.as_str());
-                let fits = spec.zip(offer).is_some_and(|(spec, offer)| {
-                    let has_label = |label| offer.labels.contains(label);
-                    spec.service == offer.service && spec.labels.iter().all(has_label)
-                });
+                let worker_properties = properties.get(worker.as_str());
+                let fits = spec
+                    .zip(worker_properties)
+                    .is_some_and(|(spec, worker_properties)| {
+                        let has_label = |label| worker_properties.labels.contains(label);
+                        spec.service == worker_properties.service
+                            && spec.labels.iter().all(has_label)
+                    });
                 if !fits {
                     violations.push(Violation::new(
                         "fitting workers",
                         timed.at_ms,
-                        format!("{job}/{task} started on {worker}, which does not fit"),
+                        format!(
+                            "{job}/{task} started on {worker}, which lacks its service or a label"
+                        ),
                     ));
                 }
             }
@@ -103,8 +108,8 @@
     violations
 }
 
-/// A worker that has announced that it leaves gets nothing new soon after.
-pub fn leaving(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+/// No run starts on a worker later than `leave_ms` after the worker announced that it is leaving.
+pub fn no_start_on_leaving_workers(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
     let mut leaving_since: BTreeMap<&str, u64> = BTreeMap::new();
     let mut violations = Vec::new();
     for timed in &history.events {
@@ -119,12 +124,14 @@
                 let Some(since) = leaving_since.get(worker.as_str()) else {
                     continue;
                 };
-                let late_ms = timed.at_ms - since;
-                if late_ms > bounds.leave_ms {
+                let delay_ms = timed.at_ms - since;
+                if delay_ms > bounds.leave_ms {
                     violations.push(Violation::new(
                         "leaving workers",
                         timed.at_ms,
-                        format!("{worker} got work {late_ms} ms after it said it leaves"),
+                        format!(
+                            "{worker} got work {delay_ms} ms after it announced that it is leaving"
+                        ),
                     ));
                 }
             }
@@ -134,16 +141,17 @@
     violations
 }
 
-/// Since when zones are to be empty.
+/// The zones that are drained or evacuated.
 #[derive(Default)]
 struct EmptiedZones<'a> {
+    /// The acknowledgement time of the change that emptied each zone, in milliseconds.
     since: BTreeMap<&'a str, u64>,
     /// The newest version of the configuration that was acknowledged.
     newest_version: u64,
 }
 
 impl<'a> EmptiedZones<'a> {
-    fn acknowledged(&mut self, settings: &'a RuleSettings, version: u64, at_ms: u64) {
+    fn on_acknowledged(&mut self, settings: &'a CheckedSettings, version: u64, at_ms: u64) {
         if version <= self.newest_version {
             return;
         }
@@ -157,8 +165,8 @@
         }
     }
 
-    /// A zone may serve again as soon as somebody asks for it.
-    fn requested(&mut self, settings: &RuleSettings) {
+    /// Forgets emptied zones for which a change to serving is requested: they may get work from then on.
+    fn on_requested(&mut self, settings: &CheckedSettings) {
         for (zone, state) in &settings.zones {
             if is_serving(state) {
                 self.since.remove(zone.as_str());
@@ -167,34 +175,34 @@
     }
 }
 
-/// An emptied zone gets nothing new soon after.
-pub fn emptied_zones(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
-    let mut zone_of: BTreeMap<&str, &str> = BTreeMap::new();
+/// No run starts in a zone later than `empty_zone_ms` after it was drained or evacuated.
+pub fn no_start_in_emptied_zones(history: &History, bounds: &PromisedBounds) -> Vec<Violation> {
+    let mut zone_of_worker: BTreeMap<&str, &str> = BTreeMap::new();
     let mut emptied = EmptiedZones::default();
     let mut violations = Vec::new();
     for timed in &history.events {
         match &timed.event {
             Event::WorkerUp { worker, zone, .. } => {
-                zone_of.insert(worker, zone);
+                zone_of_worker.insert(worker, zone);
             }
             Event::ConfigAnswered {
                 status: 200,
                 settings,
                 version,
                 ..
-            } => emptied.acknowledged(settings, *version, timed.at_ms),
-            Event::ConfigRequested { settings, .. } => emptied.requested(settings),
+            } => emptied.on_acknowledged(settings, *version, timed.at_ms),
+            Event::ConfigRequested { settings, .. } => emptied.on_requested(settings),
             Event::RunStarted { worker, .. } => {
-                let zone = zone_of.get(worker.as_str());
+                let zone = zone_of_worker.get(worker.as_str());
                 let Some(since) = zone.and_then(|zone| emptied.since.get(zone)) else {
                     continue;
                 };
-                let late_ms = timed.at_ms - since;
-                if late_ms > bounds.empty_zone_ms {
+                let delay_ms = timed.at_ms - since;
+                if delay_ms > bounds.empty_zone_ms {
                     violations.push(Violation::new(
                         "emptied zones",
                         timed.at_ms,
-                        format!("{worker} got work {late_ms} ms after its zone was emptied"),
+                        format!("{worker} got work {delay_ms} ms after its zone was emptied"),
                     ));
                 }
             }
--- a/testkit/src/checkers/runs/unreported.rs
+++ b/testkit/src/checkers/runs/unreported.rs
@@ -1,13 +1,14 @@
-//! Ends of runs that nobody was told of: the worker's lease ran out, or its process died, before they were acknowledged.
+//! Ends of runs that were not acknowledged before their worker's lease expired. A worker with a lease that dies counts
+//! as one whose lease expires.
 
 use crate::history::{Event, History};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Runs by worker and attempt.
+/// Runs, identified by worker and attempt.
 pub(super) type RunIds<'a> = BTreeSet<(&'a str, u64)>;
 
-/// The ends that were not acknowledged before their worker's lease ran out. A report that comes later says nothing of
-/// whether the run was counted in time. Where workers have no leases there are none.
+/// The runs whose ends were not acknowledged before their worker's lease expired. Checkers ignore their outcomes, as
+/// the system may never have received them. Empty if workers have no leases.
 pub(super) fn unreported_ends(history: &History) -> RunIds<'_> {
     let mut open: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
     let mut unreported = RunIds::new();
@@ -23,7 +24,11 @@
             }
             Event::LeaseExpired { worker } => {
                 let attempts = open.remove(worker.as_str()).unwrap_or_default();
-                unreported.extend(attempts.into_iter().map(|no| (worker.as_str(), no)));
+                unreported.extend(
+                    attempts
+                        .into_iter()
+                        .map(|attempt| (worker.as_str(), attempt)),
+                );
             }
             _ => {}
         }
--- a/testkit/src/checkers/summary.rs
+++ b/testkit/src/checkers/summary.rs
@@ -1,47 +1,51 @@
-//! The figures of a day.
+//! Summary figures of a day.
 
-use super::jobs::unknown_times;
-use super::runs::alone_times;
+use super::jobs::unanswered_intervals;
+use super::runs::times_without_partner;
 use super::PromisedBounds;
-use crate::history::{is_serving, Event, FinalState, History, RuleSettings};
+use crate::history::{is_serving, CheckedSettings, Event, FinalState, History};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Figures of a day: how many jobs and runs there were, and how close to its bound each promise came.
+/// Numbers of jobs and runs in a day, and the largest observed value for each promised bound.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Summary {
-    /// Jobs that clients made.
+    /// Jobs that clients created and were about to submit.
     pub offered: usize,
+    /// Jobs with at least one accepted submission.
     pub accepted: usize,
-    /// Jobs that clients gave up after refusals.
+    /// Jobs that clients stopped submitting after refusals.
     pub given_up: usize,
+    /// Jobs in the state `done` at the end of the day.
     pub done: usize,
+    /// Jobs in the state `failed` at the end of the day.
     pub failed: usize,
+    /// Jobs in the state `cancelled` at the end of the day.
     pub cancelled: usize,
-    /// Jobs of which the end of a task is not known at the end of the day.
+    /// Jobs with a task whose outcome is unknown at the end of the day.
     pub unsure: usize,
     /// Runs that started, copies included.
     pub starts: usize,
     /// Speculative copies that started.
     pub copies: usize,
-    /// The latest start of a run after the cancel of its job was acknowledged.
+    /// The longest time from the acknowledgement of a job's cancel to the start of one of its runs.
     pub latest_start_after_cancel_ms: u64,
-    /// The latest start of a run on a worker that had announced that it leaves.
+    /// The longest time from a worker's announcement that it is leaving to the start of a run on it.
     pub latest_start_after_leaving_ms: u64,
     /// The longest time from the end of a total outage to the first start of a run.
     pub longest_outage_ms: u64,
-    /// The latest start of a run in a zone that was emptied.
+    /// The longest time from the draining or evacuation of a zone to the start of a run in it.
     pub latest_start_after_emptying_ms: u64,
-    /// The latest moment after a change was accepted at which a ready node had not got it.
+    /// The longest time after the acceptance of a change at which a ready node still had an older version.
     pub latest_old_version_ms: u64,
-    /// The longest that a client asked for an accepted job's state, without what is excused.
+    /// The longest time that a client polled an accepted job without getting its state, less the excused intervals.
     pub longest_unknown_state_ms: u64,
-    /// The longest that a gang's member ran without another, when no fault struck.
+    /// The longest time that a gang member ran without a partner while no fault affected the gang.
     pub longest_alone_ms: u64,
-    /// The longest that a gang's member ran without another, when a fault struck.
+    /// The longest time that a gang member ran without a partner while a fault affected the gang.
     pub longest_alone_struck_ms: u64,
 }
 
-/// Summarizes a history.
+/// Computes the summary of a history.
 pub fn summary(history: &History, bounds: &PromisedBounds) -> Summary {
     let mut summarizer = Summarizer::default();
     for timed in &history.events {
@@ -49,16 +53,16 @@
     }
     let mut summary = summarizer.summary;
     summary.accepted = summarizer.accepted.len();
-    let unknown = unknown_times(history, bounds).into_iter();
-    let unknown_ms = unknown.map(|unknown| unknown.duration_ms);
-    summary.longest_unknown_state_ms = unknown_ms.max().unwrap_or(0);
-    for alone in alone_times(history, bounds) {
-        let longest = if alone.in_fault {
+    let unanswered = unanswered_intervals(history, bounds).into_iter();
+    let unanswered_ms = unanswered.map(|interval| interval.duration_ms);
+    summary.longest_unknown_state_ms = unanswered_ms.max().unwrap_or(0);
+    for time in times_without_partner(history, bounds) {
+        let longest = if time.in_fault {
             &mut summary.longest_alone_struck_ms
         } else {
             &mut summary.longest_alone_ms
         };
-        *longest = alone.duration_ms.max(*longest);
+        *longest = time.duration_ms.max(*longest);
     }
     summary
 }
@@ -76,7 +80,7 @@
     is_copy: bool,
 }
 
-/// What is known while a history is read.
+/// The summary so far, and the earlier events that later figures depend on.
 #[derive(Default)]
 struct Summarizer<'a> {
     summary: Summary,
@@ -140,8 +144,8 @@
         }
     }
 
-    /// A zone may serve again as soon as somebody asks for it.
-    fn config_requested(&mut self, settings: &RuleSettings) {
+    /// Forgets emptied zones for which a change to serving is requested: they may get work from then on.
+    fn config_requested(&mut self, settings: &CheckedSettings) {
         for (zone, state) in &settings.zones {
             if is_serving(state) {
                 self.emptied_since.remove(zone.as_str());
@@ -149,7 +153,7 @@
         }
     }
 
-    fn config_accepted(&mut self, version: u64, settings: &'a RuleSettings, at_ms: u64) {
+    fn config_accepted(&mut self, version: u64, settings: &'a CheckedSettings, at_ms: u64) {
         self.versions.push(AcceptedVersion { at_ms, version });
         for (zone, state) in &settings.zones {
             if !is_serving(state) {
@@ -159,14 +163,20 @@
     }
 
     fn node_version(&mut self, version: u64, now: u64) {
-        let newer = self.versions.iter().filter(|newer| newer.version > version);
-        let late_ms = newer.map(|newer| now - newer.at_ms).max().unwrap_or(0);
+        let newer = self
+            .versions
+            .iter()
+            .filter(|accepted| accepted.version > version);
+        let age_ms = newer
+            .map(|accepted| now - accepted.at_ms)
+            .max()
+            .unwrap_or(0);
         let latest = &mut self.summary.latest_old_version_ms;
-        *latest = late_ms.max(*latest);
+        *latest = age_ms.max(*latest);
     }
 
     fn run_started(&mut self, start: &Start, now: u64) {
-        let late_ms = |since: Option<u64>| since.map_or(0, |since| now - since);
+        let elapsed_ms = |since: Option<u64>| since.map_or(0, |since| now - since);
         let cancelled_ms = self.cancelled_ms.get(start.job).copied();
         let leaving_since = self.leaving_since.get(start.worker).copied();
         let zone = self.zone_of_worker.get(start.worker);
@@ -182,7 +192,7 @@
             (&mut summary.latest_start_after_emptying_ms, emptied_since),
             (&mut summary.longest_outage_ms, outage_ended_ms),
         ] {
-            *figure = late_ms(since).max(*figure);
+            *figure = elapsed_ms(since).max(*figure);
         }
     }
 
--- a/testkit/src/explorer/client.rs
+++ b/testkit/src/explorer/client.rs
@@ -15,9 +15,9 @@
         let value = json!({"queues": {}, "notes": {"by": change}});
         let command = Command::UpdateConfig {
             change,
-            base,
-            patch: false,
-            number: 0,
+            base_version: base,
+            is_patch: false,
+            version: 0,
             value,
         };
         self.propose_command(machine_index, number, &command);
@@ -30,7 +30,7 @@
             command: command.pack(),
         };
         let body = Body::ProposeRequest(Box::new(propose));
-        self.step(machine_index, Msg::Wire(CLIENT.into(), body));
+        self.step(machine_index, Msg::Received(CLIENT.into(), body));
     }
 
     /// A client outputs a machine for the index of the last committed entry.
@@ -40,7 +40,7 @@
         let body = Body::ReadIndexRequest(Box::new(ReadIndexRequest {
             token: request_token(number),
         }));
-        self.step(machine_index, Msg::Wire(CLIENT.into(), body));
+        self.step(machine_index, Msg::Received(CLIENT.into(), body));
     }
 
     fn next_request_number(&mut self) -> u64 {
--- a/testkit/src/explorer/cluster.rs
+++ b/testkit/src/explorer/cluster.rs
@@ -4,7 +4,7 @@
 use super::planted_bug::{distort, PlantedBug};
 use crate::simulator::disk::SimDisk;
 use landingdrift::consensus::Replica;
-use landingdrift::sans_io::{Effect, Msg, Now, Part, WriteBatch};
+use landingdrift::sans_io::{Effect, Msg, Now, StateMachine, WriteBatch};
 use landingdrift::settings::{Bounds, Settings};
 use landingdrift::wire::Body;
 
@@ -192,14 +192,15 @@
         }
     }
 
-    /// Ends a process. After a loss of power only the first `persisted_writes` of the unconfirmed writes are on the disk.
+    /// Ends a process. After a loss of power only the first `persisted_writes` of the unconfirmed writes are on the
+    /// disk.
     pub fn crash(&mut self, machine_index: usize, persisted_writes: usize) {
         let machine = &mut self.machines[machine_index];
         machine.replica = None;
         machine.inbox.clear();
-        machine.disk.crash(persisted_writes);
+        machine.disk.drop_pending(persisted_writes);
         if self.planted_bug == Some(PlantedBug::ForgetsSilently) {
-            machine.disk.forget_log();
+            machine.disk.keep_only_hard_state();
         }
         let address = machine.address.clone();
         self.network
@@ -257,7 +258,7 @@
             Effect::Persist(batch) => self.write(machine_index, batch),
             Effect::Exit => self.crash(machine_index, usize::MAX),
             Effect::Log(text) => self.log_line(machine_index, &text),
-            Effect::Answer(..) => {}
+            Effect::Respond(..) => {}
         }
     }
 
@@ -322,7 +323,7 @@
             .iter()
             .position(|machine| machine.address == message.to && machine.replica.is_some());
         if let Some(machine_index) = to {
-            self.step(machine_index, Msg::Wire(message.from, message.body));
+            self.step(machine_index, Msg::Received(message.from, message.body));
         }
     }
 }
--- a/testkit/src/fakes/client_job.rs
+++ b/testkit/src/fakes/client_job.rs
@@ -1,4 +1,4 @@
-//! A job as its client sees it, and the calls about it.
+//! The state of a job at its client, and the calls that submit, poll and cancel it.
 
 use super::request;
 use crate::history::Event;
@@ -6,12 +6,13 @@
 use landingdrift::state::JobSpec;
 use serde_json::json;
 
-/// A call that submits or cancels is made again when it has no answer for so long, in milliseconds.
+/// The timeout of a submission or cancel, after which it is repeated, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 3000;
-/// How long an answer on a job's state is waited for before another node is asked, in milliseconds.
+/// The timeout of a poll, after which another node is called, in milliseconds.
 const STATE_TIMEOUT_MS: u64 = 1000;
 
-/// How far a client has come with a job.
+/// How far a job has come: the client submits it until it is accepted, then polls its state until it has ended. A job
+/// that the client gives up counts as ended.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Stage {
     Submitting,
@@ -27,7 +28,7 @@
     Poll,
 }
 
-/// A call that waits for its answer.
+/// A call that has not been answered.
 #[derive(Clone, Copy)]
 pub(super) struct OpenCall {
     pub call: u64,
@@ -45,29 +46,30 @@
     }
 }
 
+/// A job, with the progress of the calls for it.
 pub(super) struct Job {
     pub spec: JobSpec,
     pub stage: Stage,
-    /// When the next call is made.
+    /// When the next call is due, in milliseconds.
     pub next_call_ms: u64,
     pub open_call: Option<OpenCall>,
     pub refusals: u32,
-    /// How many refusals it takes before the client gives up.
-    pub most_refusals: u32,
+    /// The number of refusals that the client retries before it gives up.
+    pub max_refusals: u32,
     pub cancel_at_ms: Option<u64>,
-    /// Cancels still to be made; some are repeated after they were acknowledged.
+    /// The number of cancels still to be acknowledged; some jobs are cancelled twice.
     pub cancels_left: u32,
     pub is_accepted: bool,
     pub offered_ms: u64,
 }
 
 impl Job {
-    /// The purpose of the next call.
+    /// The purpose of the next call, given the stage and a cancel that may be due.
     pub fn next_purpose(&self, now: u64) -> Purpose {
         let cancel_is_due = self.cancel_at_ms.is_some_and(|at_ms| now >= at_ms);
-        // A cancel may race the very call that submits the job.
-        let may_be_known = self.stage == Stage::Polling || now > self.offered_ms;
-        if self.cancels_left > 0 && cancel_is_due && may_be_known {
+        // A cancel may overtake the call that submits the job.
+        let system_may_know_job = self.stage == Stage::Polling || now > self.offered_ms;
+        if self.cancels_left > 0 && cancel_is_due && system_may_know_job {
             return Purpose::Cancel;
         }
         match self.stage {
@@ -76,13 +78,13 @@
         }
     }
 
-    pub fn ask_again(&mut self, now: u64) {
+    pub fn poll_again(&mut self, now: u64) {
         self.stage = Stage::Polling;
         self.next_call_ms = now;
     }
 }
 
-/// The observation and the request of a call about a job.
+/// The event to record and the request to send for a call.
 pub(super) fn call_for(purpose: Purpose, spec: &JobSpec) -> (Event, Request) {
     let id = spec.id.clone();
     let path = format!("/v1/jobs/{id}");
--- a/testkit/src/fakes/mod.rs
+++ b/testkit/src/fakes/mod.rs
@@ -1,6 +1,6 @@
-//! Fakes of what the system serves: workers, clients and operators. Each is a state machine without clock or socket, so
-//! that the simulator and the fleet of real processes use the same ones. All times are milliseconds since the beginning
-//! of the day.
+//! Fake workers, clients and operators. Each is a state machine without clocks or sockets, so that the simulator and
+//! the fleet of real processes can share them. All times are in milliseconds since the start of the test run, which
+//! scenarios call a day.
 
 pub mod client;
 mod client_job;
@@ -10,19 +10,19 @@
 use crate::history::Event;
 use landingdrift::sans_io::Request;
 
-/// What a fake wants to be done.
+/// An action that a fake requests from its driver.
 pub enum Output {
-    /// Call the node at this HTTP address; the number comes back with the response.
+    /// Make a call to the process at this HTTP address, and pass the response back with the call's number.
     Call {
         to: String,
         call: u64,
         request: Request,
     },
-    /// Add an observation to the history.
+    /// Add an event to the history.
     Event(Event),
 }
 
-/// A request with a JSON body.
+/// A request, with a JSON body if one is given.
 pub fn request(method: &str, path: &str, query: &str, body: Option<&serde_json::Value>) -> Request {
     Request {
         method: method.into(),
--- a/testkit/src/fakes/operator.rs
+++ b/testkit/src/fakes/operator.rs
@@ -1,28 +1,28 @@
-//! A fake operator: it applies configurations, whole or in part, and reads them back.
+//! A fake operator: it replaces or patches the configuration, and reads it back.
 
 use super::{request, Output};
-use crate::history::{Event, RuleSettings};
+use crate::history::{CheckedSettings, Event};
 use landingdrift::sans_io::{Request, Response, Rng};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A change is asked for again when it has no answer for so long, in milliseconds.
+/// The timeout of a change, after which it is requested again, in milliseconds.
 const CHANGE_TIMEOUT_MS: u64 = 3000;
-/// A read is made at another node when it has no answer for so long, in milliseconds.
+/// The timeout of a read, after which another node is called, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 1000;
-/// A read that no node has answered for so long is noted, in milliseconds.
-const READ_WITHIN_MS: u64 = 4000;
-/// The longest pause after an answer, in milliseconds.
+/// The time after which a read that no node has answered is recorded as unanswered, in milliseconds.
+const READ_DEADLINE_MS: u64 = 4000;
+/// The longest pause before the next call after an answer, in milliseconds.
 const MAX_PAUSE_MS: u64 = 500;
 
-/// Something to be done.
+/// An operation to be carried out.
 #[derive(Clone, Debug)]
-enum Order {
+enum Operation {
     Apply(Change),
     Read(Read),
 }
 
-impl Order {
+impl Operation {
     fn timeout_ms(&self) -> u64 {
         match self {
             Self::Apply(_) => CHANGE_TIMEOUT_MS,
@@ -31,62 +31,62 @@
     }
 }
 
-/// A read of the configuration, at one node after the other until one answers.
+/// A read of the configuration, from one node after another until one answers.
 #[derive(Clone, Debug, Default)]
 struct Read {
-    /// When the first node was asked.
+    /// When the first node was called, in milliseconds.
     since_ms: Option<u64>,
-    /// It was noted that no answer has come in time.
-    is_noted: bool,
+    /// [`Event::ConfigReadUnanswered`] has been recorded for this read.
+    is_unanswered_recorded: bool,
 }
 
 /// A change of the configuration.
 #[derive(Clone, Debug)]
 struct Change {
-    /// Its identity: a repeated call carries the same one.
+    /// Identifies the change; repeated calls carry the same id.
     id: String,
-    /// Whether it replaces only the parts that it names.
+    /// Whether the change replaces only the settings that it names.
     is_patch: bool,
     value: Value,
-    /// The version that it is made on; where it is none, the newest one known when it is sent.
+    /// The version that the change is based on: none until it is first sent, then the newest version known.
     base: Option<u64>,
-    /// Whether it is made again on the newer version when a rival came first.
-    retries_after_rival: bool,
+    /// Whether the change is retried on the newer version after a conflict with a concurrent change.
+    retries_after_conflict: bool,
 }
 
-/// A call that waits for its answer.
+/// A call that has not been answered.
 struct OpenCall {
     call: u64,
     sent_ms: u64,
-    order: Order,
+    operation: Operation,
 }
 
-/// An operator, with what it still has to do.
+/// A simulated operator who changes and reads the configuration, one operation at a time.
 pub struct Operator {
-    /// Addresses of the nodes that the platform names.
+    /// The addresses of all nodes, as the platform lists them.
     pub nodes: Vec<String>,
     rng: Rng,
     name: String,
-    orders: VecDeque<Order>,
+    operations: VecDeque<Operation>,
     open_call: Option<OpenCall>,
-    /// The node that has been named for the next order.
+    /// The node that the last answer redirected to.
     redirected_to: Option<String>,
-    /// When the next call may be made.
+    /// When the next call may be made, in milliseconds.
     next_call_ms: u64,
     last_call: u64,
-    /// The newest version that it knows.
+    /// The newest version of the configuration that the operator knows.
     pub version: u64,
     changes_made: u64,
 }
 
 impl Operator {
-    /// An operator that has nothing to do.
+    /// An operator without operations.
     pub fn new(name: &str, nodes: Vec<String>, seed: u64) -> Self {
         Self {
             nodes,
             rng: Rng::new(seed),
             name: name.into(),
-            orders: VecDeque::new(),
+            operations: VecDeque::new(),
             open_call: None,
             redirected_to: None,
             next_call_ms: 0,
@@ -96,43 +96,43 @@
         }
     }
 
-    /// Applies a configuration; where a rival comes first, on top of the rival's.
-    pub fn apply(&mut self, is_patch: bool, value: Value) {
+    /// Queues a change of the configuration, which is retried on the newer version after a conflict.
+    pub fn queue_change(&mut self, is_patch: bool, value: Value) {
         let id = self.next_change_id();
-        self.orders.push_back(Order::Apply(Change {
+        self.operations.push_back(Operation::Apply(Change {
             id,
             is_patch,
             value,
             base: None,
-            retries_after_rival: true,
+            retries_after_conflict: true,
         }));
     }
 
-    /// Patches the configuration on top of a fixed version; where a rival comes first, the patch is given up.
-    pub fn race(&mut self, base: u64, value: Value) {
+    /// Queues a patch of a fixed version of the configuration, which is not retried after a conflict.
+    pub fn patch_version(&mut self, base: u64, value: Value) {
         let id = self.next_change_id();
-        self.orders.push_back(Order::Apply(Change {
+        self.operations.push_back(Operation::Apply(Change {
             id,
             is_patch: true,
             value,
             base: Some(base),
-            retries_after_rival: false,
+            retries_after_conflict: false,
         }));
     }
 
-    /// Sets the state of a zone.
+    /// Queues a change of a zone's state, such as `draining`.
     pub fn set_zone(&mut self, zone: &str, state: &str) {
-        self.apply(true, json!({"zones": {zone: {"state": state}}}));
+        self.queue_change(true, json!({"zones": {zone: {"state": state}}}));
     }
 
-    /// Reads the configuration.
-    pub fn read(&mut self) {
-        self.orders.push_back(Order::Read(Read::default()));
+    /// Queues a read of the configuration.
+    pub fn queue_read(&mut self) {
+        self.operations.push_back(Operation::Read(Read::default()));
     }
 
-    /// Whether nothing is left to be done.
+    /// Whether no operation is queued or unanswered.
     pub fn is_idle(&self) -> bool {
-        self.orders.is_empty() && self.open_call.is_none()
+        self.operations.is_empty() && self.open_call.is_none()
     }
 
     fn next_change_id(&mut self) -> String {
@@ -140,76 +140,84 @@
         format!("{}-{}", self.name, self.changes_made)
     }
 
-    /// Time has passed: makes the next call.
+    /// Makes the next call, if it is due.
     pub fn tick(&mut self, now: u64) -> Vec<Output> {
         if let Some(open) = &self.open_call {
-            if now < open.sent_ms + open.order.timeout_ms() {
+            if now < open.sent_ms + open.operation.timeout_ms() {
                 return Vec::new();
             }
-            // The answer is missing: the same is asked for again, a change under the same identity.
-            self.orders.push_front(open.order.clone());
+            // The call has timed out: repeat the operation; a change keeps its id.
+            self.operations.push_front(open.operation.clone());
             self.open_call = None;
         }
         if now < self.next_call_ms {
             return Vec::new();
         }
-        let Some(order) = self.orders.pop_front() else {
+        let Some(operation) = self.operations.pop_front() else {
             return Vec::new();
         };
         self.last_call += 1;
         let call = self.last_call;
         let mut outputs = Vec::new();
-        let named_node = self.redirected_to.take();
-        let (order, request) = match order {
-            Order::Read(mut read) => {
-                outputs.extend(note_unanswered(now, &mut read));
-                (Order::Read(read), request("GET", "/v1/desired", "", None))
+        let redirect_target = self.redirected_to.take();
+        let (operation, request) = match operation {
+            Operation::Read(mut read) => {
+                outputs.extend(record_unanswered(now, &mut read));
+                (
+                    Operation::Read(read),
+                    request("GET", "/v1/desired", "", None),
+                )
             }
-            Order::Apply(change) => {
-                let change = self.with_base_and_mark(change);
+            Operation::Apply(change) => {
+                let change = self.with_base_and_id_note(change);
                 outputs.push(Output::Event(Event::ConfigRequested {
                     change: change.id.clone(),
-                    settings: rule_settings(&change.value),
+                    settings: checked_settings(&change.value),
                 }));
                 let request = apply_request(&change);
-                (Order::Apply(change), request)
+                (Operation::Apply(change), request)
             }
         };
         self.open_call = Some(OpenCall {
             call,
             sent_ms: now,
-            order,
+            operation,
         });
-        let Some(to) = named_node.or_else(|| self.rng.pick(&self.nodes).cloned()) else {
+        let Some(to) = redirect_target.or_else(|| self.rng.pick(&self.nodes).cloned()) else {
             return Vec::new();
         };
         outputs.push(Output::Call { to, call, request });
         outputs
     }
 
-    /// Fixes the version that a change is made on, and has it leave its mark, so that content can be told from content.
-    fn with_base_and_mark(&self, mut change: Change) -> Change {
+    /// Sets the base version of a change if it has none, and writes its id to the note `by`, by which checkers
+    /// recognize the change's content.
+    fn with_base_and_id_note(&self, mut change: Change) -> Change {
         change.base = change.base.or(Some(self.version));
         change.value["notes"]["by"] = json!(change.id);
         change
     }
 
-    /// A node has answered a call.
+    /// Handles the response to a call.
     pub fn answer(&mut self, now: u64, call: u64, response: &Response) -> Vec<Output> {
         let Some(open) = self.open_call.take_if(|open| open.call == call) else {
             return Vec::new();
         };
         self.next_call_ms = now + response.retry_ms.min(MAX_PAUSE_MS);
-        match open.order {
-            Order::Read(_) if response.status == 200 => self.read_answered(open.sent_ms, response),
-            order if response.status == 307 => {
+        match open.operation {
+            Operation::Read(_) if response.status == 200 => {
+                self.read_answered(open.sent_ms, response)
+            }
+            operation if response.status == 307 => {
                 self.redirected_to = response.location.split('/').next().map(String::from);
-                self.orders.push_front(order);
+                self.operations.push_front(operation);
                 Vec::new()
             }
-            Order::Apply(change) if response.status != 503 => self.apply_answered(change, response),
-            order => {
-                self.orders.push_front(order);
+            Operation::Apply(change) if response.status != 503 => {
+                self.apply_answered(change, response)
+            }
+            operation => {
+                self.operations.push_front(operation);
                 Vec::new()
             }
         }
@@ -229,17 +237,17 @@
     fn apply_answered(&mut self, change: Change, response: &Response) -> Vec<Output> {
         let version = response.body["version"].as_u64().unwrap_or(0);
         self.version = self.version.max(version);
-        if response.status == 409 && change.retries_after_rival {
-            // On another version it is another change.
+        if response.status == 409 && change.retries_after_conflict {
+            // A change on a newer base gets a new id.
             let id = self.next_change_id();
-            self.orders.push_front(Order::Apply(Change {
+            self.operations.push_front(Operation::Apply(Change {
                 id,
                 base: None,
                 ..change.clone()
             }));
         }
         vec![Output::Event(Event::ConfigAnswered {
-            settings: rule_settings(&change.value),
+            settings: checked_settings(&change.value),
             change: change.id,
             base: change.base.unwrap_or(0),
             status: response.status,
@@ -248,11 +256,12 @@
     }
 }
 
-/// Notes a read that is made at a time, and for the first time that it has had no answer for too long.
-fn note_unanswered(now: u64, read: &mut Read) -> Option<Output> {
+/// Sets the time of a read's first call. Returns an event, once, when the read has been unanswered for
+/// [`READ_DEADLINE_MS`].
+fn record_unanswered(now: u64, read: &mut Read) -> Option<Output> {
     let since_ms = *read.since_ms.get_or_insert(now);
-    let is_late = now >= since_ms + READ_WITHIN_MS;
-    if !is_late || std::mem::replace(&mut read.is_noted, true) {
+    let is_late = now >= since_ms + READ_DEADLINE_MS;
+    if !is_late || std::mem::replace(&mut read.is_unanswered_recorded, true) {
         return None;
     }
     Some(Output::Event(Event::ConfigReadUnanswered { since_ms }))
@@ -265,21 +274,21 @@
     request(method, "/v1/desired", &query, Some(&change.value))
 }
 
-/// The settings in a change that rules depend on.
-fn rule_settings(value: &Value) -> RuleSettings {
+/// The settings in a change that the checkers depend on.
+fn checked_settings(value: &Value) -> CheckedSettings {
     let zones = value["zones"].as_object().into_iter().flatten();
     let zone_states = zones.map(|(name, zone)| {
         let state = zone["state"].as_str().unwrap_or("");
         (name.clone(), state.to_string())
     });
-    RuleSettings {
+    CheckedSettings {
         zones: zone_states.collect(),
         max_attempts: queue_limits(value, "tries"),
         quotas: queue_limits(value, "quota"),
     }
 }
 
-/// A limit of each queue that a change names it for.
+/// The values of one kind of limit in a change, by queue.
 fn queue_limits(value: &Value, key: &str) -> BTreeMap<String, u32> {
     let queues = value["queues"].as_object().into_iter().flatten();
     queues
--- a/testkit/src/fakes/worker/mod.rs
+++ b/testkit/src/fakes/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A fake worker: it sends heartbeats, runs what it is told to and reports how that ended.
+//! A fake worker: it sends heartbeats, runs tasks as ordered by nodes, and reports their outcomes.
 
 mod departure;
 mod lease;
@@ -13,25 +13,25 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The pause between heartbeats until a node says otherwise, in milliseconds.
+/// The interval of heartbeats until a node sets another, in milliseconds.
 const DEFAULT_HEARTBEAT_MS: u64 = 250;
-/// A heartbeat without an answer is given up after this time, in milliseconds.
+/// The timeout of a heartbeat, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 800;
-/// Ends are reported this soon, so that the capacity is used again, in milliseconds.
-const REPORT_END_WITHIN_MS: u64 = 20;
-/// The next node is tried after this pause, in milliseconds.
-const NEXT_NODE_AFTER_MS: u64 = 20;
+/// The delay of the heartbeat that reports an end, in milliseconds: short, so that the capacity is soon reused.
+const END_REPORT_DELAY_MS: u64 = 20;
+/// The pause before a heartbeat to another node, in milliseconds.
+const NODE_SWITCH_PAUSE_MS: u64 = 20;
 
-/// How a worker behaves.
+/// The faults injected into a worker.
 #[derive(Clone, Debug)]
-pub struct Behavior {
-    /// Runs take this many times as long.
+pub struct InjectedFaults {
+    /// The factor on the durations of runs.
     pub slowdown: f64,
-    /// The share of runs that fail quietly.
+    /// The share of runs that fail, while heartbeats go on as usual.
     pub failing_share: f64,
 }
 
-impl Default for Behavior {
+impl Default for InjectedFaults {
     fn default() -> Self {
         Self {
             slowdown: 1.0,
@@ -40,13 +40,15 @@
     }
 }
 
+/// A run of a task.
 struct Run {
     job: String,
     task: String,
-    /// Numbers the starts of the task.
+    /// The number of the run among those of its task.
     number: u32,
     started_ms: u64,
     ends_ms: u64,
+    /// The outcome that the run will have when it ends.
     outcome: Outcome,
 }
 
@@ -59,50 +61,53 @@
         }
     }
 
-    /// How much of it is over, in thousandths.
+    /// The elapsed share of the run's duration, in thousandths.
     fn progress(&self, now: u64) -> u64 {
         let duration_ms = (self.ends_ms - self.started_ms).max(1);
         (now - self.started_ms) * 1000 / duration_ms
     }
 }
 
-/// The random numbers of a run when policies are compared: each task and each copy has its own, under every policy.
-pub fn paired_rng(seed: u64, job: &str, task: &str, copy: bool) -> Rng {
+/// The random numbers of a run when policies are compared: they depend only on the seed, the job, the task and whether
+/// the run is a copy, so that all policies get the same random numbers.
+pub fn common_rng(seed: u64, job: &str, task: &str, copy: bool) -> Rng {
     Rng::new(seed ^ fnv1a(format!("{job}/{task}/{copy}").as_bytes()))
 }
 
-/// A heartbeat that waits for its answer.
+/// A heartbeat that has not been answered.
 #[derive(Clone, Copy)]
 struct OpenCall {
     call: u64,
     sent_ms: u64,
 }
 
-/// A worker.
+/// A fake worker with its current runs, its unacknowledged ends and its calls.
 pub struct Worker {
     pub info: WorkerInfo,
-    pub behavior: Behavior,
-    /// Addresses of the nodes that the platform names.
+    pub injected_faults: InjectedFaults,
+    /// The addresses of all nodes, as the platform lists them.
     pub nodes: Vec<String>,
-    /// Which of the nodes it talks to.
+    /// The index in `nodes` of the node that the worker calls.
     current_node: usize,
     rng: Rng,
     seed: u64,
-    /// Where set, a run's duration and outcome depend on its job and task alone; see [`paired_rng`].
-    pub paired_seed: Option<u64>,
-    /// Runs by the number of the attempt.
+    /// If set, the duration and outcome of a run depend only on this seed, the job, the task and whether the run is a
+    /// copy; see [`common_rng`].
+    pub common_seed: Option<u64>,
+    /// The current runs, by attempt number.
     running: BTreeMap<u64, Run>,
-    /// Ends that no node has acknowledged.
+    /// Ends that no node has acknowledged yet; each heartbeat reports them.
     unreported_ends: Vec<EndReport>,
-    /// Attempts that ended or were called off before they came: never to be started.
+    /// Attempts that ended, were refused, or were stopped before their start order arrived; they must not start again.
     finished: BTreeSet<u64>,
     heartbeat_ms: u64,
     next_heartbeat_ms: u64,
     open_call: Option<OpenCall>,
     last_call: u64,
-    /// Where set, it runs tasks for as long as its lease lasts, and identifies runs by their names.
+    /// The lease, if the worker has one. A worker with a lease identifies runs to the nodes by job, task and run number
+    /// instead of attempt number.
     lease: Option<WorkerLease>,
-    /// Its report that it leaves, until that is acknowledged.
+    /// The report of an unannounced departure, until it is acknowledged.
     departure: Option<DepartureReport>,
 }
 
@@ -113,12 +118,12 @@
         let current_node = rng.below(nodes.len() as u64) as usize;
         Self {
             info,
-            behavior: Behavior::default(),
+            injected_faults: InjectedFaults::default(),
             nodes,
             current_node,
             rng,
             seed,
-            paired_seed: None,
+            common_seed: None,
             running: BTreeMap::new(),
             unreported_ends: Vec::new(),
             finished: BTreeSet::new(),
@@ -131,19 +136,19 @@
         }
     }
 
-    /// The same worker with a lease on what it runs.
+    /// The same worker, with a lease on its runs.
     pub fn with_lease(mut self) -> Self {
         self.lease = Some(WorkerLease::default());
         self
     }
 
-    /// Whether it has a lease on what it runs.
+    /// Whether the worker has a lease, active or not.
     pub fn has_lease(&self) -> bool {
         self.lease.is_some()
     }
 
-    /// The observation that it has started.
-    pub fn up_event(&self) -> Event {
+    /// The event to record when the worker has started.
+    pub fn started_event(&self) -> Event {
         let info = &self.info;
         Event::WorkerUp {
             worker: info.worker.clone(),
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Announces that it is about to leave.
+    /// Announces that the worker is about to leave.
     pub fn leave(&mut self, now: u64) -> Vec<Output> {
         self.info.leaving = true;
         self.open_call = None;
@@ -166,12 +171,12 @@
         outputs
     }
 
-    /// The node that it talks to.
+    /// The address of the node that the worker calls.
     fn node(&self) -> String {
         self.nodes[self.current_node % self.nodes.len().max(1)].clone()
     }
 
-    /// Has other capacity or labels from now on; answers to older heartbeats are not obeyed any more.
+    /// Changes the worker's capacity and labels; answers to earlier heartbeats are then ignored.
     pub fn change(&mut self, now: u64, cpu: u32, labels: BTreeSet<String>) -> Vec<Output> {
         self.info.cpu = cpu;
         self.info.labels = labels;
@@ -184,7 +189,7 @@
         })]
     }
 
-    /// Time has passed: ends runs and sends the heartbeat that is due.
+    /// Ends finished runs, lets the lease expire if it is due, and makes the calls that are due.
     pub fn tick(&mut self, now: u64) -> Vec<Output> {
         let mut outputs = self.end_runs(now);
         outputs.extend(self.expire_lease(now));
@@ -192,7 +197,7 @@
         let open = self.open_call;
         if open.is_some_and(|open| now >= open.sent_ms + CALL_TIMEOUT_MS) {
             self.open_call = None;
-            self.choose_next_node(now);
+            self.switch_node(now);
         }
         if self.open_call.is_none() && now >= self.next_heartbeat_ms {
             outputs.push(self.heartbeat(now));
@@ -200,11 +205,11 @@
         outputs
     }
 
-    fn choose_next_node(&mut self, now: u64) {
+    fn switch_node(&mut self, now: u64) {
         let others = self.nodes.len().max(2) as u64 - 1;
         let step = 1 + self.rng.below(others) as usize;
         self.current_node = (self.current_node + step) % self.nodes.len().max(1);
-        self.next_heartbeat_ms = now + NEXT_NODE_AFTER_MS;
+        self.next_heartbeat_ms = now + NODE_SWITCH_PAUSE_MS;
     }
 
     fn heartbeat(&mut self, now: u64) -> Output {
@@ -212,7 +217,7 @@
         let call = self.last_call;
         self.open_call = Some(OpenCall { call, sent_ms: now });
         let body = if self.lease.is_some() {
-            self.named_heartbeat_body(now, call)
+            self.lease_heartbeat_body(now, call)
         } else {
             self.heartbeat_body(now)
         };
@@ -236,16 +241,17 @@
         })
     }
 
-    /// Ends the runs whose time is over.
+    /// Ends the runs whose duration has elapsed.
     fn end_runs(&mut self, now: u64) -> Vec<Output> {
-        let over = self.running.iter().filter(|(_, run)| now >= run.ends_ms);
-        let over: Vec<u64> = over.map(|(attempt, _)| *attempt).collect();
-        over.into_iter()
-            .filter_map(|attempt| self.end(now, attempt))
+        let finished = self.running.iter().filter(|(_, run)| now >= run.ends_ms);
+        let finished: Vec<u64> = finished.map(|(attempt, _)| *attempt).collect();
+        finished
+            .into_iter()
+            .filter_map(|attempt| self.end_run(now, attempt))
             .collect()
     }
 
-    fn end(&mut self, now: u64, attempt: u64) -> Option<Output> {
+    fn end_run(&mut self, now: u64, attempt: u64) -> Option<Output> {
         let run = self.running.remove(&attempt)?;
         self.finished.insert(attempt);
         let note = if run.outcome == Outcome::Failed {
@@ -253,7 +259,7 @@
         } else {
             ""
         };
-        let name = self.note_ended_run(run.name());
+        let name = self.record_ended_run(run.name());
         self.unreported_ends.push(EndReport {
             no: attempt,
             name,
@@ -262,7 +268,7 @@
             note: note.into(),
             ..EndReport::default()
         });
-        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now + REPORT_END_WITHIN_MS);
+        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now + END_REPORT_DELAY_MS);
         Some(Output::Event(Event::RunEnded {
             worker: self.info.worker.clone(),
             attempt,
@@ -272,8 +278,8 @@
         }))
     }
 
-    /// How many runs there are.
-    pub fn running(&self) -> usize {
+    /// The number of current runs.
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 }
--- a/testkit/src/fakes/worker/orders.rs
+++ b/testkit/src/fakes/worker/orders.rs
@@ -1,23 +1,23 @@
-//! What a worker does with the answers to its heartbeats: it starts and stops runs.
+//! Handling of the responses to heartbeats and departure reports: a worker starts and stops runs as ordered.
 
-use super::{paired_rng, Run, Worker, DEFAULT_HEARTBEAT_MS, REPORT_END_WITHIN_MS};
+use super::{common_rng, Run, Worker, DEFAULT_HEARTBEAT_MS, END_REPORT_DELAY_MS};
 use crate::fakes::Output;
 use crate::history::Event;
 use landingdrift::sans_io::{Response, Rng};
 use landingdrift::state::{EndReport, Outcome, RunName};
 use serde_json::{json, Value};
 
-/// A run that is told to stop takes less than this to let go of its capacity, in milliseconds.
-const STOP_WITHIN_MS: u64 = 300;
-/// Starts are confirmed this soon, in milliseconds.
-const CONFIRM_START_WITHIN_MS: u64 = 50;
-/// A task whose payload says nothing runs so long, in milliseconds.
+/// The exclusive upper bound of the time that a stopped run takes to end, in milliseconds.
+const STOP_DELAY_BOUND_MS: u64 = 300;
+/// The longest delay of the heartbeat that confirms a start, in milliseconds.
+const START_REPORT_DELAY_MS: u64 = 50;
+/// The duration of a task whose payload gives none, in milliseconds.
 const DEFAULT_TASK_MS: f64 = 200.0;
-/// No run takes more than so many times its shortest duration.
+/// The maximum of the random factor on the duration of a run.
 const MAX_TAIL_FACTOR: f64 = 20.0;
 
-/// A task that a node tells the worker to start.
-struct Order<'a> {
+/// An order to start a run of a task.
+struct StartOrder<'a> {
     attempt: u64,
     job: &'a str,
     task: &'a str,
@@ -27,7 +27,7 @@
     payload: &'a Value,
 }
 
-impl<'a> Order<'a> {
+impl<'a> StartOrder<'a> {
     fn new(start: &'a Value) -> Self {
         Self {
             attempt: start["no"].as_u64().unwrap_or(0),
@@ -50,23 +50,23 @@
 }
 
 impl Worker {
-    /// A node has answered a heartbeat.
+    /// Handles the response to a heartbeat or to the report of a departure.
     pub fn answer(&mut self, now: u64, call: u64, response: &Response) -> Vec<Output> {
-        if let Some(left) = self.departure_answered(call, response) {
-            return vec![left];
+        if let Some(departure_event) = self.departure_answered(call, response) {
+            return vec![departure_event];
         }
         let Some(open) = self.open_call.take_if(|open| open.call == call) else {
             return Vec::new();
         };
         self.next_heartbeat_ms = now + self.heartbeat_ms;
         if response.status != 200 {
-            self.choose_next_node(now);
+            self.switch_node(now);
             return Vec::new();
         }
         let body = &response.body;
         self.heartbeat_ms = body["beatMs"].as_u64().unwrap_or(DEFAULT_HEARTBEAT_MS);
         if self.lease.is_some() {
-            return self.obey_named(now, open, body);
+            return self.handle_lease_answer(now, open, body);
         }
         let acknowledged = numbers(&body["settled"]);
         self.unreported_ends
@@ -74,7 +74,7 @@
         for attempt in numbers(&body["stops"]) {
             self.stop(now, attempt);
         }
-        // The orders of an answer that took too long may be out of date.
+        // Orders in an answer that took too long may be out of date.
         let took_ms = now.saturating_sub(open.sent_ms);
         if took_ms > body["obeyMs"].as_u64().unwrap_or(0) || self.info.leaving {
             return Vec::new();
@@ -82,11 +82,11 @@
         self.start_all(now, body)
     }
 
-    /// Starts what an answer tells it to.
+    /// Starts the runs that an answer orders.
     pub(super) fn start_all(&mut self, now: u64, body: &Value) -> Vec<Output> {
         let starts = body["starts"].as_array().into_iter().flatten();
         starts
-            .filter_map(|start| self.start(now, &Order::new(start)))
+            .filter_map(|start| self.start(now, &StartOrder::new(start)))
             .collect()
     }
 
@@ -100,23 +100,23 @@
                 ran_ms: 0,
                 ..EndReport::default()
             });
-            self.next_heartbeat_ms = now + REPORT_END_WITHIN_MS;
+            self.next_heartbeat_ms = now + END_REPORT_DELAY_MS;
         }
     }
 
-    /// Has a run let go of its capacity.
+    /// Stops a run, which ends after a random delay.
     pub(super) fn stop_running(&mut self, now: u64, attempt: u64) {
         let Some(run) = self.running.get_mut(&attempt) else {
             return;
         };
-        let ends_ms = now + self.rng.below(STOP_WITHIN_MS);
+        let ends_ms = now + self.rng.below(STOP_DELAY_BOUND_MS);
         if ends_ms < run.ends_ms {
             run.ends_ms = ends_ms;
             run.outcome = Outcome::Stopped;
         }
     }
 
-    fn start(&mut self, now: u64, order: &Order) -> Option<Output> {
+    fn start(&mut self, now: u64, order: &StartOrder) -> Option<Output> {
         let attempt = order.attempt;
         if self.running.contains_key(&attempt) || self.finished.contains(&attempt) {
             return None;
@@ -125,13 +125,13 @@
             self.report_refused(now, order);
             return None;
         }
-        let mut rng = match self.paired_seed {
-            Some(seed) => paired_rng(seed, order.job, order.task, order.copy),
+        let mut rng = match self.common_seed {
+            Some(seed) => common_rng(seed, order.job, order.task, order.copy),
             None => Rng::new(self.seed ^ (attempt << 20)),
         };
         let duration_ms = self.random_duration_ms(&mut rng, order.payload);
         let outcome = self.random_outcome(&mut rng, order.payload);
-        // What fails may fail at any moment, the first one too.
+        // With a lease, a failed run may end at any time up to its duration.
         let duration_ms = if self.lease.is_some() && outcome == Outcome::Failed {
             rng.below(duration_ms)
         } else {
@@ -146,7 +146,7 @@
             outcome,
         };
         self.running.insert(attempt, run);
-        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now + CONFIRM_START_WITHIN_MS);
+        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now + START_REPORT_DELAY_MS);
         Some(Output::Event(Event::RunStarted {
             worker: self.info.worker.clone(),
             attempt,
@@ -157,8 +157,8 @@
         }))
     }
 
-    /// Reports a start that it does not obey.
-    fn report_refused(&mut self, now: u64, order: &Order) {
+    /// Reports a refused order to start a run.
+    fn report_refused(&mut self, now: u64, order: &StartOrder) {
         self.finished.insert(order.attempt);
         self.unreported_ends.push(EndReport {
             no: order.attempt,
@@ -166,20 +166,20 @@
             outcome: Outcome::NeverStarted,
             ..EndReport::default()
         });
-        self.next_heartbeat_ms = now + REPORT_END_WITHIN_MS;
+        self.next_heartbeat_ms = now + END_REPORT_DELAY_MS;
     }
 
-    /// How long a run takes: Pareto distributed, as in the paper, where the payload names a shape for the tail; else as
-    /// long as the payload says.
+    /// The duration of a run: the payload's minimum duration, times a Pareto-distributed factor, as in the Hopper
+    /// paper, if the payload gives a shape for the tail.
     fn random_duration_ms(&self, rng: &mut Rng, payload: &Value) -> u64 {
-        let shortest_ms = payload["ms"].as_f64().unwrap_or(DEFAULT_TASK_MS);
+        let minimum_ms = payload["ms"].as_f64().unwrap_or(DEFAULT_TASK_MS);
         let tail = payload["tail"].as_f64().unwrap_or(0.0);
         let tail_factor = if tail > 0.0 {
             (1.0 - rng.unit()).powf(-1.0 / tail).min(MAX_TAIL_FACTOR)
         } else {
             1.0
         };
-        (shortest_ms * tail_factor * self.behavior.slowdown).max(1.0) as u64
+        (minimum_ms * tail_factor * self.injected_faults.slowdown).max(1.0) as u64
     }
 
     fn random_outcome(&self, rng: &mut Rng, payload: &Value) -> Outcome {
@@ -187,7 +187,7 @@
             return Outcome::Failed;
         }
         let task_share = payload["failing"].as_f64().unwrap_or(0.0);
-        if rng.unit() < self.behavior.failing_share.max(task_share) {
+        if rng.unit() < self.injected_faults.failing_share.max(task_share) {
             Outcome::Failed
         } else {
             Outcome::Succeeded
@@ -195,7 +195,7 @@
     }
 }
 
-/// The whole numbers of an array.
+/// The unsigned integers in an array.
 fn numbers(values: &Value) -> Vec<u64> {
     let values = values.as_array().into_iter().flatten();
     values.filter_map(Value::as_u64).collect()
--- a/testkit/src/fleet/drive.rs
+++ b/testkit/src/fleet/drive.rs
@@ -156,7 +156,7 @@
             Some(proxy) => vec![proxy.clone()],
             None => self.fleet.nodes(),
         };
-        let seed = self.rng.number();
+        let seed = self.rng.next_u64();
         let slot = &mut self.workers[index];
         slot.incarnation += 1;
         slot.info.incarnation = slot.incarnation;
@@ -164,7 +164,7 @@
         if self.options.lease_ms > 0 {
             worker = worker.with_lease();
         }
-        let up = worker.up_event();
+        let up = worker.started_event();
         slot.worker = Some(worker);
         self.record(up);
     }
@@ -264,7 +264,7 @@
     }
 
     fn is_settled(&self) -> bool {
-        self.client.waiting() == 0 && self.operator.is_idle()
+        self.client.unfinished_jobs() == 0 && self.operator.is_idle()
     }
 
     /// All fakes get their tick.
@@ -292,7 +292,7 @@
             });
         }
         if now % READ_EVERY_MS < PROBE_EVERY_MS {
-            self.operator.read();
+            self.operator.queue_read();
         }
     }
 
--- a/testkit/src/history.rs
+++ b/testkit/src/history.rs
@@ -1,51 +1,54 @@
-//! The history of a day: what clients, workers and operators observe from outside.
+//! The history of a day: the events that clients, workers and operators observe, and those that the simulator or the
+//! fleet records.
 
 use landingdrift::state::{JobSpec, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Ids of the jobs that show after an outage whether every queue is served start with this.
+/// The prefix of the ids of recovery jobs, which are offered after an outage to test whether every queue is served.
 pub const RECOVERY_JOB_PREFIX: &str = "muster-";
 
-/// In [`Event::FaultBegan`]: from now on nothing reaches the worker that follows.
+/// The prefix of the description of an [`Event::FaultBegan`] by which a worker becomes unreachable; the worker's name
+/// follows. The value is fixed, because stored histories contain it.
 pub const WORKER_UNREACHABLE: &str = "dark ";
 
-/// In [`Event::FaultBegan`]: the worker that follows can be reached again.
+/// The prefix of the description of an [`Event::FaultBegan`] by which a worker becomes reachable again; the worker's
+/// name follows. The value is fixed, because stored histories contain it.
 pub const WORKER_REACHABLE: &str = "light ";
 
-/// One observation. The fingerprints of `testkit digest` hold the variants and their fields by position, so their
-/// order stays as it is.
+/// An event of a history. The digests of `testkit digest` depend on the order of the variants and of their fields, so
+/// that order must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A client has made a job that it is about to submit.
+    /// A client has created a job that it is about to submit.
     Offered { spec: JobSpec },
-    /// A client calls to submit a job, for the first time or again.
+    /// A client submits a job, for the first time or again.
     SubmitRequested { id: String },
     /// A call to submit a job was answered.
     SubmitAnswered {
         id: String,
         /// The HTTP status.
         status: u16,
-        /// The error code; empty where there is none.
+        /// The error kind; empty if there is none.
         code: String,
     },
-    /// The client takes a refusal as final.
+    /// A client stops submitting a job after a refusal.
     GaveUp { id: String },
-    /// A client asks for a job's state.
+    /// A client polls a job's state.
     StateRequested { id: String },
-    /// A client was answered on a job's state.
+    /// A client's poll of a job's state was answered.
     StateAnswered {
         id: String,
         status: u16,
         state: String,
-        /// Whether the end of one of its tasks is not known.
+        /// Whether the outcome of one of its tasks is unknown.
         unsure: bool,
-        /// The node said itself that its answer may be out of date.
+        /// Whether the node marked its answer as possibly out of date.
         stale: bool,
     },
-    /// A client asks for a job to be cancelled.
+    /// A client requests that a job be cancelled.
     CancelRequested { id: String },
-    /// A cancel was acknowledged.
+    /// A request to cancel was acknowledged.
     CancelAcknowledged { id: String },
     /// A worker's process has started.
     WorkerUp {
@@ -56,7 +59,7 @@
         zone: String,
         cpu: u32,
     },
-    /// A worker has other capacity or labels from now on.
+    /// A worker's capacity or labels have changed.
     WorkerChanged {
         worker: String,
         labels: Vec<String>,
@@ -64,9 +67,9 @@
     },
     /// A worker has announced that it is leaving.
     WorkerLeaving { worker: String },
-    /// A worker's process ended, and all its runs with it.
+    /// A worker's process has ended, and all its runs with it.
     WorkerDied { worker: String },
-    /// A worker has started a run of a task.
+    /// A worker has started an attempt of a task.
     RunStarted {
         worker: String,
         /// The number of the attempt.
@@ -74,7 +77,7 @@
         job: String,
         task: String,
         cpu: u32,
-        /// Whether it is a speculative copy.
+        /// Whether the run is a speculative copy.
         copy: bool,
     },
     /// A run has ended.
@@ -85,66 +88,67 @@
         task: String,
         outcome: Outcome,
     },
-    /// An operator asks for a change of configuration, for the first time or again.
+    /// An operator requests a change of the configuration, for the first time or again.
     ConfigRequested {
         change: String,
-        settings: RuleSettings,
+        settings: CheckedSettings,
     },
-    /// An operator's change was answered.
+    /// The request of a change was answered.
     ConfigAnswered {
         change: String,
-        /// The version that the change was made on.
+        /// The version that the change is based on.
         base: u64,
         status: u16,
         version: u64,
-        settings: RuleSettings,
+        settings: CheckedSettings,
     },
     /// An operator has read the configuration.
     ConfigRead {
         version: u64,
-        /// The change whose mark the configuration carries.
+        /// The id of the last change, from the note `by`; empty if there is none.
         change: String,
-        /// When it was asked for, in milliseconds.
+        /// When the read was requested, in milliseconds.
         requested_ms: u64,
     },
-    /// No node has answered an operator's read of the configuration in time.
+    /// No node has answered an operator's read of the configuration within its deadline.
     ConfigReadUnanswered {
-        /// When the first node was asked, in milliseconds.
+        /// When the first node was called, in milliseconds.
         since_ms: u64,
     },
-    /// What a node has in force, and whether it says that it is ready.
+    /// The version of the configuration in force on a node, and the node's readiness, were observed.
     NodeVersion {
         node: String,
         version: u64,
-        /// The change whose mark the configuration carries; empty where that is not known.
+        /// The id of the last change, from the note `by`; empty if unknown.
         change: String,
         ready: bool,
     },
-    /// From now on so many replicas are up and can talk to each other, and these nodes to them.
+    /// The number of replicas that are up and connected to each other, or the list of nodes connected to all of these
+    /// replicas, has changed.
     Availability { replicas: usize, nodes: Vec<String> },
-    /// A node's process ended.
+    /// A node's process has ended.
     NodeDown { node: String },
     /// All processes are up again after a total outage.
     OutageEnded,
-    /// A fault strikes.
+    /// A fault has begun, or a worker has become unreachable or reachable; see [`WORKER_UNREACHABLE`].
     FaultBegan { description: String },
-    /// The fault of that description is over.
+    /// The fault with this description has ended.
     FaultEnded { description: String },
-    /// The load has ended, and the faults with it.
+    /// Jobs are no longer offered, and all faults have been healed.
     LoadEnded,
-    /// The day is over; this is the state that the cluster ends with.
+    /// The day is over; carries the final state of the cluster.
     DayEnded {
         version: u64,
         change: String,
         jobs: BTreeMap<String, FinalState>,
     },
-    /// The end of a run was acknowledged to its worker, which forgets it.
+    /// The end of a run was acknowledged to its worker, which stops reporting it.
     EndAcknowledged {
         worker: String,
         /// The number of the attempt.
         attempt: u64,
     },
-    /// The lease of a worker has run out: what ran there was killed.
+    /// The lease of a worker has expired, and its runs were killed.
     LeaseExpired { worker: String },
 }
 
@@ -152,22 +156,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FinalState {
     pub state: String,
-    /// Whether the end of one of its tasks is not known.
+    /// Whether the outcome of one of its tasks is unknown.
     pub unsure: bool,
 }
 
-/// The settings in a change of configuration that rules depend on, each by the name of its zone or queue.
+/// The settings in a change of the configuration that the checkers depend on, by zone or queue.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RuleSettings {
+pub struct CheckedSettings {
     /// The state of each zone.
     pub zones: BTreeMap<String, String>,
-    /// The most attempts of a task of each queue.
+    /// The limit on the attempts of a task, for each queue.
     pub max_attempts: BTreeMap<String, u32>,
-    /// The most unfinished jobs of each queue.
+    /// The limit on unfinished jobs, for each queue.
     pub quotas: BTreeMap<String, u32>,
 }
 
-/// Whether a zone in this state gets work.
+/// Whether a zone in this state gets new work.
 pub fn is_serving(zone_state: &str) -> bool {
     !["draining", "evacuated"].contains(&zone_state)
 }
@@ -180,7 +184,7 @@
     pub event: Event,
 }
 
-/// A whole history, in the order of time.
+/// A whole history, ordered by time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
     pub events: Vec<TimedEvent>,
@@ -192,21 +196,21 @@
         self.events.push(TimedEvent { at_ms, event });
     }
 
-    /// When the last event happened, in milliseconds; 0 in an empty history.
+    /// The time of the last event, in milliseconds; 0 in an empty history.
     pub fn end_ms(&self) -> u64 {
         self.events.last().map_or(0, |last| last.at_ms)
     }
 
-    /// The history as JSON, an event a line.
-    pub fn text(&self) -> String {
+    /// The history as JSON, one event per line.
+    pub fn json_lines(&self) -> String {
         self.events
             .iter()
             .map(|timed| serde_json::to_string(timed).unwrap_or_default() + "\n")
             .collect()
     }
 
-    /// A hash that equal histories share.
+    /// The FNV-1a hash of the history's JSON lines.
     pub fn digest(&self) -> u64 {
-        landingdrift::sans_io::fnv1a(self.text().as_bytes())
+        landingdrift::sans_io::fnv1a(self.json_lines().as_bytes())
     }
 }
--- a/testkit/src/scale/drive.rs
+++ b/testkit/src/scale/drive.rs
@@ -157,7 +157,7 @@
         Ok(Outcome {
             starts: 1000.0 * self.starts as f64 / measured_ms,
             jobs: self.accepted,
-            running: self.workers.iter().map(Worker::running).sum(),
+            running: self.workers.iter().map(Worker::running_count).sum(),
             usage: meter.usage(measured_ms),
             lag: meter.lag(),
             dropped: self.connections.dropped,
@@ -227,7 +227,7 @@
         match input {
             Input::Frame(node_index, frame) => {
                 if let Ok(envelope) = unpack(&self.cluster, &frame) {
-                    self.step(node_index, Msg::Wire(envelope.from, envelope.body));
+                    self.step(node_index, Msg::Received(envelope.from, envelope.body));
                 }
             }
             Input::Answer(key, response) => {
--- a/testkit/src/scenario/mix.rs
+++ b/testkit/src/scenario/mix.rs
@@ -1,38 +1,40 @@
-//! Mixes of random jobs.
+//! Random jobs, sampled from a mix.
 
 use landingdrift::sans_io::Rng;
 use landingdrift::state::{JobSpec, TaskSpec};
 use serde_json::json;
 
-/// The share of runs that fail of a task that isn't bound to.
+/// The share of runs that fail, for tasks of jobs that can succeed.
 const FAILING_SHARE: f64 = 0.01;
-/// Tasks of a gang, at the most.
-const MAX_GANG: usize = 4;
-/// An appointed task starts so long after its job was made at the earliest, in milliseconds.
-const MIN_APPOINTMENT_MS: u64 = 1000;
-/// How much later than the earliest an appointed task may start, in milliseconds.
-const APPOINTMENT_SPREAD_MS: u64 = 3000;
-/// The zones of every deployment.
+/// The maximum number of tasks of a gang.
+const MAX_GANG_TASKS: usize = 4;
+/// The shortest time from the creation of a job to the due time of one of its tasks, in milliseconds.
+const MIN_DUE_DELAY_MS: u64 = 1000;
+/// The exclusive upper bound of the random time added to the shortest time until a task is due, in milliseconds.
+const DUE_DELAY_RANGE_MS: u64 = 3000;
+/// The number of zones in every deployment.
 const ZONES: u64 = 3;
 
-/// What kinds of jobs are offered, and how many.
+/// The distribution that random jobs are sampled from.
 #[derive(Clone, Debug)]
 pub struct Mix {
     pub jobs_per_second: f64,
+    /// The queues of jobs, each equally likely.
     pub queues: Vec<String>,
+    /// The services of jobs, each equally likely.
     pub services: Vec<String>,
-    /// Mean of the shortest duration of a task, in milliseconds.
+    /// The mean minimum duration of tasks, in milliseconds; the random tail factor multiplies it.
     pub task_ms: f64,
-    /// Shape of the Pareto distribution of durations; 0 for none.
+    /// The shape parameter of the Pareto distribution of durations; 0 for constant durations.
     pub tail: f64,
-    /// Share of jobs that can never succeed.
+    /// The share of jobs that can never succeed.
     pub doomed_share: f64,
-    /// Share of jobs whose tasks may be repeated.
+    /// The share of jobs whose tasks may be repeated.
     pub repeatable_share: f64,
-    /// The most tasks of a job.
+    /// The maximum number of tasks of a job.
     pub max_tasks: u64,
-    /// Only jobs of a single task.
-    pub is_plain: bool,
+    /// All jobs have a single task.
+    pub has_single_task: bool,
 }
 
 impl Default for Mix {
@@ -46,58 +48,58 @@
             doomed_share: 0.0,
             repeatable_share: 0.5,
             max_tasks: 8,
-            is_plain: false,
+            has_single_task: false,
         }
     }
 }
 
-/// How the tasks of a job hang together.
+/// The kind of a random job.
 #[derive(Clone, Copy, PartialEq)]
-enum Form {
+enum JobForm {
     Single,
-    /// Many tasks at once.
+    /// Several independent tasks.
     Parallel,
-    /// A first task, a middle that fans out, and a last task.
+    /// A first task, tasks that depend on it, and a last task that depends on those.
     Steps,
     Gang,
-    /// Each task has an appointed time.
-    Appointed,
-    /// One task needs a label, the others have a zone that they prefer.
+    /// Each task has a due time.
+    Due,
+    /// The first task needs a label, the others prefer a zone.
     Labelled,
 }
 
-impl Form {
+impl JobForm {
     fn random(rng: &mut Rng, mix: &Mix) -> Self {
-        if mix.is_plain {
+        if mix.has_single_task {
             return Self::Single;
         }
         match rng.below(10) {
             0..=2 => Self::Single,
             5 | 6 => Self::Steps,
             7 => Self::Gang,
-            8 => Self::Appointed,
+            8 => Self::Due,
             9 => Self::Labelled,
             _ => Self::Parallel,
         }
     }
 }
 
-/// A random job of the mix; `now` is the time of day in milliseconds since 1970.
+/// A random job of the mix; `now` is the wall clock's time in milliseconds since 1970.
 pub fn random_job(rng: &mut Rng, mix: &Mix, id: &str, now: u64) -> JobSpec {
     let queue = rng.pick(&mix.queues).cloned().unwrap_or_default();
     let service = rng.pick(&mix.services).cloned().unwrap_or_default();
     let may_repeat = rng.unit() < mix.repeatable_share;
     let is_doomed = rng.unit() < mix.doomed_share;
-    let form = Form::random(rng, mix);
-    let drawn = match form {
-        Form::Single => 1,
+    let form = JobForm::random(rng, mix);
+    let sampled = match form {
+        JobForm::Single => 1,
         _ => 2 + rng.below(mix.max_tasks.max(3) - 2) as usize,
     };
-    // The steps of a job fan out as the number that was drawn says.
-    let count = if form == Form::Gang {
-        drawn.min(MAX_GANG)
+    // Gangs may have fewer tasks than sampled.
+    let count = if form == JobForm::Gang {
+        sampled.min(MAX_GANG_TASKS)
     } else {
-        drawn
+        sampled
     };
     let tasks = (0..count).map(|index| {
         let task_ms = mix.task_ms * (0.5 + rng.unit());
@@ -114,7 +116,7 @@
             }),
             ..TaskSpec::default()
         };
-        shape_task(&mut task, rng, form, index, drawn, now);
+        set_form_fields(&mut task, rng, form, index, sampled, now);
         task
     });
     JobSpec {
@@ -129,28 +131,28 @@
     format!("t{index}")
 }
 
-/// Gives a task, of `count`, what its job's form asks for.
-fn shape_task(
+/// Sets the fields of a task that follow from its job's form; `count` is the sampled number of tasks.
+fn set_form_fields(
     task: &mut TaskSpec,
     rng: &mut Rng,
-    form: Form,
+    form: JobForm,
     index: usize,
     count: usize,
     now: u64,
 ) {
     match form {
-        Form::Steps => task.depends_on = dependencies(index, count),
-        Form::Gang => task.gang = "g".into(),
-        Form::Appointed => {
-            task.due = now + MIN_APPOINTMENT_MS + rng.below(APPOINTMENT_SPREAD_MS);
+        JobForm::Steps => task.depends_on = dependencies(index, count),
+        JobForm::Gang => task.gang = "g".into(),
+        JobForm::Due => {
+            task.due = now + MIN_DUE_DELAY_MS + rng.below(DUE_DELAY_RANGE_MS);
         }
-        Form::Labelled if index == 0 => task.labels = vec!["ssd".into()],
-        Form::Labelled => task.near = format!("z{}", rng.below(ZONES)),
-        Form::Single | Form::Parallel => {}
+        JobForm::Labelled if index == 0 => task.labels = vec!["ssd".into()],
+        JobForm::Labelled => task.near = format!("z{}", rng.below(ZONES)),
+        JobForm::Single | JobForm::Parallel => {}
     }
 }
 
-/// The first task comes before all others, and the last one after all others.
+/// The dependencies of a task in [`JobForm::Steps`]: all depend on the first task, and the last on all in between.
 fn dependencies(index: usize, count: usize) -> Vec<String> {
     let is_last = index + 1 == count;
     match index {
--- a/testkit/src/scenario/shape.rs
+++ b/testkit/src/scenario/shape.rs
@@ -1,21 +1,21 @@
-//! Shapes of deployments: how large they are, and what jobs they see.
+//! Shapes of deployments: their sizes, job mixes and configurations.
 
 use super::Mix;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// A deployment's shape.
+/// A kind of deployment that scenarios are based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Shape {
-    /// 17 machines: three replicas, three nodes, 11 workers of 64.
+    /// 17 machines: three replicas, three nodes, 11 workers with a capacity of 64.
     Odvoza,
-    /// 18 machines: three replicas, four nodes, 11 workers of 16.
+    /// 18 machines: three replicas, four nodes, 11 workers with a capacity of 16.
     Gunasekera,
 }
 
 impl Shape {
-    /// A shape by its name.
+    /// The shape with a name on the command line.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "odvoza" => Some(Self::Odvoza),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Its name on the command line.
+    /// The name of the shape on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Odvoza => "odvoza",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The number of nodes.
+    /// The number of nodes on machines of the default class, unless a scenario gives another.
     pub fn nodes(self) -> usize {
         match self {
             Self::Odvoza => 3,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The number of workers.
+    /// The number of workers, unless a scenario gives another.
     pub fn workers(self) -> usize {
         11
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The mix of jobs that the deployment sees, at its rate.
+    /// The mix and rate of the deployment's jobs.
     pub fn mix(self) -> Mix {
         let names = |names: &[&str]| names.iter().map(ToString::to_string).collect();
         match self {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The deployment's configuration, in the form of the API.
+    /// The deployment's configuration, in the JSON form of the API.
     pub fn config(self) -> Value {
         let mix = self.mix();
         let queue = |finish_within_ms: u64, priority: u32| {
--- a/testkit/src/simulator/faults.rs
+++ b/testkit/src/simulator/faults.rs
@@ -1,11 +1,11 @@
-//! Faults of a simulated day: whom each strikes, what it does, and how it is healed.
+//! Faults of a simulated day: selection of their targets, injection and healing.
 
 mod links;
 mod load;
 mod machines;
 mod workers;
 
-use super::disk::{Condition, SOUND_DELAY_MS};
+use super::disk::{Condition, HEALTHY_WRITE_MS};
 use super::world::{Action, World};
 use crate::history::Event;
 use crate::scenario::{Fault, FaultKind};
@@ -14,36 +14,39 @@
 
 /// How long a slow disk takes to write, in milliseconds.
 const SLOW_DISK_MS: u64 = 120;
-/// How many times longer messages take over a slow link.
-const SLOW_LINK_FACTOR: u64 = 8;
-/// How many times longer a slow worker takes.
+/// The slowness of a process with a slow link; see [`Process::slowness`](super::world::Process::slowness).
+const SLOW_LINK_SLOWNESS: u64 = 8;
+/// The factor on the durations of a slow worker's runs.
 const SLOW_WORKER_FACTOR: f64 = 6.0;
-/// How many answers in a hundred are lost while answers get lost.
+/// The share of answers that are lost during a fault that loses answers, in percent.
 const LOST_ANSWERS_PERCENT: u64 = 50;
-/// The attempts that a queue permits, as the shapes have them.
-const USUAL_ATTEMPTS: u32 = 3;
-/// The quota of a queue, as the shapes have it.
-const USUAL_QUOTA: u32 = 2000;
-/// Every deployment has so many zones, and as many queues.
-const ZONES: usize = 3;
+/// The limit on attempts of every queue in [`Shape::config`](crate::scenario::Shape::config), restored after a fault.
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
+/// The quota of every queue in [`Shape::config`](crate::scenario::Shape::config), restored after a fault.
+const DEFAULT_QUOTA: u32 = 2000;
+/// The number of zones in every deployment, which is also the number of queues.
+const ZONES_AND_QUEUES: usize = 3;
 
-/// What a fault strikes.
-enum Area {
+/// The part of the simulated world that a fault affects.
+enum FaultDomain {
     /// Processes, disks and clocks.
     Machines,
+    /// The network between processes.
     Links,
     Workers,
-    /// Those who call: jobs and configuration.
+    /// The load: jobs and changes of the configuration.
     Load,
 }
 
-/// What faults of a kind strike.
-fn area(kind: FaultKind) -> Area {
+/// The part of the simulated world that faults of a kind affect.
+fn fault_domain(kind: FaultKind) -> FaultDomain {
     use FaultKind::*;
     match kind {
         Kill | Freeze | LoseZone | SlowDisk | DiskFull | DiskStall | LoseTail | ReplaceCore
-        | SwapNode | Outage | ClockJump | Restart | Upgrade | HangUp => Area::Machines,
-        Cut | CutOneWay | SplitCore | CutCores | SlowLink | FlakyLink | LostAnswers => Area::Links,
+        | SwapNode | Outage | ClockJump | Restart | Upgrade | HangUp => FaultDomain::Machines,
+        Cut | CutOneWay | SplitCore | CutCores | SlowLink | FlakyLink | LostAnswers => {
+            FaultDomain::Links
+        }
         WorkerCrash
         | WorkerGone
         | WorkerFreeze
@@ -52,13 +55,13 @@
         | WorkerCut
         | WorkerLeaves
         | WorkerLeavesUnannounced
-        | WorkerChange => Area::Workers,
+        | WorkerChange => FaultDomain::Workers,
         Crowd | Huge | Doomed | Urgent | Wrong | Storm | Rivals | LargeConfig | HugeConfig
-        | Drain | Evacuate | Tries | Quota => Area::Load,
+        | Drain | Evacuate | Tries | Quota => FaultDomain::Load,
     }
 }
 
-/// The role and the number that a fault names as its target, such as `core:1`.
+/// The role and number of a fault's named target, such as `core:1`.
 fn named_target(fault: &Fault) -> Option<(&str, usize)> {
     let (role, number) = fault.target.split_once(':')?;
     Some((role, number.parse().ok()?))
@@ -69,25 +72,25 @@
         (0..self.processes.len()).collect()
     }
 
-    /// The replicas that are not lost for good.
+    /// The replicas that are not lost permanently.
     fn replicas(&self) -> Vec<usize> {
         let processes = 0..self.processes.len();
         processes
             .filter(|number| self.processes[*number].is_replica())
-            .filter(|number| !self.processes[*number].is_gone)
+            .filter(|number| !self.processes[*number].is_removed)
             .collect()
     }
 
-    /// The nodes that are not lost for good.
+    /// The nodes that are not lost permanently.
     fn nodes(&self) -> Vec<usize> {
         let processes = 0..self.processes.len();
         processes
             .filter(|number| self.processes[*number].is_node())
-            .filter(|number| !self.processes[*number].is_gone)
+            .filter(|number| !self.processes[*number].is_removed)
             .collect()
     }
 
-    /// The number of the process, worker, zone or queue that a fault strikes.
+    /// The target of a fault: the number of a process, worker, zone or queue.
     fn target(&self, fault: &Fault) -> usize {
         let replicas = self.replicas();
         if fault.target == "leader" {
@@ -102,53 +105,57 @@
             };
         }
         let candidates = self.candidates(fault.kind);
-        // Each fault draws for itself, so that leaving one out moves no other.
+        // Each fault has its own random generator, so that the removal of a fault from a scenario does not change the
+        // targets of the others.
         let mut rng = Rng::new(self.seed ^ fault.at_ms);
         rng.pick(&candidates).copied().unwrap_or(0)
     }
 
-    /// What a fault of a kind may strike where it names no target.
+    /// The possible targets, by its kind, of a fault that names no target.
     fn candidates(&self, kind: FaultKind) -> Vec<usize> {
         use FaultKind::*;
         match kind {
             SplitCore | SlowDisk | LoseTail | ReplaceCore | DiskFull | DiskStall => self.replicas(),
             SwapNode => self.nodes(),
-            Tries | Quota | LoseZone | Drain | Evacuate => (0..ZONES).collect(),
-            _ if matches!(area(kind), Area::Workers) => (0..self.workers.len()).collect(),
+            Tries | Quota | LoseZone | Drain | Evacuate => (0..ZONES_AND_QUEUES).collect(),
+            _ if matches!(fault_domain(kind), FaultDomain::Workers) => {
+                (0..self.workers.len()).collect()
+            }
             _ => [self.replicas(), self.nodes()].concat(),
         }
     }
 
-    /// Has the fault of a number strike.
-    pub(super) fn strike(&mut self, number: usize) {
+    /// Injects the fault with this number, and schedules its end. Scheduled faults are skipped after the load has
+    /// ended.
+    pub(super) fn inject_fault(&mut self, number: usize) {
         let fault = self.faults[number].clone();
-        if self.is_calm && fault.at_ms < self.now {
+        if self.has_load_ended && fault.at_ms < self.now {
             return;
         }
         let target = self.target(&fault);
-        self.struck.insert(number, vec![target]);
+        self.active_faults.insert(number, vec![target]);
         self.log_line(&format!(
-            "fault {:?} {target} for {} ms, {} {}",
+            "fault {:?} began: target {target}, duration {} ms, amount {}, clock jump {} ms",
             fault.kind, fault.duration_ms, fault.amount, fault.clock_jump_ms
         ));
         self.record(Event::FaultBegan {
             description: format!("{:?} {target} {number}", fault.kind),
         });
-        match area(fault.kind) {
-            Area::Machines => {
-                let struck = self.strike_machines(&fault, target);
-                self.struck.insert(number, struck);
+        match fault_domain(fault.kind) {
+            FaultDomain::Machines => {
+                let affected = self.inject_machine_fault(&fault, target);
+                self.active_faults.insert(number, affected);
             }
-            Area::Links => self.strike_links(fault.kind, target),
-            Area::Workers => self.strike_workers(&fault, target),
-            Area::Load => self.strike_load(&fault, target),
+            FaultDomain::Links => self.inject_link_fault(fault.kind, target),
+            FaultDomain::Workers => self.inject_worker_fault(&fault, target),
+            FaultDomain::Load => self.inject_load_fault(&fault, target),
         }
         self.observe_availability();
-        self.schedule_in(fault.duration_ms, Action::Heal(number));
+        self.schedule_in(fault.duration_ms, Action::HealFault(number));
     }
 
-    /// Strikes processes, disks and clocks; returns those that were struck.
-    fn strike_machines(&mut self, fault: &Fault, target: usize) -> Vec<usize> {
+    /// Injects a fault of processes, disks or clocks; returns the affected processes.
+    fn inject_machine_fault(&mut self, fault: &Fault, target: usize) -> Vec<usize> {
         use FaultKind::*;
         match fault.kind {
             Kill => self.kill(target),
@@ -176,28 +183,28 @@
         vec![target]
     }
 
-    fn strike_links(&mut self, kind: FaultKind, target: usize) {
+    fn inject_link_fault(&mut self, kind: FaultKind, target: usize) {
         use FaultKind::*;
         match kind {
-            Cut => self.cut_off(target, &self.all_processes()),
-            CutOneWay => self.cut_off_outgoing(target, &self.all_processes()),
-            SplitCore => self.cut_off(target, &self.replicas()),
-            CutCores => self.cut_replicas_from_nodes(),
-            SlowLink => self.processes[target].slowness = SLOW_LINK_FACTOR,
+            Cut => self.partition(target, &self.all_processes()),
+            CutOneWay => self.block_outgoing(target, &self.all_processes()),
+            SplitCore => self.partition(target, &self.replicas()),
+            CutCores => self.partition_replicas_from_nodes(),
+            SlowLink => self.processes[target].slowness = SLOW_LINK_SLOWNESS,
             FlakyLink => self.processes[target].is_flaky = true,
             LostAnswers => self.lost_answers_percent = LOST_ANSWERS_PERCENT,
             _ => {}
         }
     }
 
-    fn strike_workers(&mut self, fault: &Fault, target: usize) {
+    fn inject_worker_fault(&mut self, fault: &Fault, target: usize) {
         use FaultKind::*;
         match fault.kind {
             WorkerCrash | WorkerGone => self.crash_worker(target),
             WorkerFreeze => self.freeze_worker(target),
             WorkerSlow => self.set_slowdown(target, SLOW_WORKER_FACTOR),
             WorkerFailing => self.fail_runs(target, fault.amount),
-            WorkerCut => self.cut_worker(target, true),
+            WorkerCut => self.set_worker_partitioned(target, true),
             WorkerLeaves => self.with_worker(target, |worker, now| worker.leave(now)),
             WorkerLeavesUnannounced => {
                 self.with_worker(target, |worker, now| worker.leave_unannounced(now));
@@ -212,8 +219,8 @@
         }
     }
 
-    /// Strikes by jobs and changes of configuration.
-    fn strike_load(&mut self, fault: &Fault, target: usize) {
+    /// Injects a fault by offering jobs or changing the configuration.
+    fn inject_load_fault(&mut self, fault: &Fault, target: usize) {
         use FaultKind::*;
         match fault.kind {
             Crowd => self.offer_crowd(fault.amount, &self.shape.mix()),
@@ -221,8 +228,8 @@
             Doomed => self.offer_doomed_jobs(),
             Urgent => self.offer_urgent_jobs(fault.amount),
             Wrong => self.offer_invalid_jobs(),
-            Storm => self.change_often(),
-            Rivals => self.change_as_rivals(),
+            Storm => self.change_configuration_in_turn(),
+            Rivals => self.submit_conflicting_changes(),
             LargeConfig => self.apply_large_configuration(fault.amount),
             HugeConfig => self.apply_huge_configuration(),
             Drain => self.set_zone(target, "draining"),
@@ -233,38 +240,38 @@
         }
     }
 
-    /// Heals the fault of a number, if it is open.
-    pub(super) fn heal(&mut self, number: usize) {
-        let Some(struck) = self.struck.remove(&number) else {
+    /// Heals the fault with this number, if it is active.
+    pub(super) fn heal_fault(&mut self, number: usize) {
+        let Some(affected) = self.active_faults.remove(&number) else {
             return;
         };
         let fault = self.faults[number].clone();
-        let target = struck.first().copied().unwrap_or(0);
-        self.log_line(&format!("healed {:?} {target}", fault.kind));
+        let target = affected.first().copied().unwrap_or(0);
+        self.log_line(&format!("fault {:?} healed: target {target}", fault.kind));
         self.record(Event::FaultEnded {
             description: format!("{:?} {target} {number}", fault.kind),
         });
-        match area(fault.kind) {
-            Area::Machines => self.heal_machines(&fault, &struck, target),
-            Area::Links => self.heal_links(fault.kind, target),
-            Area::Workers => self.heal_workers(fault.kind, target),
-            Area::Load => self.heal_load(&fault, target),
+        match fault_domain(fault.kind) {
+            FaultDomain::Machines => self.heal_machine_fault(&fault, &affected, target),
+            FaultDomain::Links => self.heal_link_fault(fault.kind, target),
+            FaultDomain::Workers => self.heal_worker_fault(fault.kind, target),
+            FaultDomain::Load => self.heal_load_fault(&fault, target),
         }
         self.observe_availability();
     }
 
-    fn heal_machines(&mut self, fault: &Fault, struck: &[usize], target: usize) {
+    fn heal_machine_fault(&mut self, fault: &Fault, affected: &[usize], target: usize) {
         use FaultKind::*;
         match fault.kind {
             Kill | LoseTail | Restart => self.start(target),
             Upgrade => self.upgrade(target),
-            Freeze => self.thaw(target),
-            LoseZone => self.regain_zone(struck),
-            SlowDisk => self.set_disk_delays(target, fault, SOUND_DELAY_MS),
+            Freeze => self.resume(target),
+            LoseZone => self.restore_zone_and_all_workers(affected),
+            SlowDisk => self.set_disk_delays(target, fault, HEALTHY_WRITE_MS),
             DiskFull | DiskStall => self.set_disk_conditions(target, fault, Condition::Sound),
             Outage => self.end_outage(),
             ClockJump => {
-                for process in struck {
+                for process in affected {
                     self.processes[*process].wall_offset_ms = 0;
                 }
             }
@@ -272,7 +279,7 @@
         }
     }
 
-    fn heal_links(&mut self, kind: FaultKind, target: usize) {
+    fn heal_link_fault(&mut self, kind: FaultKind, target: usize) {
         use FaultKind::*;
         match kind {
             Cut | CutOneWay => self.reconnect(target, &self.all_processes()),
@@ -285,14 +292,14 @@
         }
     }
 
-    fn heal_workers(&mut self, kind: FaultKind, target: usize) {
+    fn heal_worker_fault(&mut self, kind: FaultKind, target: usize) {
         use FaultKind::*;
         match kind {
             WorkerCrash if self.workers[target].worker.is_none() => self.start_worker(target),
-            WorkerFreeze => self.thaw_worker(target),
+            WorkerFreeze => self.resume_worker(target),
             WorkerSlow => self.set_slowdown(target, 1.0),
             WorkerFailing => self.set_failing_share(target, 0.0),
-            WorkerCut => self.cut_worker(target, false),
+            WorkerCut => self.set_worker_partitioned(target, false),
             WorkerLeaves | WorkerLeavesUnannounced => {
                 self.crash_worker(target);
                 self.start_worker(target);
@@ -307,11 +314,13 @@
         }
     }
 
-    fn heal_load(&mut self, fault: &Fault, target: usize) {
+    fn heal_load_fault(&mut self, fault: &Fault, target: usize) {
         use FaultKind::*;
         match fault.kind {
-            Tries if fault.amount == 0 => self.set_queue(target, json!({"tries": USUAL_ATTEMPTS})),
-            Quota => self.set_queue(target, json!({"quota": USUAL_QUOTA})),
+            Tries if fault.amount == 0 => {
+                self.set_queue(target, json!({"tries": DEFAULT_MAX_ATTEMPTS}))
+            }
+            Quota => self.set_queue(target, json!({"quota": DEFAULT_QUOTA})),
             HugeConfig => self.remove_huge_configuration(),
             Drain | Evacuate => self.set_zone(target, "serving"),
             _ => {}
--- a/testkit/src/simulator/faults/machines.rs
+++ b/testkit/src/simulator/faults/machines.rs
@@ -6,20 +6,21 @@
 use crate::simulator::world::{Machine, Process};
 use landingdrift::sans_io::Msg;
 
-/// How far a clock jumps where the fault doesn't say, in milliseconds: an hour.
+/// The size of a clock jump, unless the fault gives one, in milliseconds: an hour.
 const CLOCK_JUMP_MS: i64 = 3_600_000;
-/// The last part of the address of a new process, above those that a day starts with.
-const FIRST_NEW_ADDRESS: usize = 50;
-/// The most confirmed batches that a disk loses at once.
+/// The number added to a replacement's process number for the last octet of its address, above the addresses that a day
+/// starts with.
+const REPLACEMENT_OCTET_OFFSET: usize = 50;
+/// The maximum number of confirmed batches that a disk loses in one fault.
 const MAX_LOST_BATCHES: u64 = 4;
 
 impl World {
-    /// Kills all that runs in a zone, and its workers; returns the processes.
+    /// Kills all processes and workers in a zone; returns the processes.
     pub(super) fn lose_zone(&mut self, zone: usize) -> Vec<usize> {
-        let runs_there =
-            |process: &Process| process.zone == zone && !process.is_gone && process.is_up();
+        let is_running_in_zone =
+            |process: &Process| process.zone == zone && !process.is_removed && process.is_up();
         let mut lost = self.all_processes();
-        lost.retain(|number| runs_there(&self.processes[*number]));
+        lost.retain(|number| is_running_in_zone(&self.processes[*number]));
         for process in &lost {
             self.kill(*process);
         }
@@ -31,41 +32,43 @@
         lost
     }
 
-    /// Loses a replica for good; another one with an empty disk joins in its zone.
+    /// Removes a replica permanently, and adds another with an empty disk in the same zone.
     pub(super) fn replace_replica(&mut self, replaced: usize) {
         self.observe_availability();
         self.kill(replaced);
-        self.processes[replaced].is_gone = true;
-        let newcomer = self.processes.len();
+        self.processes[replaced].is_removed = true;
+        let replacement = self.processes.len();
         let zone = self.processes[replaced].zone;
-        self.add_replica(zone, new_address(zone, newcomer));
-        self.note_loss(newcomer);
+        self.add_replica(zone, new_address(zone, replacement));
+        self.record_disk_loss(replacement);
     }
 
-    /// Loses a node for good; another one joins in its zone, and the platform names it to all who call.
+    /// Removes a node permanently, adds another in the same zone, and updates the callers' lists of nodes, as the
+    /// platform does.
     pub(super) fn replace_node(&mut self, replaced: usize) {
         self.kill(replaced);
-        self.processes[replaced].is_gone = true;
-        let newcomer = self.processes.len();
+        self.processes[replaced].is_removed = true;
+        let replacement = self.processes.len();
         let zone = self.processes[replaced].zone;
         let machine = Machine {
             share: self.processes[replaced].machine.share,
             link: self.processes[replaced].machine.link.clone(),
         };
-        self.add_node(zone, new_address(zone, newcomer), machine);
+        self.add_node(zone, new_address(zone, replacement), machine);
         let nodes = self.node_addresses();
         self.client.nodes = nodes.clone();
         for operator in &mut self.operators {
             operator.nodes = nodes.clone();
         }
-        let machines = self.workers.iter_mut();
-        let without_proxy = machines.filter(|machine| machine.proxy.is_none());
+        let worker_machines = self.workers.iter_mut();
+        let without_proxy = worker_machines.filter(|machine| machine.proxy.is_none());
         for worker in without_proxy.filter_map(|machine| machine.worker.as_mut()) {
             worker.nodes = nodes.clone();
         }
     }
 
-    /// Kills all processes at once; so many disks, from a replica's on, lose what they had confirmed last.
+    /// Kills all processes at once. The disks of `disks_lost` replicas, from `first_lost` on, lose the last batches
+    /// that they had confirmed.
     pub(super) fn begin_outage(&mut self, first_lost: usize, disks_lost: usize) {
         self.observe_availability();
         for process in self.all_processes() {
@@ -77,9 +80,9 @@
         }
     }
 
-    /// A replica's disk loses what it had confirmed last.
+    /// Makes a replica's disk lose the last batches that it had confirmed.
     pub(super) fn lose_confirmed(&mut self, replica: usize) {
-        self.note_loss(replica);
+        self.record_disk_loss(replica);
         let batches = 1 + self.rng.below(MAX_LOST_BATCHES) as usize;
         let process = &mut self.processes[replica];
         let lost = process
@@ -90,24 +93,24 @@
         self.log_line(&line);
     }
 
-    /// Clocks jump; returns the processes whose clocks do.
+    /// Makes the wall clocks of the target and of other replicas jump; returns the affected processes.
     pub(super) fn jump_clocks(&mut self, target: usize, fault: &Fault) -> Vec<usize> {
         let jump_ms = match fault.clock_jump_ms {
             0 if fault.duration_ms.is_multiple_of(2) => CLOCK_JUMP_MS,
             0 => -CLOCK_JUMP_MS,
             jump_ms => jump_ms,
         };
-        let struck = self.struck_replicas(target, fault);
-        for (index, process) in struck.iter().enumerate() {
-            // An odd jump goes back at every second one, so that their clocks come apart.
+        let affected = self.affected_replicas(target, fault);
+        for (index, process) in affected.iter().enumerate() {
+            // An odd jump is reversed for every second process, so that their clocks diverge.
             let is_opposite = index % 2 == 1 && jump_ms % 2 != 0;
             self.processes[*process].wall_offset_ms = if is_opposite { -jump_ms } else { jump_ms };
         }
-        struck
+        affected
     }
 
-    /// The target, and the next replicas where several are meant.
-    fn struck_replicas(&self, target: usize, fault: &Fault) -> Vec<usize> {
+    /// The target and other replicas: `amount` processes in all, one if it is 0.
+    fn affected_replicas(&self, target: usize, fault: &Fault) -> Vec<usize> {
         let others = self.replicas().into_iter();
         let others = others.filter(|replica| *replica != target);
         let count = fault.amount.max(1) as usize;
@@ -115,7 +118,7 @@
     }
 
     pub(super) fn set_disk_delays(&mut self, target: usize, fault: &Fault, delay_ms: u64) {
-        for replica in self.struck_replicas(target, fault) {
+        for replica in self.affected_replicas(target, fault) {
             if let Some(disk) = self.processes[replica].disk_mut() {
                 disk.delay_ms = delay_ms;
             }
@@ -128,14 +131,14 @@
         fault: &Fault,
         condition: Condition,
     ) {
-        for replica in self.struck_replicas(target, fault) {
+        for replica in self.affected_replicas(target, fault) {
             if let Some(disk) = self.processes[replica].disk_mut() {
                 disk.condition = condition;
             }
         }
     }
 
-    /// A process that was stopped comes back with the next version of the wire.
+    /// Ends a process, if it is still running, and starts it with the next wire version.
     pub(super) fn upgrade(&mut self, process: usize) {
         self.kill(process);
         self.processes[process].wire_version += 1;
@@ -150,8 +153,8 @@
         self.offer_recovery_jobs();
     }
 
-    /// Starts the processes of a zone that was lost, and all workers that are down.
-    pub(super) fn regain_zone(&mut self, lost: &[usize]) {
+    /// Starts the processes of a lost zone, and all workers that are down.
+    pub(super) fn restore_zone_and_all_workers(&mut self, lost: &[usize]) {
         for process in lost {
             self.start(*process);
         }
@@ -162,14 +165,14 @@
         }
     }
 
-    /// A process that stood still goes on, with all that reached it meanwhile.
-    pub(super) fn thaw(&mut self, number: usize) {
+    /// Resumes a frozen process, which then handles the messages that arrived in the meantime.
+    pub(super) fn resume(&mut self, number: usize) {
         let process = &mut self.processes[number];
         if !std::mem::replace(&mut process.is_frozen, false) {
             return;
         }
         let inbox = std::mem::take(&mut process.inbox);
-        // What waited may come before the process has looked at the time, or after.
+        // A tick may come before the waiting messages, at random.
         if self.rng.below(2) == 0 {
             self.step(number, Msg::Tick);
         }
@@ -180,5 +183,5 @@
 }
 
 fn new_address(zone: usize, process: usize) -> String {
-    format!("10.0.{zone}.{}:7000", FIRST_NEW_ADDRESS + process)
+    format!("10.0.{zone}.{}:7000", REPLACEMENT_OCTET_OFFSET + process)
 }
--- a/testkit/src/simulator/mod.rs
+++ b/testkit/src/simulator/mod.rs
@@ -1,4 +1,5 @@
-//! The simulator: the same parts as the real processes run, in virtual time; one seed decides all.
+//! The simulator: runs replicas, nodes and worker proxies in virtual time, without sockets or threads. A
+//! scenario and a seed determine everything that happens in a simulated run, which scenarios call a day.
 
 pub(crate) mod disk;
 mod faults;
@@ -9,10 +10,10 @@
 use crate::checkers::{check, PromisedBounds, Violation};
 use crate::scenario::Scenario;
 
-/// What the clocks of the system show at time 0, in milliseconds since 1970.
+/// The time that the wall clocks show at the beginning of the day, in milliseconds since 1970.
 pub const EPOCH: u64 = 1_700_000_000_000;
 
-/// The promised bounds, for histories of the simulator.
+/// The promised bounds, with the simulator's epoch.
 fn bounds() -> PromisedBounds {
     PromisedBounds {
         epoch_ms: EPOCH,
@@ -28,7 +29,7 @@
         violations.push(Violation::new(
             "no livelock",
             report.history.end_ms(),
-            "more happened than a day can hold".into(),
+            "the day exceeded the limit on actions".into(),
         ));
     }
     (report, violations)
--- a/testkit/src/simulator/world/callers.rs
+++ b/testkit/src/simulator/world/callers.rs
@@ -1,4 +1,4 @@
-//! Those who call the system from outside: workers, the client and the operators.
+//! The callers of the system: workers, the client and the operators.
 
 use super::{Action, PlannedJob, World, TICK_MS};
 use crate::fakes::worker::Worker;
@@ -9,9 +9,9 @@
 use landingdrift::sans_io::Response;
 use landingdrift::state::{JobSpec, TaskSpec, WorkerInfo};
 
-/// Calls take less than this many milliseconds more than one.
-const CALL_LATENCY_SPREAD_MS: u64 = 4;
-/// Tasks of a job that shows whether a queue is served: enough for every zone to get some.
+/// The largest latency of a call, in milliseconds. Latencies are random, from 1 ms to this.
+const MAX_CALL_LATENCY_MS: u64 = 4;
+/// The number of tasks of a recovery job: large enough that every zone gets some of them.
 const RECOVERY_JOB_TASKS: usize = 24;
 
 /// An answer that reached a worker while it was frozen.
@@ -20,23 +20,24 @@
     pub response: Response,
 }
 
-/// A worker's machine: the worker, if it runs, and what keeps it from working.
+/// A worker's machine: the worker, if it is running, and the faults that affect it.
 pub(in crate::simulator) struct WorkerMachine {
     pub worker: Option<Worker>,
-    /// What the worker is started with.
+    /// The description that the worker starts with.
     pub info: WorkerInfo,
     pub zone: usize,
     pub is_frozen: bool,
-    /// Nothing passes from or to it.
-    pub is_cut: bool,
+    /// The worker is partitioned from all processes.
+    pub is_partitioned: bool,
+    /// Answers that arrived while the worker was frozen.
     pub inbox: Vec<WaitingAnswer>,
-    /// Counts its starts and ends.
+    /// Incremented at each start and end of the worker.
     pub incarnation: u64,
-    /// The address of the proxy beside the worker, which it calls instead of nodes.
+    /// The address of the proxy on the same machine, which the worker calls instead of nodes.
     pub proxy: Option<String>,
 }
 
-/// Who makes a call; a worker with its incarnation, so that answers to an earlier one are dropped.
+/// The caller of a call. Workers include their incarnation, so that answers to an earlier incarnation are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::simulator) enum Caller {
     Worker { worker: usize, incarnation: u64 },
@@ -50,7 +51,7 @@
             Some(proxy) => vec![proxy.clone()],
             None => self.node_addresses(),
         };
-        let seed = self.rng.number();
+        let seed = self.rng.next_u64();
         let machine = &mut self.workers[number];
         machine.incarnation += 1;
         machine.is_frozen = false;
@@ -60,22 +61,22 @@
         if self.scenario.lease_ms > 0 {
             worker = worker.with_lease();
         }
-        let up = worker.up_event();
+        let started_event = worker.started_event();
         machine.worker = Some(worker);
-        let tick = Action::TickWorker {
+        let first_tick = Action::TickWorker {
             worker: number,
             incarnation: machine.incarnation,
         };
-        self.record(up);
+        self.record(started_event);
         let jitter_ms = self.rng.below(TICK_MS);
-        self.schedule_in(1 + jitter_ms, tick);
+        self.schedule_in(1 + jitter_ms, first_tick);
     }
 
-    /// Has a worker act, if it runs.
+    /// Calls `action` with a worker, if it is running, and handles the outputs.
     pub(in crate::simulator) fn with_worker(
         &mut self,
         number: usize,
-        act: impl FnOnce(&mut Worker, u64) -> Vec<Output>,
+        action: impl FnOnce(&mut Worker, u64) -> Vec<Output>,
     ) {
         let now = self.now;
         let machine = &mut self.workers[number];
@@ -84,7 +85,7 @@
             incarnation: machine.incarnation,
         };
         if let Some(worker) = &mut machine.worker {
-            let outputs = act(worker, now);
+            let outputs = action(worker, now);
             self.handle_outputs(caller, outputs);
         }
     }
@@ -96,14 +97,14 @@
         if !self.workers[number].is_frozen {
             self.with_worker(number, Worker::tick);
         }
-        let next = Action::TickWorker {
+        let next_tick = Action::TickWorker {
             worker: number,
             incarnation,
         };
-        self.schedule_in(TICK_MS, next);
+        self.schedule_in(TICK_MS, next_tick);
     }
 
-    /// The client and the operators get their tick.
+    /// Offers the planned jobs that are due, and ticks the client and the operators.
     pub(super) fn tick_callers(&mut self) {
         let now = self.now;
         let is_due = |planned: &mut PlannedJob| planned.at_ms <= now;
@@ -119,7 +120,7 @@
         self.schedule_in(TICK_MS, Action::TickCallers);
     }
 
-    /// Has the client offer a job.
+    /// Makes the client offer a job.
     pub(in crate::simulator) fn offer(&mut self, spec: JobSpec) {
         let outputs = self.client.offer(self.now, spec);
         self.handle_outputs(Caller::Client, outputs);
@@ -129,8 +130,8 @@
         for output in outputs {
             match output {
                 Output::Event(event) => self.record(event),
-                Output::Call { to, call, request } if !self.is_cut(caller) => {
-                    let latency_ms = 1 + self.rng.below(CALL_LATENCY_SPREAD_MS);
+                Output::Call { to, call, request } if !self.is_partitioned(caller) => {
+                    let latency_ms = 1 + self.rng.below(MAX_CALL_LATENCY_MS);
                     let arrival = Action::Call {
                         to,
                         caller,
@@ -144,11 +145,11 @@
         }
     }
 
-    fn is_cut(&self, caller: Caller) -> bool {
-        matches!(caller, Caller::Worker { worker, .. } if self.workers[worker].is_cut)
+    fn is_partitioned(&self, caller: Caller) -> bool {
+        matches!(caller, Caller::Worker { worker, .. } if self.workers[worker].is_partitioned)
     }
 
-    /// Hands an answer to whoever called.
+    /// Delivers an answer to its caller.
     pub(super) fn deliver_answer(&mut self, caller: Caller, call: u64, response: Response) {
         let now = self.now;
         match caller {
@@ -157,7 +158,7 @@
                 incarnation,
             } => {
                 let machine = &mut self.workers[worker];
-                if machine.incarnation != incarnation || machine.is_cut {
+                if machine.incarnation != incarnation || machine.is_partitioned {
                     return;
                 }
                 if machine.is_frozen {
@@ -177,13 +178,13 @@
         }
     }
 
-    /// After an outage: jobs for every queue and service, so that it shows whether all are served.
+    /// Offers a job for every combination of queue and service after an outage, to test whether all of them are served.
     pub(in crate::simulator) fn offer_recovery_jobs(&mut self) {
         let mix = self.shape.mix();
         for queue in &mix.queues {
             for service in &mix.services {
                 let spec = self.recovery_job(&mix, queue, service);
-                let outputs = self.client.offer_surely(self.now, spec);
+                let outputs = self.client.offer_until_accepted(self.now, spec);
                 self.handle_outputs(Caller::Client, outputs);
             }
         }
@@ -193,19 +194,22 @@
         let mix = Mix {
             queues: vec![queue.into()],
             services: vec![service.into()],
-            is_plain: true,
+            has_single_task: true,
             tail: 0.0,
             repeatable_share: 1.0,
             ..mix.clone()
         };
         let id = format!("{RECOVERY_JOB_PREFIX}{}-{queue}-{service}", self.now);
         let spec = random_job(&mut self.rng, &mix, &id, EPOCH + self.now);
-        repeat_first_task(spec, RECOVERY_JOB_TASKS)
+        replace_tasks_with_copies_of_first(spec, RECOVERY_JOB_TASKS)
     }
 }
 
-/// The job with its first task as often as wanted, in place of its own tasks.
-pub(in crate::simulator) fn repeat_first_task(mut spec: JobSpec, count: usize) -> JobSpec {
+/// Replaces a job's tasks with `count` copies of the first task.
+pub(in crate::simulator) fn replace_tasks_with_copies_of_first(
+    mut spec: JobSpec,
+    count: usize,
+) -> JobSpec {
     let first = spec.tasks[0].clone();
     let task = |index: usize| TaskSpec {
         name: format!("t{index}"),
--- a/testkit/src/simulator/world/day.rs
+++ b/testkit/src/simulator/world/day.rs
@@ -1,4 +1,5 @@
-//! The run of a day from its first moment to its last.
+//! The course of a day: the load, the time after it, and the closing reads, which are the last polls of jobs and reads
+//! of the configuration.
 
 use super::{Report, World};
 use crate::fakes::operator::Operator;
@@ -7,69 +8,73 @@
 use landingdrift::sans_io::Rng;
 use std::cmp::Reverse;
 
-/// The most actions that a second of a day may have; a busy one has a tenth of it.
+/// The limit on the mean number of actions per second; a day above the limit counts as livelocked. A busy second has
+/// about a tenth as many actions.
 const MAX_ACTIONS_PER_SECOND: u64 = 60_000;
-/// A day may end early so long after the load at the earliest: what a fault has left behind shows by then.
+/// The minimum time from the end of the load to an early end of the day, in seconds, so that late effects of faults
+/// still fall within the day.
 const MIN_SETTLE_SECONDS: u64 = 15;
-/// How often it is looked whether a day may end early, in milliseconds.
+/// The interval of checks for an early end of the day, in milliseconds.
 const END_CHECK_EVERY_MS: u64 = 1000;
-/// Mixed into the seed for the last fault, so that it depends on no other draw.
+/// A constant that gives the last fault a random stream of its own.
 const LAST_FAULT_SEED: u64 = 0x1a57;
 
 impl World {
-    /// Runs the day to its end.
+    /// Runs the day until its end, an early end after the closing reads, or the limit on actions.
     pub fn run(mut self) -> Report {
         let seconds = self.scenario.seconds + self.scenario.settle_seconds;
         let end_ms = seconds * 1000;
         let max_actions = seconds * MAX_ACTIONS_PER_SECOND;
         while let Some(Reverse(next)) = self.queue.pop() {
-            if next.at_ms > end_ms || self.scheduled > max_actions {
+            if next.at_ms > end_ms || self.actions_scheduled > max_actions {
                 break;
             }
             self.now = next.at_ms;
             self.perform(next.action);
-            if !self.has_settled() {
+            if !self.is_quiescent() {
                 continue;
             }
             if self.is_closing {
                 break;
             }
-            self.begin_closing();
+            self.begin_closing_reads();
         }
-        let is_livelocked = self.scheduled > max_actions;
+        let is_livelocked = self.actions_scheduled > max_actions;
         self.into_report(is_livelocked)
     }
 
-    /// Whether the load has ended and nothing is open: such a day needn't be sat out.
-    fn has_settled(&self) -> bool {
+    /// Whether the load has ended and no job, operation or fault is outstanding, so that the day may end early. False
+    /// except at intervals of [`END_CHECK_EVERY_MS`], and until [`MIN_SETTLE_SECONDS`] after the load.
+    fn is_quiescent(&self) -> bool {
         let earliest_ms = (self.scenario.seconds + MIN_SETTLE_SECONDS) * 1000;
-        self.is_calm
+        self.has_load_ended
             && self.now.is_multiple_of(END_CHECK_EVERY_MS)
             && self.now > earliest_ms
-            && self.client.waiting() == 0
+            && self.client.unfinished_jobs() == 0
             && self.operators.iter().all(Operator::is_idle)
-            && self.struck.is_empty()
+            && self.active_faults.is_empty()
     }
 
-    /// The closing reads: the configuration, and every job once more; straight before them, where wanted, one last
-    /// fault.
-    fn begin_closing(&mut self) {
+    /// Begins the closing reads of the configuration and of every ended job, after the injection of the last fault if
+    /// the scenario has one.
+    fn begin_closing_reads(&mut self) {
         self.is_closing = true;
         if self.scenario.has_last_fault {
             let mut rng = Rng::new(self.seed ^ LAST_FAULT_SEED);
             self.faults.push(last_fault(&mut rng, self.now));
-            self.strike(self.faults.len() - 1);
+            self.inject_fault(self.faults.len() - 1);
         }
         self.client.poll_all(self.now);
-        self.operators.iter_mut().for_each(Operator::read);
+        self.operators.iter_mut().for_each(Operator::queue_read);
     }
 
-    /// Ends the load, heals all faults, and starts whatever is down.
+    /// Ends the load, heals all faults, and starts all workers that are down and all processes that are down and
+    /// not removed.
     pub(super) fn end_load(&mut self) {
-        self.is_calm = true;
+        self.has_load_ended = true;
         self.client.is_offering = false;
         for fault in 0..self.faults.len() {
-            self.heal(fault);
+            self.heal_fault(fault);
         }
         self.blocked.clear();
         for process in 0..self.processes.len() {
--- a/testkit/src/simulator/world/process.rs
+++ b/testkit/src/simulator/world/process.rs
@@ -1,17 +1,17 @@
-//! A simulated process: the part that it runs, its machine, its clocks and its disk.
+//! Simulated processes, each with its role, machine, clocks and disk.
 
 use super::link::Link;
 use crate::simulator::disk::SimDisk;
 use landingdrift::consensus::Replica;
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Msg, Part as _};
+use landingdrift::sans_io::{Msg, StateMachine as _};
 use landingdrift::settings::Settings;
 use landingdrift::wire::WIRE_VERSION;
 use landingdrift::worker_proxy::WorkerProxy;
 use std::collections::BTreeMap;
 
-/// The part that a process runs; none while it is down.
-pub(in crate::simulator) enum Part {
+/// The role of a process, with its running state machine; none while the process is down.
+pub(in crate::simulator) enum ProcessRole {
     Replica {
         replica: Option<Box<Replica>>,
         disk: Box<SimDisk>,
@@ -39,108 +39,109 @@
 
 /// A simulated process, with its clocks and its disk.
 pub(in crate::simulator) struct Process {
-    pub part: Part,
+    pub role: ProcessRole,
     pub address: String,
     pub zone: usize,
     pub machine: Machine,
-    /// Counts its starts and ends: nothing that was on its way to an earlier incarnation counts.
+    /// Incremented at each start and end; actions for an earlier incarnation are dropped.
     pub incarnation: u64,
     pub is_frozen: bool,
-    /// It never starts again.
-    pub is_gone: bool,
-    /// What reached it while it was frozen.
+    /// The process is lost permanently and never starts again.
+    pub is_removed: bool,
+    /// Messages that arrived while the process was frozen.
     pub inbox: Vec<Msg>,
-    /// How far its clock of the day is off, in milliseconds.
+    /// The error of the process's wall clock, in milliseconds.
     pub wall_offset_ms: i64,
-    /// How many times longer its messages take.
+    /// How slow the process's link is; 1 without a fault. Scales the random latency of sent messages, and adds a fixed
+    /// latency per unit above 1 to sent and received ones.
     pub slowness: u64,
-    /// What its steady clock showed at the beginning of the day, in milliseconds.
-    pub steady_offset_ms: u64,
-    /// The version of the configuration that it had in force when it was last ready.
+    /// The offset of the process's monotonic clock from the time of the day, in milliseconds; sampled at each start.
+    pub mono_offset_ms: u64,
+    /// The version of the configuration that was last recorded as in force while the process was a ready node.
     pub config_version: u64,
-    /// What it sends may be late, doubled, out of order or lost.
+    /// Messages from and to the process may be delayed, duplicated, reordered or lost.
     pub is_flaky: bool,
-    /// The wire version that its build speaks.
+    /// The wire version that the process's build speaks.
     pub wire_version: u16,
-    /// Its disk has to get to this log index again before it counts as whole.
-    pub has_lost_up_to: u64,
-    /// The counters of all its incarnations that have ended.
+    /// After a loss of data, the log index that the replica has to apply before it counts as available.
+    pub recovery_index: u64,
+    /// The sums of the counters of ended incarnations, by role and name.
     pub counters: BTreeMap<String, u64>,
 }
 
 impl Process {
     pub fn new(
-        part: Part,
+        role: ProcessRole,
         address: String,
         zone: usize,
         machine: Machine,
-        steady_offset_ms: u64,
+        mono_offset_ms: u64,
     ) -> Self {
         Self {
-            part,
+            role,
             address,
             zone,
             machine,
             incarnation: 0,
             is_frozen: false,
-            is_gone: false,
+            is_removed: false,
             inbox: Vec::new(),
             wall_offset_ms: 0,
             slowness: 1,
-            steady_offset_ms,
+            mono_offset_ms,
             config_version: 0,
             is_flaky: false,
             wire_version: WIRE_VERSION,
-            has_lost_up_to: 0,
+            recovery_index: 0,
             counters: BTreeMap::new(),
         }
     }
 
     pub fn is_up(&self) -> bool {
-        match &self.part {
-            Part::Replica { replica, .. } => replica.is_some(),
-            Part::Node(node) => node.is_some(),
-            Part::WorkerProxy(proxy) => proxy.is_some(),
+        match &self.role {
+            ProcessRole::Replica { replica, .. } => replica.is_some(),
+            ProcessRole::Node(node) => node.is_some(),
+            ProcessRole::WorkerProxy(proxy) => proxy.is_some(),
         }
     }
 
-    /// Whether it runs and is neither frozen nor gone.
-    pub fn is_awake(&self) -> bool {
-        self.is_up() && !self.is_frozen && !self.is_gone
+    /// Whether the process is up and not frozen.
+    pub fn is_responsive(&self) -> bool {
+        self.is_up() && !self.is_frozen && !self.is_removed
     }
 
-    /// The replica that runs in it.
+    /// The replica that the process runs, if any.
     pub fn replica(&self) -> Option<&Replica> {
-        match &self.part {
-            Part::Replica { replica, .. } => replica.as_deref(),
-            Part::Node(_) | Part::WorkerProxy(_) => None,
+        match &self.role {
+            ProcessRole::Replica { replica, .. } => replica.as_deref(),
+            ProcessRole::Node(_) | ProcessRole::WorkerProxy(_) => None,
         }
     }
 
-    /// The node that runs in it.
+    /// The node that the process runs, if any.
     pub fn node(&self) -> Option<&Node> {
-        match &self.part {
-            Part::Node(node) => node.as_deref(),
-            Part::Replica { .. } | Part::WorkerProxy(_) => None,
+        match &self.role {
+            ProcessRole::Node(node) => node.as_deref(),
+            ProcessRole::Replica { .. } | ProcessRole::WorkerProxy(_) => None,
         }
     }
 
-    /// The disk of a replica.
+    /// The disk of a replica, up or down; none for other processes.
     pub fn disk_mut(&mut self) -> Option<&mut SimDisk> {
-        match &mut self.part {
-            Part::Replica { disk, .. } => Some(disk),
-            Part::Node(_) | Part::WorkerProxy(_) => None,
+        match &mut self.role {
+            ProcessRole::Replica { disk, .. } => Some(disk),
+            ProcessRole::Node(_) | ProcessRole::WorkerProxy(_) => None,
         }
     }
 
-    /// Whether it is for a node.
+    /// Whether the process is a node, up or down.
     pub fn is_node(&self) -> bool {
-        matches!(self.part, Part::Node(_))
+        matches!(self.role, ProcessRole::Node(_))
     }
 
-    /// Whether it is for a replica.
+    /// Whether the process is a replica, up or down.
     pub fn is_replica(&self) -> bool {
-        matches!(self.part, Part::Replica { .. })
+        matches!(self.role, ProcessRole::Replica { .. })
     }
 
     pub fn begin_incarnation(&mut self) {
@@ -150,17 +151,19 @@
         self.inbox.clear();
     }
 
-    /// Adds the counters of the part that runs to those of earlier incarnations.
-    pub fn keep_counters(&mut self) {
-        let (role, counters) = match &self.part {
-            Part::Replica { replica, .. } => {
+    /// Adds the counters of the current incarnation to the sums of ended ones.
+    pub fn accumulate_counters(&mut self) {
+        let (role_name, counters) = match &self.role {
+            ProcessRole::Replica { replica, .. } => {
                 ("core", replica.as_ref().map(|replica| replica.counters()))
             }
-            Part::Node(node) => ("node", node.as_ref().map(|node| node.counters())),
-            Part::WorkerProxy(proxy) => ("proxy", proxy.as_ref().map(|proxy| proxy.counters())),
+            ProcessRole::Node(node) => ("node", node.as_ref().map(|node| node.counters())),
+            ProcessRole::WorkerProxy(proxy) => {
+                ("proxy", proxy.as_ref().map(|proxy| proxy.counters()))
+            }
         };
         for (name, value) in counters.unwrap_or_default() {
-            let key = format!("{role}_{name}");
+            let key = format!("{role_name}_{name}");
             *self.counters.entry(key).or_default() += value;
         }
     }
--- a/testkit/src/simulator/world/processes.rs
+++ b/testkit/src/simulator/world/processes.rs
@@ -1,32 +1,32 @@
-//! The processes of the system: how they are added, start, are killed and handle messages.
+//! The system's processes: addition, start and kill, and the handling of messages and of their effects.
 
-use super::observe::change_mark;
-use super::process::{Machine, Part, Process};
+use super::observe::change_id_in_notes;
+use super::process::{Machine, Process, ProcessRole};
 use super::{Action, World, TICK_MS};
 use crate::history::Event;
 use crate::simulator::disk::{Condition, SimDisk};
 use crate::simulator::EPOCH;
 use landingdrift::consensus::Replica;
 use landingdrift::node::Node;
-use landingdrift::sans_io::{Effect, Msg, Now, Part as _, WriteBatch};
+use landingdrift::sans_io::{Effect, Msg, Now, StateMachine as _, WriteBatch};
 use landingdrift::settings::Settings;
 use landingdrift::worker_proxy::WorkerProxy;
 
-/// How often a write that a disk did not take is tried again, in milliseconds.
+/// The interval of retries of writes on a full or stalled disk, in milliseconds.
 const WRITE_RETRY_MS: u64 = 200;
-/// Writes take so much longer than the disk's own time at random, below this many milliseconds.
+/// The exclusive upper bound of the random component of a write's duration, in milliseconds.
 const WRITE_JITTER_MS: u64 = 3;
-/// When a process is killed, fewer writes under way than this are on its disk afterwards.
-const PERSISTED_WRITES: u64 = 3;
-/// Steady clocks start below this many milliseconds, each anywhere.
-const CLOCK_START_MS: u64 = 1 << 40;
+/// The exclusive upper bound of the random number of pending writes that survive the kill of a process.
+const SURVIVING_WRITES_BOUND: u64 = 3;
+/// The exclusive upper bound of the random start of a monotonic clock, in milliseconds.
+const CLOCK_START_BOUND_MS: u64 = 1 << 40;
 
 impl World {
-    /// The addresses of the nodes that the platform names.
+    /// The addresses of all nodes that are not lost permanently, up or down, as the platform lists them.
     pub(in crate::simulator) fn node_addresses(&self) -> Vec<String> {
         let processes = self.processes.iter();
         processes
-            .filter(|process| process.is_node() && !process.is_gone)
+            .filter(|process| process.is_node() && !process.is_removed)
             .map(|process| process.address.clone())
             .collect()
     }
@@ -47,111 +47,128 @@
 
     /// Adds a replica with an empty disk, and starts it.
     pub(in crate::simulator) fn add_replica(&mut self, zone: usize, address: String) {
-        // Odd, as no disk has the number 0.
-        let disk = SimDisk::new(self.rng.number() | 1);
-        let part = Part::Replica {
+        // The number of a disk must not be 0.
+        let disk = SimDisk::new(self.rng.next_u64() | 1);
+        let role = ProcessRole::Replica {
             replica: None,
             disk: Box::new(disk),
         };
-        self.add(part, zone, address, Machine::default());
+        self.add(role, zone, address, Machine::default());
     }
 
     /// Adds a node on a machine, and starts it.
-    pub(in crate::simulator) fn add_node(&mut self, zone: usize, address: String, on: Machine) {
-        self.add(Part::Node(None), zone, address, on);
+    pub(in crate::simulator) fn add_node(
+        &mut self,
+        zone: usize,
+        address: String,
+        machine: Machine,
+    ) {
+        self.add(ProcessRole::Node(None), zone, address, machine);
     }
 
-    /// Adds the proxy beside a worker, and starts it.
+    /// Adds the proxy of a worker, and starts it.
     pub(in crate::simulator) fn add_worker_proxy(&mut self, zone: usize, address: String) {
-        self.add(Part::WorkerProxy(None), zone, address, Machine::default());
+        self.add(
+            ProcessRole::WorkerProxy(None),
+            zone,
+            address,
+            Machine::default(),
+        );
     }
 
-    fn add(&mut self, part: Part, zone: usize, address: String, machine: Machine) {
+    fn add(&mut self, role: ProcessRole, zone: usize, address: String, machine: Machine) {
         let number = self.processes.len();
-        self.by_address.insert(address.clone(), number);
-        let steady_offset_ms = self.rng.below(CLOCK_START_MS);
-        let process = Process::new(part, address, zone, machine, steady_offset_ms);
+        self.process_by_address.insert(address.clone(), number);
+        let mono_offset_ms = self.rng.below(CLOCK_START_BOUND_MS);
+        let process = Process::new(role, address, zone, machine, mono_offset_ms);
         self.processes.push(process);
         self.start(number);
     }
 
-    /// What the clocks of a process show.
+    /// The current times of a process's clocks.
     pub(super) fn clocks(&self, process: usize) -> Now {
         let process = &self.processes[process];
         Now {
-            mono: process.steady_offset_ms + self.now + 1,
+            mono: process.mono_offset_ms + self.now + 1,
             wall: (EPOCH + self.now).saturating_add_signed(process.wall_offset_ms),
         }
     }
 
-    /// Starts a process that is down.
+    /// Starts a process that is down and not removed.
     pub(in crate::simulator) fn start(&mut self, number: usize) {
-        if self.processes[number].is_up() || self.processes[number].is_gone {
+        if self.processes[number].is_up() || self.processes[number].is_removed {
             return;
         }
-        self.processes[number].steady_offset_ms = self.rng.below(CLOCK_START_MS);
-        let seed = self.rng.number();
+        self.processes[number].mono_offset_ms = self.rng.below(CLOCK_START_BOUND_MS);
+        let seed = self.rng.next_u64();
         let now = self.clocks(number);
         let settings = self.settings_for(number);
         let process = &mut self.processes[number];
         process.begin_incarnation();
-        match &mut process.part {
-            Part::Replica { replica, disk } => {
+        match &mut process.role {
+            ProcessRole::Replica { replica, disk } => {
                 let started = Replica::new(settings, disk.load(), now, seed);
-                *replica = Some(Box::new(started.expect("a sound disk loads")));
+                *replica = Some(Box::new(
+                    started.expect("failed to load the disk of a simulated replica"),
+                ));
+            }
+            ProcessRole::Node(node) => *node = Some(Box::new(Node::new(settings, now, seed))),
+            ProcessRole::WorkerProxy(proxy) => {
+                *proxy = Some(Box::new(WorkerProxy::new(settings, seed)))
             }
-            Part::Node(node) => *node = Some(Box::new(Node::new(settings, now, seed))),
-            Part::WorkerProxy(proxy) => *proxy = Some(Box::new(WorkerProxy::new(settings, seed))),
         }
-        let tick = Action::TickProcess {
+        let first_tick = Action::TickProcess {
             process: number,
             incarnation: process.incarnation,
         };
         let jitter_ms = self.rng.below(TICK_MS);
-        self.schedule_in(1 + jitter_ms, tick);
+        self.schedule_in(1 + jitter_ms, first_tick);
     }
 
-    /// Kills a process where it stands.
+    /// Kills a process without a graceful stop.
     pub(in crate::simulator) fn kill(&mut self, number: usize) {
         if !self.processes[number].is_up() {
             return;
         }
-        let persisted = self.rng.below(PERSISTED_WRITES) as usize;
+        let persisted = self.rng.below(SURVIVING_WRITES_BOUND) as usize;
         let process = &mut self.processes[number];
-        process.keep_counters();
+        process.accumulate_counters();
         process.begin_incarnation();
-        match &mut process.part {
-            Part::Replica { replica, disk } => {
+        match &mut process.role {
+            ProcessRole::Replica { replica, disk } => {
                 *replica = None;
-                disk.crash(persisted);
+                disk.drop_pending(persisted);
             }
-            Part::Node(node) => {
+            ProcessRole::Node(node) => {
                 *node = None;
                 let node = process.address.clone();
                 self.record(Event::NodeDown { node });
             }
-            Part::WorkerProxy(proxy) => *proxy = None,
+            ProcessRole::WorkerProxy(proxy) => *proxy = None,
         }
     }
 
-    /// A replica's disk is not whole until it has got again to what was committed.
-    pub(in crate::simulator) fn note_loss(&mut self, process: usize) {
-        self.processes[process].has_lost_up_to = self.committed;
+    /// Records that a replica's disk has lost data: the replica counts as unavailable until it has applied every log
+    /// entry that any replica had applied before.
+    pub(in crate::simulator) fn record_disk_loss(&mut self, process: usize) {
+        self.processes[process].recovery_index = self.highest_applied_index;
     }
 
-    /// The replica that leads in the highest term.
+    /// The leader that is not frozen and has the highest term.
     pub(in crate::simulator) fn leader(&self) -> Option<usize> {
         let leading_term = |process: &Process| {
-            let replica = process.replica().filter(|replica| replica.leads())?;
+            let replica = process.replica().filter(|replica| replica.is_leader())?;
             Some(replica.term())
         };
-        let awake = self.processes.iter().enumerate();
-        let awake = awake.filter(|(_, process)| !process.is_frozen);
-        let leaders = awake.filter_map(|(number, process)| Some((leading_term(process)?, number)));
+        let unfrozen = self.processes.iter().enumerate();
+        let unfrozen = unfrozen.filter(|(_, process)| !process.is_frozen);
+        let leaders =
+            unfrozen.filter_map(|(number, process)| Some((leading_term(process)?, number)));
         leaders.max().map(|(_, number)| number)
     }
 
-    /// A message reaches a process, or waits while that stands still.
+    /// Delivers a message to a process and applies the effects. While the process is frozen, messages wait, and ticks
+    /// are dropped.
     pub(in crate::simulator) fn step(&mut self, number: usize, message: Msg) {
         let now = self.clocks(number);
         let process = &mut self.processes[number];
@@ -161,16 +178,16 @@
             }
             return;
         }
-        let effects = match &mut process.part {
-            Part::Replica {
+        let effects = match &mut process.role {
+            ProcessRole::Replica {
                 replica: Some(replica),
                 ..
             } => replica.step(now, message),
-            Part::Node(Some(node)) => node.step(now, message),
-            Part::WorkerProxy(Some(proxy)) => proxy.step(now, message),
-            Part::Replica { replica: None, .. } | Part::Node(None) | Part::WorkerProxy(None) => {
-                Vec::new()
-            }
+            ProcessRole::Node(Some(node)) => node.step(now, message),
+            ProcessRole::WorkerProxy(Some(proxy)) => proxy.step(now, message),
+            ProcessRole::Replica { replica: None, .. }
+            | ProcessRole::Node(None)
+            | ProcessRole::WorkerProxy(None) => Vec::new(),
         };
         for effect in effects {
             self.apply(number, effect);
@@ -178,7 +195,7 @@
         self.observe_version(number, now);
     }
 
-    /// Records when a node that is ready has another version in force than before.
+    /// Records a new version of the configuration in force on a ready node.
     fn observe_version(&mut self, number: usize, now: Now) {
         let process = &mut self.processes[number];
         let Some(node) = process.node() else { return };
@@ -186,7 +203,7 @@
         if version == process.config_version || !node.is_ready(now) {
             return;
         }
-        let change = change_mark(node.state());
+        let change = change_id_in_notes(node.state());
         process.config_version = version;
         let node = process.address.clone();
         self.record(Event::NodeVersion {
@@ -197,34 +214,34 @@
         });
     }
 
-    /// A disk that takes nothing is tried again.
+    /// Reports an error to the process if the disk is full, and schedules the write again.
     pub(super) fn retry_write(&mut self, process: usize, incarnation: u64, write_id: u64) {
         let disk = self.processes[process].disk_mut();
         if disk.is_some_and(|disk| disk.condition == Condition::Full) {
-            self.step(process, Msg::DiskFailed("no space left".into()));
+            self.step(process, Msg::WriteFailed("no space left".into()));
         }
-        let again = Action::CompleteWrite {
+        let retry = Action::CompleteWrite {
             process,
             incarnation,
             write_id,
         };
-        self.schedule_in(WRITE_RETRY_MS, again);
+        self.schedule_in(WRITE_RETRY_MS, retry);
     }
 
     fn apply(&mut self, number: usize, effect: Effect) {
         match effect {
             Effect::Send(to, body) => self.send(number, &to, &body),
             Effect::Persist(batch) => self.write(number, batch),
-            Effect::Answer(call, response) => self.send_answer(number, call, response),
+            Effect::Respond(call, response) => self.send_answer(number, call, response),
             Effect::Log(text) => {
                 let address = &self.processes[number].address;
                 let line = format!("{address} {text}");
                 self.log_line(&line);
             }
             Effect::Exit => {
-                // A graceful end: what was on its way to the disk arrives.
+                // A graceful exit: pending writes reach the disk.
                 if let Some(disk) = self.processes[number].disk_mut() {
-                    disk.crash(usize::MAX);
+                    disk.drop_pending(usize::MAX);
                 }
                 self.kill(number);
             }
@@ -241,11 +258,11 @@
         };
         disk.pending.push_back(batch);
         let delay_ms = disk.delay_ms + jitter_ms;
-        let complete = Action::CompleteWrite {
+        let completion = Action::CompleteWrite {
             process: number,
             incarnation,
             write_id,
         };
-        self.schedule_in(delay_ms, complete);
+        self.schedule_in(delay_ms, completion);
     }
 }
--- a/testkit/src/simulator/world/report.rs
+++ b/testkit/src/simulator/world/report.rs
@@ -1,6 +1,6 @@
 //! The report of a simulated day.
 
-use super::observe::change_mark;
+use super::observe::change_id_in_notes;
 use super::{Process, World};
 use crate::checkers::{summary, Summary};
 use crate::history::{Event, FinalState, History};
@@ -9,47 +9,50 @@
 use landingdrift::state::{AttemptState, ClusterState, JobState};
 use std::collections::BTreeMap;
 
-/// What a day left behind.
+/// The results of a day.
 pub struct Report {
     pub history: History,
     pub summary: Summary,
-    /// Milliseconds that each job took which was done, in the order of their ends.
+    /// The latency of each done job, in milliseconds, in the order in which the client observed the ends.
     pub latencies_ms: Vec<u64>,
-    /// The same by the job's id.
+    /// The latency of each done job, in milliseconds, by job id.
     pub latency_of_job_ms: BTreeMap<String, u64>,
-    /// What the parts counted, by role and name.
+    /// The sums of the counters of all processes, by `{role}_{name}`; `frames_of_another_version` has no role.
     pub counters: BTreeMap<String, u64>,
+    /// The faults that the scenario names and the sampled ones.
     pub faults: Vec<Fault>,
-    /// Log lines of the parts, the faults and the jobs that are still open.
+    /// Log lines of processes and of faults, and one for each job that is unfinished at the end.
     pub log: Vec<String>,
-    /// More happened than a day can hold: the parts keep each other busy.
+    /// The day exceeded the limit on actions, as when processes send messages to each other without end.
     pub is_livelocked: bool,
-    /// Speculative copies that ended first.
+    /// The number of speculative copies that ended before the original run.
     pub copies_won: u64,
-    /// Messages between the system's own processes.
+    /// The number of messages sent between the system's processes, without those lost because the receiver was down,
+    /// the link was blocked or a flaky link lost them.
     pub messages: u64,
 }
 
 impl World {
-    /// Ends the day with the state that the replicas came to.
+    /// Ends the day and records the final state: that of the leader, or of the replica with the highest applied index.
     pub(super) fn into_report(mut self, is_livelocked: bool) -> Report {
         let mut counters: BTreeMap<String, u64> = BTreeMap::new();
         for process in &mut self.processes {
-            process.keep_counters();
+            process.accumulate_counters();
             for (name, value) in &process.counters {
                 *counters.entry(name.clone()).or_default() += value;
             }
         }
         let replicas = self.processes.iter().filter_map(Process::replica);
-        let best = replicas.max_by_key(|replica| (replica.leads(), replica.state().applied_index));
-        let state = best.map(|replica| replica.state().clone());
+        let most_current =
+            replicas.max_by_key(|replica| (replica.is_leader(), replica.state().applied_index));
+        let state = most_current.map(|replica| replica.state().clone());
         let state = state.unwrap_or_default();
-        for line in open_jobs(&state) {
+        for line in unfinished_job_lines(&state) {
             self.log_line(&line);
         }
         self.record(Event::DayEnded {
             version: state.version,
-            change: change_mark(&state),
+            change: change_id_in_notes(&state),
             jobs: final_states(&state),
         });
         let queues = state.queues.values();
@@ -69,12 +72,15 @@
     }
 }
 
-/// A line for each job that is still open, with its attempts, for whoever looks for the cause.
-fn open_jobs(state: &ClusterState) -> Vec<String> {
-    let jobs = state.open.iter().filter_map(|id| state.jobs.get(id));
+/// A log line for each unfinished job, with its attempts, for debugging.
+fn unfinished_job_lines(state: &ClusterState) -> Vec<String> {
+    let jobs = state
+        .unfinished_jobs
+        .iter()
+        .filter_map(|id| state.jobs.get(id));
     jobs.map(|job| {
         let json = serde_json::to_string(job).unwrap_or_default();
-        format!("still open: {json}")
+        format!("still unfinished: {json}")
     })
     .collect()
 }
--- a/testkit/src/simulator/world/schedule.rs
+++ b/testkit/src/simulator/world/schedule.rs
@@ -1,36 +1,36 @@
-//! The schedule of what is still to happen, and what each entry does when its time has come.
+//! The queue of scheduled actions, and the performance of each.
 
-use super::{Caller, Part, World, TICK_MS};
+use super::{Caller, ProcessRole, World, TICK_MS};
 use crate::simulator::disk::Condition;
 use landingdrift::sans_io::{Msg, Request, Response};
 use std::cmp::{Ordering, Reverse};
 
-/// How often the nodes are asked what they have in force, in milliseconds.
+/// The interval of probes of the nodes' versions and readiness, in milliseconds.
 pub(super) const PROBE_EVERY_MS: u64 = 500;
-/// How often it is looked which parts could work, in milliseconds.
+/// The interval of observations of the availability, in milliseconds.
 const OBSERVE_EVERY_MS: u64 = 100;
 
-/// What can happen at a moment of the day. Actions of a process or worker name its incarnation: those of an earlier
-/// one are dropped.
+/// An action that the event loop performs. Actions for a process or worker include its incarnation, and are dropped if
+/// the incarnation has changed.
 pub(in crate::simulator) enum Action {
     TickProcess {
         process: usize,
         incarnation: u64,
     },
-    /// A frame arrives.
+    /// A frame arrives at a process.
     Deliver {
         to: usize,
         incarnation: u64,
         from: String,
         frame: Vec<u8>,
     },
-    /// A disk has had the time to write.
+    /// A write on a disk completes, unless the disk is full or stalled.
     CompleteWrite {
         process: usize,
         incarnation: u64,
         write_id: u64,
     },
-    /// A call arrives at the process of an address.
+    /// A call arrives at the process with an address.
     Call {
         to: String,
         caller: Caller,
@@ -47,21 +47,21 @@
         worker: usize,
         incarnation: u64,
     },
-    /// The client and the operators get their tick.
+    /// The planned jobs that are due are offered, and the client and the operators make the calls that are due.
     TickCallers,
-    /// The fault of this number strikes.
-    Strike(usize),
-    /// The fault of this number is over.
-    Heal(usize),
-    /// The load ends.
+    /// The fault with this number begins.
+    InjectFault(usize),
+    /// The fault with this number ends.
+    HealFault(usize),
+    /// No more jobs are offered, and all faults are healed.
     EndLoad,
-    /// The nodes are asked what they have in force.
+    /// The versions and readiness of the nodes are recorded.
     Probe,
-    /// It is looked which parts could work.
+    /// The availability of replicas and nodes is recorded if it has changed.
     ObserveAvailability,
 }
 
-/// An entry of the schedule, ordered by its time, then by when it was entered.
+/// A scheduled action, ordered by time, then by the order of scheduling.
 pub(super) struct ScheduledAction {
     pub(super) at_ms: u64,
     sequence: u64,
@@ -90,17 +90,17 @@
 }
 
 impl World {
-    /// Schedules an action at a time in milliseconds.
+    /// Schedules an action at a time in milliseconds since the beginning of the day.
     pub(in crate::simulator) fn schedule(&mut self, at_ms: u64, action: Action) {
-        self.scheduled += 1;
+        self.actions_scheduled += 1;
         self.queue.push(Reverse(ScheduledAction {
             at_ms,
-            sequence: self.scheduled,
+            sequence: self.actions_scheduled,
             action,
         }));
     }
 
-    /// Schedules an action after a time in milliseconds.
+    /// Schedules an action after a delay in milliseconds.
     pub(in crate::simulator) fn schedule_in(&mut self, delay_ms: u64, action: Action) {
         self.schedule(self.now + delay_ms, action);
     }
@@ -142,8 +142,8 @@
                 incarnation,
             } => self.tick_worker(worker, incarnation),
             Action::TickCallers => self.tick_callers(),
-            Action::Strike(fault) => self.strike(fault),
-            Action::Heal(fault) => self.heal(fault),
+            Action::InjectFault(fault) => self.inject_fault(fault),
+            Action::HealFault(fault) => self.heal_fault(fault),
             Action::EndLoad => self.end_load(),
             Action::Probe => {
                 self.probe();
@@ -161,18 +161,18 @@
             return;
         }
         self.step(process, Msg::Tick);
-        let next = Action::TickProcess {
+        let next_tick = Action::TickProcess {
             process,
             incarnation,
         };
-        self.schedule_in(TICK_MS, next);
+        self.schedule_in(TICK_MS, next_tick);
     }
 
     fn complete_write(&mut self, process: usize, incarnation: u64, write_id: u64) {
         if self.processes[process].incarnation != incarnation {
             return;
         }
-        let Part::Replica { disk, .. } = &mut self.processes[process].part else {
+        let ProcessRole::Replica { disk, .. } = &mut self.processes[process].role else {
             return;
         };
         if disk.condition == Condition::Sound {
--- a/testkit/src/simulator/world/setup.rs
+++ b/testkit/src/simulator/world/setup.rs
@@ -1,4 +1,4 @@
-//! Setting a world up at the beginning of a day.
+//! Setup of a world at the beginning of a day.
 
 use super::schedule::PROBE_EVERY_MS;
 use super::{Action, Availability, Link, Machine, PlannedJob, WorkerMachine, World};
@@ -13,14 +13,14 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-/// Every deployment has so many zones, and a replica in each.
+/// The number of zones in every deployment, each with one replica.
 const ZONES: usize = 3;
-/// The last part of the address of the first node; replicas have 1.
-const FIRST_NODE_ADDRESS: usize = 10;
-/// Mixed into the seed for random faults, so that they depend on no other draw.
+/// The last octet of the first node's address; replicas have 1.
+const FIRST_NODE_OCTET: usize = 10;
+/// A constant that gives random faults a random stream of their own.
 const FAULTS_SEED: u64 = 0xfa17;
-/// The quota of queues when policies are compared: no job is turned away.
-const MEASURED_QUOTA: u64 = 20_000;
+/// The quota of queues when policies are measured: large enough that no job is refused.
+const MEASUREMENT_QUOTA: u64 = 20_000;
 
 impl World {
     /// A world at the beginning of a day.
@@ -37,17 +37,18 @@
         };
         let mut world = Self {
             now: 0,
-            scheduled: 0,
+            actions_scheduled: 0,
             queue: BinaryHeap::new(),
-            client: Client::new("j", Vec::new(), scenario.mix(), rng.number(), EPOCH),
+            // A placeholder until the addresses of the nodes are known; see `add_callers`.
+            client: Client::new("j", Vec::new(), scenario.mix(), rng.next_u64(), EPOCH),
             operators: Vec::new(),
             rng,
             shape: scenario.shape,
             scenario: scenario.clone(),
             faults: planned_faults(scenario, seed),
-            struck: BTreeMap::new(),
+            active_faults: BTreeMap::new(),
             processes: Vec::new(),
-            by_address: BTreeMap::new(),
+            process_by_address: BTreeMap::new(),
             workers: Vec::new(),
             blocked: BTreeSet::new(),
             history: History::default(),
@@ -55,26 +56,26 @@
             open_calls: BTreeMap::new(),
             last_call: 0,
             settings,
-            is_calm: false,
+            has_load_ended: false,
             seed,
             planned_jobs: VecDeque::new(),
             messages: 0,
-            arrivals: BTreeMap::new(),
+            latest_arrivals_ms: BTreeMap::new(),
             lost_answers_percent: 0,
             availability: Availability::default(),
-            committed: 0,
+            highest_applied_index: 0,
             is_closing: false,
         };
         for zone in 0..ZONES {
             world.add_replica(zone, replica_address(zone));
         }
-        for index in 0..scenario.total_nodes() {
+        for index in 0..scenario.node_count() {
             let zone = index % ZONES;
-            let address = format!("10.0.{zone}.{}:7000", FIRST_NODE_ADDRESS + index);
+            let address = format!("10.0.{zone}.{}:7000", FIRST_NODE_OCTET + index);
             let class = scenario.class_of_node(index);
             let machine = Machine {
                 share: class.share,
-                link: Link::of_kbps(class.link_kbps),
+                link: Link::with_bandwidth_kbps(class.link_kbps),
             };
             world.add_node(zone, address, machine);
         }
@@ -85,8 +86,8 @@
         world
     }
 
-    /// Starts the workers of the scenario. Services, labels and zones go round at different periods, so that most
-    /// combinations occur.
+    /// Adds and starts the workers of the scenario. Services, labels and zones repeat with different periods, so that
+    /// most combinations of them occur.
     fn add_workers(&mut self, scenario: &Scenario) {
         let services = scenario.shape.mix().services;
         for index in 0..scenario.worker_count() {
@@ -112,13 +113,13 @@
                 info,
                 zone,
                 is_frozen: false,
-                is_cut: false,
+                is_partitioned: false,
                 inbox: Vec::new(),
                 incarnation: 0,
                 proxy: None,
             });
             if scenario.has_worker_proxies {
-                let address = format!("10.1.{zone}.{}:7000", FIRST_NODE_ADDRESS + index);
+                let address = format!("10.1.{zone}.{}:7000", FIRST_NODE_OCTET + index);
                 self.workers[index].proxy = Some(address.clone());
                 self.add_worker_proxy(zone, address);
             }
@@ -126,22 +127,22 @@
         }
     }
 
-    /// Puts the client and the two operators in place of the ones that the world began with.
+    /// Creates the two operators, and the client that calls the nodes.
     fn add_callers(&mut self, scenario: &Scenario, nodes: Vec<String>) {
-        let client_seed = self.rng.number();
-        let operator_seeds = [self.rng.number(), self.rng.number()];
+        let client_seed = self.rng.next_u64();
+        let operator_seeds = [self.rng.next_u64(), self.rng.next_u64()];
         self.client = Client::new("j", nodes.clone(), scenario.mix(), client_seed, EPOCH);
         self.operators = vec![
             Operator::new("op0", nodes.clone(), operator_seeds[0]),
             Operator::new("op1", nodes, operator_seeds[1]),
         ];
-        self.operators[0].apply(false, scenario.shape.config());
+        self.operators[0].queue_change(false, scenario.shape.config());
     }
 
     /// Schedules the faults, the first ticks and probes, and the end of the load.
     fn schedule_first_actions(&mut self, scenario: &Scenario) {
         for fault in 0..self.faults.len() {
-            self.schedule(self.faults[fault].at_ms, Action::Strike(fault));
+            self.schedule(self.faults[fault].at_ms, Action::InjectFault(fault));
         }
         self.schedule(1, Action::TickCallers);
         self.schedule(PROBE_EVERY_MS, Action::Probe);
@@ -149,28 +150,33 @@
         self.schedule(scenario.seconds * 1000, Action::EndLoad);
     }
 
-    /// Makes this a day of planned jobs alone, each with its time in milliseconds, with free values of admission to be
-    /// measured.
-    pub fn measure(&mut self, jobs: Vec<PlannedJob>, hopper: Hopper, speculation_percent: u32) {
+    /// Prepares the world to measure a policy: only the planned jobs are offered, and scheduling and speculation use
+    /// the given parameters.
+    pub fn prepare_measurement(
+        &mut self,
+        jobs: Vec<PlannedJob>,
+        hopper: Hopper,
+        speculation_percent: u32,
+    ) {
         let mut config = self.shape.config();
         let queues = config["queues"].as_object_mut().into_iter().flatten();
         for (_, queue) in queues {
-            // Promises that such a load can't keep would spend the queues' allowances, and with them all copies.
+            // No deadline: missed deadlines would use up the queues' allowances and disable speculative copies.
             queue["finishWithinMs"] = json!(0);
-            queue["quota"] = json!(MEASURED_QUOTA);
+            queue["quota"] = json!(MEASUREMENT_QUOTA);
             queue["speculationPercent"] = json!(speculation_percent);
         }
         let nodes = self.node_addresses();
-        let operator_seed = self.rng.number();
+        let operator_seed = self.rng.next_u64();
         self.operators[0] = Operator::new("op0", nodes, operator_seed);
-        self.operators[0].apply(false, config);
+        self.operators[0].queue_change(false, config);
         self.planned_jobs = jobs.into();
         self.client.is_offering = false;
         self.client.cancelled_share = 0.0;
         self.settings.hopper = hopper;
         let machines = self.workers.iter_mut();
         for worker in machines.filter_map(|machine| machine.worker.as_mut()) {
-            worker.paired_seed = Some(self.seed);
+            worker.common_seed = Some(self.seed);
         }
         for process in 0..self.processes.len() {
             let settings = self.settings_for(process);
@@ -179,7 +185,7 @@
     }
 }
 
-/// The faults of the scenario and the random ones, in the order of their times.
+/// The faults that the scenario names and the random ones, ordered by time.
 fn planned_faults(scenario: &Scenario, seed: u64) -> Vec<Fault> {
     let mut rng = Rng::new(seed ^ FAULTS_SEED);
     let end_ms = scenario.seconds * 1000;
--- a/testkit/tests/promises.rs
+++ b/testkit/tests/promises.rs
@@ -1,11 +1,11 @@
-//! The table of promises names what is there, and leaves nothing out.
+//! docs/promises.md lists exactly the existing scenarios, checkers, kinds of faults and test files.
 
 use landingdrift_testkit::checkers::ALL;
 use landingdrift_testkit::scenario::FaultKind;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The names of the files of a folder that end with `suffix`.
+/// The names of the files in a folder that end with `suffix`.
 fn file_names(folder: &str, suffix: &str) -> BTreeSet<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     std::fs::read_dir(&path)
@@ -17,34 +17,35 @@
 }
 
 #[test]
-fn every_row_names_what_is_there_and_nothing_is_without_a_row() {
+fn promises_page_lists_all_scenarios_checkers_faults_and_tests() {
     let text =
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/promises.md"))
-            .expect("docs/promises.md is there");
-    let named = |kind: &str| -> BTreeSet<String> {
+            .expect("failed to read docs/promises.md");
+    let named_on_page = |kind: &str| -> BTreeSet<String> {
         text.split('`')
             .skip(1)
             .step_by(2)
-            .filter_map(|t| {
-                t.strip_prefix(kind)
-                    .and_then(|t| t.strip_prefix(':'))
+            .filter_map(|quoted| {
+                quoted
+                    .strip_prefix(kind)
+                    .and_then(|rest| rest.strip_prefix(':'))
                     .map(str::to_string)
             })
             .collect()
     };
     let scenarios: BTreeSet<String> = file_names("scenarios", ".toml")
         .iter()
-        .map(|f| f.trim_end_matches(".toml").to_string())
+        .map(|file| file.trim_end_matches(".toml").to_string())
         .collect();
-    assert_eq!(named("scenario"), scenarios, "scenarios");
+    assert_eq!(named_on_page("scenario"), scenarios, "scenarios");
     assert_eq!(
-        named("checker"),
+        named_on_page("checker"),
         ALL.iter().map(|checker| checker.rule.to_string()).collect(),
         "checkers"
     );
     assert_eq!(
-        named("fault"),
-        FaultKind::ALL
+        named_on_page("fault"),
+        FaultKind::BY_INDEX
             .iter()
             .chain(FaultKind::NAMED_ONLY)
             .map(|kind| kind.name())
@@ -55,5 +56,5 @@
         .iter()
         .flat_map(|folder| file_names(folder, ".rs"))
         .collect();
-    assert_eq!(named("test"), tests, "tests");
+    assert_eq!(named_on_page("test"), tests, "tests");
 }
